--- a/adapter/src/frame.rs
+++ b/adapter/src/frame.rs
@@ -22,23 +22,35 @@
         return Ok(None);
     }
     if header.len() < HEADER {
-        return Err(format!("input ends after {} of a header's {HEADER} bytes", header.len()));
+        return Err(format!(
+            "input ends after {} of a header's {HEADER} bytes",
+            header.len()
+        ));
     }
     let mut fields = Fields::new(&header);
     let (clock, size, count) = (fields.u64()?, fields.u32()? as usize, fields.u32()?);
     if size < HEADER {
-        return Err(format!("a frame says it has {size} bytes, fewer than its header"));
+        return Err(format!(
+            "a frame says it has {size} bytes, fewer than its header"
+        ));
     }
     let mut body = Vec::new();
     fill(input, size - HEADER, &mut body)?;
     if body.len() < size - HEADER {
-        return Err(format!("input ends after {} of a frame's {size} bytes", HEADER + body.len()));
+        return Err(format!(
+            "input ends after {} of a frame's {size} bytes",
+            HEADER + body.len()
+        ));
     }
     Ok(Some(Batch { clock, count, body }))
 }
 
 fn fill(input: &mut impl Read, size: usize, into: &mut Vec<u8>) -> Result<(), BadFrame> {
-    input.take(size as u64).read_to_end(into).map(drop).map_err(|e| format!("cannot read a frame: {e}"))
+    input
+        .take(size as u64)
+        .read_to_end(into)
+        .map(drop)
+        .map_err(|e| format!("cannot read a frame: {e}"))
 }
 
 /// Takes fields off the front of a run of bytes.
@@ -66,7 +78,10 @@
 
     pub fn bytes(&mut self, size: usize) -> Result<&'a [u8], BadFrame> {
         if size > self.rest.len() {
-            return Err(format!("a field of {size} bytes where {} are left of the frame", self.rest.len()));
+            return Err(format!(
+                "a field of {size} bytes where {} are left of the frame",
+                self.rest.len()
+            ));
         }
         let (taken, rest) = self.rest.split_at(size);
         self.rest = rest;
--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -55,23 +55,33 @@
 
 impl Actions for Outlet<'_> {
     fn part_call(&mut self, part: PartId, node: NodeId, limit: Micros) {
-        self.record(action::ATTEMPT).put(&part.0.to_be_bytes()).node(node.0).time(limit.0);
+        self.record(action::ATTEMPT)
+            .put(&part.0.to_be_bytes())
+            .node(node.0)
+            .time(limit.0);
     }
 
     fn answer(&mut self, lookup: LookupId, whole: bool) {
-        self.record(action::ASSEMBLE).put(&lookup.0.to_be_bytes()).put(&[u8::from(whole)]);
+        self.record(action::ASSEMBLE)
+            .put(&lookup.0.to_be_bytes())
+            .put(&[u8::from(whole)]);
     }
 
     fn nack(&mut self, lookup: LookupId, come_back: Micros) {
-        self.record(action::SAY_NO).put(&lookup.0.to_be_bytes()).time(come_back.0);
+        self.record(action::SAY_NO)
+            .put(&lookup.0.to_be_bytes())
+            .time(come_back.0);
     }
 
     fn abort(&mut self, lookup: LookupId) {
-        self.record(action::REPORT_FAILURE).put(&lookup.0.to_be_bytes());
+        self.record(action::REPORT_FAILURE)
+            .put(&lookup.0.to_be_bytes());
     }
 
     fn cancel(&mut self, part: PartId, call: CallNo) {
-        self.record(action::RETRACT).put(&part.0.to_be_bytes()).put(&[call.0]);
+        self.record(action::RETRACT)
+            .put(&part.0.to_be_bytes())
+            .put(&[call.0]);
     }
 
     fn close_idle(&mut self, node: NodeId) {
@@ -87,7 +97,9 @@
     }
 
     fn timer(&mut self, delay: Micros, timer: TimerId) {
-        self.record(action::DEFER).time(delay.0).put(&timer.0.to_be_bytes());
+        self.record(action::DEFER)
+            .time(delay.0)
+            .put(&timer.0.to_be_bytes());
     }
 
     fn log(&mut self, line: &str) {
@@ -108,20 +120,29 @@
         let (mut fields, mut reply) = (Fields::new(&batch.body), Reply::default());
         let clock = Micros(batch.clock);
         for at in 0..batch.count {
-            if let Some(bug) =
-                self.event(clock, &mut fields, &mut reply).map_err(|e| format!("record {at}: {e}"))?
+            if let Some(bug) = self
+                .event(clock, &mut fields, &mut reply)
+                .map_err(|e| format!("record {at}: {e}"))?
             {
                 return Ok(bug.finish());
             }
         }
         match fields.left() {
             0 => Ok(reply.finish()),
-            left => Err(format!("{left} bytes left over after the {} records of a frame", batch.count)),
+            left => Err(format!(
+                "{left} bytes left over after the {} records of a frame",
+                batch.count
+            )),
         }
     }
 
     /// Plays one event. A panic of the decisions comes back as the reply that reports it.
-    fn event(&mut self, now: Micros, f: &mut Fields, reply: &mut Reply) -> Result<Option<Reply>, BadFrame> {
+    fn event(
+        &mut self,
+        now: Micros,
+        f: &mut Fields,
+        reply: &mut Reply,
+    ) -> Result<Option<Reply>, BadFrame> {
         let code = f.u8()?;
         if code == event::CATALOG {
             self.catalog(f)?;
@@ -130,12 +151,16 @@
         let instance = f.u32()?;
         if code == event::BEGIN {
             let (seed, size) = (f.u64()?, f.u32()? as usize);
-            self.instances
-                .insert(instance, Brain::new(tariff::tariff(&tariff::parse(f.bytes(size)?)?)?, seed));
+            self.instances.insert(
+                instance,
+                Brain::new(tariff::tariff(&tariff::parse(f.bytes(size)?)?)?, seed),
+            );
             return Ok(None);
         }
         let Some(brain) = self.instances.get_mut(&instance) else {
-            return Err(format!("event {code} for instance {instance}, which has not begun"));
+            return Err(format!(
+                "event {code} for instance {instance}, which has not begun"
+            ));
         };
         if code == event::DETACH {
             self.instances.remove(&instance);
@@ -179,7 +204,15 @@
                             out,
                         );
                     } else {
-                        brain.part(now, PartId(id), query, ShardNo(shard as u32), amount, hint, out);
+                        brain.part(
+                            now,
+                            PartId(id),
+                            query,
+                            ShardNo(shard as u32),
+                            amount,
+                            hint,
+                            out,
+                        );
                     }
                 })
             }
@@ -196,7 +229,8 @@
                     return Err(format!("a roster update of unknown kind {how}"));
                 }
                 let list = self.catalogs.get(number as usize).and_then(Option::as_ref);
-                let list = list.ok_or_else(|| format!("catalog {number} is named but was never sent"))?;
+                let list =
+                    list.ok_or_else(|| format!("catalog {number} is named but was never sent"))?;
                 guard(instance, || brain.roster(now, list, how != 0, out))
             }
             event::UNDER_WAY => {
@@ -207,7 +241,9 @@
                 let (part, lag) = (PartId(f.u64()?), Micros(f.u32()?.into()));
                 let (node, _finished, call) = (NodeId(f.node()?), f.u8()?, CallNo(f.u8()?));
                 let (ending, report) = (ending(f.u16()?)?, f.report()?);
-                guard(instance, || brain.returned(now, part, call, node, lag, ending, &report, out))
+                guard(instance, || {
+                    brain.returned(now, part, call, node, lag, ending, &report, out)
+                })
             }
             event::ELAPSED => {
                 let timer = TimerId(f.u64()?);
@@ -223,7 +259,10 @@
             return Err(format!("catalog number {number} is out of range"));
         }
         if count > f.left() / LISTING_BYTES {
-            return Err(format!("a catalog of {count} entries where {} bytes are left", f.left()));
+            return Err(format!(
+                "a catalog of {count} entries where {} bytes are left",
+                f.left()
+            ));
         }
         self.catalogs[number] = Some((0..count).map(|_| listing(f)).collect::<Result<_, _>>()?);
         Ok(())
@@ -240,7 +279,13 @@
         other => return Err(format!("unknown node phase {other}")),
     };
     let _units = f.f32()?;
-    Ok(Listing { node, zone, cell, phase, started: Micros(f.u64()?) })
+    Ok(Listing {
+        node,
+        zone,
+        cell,
+        phase,
+        started: Micros(f.u64()?),
+    })
 }
 
 fn ending(how: u16) -> Result<Ending, BadFrame> {
@@ -257,7 +302,9 @@
 
 /// Runs decisions; a panic becomes a reply with the wire's `bug`.
 fn guard(instance: u32, decide: impl FnOnce()) -> Result<Option<Reply>, BadFrame> {
-    let Err(panic) = catch_unwind(AssertUnwindSafe(decide)) else { return Ok(None) };
+    let Err(panic) = catch_unwind(AssertUnwindSafe(decide)) else {
+        return Ok(None);
+    };
     let text = match (panic.downcast_ref::<String>(), panic.downcast_ref::<&str>()) {
         (Some(text), _) => text.as_str(),
         (_, Some(text)) => text,
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -5,8 +5,7 @@
 
 use test_case::test_case;
 
-const SETTINGS: &str =
-    r#"{"classes": [{"onTime": 1000000, "deadline": 3000000, "semantics": "idempotent"}], "new": 1}"#;
+const SETTINGS: &str = r#"{"classes": [{"onTime": 1000000, "deadline": 3000000, "semantics": "idempotent"}], "new": 1}"#;
 
 fn play(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_ternpick-adapter"))
@@ -22,12 +21,23 @@
 
 fn frame(count: u32, records: &[u8]) -> Vec<u8> {
     let size = 16 + records.len() as u32;
-    [&5_000_000_u64.to_be_bytes()[..], &size.to_be_bytes(), &count.to_be_bytes(), records].concat()
+    [
+        &5_000_000_u64.to_be_bytes()[..],
+        &size.to_be_bytes(),
+        &count.to_be_bytes(),
+        records,
+    ]
+    .concat()
 }
 
 fn begin(settings: &str) -> Vec<u8> {
     let head = [&[21][..], &0_u32.to_be_bytes(), &7_u64.to_be_bytes()].concat();
-    [&head[..], &(settings.len() as u32).to_be_bytes(), settings.as_bytes()].concat()
+    [
+        &head[..],
+        &(settings.len() as u32).to_be_bytes(),
+        settings.as_bytes(),
+    ]
+    .concat()
 }
 
 fn elapsed(instance: u32) -> Vec<u8> {
@@ -35,9 +45,21 @@
 }
 
 fn submit(index: u8) -> Vec<u8> {
-    let ids =
-        [&[18][..], &0_u32.to_be_bytes(), &1_u64.to_be_bytes(), &1_f32.to_be_bytes(), &[0, 0, 0]].concat();
-    let what = [&(-1_f32).to_be_bytes()[..], &[0; 12], &1_f32.to_be_bytes(), &[index]].concat();
+    let ids = [
+        &[18][..],
+        &0_u32.to_be_bytes(),
+        &1_u64.to_be_bytes(),
+        &1_f32.to_be_bytes(),
+        &[0, 0, 0],
+    ]
+    .concat();
+    let what = [
+        &(-1_f32).to_be_bytes()[..],
+        &[0; 12],
+        &1_f32.to_be_bytes(),
+        &[index],
+    ]
+    .concat();
     [ids, what, 1_000_000_u32.to_be_bytes().to_vec()].concat()
 }
 
@@ -60,7 +82,13 @@
 
 #[test]
 fn unknown_settings_are_skipped_and_end_of_input_is_clean() {
-    let out = play(&[frame(0, &[]), frame(2, &[begin(SETTINGS), elapsed(0)].concat())].concat());
+    let out = play(
+        &[
+            frame(0, &[]),
+            frame(2, &[begin(SETTINGS), elapsed(0)].concat()),
+        ]
+        .concat(),
+    );
     assert!(out.status.success() && out.stderr.is_empty());
     // Two empty replies: a router with nothing in hand asks for no timer.
     assert_eq!(out.stdout, [0, 0, 0, 8, 0, 0, 0, 0].repeat(2));
--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -42,7 +42,13 @@
     fn new(nodes: u64) -> Router {
         let cells = (nodes as u32 / HOLDERS).max(1);
         let soft = Micros(10_000_000);
-        let index = IndexRow { soft, gain: 1.0, need: 1.0, least: 1.0, ..IndexRow::default() };
+        let index = IndexRow {
+            soft,
+            gain: 1.0,
+            need: 1.0,
+            least: 1.0,
+            ..IndexRow::default()
+        };
         let tariff = Tariff {
             indexes: vec![index],
             routers: 1.0,
@@ -55,12 +61,22 @@
             tick: Micros(1000),
             ..Tariff::default()
         };
-        let (mut brain, mut out, now) = (Brain::new(tariff, 1), Out::default(), Micros(1_000_000_000));
-        let listing =
-            |id| Listing { node: NodeId(id), cell: CellNo(id as u32 % cells), ..Listing::default() };
+        let (mut brain, mut out, now) =
+            (Brain::new(tariff, 1), Out::default(), Micros(1_000_000_000));
+        let listing = |id| Listing {
+            node: NodeId(id),
+            cell: CellNo(id as u32 % cells),
+            ..Listing::default()
+        };
         let list: Vec<Listing> = (0..nodes).map(listing).collect();
         brain.roster(now, &list, true, &mut out);
-        Router { brain, out, now, next: 0, cells }
+        Router {
+            brain,
+            out,
+            now,
+            next: 0,
+            cells,
+        }
     }
 
     /// A lookup comes in.
@@ -99,7 +115,9 @@
     /// As many answers as a lookup has parts.
     fn hears(&mut self) {
         for _ in 0..PARTS {
-            let Some((part, node)) = self.out.0.pop_front() else { return };
+            let Some((part, node)) = self.out.0.pop_front() else {
+                return;
+            };
             let (lag, report) = (Micros(900), [2.0]);
             self.brain.returned(
                 self.now,
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -17,7 +17,9 @@
 pub use seat::{Done, Seat, Standing, Status, Work};
 
 /// The number of a seat. One that is taken away is never given again.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(transparent)]
 pub struct SeatNo(pub u64);
 
--- a/consensus/src/seat.rs
+++ b/consensus/src/seat.rs
@@ -7,7 +7,8 @@
 use nanorand::{Rng, WyRand};
 use protobuf::Message as _;
 use raft::eraftpb::{
-    ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType, Snapshot,
+    ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType,
+    Snapshot,
 };
 use raft::{Config, RawNode, Ready, SnapshotStatus, StateRole};
 use serde::{Deserialize, Serialize};
@@ -144,8 +145,13 @@
     /// A seat that was just given to a member: it has promised nothing, and votes only once the others have made it a
     /// voter. To be used only where the agreed state says that the seat is new.
     pub fn fresh(fleet: FleetId, no: SeatNo, terms: Terms, seed: u64) -> Result<Seat, Refused> {
-        let opened =
-            Opened { fleet, seat: no, boots: 0, shelf: Shelf::default(), witness: Witness::default() };
+        let opened = Opened {
+            fleet,
+            seat: no,
+            boots: 0,
+            shelf: Shelf::default(),
+            witness: Witness::default(),
+        };
         Self::of(opened, terms, seed)
     }
 
@@ -153,13 +159,22 @@
     pub fn open(image: &[u8], fleet: FleetId, terms: Terms, seed: u64) -> Result<Seat, Refused> {
         let opened = Shelf::open(image).map_err(Refused::Spoilt)?;
         if opened.fleet != fleet {
-            return Err(Refused::OtherFleet { found: opened.fleet, wanted: fleet });
+            return Err(Refused::OtherFleet {
+                found: opened.fleet,
+                wanted: fleet,
+            });
         }
         Self::of(opened, terms, seed)
     }
 
     fn of(opened: Opened, terms: Terms, seed: u64) -> Result<Seat, Refused> {
-        let Opened { fleet, seat: no, boots, shelf, witness } = opened;
+        let Opened {
+            fleet,
+            seat: no,
+            boots,
+            shelf,
+            witness,
+        } = opened;
         if no.0 == 0 {
             return Err(Refused::Spoilt("seat 0 is none".into()));
         }
@@ -247,7 +262,12 @@
 
     /// Those that vote, where who votes does not change just now.
     pub fn settled_voters(&self) -> Option<Vec<SeatNo>> {
-        self.raft.store().conf.get_voters_outgoing().is_empty().then(|| self.voters())
+        self.raft
+            .store()
+            .conf
+            .get_voters_outgoing()
+            .is_empty()
+            .then(|| self.voters())
     }
 
     fn numbers(of: &[u64]) -> Vec<SeatNo> {
@@ -272,7 +292,9 @@
     pub fn status(&self) -> Status {
         let store = self.raft.store();
         let standing = match &self.standing {
-            Standing::Proving(heard) => format!("asking what it has promised, {} have answered", heard.len()),
+            Standing::Proving(heard) => {
+                format!("asking what it has promised, {} have answered", heard.len())
+            }
             Standing::TakesPart => "takes part".to_owned(),
             Standing::Spoilt(words) => format!("spoilt: {words}"),
         };
@@ -303,7 +325,9 @@
 
     /// Enough others have said that it has promised nothing that it does not know.
     fn prove(&mut self) {
-        let Standing::Proving(heard) = &self.standing else { return };
+        let Standing::Proving(heard) = &self.standing else {
+            return;
+        };
         let voters = self.voters();
         let others = heard.iter().filter(|seat| voters.contains(seat)).count();
         // One whose vote does not count can promise nothing that matters.
@@ -326,8 +350,10 @@
             Standing::Proving(heard) => {
                 if self.ticks % self.terms.heartbeat_ticks as u64 == 1 {
                     let heard = heard.clone();
-                    let others =
-                        self.voters().into_iter().filter(|seat| *seat != self.no && !heard.contains(seat));
+                    let others = self
+                        .voters()
+                        .into_iter()
+                        .filter(|seat| *seat != self.no && !heard.contains(seat));
                     let asks: Vec<_> = others.map(|seat| (seat, Word::Roll(self.opened))).collect();
                     self.aside.extend(asks);
                 }
@@ -350,14 +376,19 @@
         self.witness.join(self.no, own);
         let all = self.witness.all();
         let others = voters.into_iter().filter(|seat| *seat != self.no);
-        self.aside.extend(others.map(|seat| (seat, Word::Promises(all.clone()))));
+        self.aside
+            .extend(others.map(|seat| (seat, Word::Promises(all.clone()))));
     }
 
     fn promise(&self) -> Promise {
         let store = self.raft.store();
         let last = store.last();
         let (term, vote) = (store.hard.term, store.hard.vote);
-        Promise { term, vote, last: (store.term_at(last).unwrap_or_default(), last) }
+        Promise {
+            term,
+            vote,
+            last: (store.term_at(last).unwrap_or_default(), last),
+        }
     }
 
     /// Runs the core; what it cannot bear spoils this seat and nothing else.
@@ -405,7 +436,10 @@
 
     fn hear_raft(&mut self, from: SeatNo, bytes: &[u8]) -> Option<u64> {
         let mut message = Message::default();
-        if message.merge_from_bytes(bytes).is_err() || message.from != from.0 || message.to != self.no.0 {
+        if message.merge_from_bytes(bytes).is_err()
+            || message.from != from.0
+            || message.to != self.no.0
+        {
             return None;
         }
         let kind = message.get_msg_type();
@@ -416,19 +450,29 @@
         // An answer to this very term's leader tells which entry it means; to an earlier one's it may mean another.
         let (store, term) = (self.raft.store(), self.term());
         let leads = self.raft.raft.state == StateRole::Leader && message.term == term;
-        self.witness.heard(from, &message, |index| store.term_at(index).filter(|_| leads));
+        self.witness.heard(from, &message, |index| {
+            store.term_at(index).filter(|_| leads)
+        });
         if self.standing != Standing::TakesPart {
             return None;
         }
         // A leader never says that more is agreed here than this seat has answered for.
         let last = self.raft.raft.raft_log.last_index();
-        if kind == MessageType::MsgHeartbeat && message.commit > last && message.term >= self.term() {
-            let words = format!("it has answered for entry {}, its own end at {last}", message.commit);
+        if kind == MessageType::MsgHeartbeat && message.commit > last && message.term >= self.term()
+        {
+            let words = format!(
+                "it has answered for entry {}, its own end at {last}",
+                message.commit
+            );
             self.spoil(format!("it is an older copy: {words}"));
             return None;
         }
-        let leads =
-            [MessageType::MsgHeartbeat, MessageType::MsgAppend, MessageType::MsgSnapshot].contains(&kind);
+        let leads = [
+            MessageType::MsgHeartbeat,
+            MessageType::MsgAppend,
+            MessageType::MsgSnapshot,
+        ]
+        .contains(&kind);
         let heeded = (leads && message.term >= self.term()).then_some(message.term);
         self.step(Input::Heard(message));
         heeded
@@ -463,7 +507,10 @@
             return Err(Refused::LeadsNot);
         }
         if data.len() as u64 > self.terms.entry_bytes {
-            return Err(Refused::TooLong { length: data.len() as u64, most: self.terms.entry_bytes });
+            return Err(Refused::TooLong {
+                length: data.len() as u64,
+                most: self.terms.entry_bytes,
+            });
         }
         self.step(Input::Put(data));
         Ok(())
@@ -510,14 +557,18 @@
         }
         let mut change = ConfChangeV2::default();
         change.set_changes(changes.into());
-        self.raft.propose_conf_change(vec![], change).map_err(|error| Refused::NotNow(error.to_string()))?;
+        self.raft
+            .propose_conf_change(vec![], change)
+            .map_err(|error| Refused::NotNow(error.to_string()))?;
         Ok(true)
     }
 
     /// Whether a seat that learns has all that is agreed, nearly.
     pub fn has_learnt(&self, seat: SeatNo) -> bool {
         let raft = &self.raft.raft;
-        raft.prs().get(seat.0).is_some_and(|progress| progress.matched + 4 >= raft.raft_log.committed)
+        raft.prs()
+            .get(seat.0)
+            .is_some_and(|progress| progress.matched + 4 >= raft.raft_log.committed)
     }
 
     /// Passes the lead on, if it can be.
@@ -578,7 +629,11 @@
             self.ready = None;
         }
         let keeps = std::mem::take(&mut self.changed);
-        let image = keeps.then(|| self.raft.store().image(self.fleet, self.no, self.boots, &self.witness));
+        let image = keeps.then(|| {
+            self.raft
+                .store()
+                .image(self.fleet, self.no, self.boots, &self.witness)
+        });
         Some(Work { image })
     }
 
@@ -587,9 +642,12 @@
         let mut done = Done::default();
         self.kept_term = self.raft.store().hard.term;
         for (to, word) in std::mem::take(&mut self.aside) {
-            done.messages.push((to, postcard::to_stdvec(&word).unwrap_or_default()));
+            done.messages
+                .push((to, postcard::to_stdvec(&word).unwrap_or_default()));
         }
-        let Some(mut ready) = self.ready.take() else { return done };
+        let Some(mut ready) = self.ready.take() else {
+            return done;
+        };
         let snapshot = ready.snapshot();
         if *snapshot != Snapshot::default() {
             let index = snapshot.get_metadata().index;
@@ -631,7 +689,8 @@
                 });
             }
             let word = Word::Raft(message.write_to_bytes().unwrap_or_default());
-            done.messages.push((to, postcard::to_stdvec(&word).unwrap_or_default()));
+            done.messages
+                .push((to, postcard::to_stdvec(&word).unwrap_or_default()));
         }
         self.draw();
         for input in std::mem::take(&mut self.meanwhile) {
--- a/consensus/src/shelf.rs
+++ b/consensus/src/shelf.rs
@@ -67,7 +67,9 @@
 
     /// Takes entries in; those from the first one's place on give way.
     pub fn append(&mut self, entries: &[Entry]) {
-        let Some(from) = entries.first().map(|entry| entry.index) else { return };
+        let Some(from) = entries.first().map(|entry| entry.index) else {
+            return;
+        };
         let keep = usize::try_from(from.saturating_sub(self.first())).unwrap_or(usize::MAX);
         self.entries.truncate(keep);
         self.entries.extend_from_slice(entries);
@@ -83,7 +85,10 @@
 
     /// Puts the state up to `index` in place of the entries up to there.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) {
-        let Some(term) = self.term_at(index).filter(|_| index > self.snapshot.get_metadata().index) else {
+        let Some(term) = self
+            .term_at(index)
+            .filter(|_| index > self.snapshot.get_metadata().index)
+        else {
             return;
         };
         let gone = usize::try_from(index - self.snapshot.get_metadata().index).unwrap_or(0);
@@ -117,26 +122,52 @@
         let wrong = |what: &str| format!("the state of the seat is spoilt: {what}");
         let image: Image = postcard::from_bytes(image).map_err(|_| wrong("it cannot be read"))?;
         if image.form != FORM {
-            return Err(wrong(&format!("its form is {}, this program reads {FORM}", image.form)));
+            return Err(wrong(&format!(
+                "its form is {}, this program reads {FORM}",
+                image.form
+            )));
         }
         let mut shelf = Shelf::default();
-        shelf.hard.merge_from_bytes(&image.hard).map_err(|_| wrong("its vote cannot be read"))?;
-        shelf.snapshot.merge_from_bytes(&image.snapshot).map_err(|_| wrong("its snapshot cannot be read"))?;
+        shelf
+            .hard
+            .merge_from_bytes(&image.hard)
+            .map_err(|_| wrong("its vote cannot be read"))?;
+        shelf
+            .snapshot
+            .merge_from_bytes(&image.snapshot)
+            .map_err(|_| wrong("its snapshot cannot be read"))?;
         for bytes in &image.entries {
             let mut entry = Entry::default();
-            entry.merge_from_bytes(bytes).map_err(|_| wrong("an entry cannot be read"))?;
+            entry
+                .merge_from_bytes(bytes)
+                .map_err(|_| wrong("an entry cannot be read"))?;
             if entry.index != shelf.last() + 1 || entry.term > shelf.hard.term {
                 return Err(wrong("its entries do not follow one another"));
             }
             shelf.entries.push(entry);
         }
         let meta = shelf.snapshot.get_metadata();
-        if shelf.hard.commit > shelf.last() || shelf.hard.commit < meta.index || meta.term > shelf.hard.term {
+        if shelf.hard.commit > shelf.last()
+            || shelf.hard.commit < meta.index
+            || meta.term > shelf.hard.term
+        {
             return Err(wrong("it ends before what it says is agreed"));
         }
         shelf.conf = meta.get_conf_state().clone();
-        let Image { fleet, seat, boots, witness, .. } = image;
-        Ok(Opened { fleet, seat, boots, shelf, witness })
+        let Image {
+            fleet,
+            seat,
+            boots,
+            witness,
+            ..
+        } = image;
+        Ok(Opened {
+            fleet,
+            seat,
+            boots,
+            shelf,
+            witness,
+        })
     }
 }
 
@@ -149,7 +180,11 @@
     }
 
     fn entries(
-        &self, low: u64, high: u64, max_size: impl Into<Option<u64>>, _: GetEntriesContext,
+        &self,
+        low: u64,
+        high: u64,
+        max_size: impl Into<Option<u64>>,
+        _: GetEntriesContext,
     ) -> RaftResult<Vec<Entry>> {
         if low < self.first() {
             return Err(Error::Store(StorageError::Compacted));
@@ -167,7 +202,8 @@
         if index + 1 < self.first() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        self.term_at(index).ok_or(Error::Store(StorageError::Unavailable))
+        self.term_at(index)
+            .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> RaftResult<u64> {
--- a/consensus/src/witness.rs
+++ b/consensus/src/witness.rs
@@ -26,13 +26,20 @@
             std::cmp::Ordering::Less => other.vote,
             std::cmp::Ordering::Equal => self.vote.max(other.vote),
         };
-        Promise { term: self.term.max(other.term), vote, last: self.last.max(other.last) }
+        Promise {
+            term: self.term.max(other.term),
+            vote,
+            last: self.last.max(other.last),
+        }
     }
 
     /// Words for what of this promise `own` does not know: then that is an older copy.
     pub fn beyond(&self, own: &Promise) -> Option<String> {
         if self.term > own.term {
-            return Some(format!("it has spoken in term {}, its own state ends in {}", self.term, own.term));
+            return Some(format!(
+                "it has spoken in term {}, its own state ends in {}",
+                self.term, own.term
+            ));
         }
         if self.term == own.term && self.vote != 0 && self.vote != own.vote {
             return Some(format!(
@@ -66,7 +73,10 @@
     }
 
     pub fn all(&self) -> Vec<(SeatNo, Promise)> {
-        self.0.iter().map(|(seat, promise)| (*seat, *promise)).collect()
+        self.0
+            .iter()
+            .map(|(seat, promise)| (*seat, *promise))
+            .collect()
     }
 
     pub fn keep_only(&mut self, seats: &[SeatNo]) {
@@ -77,10 +87,16 @@
     pub fn heard(&mut self, from: SeatNo, message: &Message, term_at: impl Fn(u64) -> Option<u64>) {
         // What is only asked whether it would be is no promise.
         let kind = message.get_msg_type();
-        if matches!(kind, MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse) {
+        if matches!(
+            kind,
+            MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
+        ) {
             return;
         }
-        let mut promise = Promise { term: message.term, ..Promise::default() };
+        let mut promise = Promise {
+            term: message.term,
+            ..Promise::default()
+        };
         match kind {
             MessageType::MsgRequestVote => promise.vote = message.from,
             MessageType::MsgRequestVoteResponse if !message.reject => promise.vote = message.to,
--- a/consensus/tests/agreement.rs
+++ b/consensus/tests/agreement.rs
@@ -65,7 +65,11 @@
 fn a_day_played_again_goes_the_same_way() {
     let day = |seed| {
         let world = rough_day(3, seed, 800);
-        world.places.values().map(|place| place.played.clone()).collect::<Vec<_>>()
+        world
+            .places
+            .values()
+            .map(|place| place.played.clone())
+            .collect::<Vec<_>>()
     };
     assert_eq!(day(11), day(11));
 }
@@ -80,7 +84,11 @@
         world.steps(12);
     }
     let leader = world.leader().expect("one leads");
-    let follower = world.up().into_iter().find(|no| *no != leader).expect("another");
+    let follower = world
+        .up()
+        .into_iter()
+        .find(|no| *no != leader)
+        .expect("another");
     for no in [follower, leader] {
         let copies = world.places[&no].disk.len();
         world.crash(no);
@@ -89,7 +97,9 @@
         world.start(no);
         world.steps(200);
         let standing = world.seat(no).standing().clone();
-        let Standing::Spoilt(words) = standing else { panic!("{no} takes part: {standing:?}") };
+        let Standing::Spoilt(words) = standing else {
+            panic!("{no} takes part: {standing:?}")
+        };
         assert!(words.starts_with("it is an older copy: it has"), "{words}");
         if no == follower {
             assert_eq!(world.leader(), Some(leader));
@@ -140,30 +150,50 @@
         world.put(&round.to_le_bytes());
         world.steps(3);
     }
-    let lost = world.up().into_iter().find(|no| *no != leader).expect("another");
+    let lost = world
+        .up()
+        .into_iter()
+        .find(|no| *no != leader)
+        .expect("another");
     world.crash(lost);
     let (new, rest): (SeatNo, Vec<SeatNo>) = (SeatNo(4), world.up());
     assert_eq!(world.seat(leader).change(&rest, &[new]), Ok(true));
     world.steps(50);
-    assert_eq!((world.seat(leader).voters(), world.seat(leader).learners()), (rest.clone(), vec![new]));
+    assert_eq!(
+        (world.seat(leader).voters(), world.seat(leader).learners()),
+        (rest.clone(), vec![new])
+    );
     let seat = Seat::fresh(FLEET, new, world.terms, 77).expect("a seat");
-    let place = common::Place { seat: Some(seat), ..empty() };
+    let place = common::Place {
+        seat: Some(seat),
+        ..empty()
+    };
     world.places.insert(new, place);
     world.steps(200);
     let (standings, status) = (world.standings(), world.seat(new).status());
-    assert!(world.seat(leader).has_learnt(new), "{standings:?} {status:?}");
+    assert!(
+        world.seat(leader).has_learnt(new),
+        "{standings:?} {status:?}"
+    );
     let mut all = rest;
     all.push(new);
     assert_eq!(world.seat(leader).change(&all, &[]), Ok(true));
     world.steps(50);
     assert_eq!(world.seat(leader).voters(), all);
     // With another one down it takes the new one's vote to agree.
-    let other = world.up().into_iter().find(|no| *no != leader && *no != new).expect("another");
+    let other = world
+        .up()
+        .into_iter()
+        .find(|no| *no != leader && *no != new)
+        .expect("another");
     world.crash(other);
     assert!(world.put(b"by the new one"));
     world.steps(100);
     let played = &world.places[&leader].played;
-    assert_eq!(played.last().map(|(_, data)| data.as_slice()), Some(&b"by the new one"[..]));
+    assert_eq!(
+        played.last().map(|(_, data)| data.as_slice()),
+        Some(&b"by the new one"[..])
+    );
     assert_eq!(world.agree(), Ok(()));
 }
 
@@ -185,7 +215,12 @@
     let leader = world.led();
     world.steps(50);
     // It is heard, and hears nothing: a cut one way.
-    world.cut = world.up().into_iter().filter(|no| *no != leader).map(|no| (no, leader)).collect();
+    world.cut = world
+        .up()
+        .into_iter()
+        .filter(|no| *no != leader)
+        .map(|no| (no, leader))
+        .collect();
     world.seat(leader).ask(1);
     world.steps(200);
     assert!(!world.seat(leader).leads());
@@ -215,21 +250,30 @@
     world.led();
     world.put(b"one");
     world.steps(20);
-    world.places[&SeatNo(1)].disk.last().cloned().expect("an image")
+    world.places[&SeatNo(1)]
+        .disk
+        .last()
+        .cloned()
+        .expect("an image")
 }
 
 #[test]
 fn a_state_cut_at_any_length_is_refused() {
     let image = image();
     for length in 0..image.len() {
-        assert!(Seat::open(&image[..length], FLEET, Terms::default(), 1).is_err(), "cut at {length}");
+        assert!(
+            Seat::open(&image[..length], FLEET, Terms::default(), 1).is_err(),
+            "cut at {length}"
+        );
     }
     assert!(Seat::open(&image, FLEET, Terms::default(), 1).is_ok());
 }
 
 #[test_case(FleetId(8), "the state is of fleet 0000000000000007, this one is 0000000000000008"; "another fleet")]
 fn a_state_of_another_fleet_is_refused_with_words(fleet: FleetId, words: &str) {
-    let refused = Seat::open(&image(), fleet, Terms::default(), 1).err().map(|refused| refused.to_string());
+    let refused = Seat::open(&image(), fleet, Terms::default(), 1)
+        .err()
+        .map(|refused| refused.to_string());
     assert_eq!(refused.as_deref(), Some(words));
 }
 
@@ -238,14 +282,22 @@
     let mut world = World::new(3, 4);
     let leader = world.led();
     let long = vec![0; 20_000];
-    assert!(matches!(world.seat(leader).put(long), Err(Refused::TooLong { .. })));
+    assert!(matches!(
+        world.seat(leader).put(long),
+        Err(Refused::TooLong { .. })
+    ));
     let mut chance = nanorand::WyRand::new_seed(1);
     for _ in 0..20_000 {
         let length = chance.generate_range(0..64usize);
         let bytes: Vec<u8> = (0..length).map(|_| chance.generate()).collect();
-        world.seat(leader).hear(SeatNo(chance.generate_range(0..5)), &bytes);
+        world
+            .seat(leader)
+            .hear(SeatNo(chance.generate_range(0..5)), &bytes);
     }
     world.steps(100);
-    assert!(world.up().into_iter().all(|no| world.seat(no).standing() == &Standing::TakesPart));
+    assert!(world
+        .up()
+        .into_iter()
+        .all(|no| world.seat(no).standing() == &Standing::TakesPart));
     assert!(world.put(b"on"));
 }
--- a/consensus/tests/common/mod.rs
+++ b/consensus/tests/common/mod.rs
@@ -51,14 +51,22 @@
             loss: 0.0,
             slow_disk: 0.0,
             cut: Vec::new(),
-            terms: Terms { entries_kept: 24, ..Terms::default() },
+            terms: Terms {
+                entries_kept: 24,
+                ..Terms::default()
+            },
             leaders: BTreeMap::new(),
             boots: 0,
         };
         for no in &voters {
             let image = Seat::founds(FLEET, *no, &voters, state_of(&[]));
-            let place =
-                Place { seat: None, disk: vec![image], played: Vec::new(), working: false, writing: None };
+            let place = Place {
+                seat: None,
+                disk: vec![image],
+                played: Vec::new(),
+                working: false,
+                writing: None,
+            };
             world.places.insert(*no, place);
             world.start(*no);
         }
@@ -69,7 +77,8 @@
         self.boots += 1;
         let place = self.places.get_mut(&no).expect("a place");
         let image = place.disk.last().expect("something on disk");
-        let seat = Seat::open(image, FLEET, self.terms, no.0 * 1000 + self.boots).expect("a good state");
+        let seat =
+            Seat::open(image, FLEET, self.terms, no.0 * 1000 + self.boots).expect("a good state");
         let (_, state) = seat.begins_from().expect("a state");
         place.played = postcard::from_bytes(&state).expect("a state");
         (place.seat, place.working, place.writing) = (Some(seat), false, None);
@@ -80,32 +89,55 @@
     }
 
     pub fn up(&self) -> Vec<SeatNo> {
-        self.places.iter().filter(|(_, place)| place.seat.is_some()).map(|(no, _)| *no).collect()
+        self.places
+            .iter()
+            .filter(|(_, place)| place.seat.is_some())
+            .map(|(no, _)| *no)
+            .collect()
     }
 
     pub fn leader(&self) -> Option<SeatNo> {
-        let leads = self.places.iter().filter(|(_, place)| place.seat.as_ref().is_some_and(Seat::leads));
-        leads.max_by_key(|(_, place)| place.seat.as_ref().map(Seat::term)).map(|(no, _)| *no)
+        let leads = self
+            .places
+            .iter()
+            .filter(|(_, place)| place.seat.as_ref().is_some_and(Seat::leads));
+        leads
+            .max_by_key(|(_, place)| place.seat.as_ref().map(Seat::term))
+            .map(|(no, _)| *no)
     }
 
     pub fn put(&mut self, data: &[u8]) -> bool {
-        let Some(no) = self.leader() else { return false };
-        let seat = self.places.get_mut(&no).and_then(|place| place.seat.as_mut());
+        let Some(no) = self.leader() else {
+            return false;
+        };
+        let seat = self
+            .places
+            .get_mut(&no)
+            .and_then(|place| place.seat.as_mut());
         seat.is_some_and(|seat| seat.put(data.to_vec()).is_ok())
     }
 
     pub fn seat(&mut self, no: SeatNo) -> &mut Seat {
-        self.places.get_mut(&no).and_then(|place| place.seat.as_mut()).expect("a seat that is up")
+        self.places
+            .get_mut(&no)
+            .and_then(|place| place.seat.as_mut())
+            .expect("a seat that is up")
     }
 
     /// One tick of time; `keeps` says whether work is kept now or waits.
     pub fn step(&mut self) {
         self.now += 1;
         let numbers = self.up();
-        let (due, rest) = std::mem::take(&mut self.wire).into_iter().partition(|(at, ..)| *at <= self.now);
+        let (due, rest) = std::mem::take(&mut self.wire)
+            .into_iter()
+            .partition(|(at, ..)| *at <= self.now);
         self.wire = rest;
         for (_, from, to, bytes) in due {
-            if let Some(seat) = self.places.get_mut(&to).and_then(|place| place.seat.as_mut()) {
+            if let Some(seat) = self
+                .places
+                .get_mut(&to)
+                .and_then(|place| place.seat.as_mut())
+            {
                 seat.hear(from, &bytes);
             }
         }
@@ -139,7 +171,11 @@
             }
             if seat.leads() {
                 let before = self.leaders.insert(seat.term(), no);
-                assert!(before.is_none_or(|before| before == no), "two lead in term {}", seat.term());
+                assert!(
+                    before.is_none_or(|before| before == no),
+                    "two lead in term {}",
+                    seat.term()
+                );
             }
             for (to, bytes) in done.messages {
                 self.send(no, to, bytes);
@@ -151,10 +187,18 @@
         if self.cut.contains(&(from, to)) || self.chance.generate::<f64>() < self.loss {
             return;
         }
-        let copies = if self.chance.generate::<f64>() < self.loss { 2 } else { 1 };
+        let copies = if self.chance.generate::<f64>() < self.loss {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let delay = self.chance.generate_range(1..4u64)
-                + if self.loss > 0.0 { self.chance.generate_range(0..6u64) } else { 0 };
+                + if self.loss > 0.0 {
+                    self.chance.generate_range(0..6u64)
+                } else {
+                    0
+                };
             self.wire.push((self.now + delay, from, to, bytes.clone()));
         }
     }
--- a/faults/examples/preload.rs
+++ b/faults/examples/preload.rs
@@ -70,23 +70,45 @@
 
 extern "C" fn start() {
     INSIDE.set(true);
-    let Some(path) = std::env::var_os(VARIABLE) else { return INSIDE.set(false) };
+    let Some(path) = std::env::var_os(VARIABLE) else {
+        return INSIDE.set(false);
+    };
     let text = std::fs::read_to_string(&path).expect("the plan can be read");
     let plan: Plan = serde_json::from_str(&text).expect("the plan is one");
-    let file = std::fs::OpenOptions::new().read(true).write(true).open(&plan.counts).expect("counts");
+    let file = std::fs::OpenOptions::new()
+        .read(true)
+        .write(true)
+        .open(&plan.counts)
+        .expect("counts");
     let rules = plan.rules.len();
     let counts: &'static [AtomicU64] = if rules == 0 {
         &[]
     } else {
         use std::os::fd::AsRawFd;
         let (read, shared) = (libc::PROT_READ | libc::PROT_WRITE, libc::MAP_SHARED);
-        let at = unsafe { libc::mmap(std::ptr::null_mut(), 8 * rules, read, shared, file.as_raw_fd(), 0) };
+        let at = unsafe {
+            libc::mmap(
+                std::ptr::null_mut(),
+                8 * rules,
+                read,
+                shared,
+                file.as_raw_fd(),
+                0,
+            )
+        };
         assert!(at != libc::MAP_FAILED, "counts are shared");
         unsafe { std::slice::from_raw_parts(at.cast::<AtomicU64>(), rules) }
     };
     let zeros = || (0..rules).map(|_| AtomicU64::new(0)).collect();
     let chance = AtomicU64::new(plan.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-    let state = State { plan, began: monotonic(), seen: zeros(), turn: zeros(), counts, chance };
+    let state = State {
+        plan,
+        began: monotonic(),
+        seen: zeros(),
+        turn: zeros(),
+        counts,
+        chance,
+    };
     assert!(STATE.set(state).is_ok(), "one plan");
     INSIDE.set(false);
 }
@@ -165,7 +187,9 @@
 }
 
 fn fate(call: Call, fd: c_int, length: usize) -> Fate {
-    let Some(state) = STATE.get() else { return Fate::Passes };
+    let Some(state) = STATE.get() else {
+        return Fate::Passes;
+    };
     if INSIDE.replace(true) {
         return Fate::Passes;
     }
@@ -177,17 +201,28 @@
 fn decide(state: &State, call: Call, fd: c_int, length: usize) -> Fate {
     let broken = BROKEN.get(fd as usize).map_or(0, |of| of.load(Relaxed));
     if broken != 0 && matches!(call, Call::Receive | Call::Send) {
-        return Fate::Fails(if call == Call::Send { libc::EPIPE } else { broken });
+        return Fate::Fails(if call == Call::Send {
+            libc::EPIPE
+        } else {
+            broken
+        });
     }
-    let Some((at, rule)) = state.strikes(call, role(fd)) else { return Fate::Passes };
+    let Some((at, rule)) = state.strikes(call, role(fd)) else {
+        return Fate::Passes;
+    };
     let strike = || state.counts[at].fetch_add(1, Relaxed);
     match &rule.effect {
         Effect::Fails(names) => {
             strike();
             let turn = state.turn[at].fetch_add(1, Relaxed) as usize;
             let errno = errno_of(&names[turn % names.len()]);
-            let lasts =
-                [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET, libc::EPIPE, libc::ENETUNREACH];
+            let lasts = [
+                libc::ETIMEDOUT,
+                libc::EHOSTUNREACH,
+                libc::ECONNRESET,
+                libc::EPIPE,
+                libc::ENETUNREACH,
+            ];
             if matches!(call, Call::Receive | Call::Send) && lasts.contains(&errno) {
                 BROKEN[fd as usize].store(errno, Relaxed);
             }
@@ -208,7 +243,10 @@
         }
         Effect::HeldUp(ms) => {
             strike();
-            let time = timespec { tv_sec: (*ms / 1000) as i64, tv_nsec: (*ms % 1000 * 1_000_000) as i64 };
+            let time = timespec {
+                tv_sec: (*ms / 1000) as i64,
+                tv_nsec: (*ms % 1000 * 1_000_000) as i64,
+            };
             unsafe { libc::syscall(libc::SYS_nanosleep, &time, std::ptr::null_mut::<timespec>()) };
             Fate::Passes
         }
@@ -241,8 +279,13 @@
     if clock == libc::CLOCK_REALTIME && done == 0 {
         if let Some(state) = STATE.get() {
             let age = state.age();
-            let by: i64 =
-                state.plan.steps.iter().filter(|step| step.at_ms <= age).map(|step| step.by_ms).sum();
+            let by: i64 = state
+                .plan
+                .steps
+                .iter()
+                .filter(|step| step.at_ms <= age)
+                .map(|step| step.by_ms)
+                .sum();
             let ms = (*at).tv_sec * 1000 + (*at).tv_nsec / 1_000_000 + by;
             (*at).tv_nsec = ms.rem_euclid(1000) * 1_000_000 + (*at).tv_nsec % 1_000_000;
             (*at).tv_sec = ms.div_euclid(1000);
@@ -262,8 +305,15 @@
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn socketpair(domain: c_int, kind: c_int, protocol: c_int, pair: *mut c_int) -> c_int {
-    let done = real!(socketpair, fn(c_int, c_int, c_int, *mut c_int) -> c_int)(domain, kind, protocol, pair);
+pub unsafe extern "C" fn socketpair(
+    domain: c_int,
+    kind: c_int,
+    protocol: c_int,
+    pair: *mut c_int,
+) -> c_int {
+    let done = real!(socketpair, fn(c_int, c_int, c_int, *mut c_int) -> c_int)(
+        domain, kind, protocol, pair,
+    );
     if done == 0 {
         set_role(*pair, Some(Role::Pair));
         set_role(*pair.add(1), Some(Role::Pair));
@@ -282,9 +332,16 @@
 
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    if let (Some(state), true) = (STATE.get(), i32::from((*address).sa_family) == libc::AF_INET) {
+    if let (Some(state), true) = (
+        STATE.get(),
+        i32::from((*address).sa_family) == libc::AF_INET,
+    ) {
         let port = u16::from_be((*address.cast::<libc::sockaddr_in>()).sin_port);
-        let is = if port == state.plan.discovery_port { Role::Discovery } else { Role::Node };
+        let is = if port == state.plan.discovery_port {
+            Role::Discovery
+        } else {
+            Role::Node
+        };
         set_role(fd, Some(is));
     }
     if let Fate::Fails(errno) = fate(Call::Connect, fd, 0) {
@@ -295,16 +352,26 @@
 
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
-    fd: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int,
+    fd: c_int,
+    address: *mut sockaddr,
+    length: *mut socklen_t,
+    flags: c_int,
 ) -> c_int {
     // Only a call that has somebody to accept: the kernel does not fail one that would wait.
-    let mut wait = libc::pollfd { fd, events: libc::POLLIN, revents: 0 };
+    let mut wait = libc::pollfd {
+        fd,
+        events: libc::POLLIN,
+        revents: 0,
+    };
     if STATE.get().is_some() && libc::poll(&mut wait, 1, 0) > 0 {
         if let Fate::Fails(errno) = fate(Call::Accept, fd, 0) {
             return fail(errno) as c_int;
         }
     }
-    let real = real!(accept4, fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
+    let real = real!(
+        accept4,
+        fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
+    );
     let client = real(fd, address, length, flags);
     if client >= 0 {
         set_role(client, Some(Role::Client));
@@ -397,14 +464,22 @@
     };
 }
 
-waits!(epoll_wait, fn(events: *mut libc::epoll_event, most: c_int, timeout: c_int));
+waits!(
+    epoll_wait,
+    fn(events: *mut libc::epoll_event, most: c_int, timeout: c_int)
+);
 waits!(
     epoll_pwait,
     fn(events: *mut libc::epoll_event, most: c_int, timeout: c_int, mask: *const libc::sigset_t)
 );
 waits!(
     epoll_pwait2,
-    fn(events: *mut libc::epoll_event, most: c_int, timeout: *const timespec, mask: *const libc::sigset_t)
+    fn(
+        events: *mut libc::epoll_event,
+        most: c_int,
+        timeout: *const timespec,
+        mask: *const libc::sigset_t,
+    )
 );
 
 unsafe fn in_folder(path: *const c_char) -> bool {
@@ -462,11 +537,19 @@
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn renameat(a: c_int, from: *const c_char, b: c_int, to: *const c_char) -> c_int {
+pub unsafe extern "C" fn renameat(
+    a: c_int,
+    from: *const c_char,
+    b: c_int,
+    to: *const c_char,
+) -> c_int {
     if STATE.get().is_some() && in_folder(to) {
         if let Fate::Fails(errno) = fate(Call::Rename, -1, 0) {
             return fail(errno) as c_int;
         }
     }
-    real!(renameat, fn(c_int, *const c_char, c_int, *const c_char) -> c_int)(a, from, b, to)
+    real!(
+        renameat,
+        fn(c_int, *const c_char, c_int, *const c_char) -> c_int
+    )(a, from, b, to)
 }
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -90,11 +90,25 @@
 impl Rule {
     /// Strikes each `every`-th call.
     pub fn new(call: Call, on: Role, every: u64, effect: Effect) -> Rule {
-        Rule { call, on, effect, every, chance: 0.0, from_ms: 0, to_ms: u64::MAX, most: u64::MAX }
+        Rule {
+            call,
+            on,
+            effect,
+            every,
+            chance: 0.0,
+            from_ms: 0,
+            to_ms: u64::MAX,
+            most: u64::MAX,
+        }
     }
 
     pub fn fails(call: Call, on: Role, every: u64, errors: &[&str]) -> Rule {
-        Rule::new(call, on, every, Effect::Fails(errors.iter().map(|name| (*name).to_owned()).collect()))
+        Rule::new(
+            call,
+            on,
+            every,
+            Effect::Fails(errors.iter().map(|name| (*name).to_owned()).collect()),
+        )
     }
 
     pub fn between(mut self, from_ms: u64, to_ms: u64) -> Rule {
@@ -140,9 +154,19 @@
 
 impl Plan {
     /// Writes the plan into a folder; the variable for the program, and where its strikes are counted.
-    pub fn write(&self, folder: &Path, name: &str) -> std::io::Result<((&'static str, PathBuf), Strikes)> {
-        let (path, counts) = (folder.join(format!("{name}.plan")), folder.join(format!("{name}.counts")));
-        let plan = Plan { counts: counts.clone(), ..self.clone() };
+    pub fn write(
+        &self,
+        folder: &Path,
+        name: &str,
+    ) -> std::io::Result<((&'static str, PathBuf), Strikes)> {
+        let (path, counts) = (
+            folder.join(format!("{name}.plan")),
+            folder.join(format!("{name}.counts")),
+        );
+        let plan = Plan {
+            counts: counts.clone(),
+            ..self.clone()
+        };
         std::fs::write(&counts, vec![0; 8 * self.rules.len()])?;
         std::fs::write(&path, serde_json::to_string_pretty(&plan)?)?;
         Ok(((VARIABLE, path), Strikes(counts)))
@@ -152,7 +176,9 @@
 impl Strikes {
     pub fn of(&self, rule: usize) -> u64 {
         let bytes = std::fs::read(&self.0).unwrap_or_default();
-        let count = bytes.get(8 * rule..8 * rule + 8).and_then(|of| of.try_into().ok());
+        let count = bytes
+            .get(8 * rule..8 * rule + 8)
+            .and_then(|of| of.try_into().ok());
         count.map_or(0, u64::from_ne_bytes)
     }
 
--- a/handover/src/lib.rs
+++ b/handover/src/lib.rs
@@ -62,6 +62,11 @@
 impl Default for Patience {
     fn default() -> Self {
         let s = |seconds: u64| Micros(seconds * 1_000_000);
-        Patience { hello: s(10), step: s(3), ready: s(10), silence: s(3) }
+        Patience {
+            hello: s(10),
+            step: s(3),
+            ready: s(10),
+            silence: s(3),
+        }
     }
 }
--- a/handover/src/message.rs
+++ b/handover/src/message.rs
@@ -104,14 +104,22 @@
 }
 
 pub fn decode(bytes: &[u8]) -> Result<Decoded, Spoilt> {
-    let word =
-        |at: usize| bytes.get(at..at + 4).and_then(|four| four.try_into().ok()).map(u32::from_le_bytes);
-    let (Some(length), sum) = (word(0), word(4)) else { return Ok(None) };
+    let word = |at: usize| {
+        bytes
+            .get(at..at + 4)
+            .and_then(|four| four.try_into().ok())
+            .map(u32::from_le_bytes)
+    };
+    let (Some(length), sum) = (word(0), word(4)) else {
+        return Ok(None);
+    };
     let length = length as usize;
     if length > FRAME_BOUND {
         return Err(Spoilt::TooLong);
     }
-    let (Some(sum), Some(body)) = (sum, bytes.get(HEAD..HEAD + length)) else { return Ok(None) };
+    let (Some(sum), Some(body)) = (sum, bytes.get(HEAD..HEAD + length)) else {
+        return Ok(None);
+    };
     if crc32fast::hash(body) != sum {
         return Err(Spoilt::Checksum);
     }
--- a/handover/src/model.rs
+++ b/handover/src/model.rs
@@ -11,8 +11,18 @@
 
 pub(crate) use crate::old::Planted as Fault;
 
-const SHARE: Lease = Lease { held: 8, extra: 8, sockets: 8, memory: 8 };
-const USES: Lease = Lease { held: 2, extra: 0, sockets: 2, memory: 2 };
+const SHARE: Lease = Lease {
+    held: 8,
+    extra: 8,
+    sockets: 8,
+    memory: 8,
+};
+const USES: Lease = Lease {
+    held: 2,
+    extra: 0,
+    sockets: 2,
+    memory: 2,
+};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Side<M> {
@@ -76,8 +86,14 @@
             match effect {
                 Effect::Spawn => {
                     let (machine, hello) = New::begins(Patience::default(), 1, "new", Micros(0));
-                    self.new = Some(Side { machine, accepts: false, has_listener: false, ending: false });
-                    (self.link, self.old_told, self.new_told, self.death_told) = (true, false, false, false);
+                    self.new = Some(Side {
+                        machine,
+                        accepts: false,
+                        has_listener: false,
+                        ending: false,
+                    });
+                    (self.link, self.old_told, self.new_told, self.death_told) =
+                        (true, false, false, false);
                     (self.to_new, self.to_old) = (VecDeque::new(), VecDeque::new());
                     self.of_new(hello);
                 }
@@ -85,9 +101,10 @@
                 Effect::PassListeners if self.link => {
                     self.to_new.push_back(Message::Descriptors { count: 1 })
                 }
-                Effect::PassState if self.link => {
-                    self.to_new.push_back(Message::State { left: 0, piece: vec![] })
-                }
+                Effect::PassState if self.link => self.to_new.push_back(Message::State {
+                    left: 0,
+                    piece: vec![],
+                }),
                 Effect::Accept(accepts) => old.accepts = accepts,
                 Effect::EndPeer => {
                     if let Some(new) = &mut self.new {
@@ -127,8 +144,8 @@
     fn quiet(&self) -> bool {
         let old_hears = self.old.is_some() && !self.to_old.is_empty();
         let new_hears = self.new.is_some() && !self.to_new.is_empty();
-        let untold =
-            !self.link && (self.old.is_some() && !self.old_told || self.new.is_some() && !self.new_told);
+        let untold = !self.link
+            && (self.old.is_some() && !self.old_told || self.new.is_some() && !self.new_told);
         let death = self.new.is_none()
             && self.old.is_some()
             && !self.death_told
@@ -146,7 +163,12 @@
         let mut machine = Old::new(Patience::default(), SHARE, 1);
         machine.fault = self.fault;
         vec![World {
-            old: Some(Side { machine, accepts: true, has_listener: true, ending: false }),
+            old: Some(Side {
+                machine,
+                accepts: true,
+                has_listener: true,
+                ending: false,
+            }),
             new: None,
             to_new: VecDeque::new(),
             to_old: VecDeque::new(),
@@ -227,7 +249,11 @@
             }
             Action::ToOld => {
                 let message = world.to_old.pop_front()?;
-                let effects = world.old.as_mut()?.machine.heard(now, FromNew::Heard(message), USES);
+                let effects = world
+                    .old
+                    .as_mut()?
+                    .machine
+                    .heard(now, FromNew::Heard(message), USES);
                 world.of_old(effects);
             }
             Action::ToNew => {
@@ -243,7 +269,11 @@
             }
             // The snapshot turns out to be of no use.
             Action::Loads => {
-                let effects = world.new.as_mut()?.machine.heard(now, FromOld::Loaded(false), SHARE);
+                let effects = world
+                    .new
+                    .as_mut()?
+                    .machine
+                    .heard(now, FromOld::Loaded(false), SHARE);
                 world.of_new(effects);
             }
             Action::OldCrashes => {
@@ -256,7 +286,8 @@
             }
             Action::LinkBreaks => {
                 world.breaks -= 1;
-                (world.link, world.to_new, world.to_old) = (false, VecDeque::new(), VecDeque::new());
+                (world.link, world.to_new, world.to_old) =
+                    (false, VecDeque::new(), VecDeque::new());
             }
             Action::OldTold => {
                 let died = world.new.is_none();
@@ -268,7 +299,12 @@
             Action::NewTold => {
                 world.new_told = true;
                 let old_lives = world.old.is_some();
-                let effects = world.new.as_mut()?.machine.heard(now, FromOld::Lost { old_lives }, SHARE);
+                let effects =
+                    world
+                        .new
+                        .as_mut()?
+                        .machine
+                        .heard(now, FromOld::Lost { old_lives }, SHARE);
                 world.of_new(effects);
             }
             Action::OldLate => {
@@ -305,46 +341,80 @@
                 "the listener stays open while the old one or its heir lives",
                 |_, world: &World| {
                     let open = world.old.as_ref().is_some_and(|old| old.has_listener)
-                        || world.new.as_ref().is_none_or(|new| new.has_listener || !new.machine.serves());
+                        || world
+                            .new
+                            .as_ref()
+                            .is_none_or(|new| new.has_listener || !new.machine.serves());
                     open
                 },
             ),
-            Property::always("both accept only while a commit is under way", |_, world: &World| {
-                let (Some(old), Some(new)) = (&world.old, &world.new) else { return true };
-                !(old.accepts && new.accepts && world.quiet()) || old.machine.word() == "commits"
-            }),
+            Property::always(
+                "both accept only while a commit is under way",
+                |_, world: &World| {
+                    let (Some(old), Some(new)) = (&world.old, &world.new) else {
+                        return true;
+                    };
+                    !(old.accepts && new.accepts && world.quiet())
+                        || old.machine.word() == "commits"
+                },
+            ),
             Property::always("the leases never exceed the share", |_, world: &World| {
-                let old = world.old.as_ref().map(|old| old.machine.lease()).unwrap_or_default();
-                let new = world.new.as_ref().map(|new| new.machine.lease()).unwrap_or_default();
+                let old = world
+                    .old
+                    .as_ref()
+                    .map(|old| old.machine.lease())
+                    .unwrap_or_default();
+                let new = world
+                    .new
+                    .as_ref()
+                    .map(|new| new.machine.lease())
+                    .unwrap_or_default();
                 old.with(new).fits(SHARE)
             }),
-            Property::always("one that serves alone has the whole share", |_, world: &World| {
-                let alone = world.new.as_ref().filter(|new| world.old.is_none() && new.machine.serves());
-                alone.is_none_or(|new| new.machine.lease() == SHARE || !world.quiet())
-            }),
-            Property::always("no lookup is left behind by a process that leaves", |_, world: &World| {
-                world.old.is_some() || world.in_hand == 0 || world.crashes < 2
-            }),
+            Property::always(
+                "one that serves alone has the whole share",
+                |_, world: &World| {
+                    let alone = world
+                        .new
+                        .as_ref()
+                        .filter(|new| world.old.is_none() && new.machine.serves());
+                    alone.is_none_or(|new| new.machine.lease() == SHARE || !world.quiet())
+                },
+            ),
+            Property::always(
+                "no lookup is left behind by a process that leaves",
+                |_, world: &World| world.old.is_some() || world.in_hand == 0 || world.crashes < 2,
+            ),
             Property::sometimes("an upgrade succeeds", |_, world: &World| {
                 world.old.is_none()
                     && world.crashes == 2
-                    && world.new.as_ref().is_some_and(|new| new.accepts && new.machine.lease() == SHARE)
-            }),
-            Property::sometimes("a failed one leaves the old as it was", |_, world: &World| {
-                world.upgrades == 0
-                    && world.new.is_none()
-                    && world.quiet()
                     && world
-                        .old
+                        .new
                         .as_ref()
-                        .is_some_and(|old| old.machine.serves() && old.machine.lease() == SHARE)
+                        .is_some_and(|new| new.accepts && new.machine.lease() == SHARE)
             }),
+            Property::sometimes(
+                "a failed one leaves the old as it was",
+                |_, world: &World| {
+                    world.upgrades == 0
+                        && world.new.is_none()
+                        && world.quiet()
+                        && world
+                            .old
+                            .as_ref()
+                            .is_some_and(|old| old.machine.serves() && old.machine.lease() == SHARE)
+                },
+            ),
         ]
     }
 }
 
 fn explored(fault: Option<Planted>, upgrades: u8) -> impl Checker<Handover> {
-    Handover { fault, upgrades }.checker().threads(4).spawn_bfs().join()
+    Handover { fault, upgrades }
+        .checker()
+        .threads(4)
+        .spawn_bfs()
+        .join()
 }
 
 #[test]
@@ -358,7 +428,11 @@
         began.elapsed()
     );
     checked.assert_properties();
-    assert!(checked.unique_state_count() > 1_000, "{}", checked.unique_state_count());
+    assert!(
+        checked.unique_state_count() > 1_000,
+        "{}",
+        checked.unique_state_count()
+    );
 }
 
 #[test_case::test_case(Planted::StaysDrained, "somebody accepts while one lives"; "stays drained")]
@@ -366,5 +440,8 @@
 #[test_case::test_case(Planted::KeepsAll, "the leases never exceed the share"; "keeps all")]
 fn a_planted_fault_is_found(fault: Planted, breaks: &'static str) {
     let checked = explored(Some(fault), 1);
-    assert!(checked.discovery(breaks).is_some(), "{breaks} holds with {fault:?}");
+    assert!(
+        checked.discovery(breaks).is_some(),
+        "{breaks} holds with {fault:?}"
+    );
 }
--- a/handover/src/new.rs
+++ b/handover/src/new.rs
@@ -41,10 +41,24 @@
 
 impl New {
     /// A new process says hello at once.
-    pub fn begins(patience: Patience, settings: u64, program: &str, now: Micros) -> (Self, Vec<Effect>) {
+    pub fn begins(
+        patience: Patience,
+        settings: u64,
+        program: &str,
+        now: Micros,
+    ) -> (Self, Vec<Effect>) {
         let due = Some(now + patience.step);
-        let hello = Message::Hello { version: VERSION, program: program.to_owned() };
-        let new = New { step: Step::Greets, patience, settings, lease: Lease::default(), due };
+        let hello = Message::Hello {
+            version: VERSION,
+            program: program.to_owned(),
+        };
+        let new = New {
+            step: Step::Greets,
+            patience,
+            settings,
+            lease: Lease::default(),
+            due,
+        };
         (new, vec![Effect::Send(hello)])
     }
 
@@ -71,14 +85,21 @@
 
     fn leave(&mut self, why: &str) -> Vec<Effect> {
         (self.step, self.due, self.lease) = (Step::Over, None, Lease::default());
-        vec![Effect::Say(format!("upgrade: not taken over, {why}")), Effect::Leave]
+        vec![
+            Effect::Say(format!("upgrade: not taken over, {why}")),
+            Effect::Leave,
+        ]
     }
 
     /// The old one has died: serves from what there is. All of the share is this process's; `share` tells how much.
     fn alone(&mut self, share: Lease) -> Vec<Effect> {
         let has_listeners = matches!(self.step, Step::Loads | Step::Ready);
         (self.step, self.due, self.lease) = (Step::Serves, None, share);
-        let serve = if has_listeners { Effect::Accept(true) } else { Effect::BindAnew };
+        let serve = if has_listeners {
+            Effect::Accept(true)
+        } else {
+            Effect::BindAnew
+        };
         vec![
             Effect::Say("upgrade: the old process has died, this one serves".into()),
             Effect::Use(share),
@@ -127,13 +148,21 @@
             }
             (Step::Serves, _) => Vec::new(),
             (_, Message::Abandon { why }) => self.leave(&why),
-            (Step::Greets, Message::Offer { version: VERSION, settings }) => {
+            (
+                Step::Greets,
+                Message::Offer {
+                    version: VERSION,
+                    settings,
+                },
+            ) => {
                 self.go(Step::Checked, now, self.patience.step);
-                vec![Effect::Send(Message::Checked { same: settings == self.settings })]
-            }
-            (Step::Greets, Message::Offer { version, .. }) => {
-                self.leave(&format!("the old process speaks version {version}, not {VERSION}"))
+                vec![Effect::Send(Message::Checked {
+                    same: settings == self.settings,
+                })]
             }
+            (Step::Greets, Message::Offer { version, .. }) => self.leave(&format!(
+                "the old process speaks version {version}, not {VERSION}"
+            )),
             (Step::Checked, Message::Descriptors { count: 1.. }) => {
                 self.go(Step::Loads, now, self.patience.ready);
                 vec![Effect::Send(Message::Got)]
@@ -141,7 +170,11 @@
             (Step::Loads, Message::State { .. }) => Vec::new(),
             (Step::Ready, Message::Commit { lease }) => {
                 (self.step, self.due, self.lease) = (Step::Serves, None, lease);
-                vec![Effect::Use(lease), Effect::Accept(true), Effect::Send(Message::Took)]
+                vec![
+                    Effect::Use(lease),
+                    Effect::Accept(true),
+                    Effect::Send(Message::Took),
+                ]
             }
             (_, message) => {
                 let what = format!("{} was not expected", message.word());
--- a/handover/src/old.rs
+++ b/handover/src/old.rs
@@ -123,11 +123,18 @@
 
     /// Back to "the old one serves": the new one is ended, and its lease returns once it has.
     fn abandon(&mut self, now: Micros, why: &str) -> Vec<Effect> {
-        let mut effects = vec![Effect::Say(format!("upgrade: given up, {why}; this process goes on"))];
+        let mut effects = vec![Effect::Say(format!(
+            "upgrade: given up, {why}; this process goes on"
+        ))];
         if self.step == Step::Drains {
             effects.extend([Effect::PassClients(false), Effect::Accept(true)]);
         }
-        effects.extend([Effect::Send(Message::Abandon { why: why.to_owned() }), Effect::EndPeer]);
+        effects.extend([
+            Effect::Send(Message::Abandon {
+                why: why.to_owned(),
+            }),
+            Effect::EndPeer,
+        ]);
         self.go(Step::Ends, now, self.patience.step);
         effects
     }
@@ -136,7 +143,9 @@
     fn alone(&mut self, why: &str) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.step != Step::Ends {
-            effects.push(Effect::Say(format!("upgrade: given up, {why}; this process goes on")));
+            effects.push(Effect::Say(format!(
+                "upgrade: given up, {why}; this process goes on"
+            )));
         }
         if self.step == Step::Drains && !self.is(Planted::StaysDrained) {
             effects.extend([Effect::PassClients(false), Effect::Accept(true)]);
@@ -179,20 +188,37 @@
             }
         };
         match (&self.step, message) {
-            (Step::Greets, Message::Hello { version: VERSION, program }) => {
+            (
+                Step::Greets,
+                Message::Hello {
+                    version: VERSION,
+                    program,
+                },
+            ) => {
                 self.go(Step::Checks, now, self.patience.step);
                 vec![
                     Effect::Say(format!("upgrade: {program} is there")),
-                    Effect::Send(Message::Offer { version: VERSION, settings: self.settings }),
+                    Effect::Send(Message::Offer {
+                        version: VERSION,
+                        settings: self.settings,
+                    }),
                 ]
             }
-            (Step::Greets, Message::Hello { version, .. }) => {
-                self.abandon(now, &format!("the new process speaks version {version}, not {VERSION}"))
-            }
+            (Step::Greets, Message::Hello { version, .. }) => self.abandon(
+                now,
+                &format!("the new process speaks version {version}, not {VERSION}"),
+            ),
             (Step::Checks, Message::Checked { same }) => {
                 self.go(Step::Hands, now, self.patience.step);
-                let word = if same { "the same settings" } else { "other settings" };
-                vec![Effect::Say(format!("upgrade: it runs on {word}")), Effect::PassListeners]
+                let word = if same {
+                    "the same settings"
+                } else {
+                    "other settings"
+                };
+                vec![
+                    Effect::Say(format!("upgrade: it runs on {word}")),
+                    Effect::PassListeners,
+                ]
             }
             (Step::Hands, Message::Got) => {
                 self.go(Step::Loads, now, self.patience.ready);
@@ -200,10 +226,16 @@
             }
             (Step::Loads, Message::Ready) => {
                 let (kept, given) = self.share.split(uses);
-                self.kept = if self.is(Planted::KeepsAll) { self.share } else { kept };
+                self.kept = if self.is(Planted::KeepsAll) {
+                    self.share
+                } else {
+                    kept
+                };
                 self.go(Step::Commits, now, self.patience.step);
-                let mut effects =
-                    vec![Effect::Use(self.kept), Effect::Send(Message::Commit { lease: given })];
+                let mut effects = vec![
+                    Effect::Use(self.kept),
+                    Effect::Send(Message::Commit { lease: given }),
+                ];
                 if self.is(Planted::StopsEarly) {
                     effects.push(Effect::Accept(false));
                 }
@@ -216,7 +248,8 @@
                     Effect::Send(Message::Ping),
                     Effect::Accept(false),
                     Effect::Say(
-                        "upgrade: the new process serves, this one finishes what it has taken".into(),
+                        "upgrade: the new process serves, this one finishes what it has taken"
+                            .into(),
                     ),
                     Effect::PassClients(true),
                 ]
@@ -262,7 +295,10 @@
             return Vec::new();
         }
         (self.step, self.due) = (Step::Over, None);
-        vec![Effect::Send(Message::Done { lease: self.kept }), Effect::Leave]
+        vec![
+            Effect::Send(Message::Done { lease: self.kept }),
+            Effect::Leave,
+        ]
     }
 }
 
@@ -282,7 +318,12 @@
     use super::*;
     use test_case::test_case;
 
-    const SHARE: Lease = Lease { held: 8, extra: 8, sockets: 8, memory: 8 };
+    const SHARE: Lease = Lease {
+        held: 8,
+        extra: 8,
+        sockets: 8,
+        memory: 8,
+    };
 
     #[test_case(SHARE, true; "all of the share")]
     #[test_case(Lease { held: 6, ..SHARE }, false; "less, while another drains")]
--- a/history/src/check.rs
+++ b/history/src/check.rs
@@ -44,7 +44,11 @@
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let word = serde_json::to_value(self).ok();
-        f.write_str(word.as_ref().and_then(|word| word.as_str()).unwrap_or("rule"))
+        f.write_str(
+            word.as_ref()
+                .and_then(|word| word.as_str())
+                .unwrap_or("rule"),
+        )
     }
 }
 
@@ -63,7 +67,12 @@
 
 impl Default for Bounds {
     fn default() -> Self {
-        Bounds { lookups: 200_000, versions: 100_000, settles: 10_000_000, drains_within: 500_000 }
+        Bounds {
+            lookups: 200_000,
+            versions: 100_000,
+            settles: 10_000_000,
+            drains_within: 500_000,
+        }
     }
 }
 
@@ -174,22 +183,37 @@
         if event.at < self.now {
             return broken(
                 Rule::Sense,
-                format!("it is earlier than the line before, by {} us", self.now - event.at),
+                format!(
+                    "it is earlier than the line before, by {} us",
+                    self.now - event.at
+                ),
             );
         }
         self.now = event.at;
         self.counts.events += 1;
-        while self.closing.front().is_some_and(|(at, _)| at + self.bounds.settles < self.now) {
+        while self
+            .closing
+            .front()
+            .is_some_and(|(at, _)| at + self.bounds.settles < self.now)
+        {
             if let Some((_, lookup)) = self.closing.pop_front() {
                 self.close(&lookup)?;
             }
         }
         match event.what {
-            What::Begins { seen, holders, keeps } => {
+            What::Begins {
+                seen,
+                holders,
+                keeps,
+            } => {
                 (self.platform, self.holders, self.keeps) = (seen, holders, keeps);
                 Ok(())
             }
-            What::Permitted { machine, permit, by } => self.permitted(machine, permit, &by),
+            What::Permitted {
+                machine,
+                permit,
+                by,
+            } => self.permitted(machine, permit, &by),
             What::Returned { machine, permit } => match self.permits.remove(&machine) {
                 Some(known) if known == permit => Ok(()),
                 _ => broken(
@@ -197,13 +221,19 @@
                     format!("permit {permit} for {machine} is given back and was not had"),
                 ),
             },
-            What::Asked { lookup, router, index } => self.asked(lookup, router, index),
+            What::Asked {
+                lookup,
+                router,
+                index,
+            } => self.asked(lookup, router, index),
             What::Answered { .. } => self.answered(event.what),
             What::Unanswered { lookup, refused } => self.unanswered(&lookup, refused),
             What::Proposed { op, seen } => {
                 self.counts.proposals += 1;
                 if self.counts.proposals as usize > self.bounds.versions {
-                    return Err(Stop::Unreached("there are more proposals than are kept".into()));
+                    return Err(Stop::Unreached(
+                        "there are more proposals than are kept".into(),
+                    ));
                 }
                 self.stop_drains(&seen);
                 match self.begun.insert(op.clone(), seen) {
@@ -212,8 +242,14 @@
                 }
             }
             What::Settled { op, came } => self.settled(&op, came),
-            What::Part { node, lookup, shard } => self.part(&node, &lookup, shard),
-            What::Says { router, version, .. } => self.says(router, version),
+            What::Part {
+                node,
+                lookup,
+                shard,
+            } => self.part(&node, &lookup, shard),
+            What::Says {
+                router, version, ..
+            } => self.says(router, version),
             What::Fault { kind, .. } => {
                 *self.counts.faults.entry(kind).or_default() += 1;
                 Ok(())
@@ -244,16 +280,31 @@
     fn permitted(&mut self, machine: String, permit: u64, by: &str) -> Checked {
         self.counts.permits += 1;
         if self.permits_seen.len() >= self.bounds.versions {
-            return Err(Stop::Unreached("there are more permits than are kept".into()));
+            return Err(Stop::Unreached(
+                "there are more permits than are kept".into(),
+            ));
         }
         if !self.permits_seen.insert(permit) {
-            return broken(Rule::OnePermit, format!("{by} has permit {permit}, which there was before"));
+            return broken(
+                Rule::OnePermit,
+                format!("{by} has permit {permit}, which there was before"),
+            );
         }
         if let Some(other) = self.permits.insert(machine.clone(), permit) {
-            return broken(Rule::OnePermit, format!("{machine} has permit {permit} beside {other}"));
+            return broken(
+                Rule::OnePermit,
+                format!("{machine} has permit {permit} beside {other}"),
+            );
         }
-        for holders in self.holders.iter().filter(|holders| holders.contains(&machine)) {
-            let left = holders.iter().filter(|holder| !self.permits.contains_key(*holder)).count();
+        for holders in self
+            .holders
+            .iter()
+            .filter(|holders| holders.contains(&machine))
+        {
+            let left = holders
+                .iter()
+                .filter(|holder| !self.permits.contains_key(*holder))
+                .count();
             if left < self.keeps {
                 let words = format!(
                     "permit {permit} for {machine} leaves {left} of its set, {} are kept",
@@ -268,7 +319,9 @@
     fn asked(&mut self, lookup: String, router: String, index: String) -> Checked {
         self.counts.lookups += 1;
         if self.open.len() >= self.bounds.lookups {
-            return Err(Stop::Unreached("more lookups are open at a time than are kept".into()));
+            return Err(Stop::Unreached(
+                "more lookups are open at a time than are kept".into(),
+            ));
         }
         let ends = self.ends.get(&router).copied().unwrap_or(0);
         let (asked, floor) = (self.now, self.surely);
@@ -290,17 +343,33 @@
     }
 
     fn answered(&mut self, what: What) -> Checked {
-        let What::Answered { lookup, status, version, unguarded, parts, of, whole, least } = what else {
+        let What::Answered {
+            lookup,
+            status,
+            version,
+            unguarded,
+            parts,
+            of,
+            whole,
+            least,
+        } = what
+        else {
             return Ok(());
         };
         self.counts.answered += 1;
         *self.counts.statuses.entry(status).or_default() += 1;
         let now = self.now;
         let Some(open) = self.open.get_mut(&lookup) else {
-            return broken(Rule::OneAnswer, format!("lookup {lookup} has an answer and is not open"));
+            return broken(
+                Rule::OneAnswer,
+                format!("lookup {lookup} has an answer and is not open"),
+            );
         };
         if std::mem::replace(&mut open.done, true) {
-            return broken(Rule::OneAnswer, format!("lookup {lookup} has a second answer"));
+            return broken(
+                Rule::OneAnswer,
+                format!("lookup {lookup} has a second answer"),
+            );
         }
         self.closing.push_back((now, lookup.clone()));
         if status == 200 {
@@ -317,7 +386,9 @@
                 return broken(Rule::Honest, words);
             }
         }
-        let Some(version) = version else { return Ok(()) };
+        let Some(version) = version else {
+            return Ok(());
+        };
         if unguarded {
             self.counts.unguarded += 1;
             return Ok(());
@@ -338,8 +409,10 @@
     /// A version was seen: it has been proposed, and is not one that is nowhere.
     fn show(&mut self, version: u64, by: &str) -> Checked {
         if version > self.counts.proposals {
-            let words =
-                format!("{by} shows version {version}, {} were proposed by then", self.counts.proposals);
+            let words = format!(
+                "{by} shows version {version}, {} were proposed by then",
+                self.counts.proposals
+            );
             return broken(Rule::OnlyProposed, words);
         }
         if self.nowhere.contains(&version) {
@@ -349,7 +422,9 @@
             );
         }
         if self.shown.len() >= self.bounds.versions {
-            return Err(Stop::Unreached("there are more versions than are kept".into()));
+            return Err(Stop::Unreached(
+                "there are more versions than are kept".into(),
+            ));
         }
         *self.shown.entry(version).or_default() += 1;
         Ok(())
@@ -367,12 +442,19 @@
     /// Drains of the version that is surely in force count, unless a proposal that nobody has settled may have lifted
     /// them already.
     fn start_drains(&mut self) {
-        let Some(seen) = self.seen.get(&self.surely) else { return self.drains.clear() };
+        let Some(seen) = self.seen.get(&self.surely) else {
+            return self.drains.clear();
+        };
         let lifted = |node: &String| {
             let maybe = self.begun.values().chain(&self.unnumbered);
             maybe.clone().any(|of| !of.drained.contains(node))
         };
-        let drained: Vec<String> = seen.drained.iter().filter(|node| !lifted(node)).cloned().collect();
+        let drained: Vec<String> = seen
+            .drained
+            .iter()
+            .filter(|node| !lifted(node))
+            .cloned()
+            .collect();
         let now = self.now;
         let mut drains = BTreeMap::new();
         for node in drained {
@@ -389,12 +471,18 @@
 
     fn settled(&mut self, op: &str, came: Came) -> Checked {
         let Some(seen) = self.begun.remove(op) else {
-            return broken(Rule::Sense, format!("proposal {op} is settled and was never begun"));
+            return broken(
+                Rule::Sense,
+                format!("proposal {op} is settled and was never begun"),
+            );
         };
         let nowhere = |state: &mut State, number: u64| {
             state.counts.nowhere += 1;
             if state.shown.contains_key(&number) {
-                return broken(Rule::NowhereMeansNever, format!("proposal {number} is nowhere and was seen"));
+                return broken(
+                    Rule::NowhereMeansNever,
+                    format!("proposal {number} is nowhere and was seen"),
+                );
             }
             state.nowhere.insert(number);
             Ok(())
@@ -437,7 +525,10 @@
 
     fn unanswered(&mut self, lookup: &str, refused: bool) -> Checked {
         let Some(open) = self.open.get(lookup) else {
-            return broken(Rule::OneAnswer, format!("lookup {lookup} stays open and was never asked"));
+            return broken(
+                Rule::OneAnswer,
+                format!("lookup {lookup} stays open and was never asked"),
+            );
         };
         let ends = self.ends.get(&open.router).copied().unwrap_or(0);
         if refused {
@@ -445,11 +536,21 @@
         } else if ends > open.ends || self.standing.contains(&open.router) {
             self.counts.lost += 1;
         } else {
-            let words = format!("lookup {lookup} has no answer, and {} was not ended under it", open.router);
+            let words = format!(
+                "lookup {lookup} has no answer, and {} was not ended under it",
+                open.router
+            );
             return broken(Rule::OneAnswer, words);
         }
-        if self.open.get_mut(lookup).is_some_and(|open| std::mem::replace(&mut open.done, true)) {
-            return broken(Rule::OneAnswer, format!("lookup {lookup} stays open and has an answer"));
+        if self
+            .open
+            .get_mut(lookup)
+            .is_some_and(|open| std::mem::replace(&mut open.done, true))
+        {
+            return broken(
+                Rule::OneAnswer,
+                format!("lookup {lookup} stays open and has an answer"),
+            );
         }
         self.closing.push_back((self.now, lookup.to_owned()));
         Ok(())
@@ -466,7 +567,9 @@
         let drained = self.drains.get(node).copied();
         let (within, now) = (self.bounds.drains_within, self.now);
         // One that came so late that its lookup is no longer kept is judged by nothing.
-        let Some(open) = self.open.get_mut(lookup) else { return Ok(()) };
+        let Some(open) = self.open.get_mut(lookup) else {
+            return Ok(());
+        };
         *open.calls.entry(shard).or_default() += 1;
         let under = drained.filter(|since| open.asked > since + within && now > since + within);
         if let Some(since) = under {
@@ -482,7 +585,9 @@
 
     /// All of a lookup is known: its parts were called as often as its policy allows.
     fn close(&mut self, lookup: &str) -> Checked {
-        let Some(open) = self.open.remove(lookup) else { return Ok(()) };
+        let Some(open) = self.open.remove(lookup) else {
+            return Ok(());
+        };
         let own = |seen: &Seen| seen.calls.get(&open.index).copied();
         let platform = own(&self.platform);
         let cap = match open.version.and_then(|version| self.seen.get(&version)) {
@@ -493,7 +598,9 @@
         let Some(cap) = cap else { return Ok(()) };
         match open.calls.iter().find(|(_, calls)| **calls > cap) {
             Some((shard, calls)) => {
-                let under = open.version.map_or("none".to_owned(), |version| version.to_string());
+                let under = open
+                    .version
+                    .map_or("none".to_owned(), |version| version.to_string());
                 let words = format!(
                     "part {shard} of lookup {lookup} was called {calls} times, version {under} allows {cap}"
                 );
@@ -504,7 +611,9 @@
     }
 
     fn says(&mut self, router: String, version: Option<u64>) -> Checked {
-        let Some(version) = version else { return Ok(()) };
+        let Some(version) = version else {
+            return Ok(());
+        };
         self.show(version, &router)?;
         let known = self.says.entry(router.clone()).or_insert(version);
         if *known > version {
@@ -523,7 +632,10 @@
             self.close(&lookup)?;
         }
         if let Some(lookup) = self.open.keys().min() {
-            return broken(Rule::OneAnswer, format!("lookup {lookup} has neither an answer nor an end"));
+            return broken(
+                Rule::OneAnswer,
+                format!("lookup {lookup} has neither an answer nor an end"),
+            );
         }
         self.counts.open += self.begun.len() as u64;
         Ok(())
@@ -532,7 +644,10 @@
 
 /// Reads a history to its end and says what became of the rules; the first breach ends it.
 pub fn check(lines: impl BufRead, bounds: Bounds) -> Verdict {
-    let mut state = State { bounds, ..State::default() };
+    let mut state = State {
+        bounds,
+        ..State::default()
+    };
     let verdict = |line: u64, stop: Stop| match stop {
         Stop::Broken(rule, words) => Verdict::Rejected(Broken { rule, line, words }),
         Stop::Unreached(words) => Verdict::Unreached(format!("line {line}: {words}")),
@@ -540,7 +655,8 @@
     for line in lines.lines() {
         state.line += 1;
         let read = line.map_err(|error| error.to_string());
-        let event = read.and_then(|line| serde_json::from_str(&line).map_err(|error| error.to_string()));
+        let event =
+            read.and_then(|line| serde_json::from_str(&line).map_err(|error| error.to_string()));
         let event: Event = match event {
             Ok(event) => event,
             Err(words) => return Verdict::Unreached(format!("line {}: {words}", state.line)),
--- a/history/src/requests.rs
+++ b/history/src/requests.rs
@@ -91,12 +91,32 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Break {
-    Lost { id: String, why: &'static str },
-    AfterLeaving { id: String, by: u64 },
-    Duplicate { id: String, part: u32, times: usize },
-    ToldTooMuch { id: String, told: u64, left: u64 },
-    Drain { node: String, id: String, after: u64 },
-    AnsweredTwice { id: String },
+    Lost {
+        id: String,
+        why: &'static str,
+    },
+    AfterLeaving {
+        id: String,
+        by: u64,
+    },
+    Duplicate {
+        id: String,
+        part: u32,
+        times: usize,
+    },
+    ToldTooMuch {
+        id: String,
+        told: u64,
+        left: u64,
+    },
+    Drain {
+        node: String,
+        id: String,
+        after: u64,
+    },
+    AnsweredTwice {
+        id: String,
+    },
 }
 
 struct Request {
@@ -119,7 +139,12 @@
     let mut breaks = Vec::new();
     for (at, saw) in &events {
         match saw {
-            Saw::Sent { id, router, deadline, effect } => {
+            Saw::Sent {
+                id,
+                router,
+                deadline,
+                effect,
+            } => {
                 requests.entry(id).or_insert_with(|| Request {
                     sent: *at,
                     router: router.clone(),
@@ -139,14 +164,20 @@
                 }
             }
             Saw::NoAnswer { id } => {
-                requests.get_mut(id.as_str()).into_iter().for_each(|of| of.failed = Some(*at));
+                requests
+                    .get_mut(id.as_str())
+                    .into_iter()
+                    .for_each(|of| of.failed = Some(*at));
             }
             // It is counted anew from when it is sent again.
             Saw::Crossed { id } => {
                 requests.remove(id.as_str());
             }
             Saw::Left { id } => {
-                requests.get_mut(id.as_str()).into_iter().for_each(|of| of.left = Some(*at));
+                requests
+                    .get_mut(id.as_str())
+                    .into_iter()
+                    .for_each(|of| of.left = Some(*at));
             }
             Saw::Drains { node } => {
                 drains.entry(node.as_str()).or_insert(*at);
@@ -157,20 +188,38 @@
             Saw::Killed { router } => {
                 killed.entry(router.as_str()).or_insert(*at);
             }
-            Saw::Came { id, part, node, told } => {
+            Saw::Came {
+                id,
+                part,
+                node,
+                told,
+            } => {
                 if let Some(since) = drains.get(node.as_str()) {
                     let after = at - since;
                     if after > terms.told + terms.grace {
-                        breaks.push(Break::Drain { node: node.clone(), id: id.clone(), after });
+                        breaks.push(Break::Drain {
+                            node: node.clone(),
+                            id: id.clone(),
+                            after,
+                        });
                     }
                 }
-                let Some(of) = requests.get_mut(id.as_str()) else { continue };
+                let Some(of) = requests.get_mut(id.as_str()) else {
+                    continue;
+                };
                 let left = (of.sent + of.deadline).saturating_sub(*at);
                 if *told > left + terms.slack {
-                    breaks.push(Break::ToldTooMuch { id: id.clone(), told: *told, left });
+                    breaks.push(Break::ToldTooMuch {
+                        id: id.clone(),
+                        told: *told,
+                        left,
+                    });
                 }
                 if let Some(gone) = of.left.filter(|gone| *at > gone + terms.gone) {
-                    breaks.push(Break::AfterLeaving { id: id.clone(), by: at - gone });
+                    breaks.push(Break::AfterLeaving {
+                        id: id.clone(),
+                        by: at - gone,
+                    });
                 }
                 of.runs.entry(*part).or_default().push(*at);
             }
@@ -184,7 +233,11 @@
                 Effect::Once => runs.len() > 1,
             };
             if too_many {
-                breaks.push(Break::Duplicate { id: id.to_owned(), part: *part, times: runs.len() });
+                breaks.push(Break::Duplicate {
+                    id: id.to_owned(),
+                    part: *part,
+                    times: runs.len(),
+                });
             }
         }
         // A kill takes along what came before it was told, or shortly after: nobody could answer that in time.
@@ -200,7 +253,10 @@
             (None, Some(_), None) => Some("no whole answer"),
             (None, None, None) => Some("no answer"),
         };
-        breaks.extend(lost.map(|why| Break::Lost { id: id.to_owned(), why }));
+        breaks.extend(lost.map(|why| Break::Lost {
+            id: id.to_owned(),
+            why,
+        }));
     }
     breaks
 }
--- a/history/src/write.rs
+++ b/history/src/write.rs
@@ -13,7 +13,10 @@
 
 impl<W: Write> Writer<W> {
     pub fn new(out: W) -> Self {
-        Writer { began: Instant::now(), out: Mutex::new(out) }
+        Writer {
+            began: Instant::now(),
+            out: Mutex::new(out),
+        }
     }
 
     /// Writes what happens now. What a client is about to do is written before, what it saw after it.
@@ -36,7 +39,10 @@
     /// # Errors
     /// Where the last lines could not be written.
     pub fn finish(self) -> std::io::Result<W> {
-        let mut out = self.out.into_inner().unwrap_or_else(PoisonError::into_inner);
+        let mut out = self
+            .out
+            .into_inner()
+            .unwrap_or_else(PoisonError::into_inner);
         out.flush()?;
         Ok(out)
     }
--- a/history/tests/checker.rs
+++ b/history/tests/checker.rs
@@ -10,7 +10,10 @@
 
 fn text(events: &[What]) -> String {
     let line = |(at, what): (usize, &What)| {
-        let event = Event { at: at as u64 * 1_000_000, what: what.clone() };
+        let event = Event {
+            at: at as u64 * 1_000_000,
+            what: what.clone(),
+        };
         serde_json::to_string(&event).expect("a line") + "\n"
     };
     events.iter().enumerate().map(line).collect()
@@ -22,19 +25,35 @@
 
 fn begins() -> What {
     What::Begins {
-        seen: Seen { calls: BTreeMap::from([("half".into(), 3)]), drained: vec![] },
+        seen: Seen {
+            calls: BTreeMap::from([("half".into(), 3)]),
+            drained: vec![],
+        },
         holders: vec![["s0", "s1", "s2"].map(str::to_owned).to_vec()],
         keeps: 2,
     }
 }
 
 fn asked(lookup: &str) -> What {
-    What::Asked { lookup: lookup.into(), router: "n0".into(), index: "half".into() }
+    What::Asked {
+        lookup: lookup.into(),
+        router: "n0".into(),
+        index: "half".into(),
+    }
 }
 
 fn answer(lookup: &str, version: Option<u64>, parts: u64, whole: bool) -> What {
     let (lookup, status) = (lookup.into(), if version.is_some() { 200 } else { 503 });
-    What::Answered { lookup, status, version, unguarded: false, parts, of: 4, whole, least: 0.5 }
+    What::Answered {
+        lookup,
+        status,
+        version,
+        unguarded: false,
+        parts,
+        of: 4,
+        whole,
+        least: 0.5,
+    }
 }
 
 fn answered(lookup: &str, version: u64) -> What {
@@ -42,44 +61,78 @@
 }
 
 fn proposed(op: &str) -> What {
-    What::Proposed { op: op.into(), seen: Seen::default() }
+    What::Proposed {
+        op: op.into(),
+        seen: Seen::default(),
+    }
 }
 
 fn settled(op: &str, came: Came) -> What {
-    What::Settled { op: op.into(), came }
+    What::Settled {
+        op: op.into(),
+        came,
+    }
 }
 
 fn drains(op: &str, node: &str, calls: u64) -> What {
-    let seen = Seen { calls: BTreeMap::from([("half".into(), calls)]), drained: vec![node.into()] };
-    What::Proposed { op: op.into(), seen }
+    let seen = Seen {
+        calls: BTreeMap::from([("half".into(), calls)]),
+        drained: vec![node.into()],
+    };
+    What::Proposed {
+        op: op.into(),
+        seen,
+    }
 }
 
 fn part(node: &str, lookup: &str) -> What {
-    What::Part { node: node.into(), lookup: lookup.into(), shard: 0 }
+    What::Part {
+        node: node.into(),
+        lookup: lookup.into(),
+        shard: 0,
+    }
 }
 
 fn says(version: u64) -> What {
-    What::Says { router: "n1".into(), version: Some(version), term: Some(1) }
+    What::Says {
+        router: "n1".into(),
+        version: Some(version),
+        term: Some(1),
+    }
 }
 
 fn gone(lookup: &str, refused: bool) -> What {
-    What::Unanswered { lookup: lookup.into(), refused }
+    What::Unanswered {
+        lookup: lookup.into(),
+        refused,
+    }
 }
 
 fn ended() -> What {
-    What::Ended { router: "n0".into() }
+    What::Ended {
+        router: "n0".into(),
+    }
 }
 
 fn started() -> What {
-    What::Started { router: "n0".into() }
+    What::Started {
+        router: "n0".into(),
+    }
 }
 
 fn permitted(machine: &str, permit: u64) -> What {
-    What::Permitted { machine: machine.into(), permit, by: "ann".into() }
+    What::Permitted {
+        machine: machine.into(),
+        permit,
+        by: "ann".into(),
+    }
 }
 
 fn returned(machine: &str, permit: u64) -> What {
-    What::Returned { machine: machine.into(), permit }
+    What::Returned {
+        machine: machine.into(),
+        permit,
+    }
 }
 
 use Came::{InForce, Open, Refused, Withdrawn};
@@ -127,19 +180,34 @@
 #[test_case(vec![permitted("s0", 4), permitted("t0", 5), returned("s0", 4), permitted("s1", 6)]; "one of a set after the other, and another set beside it")]
 fn a_good_history_is_accepted(events: Vec<What>) {
     let all: Vec<What> = [vec![begins()], events].concat();
-    assert!(matches!(verdict(&all), Verdict::Accepted(_)), "{:?}", verdict(&all));
+    assert!(
+        matches!(verdict(&all), Verdict::Accepted(_)),
+        "{:?}",
+        verdict(&all)
+    );
 }
 
 #[test_case("{\"at\":5,\"what\":\"begins\",\"seen\":{}}\n{\"at\":6,\"wh"; "cut in a line")]
 #[test_case("not a history\n"; "no history")]
 fn what_cannot_be_read_is_neither_good_nor_bad(text: &str) {
-    assert!(matches!(check(text.as_bytes(), Bounds::default()), Verdict::Unreached(_)));
+    assert!(matches!(
+        check(text.as_bytes(), Bounds::default()),
+        Verdict::Unreached(_)
+    ));
 }
 
 #[test]
 fn a_history_beyond_the_bounds_is_no_verdict() {
-    let all: Vec<What> = std::iter::once(begins()).chain((0..9).map(|n| asked(&n.to_string()))).collect();
-    let verdict = check(text(&all).as_bytes(), Bounds { lookups: 8, ..Bounds::default() });
+    let all: Vec<What> = std::iter::once(begins())
+        .chain((0..9).map(|n| asked(&n.to_string())))
+        .collect();
+    let verdict = check(
+        text(&all).as_bytes(),
+        Bounds {
+            lookups: 8,
+            ..Bounds::default()
+        },
+    );
     assert!(matches!(verdict, Verdict::Unreached(_)), "{verdict:?}");
 }
 
@@ -172,7 +240,12 @@
             // Writes name their versions in some order; whether that fits their times is the question.
             let write = write && writes < 3;
             writes += u64::from(write);
-            (begin * 2, begin * 2 + length * 2 + 1, write, if write { writes } else { version })
+            (
+                begin * 2,
+                begin * 2 + length * 2 + 1,
+                write,
+                if write { writes } else { version },
+            )
         };
         all.into_iter().map(of).collect()
     })
@@ -243,7 +316,12 @@
         all.push(settled(&change.to_string(), InForce(change)));
         all.push(answered(&old, change - 1));
         let name = format!("after{change}");
-        all.extend([asked(&name), part("s", &name), answered(&name, change), says(change)]);
+        all.extend([
+            asked(&name),
+            part("s", &name),
+            answered(&name, change),
+            says(change),
+        ]);
     }
     all
 }
--- a/history/tests/requests.rs
+++ b/history/tests/requests.rs
@@ -6,15 +6,37 @@
 const MS: u64 = 1000;
 
 fn sent(effect: Effect) -> (u64, Saw) {
-    (0, Saw::Sent { id: "a".into(), router: "n0".into(), deadline: 900 * MS, effect })
+    (
+        0,
+        Saw::Sent {
+            id: "a".into(),
+            router: "n0".into(),
+            deadline: 900 * MS,
+            effect,
+        },
+    )
 }
 
 fn answered(at: u64) -> (u64, Saw) {
-    (at * MS, Saw::Answered { id: "a".into(), status: 200 })
+    (
+        at * MS,
+        Saw::Answered {
+            id: "a".into(),
+            status: 200,
+        },
+    )
 }
 
 fn came(at: u64, told: u64) -> (u64, Saw) {
-    (at * MS, Saw::Came { id: "a".into(), part: 0, node: "s0".into(), told: told * MS })
+    (
+        at * MS,
+        Saw::Came {
+            id: "a".into(),
+            part: 0,
+            node: "s0".into(),
+            told: told * MS,
+        },
+    )
 }
 
 fn left(at: u64) -> (u64, Saw) {
@@ -30,7 +52,20 @@
 }
 
 fn ends(told: u64, killed: u64) -> [(u64, Saw); 2] {
-    [(told, Saw::ToldToEnd { router: "n0".into() }), (killed * MS, Saw::Killed { router: "n0".into() })]
+    [
+        (
+            told,
+            Saw::ToldToEnd {
+                router: "n0".into(),
+            },
+        ),
+        (
+            killed * MS,
+            Saw::Killed {
+                router: "n0".into(),
+            },
+        ),
+    ]
 }
 
 #[test_case(&[answered(1400)]; "answered within the half second behind its time")]
@@ -57,7 +92,10 @@
     let mut all = vec![sent(Effect::Any)];
     all.extend_from_slice(events);
     let breaks = check(&all, Terms::default());
-    assert!(breaks.len() == 1 && format!("{:?}", breaks[0]).starts_with(name), "{breaks:?}");
+    assert!(
+        breaks.len() == 1 && format!("{:?}", breaks[0]).starts_with(name),
+        "{breaks:?}"
+    );
 }
 
 #[test_case(Effect::Once, 2, true)]
@@ -67,7 +105,9 @@
 fn a_part_runs_no_oftener_than_its_index_allows(effect: Effect, times: u64, broken: bool) {
     let mut all = vec![sent(effect), answered(800)];
     all.extend((0..times).map(|number| came(1 + number * 400, 100)));
-    let is = check(&all, Terms::default()).iter().any(|of| matches!(of, Break::Duplicate { .. }));
+    let is = check(&all, Terms::default())
+        .iter()
+        .any(|of| matches!(of, Break::Duplicate { .. }));
     assert_eq!(is, broken);
 }
 
--- a/identity/benches/cost.rs
+++ b/identity/benches/cost.rs
@@ -22,7 +22,15 @@
     let mut identity = Identity::new(terms).expect("good terms");
     let set = KeySet::parse(shop.public(T0).expect("a set").to_string().as_bytes()).expect("good");
     identity.told_of_keys(at(), &set).expect("taken");
-    identity.told_of_revocations(at(), Page { whole: true, ..Page::default() }).expect("taken");
+    identity
+        .told_of_revocations(
+            at(),
+            Page {
+                whole: true,
+                ..Page::default()
+            },
+        )
+        .expect("taken");
     identity
 }
 
@@ -42,15 +50,23 @@
         nbf: T0,
         exp: T0 + 600,
     };
-    (0..count).map(|n| shop.mint(&claims(n), T0).expect("a token")).collect()
+    (0..count)
+        .map(|n| shop.mint(&claims(n), T0).expect("a token"))
+        .collect()
 }
 
 fn cost(bench: &mut Criterion) {
     for algorithm in [Algorithm::EdDsa, Algorithm::Es256] {
         let mut shop = Workshop::default();
-        shop.new_key("k", algorithm, T0, 0, &SystemRandom::new()).expect("a key");
+        shop.new_key("k", algorithm, T0, 0, &SystemRandom::new())
+            .expect("a key");
         let tokens = tokens(&shop, 64);
-        let ask = |token| Ask { token: Some(token), index: "x", idempotent: true, ..Ask::default() };
+        let ask = |token| Ask {
+            token: Some(token),
+            index: "x",
+            idempotent: true,
+            ..Ask::default()
+        };
         let (mut fresh, mut turn) = (identity(1, &shop), 0);
         bench.bench_function(&format!("a token verified, {}", algorithm.word()), |run| {
             run.iter(|| {
@@ -59,18 +75,25 @@
             })
         });
         let mut warm = identity(2048, &shop);
-        bench.bench_function(&format!("a token remembered, {}", algorithm.word()), |run| {
-            run.iter(|| warm.judge(at(), &ask(&tokens[0])).expect("let in"))
-        });
+        bench.bench_function(
+            &format!("a token remembered, {}", algorithm.word()),
+            |run| run.iter(|| warm.judge(at(), &ask(&tokens[0])).expect("let in")),
+        );
     }
     let mut shop = Workshop::default();
-    shop.new_key("k", Algorithm::EdDsa, T0, 0, &SystemRandom::new()).expect("a key");
+    shop.new_key("k", Algorithm::EdDsa, T0, 0, &SystemRandom::new())
+        .expect("a key");
     let mut identity = identity(1, &shop);
     let key = rcgen::KeyPair::generate().expect("a key");
     let params = rcgen::CertificateParams::new(vec!["crew.example".into()]).expect("parameters");
     let der = params.self_signed(&key).expect("a certificate");
     let certificate = Certificate::read(der.der()).expect("it reads");
-    let ask = Ask { certificate: Some(&certificate), index: "x", idempotent: true, ..Ask::default() };
+    let ask = Ask {
+        certificate: Some(&certificate),
+        index: "x",
+        idempotent: true,
+        ..Ask::default()
+    };
     bench.bench_function("a certificate, already read", |run| {
         run.iter(|| identity.judge(at(), &ask).expect("let in"))
     });
--- a/identity/src/calendar.rs
+++ b/identity/src/calendar.rs
@@ -70,7 +70,10 @@
         let mut calendar = Calendar::default();
         let at = |s: u64, step: u64| (Micros(s * S), Micros(BASE + (s + step) * S));
         let _ = calendar.now(at(0, 0).0, at(0, 0).1);
-        assert_eq!(calendar.now(at(1, 600).0, at(1, 600).1), (Micros(BASE + S), None));
+        assert_eq!(
+            calendar.now(at(1, 600).0, at(1, 600).1),
+            (Micros(BASE + S), None)
+        );
         assert_eq!(calendar.now(at(30, 600).0, at(30, 600).1).1, None);
         let (now, told) = calendar.now(at(31, 600).0, at(31, 600).1);
         assert_eq!((now, told), (Micros(BASE + 631 * S), Some(600 * S as i64)));
@@ -81,9 +84,15 @@
         let mut calendar = Calendar::default();
         let _ = calendar.now(Micros(0), Micros(BASE));
         let _ = calendar.now(Micros(S), Micros(BASE + 900 * S));
-        assert_eq!(calendar.now(Micros(2 * S), Micros(BASE + 2 * S)), (Micros(BASE + 2 * S), None));
+        assert_eq!(
+            calendar.now(Micros(2 * S), Micros(BASE + 2 * S)),
+            (Micros(BASE + 2 * S), None)
+        );
         // Another spell begins anew.
         let _ = calendar.now(Micros(20 * S), Micros(BASE + 900 * S));
-        assert_eq!(calendar.now(Micros(40 * S), Micros(BASE + 920 * S)).0, Micros(BASE + 40 * S));
+        assert_eq!(
+            calendar.now(Micros(40 * S), Micros(BASE + 920 * S)).0,
+            Micros(BASE + 40 * S)
+        );
     }
 }
--- a/identity/src/certificate.rs
+++ b/identity/src/certificate.rs
@@ -63,14 +63,17 @@
             return Err(CertificateFault::Malformed);
         }
         let (_, read) = X509Certificate::from_der(der).map_err(|_| CertificateFault::Malformed)?;
-        let common = read.subject().iter_common_name().filter_map(|name| name.as_str().ok());
+        let common = read
+            .subject()
+            .iter_common_name()
+            .filter_map(|name| name.as_str().ok());
         let mut names: Vec<String> = common.map(str::to_owned).collect();
         for extension in read.extensions() {
             if let ParsedExtension::SubjectAlternativeName(other) = extension.parsed_extension() {
                 names.extend(other.general_names.iter().filter_map(|name| match name {
-                    GeneralName::DNSName(name) | GeneralName::URI(name) | GeneralName::RFC822Name(name) => {
-                        Some((*name).to_owned())
-                    }
+                    GeneralName::DNSName(name)
+                    | GeneralName::URI(name)
+                    | GeneralName::RFC822Name(name) => Some((*name).to_owned()),
                     _ => None,
                 }));
             }
@@ -111,8 +114,10 @@
         if list.len() > LIST_BOUND {
             return Err(ListFault::Malformed);
         }
-        let (_, list) = CertificateRevocationList::from_der(list).map_err(|_| ListFault::Malformed)?;
-        let (_, authority) = X509Certificate::from_der(authority).map_err(|_| ListFault::Malformed)?;
+        let (_, list) =
+            CertificateRevocationList::from_der(list).map_err(|_| ListFault::Malformed)?;
+        let (_, authority) =
+            X509Certificate::from_der(authority).map_err(|_| ListFault::Malformed)?;
         if list.issuer().as_raw() != authority.subject().as_raw()
             || list.verify_signature(authority.public_key()).is_err()
         {
@@ -123,25 +128,51 @@
             low.first().copied().unwrap_or(0)
         });
         let issuer: Rc<[u8]> = list.issuer().as_raw().into();
-        if self.by_issuer.get(&issuer).is_some_and(|known| known.number > number) {
+        if self
+            .by_issuer
+            .get(&issuer)
+            .is_some_and(|known| known.number > number)
+        {
             return Err(ListFault::Older);
         }
-        let serials: BTreeSet<Vec<u8>> =
-            list.iter_revoked_certificates().map(|one| one.raw_serial().to_vec()).collect();
-        let next = list.next_update().and_then(|at| u64::try_from(at.timestamp()).ok()).map(seconds);
+        let serials: BTreeSet<Vec<u8>> = list
+            .iter_revoked_certificates()
+            .map(|one| one.raw_serial().to_vec())
+            .collect();
+        let next = list
+            .next_update()
+            .and_then(|at| u64::try_from(at.timestamp()).ok())
+            .map(seconds);
         let count = serials.len();
-        self.by_issuer.insert(issuer, List { number, serials, next });
+        self.by_issuer.insert(
+            issuer,
+            List {
+                number,
+                serials,
+                next,
+            },
+        );
         Ok(count)
     }
 
     /// Whether any list is past the time when its issuer promised the next.
     pub fn overdue(&self, now: Micros) -> bool {
-        self.by_issuer.values().any(|list| list.next.is_some_and(|next| next <= now))
+        self.by_issuer
+            .values()
+            .any(|list| list.next.is_some_and(|next| next <= now))
     }
 
     /// Looks at a certificate that was verified as it was shown.
-    pub fn judge(&self, of: &Certificate, now: Micros, skew: Micros) -> Result<(), CertificateFault> {
-        let listed = self.by_issuer.get(&of.issuer).is_some_and(|list| list.serials.contains(&of.serial));
+    pub fn judge(
+        &self,
+        of: &Certificate,
+        now: Micros,
+        skew: Micros,
+    ) -> Result<(), CertificateFault> {
+        let listed = self
+            .by_issuer
+            .get(&of.issuer)
+            .is_some_and(|list| list.serials.contains(&of.serial));
         match () {
             () if of.from > now + skew => Err(CertificateFault::NotYet),
             () if of.until + skew <= now => Err(CertificateFault::Expired),
--- a/identity/src/keys.rs
+++ b/identity/src/keys.rs
@@ -29,7 +29,9 @@
     }
 
     pub fn named(word: &str) -> Option<Self> {
-        [Algorithm::EdDsa, Algorithm::Es256].into_iter().find(|of| of.word() == word)
+        [Algorithm::EdDsa, Algorithm::Es256]
+            .into_iter()
+            .find(|of| of.word() == word)
     }
 
     pub(crate) fn of_crate(self) -> jsonwebtoken::Algorithm {
@@ -106,9 +108,14 @@
         if read.keys.len() > MOST_KEYS {
             return Err(SetFault::TooMany);
         }
-        let mut set = KeySet { serial: read.ternpick_serial, ..KeySet::default() };
+        let mut set = KeySet {
+            serial: read.ternpick_serial,
+            ..KeySet::default()
+        };
         for (at, row) in read.keys.into_iter().enumerate() {
-            let name = row["kid"].as_str().map_or_else(|| format!("key {at}"), |kid| format!("key {kid:?}"));
+            let name = row["kid"]
+                .as_str()
+                .map_or_else(|| format!("key {at}"), |kid| format!("key {kid:?}"));
             match Self::key(row) {
                 Ok(key) if set.keys.iter().any(|known| known.id == key.id) => {
                     set.skipped.push(format!("{name} stands twice"));
@@ -128,7 +135,10 @@
         if key.d.is_some() {
             return Err("is a private one: it must not be published, revoke it");
         }
-        let id = key.kid.filter(|kid| (1..=128).contains(&kid.len())).ok_or("has no id")?;
+        let id = key
+            .kid
+            .filter(|kid| (1..=128).contains(&kid.len()))
+            .ok_or("has no id")?;
         if key.used_for.is_some_and(|of| of != "sig") {
             return Err("is not for signatures");
         }
@@ -137,7 +147,11 @@
             ("OKP", Some("Ed25519")) => (Algorithm::EdDsa, DecodingKey::from_ed_components(&x), x),
             ("EC", Some("P-256")) => {
                 let y = key.y.ok_or("has no second coordinate")?;
-                (Algorithm::Es256, DecodingKey::from_ec_components(&x, &y), format!("{x}.{y}"))
+                (
+                    Algorithm::Es256,
+                    DecodingKey::from_ec_components(&x, &y),
+                    format!("{x}.{y}"),
+                )
             }
             _ => return Err("is of a kind that is not used here (Ed25519 and P-256 are)"),
         };
@@ -145,8 +159,18 @@
             return Err("is for another algorithm than its kind");
         }
         let decoding = decoding.map_err(|_| "has malformed coordinates")?;
-        let (from, until) = (seconds(key.ternpick_from.unwrap_or(0)), key.ternpick_until.map(seconds));
-        Ok(Published { id: id.as_str().into(), algorithm, material, decoding, from, until })
+        let (from, until) = (
+            seconds(key.ternpick_from.unwrap_or(0)),
+            key.ternpick_until.map(seconds),
+        );
+        Ok(Published {
+            id: id.as_str().into(),
+            algorithm,
+            material,
+            decoding,
+            from,
+            until,
+        })
     }
 }
 
@@ -185,7 +209,11 @@
 
 impl KeyRing {
     pub fn new(lingers: Micros) -> Self {
-        KeyRing { held: BTreeMap::new(), serial: None, lingers }
+        KeyRing {
+            held: BTreeMap::new(),
+            serial: None,
+            lingers,
+        }
     }
 
     pub fn ids(&self) -> impl Iterator<Item = &KeyId> {
@@ -210,11 +238,23 @@
                 Some(held) if held.key.material == key.material => {
                     // Times may be shortened by a later set, and a set that lacks an end does not take one back.
                     let until = key.until.or(held.key.until);
-                    *held = Held { key: Published { until, ..key.clone() }, missed: None };
+                    *held = Held {
+                        key: Published {
+                            until,
+                            ..key.clone()
+                        },
+                        missed: None,
+                    };
                 }
                 Some(_) => change.clashed.push(key.id.clone()),
                 None => {
-                    self.held.insert(key.id.clone(), Held { key: key.clone(), missed: None });
+                    self.held.insert(
+                        key.id.clone(),
+                        Held {
+                            key: key.clone(),
+                            missed: None,
+                        },
+                    );
                     change.came.push(key.id.clone());
                 }
             }
@@ -226,8 +266,14 @@
             }
         }
         while self.held.len() > 2 * MOST_KEYS {
-            let longest = self.held.iter().filter_map(|(id, held)| Some((held.missed?, id))).min();
-            let Some(id) = longest.map(|(_, id)| id.clone()) else { break };
+            let longest = self
+                .held
+                .iter()
+                .filter_map(|(id, held)| Some((held.missed?, id)))
+                .min();
+            let Some(id) = longest.map(|(_, id)| id.clone()) else {
+                break;
+            };
             self.held.remove(&id);
         }
         Ok(change)
@@ -237,10 +283,16 @@
     pub fn elapsed(&mut self, now: Micros) -> Vec<KeyId> {
         let over = |held: &Held| {
             held.key.until.is_some_and(|until| until <= now)
-                || held.missed.is_some_and(|since| now.since(since) >= self.lingers)
+                || held
+                    .missed
+                    .is_some_and(|since| now.since(since) >= self.lingers)
         };
-        let gone: Vec<KeyId> =
-            self.held.iter().filter(|(_, held)| over(held)).map(|(id, _)| id.clone()).collect();
+        let gone: Vec<KeyId> = self
+            .held
+            .iter()
+            .filter(|(_, held)| over(held))
+            .map(|(id, _)| id.clone())
+            .collect();
         gone.iter().for_each(|id| drop(self.held.remove(id)));
         gone
     }
@@ -252,7 +304,9 @@
             return Err(KeyFault::NotYet);
         }
         let retired = held.key.until.is_some_and(|until| until <= now)
-            || held.missed.is_some_and(|since| now.since(since) >= self.lingers);
+            || held
+                .missed
+                .is_some_and(|since| now.since(since) >= self.lingers);
         if retired {
             return Err(KeyFault::Retired);
         }
--- a/identity/src/known.rs
+++ b/identity/src/known.rs
@@ -22,7 +22,9 @@
 
 impl Known {
     pub fn new(most: usize) -> Self {
-        Known { callers: LruCache::new(NonZeroUsize::new(most).unwrap_or(NonZeroUsize::MIN)) }
+        Known {
+            callers: LruCache::new(NonZeroUsize::new(most).unwrap_or(NonZeroUsize::MIN)),
+        }
     }
 
     pub fn get(&mut self, now: Micros, token: &TokenDigest) -> Option<Rc<Caller>> {
@@ -44,10 +46,13 @@
 
     /// Keys that have left the ring take their tokens with them.
     pub fn forget_keys(&mut self, gone: &[KeyId]) {
-        let of_gone =
-            |caller: &Caller| matches!(&caller.proof, Proof::Token { key, .. } if gone.contains(key));
-        let tokens: Vec<TokenDigest> =
-            self.callers.iter().filter(|(_, caller)| of_gone(caller)).map(|(token, _)| *token).collect();
+        let of_gone = |caller: &Caller| matches!(&caller.proof, Proof::Token { key, .. } if gone.contains(key));
+        let tokens: Vec<TokenDigest> = self
+            .callers
+            .iter()
+            .filter(|(_, caller)| of_gone(caller))
+            .map(|(token, _)| *token)
+            .collect();
         tokens.iter().for_each(|token| self.forget(token));
     }
 
--- a/identity/src/lib.rs
+++ b/identity/src/lib.rs
@@ -21,12 +21,16 @@
 use ternpick::types::{CustomerNo, Micros};
 
 pub use calendar::{Calendar, Stepped};
-pub use certificate::{Certificate, CertificateFault, ListFault, Lists, CERTIFICATE_BOUND, LIST_BOUND};
+pub use certificate::{
+    Certificate, CertificateFault, ListFault, Lists, CERTIFICATE_BOUND, LIST_BOUND,
+};
 pub use keys::{Algorithm, Change, KeyFault, KeyRing, KeySet, SetFault, MOST_KEYS, SET_BOUND};
 pub use known::Known;
 pub use names::{Act, Caller, KeyId, Proof, Role, Subject, Tenant, TokenId};
 pub use refresh::Refresh;
-pub use revocation::{Entry, FeedFault, Grace, Page, Revocations, Trust, What, MOST_REVOKED, PAGE_BOUND};
+pub use revocation::{
+    Entry, FeedFault, Grace, Page, Revocations, Trust, What, MOST_REVOKED, PAGE_BOUND,
+};
 pub use rights::{Allowed, Denied, Explained, Rights};
 pub use terms::{FeedTerms, KeyTerms, Source, Terms, TermsFault, DEFINITIONS};
 pub use token::{TokenFault, Wanted, TOKEN_BOUND};
@@ -94,17 +98,39 @@
         let mut rights = Rights::default();
         rights.told_of(&terms)?;
         let lingers = terms.keys.as_ref().map_or(0, |of| of.lingers);
-        let grace =
-            |of: &FeedTerms| Grace { reads: Micros(of.reads_go_on), changes: Micros(of.changes_go_on) };
-        let revocations = terms.revocations.as_ref().map(|of| Revocations::new(grace(of)));
+        let grace = |of: &FeedTerms| Grace {
+            reads: Micros(of.reads_go_on),
+            changes: Micros(of.changes_go_on),
+        };
+        let revocations = terms
+            .revocations
+            .as_ref()
+            .map(|of| Revocations::new(grace(of)));
         let known = Known::new(terms.known);
-        let (ring, lists, wanted) = (KeyRing::new(Micros(lingers)), Lists::default(), Self::wanted(&terms));
-        Ok(Identity { wanted, ring, revocations, lists, rights, known, terms })
+        let (ring, lists, wanted) = (
+            KeyRing::new(Micros(lingers)),
+            Lists::default(),
+            Self::wanted(&terms),
+        );
+        Ok(Identity {
+            wanted,
+            ring,
+            revocations,
+            lists,
+            rights,
+            known,
+            terms,
+        })
     }
 
     fn wanted(terms: &Terms) -> Wanted {
         let (issuer, audience) = (terms.issuer.clone(), terms.audience.clone());
-        Wanted { issuer, audience, skew: Micros(terms.skew), longest: Micros(terms.longest) }
+        Wanted {
+            issuer,
+            audience,
+            skew: Micros(terms.skew),
+            longest: Micros(terms.longest),
+        }
     }
 
     /// Takes new terms while it serves: rights, names, skew. Where keys and revocations come from stays.
@@ -125,7 +151,9 @@
     }
 
     pub fn told_of_revocations(&mut self, then: Micros, page: Page) -> Result<usize, FeedFault> {
-        self.revocations.as_mut().map_or(Ok(0), |of| of.told_of(then, page))
+        self.revocations
+            .as_mut()
+            .map_or(Ok(0), |of| of.told_of(then, page))
     }
 
     pub fn told_of_list(&mut self, list: &[u8], authority: &[u8]) -> Result<usize, ListFault> {
@@ -168,9 +196,17 @@
         Ok(caller)
     }
 
-    fn by_certificate(&self, now: Micros, of: &Certificate) -> Result<Rc<Caller>, CertificateFault> {
+    fn by_certificate(
+        &self,
+        now: Micros,
+        of: &Certificate,
+    ) -> Result<Rc<Caller>, CertificateFault> {
         self.lists.judge(of, now, self.wanted.skew)?;
-        let named = self.terms.certificates.iter().find(|terms| of.names.contains(&terms.name));
+        let named = self
+            .terms
+            .certificates
+            .iter()
+            .find(|terms| of.names.contains(&terms.name));
         let terms = named.ok_or(CertificateFault::Unnamed)?;
         Ok(Rc::new(Caller {
             subject: terms.subject.clone(),
@@ -192,7 +228,11 @@
             unknown_key: false,
         };
         let unproved = refusal(Refused::Unproved, String::new());
-        let unproved = |why: String, unknown_key| Refusal { why, unknown_key, ..unproved.clone() };
+        let unproved = |why: String, unknown_key| Refusal {
+            why,
+            unknown_key,
+            ..unproved.clone()
+        };
         let shown = match ask.certificate {
             // Besides a token, one that nobody is known by is not looked at further.
             Some(of) => match self.by_certificate(now, of) {
@@ -202,7 +242,8 @@
             },
             None => None,
         };
-        let revoked_of = |identity: &Self, caller: &Caller| identity.revocations.as_ref()?.of(caller);
+        let revoked_of =
+            |identity: &Self, caller: &Caller| identity.revocations.as_ref()?.of(caller);
         let caller = match (ask.token, shown) {
             (Some(token), shown) => {
                 if let Some(why) = shown.as_ref().and_then(|shown| revoked_of(self, shown)) {
@@ -212,7 +253,12 @@
                     .map_err(|fault| unproved(fault.to_string(), fault == TokenFault::UnknownKey))?
             }
             (None, Some(caller)) => caller,
-            (None, None) => return Err(refusal(Refused::NoProof, "no token and no certificate".into())),
+            (None, None) => {
+                return Err(refusal(
+                    Refused::NoProof,
+                    "no token and no certificate".into(),
+                ))
+            }
         };
         if let Some(why) = revoked_of(self, &caller) {
             return Err(unproved(why.into(), false));
@@ -225,13 +271,28 @@
             acts: acts.to_vec(),
             unknown_key: false,
         };
-        let allowed = self.rights.decide(&caller, ask.behalf, ask.index, &acts, now);
-        let allowed = allowed.map_err(|denied| known(Refused::Forbidden, denied.to_string(), &acts))?;
-        let unsure = |act: &&Act| self.revocations.as_ref().is_some_and(|of| !of.bears(now, **act));
+        let allowed = self
+            .rights
+            .decide(&caller, ask.behalf, ask.index, &acts, now);
+        let allowed =
+            allowed.map_err(|denied| known(Refused::Forbidden, denied.to_string(), &acts))?;
+        let unsure = |act: &&Act| {
+            self.revocations
+                .as_ref()
+                .is_some_and(|of| !of.bears(now, **act))
+        };
         if let Some(act) = acts.iter().find(unsure) {
-            let why = format!("what is revoked is not known well enough to {} here", act.word());
+            let why = format!(
+                "what is revoked is not known well enough to {} here",
+                act.word()
+            );
             return Err(known(Refused::Unsure, why, &acts));
         }
-        Ok(Pass { caller, tenant: allowed.tenant, acts, by: allowed.by })
+        Ok(Pass {
+            caller,
+            tenant: allowed.tenant,
+            acts,
+            by: allowed.by,
+        })
     }
 }
--- a/identity/src/refresh.rs
+++ b/identity/src/refresh.rs
@@ -27,7 +27,15 @@
 impl Refresh {
     pub fn new(every: Micros, least_apart: Micros, seed: u64) -> Self {
         let chance = WyRand::new_seed(seed);
-        Refresh { every, least_apart, next: Some(Micros(0)), began: None, again: false, failures: 0, chance }
+        Refresh {
+            every,
+            least_apart,
+            next: Some(Micros(0)),
+            began: None,
+            again: false,
+            failures: 0,
+            chance,
+        }
     }
 
     /// When to ask; none while a call is out.
@@ -36,7 +44,8 @@
     }
 
     fn not_before(&self) -> Micros {
-        self.began.map_or(Micros(0), |began| began + self.least_apart)
+        self.began
+            .map_or(Micros(0), |began| began + self.least_apart)
     }
 
     /// Something came up that the source may know by now. True if it is asked sooner for it.
@@ -67,7 +76,11 @@
     pub fn succeeded(&mut self, now: Micros) {
         self.failures = 0;
         let regular = now + self.spread(self.every);
-        self.next = Some(if self.again { self.not_before().max(now) } else { regular });
+        self.next = Some(if self.again {
+            self.not_before().max(now)
+        } else {
+            regular
+        });
     }
 
     pub fn failed(&mut self, now: Micros) {
@@ -120,10 +133,15 @@
             waits.push(next.since(now).0 as f64 / S as f64);
             now = next;
         }
-        assert!(waits[0] < 1.3 && waits[3] > 4.0 && waits[8] > 30.0 && waits[8] < 50.0, "{waits:?}");
+        assert!(
+            waits[0] < 1.3 && waits[3] > 4.0 && waits[8] > 30.0 && waits[8] < 50.0,
+            "{waits:?}"
+        );
         refresh.began(now);
         refresh.succeeded(now);
-        assert!(refresh.next().is_some_and(|next| next.since(now).0 <= 6 * S));
+        assert!(refresh
+            .next()
+            .is_some_and(|next| next.since(now).0 <= 6 * S));
     }
 
     proptest! {
--- a/identity/src/revocation.rs
+++ b/identity/src/revocation.rs
@@ -90,15 +90,32 @@
                 form.token.map(|of| What::Token(of.into())),
                 form.subject.map(|of| What::Subject(of.into())),
                 form.key.map(|of| What::Key(of.into())),
-                form.certificate.map(|of| What::Certificate(of.to_ascii_lowercase().into())),
+                form.certificate
+                    .map(|of| What::Certificate(of.to_ascii_lowercase().into())),
             ];
             let mut named = whats.into_iter().flatten();
-            let (Some(what), None) = (named.next(), named.next()) else { return Err(FeedFault::Malformed) };
+            let (Some(what), None) = (named.next(), named.next()) else {
+                return Err(FeedFault::Malformed);
+            };
             let until = form.until.map(seconds);
-            Ok(Entry { number: form.number, what, lifted: form.lifted, until })
+            Ok(Entry {
+                number: form.number,
+                what,
+                lifted: form.lifted,
+                until,
+            })
         };
-        let entries = form.entries.into_iter().map(entry).collect::<Result<_, _>>()?;
-        Ok(Page { after: form.after, to: form.to, whole: form.whole, entries })
+        let entries = form
+            .entries
+            .into_iter()
+            .map(entry)
+            .collect::<Result<_, _>>()?;
+        Ok(Page {
+            after: form.after,
+            to: form.to,
+            whole: form.whole,
+            entries,
+        })
     }
 }
 
@@ -137,7 +154,13 @@
 
 impl Revocations {
     pub fn new(grace: Grace) -> Self {
-        Revocations { words: HashMap::new(), number: 0, told: None, grace, said: Trust::Full }
+        Revocations {
+            words: HashMap::new(),
+            number: 0,
+            told: None,
+            grace,
+            said: Trust::Full,
+        }
     }
 
     /// Up to which number all is known.
@@ -171,11 +194,17 @@
     pub fn told_of(&mut self, then: Micros, page: Page) -> Result<usize, FeedFault> {
         let mut entries = page.entries;
         entries.sort_by_key(|entry| entry.number);
-        if entries.windows(2).any(|two| two[0].number == two[1].number && two[0] != two[1]) {
+        if entries
+            .windows(2)
+            .any(|two| two[0].number == two[1].number && two[0] != two[1])
+        {
             return Err(FeedFault::Contradicts);
         }
         entries.dedup();
-        if entries.iter().any(|entry| entry.number == 0 || entry.number > page.to) {
+        if entries
+            .iter()
+            .any(|entry| entry.number == 0 || entry.number > page.to)
+        {
             return Err(FeedFault::Malformed);
         }
         if page.to < self.number {
@@ -183,7 +212,10 @@
         }
         if !page.whole {
             let first = page.after.checked_add(1).ok_or(FeedFault::Malformed)?;
-            let all = entries.iter().map(|entry| entry.number).filter(|number| *number >= first);
+            let all = entries
+                .iter()
+                .map(|entry| entry.number)
+                .filter(|number| *number >= first);
             if page.after > self.number || !all.eq(first..=page.to) {
                 return Err(FeedFault::Gap);
             }
@@ -191,17 +223,41 @@
         if self.words.len() + entries.len() > MOST_REVOKED {
             self.elapsed(then);
         }
-        let fresh = entries.iter().filter(|entry| !self.words.contains_key(&entry.what)).count();
+        let fresh = entries
+            .iter()
+            .filter(|entry| !self.words.contains_key(&entry.what))
+            .count();
         if self.words.len() + fresh > MOST_REVOKED {
             return Err(FeedFault::TooMany);
         }
         let mut news = 0;
-        for Entry { number, what, lifted, until } in entries {
+        for Entry {
+            number,
+            what,
+            lifted,
+            until,
+        } in entries
+        {
             // What a whole list lacks stays: only a later word on the same thing, or its own end, takes it off. A
             // service that serves half of its list brings nobody back.
-            if self.words.get(&what).is_none_or(|known| known.number < number) {
-                let until = if lifted { Some(then + LIFTED_FOR) } else { until };
-                self.words.insert(what, Word { number, lifted, until });
+            if self
+                .words
+                .get(&what)
+                .is_none_or(|known| known.number < number)
+            {
+                let until = if lifted {
+                    Some(then + LIFTED_FOR)
+                } else {
+                    until
+                };
+                self.words.insert(
+                    what,
+                    Word {
+                        number,
+                        lifted,
+                        until,
+                    },
+                );
                 news += 1;
             }
         }
@@ -212,7 +268,8 @@
 
     /// Takes off what no longer matters.
     pub fn elapsed(&mut self, now: Micros) {
-        self.words.retain(|_, word| word.until.is_none_or(|until| until > now));
+        self.words
+            .retain(|_, word| word.until.is_none_or(|until| until > now));
     }
 
     fn names(&self, what: &What) -> bool {
@@ -223,7 +280,9 @@
     pub fn of(&self, caller: &Caller) -> Option<&'static str> {
         let proof = match &caller.proof {
             Proof::Token { key, id } => {
-                let token = id.as_ref().is_some_and(|id| self.names(&What::Token(Rc::clone(&id.0))));
+                let token = id
+                    .as_ref()
+                    .is_some_and(|id| self.names(&What::Token(Rc::clone(&id.0))));
                 let key = self.names(&What::Key(Rc::clone(&key.0)));
                 if key {
                     Some("the token's key is revoked")
@@ -231,9 +290,9 @@
                     token.then_some("the token is revoked")
                 }
             }
-            Proof::Certificate(print) => {
-                self.names(&What::Certificate(Rc::clone(print))).then_some("the certificate is revoked")
-            }
+            Proof::Certificate(print) => self
+                .names(&What::Certificate(Rc::clone(print)))
+                .then_some("the certificate is revoked"),
         };
         let subject = || self.names(&What::Subject(Rc::clone(&caller.subject.0)));
         proof.or_else(|| subject().then_some("the subject is revoked"))
@@ -249,7 +308,12 @@
 
     /// Whether an act may rely on what is known.
     pub fn bears(&self, now: Micros, act: Act) -> bool {
-        self.trust(now) >= if act.changes() { Trust::Full } else { Trust::Reads }
+        self.trust(now)
+            >= if act.changes() {
+                Trust::Full
+            } else {
+                Trust::Reads
+            }
     }
 
     /// The trust, where it has changed since this was last asked.
--- a/identity/src/rights.rs
+++ b/identity/src/rights.rs
@@ -75,26 +75,48 @@
         let mut tellings = Vec::new();
         for (at, of) in terms.acts.iter().enumerate() {
             let statement = Regex::new(&of.statement).map_err(|_| TermsFault::Pattern { at })?;
-            tellings.push(Telling { index: of.index.clone(), acts: of.acts.clone(), statement });
+            tellings.push(Telling {
+                index: of.index.clone(),
+                acts: of.acts.clone(),
+                statement,
+            });
         }
         let mut delegations = Vec::new();
         for of in &terms.delegations {
             let until = crate::terms::time(&of.until)?;
             if !terms.tenants.contains_key(&*of.tenant.0) {
-                return Err(TermsFault::UnknownTenant { name: of.tenant.to_string() });
+                return Err(TermsFault::UnknownTenant {
+                    name: of.tenant.to_string(),
+                });
             }
-            let (subject, tenant, roles) = (of.subject.clone(), of.tenant.clone(), of.roles.clone());
-            delegations.push(Delegation { subject, tenant, roles, until });
+            let (subject, tenant, roles) =
+                (of.subject.clone(), of.tenant.clone(), of.roles.clone());
+            delegations.push(Delegation {
+                subject,
+                tenant,
+                roles,
+                until,
+            });
         }
-        let of_tenants = terms.tenants.values().flat_map(|of| of.roles.iter().flatten());
+        let of_tenants = terms
+            .tenants
+            .values()
+            .flat_map(|of| of.roles.iter().flatten());
         let of_delegations = terms.delegations.iter().flat_map(|of| &of.roles);
         let of_certificates = terms.certificates.iter().flat_map(|of| &of.roles);
         for role in of_tenants.chain(of_delegations).chain(of_certificates) {
             if !terms.roles.contains_key(&*role.0) {
-                return Err(TermsFault::UnknownRole { name: role.to_string() });
+                return Err(TermsFault::UnknownRole {
+                    name: role.to_string(),
+                });
             }
         }
-        let mut next = self.tenants.values().map(|of| of.number.0 + 1).max().unwrap_or(0);
+        let mut next = self
+            .tenants
+            .values()
+            .map(|of| of.number.0 + 1)
+            .max()
+            .unwrap_or(0);
         let mut tenants = BTreeMap::new();
         for (name, of) in &terms.tenants {
             let name = Tenant::from(name.as_str());
@@ -106,11 +128,22 @@
                     number
                 }
             };
-            let roles = of.roles.as_ref().map(|roles| roles.iter().cloned().collect());
+            let roles = of
+                .roles
+                .as_ref()
+                .map(|roles| roles.iter().cloned().collect());
             tenants.insert(name, OfTenant { number, roles });
         }
-        let roles = terms.roles.iter().map(|(name, of)| (Role::from(name.as_str()), of.grants.clone()));
-        *self = Rights { tenants, roles: roles.collect(), delegations, tellings };
+        let roles = terms
+            .roles
+            .iter()
+            .map(|(name, of)| (Role::from(name.as_str()), of.grants.clone()));
+        *self = Rights {
+            tenants,
+            roles: roles.collect(),
+            delegations,
+            tellings,
+        };
         Ok(())
     }
 
@@ -122,7 +155,10 @@
     /// What a request does: as its statement tells, or, where it tells nothing, everything that its index could. A
     /// caller's own word on it does not count.
     pub fn acts(&self, index: &str, idempotent: bool, statement: &str) -> Vec<Act> {
-        let told = self.tellings.iter().filter(|telling| telling.index == index);
+        let told = self
+            .tellings
+            .iter()
+            .filter(|telling| telling.index == index);
         let acts: BTreeSet<Act> = told
             .filter(|telling| telling.statement.is_match(statement))
             .flat_map(|telling| telling.acts.iter().copied())
@@ -136,19 +172,40 @@
 
     /// On whose account and in which roles a caller asks, and until when: its own tenant's, or as one delegated.
     fn standing<'a>(
-        &'a self, caller: &'a Caller, behalf: Option<&str>, now: Micros,
+        &'a self,
+        caller: &'a Caller,
+        behalf: Option<&str>,
+        now: Micros,
     ) -> Result<(&'a OfTenant, Vec<&'a Role>, Micros), Denied> {
         let Some(behalf) = behalf.filter(|name| **name != *caller.tenant.0) else {
             let tenant = self.tenants.get(&caller.tenant).ok_or(Denied::Tenant)?;
-            let may = |role: &&Role| tenant.roles.as_ref().is_none_or(|roles| roles.contains(role));
-            return Ok((tenant, caller.roles.iter().filter(may).collect(), caller.until));
+            let may = |role: &&Role| {
+                tenant
+                    .roles
+                    .as_ref()
+                    .is_none_or(|roles| roles.contains(role))
+            };
+            return Ok((
+                tenant,
+                caller.roles.iter().filter(may).collect(),
+                caller.until,
+            ));
+        };
+        let holds = |of: &&Delegation| {
+            of.subject == caller.subject && *of.tenant.0 == *behalf && of.until > now
         };
-        let holds =
-            |of: &&Delegation| of.subject == caller.subject && *of.tenant.0 == *behalf && of.until > now;
-        let last = self.delegations.iter().filter(holds).max_by_key(|of| of.until);
+        let last = self
+            .delegations
+            .iter()
+            .filter(holds)
+            .max_by_key(|of| of.until);
         let of = last.ok_or(Denied::Delegation)?;
         let tenant = self.tenants.get(&of.tenant).ok_or(Denied::Tenant)?;
-        Ok((tenant, of.roles.iter().collect(), of.until.min(caller.until)))
+        Ok((
+            tenant,
+            of.roles.iter().collect(),
+            of.until.min(caller.until),
+        ))
     }
 
     /// Whether a caller may do an act on an index, and by which role.
@@ -160,17 +217,27 @@
         for role in roles {
             for grant in self.roles.get(*role).into_iter().flatten().filter(here) {
                 if grant.deny {
-                    return Err(Denied::Denies { role: (*role).clone(), act });
+                    return Err(Denied::Denies {
+                        role: (*role).clone(),
+                        act,
+                    });
                 }
                 granted = granted.or(Some(*role));
             }
         }
-        granted.map(|role| format!("role {role}")).ok_or(Denied::NotGranted { act })
+        granted
+            .map(|role| format!("role {role}"))
+            .ok_or(Denied::NotGranted { act })
     }
 
     /// Whether a caller may do all these acts on an index.
     pub fn decide(
-        &self, caller: &Caller, behalf: Option<&str>, index: &str, acts: &[Act], now: Micros,
+        &self,
+        caller: &Caller,
+        behalf: Option<&str>,
+        index: &str,
+        acts: &[Act],
+        now: Micros,
     ) -> Result<Allowed, Denied> {
         let (tenant, roles, until) = self.standing(caller, behalf, now)?;
         let mut by = String::new();
@@ -180,22 +247,36 @@
         if let Some(behalf) = behalf.filter(|name| **name != *caller.tenant.0) {
             by = format!("{by}, delegated by {behalf}");
         }
-        Ok(Allowed { tenant: tenant.number, by, until })
+        Ok(Allowed {
+            tenant: tenant.number,
+            by,
+            until,
+        })
     }
 
     /// All that a caller may and may not do, on every index that any grant names.
     pub fn explain(&self, caller: &Caller, behalf: Option<&str>, now: Micros) -> Vec<Explained> {
-        let indexes: BTreeSet<&str> =
-            self.roles.values().flatten().map(|grant| grant.index.as_str()).collect();
-        let pairs =
-            indexes.iter().flat_map(|index| [Act::Read, Act::Set, Act::Clear].map(|act| (*index, act)));
+        let indexes: BTreeSet<&str> = self
+            .roles
+            .values()
+            .flatten()
+            .map(|grant| grant.index.as_str())
+            .collect();
+        let pairs = indexes
+            .iter()
+            .flat_map(|index| [Act::Read, Act::Set, Act::Clear].map(|act| (*index, act)));
         pairs
             .map(|(index, act)| {
                 let (allowed, until) = match self.decide(caller, behalf, index, &[act], now) {
                     Ok(allowed) => (Ok(allowed.by), Some(allowed.until)),
                     Err(denied) => (Err(denied.to_string()), None),
                 };
-                Explained { index: index.to_owned(), act, allowed, until }
+                Explained {
+                    index: index.to_owned(),
+                    act,
+                    allowed,
+                    until,
+                }
             })
             .collect()
     }
--- a/identity/src/terms.rs
+++ b/identity/src/terms.rs
@@ -123,10 +123,16 @@
 
 /// A time in RFC 3339, UTC.
 pub fn time(text: &str) -> Result<Micros, TermsFault> {
-    let fault = || TermsFault::Time { text: text.to_owned() };
+    let fault = || TermsFault::Time {
+        text: text.to_owned(),
+    };
     let at = humantime::parse_rfc3339(text).map_err(|_| fault())?;
-    let since = at.duration_since(std::time::UNIX_EPOCH).map_err(|_| fault())?;
-    Ok(Micros(u64::try_from(since.as_micros()).map_err(|_| fault())?))
+    let since = at
+        .duration_since(std::time::UNIX_EPOCH)
+        .map_err(|_| fault())?;
+    Ok(Micros(
+        u64::try_from(since.as_micros()).map_err(|_| fault())?,
+    ))
 }
 
 impl Terms {
@@ -136,7 +142,10 @@
             return Err(TermsFault::NoProof);
         }
         let keys = self.keys.iter().map(|of| ("keys.from", &of.from));
-        let feeds = self.revocations.iter().map(|of| ("revocations.from", &of.from));
+        let feeds = self
+            .revocations
+            .iter()
+            .map(|of| ("revocations.from", &of.from));
         for (what, of) in keys.chain(feeds) {
             if of.file.is_some() == of.address.is_some() {
                 return Err(TermsFault::Source { what });
@@ -146,12 +155,18 @@
                 address.map_err(|_| TermsFault::Address { text: text.clone() })?;
             }
         }
-        if self.revocations.as_ref().is_some_and(|of| of.changes_go_on > of.reads_go_on) {
+        if self
+            .revocations
+            .as_ref()
+            .is_some_and(|of| of.changes_go_on > of.reads_go_on)
+        {
             return Err(TermsFault::Graces);
         }
         for of in &self.certificates {
             if !self.tenants.contains_key(&*of.tenant.0) {
-                return Err(TermsFault::UnknownTenant { name: of.tenant.to_string() });
+                return Err(TermsFault::UnknownTenant {
+                    name: of.tenant.to_string(),
+                });
             }
         }
         Ok(())
--- a/identity/src/token.rs
+++ b/identity/src/token.rs
@@ -97,7 +97,9 @@
 }
 
 fn part<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, TokenFault> {
-    let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenFault::Malformed)?;
+    let bytes = URL_SAFE_NO_PAD
+        .decode(text)
+        .map_err(|_| TokenFault::Malformed)?;
     // A claim that stands twice is an error of the reader's already.
     serde_json::from_slice(&bytes).map_err(|_| TokenFault::Malformed)
 }
@@ -110,14 +112,27 @@
 }
 
 /// Reads a token and verifies it; the caller that it proves comes back.
-pub fn open(token: &str, ring: &KeyRing, wanted: &Wanted, now: Micros) -> Result<Caller, TokenFault> {
+pub fn open(
+    token: &str,
+    ring: &KeyRing,
+    wanted: &Wanted,
+    now: Micros,
+) -> Result<Caller, TokenFault> {
     if token.len() > TOKEN_BOUND {
         return Err(TokenFault::TooLong);
     }
     let (message, signature) = token.rsplit_once('.').ok_or(TokenFault::Malformed)?;
     let (head, claims) = message.split_once('.').ok_or(TokenFault::Malformed)?;
     let header: Header = part(head)?;
-    let asks = [&header.crit, &header.jku, &header.jwk, &header.x5u, &header.x5c, &header.b64, &header.zip];
+    let asks = [
+        &header.crit,
+        &header.jku,
+        &header.jwk,
+        &header.x5u,
+        &header.x5c,
+        &header.b64,
+        &header.zip,
+    ];
     let typed = header.typ.as_deref().is_none_or(|typ| {
         let typ = typ.to_ascii_lowercase();
         matches!(typ.trim_start_matches("application/"), "jwt" | "at+jwt")
@@ -134,7 +149,8 @@
     if header.alg != algorithm.word() {
         return Err(TokenFault::Algorithm);
     }
-    let holds = jsonwebtoken::crypto::verify(signature, message.as_bytes(), key, algorithm.of_crate());
+    let holds =
+        jsonwebtoken::crypto::verify(signature, message.as_bytes(), key, algorithm.of_crate());
     if !holds.unwrap_or(false) {
         return Err(TokenFault::Signature);
     }
@@ -149,8 +165,14 @@
         OneOrMore::One(audience) => *audience == wanted.audience,
         OneOrMore::More(all) => all.contains(&wanted.audience),
     };
-    let named = |name: &str| (1..=NAME_BOUND).contains(&name.len()) && name.chars().all(|c| !c.is_control());
-    let names = claims.roles.iter().chain([&claims.sub, &claims.tenant]).chain(&claims.jti);
+    let named = |name: &str| {
+        (1..=NAME_BOUND).contains(&name.len()) && name.chars().all(|c| !c.is_control())
+    };
+    let names = claims
+        .roles
+        .iter()
+        .chain([&claims.sub, &claims.tenant])
+        .chain(&claims.jti);
     let until = expires + wanted.skew;
     let wrong = [
         (claims.iss != wanted.issuer, TokenFault::Issuer),
@@ -161,7 +183,10 @@
         ),
         (until <= now, TokenFault::Expired),
         (from.max(issued) > now + wanted.skew, TokenFault::NotYet),
-        (expires.since(issued) > wanted.longest, TokenFault::TooLongLived),
+        (
+            expires.since(issued) > wanted.longest,
+            TokenFault::TooLongLived,
+        ),
     ];
     if let Some((_, fault)) = wrong.iter().find(|(wrong, _)| *wrong) {
         return Err(*fault);
@@ -169,8 +194,15 @@
     Ok(Caller {
         subject: claims.sub.as_str().into(),
         tenant: Tenant::from(claims.tenant.as_str()),
-        roles: claims.roles.iter().map(|role| Role::from(role.as_str())).collect(),
-        proof: Proof::Token { key, id: claims.jti.as_deref().map(TokenId::from) },
+        roles: claims
+            .roles
+            .iter()
+            .map(|role| Role::from(role.as_str()))
+            .collect(),
+        proof: Proof::Token {
+            key,
+            id: claims.jti.as_deref().map(TokenId::from),
+        },
         until,
     })
 }
--- a/identity/src/workshop.rs
+++ b/identity/src/workshop.rs
@@ -89,12 +89,16 @@
     }
 
     fn document(&self) -> Result<Vec<u8>, WorkshopFault> {
-        STANDARD.decode(&self.secret).map_err(|error| WorkshopFault::Spoilt(error.to_string()))
+        STANDARD
+            .decode(&self.secret)
+            .map_err(|error| WorkshopFault::Spoilt(error.to_string()))
     }
 
     /// As it is published (JWK).
     fn public(&self) -> Result<Value, WorkshopFault> {
-        let (document, encode) = (self.document()?, |bytes: &[u8]| URL_SAFE_NO_PAD.encode(bytes));
+        let (document, encode) = (self.document()?, |bytes: &[u8]| {
+            URL_SAFE_NO_PAD.encode(bytes)
+        });
         let spoilt = |error: ring::error::KeyRejected| WorkshopFault::Spoilt(error.to_string());
         let mut key = match Algorithm::named(&self.algorithm) {
             Some(Algorithm::EdDsa) => {
@@ -109,7 +113,12 @@
                 let point = pair.public_key().as_ref();
                 json!({"kty": "EC", "crv": "P-256", "x": encode(&point[1..33]), "y": encode(&point[33..])})
             }
-            None => return Err(WorkshopFault::Spoilt(format!("algorithm {:?}", self.algorithm))),
+            None => {
+                return Err(WorkshopFault::Spoilt(format!(
+                    "algorithm {:?}",
+                    self.algorithm
+                )))
+            }
         };
         key["kid"] = self.id.as_str().into();
         key["alg"] = self.algorithm.as_str().into();
@@ -124,7 +133,12 @@
 impl Workshop {
     /// Makes a key that signs after `lead` seconds, in which every router hears of it. The first signs at once.
     pub fn new_key(
-        &mut self, id: &str, algorithm: Algorithm, now: u64, lead: u64, random: &dyn SecureRandom,
+        &mut self,
+        id: &str,
+        algorithm: Algorithm,
+        now: u64,
+        lead: u64,
+        random: &dyn SecureRandom,
     ) -> Result<&OwnKey, WorkshopFault> {
         if self.keys.iter().any(|key| key.id == id) {
             return Err(WorkshopFault::Doubled(id.to_owned()));
@@ -137,7 +151,8 @@
         let document = match algorithm {
             Algorithm::EdDsa => Ed25519KeyPair::generate_pkcs8(random).map_err(no_chance)?,
             Algorithm::Es256 => {
-                EcdsaKeyPair::generate_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, random).map_err(no_chance)?
+                EcdsaKeyPair::generate_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, random)
+                    .map_err(no_chance)?
             }
         };
         let first = !self.keys.iter().any(|key| key.stage(now) == Stage::Signing);
@@ -147,7 +162,11 @@
             secret: STANDARD.encode(document.as_ref()),
             made: now,
             // `now` is cut to whole seconds: one more makes the lead no shorter than was asked for.
-            signs: if first { now } else { now + lead + u64::from(lead > 0) },
+            signs: if first {
+                now
+            } else {
+                now + lead + u64::from(lead > 0)
+            },
             retired: None,
             until: None,
         });
@@ -157,7 +176,10 @@
 
     /// A key signs no more from now on, and is published for `overlap` seconds: as long as what it signed may last.
     pub fn retire(&mut self, id: &str, now: u64, overlap: u64) -> Result<(), WorkshopFault> {
-        let others = self.keys.iter().any(|key| key.id != id && key.stage(now) == Stage::Signing);
+        let others = self
+            .keys
+            .iter()
+            .any(|key| key.id != id && key.stage(now) == Stage::Signing);
         let key = self.keys.iter_mut().find(|key| key.id == id);
         let key = key.ok_or_else(|| WorkshopFault::Unknown(id.to_owned()))?;
         if key.stage(now) == Stage::Signing && !others {
@@ -171,12 +193,24 @@
 
     /// A new key, and an end for those that sign now, once it does.
     pub fn rotate(
-        &mut self, id: &str, algorithm: Algorithm, now: u64, lead: u64, overlap: u64,
+        &mut self,
+        id: &str,
+        algorithm: Algorithm,
+        now: u64,
+        lead: u64,
+        overlap: u64,
         random: &dyn SecureRandom,
     ) -> Result<&OwnKey, WorkshopFault> {
         let signs = self.new_key(id, algorithm, now, lead, random)?.signs;
-        for key in self.keys.iter_mut().filter(|key| key.id != id && key.retired.is_none()) {
-            (key.retired, key.until) = (Some(signs.max(key.signs)), Some(signs.max(key.signs) + overlap));
+        for key in self
+            .keys
+            .iter_mut()
+            .filter(|key| key.id != id && key.retired.is_none())
+        {
+            (key.retired, key.until) = (
+                Some(signs.max(key.signs)),
+                Some(signs.max(key.signs) + overlap),
+            );
         }
         Ok(&self.keys[self.keys.len() - 1])
     }
@@ -188,8 +222,13 @@
 
     /// The key that signs now: of several the one that began last.
     pub fn signer(&self, now: u64) -> Result<&OwnKey, WorkshopFault> {
-        let signing = self.keys.iter().filter(|key| key.stage(now) == Stage::Signing);
-        signing.max_by_key(|key| key.signs).ok_or(WorkshopFault::NoSigner)
+        let signing = self
+            .keys
+            .iter()
+            .filter(|key| key.stage(now) == Stage::Signing);
+        signing
+            .max_by_key(|key| key.signs)
+            .ok_or(WorkshopFault::NoSigner)
     }
 
     /// The set that key services serve (JWKS).
@@ -236,12 +275,17 @@
 pub fn inspect(token: &str) -> Result<Seen, WorkshopFault> {
     let spoilt = || WorkshopFault::Spoilt("this is no token".into());
     let parts: Vec<&str> = token.split('.').collect();
-    let [header, claims, _] = parts.as_slice() else { return Err(spoilt()) };
+    let [header, claims, _] = parts.as_slice() else {
+        return Err(spoilt());
+    };
     let read = |text: &str| {
         let bytes = URL_SAFE_NO_PAD.decode(text).ok()?;
         serde_json::from_slice(&bytes).ok()
     };
-    Ok(Seen { header: read(header).ok_or_else(spoilt)?, claims: read(claims).ok_or_else(spoilt)? })
+    Ok(Seen {
+        header: read(header).ok_or_else(spoilt)?,
+        claims: read(claims).ok_or_else(spoilt)?,
+    })
 }
 
 /// Whether a token's signature is right by a published set; its issuer, audience and times are not looked at.
@@ -251,8 +295,11 @@
     let mut ring = KeyRing::new(Micros(0));
     let _ = ring.told_of(now, &set);
     let id = KeyId::from(seen.header["kid"].as_str().unwrap_or_default());
-    let Ok((key, algorithm)) = ring.find(now, &id) else { return Ok(false) };
+    let Ok((key, algorithm)) = ring.find(now, &id) else {
+        return Ok(false);
+    };
     let (message, signature) = token.rsplit_once('.').unwrap_or_default();
-    let right = jsonwebtoken::crypto::verify(signature, message.as_bytes(), key, algorithm.of_crate());
+    let right =
+        jsonwebtoken::crypto::verify(signature, message.as_bytes(), key, algorithm.of_crate());
     Ok(seen.header["alg"] == algorithm.word() && right.unwrap_or(false))
 }
--- a/identity/tests/hard_cases.rs
+++ b/identity/tests/hard_cases.rs
@@ -7,8 +7,8 @@
 use ternpick::types::Micros;
 use ternpick_identity::workshop::{sign, Claims, Workshop, WorkshopFault};
 use ternpick_identity::{
-    Act, Algorithm, Ask, Certificate, Identity, KeySet, ListFault, Page, Refusal, Refused, SetFault, Terms,
-    DEFINITIONS,
+    Act, Algorithm, Ask, Certificate, Identity, KeySet, ListFault, Page, Refusal, Refused,
+    SetFault, Terms, DEFINITIONS,
 };
 use ternpick_settings::Schema;
 use test_case::test_case;
@@ -43,7 +43,10 @@
 
 fn terms(change: impl Fn(&str) -> String) -> Terms {
     let schema = Schema::new(&[("identity.cue", DEFINITIONS)], "#Identity");
-    schema.read("t.cue", &change(TERMS)).unwrap_or_else(|fault| panic!("{fault}")).value
+    schema
+        .read("t.cue", &change(TERMS))
+        .unwrap_or_else(|fault| panic!("{fault}"))
+        .value
 }
 
 fn at(seconds: u64) -> Micros {
@@ -68,8 +71,13 @@
 fn identity(shop: &Workshop) -> Identity {
     let mut identity = Identity::new(terms(str::to_owned)).expect("good terms");
     hear(&mut identity, shop, 0);
-    let page = Page { whole: true, ..Page::default() };
-    identity.told_of_revocations(at(0), page).expect("a good page");
+    let page = Page {
+        whole: true,
+        ..Page::default()
+    };
+    identity
+        .told_of_revocations(at(0), page)
+        .expect("a good page");
     identity
 }
 
@@ -81,20 +89,35 @@
 
 fn shop(algorithm: Algorithm) -> Workshop {
     let mut shop = Workshop::default();
-    shop.new_key("k1", algorithm, T0, 60, &SystemRandom::new()).expect("a key");
+    shop.new_key("k1", algorithm, T0, 60, &SystemRandom::new())
+        .expect("a key");
     shop
 }
 
 fn history<'a>(token: &'a str) -> Ask<'a> {
-    Ask { token: Some(token), index: "history", idempotent: true, statement: "c41e", ..Ask::default() }
+    Ask {
+        token: Some(token),
+        index: "history",
+        idempotent: true,
+        statement: "c41e",
+        ..Ask::default()
+    }
 }
 
 fn tag<'a>(token: &'a str, statement: &'a str) -> Ask<'a> {
-    Ask { token: Some(token), index: "lockout-tag", statement, ..Ask::default() }
+    Ask {
+        token: Some(token),
+        index: "lockout-tag",
+        statement,
+        ..Ask::default()
+    }
 }
 
 fn why(judged: Result<ternpick_identity::Pass, Refusal>) -> String {
-    judged.map_or_else(|refusal| refusal.why, |pass| format!("admitted by {}", pass.by))
+    judged.map_or_else(
+        |refusal| refusal.why,
+        |pass| format!("admitted by {}", pass.by),
+    )
 }
 
 #[test_case(Algorithm::EdDsa; "EdDSA")]
@@ -103,8 +126,13 @@
     let shop = shop(algorithm);
     let (mut identity, token) = (identity(&shop), shop.mint(&claims(0), T0).expect("a token"));
     for _ in 0..2 {
-        let pass = identity.judge(at(1), &tag(&token, "set tag 7")).expect("let in");
-        assert_eq!((pass.acts.as_slice(), pass.by.as_str()), (&[Act::Set][..], "role safety"));
+        let pass = identity
+            .judge(at(1), &tag(&token, "set tag 7"))
+            .expect("let in");
+        assert_eq!(
+            (pass.acts.as_slice(), pass.by.as_str()),
+            (&[Act::Set][..], "role safety")
+        );
         assert_eq!(identity.known(), 1);
     }
 }
@@ -112,7 +140,11 @@
 fn forge(token: &str, header: Value, body: Option<&str>) -> String {
     let parts: Vec<&str> = token.split('.').collect();
     let body = body.map_or(parts[1].to_owned(), |body| URL_SAFE_NO_PAD.encode(body));
-    format!("{}.{body}.{}", URL_SAFE_NO_PAD.encode(header.to_string()), parts[2])
+    format!(
+        "{}.{body}.{}",
+        URL_SAFE_NO_PAD.encode(header.to_string()),
+        parts[2]
+    )
 }
 
 const DOUBLED: &str = r#"{"iss":"https://sign-on.example","sub":"a","sub":"b","aud":"search","exp":1,"iat":1,"tenant":"north"}"#;
@@ -134,8 +166,13 @@
     let shop = shop(Algorithm::EdDsa);
     let (mut identity, token) = (identity(&shop), shop.mint(&claims(0), T0).expect("a token"));
     let forged = forge(&token, header, body);
-    let refusal = identity.judge(at(1), &history(&forged)).expect_err("refused");
-    assert_eq!((refusal.why.as_str(), refusal.refused), (says, Refused::Unproved));
+    let refusal = identity
+        .judge(at(1), &history(&forged))
+        .expect_err("refused");
+    assert_eq!(
+        (refusal.why.as_str(), refusal.refused),
+        (says, Refused::Unproved)
+    );
     assert_eq!(refusal.unknown_key, says.contains("not known"));
     assert_eq!(identity.known(), 0, "nothing of it is remembered");
 }
@@ -181,8 +218,19 @@
 #[test_case(|c| c["roles"] = json!(["reader"]), 1, "no role grants read here"; "a role that its tenant may not give")]
 fn a_signed_token_is_judged_by_what_it_says(change: fn(&mut Value), now: u64, says: &str) {
     let mut identity = SHOP.with(identity);
-    identity.told_of_revocations(at(now), Page { whole: true, ..Page::default() }).expect("a page");
-    assert_eq!(why(identity.judge(at(now), &history(&signed(change)))), says);
+    identity
+        .told_of_revocations(
+            at(now),
+            Page {
+                whole: true,
+                ..Page::default()
+            },
+        )
+        .expect("a page");
+    assert_eq!(
+        why(identity.judge(at(now), &history(&signed(change)))),
+        says
+    );
 }
 
 #[test]
@@ -191,12 +239,14 @@
     let head = URL_SAFE_NO_PAD.encode(r#"{"alg":"EdDSA","kid":"k1"}"#);
     SHOP.with(|shop| {
         let key = serde_json::to_value(shop.signer(T0).expect("a key")).expect("JSON");
-        let secret =
-            base64::engine::general_purpose::STANDARD.decode(key["secret"].as_str().unwrap()).unwrap();
+        let secret = base64::engine::general_purpose::STANDARD
+            .decode(key["secret"].as_str().unwrap())
+            .unwrap();
         let secret = jsonwebtoken::EncodingKey::from_ed_der(&secret);
         let message = format!("{head}.{body}");
         let signature =
-            jsonwebtoken::crypto::sign(message.as_bytes(), &secret, jsonwebtoken::Algorithm::EdDSA).unwrap();
+            jsonwebtoken::crypto::sign(message.as_bytes(), &secret, jsonwebtoken::Algorithm::EdDSA)
+                .unwrap();
         let mut identity = identity(shop);
         let judged = identity.judge(at(1), &history(&format!("{message}.{signature}")));
         assert_eq!(why(judged), "the token is malformed");
@@ -208,27 +258,59 @@
     let mut shop = shop(Algorithm::EdDsa);
     let mut identity = identity(&shop);
     let old = shop.mint(&claims(0), T0).expect("a token");
-    shop.rotate("k2", Algorithm::EdDsa, T0 + 1, 10, 60, &SystemRandom::new()).expect("a key");
+    shop.rotate("k2", Algorithm::EdDsa, T0 + 1, 10, 60, &SystemRandom::new())
+        .expect("a key");
     hear(&mut identity, &shop, 2);
-    assert_eq!(shop.signer(T0 + 11).expect("a signer").id, "k1", "the new one is only published");
+    assert_eq!(
+        shop.signer(T0 + 11).expect("a signer").id,
+        "k1",
+        "the new one is only published"
+    );
     let new = shop.mint(&claims(12), T0 + 12).expect("a token");
     for now in [12, 40, 71] {
         hear(&mut identity, &shop, now);
-        identity.told_of_revocations(at(now), Page { whole: true, ..Page::default() }).expect("a page");
-        assert_eq!(why(identity.judge(at(now), &history(&old))), "admitted by role crew", "at {now}");
-        assert_eq!(why(identity.judge(at(now), &history(&new))), "admitted by role crew", "at {now}");
+        identity
+            .told_of_revocations(
+                at(now),
+                Page {
+                    whole: true,
+                    ..Page::default()
+                },
+            )
+            .expect("a page");
+        assert_eq!(
+            why(identity.judge(at(now), &history(&old))),
+            "admitted by role crew",
+            "at {now}"
+        );
+        assert_eq!(
+            why(identity.judge(at(now), &history(&new))),
+            "admitted by role crew",
+            "at {now}"
+        );
     }
     // Its end acts by itself, remembered or not, before any set says so.
-    assert_eq!(why(identity.judge(at(72), &history(&old))), "the token's key is no longer in use");
+    assert_eq!(
+        why(identity.judge(at(72), &history(&old))),
+        "the token's key is no longer in use"
+    );
     assert_eq!(identity.elapsed(at(72)).len(), 1);
-    assert_eq!(why(identity.judge(at(73), &history(&old))), "the token's key is not known");
-    assert_eq!(why(identity.judge(at(73), &history(&new))), "admitted by role crew");
+    assert_eq!(
+        why(identity.judge(at(73), &history(&old))),
+        "the token's key is not known"
+    );
+    assert_eq!(
+        why(identity.judge(at(73), &history(&new))),
+        "admitted by role crew"
+    );
 }
 
 #[test]
 fn two_sets_by_turns_refuse_nobody_and_a_lasting_one_retires_a_key() {
     let (mut one, mut other) = (shop(Algorithm::EdDsa), Workshop::default());
-    other.new_key("k2", Algorithm::Es256, T0, 60, &SystemRandom::new()).expect("a key");
+    other
+        .new_key("k2", Algorithm::Es256, T0, 60, &SystemRandom::new())
+        .expect("a key");
     let mut identity = identity(&one);
     // Two services that do not count their sets.
     let public = |shop: &Workshop| {
@@ -237,19 +319,39 @@
         KeySet::parse(set.to_string().as_bytes()).expect("good")
     };
     one.serial = 0;
-    let tokens = [one.mint(&claims(0), T0).unwrap(), other.mint(&claims(0), T0).unwrap()];
+    let tokens = [
+        one.mint(&claims(0), T0).unwrap(),
+        other.mint(&claims(0), T0).unwrap(),
+    ];
     for now in 1..100 {
         let set = public(if now % 2 == 0 { &one } else { &other });
         identity.told_of_keys(at(now), &set).expect("taken");
-        identity.told_of_revocations(at(now), Page { whole: true, ..Page::default() }).expect("a page");
+        identity
+            .told_of_revocations(
+                at(now),
+                Page {
+                    whole: true,
+                    ..Page::default()
+                },
+            )
+            .expect("a page");
         for token in &tokens {
-            assert_eq!(why(identity.judge(at(now), &history(token))), "admitted by role crew", "at {now}");
+            assert_eq!(
+                why(identity.judge(at(now), &history(token))),
+                "admitted by role crew",
+                "at {now}"
+            );
         }
     }
     for now in 100..161 {
-        identity.told_of_keys(at(now), &public(&other)).expect("taken");
+        identity
+            .told_of_keys(at(now), &public(&other))
+            .expect("taken");
     }
-    assert_eq!(why(identity.judge(at(161), &history(&tokens[0]))), "the token's key is not known");
+    assert_eq!(
+        why(identity.judge(at(161), &history(&tokens[0]))),
+        "the token's key is not known"
+    );
 }
 
 #[test]
@@ -257,7 +359,8 @@
     let mut shop = shop(Algorithm::EdDsa);
     let mut identity = identity(&shop);
     let old = shop.public(T0).expect("a set").to_string();
-    shop.new_key("k2", Algorithm::EdDsa, T0 + 1, 60, &SystemRandom::new()).expect("a key");
+    shop.new_key("k2", Algorithm::EdDsa, T0 + 1, 60, &SystemRandom::new())
+        .expect("a key");
     hear(&mut identity, &shop, 1);
     let older = identity.told_of_keys(at(2), &KeySet::parse(old.as_bytes()).expect("good"));
     assert_eq!(older, Err(SetFault::Older { got: 1, have: 2 }));
@@ -267,7 +370,10 @@
     let change = identity.told_of_keys(at(2), &set).expect("taken");
     assert_eq!((change.clashed.len(), change.missed.len()), (1, 1));
     let token = shop.mint(&claims(0), T0 + 2).expect("a token");
-    assert_eq!(why(identity.judge(at(3), &history(&token))), "admitted by role crew");
+    assert_eq!(
+        why(identity.judge(at(3), &history(&token))),
+        "admitted by role crew"
+    );
 }
 
 #[test_case("", SetFault::Malformed; "nothing")]
@@ -296,64 +402,123 @@
 #[test]
 fn a_denial_goes_before_any_grant_and_rights_explain_themselves() {
     let terms = terms(|text| {
-        text.replace("roles: [\"crew\", \"safety\"]", "roles: [\"crew\", \"safety\", \"trainee\"]")
+        text.replace(
+            "roles: [\"crew\", \"safety\"]",
+            "roles: [\"crew\", \"safety\", \"trainee\"]",
+        )
     });
     let mut identity = SHOP.with(identity);
     identity.told_of_terms(terms).expect("good terms");
     let token = signed(|claims| claims["roles"] = json!(["safety", "trainee"]));
-    assert_eq!(why(identity.judge(at(1), &tag(&token, "clear 7"))), "role trainee denies clear here");
-    let pass = identity.judge(at(1), &tag(&token, "set 7")).expect("let in");
+    assert_eq!(
+        why(identity.judge(at(1), &tag(&token, "clear 7"))),
+        "role trainee denies clear here"
+    );
+    let pass = identity
+        .judge(at(1), &tag(&token, "set 7"))
+        .expect("let in");
     let lines = identity.rights.explain(&pass.caller, None, at(1));
-    let of = |act| lines.iter().find(|line| line.index == "lockout-tag" && line.act == act).expect("a line");
+    let of = |act| {
+        lines
+            .iter()
+            .find(|line| line.index == "lockout-tag" && line.act == act)
+            .expect("a line")
+    };
     assert_eq!(of(Act::Set).allowed, Ok("role safety".into()));
-    assert_eq!(of(Act::Clear).allowed, Err("role trainee denies clear here".into()));
+    assert_eq!(
+        of(Act::Clear).allowed,
+        Err("role trainee denies clear here".into())
+    );
     assert_eq!(of(Act::Set).until, Some(pass.caller.until));
 }
 
 #[test]
 fn a_contractor_acts_for_a_tenant_until_its_time_and_in_the_roles_given() {
     let token = signed(|claims| {
-        (claims["sub"], claims["tenant"], claims["roles"]) =
-            (json!("contractor-9"), json!("works"), json!(["reader", "safety"]));
+        (claims["sub"], claims["tenant"], claims["roles"]) = (
+            json!("contractor-9"),
+            json!("works"),
+            json!(["reader", "safety"]),
+        );
     });
     let mut identity = SHOP.with(identity);
-    let ask = |statement, behalf| Ask { behalf, ..tag(&token, statement) };
-    let judged = identity.judge(at(1), &ask("get 7", Some("north"))).expect("let in");
+    let ask = |statement, behalf| Ask {
+        behalf,
+        ..tag(&token, statement)
+    };
+    let judged = identity
+        .judge(at(1), &ask("get 7", Some("north")))
+        .expect("let in");
     assert_eq!(judged.by, "role crew, delegated by north");
-    assert_eq!(why(identity.judge(at(1), &ask("get 7", None))), "no role grants read here");
-    assert_eq!(why(identity.judge(at(1), &ask("set 7", Some("north")))), "no role grants set here");
+    assert_eq!(
+        why(identity.judge(at(1), &ask("get 7", None))),
+        "no role grants read here"
+    );
+    assert_eq!(
+        why(identity.judge(at(1), &ask("set 7", Some("north")))),
+        "no role grants set here"
+    );
     assert_eq!(
         why(identity.judge(at(1), &ask("get 7", Some("south")))),
         "no delegation to that tenant holds"
     );
     // 2027-01-16T12:00:00Z is 1800100800.
     identity
-        .told_of_revocations(Micros(1_800_100_800 * S), Page { whole: true, ..Page::default() })
+        .told_of_revocations(
+            Micros(1_800_100_800 * S),
+            Page {
+                whole: true,
+                ..Page::default()
+            },
+        )
         .expect("a page");
     let late = claims(100_790);
     let token = SHOP.with(|shop| {
-        let late = Claims { sub: "contractor-9".into(), tenant: "works".into(), ..late };
+        let late = Claims {
+            sub: "contractor-9".into(),
+            tenant: "works".into(),
+            ..late
+        };
         sign(shop.signer(T0).expect("a key"), &late).expect("a token")
     });
-    let ask = Ask { behalf: Some("north"), ..tag(&token, "get 7") };
+    let ask = Ask {
+        behalf: Some("north"),
+        ..tag(&token, "get 7")
+    };
     assert_eq!(
         why(identity.judge(Micros(1_800_100_799 * S), &ask)),
         "admitted by role crew, delegated by north"
     );
-    assert_eq!(why(identity.judge(Micros(1_800_100_800 * S), &ask)), "no delegation to that tenant holds");
+    assert_eq!(
+        why(identity.judge(Micros(1_800_100_800 * S), &ask)),
+        "no delegation to that tenant holds"
+    );
 }
 
 #[test_case(31, "read", "admitted by role crew"; "reading goes on")]
 #[test_case(31, "set", "what is revoked is not known well enough to set here"; "setting stops first")]
 #[test_case(30, "set", "admitted by role safety"; "within its grace")]
 #[test_case(601, "read", "what is revoked is not known well enough to read here"; "all stops")]
-fn a_feed_fallen_silent_is_trusted_by_its_age_and_by_what_is_asked(now: u64, act: &str, says: &str) {
+fn a_feed_fallen_silent_is_trusted_by_its_age_and_by_what_is_asked(
+    now: u64,
+    act: &str,
+    says: &str,
+) {
     let mut identity = SHOP.with(identity);
     let token = signed(|claims| claims["exp"] = json!(T0 + 700));
-    let ask = if act == "read" { history(&token) } else { tag(&token, "set 7") };
+    let ask = if act == "read" {
+        history(&token)
+    } else {
+        tag(&token, "set 7")
+    };
     let judged = identity.judge(at(now), &ask);
-    let unsure = judged.as_ref().is_err_and(|refusal| refusal.refused == Refused::Unsure);
-    assert_eq!((why(judged).as_str(), unsure), (says, says.contains("enough")));
+    let unsure = judged
+        .as_ref()
+        .is_err_and(|refusal| refusal.refused == Refused::Unsure);
+    assert_eq!(
+        (why(judged).as_str(), unsure),
+        (says, says.contains("enough"))
+    );
 }
 
 fn page(text: &str) -> Page {
@@ -368,14 +533,17 @@
 fn a_revoked_caller_is_refused_at_once_though_remembered(text: &str, says: &str) {
     let (mut identity, token) = (SHOP.with(identity), signed(|_| {}));
     assert!(identity.judge(at(1), &history(&token)).is_ok());
-    identity.told_of_revocations(at(1), page(text)).expect("taken");
+    identity
+        .told_of_revocations(at(1), page(text))
+        .expect("taken");
     assert_eq!(why(identity.judge(at(1), &history(&token))), says);
 }
 
 #[test]
 fn a_gap_a_doubled_an_older_and_a_reordered_page_never_undo_a_revocation() {
     let (mut identity, token) = (SHOP.with(identity), signed(|_| {}));
-    let hear = |identity: &mut Identity, text: &str| identity.told_of_revocations(at(1), page(text));
+    let hear =
+        |identity: &mut Identity, text: &str| identity.told_of_revocations(at(1), page(text));
     let revoke = r#"{"after":0,"to":2,"entries":[{"number":2,"token":"t-0"},{"number":1,"token":"x"},{"number":1,"token":"x"}]}"#;
     assert_eq!(hear(&mut identity, revoke), Ok(2));
     assert_eq!(hear(&mut identity, revoke), Ok(0), "doubled");
@@ -391,16 +559,34 @@
         assert!(hear(&mut identity, text).is_err(), "{text}");
     }
     // A service that serves half of its list brings nobody back.
-    assert_eq!(hear(&mut identity, r#"{"to":9,"whole":true,"entries":[]}"#), Ok(0));
-    assert_eq!(why(identity.judge(at(1), &history(&token))), "the token is revoked");
     assert_eq!(
-        hear(&mut identity, r#"{"after":9,"to":10,"entries":[{"number":10,"token":"t-0","lifted":true}]}"#),
+        hear(&mut identity, r#"{"to":9,"whole":true,"entries":[]}"#),
+        Ok(0)
+    );
+    assert_eq!(
+        why(identity.judge(at(1), &history(&token))),
+        "the token is revoked"
+    );
+    assert_eq!(
+        hear(
+            &mut identity,
+            r#"{"after":9,"to":10,"entries":[{"number":10,"token":"t-0","lifted":true}]}"#
+        ),
         Ok(1)
     );
-    assert_eq!(why(identity.judge(at(1), &history(&token))), "admitted by role crew");
+    assert_eq!(
+        why(identity.judge(at(1), &history(&token))),
+        "admitted by role crew"
+    );
     // An older word on it, in a whole list, stays undone.
-    let _ = hear(&mut identity, r#"{"to":10,"whole":true,"entries":[{"number":2,"token":"t-0"}]}"#);
-    assert_eq!(why(identity.judge(at(1), &history(&token))), "admitted by role crew");
+    let _ = hear(
+        &mut identity,
+        r#"{"to":10,"whole":true,"entries":[{"number":2,"token":"t-0"}]}"#,
+    );
+    assert_eq!(
+        why(identity.judge(at(1), &history(&token))),
+        "admitted by role crew"
+    );
 }
 
 #[test_case(r#"{"to":1}"#; "no entries")]
@@ -420,11 +606,19 @@
 fn authority(name: &str) -> Authority {
     let key = rcgen::KeyPair::generate().expect("a key");
     let mut params = rcgen::CertificateParams::new(Vec::new()).expect("parameters");
-    params.distinguished_name.push(rcgen::DnType::CommonName, name);
+    params
+        .distinguished_name
+        .push(rcgen::DnType::CommonName, name);
     params.is_ca = rcgen::IsCa::Ca(rcgen::BasicConstraints::Unconstrained);
-    params.key_usages = vec![rcgen::KeyUsagePurpose::KeyCertSign, rcgen::KeyUsagePurpose::CrlSign];
+    params.key_usages = vec![
+        rcgen::KeyUsagePurpose::KeyCertSign,
+        rcgen::KeyUsagePurpose::CrlSign,
+    ];
     let certificate = params.self_signed(&key).expect("a certificate");
-    Authority { certificate, issuer: rcgen::Issuer::new(params, key) }
+    Authority {
+        certificate,
+        issuer: rcgen::Issuer::new(params, key),
+    }
 }
 
 impl Authority {
@@ -453,7 +647,11 @@
             revoked_certs: revoked.collect(),
             key_identifier_method: rcgen::KeyIdMethod::Sha256,
         };
-        params.signed_by(&self.issuer).expect("a list").der().to_vec()
+        params
+            .signed_by(&self.issuer)
+            .expect("a list")
+            .der()
+            .to_vec()
     }
 }
 
@@ -463,28 +661,60 @@
     let mut identity = SHOP.with(identity);
     let crew = ours.client("crew-7.field.example", 7);
     fn ask(certificate: &Certificate) -> Ask<'_> {
-        Ask { certificate: Some(certificate), index: "history", idempotent: true, ..Ask::default() }
+        Ask {
+            certificate: Some(certificate),
+            index: "history",
+            idempotent: true,
+            ..Ask::default()
+        }
     }
-    assert_eq!(why(identity.judge(at(1), &ask(&crew))), "admitted by role crew");
+    assert_eq!(
+        why(identity.judge(at(1), &ask(&crew))),
+        "admitted by role crew"
+    );
     assert_eq!(
         why(identity.judge(at(1), &ask(&ours.client("x.example", 8)))),
         "the certificate names nobody who is known here"
     );
     // A list by somebody else, or an older one, changes nothing.
     let trusted = ours.certificate.der();
-    assert_eq!(identity.told_of_list(&other.list(5, &[7]), trusted), Err(ListFault::Signature));
+    assert_eq!(
+        identity.told_of_list(&other.list(5, &[7]), trusted),
+        Err(ListFault::Signature)
+    );
     assert_eq!(identity.told_of_list(&ours.list(5, &[7]), trusted), Ok(1));
-    assert_eq!(identity.told_of_list(&ours.list(4, &[]), trusted), Err(ListFault::Older));
-    assert_eq!(why(identity.judge(at(1), &ask(&crew))), "the certificate is revoked");
+    assert_eq!(
+        identity.told_of_list(&ours.list(4, &[]), trusted),
+        Err(ListFault::Older)
+    );
+    assert_eq!(
+        why(identity.judge(at(1), &ask(&crew))),
+        "the certificate is revoked"
+    );
     // With a token beside it, a revoked certificate still shuts its connection out.
     let token = signed(|_| {});
-    let both = Ask { certificate: Some(&crew), ..history(&token) };
-    assert_eq!(why(identity.judge(at(1), &both)), "the certificate is revoked");
+    let both = Ask {
+        certificate: Some(&crew),
+        ..history(&token)
+    };
+    assert_eq!(
+        why(identity.judge(at(1), &both)),
+        "the certificate is revoked"
+    );
     let good = ours.client("unnamed.example", 9);
-    let both = Ask { certificate: Some(&good), ..history(&token) };
+    let both = Ask {
+        certificate: Some(&good),
+        ..history(&token)
+    };
     assert_eq!(why(identity.judge(at(1), &both)), "admitted by role crew");
     let year = 365 * 86_400;
-    let _ = identity.told_of_revocations(at(2 * year), Page { whole: true, ..Page::default() });
+    let _ = identity.told_of_revocations(
+        at(2 * year),
+        Page {
+            whole: true,
+            ..Page::default()
+        },
+    );
     assert_eq!(
         why(identity.judge(at(2 * year), &ask(&ours.client("crew-7.field.example", 10)))),
         "the certificate has expired"
@@ -496,7 +726,14 @@
 fn no_proof_is_told_apart_from_a_bad_one() {
     let mut identity = SHOP.with(identity);
     let refusal = identity
-        .judge(at(1), &Ask { index: "history", idempotent: true, ..Ask::default() })
+        .judge(
+            at(1),
+            &Ask {
+                index: "history",
+                idempotent: true,
+                ..Ask::default()
+            },
+        )
         .expect_err("refused");
     assert_eq!(refusal.refused, Refused::NoProof);
 }
@@ -504,18 +741,35 @@
 #[test]
 fn a_workshop_never_stands_without_a_signer_and_publishes_before_it_signs() {
     let (mut shop, random) = (shop(Algorithm::EdDsa), SystemRandom::new());
-    assert!(matches!(shop.retire("k1", T0, 60), Err(WorkshopFault::Last(_))));
-    assert!(matches!(shop.retire("k9", T0, 60), Err(WorkshopFault::Unknown(_))));
-    assert!(matches!(shop.new_key("k1", Algorithm::EdDsa, T0, 60, &random), Err(WorkshopFault::Doubled(_))));
+    assert!(matches!(
+        shop.retire("k1", T0, 60),
+        Err(WorkshopFault::Last(_))
+    ));
+    assert!(matches!(
+        shop.retire("k9", T0, 60),
+        Err(WorkshopFault::Unknown(_))
+    ));
+    assert!(matches!(
+        shop.new_key("k1", Algorithm::EdDsa, T0, 60, &random),
+        Err(WorkshopFault::Doubled(_))
+    ));
     let mut signers = Vec::new();
     for round in 1..20 {
         let now = T0 + round * 30;
-        shop.rotate(&format!("r{round}"), Algorithm::EdDsa, now, 10, 60, &random).expect("a key");
+        shop.rotate(&format!("r{round}"), Algorithm::EdDsa, now, 10, 60, &random)
+            .expect("a key");
         for later in 0..30 {
             let signer = shop.signer(now + later).expect("always one");
             let served = shop.public(now + later).expect("a set");
-            assert!(served["keys"].as_array().unwrap().iter().any(|key| key["kid"] == signer.id.as_str()));
-            assert!(signer.id == "k1" || signer.made + 10 <= now + later, "published 10 s before");
+            assert!(served["keys"]
+                .as_array()
+                .unwrap()
+                .iter()
+                .any(|key| key["kid"] == signer.id.as_str()));
+            assert!(
+                signer.id == "k1" || signer.made + 10 <= now + later,
+                "published 10 s before"
+            );
             signers.push(signer.id.clone());
         }
         shop.elapsed(now + 29);
@@ -534,5 +788,11 @@
 #[test_case("{file: \"r\"}", "{address: \"key.example\"}", "'key.example' is no address and port"; "a name for an address")]
 fn terms_that_make_no_sense_together_are_refused(from: &str, to: &str, says: &str) {
     let terms = terms(|text| text.replace(from, to));
-    assert_eq!(Identity::new(terms).err().map(|fault| fault.to_string()).as_deref(), Some(says));
+    assert_eq!(
+        Identity::new(terms)
+            .err()
+            .map(|fault| fault.to_string())
+            .as_deref(),
+        Some(says)
+    );
 }
--- a/lab/examples/speed.rs
+++ b/lab/examples/speed.rs
@@ -8,15 +8,24 @@
 
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB"));
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB"));
     line.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
 }
 
 fn main() {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    let policy = words.first().and_then(|word| word.parse().ok()).unwrap_or(Who::Random);
-    let number =
-        |at: usize, otherwise: u64| words.get(at).and_then(|word| word.parse().ok()).unwrap_or(otherwise);
+    let policy = words
+        .first()
+        .and_then(|word| word.parse().ok())
+        .unwrap_or(Who::Random);
+    let number = |at: usize, otherwise: u64| {
+        words
+            .get(at)
+            .and_then(|word| word.parse().ok())
+            .unwrap_or(otherwise)
+    };
     let (nodes, routers, rate) = (number(1, 12), number(2, 4), number(3, 600));
     let seconds = number(4, 30);
     let a_cell = if nodes > 8192 { 3 } else { 2 };
--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -11,7 +11,9 @@
 /// Weights are sums of fractions.
 const CLOSE: f64 = 1e-6;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, EnumString)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, EnumString,
+)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Rule {
@@ -88,29 +90,65 @@
 
 impl Checker {
     pub fn new(most_calls: usize, zero: u64) -> Checker {
-        Checker { most_calls, zero, ..Checker::default() }
+        Checker {
+            most_calls,
+            zero,
+            ..Checker::default()
+        }
     }
 
     fn breach(&mut self, rule: Rule, now: u64, what: String) {
         self.count += 1;
         if self.breaches.iter().filter(|of| of.rule == rule).count() < KEPT {
-            self.breaches.push(Breach { rule, at: now.saturating_sub(self.zero), what });
+            self.breaches.push(Breach {
+                rule,
+                at: now.saturating_sub(self.zero),
+                what,
+            });
         }
     }
 
     /// A running router took a lookup; its client waits until `end`.
     pub fn took(
-        &mut self, router: u32, lookup: u64, repeats: Repeats, least: f64, end: u64,
+        &mut self,
+        router: u32,
+        lookup: u64,
+        repeats: Repeats,
+        least: f64,
+        end: u64,
         parts: impl Iterator<Item = (u64, f64)>,
     ) {
-        let parts = parts.map(|(id, weight)| (id, Part { weight, in_hand: false, calls: Vec::new() }));
-        self.taken.insert((router, lookup), Taken { repeats, least, end, parts: parts.collect() });
+        let parts = parts.map(|(id, weight)| {
+            (
+                id,
+                Part {
+                    weight,
+                    in_hand: false,
+                    calls: Vec::new(),
+                },
+            )
+        });
+        self.taken.insert(
+            (router, lookup),
+            Taken {
+                repeats,
+                least,
+                end,
+                parts: parts.collect(),
+            },
+        );
     }
 
     pub fn sent(&mut self, now: u64, router: u32, lookup: u64, part: u64, node: u32) {
-        if let Some(told) = self.gone.get(&(router, node)).filter(|told| now > **told + GRACE) {
-            let what =
-                format!("node {node} gets a part {} ms after router {router} was told", (now - told) / 1000);
+        if let Some(told) = self
+            .gone
+            .get(&(router, node))
+            .filter(|told| now > **told + GRACE)
+        {
+            let what = format!(
+                "node {node} gets a part {} ms after router {router} was told",
+                (now - told) / 1000
+            );
             self.breach(Rule::DrainsObeyed, now, what);
         }
         let Some(taken) = self.taken.get_mut(&(router, lookup)) else {
@@ -121,8 +159,14 @@
             );
         };
         let repeats = taken.repeats;
-        let Some(of) = taken.parts.get_mut(&part) else { return };
-        let first = of.calls.iter().find(|(_, run)| *run != Run::Never).map(|(at, _)| *at);
+        let Some(of) = taken.parts.get_mut(&part) else {
+            return;
+        };
+        let first = of
+            .calls
+            .iter()
+            .find(|(_, run)| *run != Run::Never)
+            .map(|(at, _)| *at);
         let bad = match (repeats, first) {
             (Repeats::Harmless, _) | (_, None) => false,
             (Repeats::Within(window), Some(at)) => now > at + window,
@@ -131,20 +175,43 @@
         of.calls.push((now, Run::Out));
         let calls = of.calls.len();
         if bad {
-            self.breach(Rule::NoEffectTwice, now, format!("part {part} is sent again, call {calls}"));
+            self.breach(
+                Rule::NoEffectTwice,
+                now,
+                format!("part {part} is sent again, call {calls}"),
+            );
         }
         if calls > self.most_calls {
-            self.breach(Rule::CallsBounded, now, format!("part {part} has {calls} calls"));
+            self.breach(
+                Rule::CallsBounded,
+                now,
+                format!("part {part} has {calls} calls"),
+            );
         }
     }
 
     /// The router was told how a call ended; `may`: it may have run.
-    pub fn returned(&mut self, router: u32, lookup: u64, part: u64, call: usize, satisfied: bool, may: bool) {
-        let part = self.taken.get_mut(&(router, lookup)).and_then(|of| of.parts.get_mut(&part));
+    pub fn returned(
+        &mut self,
+        router: u32,
+        lookup: u64,
+        part: u64,
+        call: usize,
+        satisfied: bool,
+        may: bool,
+    ) {
+        let part = self
+            .taken
+            .get_mut(&(router, lookup))
+            .and_then(|of| of.parts.get_mut(&part));
         if let Some(part) = part {
             part.in_hand |= satisfied;
             if let Some((_, run)) = part.calls.get_mut(call) {
-                *run = if may || satisfied { Run::May } else { Run::Never };
+                *run = if may || satisfied {
+                    Run::May
+                } else {
+                    Run::Never
+                };
             }
         }
     }
@@ -161,16 +228,26 @@
                 format!("lookup {lookup} ends {late} us after its client's time"),
             );
         }
-        let may_have_run =
-            taken.parts.values().any(|part| part.calls.iter().any(|(_, run)| *run != Run::Never));
+        let may_have_run = taken
+            .parts
+            .values()
+            .any(|part| part.calls.iter().any(|(_, run)| *run != Run::Never));
         match how {
             Final::Nacked if may_have_run && taken.repeats != Repeats::Harmless => {
-                self.breach(Rule::NoEffectTwice, now, format!("lookup {lookup} is nacked and may have run"));
+                self.breach(
+                    Rule::NoEffectTwice,
+                    now,
+                    format!("lookup {lookup} is nacked and may have run"),
+                );
             }
             Final::Answered { whole } => {
                 let all = taken.parts.values().all(|part| part.in_hand);
-                let share: f64 =
-                    taken.parts.values().filter(|part| part.in_hand).map(|part| part.weight).sum();
+                let share: f64 = taken
+                    .parts
+                    .values()
+                    .filter(|part| part.in_hand)
+                    .map(|part| part.weight)
+                    .sum();
                 if whole && !all {
                     self.breach(
                         Rule::HonestAnswers,
@@ -192,8 +269,16 @@
 
     /// Its client has left: nothing is due any more, but at the end of its time something was.
     pub fn left(&mut self, now: u64, router: u32, lookup: u64) {
-        if self.taken.remove(&(router, lookup)).is_some_and(|of| of.end <= now) {
-            self.breach(Rule::OneAnswer, now, format!("lookup {lookup} had no answer in its client's time"));
+        if self
+            .taken
+            .remove(&(router, lookup))
+            .is_some_and(|of| of.end <= now)
+        {
+            self.breach(
+                Rule::OneAnswer,
+                now,
+                format!("lookup {lookup} had no answer in its client's time"),
+            );
         }
     }
 
@@ -213,16 +298,28 @@
     }
 
     pub fn fell(&mut self, now: u64, node: u32) {
-        self.breach(Rule::ColdSpared, now, format!("node {node}, just started, falls under what it is sent"));
+        self.breach(
+            Rule::ColdSpared,
+            now,
+            format!("node {node}, just started, falls under what it is sent"),
+        );
     }
 
     /// The day is over; lookups whose clients' time is up had to be answered.
     pub fn day_ends(&mut self, now: u64) {
-        let mut late: Vec<(u64, u64)> =
-            self.taken.iter().filter(|(_, of)| of.end < now).map(|((_, id), of)| (*id, of.end)).collect();
+        let mut late: Vec<(u64, u64)> = self
+            .taken
+            .iter()
+            .filter(|(_, of)| of.end < now)
+            .map(|((_, id), of)| (*id, of.end))
+            .collect();
         late.sort_unstable();
         for (lookup, end) in late {
-            self.breach(Rule::OneAnswer, end, format!("lookup {lookup} has no final answer"));
+            self.breach(
+                Rule::OneAnswer,
+                end,
+                format!("lookup {lookup} has no final answer"),
+            );
         }
     }
 
@@ -240,7 +337,14 @@
     /// A lookup of two parts, 1 and 2, under router 0; time 0 to 1000 ms.
     fn watching(repeats: Repeats, least: f64) -> Checker {
         let mut of = Checker::new(2, 0);
-        of.took(0, 7, repeats, least, 1_000_000, [(1, 0.5), (2, 0.5)].into_iter());
+        of.took(
+            0,
+            7,
+            repeats,
+            least,
+            1_000_000,
+            [(1, 0.5), (2, 0.5)].into_iter(),
+        );
         of
     }
 
@@ -275,7 +379,14 @@
         of.sent(10, 0, 7, 1, 3);
         of.returned(0, 7, 1, 0, false, may);
         of.sent(again, 0, 7, 1, 4);
-        assert_eq!(rules(&of), if seen { vec![Rule::NoEffectTwice] } else { vec![] });
+        assert_eq!(
+            rules(&of),
+            if seen {
+                vec![Rule::NoEffectTwice]
+            } else {
+                vec![]
+            }
+        );
     }
 
     #[test]
