--- a/lab/src/compare.rs
+++ b/lab/src/compare.rs
@@ -29,9 +29,15 @@
     let n = count as f64;
     let mean = of.iter().sum::<f64>() / n;
     let spread = (of.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0) / n).sqrt();
-    let t = StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |of| of.inverse_cdf(0.5 + SURE / 2.0));
+    let t = StudentsT::new(0.0, 1.0, n - 1.0)
+        .map_or(f64::INFINITY, |of| of.inverse_cdf(0.5 + SURE / 2.0));
     let wide = if spread > 0.0 { t * spread } else { 0.0 };
-    Some(Interval { mean, low: mean - wide, high: mean + wide, count })
+    Some(Interval {
+        mean,
+        low: mean - wide,
+        high: mean + wide,
+        count,
+    })
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -72,7 +78,11 @@
 const FIGURES: [(&str, Of, bool); 7] = [
     ("service", |f| f.service, true),
     ("lost", |f| f.lost as f64 / f.lookups.max(1) as f64, false),
-    ("refused", |f| f.refused as f64 / f.lookups.max(1) as f64, false),
+    (
+        "refused",
+        |f| f.refused as f64 / f.lookups.max(1) as f64,
+        false,
+    ),
     ("p50 ms", |f| f.p50_ms, false),
     ("p99 ms", |f| f.p99_ms, false),
     ("calls a lookup", |f| f.calls_a_lookup, false),
@@ -101,20 +111,29 @@
 }
 
 /// Compares days that were played under the same world, load and seed; others are passed over.
-pub fn compare<'a>(first: impl Iterator<Item = &'a Day>, second: impl Iterator<Item = &'a Day>) -> Vec<Row> {
+pub fn compare<'a>(
+    first: impl Iterator<Item = &'a Day>,
+    second: impl Iterator<Item = &'a Day>,
+) -> Vec<Row> {
     let key = |day: &Day| (day.world.clone(), day.load.to_bits(), day.seed);
     let other: BTreeMap<_, &Day> = second.map(|day| (key(day), day)).collect();
     let mut pairs: BTreeMap<(String, u64), Vec<(&Day, &Day)>> = BTreeMap::new();
     for day in first {
         if let Some(pair) = other.get(&key(day)) {
-            pairs.entry((day.world.clone(), day.load.to_bits())).or_default().push((day, pair));
+            pairs
+                .entry((day.world.clone(), day.load.to_bits()))
+                .or_default()
+                .push((day, pair));
         }
     }
     let mut rows = Vec::new();
     for ((world, load), pairs) in pairs {
         let mean = |of: &mut dyn Iterator<Item = f64>| of.sum::<f64>() / pairs.len() as f64;
         for (figure, of, more_is_better) in FIGURES {
-            let differences: Vec<f64> = pairs.iter().map(|(a, b)| of(&b.figures) - of(&a.figures)).collect();
+            let differences: Vec<f64> = pairs
+                .iter()
+                .map(|(a, b)| of(&b.figures) - of(&a.figures))
+                .collect();
             let difference = interval(&differences);
             rows.push(Row {
                 world: world.clone(),
@@ -140,7 +159,9 @@
         // Mean 5, standard deviation 2.138, of 8: 5 +- 2.365 * 0.756.
         let of = interval(&[2.0, 4.0, 4.0, 4.0, 5.0, 5.0, 7.0, 9.0]).expect("an interval");
         assert!(
-            (of.mean - 5.0).abs() < 1e-9 && (of.low - 3.2125).abs() < 1e-3 && (of.high - 6.7875).abs() < 1e-3
+            (of.mean - 5.0).abs() < 1e-9
+                && (of.low - 3.2125).abs() < 1e-3
+                && (of.high - 6.7875).abs() < 1e-3
         );
         assert_eq!(interval(&[1.0]), None);
     }
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -25,7 +25,10 @@
     #[error("{path} is no folder of results: run a plan with --out first")]
     Nothing { path: String },
     #[error("{path} cannot be read: {error}")]
-    Unread { path: String, error: serde_json::Error },
+    Unread {
+        path: String,
+        error: serde_json::Error,
+    },
 }
 
 /// One day that is to be played.
@@ -64,7 +67,12 @@
         hash.write(serde_json::to_string(self).unwrap_or_default().as_bytes());
         hash.write_u64(program());
         hash.write_u32(FORM);
-        format!("{}-{}-{:016x}.json", self.world.name, self.policy, hash.finish())
+        format!(
+            "{}-{}-{:016x}.json",
+            self.world.name,
+            self.policy,
+            hash.finish()
+        )
     }
 }
 
@@ -75,7 +83,12 @@
         for load in &plan.loads {
             for policy in &plan.policies {
                 for seed in plan.first_seed..plan.first_seed + plan.seeds {
-                    runs.push(Run { world: world.clone(), policy: *policy, seed, load: *load });
+                    runs.push(Run {
+                        world: world.clone(),
+                        policy: *policy,
+                        seed,
+                        load: *load,
+                    });
                 }
             }
         }
@@ -93,8 +106,10 @@
 
 fn folder(path: &Path) -> Result<PathBuf, Failed> {
     let days = path.join("days");
-    std::fs::create_dir_all(&days)
-        .map_err(|error| Failed::Folder { path: days.display().to_string(), error })?;
+    std::fs::create_dir_all(&days).map_err(|error| Failed::Folder {
+        path: days.display().to_string(),
+        error,
+    })?;
     Ok(days)
 }
 
@@ -121,8 +136,11 @@
                     played.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                     let day = run.play();
                     if let Some(path) = path {
-                        let text =
-                            serde_json::to_vec(&Kept { form: FORM, day: day.clone() }).unwrap_or_default();
+                        let text = serde_json::to_vec(&Kept {
+                            form: FORM,
+                            day: day.clone(),
+                        })
+                        .unwrap_or_default();
                         ternpick_store::replace(path, &text)?;
                     }
                     day
@@ -144,6 +162,11 @@
 /// The plan and the days of a folder of results.
 pub fn read(out: &Path) -> Result<(Plan, Vec<Day>), Failed> {
     let path = out.join("results.json");
-    let text = std::fs::read(&path).map_err(|_| Failed::Nothing { path: out.display().to_string() })?;
-    serde_json::from_slice(&text).map_err(|error| Failed::Unread { path: path.display().to_string(), error })
+    let text = std::fs::read(&path).map_err(|_| Failed::Nothing {
+        path: out.display().to_string(),
+    })?;
+    serde_json::from_slice(&text).map_err(|error| Failed::Unread {
+        path: path.display().to_string(),
+        error,
+    })
 }
--- a/lab/src/fleet/clients.rs
+++ b/lab/src/fleet/clients.rs
@@ -35,15 +35,23 @@
 fn ask(to: SocketAddr, text: &str) -> Result<Reader, bool> {
     let late = Instant::now() + LEAVES;
     let mut stream = TcpStream::connect_timeout(&to, LEAVES).map_err(|_| true)?;
-    let sent = stream.set_nodelay(true).and_then(|()| stream.write_all(text.as_bytes()));
+    let sent = stream
+        .set_nodelay(true)
+        .and_then(|()| stream.write_all(text.as_bytes()));
     sent.map_err(|_| false)?;
-    let (mut reader, mut input, mut bytes) =
-        (Reader::of_answers(ANSWER_BOUND), Ring::new(ANSWER_BOUND), [0; 8192]);
+    let (mut reader, mut input, mut bytes) = (
+        Reader::of_answers(ANSWER_BOUND),
+        Ring::new(ANSWER_BOUND),
+        [0; 8192],
+    );
     loop {
         if reader.read(&mut input).map_err(|_| false)? {
             return Ok(reader);
         }
-        let left = late.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()).ok_or(false)?;
+        let left = late
+            .checked_duration_since(Instant::now())
+            .filter(|left| !left.is_zero())
+            .ok_or(false)?;
         stream.set_read_timeout(Some(left)).map_err(|_| false)?;
         let room = bytes.len().min(input.room());
         match stream.read(&mut bytes[..room]) {
@@ -58,9 +66,13 @@
     What::Answered {
         lookup,
         status: answer.status().unwrap_or_default(),
-        version: answer.header("policy-version").and_then(|version| version.parse().ok()),
+        version: answer
+            .header("policy-version")
+            .and_then(|version| version.parse().ok()),
         unguarded: answer.header("policy-guard").is_some(),
-        parts: body["pieces"].as_array().map_or(0, |pieces| pieces.len() as u64),
+        parts: body["pieces"]
+            .as_array()
+            .map_or(0, |pieces| pieces.len() as u64),
         of: PARTS,
         whole: body["full"] == true,
         least,
@@ -69,7 +81,11 @@
 
 /// One client among many; its lookups are due whatever became of those before.
 pub fn client(
-    plan: &FleetPlan, number: usize, routers: &[(String, SocketAddr)], began: Instant, stop: &AtomicBool,
+    plan: &FleetPlan,
+    number: usize,
+    routers: &[(String, SocketAddr)],
+    began: Instant,
+    stop: &AtomicBool,
     history: &History,
 ) {
     let gap = Duration::from_secs_f64(plan.clients as f64 / plan.rate);
@@ -86,15 +102,26 @@
             return;
         }
         let pick = number + turn as usize;
-        let ((name, address), (index, least)) = (&routers[pick % routers.len()], INDEXES[pick % 5 % 3]);
+        let ((name, address), (index, least)) =
+            (&routers[pick % routers.len()], INDEXES[pick % 5 % 3]);
         let shards = plan.shards() as u64;
-        let first_shard = if shards == PARTS { 0 } else { (pick as u64).wrapping_mul(0x9e37_79b9) % shards };
+        let first_shard = if shards == PARTS {
+            0
+        } else {
+            (pick as u64).wrapping_mul(0x9e37_79b9) % shards
+        };
         let lookup = format!("c{number}x{turn}");
-        let asked = What::Asked { lookup: lookup.clone(), router: name.clone(), index: index.to_owned() };
+        let asked = What::Asked {
+            lookup: lookup.clone(),
+            router: name.clone(),
+            index: index.to_owned(),
+        };
         history.note(asked);
-        history.note(match ask(*address, &request(index, &lookup, first_shard, shards)) {
-            Ok(answer) => answered(lookup, least, &answer),
-            Err(refused) => What::Unanswered { lookup, refused },
-        });
+        history.note(
+            match ask(*address, &request(index, &lookup, first_shard, shards)) {
+                Ok(answer) => answered(lookup, least, &answer),
+                Err(refused) => What::Unanswered { lookup, refused },
+            },
+        );
     }
 }
--- a/lab/src/fleet/crew.rs
+++ b/lab/src/fleet/crew.rs
@@ -40,7 +40,14 @@
 const LATE: Duration = Duration::from_millis(1500);
 
 fn fate(plan: &FleetPlan, machine: usize) -> Fate {
-    let all = [Fate::Well, Fate::Late, Fate::Broken, Fate::Cold, Fate::Moved, Fate::Never];
+    let all = [
+        Fate::Well,
+        Fate::Late,
+        Fate::Broken,
+        Fate::Cold,
+        Fate::Moved,
+        Fate::Never,
+    ];
     if plan.fates {
         all[machine % all.len()]
     } else {
@@ -82,7 +89,10 @@
         Order::AtOnce => vec![&all[..]],
         Order::Routers | Order::Nobody => Vec::new(),
     };
-    let mut worked = Worked { machines: plan.nodes, ..Worked::default() };
+    let mut worked = Worked {
+        machines: plan.nodes,
+        ..Worked::default()
+    };
     for round in rounds {
         if stop.load(Ordering::Relaxed) {
             return worked;
@@ -103,10 +113,20 @@
 impl Crew<'_> {
     fn run(&self, through: usize, words: &[&str]) -> (Value, i32) {
         let mut command = Command::new(&self.program);
-        command.arg("works").args(words).args(["--json", "--socket"]);
-        command.arg(&self.sockets[through % self.sockets.len()]).stdin(Stdio::null());
-        let Ok(done) = command.output() else { return (Value::Null, -1) };
-        (serde_json::from_slice(&done.stdout).unwrap_or_default(), done.status.code().unwrap_or(-1))
+        command
+            .arg("works")
+            .args(words)
+            .args(["--json", "--socket"]);
+        command
+            .arg(&self.sockets[through % self.sockets.len()])
+            .stdin(Stdio::null());
+        let Ok(done) = command.output() else {
+            return (Value::Null, -1);
+        };
+        (
+            serde_json::from_slice(&done.stdout).unwrap_or_default(),
+            done.status.code().unwrap_or(-1),
+        )
     }
 
     /// Until something is heard of it that is not open; said through one router after the other.
@@ -127,8 +147,19 @@
     /// Asks for all machines; the request's number.
     pub fn ask(&self, plan: &FleetPlan) -> Option<u64> {
         let machines: Vec<String> = (0..plan.nodes).map(|at| format!("s{at}")).collect();
-        let mut words =
-            vec!["ask", "--why", "disks", "--by", "ann", "--lasts", "1s", "--timeout", WAIT, "--op", "77"];
+        let mut words = vec![
+            "ask",
+            "--why",
+            "disks",
+            "--by",
+            "ann",
+            "--lasts",
+            "1s",
+            "--timeout",
+            WAIT,
+            "--op",
+            "77",
+        ];
         words.extend(machines.iter().map(String::as_str));
         let (said, _) = self.until_heard(0, &words)?;
         said["number"].as_u64()
@@ -151,14 +182,39 @@
             "--op",
             "78",
         ];
-        let Some((said, 0)) = self.until_heard(1, &ask) else { return };
+        let Some((said, 0)) = self.until_heard(1, &ask) else {
+            return;
+        };
         std::thread::sleep(self.work);
         let request = said["number"].to_string();
         self.until_heard(
             2,
-            &["change", &request, "--priority", "9", "--by", "bob", "--timeout", WAIT, "--op", "79"],
+            &[
+                "change",
+                &request,
+                "--priority",
+                "9",
+                "--by",
+                "bob",
+                "--timeout",
+                WAIT,
+                "--op",
+                "79",
+            ],
+        );
+        self.until_heard(
+            0,
+            &[
+                "cancel",
+                &request,
+                "--by",
+                "bob",
+                "--timeout",
+                WAIT,
+                "--op",
+                "80",
+            ],
         );
-        self.until_heard(0, &["cancel", &request, "--by", "bob", "--timeout", WAIT, "--op", "80"]);
     }
 
     /// One of the crews: takes one machine after the other. `vanishes`: it goes away with its first permit in hand, and
@@ -169,8 +225,9 @@
         while !self.stop.load(Ordering::Relaxed) {
             let words = ["next", "--request", &request, "--timeout", WAIT];
             let (said, status) = self.run(number, &words);
-            let machine =
-                said["machine"].as_str().and_then(|name| name.strip_prefix('s')?.parse::<usize>().ok());
+            let machine = said["machine"]
+                .as_str()
+                .and_then(|name| name.strip_prefix('s')?.parse::<usize>().ok());
             let (Some(permit), Some(machine)) = (said["permit"].as_u64(), machine) else {
                 if status == 3 && self.is_closed(number, &request) {
                     return;
@@ -178,15 +235,37 @@
                 std::thread::sleep(PAUSE);
                 continue;
             };
-            let (op, permit_word) = ((number as u64 + 1) * 1_000_000_000 + permit, permit.to_string());
+            let (op, permit_word) = (
+                (number as u64 + 1) * 1_000_000_000 + permit,
+                permit.to_string(),
+            );
             let op = op.to_string();
-            let begin = ["begin", &permit_word, "--by", &name, "--timeout", WAIT, "--op", &op];
-            let Some((_, 0)) = self.until_heard(number, &begin) else { continue };
+            let begin = [
+                "begin",
+                &permit_word,
+                "--by",
+                &name,
+                "--timeout",
+                WAIT,
+                "--op",
+                &op,
+            ];
+            let Some((_, 0)) = self.until_heard(number, &begin) else {
+                continue;
+            };
             let named = format!("s{machine}");
-            self.history.note(What::Permitted { machine: named.clone(), permit, by: name.clone() });
+            self.history.note(What::Permitted {
+                machine: named.clone(),
+                permit,
+                by: name.clone(),
+            });
             // While it is worked on it answers nothing.
             self.nodes[machine].suffers(Fault::Stall);
-            std::thread::sleep(if std::mem::take(&mut vanishes) { self.work * 5 } else { self.work });
+            std::thread::sleep(if std::mem::take(&mut vanishes) {
+                self.work * 5
+            } else {
+                self.work
+            });
             let fate = fate(plan, machine);
             if fate == Fate::Broken {
                 let op = format!("{op}1");
@@ -218,7 +297,10 @@
                 self.nodes[machine].recovers();
             }
             // From here on it may get work again.
-            self.history.note(What::Returned { machine: named, permit });
+            self.history.note(What::Returned {
+                machine: named,
+                permit,
+            });
             self.gives_back(number, permit, &name, &format!("{op}0"));
             if fate == Fate::Late {
                 std::thread::sleep(LATE);
@@ -229,7 +311,10 @@
 
     fn gives_back(&self, through: usize, permit: u64, by: &str, op: &str) {
         let permit = permit.to_string();
-        self.until_heard(through, &["done", &permit, "--by", by, "--timeout", WAIT, "--op", op]);
+        self.until_heard(
+            through,
+            &["done", &permit, "--by", by, "--timeout", WAIT, "--op", op],
+        );
     }
 
     fn mends(&self, machine: usize) {
@@ -240,24 +325,36 @@
     /// Looks after machines that were kept out: each is mended, and given back anew.
     fn looks_after(&self, through: usize, rows: &[&Value]) {
         for row in rows.iter().filter(|row| row["state"] == "kept out") {
-            let machine =
-                row["machine"].as_str().and_then(|name| name.strip_prefix('s')?.parse::<usize>().ok());
+            let machine = row["machine"]
+                .as_str()
+                .and_then(|name| name.strip_prefix('s')?.parse::<usize>().ok());
             if let (Some(machine), Some(permit)) = (machine, row["permit"].as_u64()) {
                 self.mends(machine);
                 let (op, since) = (permit + 500_000_000, row["since_ms"].as_u64().unwrap_or(0));
-                self.gives_back(through, permit, "ann", &format!("{op}{}", since % 1_000_000));
+                self.gives_back(
+                    through,
+                    permit,
+                    "ann",
+                    &format!("{op}{}", since % 1_000_000),
+                );
             }
         }
     }
 
     fn is_closed(&self, number: usize, request: &str) -> bool {
         let (said, status) = self.run(number, &["show", request]);
-        status == 1 && said["line"].as_str().is_some_and(|line| line.contains("not open"))
+        status == 1
+            && said["line"]
+                .as_str()
+                .is_some_and(|line| line.contains("not open"))
     }
 
     /// Follows the works until all machines are back.
     pub fn watch(&self, plan: &FleetPlan, request: u64, began: Instant) -> Worked {
-        let mut worked = Worked { machines: plan.nodes, ..Worked::default() };
+        let mut worked = Worked {
+            machines: plan.nodes,
+            ..Worked::default()
+        };
         let (mut last, mut since) = (Value::Null, Instant::now());
         for turn in 0.. {
             if self.stop.load(Ordering::Relaxed) {
@@ -269,11 +366,18 @@
                 self.looks_after(turn, &rows);
                 let kept = rows.iter().filter(|row| row["state"] == "kept out").count();
                 worked.kept_out = worked.kept_out.max(kept);
-                let own = rows.iter().filter(|row| row["request"].as_u64() == Some(request));
-                let states: Vec<Value> =
-                    own.map(|row| serde_json::json!([row["machine"], row["state"]])).collect();
+                let own = rows
+                    .iter()
+                    .filter(|row| row["request"].as_u64() == Some(request));
+                let states: Vec<Value> = own
+                    .map(|row| serde_json::json!([row["machine"], row["state"]]))
+                    .collect();
                 let known = states.iter().filter(|state| state[1] == "back").count();
-                worked.back = if states.is_empty() { plan.nodes } else { known.max(worked.back) };
+                worked.back = if states.is_empty() {
+                    plan.nodes
+                } else {
+                    known.max(worked.back)
+                };
                 let states = Value::Array(states);
                 if states != last {
                     (last, since) = (states, Instant::now());
--- a/lab/src/fleet/listings.rs
+++ b/lab/src/fleet/listings.rs
@@ -20,13 +20,18 @@
 impl Listed {
     /// It has just started.
     pub fn starts(&mut self) {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         self.started = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
     }
 
     /// Each router reaches it elsewhere from now on.
     pub fn moves(&mut self, node: SocketAddr) -> std::io::Result<()> {
-        let moved = self.addresses.iter().map(|_| Ok(Pipe::start(node)?.address));
+        let moved = self
+            .addresses
+            .iter()
+            .map(|_| Ok(Pipe::start(node)?.address));
         self.addresses = moved.collect::<std::io::Result<_>>()?;
         Ok(())
     }
@@ -43,11 +48,19 @@
         let listed = |at: usize| Listed {
             ready: true,
             started: 0,
-            addresses: routers.all.iter().map(|router| router.pipes[at].address).collect(),
+            addresses: routers
+                .all
+                .iter()
+                .map(|router| router.pipes[at].address)
+                .collect(),
         };
         Listings {
             machines: Mutex::new((0..nodes).map(listed).collect()),
-            discoveries: routers.all.iter().map(|router| router.discovery.clone()).collect(),
+            discoveries: routers
+                .all
+                .iter()
+                .map(|router| router.discovery.clone())
+                .collect(),
             sets,
         }
     }
@@ -59,7 +72,13 @@
         for (router, discovery) in self.discoveries.iter().enumerate() {
             let entry = |(at, listed): (usize, &Listed)| {
                 let status = if listed.ready { "Ready" } else { "Terminating" };
-                entry_of(&format!("s{at}"), listed.addresses[router], status, at % self.sets, listed.started)
+                entry_of(
+                    &format!("s{at}"),
+                    listed.addresses[router],
+                    status,
+                    at % self.sets,
+                    listed.started,
+                )
             };
             let all: Vec<String> = machines.iter().enumerate().map(entry).collect();
             discovery.set(|roster| {
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -53,7 +53,10 @@
 impl History {
     pub fn create(path: &Path) -> std::io::Result<History> {
         let file = File::create(path)?;
-        Ok(History { writer: Writer::new(BufWriter::new(file)), spoilt: AtomicBool::new(false) })
+        Ok(History {
+            writer: Writer::new(BufWriter::new(file)),
+            spoilt: AtomicBool::new(false),
+        })
     }
 
     pub fn note(&self, what: What) {
@@ -99,7 +102,10 @@
 
 impl Outcome {
     pub fn is_good(&self) -> bool {
-        let worked = self.worked.as_ref().is_none_or(|worked| worked.all_back_ms.is_some());
+        let worked = self
+            .worked
+            .as_ref()
+            .is_none_or(|worked| worked.all_back_ms.is_some());
         matches!(self.verdict, Verdict::Accepted(_)) && self.well_after_ms.is_some() && worked
     }
 }
@@ -108,25 +114,53 @@
 ///
 /// The routers' files lie in memory where the system has such a folder, so that one disk's stalls are not all routers'
 /// at once; with `on_disk` they lie on the disk.
-pub fn play(schedule: &Schedule, program: &Path, folder: &Path, on_disk: bool) -> Result<Outcome, Failed> {
+pub fn play(
+    schedule: &Schedule,
+    program: &Path,
+    folder: &Path,
+    on_disk: bool,
+) -> Result<Outcome, Failed> {
     let plan = &schedule.plan;
     std::fs::create_dir_all(folder)?;
     let text = serde_json::to_vec_pretty(schedule).map_err(std::io::Error::other)?;
     std::fs::write(folder.join("schedule.json"), text)?;
     let path = folder.join("history.jsonl");
     let history = Arc::new(History::create(&path)?);
-    let calls =
-        ["half", "whole", "once"].map(|index| (index.to_owned(), if index == "once" { 1 } else { 4 }));
-    let seen = Seen { calls: calls.into(), drained: vec![] };
+    let calls = ["half", "whole", "once"]
+        .map(|index| (index.to_owned(), if index == "once" { 1 } else { 4 }));
+    let seen = Seen {
+        calls: calls.into(),
+        drained: vec![],
+    };
     let holders = plan.holders();
     // Two where there are more, and never none.
-    let keeps = holders.iter().map(Vec::len).min().map_or(0, |least| 2.min(least.saturating_sub(1)).max(1));
-    history.note(What::Begins { seen, holders, keeps });
-    let nodes = (0..plan.nodes).map(|_| Node::start_slow([Act::Serve; 2], Duration::from_millis(2)));
+    let keeps = holders
+        .iter()
+        .map(Vec::len)
+        .min()
+        .map_or(0, |least| 2.min(least.saturating_sub(1)).max(1));
+    history.note(What::Begins {
+        seen,
+        holders,
+        keeps,
+    });
+    let nodes =
+        (0..plan.nodes).map(|_| Node::start_slow([Act::Serve; 2], Duration::from_millis(2)));
     let nodes = nodes.collect::<std::io::Result<Vec<Node>>>()?;
     let addresses: Vec<_> = nodes.iter().map(|node| node.address).collect();
-    let work = if on_disk { tempfile::tempdir()? } else { in_memory()? };
-    let mut routers = Routers::start(plan, program, work.path(), &addresses, &history, schedule.seed)?;
+    let work = if on_disk {
+        tempfile::tempdir()?
+    } else {
+        in_memory()?
+    };
+    let mut routers = Routers::start(
+        plan,
+        program,
+        work.path(),
+        &addresses,
+        &history,
+        schedule.seed,
+    )?;
     if !plan.off {
         routers.admit()?;
     }
@@ -135,16 +169,25 @@
     let (took, worked) = (Mutex::new(Vec::new()), Mutex::new(None));
     let played: Result<Option<u64>, Failed> = std::thread::scope(|scope| {
         let ends = Ends(&stop);
-        let clients: Vec<_> =
-            routers.all.iter().map(|router| (router.name.clone(), router.address)).collect();
-        let sockets: Vec<PathBuf> = routers.all.iter().map(|router| router.socket.clone()).collect();
+        let clients: Vec<_> = routers
+            .all
+            .iter()
+            .map(|router| (router.name.clone(), router.address))
+            .collect();
+        let sockets: Vec<PathBuf> = routers
+            .all
+            .iter()
+            .map(|router| router.socket.clone())
+            .collect();
         for number in 0..plan.clients {
             let (clients, stop, history) = (clients.clone(), &stop, &*history);
             scope.spawn(move || clients::client(plan, number, &clients, began, stop, history));
         }
         for (at, node) in nodes.iter().enumerate() {
             let history = Arc::clone(&history);
-            node.watch(Some(Arc::new(move |letter, text: &str| parts_begin(at, letter, text, &history))));
+            node.watch(Some(Arc::new(move |letter, text: &str| {
+                parts_begin(at, letter, text, &history)
+            })));
         }
         let operator = |folder: &Path| Operator {
             program: program.to_owned(),
@@ -187,7 +230,9 @@
             let crews: Vec<_> = (0..CREWS).map(|_| crew()).collect();
             scope.spawn(move || {
                 let began = Instant::now();
-                let Some(request) = asks.ask(plan) else { return };
+                let Some(request) = asks.ask(plan) else {
+                    return;
+                };
                 std::thread::scope(|scope| {
                     for (number, crew) in crews.iter().enumerate() {
                         scope.spawn(move || crew.work(plan, number, request, number == 1));
@@ -210,7 +255,12 @@
         let well = if plan.off { Ok(Some(0)) } else { player.heal() };
         // What the crews have in hand is finished with nothing broken.
         let late = Instant::now() + WORKED_WITHIN;
-        let is_done = || worked.lock().unwrap_or_else(PoisonError::into_inner).is_some();
+        let is_done = || {
+            worked
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .is_some()
+        };
         while plan.works && well.is_ok() && !is_done() && Instant::now() < late {
             std::thread::sleep(ASK);
             player.look(&mut Vec::new())?;
@@ -229,7 +279,11 @@
     }
     let well_after_ms = played?;
     let seconds = began.elapsed().as_secs_f64();
-    let cpu = routers.all.iter_mut().map(|router| (router.cpu() as f64 / seconds) as u64).collect();
+    let cpu = routers
+        .all
+        .iter_mut()
+        .map(|router| (router.cpu() as f64 / seconds) as u64)
+        .collect();
     let carried = routers.relay.carried();
     drop(routers);
     nodes.iter().for_each(|node| node.watch(None));
@@ -303,9 +357,15 @@
     while let Some((line, more)) = left.split_once('\n') {
         let words: Vec<&str> = line.split(' ').collect();
         let length = words.get(3).and_then(|word| word.parse::<usize>().ok());
-        let (Some(length), Some((lookup, shard))) = (length, words[0].rsplit_once('.')) else { break };
+        let (Some(length), Some((lookup, shard))) = (length, words[0].rsplit_once('.')) else {
+            break;
+        };
         let shard = shard.parse().unwrap_or_default();
-        history.note(What::Part { node: format!("s{at}"), lookup: lookup.to_owned(), shard });
+        history.note(What::Part {
+            node: format!("s{at}"),
+            lookup: lookup.to_owned(),
+            shard,
+        });
         left = more.get(length..).unwrap_or_default();
     }
 }
@@ -331,7 +391,9 @@
         while Instant::now() < end {
             std::thread::sleep(LOOK);
             let now = Instant::now();
-            while let Some(step) = left.next_if(|step| began + Duration::from_millis(step.at) <= now) {
+            while let Some(step) =
+                left.next_if(|step| began + Duration::from_millis(step.at) <= now)
+            {
                 self.begins(step)?;
             }
             self.end_due(now)?;
@@ -344,7 +406,9 @@
     }
 
     fn others(&self, whom: usize) -> Vec<usize> {
-        (0..self.routers.all.len()).filter(|at| *at != whom).collect()
+        (0..self.routers.all.len())
+            .filter(|at| *at != whom)
+            .collect()
     }
 
     fn begins(&mut self, step: &Step) -> Result<(), Failed> {
@@ -356,13 +420,18 @@
             step.kind = kind;
             if kind == Kind::Cut {
                 let whom = step.whom;
-                self.others(whom).into_iter().for_each(|other| self.routers.relay.cut(other, whom, true));
+                self.others(whom)
+                    .into_iter()
+                    .for_each(|other| self.routers.relay.cut(other, whom, true));
                 step.kind = Kind::LeadDeaf;
             }
         }
         let (step, whom) = (&step, step.whom);
         let name = self.routers.all[whom].name.clone();
-        self.routers.history.note(What::Fault { kind: step.kind.to_string(), whom: name });
+        self.routers.history.note(What::Fault {
+            kind: step.kind.to_string(),
+            whom: name,
+        });
         match step.kind {
             Kind::Kill | Kind::LastWrite | Kind::OlderState | Kind::LostState => {
                 // What an older state is older than has to have been answered for.
@@ -381,7 +450,10 @@
             }
             Kind::Upgrade => return Ok(()),
             Kind::Remove => {
-                self.operator.fleet(self.others(whom)[0], &["remove", &self.routers.all[whom].name])?;
+                self.operator.fleet(
+                    self.others(whom)[0],
+                    &["remove", &self.routers.all[whom].name],
+                )?;
             }
             Kind::Stop | Kind::LongStop => self.routers.stop(whom, true),
             Kind::Cut => self.routers.relay.cut(step.other % count, whom, true),
@@ -394,7 +466,9 @@
             Kind::FullDisk => self.routers.full_disk(whom, true),
             Kind::NodeStall => self.nodes[step.other % self.nodes.len()].suffers(Fault::Stall),
             Kind::NodeCut => self.routers.all[whom].pipes[step.other % self.nodes.len()].cut(true),
-            Kind::DiscoveryDown => self.routers.all[whom].discovery.set(|roster| roster.down = true),
+            Kind::DiscoveryDown => self.routers.all[whom]
+                .discovery
+                .set(|roster| roster.down = true),
             Kind::AllReady => {
                 for router in &self.routers.all {
                     router.discovery.set(|roster| roster.version += 1);
@@ -402,8 +476,10 @@
             }
             Kind::Quorum => (0..self.routers.voters - 1).for_each(|at| self.routers.kill(at)),
         }
-        self.open
-            .push(Open { until: Instant::now() + Duration::from_millis(step.lasts), step: step.clone() });
+        self.open.push(Open {
+            until: Instant::now() + Duration::from_millis(step.lasts),
+            step: step.clone(),
+        });
         Ok(())
     }
 
@@ -426,7 +502,9 @@
     }
 
     fn end_due(&mut self, now: Instant) -> Result<(), Failed> {
-        let (due, rest) = std::mem::take(&mut self.open).into_iter().partition(|open| open.until <= now);
+        let (due, rest) = std::mem::take(&mut self.open)
+            .into_iter()
+            .partition(|open| open.until <= now);
         self.open = rest;
         for Open { step, .. } in due {
             self.ends(&step)?;
@@ -455,7 +533,9 @@
             Kind::Stop | Kind::LongStop => self.routers.stop(whom, false),
             Kind::Cut => self.routers.relay.cut(step.other % count, whom, false),
             Kind::LeadDeaf => {
-                self.others(whom).into_iter().for_each(|other| self.routers.relay.cut(other, whom, false));
+                self.others(whom)
+                    .into_iter()
+                    .for_each(|other| self.routers.relay.cut(other, whom, false));
             }
             Kind::LeadKill | Kind::LeadStop | Kind::LeadDisk => {}
             Kind::Isolate => self.isolate(whom, false),
@@ -470,11 +550,21 @@
             }
             Kind::NodeStall => self.nodes[step.other % self.nodes.len()].recovers(),
             Kind::NodeCut => self.routers.all[whom].pipes[step.other % self.nodes.len()].cut(false),
-            Kind::DiscoveryDown => self.routers.all[whom].discovery.set(|roster| roster.down = false),
+            Kind::DiscoveryDown => self.routers.all[whom]
+                .discovery
+                .set(|roster| roster.down = false),
             Kind::Remove => {
                 let of = &self.routers.all[whom];
                 let (address, zone) = (of.fleet_address.to_string(), format!("z{}", whom % 3));
-                let words = ["add", &of.name, "--address", &address, "--zone", &zone, "--vote"];
+                let words = [
+                    "add",
+                    &of.name,
+                    "--address",
+                    &address,
+                    "--zone",
+                    &zone,
+                    "--vote",
+                ];
                 self.operator.fleet(self.others(whom)[0], &words)?;
             }
             Kind::Quorum => {
@@ -501,17 +591,26 @@
             let status = router.status().unwrap_or_default();
             if status.is_object() {
                 let (version, term) = (status["version"].as_u64(), status["seat"]["term"].as_u64());
-                self.routers.history.note(What::Says { router: router.name.clone(), version, term });
+                self.routers.history.note(What::Says {
+                    router: router.name.clone(),
+                    version,
+                    term,
+                });
             }
             let standing = status["seat"]["standing"].as_str().unwrap_or_default();
-            let out = status.is_object() && status["seat"].is_null() || standing.starts_with("spoilt");
-            let waits = router.replaced.is_some_and(|at| at.elapsed() < Duration::from_secs(3));
+            let out =
+                status.is_object() && status["seat"].is_null() || standing.starts_with("spoilt");
+            let waits = router
+                .replaced
+                .is_some_and(|at| at.elapsed() < Duration::from_secs(3));
             if router.unseated && out && !waits && status["lease_left_ms"].is_u64() {
                 unseated = Some((at, router.name.clone()));
             }
             let voters = status["seat"]["voters"].as_array().into_iter().flatten();
-            let votes =
-                standing == "takes part" && voters.into_iter().any(|seat| *seat == status["seat"]["seat"]);
+            let votes = standing == "takes part"
+                && voters
+                    .into_iter()
+                    .any(|seat| *seat == status["seat"]["seat"]);
             seated[at] = votes;
             stands.push(status);
         }
@@ -544,15 +643,22 @@
             let versions: Vec<Option<u64>> = stands
                 .iter()
                 .map(|of| {
-                    of["version"].as_u64().filter(|_| of["lease_left_ms"].is_u64() && of["next"].is_null())
+                    of["version"]
+                        .as_u64()
+                        .filter(|_| of["lease_left_ms"].is_u64() && of["next"].is_null())
                 })
                 .collect();
-            let votes = stands.iter().filter(|of| of["seat"]["standing"] == "takes part").count();
+            let votes = stands
+                .iter()
+                .filter(|of| of["seat"]["standing"] == "takes part")
+                .count();
             if versions[0].is_some()
                 && versions.iter().all(|of| *of == versions[0])
                 && votes >= self.routers.voters
             {
-                return Ok(Some(u64::try_from(began.elapsed().as_millis()).unwrap_or(u64::MAX)));
+                return Ok(Some(
+                    u64::try_from(began.elapsed().as_millis()).unwrap_or(u64::MAX),
+                ));
             }
         }
         Ok(None)
@@ -573,16 +679,33 @@
 fn weather(kind: Kind) -> Weather {
     let ms = Duration::from_millis;
     match kind {
-        Kind::Delay => Weather { late: (ms(40), ms(60)), ..Weather::default() },
-        Kind::Reorder => Weather { late: (ms(0), ms(120)), ..Weather::default() },
-        Kind::Double => Weather { late: (ms(0), ms(20)), doubled: 0.5, lost: 0.0 },
-        _ => Weather { lost: 0.25, ..Weather::default() },
+        Kind::Delay => Weather {
+            late: (ms(40), ms(60)),
+            ..Weather::default()
+        },
+        Kind::Reorder => Weather {
+            late: (ms(0), ms(120)),
+            ..Weather::default()
+        },
+        Kind::Double => Weather {
+            late: (ms(0), ms(20)),
+            doubled: 0.5,
+            lost: 0.0,
+        },
+        _ => Weather {
+            lost: 0.25,
+            ..Weather::default()
+        },
     }
 }
 
 /// Cuts a schedule down to what still shows a bad outcome: halves of its steps first, then one after the other.
 pub fn shrink(
-    schedule: &Schedule, program: &Path, folder: &Path, most: usize, tell: &mut dyn FnMut(&str),
+    schedule: &Schedule,
+    program: &Path,
+    folder: &Path,
+    most: usize,
+    tell: &mut dyn FnMut(&str),
 ) -> Result<Schedule, Failed> {
     let mut best = schedule.clone();
     let mut played = 0;
@@ -597,7 +720,11 @@
             played += 1;
             let outcome = play(&of, program, &folder.join(format!("try{played}")), false)?;
             let bad = !outcome.is_good();
-            tell(&format!("{} steps: {}", of.steps.len(), if bad { "still bad" } else { "good" }));
+            tell(&format!(
+                "{} steps: {}",
+                of.steps.len(),
+                if bad { "still bad" } else { "good" }
+            ));
             if bad {
                 (best, smaller) = (of, true);
             } else {
--- a/lab/src/fleet/operator.rs
+++ b/lab/src/fleet/operator.rs
@@ -31,7 +31,9 @@
 }
 
 fn text(change: &Change) -> String {
-    let drained = change.drained.map_or(String::new(), |node| format!("drained: [\"s{node}\"]\n"));
+    let drained = change
+        .drained
+        .map_or(String::new(), |node| format!("drained: [\"s{node}\"]\n"));
     format!(
         "author: \"ann\"\nreason: \"change at {}\"\nindexes: {{half: calls: {}, whole: calls: {}}}\n{drained}",
         change.at, change.calls, change.calls
@@ -43,7 +45,11 @@
     let calls = ["half", "whole"].map(|index| (index.to_owned(), change.calls));
     Seen {
         calls: BTreeMap::from(calls),
-        drained: change.drained.iter().map(|node| format!("s{node}")).collect(),
+        drained: change
+            .drained
+            .iter()
+            .map(|node| format!("s{node}"))
+            .collect(),
     }
 }
 
@@ -51,8 +57,15 @@
     /// Runs a command; its answer as JSON, and its exit status.
     fn run(&self, socket: &Path, words: &[&str]) -> (Value, i32) {
         let mut command = Command::new(&self.program);
-        command.args(words).arg("--json").arg("--socket").arg(socket).stdin(Stdio::null());
-        let Ok(done) = command.output() else { return (Value::Null, -1) };
+        command
+            .args(words)
+            .arg("--json")
+            .arg("--socket")
+            .arg(socket)
+            .stdin(Stdio::null());
+        let Ok(done) = command.output() else {
+            return (Value::Null, -1);
+        };
         let said = serde_json::from_slice(&done.stdout).unwrap_or_default();
         (said, done.status.code().unwrap_or(-1))
     }
@@ -64,7 +77,10 @@
             return None;
         }
         let (name, op) = (format!("p{number}"), (number as u64 + 1).to_string());
-        self.history.note(What::Proposed { op: name.clone(), seen: seen(change) });
+        self.history.note(What::Proposed {
+            op: name.clone(),
+            seen: seen(change),
+        });
         let file = file.to_string_lossy().into_owned();
         let began = Instant::now();
         let mut known = None;
@@ -72,8 +88,10 @@
             let socket = &self.sockets[(change.through + again) % self.sockets.len()];
             if let (Some(after), true) = (change.withdrawn, again == 0) {
                 // It is proposed, left for a while, and withdrawn.
-                let (said, _) =
-                    self.run(socket, &["policy", "propose", "--timeout", WAIT, "--op", &op, &file]);
+                let (said, _) = self.run(
+                    socket,
+                    &["policy", "propose", "--timeout", WAIT, "--op", &op, &file],
+                );
                 if let Some(of) = said["number"].as_u64() {
                     known = Some(of);
                     std::thread::sleep(Duration::from_millis(after));
@@ -92,7 +110,16 @@
                     self.run(socket, &words);
                 }
             }
-            let words = ["policy", "propose", "--wait", "--timeout", WAIT, "--op", &op, &file];
+            let words = [
+                "policy",
+                "propose",
+                "--wait",
+                "--timeout",
+                WAIT,
+                "--op",
+                &op,
+                &file,
+            ];
             let (said, status) = self.run(socket, &words);
             known = said["number"].as_u64().or(known);
             let came = match (status, said["fate"].as_str(), known) {
@@ -108,19 +135,33 @@
                 let in_force = matches!(came, Came::InForce(_));
                 self.history.note(What::Settled { op: name, came });
                 let micros = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
-                return (in_force && change.withdrawn.is_none()).then_some(Took { micros, again: again > 0 });
+                return (in_force && change.withdrawn.is_none()).then_some(Took {
+                    micros,
+                    again: again > 0,
+                });
             }
             std::thread::sleep(Duration::from_millis(100));
         }
-        self.history.note(What::Settled { op: name, came: Came::Open(known) });
+        self.history.note(What::Settled {
+            op: name,
+            came: Came::Open(known),
+        });
         None
     }
 
     /// Changes who belongs to the fleet, or gives a router that has lost its seat another one.
     pub fn fleet(&self, through: usize, words: &[&str]) -> std::io::Result<()> {
         let mut command = Command::new(&self.program);
-        command.arg("fleet").args(words).args(["--timeout", WAIT, "--socket"]).arg(&self.sockets[through]);
-        let mut child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null()).spawn()?;
+        command
+            .arg("fleet")
+            .args(words)
+            .args(["--timeout", WAIT, "--socket"])
+            .arg(&self.sockets[through]);
+        let mut child = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::null())
+            .spawn()?;
         std::thread::spawn(move || child.wait());
         Ok(())
     }
--- a/lab/src/fleet/plan.rs
+++ b/lab/src/fleet/plan.rs
@@ -136,7 +136,9 @@
     /// Which machines hold each set.
     pub fn holders(&self) -> Vec<Vec<String>> {
         let own = |set: usize| (0..self.nodes).filter(move |at| at % self.sets == set);
-        (0..self.sets).map(|set| own(set).map(|at| format!("s{at}")).collect()).collect()
+        (0..self.sets)
+            .map(|set| own(set).map(|at| format!("s{at}")).collect())
+            .collect()
     }
 }
 
@@ -189,11 +191,20 @@
         let (mut steps, mut at, mut lost) = (Vec::new(), 500, 0);
         let end = self.seconds * 1000;
         let spread = |chance: &mut Pcg64Mcg, micros: u64| {
-            chance.random_range(micros / 2000..=micros * 3 / 2000).max(1)
+            chance
+                .random_range(micros / 2000..=micros * 3 / 2000)
+                .max(1)
         };
         loop {
             at += spread(&mut chance, self.fault_every);
-            let Some(kind) = self.faults.choose(&mut chance).copied().filter(|_| at < end) else { break };
+            let Some(kind) = self
+                .faults
+                .choose(&mut chance)
+                .copied()
+                .filter(|_| at < end)
+            else {
+                break;
+            };
             let lease = self.lease / 1000;
             let lasts = match kind {
                 Kind::LongStop | Kind::LeadStop => chance.random_range(lease..lease * 3),
@@ -209,9 +220,17 @@
             if loses {
                 lost = at + lasts + lease * 4;
             }
-            let (whom, other) =
-                (chance.random_range(0..self.routers), chance.random_range(0..self.routers.max(self.nodes)));
-            steps.push(Step { at, lasts, kind, whom, other });
+            let (whom, other) = (
+                chance.random_range(0..self.routers),
+                chance.random_range(0..self.routers.max(self.nodes)),
+            );
+            steps.push(Step {
+                at,
+                lasts,
+                kind,
+                whom,
+                other,
+            });
         }
         let (mut changes, mut at) = (Vec::new(), 300);
         loop {
@@ -224,12 +243,25 @@
                 changes.push(Change {
                     at,
                     through: chance.random_range(0..self.routers),
-                    calls: if chance.random_bool(0.08) { 9 } else { chance.random_range(1..=3) },
-                    drained: chance.random_bool(0.5).then(|| chance.random_range(0..self.nodes)),
-                    withdrawn: chance.random_bool(0.12).then(|| chance.random_range(0..400)),
+                    calls: if chance.random_bool(0.08) {
+                        9
+                    } else {
+                        chance.random_range(1..=3)
+                    },
+                    drained: chance
+                        .random_bool(0.5)
+                        .then(|| chance.random_range(0..self.nodes)),
+                    withdrawn: chance
+                        .random_bool(0.12)
+                        .then(|| chance.random_range(0..400)),
                 });
             }
         }
-        Schedule { plan: self.clone(), seed, steps, changes }
+        Schedule {
+            plan: self.clone(),
+            seed,
+            steps,
+            changes,
+        }
     }
 }
--- a/lab/src/fleet/relay.rs
+++ b/lab/src/fleet/relay.rs
@@ -87,7 +87,9 @@
 impl Relay {
     /// A relay for routers that really listen at `targets`; where others reach them comes back.
     pub fn start(
-        names: Vec<String>, targets: Vec<SocketAddr>, seed: u64,
+        names: Vec<String>,
+        targets: Vec<SocketAddr>,
+        seed: u64,
     ) -> std::io::Result<(Arc<Relay>, Vec<SocketAddr>)> {
         let state = State {
             cuts: HashMap::new(),
@@ -98,8 +100,16 @@
         };
         let count = targets.len();
         let ends = AtomicBool::new(false);
-        let links = (0..count).map(|_| (0..count).map(|_| Link::default()).collect()).collect();
-        let relay = Arc::new(Relay { state: Mutex::new(state), links, names, targets, ends });
+        let links = (0..count)
+            .map(|_| (0..count).map(|_| Link::default()).collect())
+            .collect();
+        let relay = Arc::new(Relay {
+            state: Mutex::new(state),
+            links,
+            names,
+            targets,
+            ends,
+        });
         let mut addresses = Vec::new();
         for to in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -125,7 +135,11 @@
     pub fn cut(&self, from: usize, to: usize, cut: bool) {
         let mut state = lock(&self.state);
         let count = state.cuts.entry((from, to)).or_default();
-        *count = if cut { *count + 1 } else { count.saturating_sub(1) };
+        *count = if cut {
+            *count + 1
+        } else {
+            count.saturating_sub(1)
+        };
     }
 
     pub fn set(&self, weather: Weather) {
@@ -145,12 +159,17 @@
 
     pub fn end(&self) {
         self.ends.store(true, Ordering::Relaxed);
-        self.links.iter().flatten().for_each(|link| link.more.notify_all());
+        self.links
+            .iter()
+            .flatten()
+            .for_each(|link| link.more.notify_all());
     }
 
     /// Takes one router's requests for another; each is answered at once, for what becomes of it is the relay's matter.
     fn take(&self, mut stream: TcpStream, to: usize) {
-        let timed = stream.set_read_timeout(Some(BOUND)).and_then(|()| stream.set_nodelay(true));
+        let timed = stream
+            .set_read_timeout(Some(BOUND))
+            .and_then(|()| stream.set_nodelay(true));
         let (mut input, mut bytes) = (Ring::new(HEAD_BOUND), [0; 16 * 1024]);
         while timed.is_ok() {
             let mut reader = Reader::of_requests();
@@ -166,15 +185,19 @@
                     _ => return,
                 }
             }
-            let from =
-                reader.header("fleet-from").and_then(|from| self.names.iter().position(|name| name == from));
+            let from = reader
+                .header("fleet-from")
+                .and_then(|from| self.names.iter().position(|name| name == from));
             let Some(from) = from else { return };
             if !self.post(from, to, &reader) {
                 // A cut is silence: whoever asks waits in vain.
                 thread::sleep(Duration::from_millis(1100));
                 return;
             }
-            if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").is_err() {
+            if stream
+                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                .is_err()
+            {
                 return;
             }
         }
@@ -191,7 +214,11 @@
             "POST {path} HTTP/1.1\r\nHost: x\r\nFleet-From: {name}\r\nContent-Length: {length}\r\n\r\n"
         );
         let bytes = [head.as_bytes(), body].concat();
-        let Weather { late, doubled, lost } = state.weather;
+        let Weather {
+            late,
+            doubled,
+            lost,
+        } = state.weather;
         if lost > 0.0 && state.chance.random_bool(lost) {
             return true;
         }
@@ -200,7 +227,12 @@
             let span = late.1.saturating_sub(late.0);
             let by = late.0 + span.mul_f64(state.chance.random::<f64>());
             state.numbers += 1;
-            let letter = Letter { due: Instant::now() + by, number: state.numbers, to, bytes: bytes.clone() };
+            let letter = Letter {
+                due: Instant::now() + by,
+                number: state.numbers,
+                to,
+                bytes: bytes.clone(),
+            };
             lock(&self.links[to][from].letters).push(letter);
         }
         self.links[to][from].more.notify_all();
@@ -217,8 +249,9 @@
                 match due {
                     Some(at) if at <= now => letters.pop(),
                     _ => {
-                        let wait =
-                            due.map_or(Duration::from_millis(500), |at| at.saturating_duration_since(now));
+                        let wait = due.map_or(Duration::from_millis(500), |at| {
+                            at.saturating_duration_since(now)
+                        });
                         drop(link.more.wait_timeout(letters, wait));
                         continue;
                     }
@@ -245,7 +278,9 @@
             let stream = TcpStream::connect_timeout(&to, Duration::from_millis(200)).ok()?;
             stream.set_nodelay(true).ok()?;
             // One that stands still is not waited for: what it does not take is lost.
-            stream.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
+            stream
+                .set_read_timeout(Some(Duration::from_millis(500)))
+                .ok()?;
             stream
         }
     };
@@ -274,8 +309,13 @@
         let own = Arc::clone(&cut);
         thread::spawn(move || {
             for near in listener.incoming().map_while(Result::ok) {
-                let Ok(far) = TcpStream::connect(target) else { continue };
-                for (from, to) in [(near.try_clone(), far.try_clone()), (far.try_clone(), near.try_clone())] {
+                let Ok(far) = TcpStream::connect(target) else {
+                    continue;
+                };
+                for (from, to) in [
+                    (near.try_clone(), far.try_clone()),
+                    (far.try_clone(), near.try_clone()),
+                ] {
                     if let (Ok(from), Ok(to)) = (from, to) {
                         let cut = Arc::clone(&own);
                         thread::spawn(move || pump(from, to, &cut));
@@ -293,7 +333,9 @@
 
 fn pump(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
     let mut bytes = [0; 16 * 1024];
-    let ready = from.set_read_timeout(Some(TURN)).and_then(|()| to.set_nodelay(true));
+    let ready = from
+        .set_read_timeout(Some(TURN))
+        .and_then(|()| to.set_nodelay(true));
     while ready.is_ok() {
         if cut.load(Ordering::Relaxed) {
             thread::sleep(TURN);
@@ -306,7 +348,11 @@
                     break;
                 }
             }
-            Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {}
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                ) => {}
             Err(_) => break,
         }
     }
--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -31,15 +31,25 @@
             )
         }
         Verdict::Rejected(broken) => {
-            format!("REJECTED, {}, line {}: {}", broken.rule, broken.line, broken.words)
+            format!(
+                "REJECTED, {}, line {}: {}",
+                broken.rule, broken.line, broken.words
+            )
         }
         Verdict::Unreached(words) => format!("no verdict: {words}"),
     }
 }
 
 pub fn line(of: &Outcome) -> String {
-    let well = of.well_after_ms.map_or("NOT WELL AGAIN".into(), |ms| format!("well again after {ms} ms"));
-    format!("{} seed {}: {}; {well}", of.name, of.seed, words(&of.verdict))
+    let well = of.well_after_ms.map_or("NOT WELL AGAIN".into(), |ms| {
+        format!("well again after {ms} ms")
+    });
+    format!(
+        "{} seed {}: {}; {well}",
+        of.name,
+        of.seed,
+        words(&of.verdict)
+    )
 }
 
 /// All outcomes in the folders of a folder.
@@ -68,9 +78,17 @@
 pub fn spread(mut of: Vec<f64>) -> Spread {
     of.sort_by(f64::total_cmp);
     let at = |q: f64| {
-        of.get(((of.len() as f64 * q) as usize).min(of.len().saturating_sub(1))).copied().unwrap_or(0.0)
+        of.get(((of.len() as f64 * q) as usize).min(of.len().saturating_sub(1)))
+            .copied()
+            .unwrap_or(0.0)
     };
-    Spread { count: of.len(), p50: at(0.5), p90: at(0.9), p99: at(0.99), most: at(1.0) }
+    Spread {
+        count: of.len(),
+        p50: at(0.5),
+        p90: at(0.9),
+        p99: at(0.99),
+        most: at(1.0),
+    }
 }
 
 /// From the asking to the first part at a node, over a history, and how many were refused without a version.
@@ -87,7 +105,12 @@
                     took.push((event.at - at) as f64);
                 }
             }
-            What::Answered { lookup, status, version, .. } => {
+            What::Answered {
+                lookup,
+                status,
+                version,
+                ..
+            } => {
                 refused += u64::from(status == 503 && version.is_none());
                 asked.remove(&lookup);
             }
@@ -139,7 +162,9 @@
 pub fn sum(outcomes: &[Outcome]) -> Sum {
     let mut counts = Counts::default();
     for of in outcomes {
-        let Verdict::Accepted(one) = &of.verdict else { continue };
+        let Verdict::Accepted(one) = &of.verdict else {
+            continue;
+        };
         for (all, one) in [
             (&mut counts.events, one.events),
             (&mut counts.lookups, one.lookups),
@@ -165,7 +190,10 @@
         }
     }
     let took = |again: bool| {
-        let all = outcomes.iter().flat_map(|of| &of.took).filter(|took| took.again == again);
+        let all = outcomes
+            .iter()
+            .flat_map(|of| &of.took)
+            .filter(|took| took.again == again);
         spread(all.map(|took| took.micros as f64 / 1e3).collect())
     };
     Sum {
@@ -176,7 +204,11 @@
         took: took(false),
         took_again: took(true),
         well_after_ms: spread(
-            outcomes.iter().filter_map(|of| of.well_after_ms).map(|ms| ms as f64).collect(),
+            outcomes
+                .iter()
+                .filter_map(|of| of.well_after_ms)
+                .map(|ms| ms as f64)
+                .collect(),
         ),
     }
 }
@@ -189,15 +221,25 @@
         cells
     };
     let first = outcomes.iter().map(|of| {
-        let mut cells = vec![format!("{} {}", of.name, of.seed), of.first_part.count.to_string()];
+        let mut cells = vec![
+            format!("{} {}", of.name, of.seed),
+            of.first_part.count.to_string(),
+        ];
         cells.extend(
             [of.first_part.p50, of.first_part.p90, of.first_part.p99]
                 .map(|micros| format!("{:.2}", micros / 1e3)),
         );
         cells.push(of.refused_whole.to_string());
-        cells.push(format!("{:.0}", of.carried as f64 / of.seconds / of.cpu.len().max(1) as f64));
+        cells.push(format!(
+            "{:.0}",
+            of.carried as f64 / of.seconds / of.cpu.len().max(1) as f64
+        ));
         cells.push(
-            of.cpu.iter().map(|micros| format!("{:.1}", *micros as f64 / 1e3)).collect::<Vec<_>>().join(" "),
+            of.cpu
+                .iter()
+                .map(|micros| format!("{:.1}", *micros as f64 / 1e3))
+                .collect::<Vec<_>>()
+                .join(" "),
         );
         cells
     });
@@ -226,10 +268,22 @@
         ],
     );
     let list = |of: &BTreeMap<String, u64>| {
-        of.iter().map(|(name, count)| format!("{name} {count}")).collect::<Vec<_>>().join(", ")
+        of.iter()
+            .map(|(name, count)| format!("{name} {count}"))
+            .collect::<Vec<_>>()
+            .join(", ")
     };
-    let statuses = all.counts.statuses.iter().map(|(status, count)| (status.to_string(), *count)).collect();
-    let bad: Vec<String> = outcomes.iter().filter(|of| !of.is_good()).map(line).collect();
+    let statuses = all
+        .counts
+        .statuses
+        .iter()
+        .map(|(status, count)| (status.to_string(), *count))
+        .collect();
+    let bad: Vec<String> = outcomes
+        .iter()
+        .filter(|of| !of.is_good())
+        .map(line)
+        .collect();
     format!(
         "{} runs, {} good, {:.0} s in all\n{}\nanswers: {}\nfaults: {}\n{spans}{first}{}",
         all.runs,
@@ -238,6 +292,8 @@
         words(&Verdict::Accepted(all.counts.clone())),
         list(&statuses),
         list(&all.counts.faults),
-        bad.iter().map(|line| format!("{line}\n")).collect::<String>()
+        bad.iter()
+            .map(|line| format!("{line}\n"))
+            .collect::<String>()
     )
 }
--- a/lab/src/fleet/routers.rs
+++ b/lab/src/fleet/routers.rs
@@ -70,7 +70,12 @@
 /// router is down.
 fn free(number: usize) -> std::io::Result<SocketAddr> {
     let pid = std::process::id();
-    let own = [127, 1 + (pid % 250) as u8, 1 + (pid / 250 % 250) as u8, (number % 250) as u8];
+    let own = [
+        127,
+        1 + (pid % 250) as u8,
+        1 + (pid / 250 % 250) as u8,
+        (number % 250) as u8,
+    ];
     TcpListener::bind(SocketAddr::from((own, 0)))?.local_addr()
 }
 
@@ -91,7 +96,14 @@
         router.address,
         0x70 + router.address.port(),
         plan.routers,
-        if plan.stricter.is_some_and(|at| router.name == format!("n{at}")) { 2 } else { 4 },
+        if plan
+            .stricter
+            .is_some_and(|at| router.name == format!("n{at}"))
+        {
+            2
+        } else {
+            4
+        },
         plan.sets,
         plan.shards(),
         // A machine that comes back from work is cold for a second.
@@ -99,7 +111,12 @@
     )
 }
 
-fn settings(plan: &FleetPlan, router: &Router, listen: SocketAddr, addresses: &[SocketAddr]) -> String {
+fn settings(
+    plan: &FleetPlan,
+    router: &Router,
+    listen: SocketAddr,
+    addresses: &[SocketAddr],
+) -> String {
     let members: Vec<String> = addresses
         .iter()
         .enumerate()
@@ -112,7 +129,10 @@
         })
         .collect();
     if plan.off {
-        return format!("control: {{socket: {:?}, pid_file: {:?}}}\n", router.socket, router.pid_file);
+        return format!(
+            "control: {{socket: {:?}, pid_file: {:?}}}\n",
+            router.socket, router.pid_file
+        );
     }
     let works = match plan.works {
         true => "\tworks: {lingers: 1500ms, calm: 300ms, most_out: 0.5, zone_share: 0.3, back_within: 3s, late_over: 0.5}\n",
@@ -131,23 +151,33 @@
 impl Routers {
     /// Founds a fleet and starts it.
     pub fn start(
-        plan: &FleetPlan, program: &Path, folder: &Path, nodes: &[SocketAddr], history: &Arc<History>,
+        plan: &FleetPlan,
+        program: &Path,
+        folder: &Path,
+        nodes: &[SocketAddr],
+        history: &Arc<History>,
         seed: u64,
     ) -> Result<Routers, Failed> {
         let names: Vec<String> = (0..plan.routers).map(|at| format!("n{at}")).collect();
-        let listens = (0..plan.routers).map(free).collect::<std::io::Result<Vec<_>>>()?;
+        let listens = (0..plan.routers)
+            .map(free)
+            .collect::<std::io::Result<Vec<_>>>()?;
         let (relay, addresses) = Relay::start(names.clone(), listens.clone(), seed)?;
         let mut all = Vec::new();
         for (at, name) in names.into_iter().enumerate() {
             let own = folder.join(&name);
             std::fs::create_dir_all(&own)?;
             let discovery = Discovery::default();
-            let mut pipes =
-                nodes.iter().map(|node| Pipe::start(*node)).collect::<std::io::Result<Vec<_>>>()?;
+            let mut pipes = nodes
+                .iter()
+                .map(|node| Pipe::start(*node))
+                .collect::<std::io::Result<Vec<_>>>()?;
             let listed: Vec<String> = pipes
                 .iter()
                 .enumerate()
-                .map(|(at, pipe)| entry_of(&format!("s{at}"), pipe.address, "Ready", at % plan.sets, 0))
+                .map(|(at, pipe)| {
+                    entry_of(&format!("s{at}"), pipe.address, "Ready", at % plan.sets, 0)
+                })
                 .collect();
             let listed = listed.join(",");
             discovery.set(|roster| (roster.version, roster.changes) = (1, listed.clone()));
@@ -173,7 +203,10 @@
                 cpu: (0, (0, 0)),
             };
             std::fs::write(&router.config, config(plan, &router, &listed))?;
-            std::fs::write(&router.settings, settings(plan, &router, listens[at], &addresses))?;
+            std::fs::write(
+                &router.settings,
+                settings(plan, &router, listens[at], &addresses),
+            )?;
             let founded = Command::new(program)
                 .args(["fleet", "init", "--config"])
                 .arg(&router.config)
@@ -181,12 +214,20 @@
                 .arg(&router.settings)
                 .output()?;
             if !plan.off && !founded.status.success() {
-                return Err(Failed::NotServing(String::from_utf8_lossy(&founded.stderr).into_owned()));
+                return Err(Failed::NotServing(
+                    String::from_utf8_lossy(&founded.stderr).into_owned(),
+                ));
             }
             all.push(router);
         }
         let (program, history) = (program.to_owned(), Arc::clone(history));
-        let mut routers = Routers { all, relay, program, history, voters: plan.voters };
+        let mut routers = Routers {
+            all,
+            relay,
+            program,
+            history,
+            voters: plan.voters,
+        };
         for at in 0..plan.routers {
             routers.begin(at)?;
         }
@@ -199,10 +240,16 @@
     /// Waits until all have their leases: the founding is over.
     pub fn admit(&self) -> Result<(), Failed> {
         let late = Instant::now() + BOUND;
-        let has_lease = |router: &Router| router.status().is_some_and(|of| of["lease_left_ms"].is_u64());
+        let has_lease = |router: &Router| {
+            router
+                .status()
+                .is_some_and(|of| of["lease_left_ms"].is_u64())
+        };
         while !self.all.iter().all(has_lease) {
             if Instant::now() > late {
-                return Err(Failed::NotServing("the fleet agrees on nothing in time".into()));
+                return Err(Failed::NotServing(
+                    "the fleet agrees on nothing in time".into(),
+                ));
             }
             std::thread::sleep(TURN * 10);
         }
@@ -230,12 +277,16 @@
         }
         router.child = Some(child);
         router.up = true;
-        self.history.note(What::Started { router: router.name.clone() });
+        self.history.note(What::Started {
+            router: router.name.clone(),
+        });
         Ok(())
     }
 
     fn ended(&self, at: usize) {
-        self.history.note(What::Ended { router: self.all[at].name.clone() });
+        self.history.note(What::Ended {
+            router: self.all[at].name.clone(),
+        });
     }
 
     /// Whoever leads, as it says itself.
@@ -258,12 +309,18 @@
 
     /// Tells a router to stop, and starts it again once it has.
     pub fn restart(&mut self, at: usize) -> Result<(), Failed> {
-        if let Some(pid) = self.all[at].pid().filter(|_| self.all[at].up && !self.all[at].stopped) {
+        if let Some(pid) = self.all[at]
+            .pid()
+            .filter(|_| self.all[at].up && !self.all[at].stopped)
+        {
             process::signal(pid, Signal::TERM);
             let late = Instant::now() + BOUND;
             while process::sample(pid).is_some() {
                 if Instant::now() > late {
-                    return Err(Failed::NotServing(format!("{} does not stop when told", self.all[at].name)));
+                    return Err(Failed::NotServing(format!(
+                        "{} does not stop when told",
+                        self.all[at].name
+                    )));
                 }
                 std::thread::sleep(TURN);
             }
@@ -316,12 +373,17 @@
     pub fn copy_disk(&self, at: usize) {
         let router = &self.all[at];
         // Where nothing is kept yet there is nothing to copy.
-        let _ = std::fs::copy(router.folder.join("seat"), router.folder.with_file_name("seat.copy"));
+        let _ = std::fs::copy(
+            router.folder.join("seat"),
+            router.folder.with_file_name("seat.copy"),
+        );
     }
 
     pub fn stop(&mut self, at: usize, stop: bool) {
         let router = &mut self.all[at];
-        let Some(pid) = router.pid().filter(|_| router.up) else { return };
+        let Some(pid) = router.pid().filter(|_| router.up) else {
+            return;
+        };
         let name = router.name.clone();
         match (stop, router.stopped) {
             (true, false) => {
@@ -331,7 +393,9 @@
             }
             (false, true) => {
                 process::signal(pid, Signal::CONT);
-                self.history.note(What::Stopped { router: name.clone() });
+                self.history.note(What::Stopped {
+                    router: name.clone(),
+                });
                 self.history.note(What::Continued { router: name });
                 router.stopped = false;
             }
@@ -349,20 +413,31 @@
     /// Upgrades a router; whether it went through is its own matter.
     pub fn upgrade(&mut self, at: usize) -> std::io::Result<Child> {
         let mut command = Command::new(&self.program);
-        command.arg("upgrade").arg("--socket").arg(&self.all[at].socket);
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null()).spawn()
+        command
+            .arg("upgrade")
+            .arg("--socket")
+            .arg(&self.all[at].socket);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::null())
+            .spawn()
     }
 
     /// Ends a router that has ended by itself, in the books: what it had taken is lost, and that is told.
     pub fn look(&mut self) -> Option<String> {
         let mut found = None;
         for at in 0..self.all.len() {
-            let gone =
-                self.all[at].up && self.all[at].pid().is_some_and(|pid| process::sample(pid).is_none());
+            let gone = self.all[at].up
+                && self.all[at]
+                    .pid()
+                    .is_some_and(|pid| process::sample(pid).is_none());
             if gone && self.all[at].is_reaped() {
                 self.all[at].up = false;
                 self.ended(at);
-                found = Some(self.all[at].name.clone()).filter(|_| !self.all[at].full).or(found);
+                found = Some(self.all[at].name.clone())
+                    .filter(|_| !self.all[at].full)
+                    .or(found);
             }
         }
         found
@@ -386,10 +461,14 @@
 
     /// The process that serves now, as it has written down.
     pub fn pid(&self) -> Option<u32> {
-        let written = std::fs::read_to_string(&self.pid_file).ok().and_then(|text| text.trim().parse().ok());
+        let written = std::fs::read_to_string(&self.pid_file)
+            .ok()
+            .and_then(|text| text.trim().parse().ok());
         let child = self.child.as_ref().map(Child::id);
         // One that has just started has not written yet, and the file may name one long gone.
-        written.filter(|pid| process::sample(*pid).is_some()).or(child)
+        written
+            .filter(|pid| process::sample(*pid).is_some())
+            .or(child)
     }
 
     fn kill(&mut self) {
@@ -413,7 +492,9 @@
     }
 
     fn is_reaped(&mut self) -> bool {
-        self.child.as_mut().is_none_or(|child| child.try_wait().is_ok_and(|status| status.is_some()))
+        self.child
+            .as_mut()
+            .is_none_or(|child| child.try_wait().is_ok_and(|status| status.is_some()))
     }
 
     /// Asks its control socket; none: it does not answer.
@@ -428,16 +509,25 @@
 
     /// How it stands in the fleet.
     pub fn status(&self) -> Option<Value> {
-        let said = self.ask(&json!({"do": "fleet", "ask": "status"}), Duration::from_millis(300))?;
+        let said = self.ask(
+            &json!({"do": "fleet", "ask": "status"}),
+            Duration::from_millis(300),
+        )?;
         Some(said["fleet"].clone()).filter(Value::is_object)
     }
 
     /// Processor time so far, in microseconds.
     pub fn cpu(&mut self) -> u64 {
-        let now = self.pid().and_then(|pid| Some((pid, process::sample(pid)?.0)));
+        let now = self
+            .pid()
+            .and_then(|pid| Some((pid, process::sample(pid)?.0)));
         if let Some((pid, cpu)) = now {
             let (gone, (last, known)) = self.cpu;
-            self.cpu = if last == pid { (gone, (pid, cpu)) } else { (gone + known, (pid, cpu)) };
+            self.cpu = if last == pid {
+                (gone, (pid, cpu))
+            } else {
+                (gone + known, (pid, cpu))
+            };
         }
         self.cpu.0 + self.cpu.1 .1
     }
--- a/lab/src/fleet/timeline.rs
+++ b/lab/src/fleet/timeline.rs
@@ -43,7 +43,8 @@
             match event.what {
                 What::Begins { holders, keeps, .. } => {
                     (sets, of.keeps) = (holders, keeps);
-                    of.fewest.push((at, sets.iter().map(Vec::len).min().unwrap_or(0)));
+                    of.fewest
+                        .push((at, sets.iter().map(Vec::len).min().unwrap_or(0)));
                 }
                 What::Permitted { machine, .. } => {
                     held.insert(machine, at);
@@ -60,7 +61,9 @@
                 What::Answered { status, .. } if status != 200 => {
                     *of.unserved.entry((at / BIN) as usize).or_default() += 1;
                 }
-                What::Unanswered { .. } => *of.unserved.entry((at / BIN) as usize).or_default() += 1,
+                What::Unanswered { .. } => {
+                    *of.unserved.entry((at / BIN) as usize).or_default() += 1
+                }
                 What::Ended { .. } => of.ends.push(at),
                 _ => {}
             }
@@ -91,21 +94,34 @@
                 let row = (rows as f64 - 1.0 - at).round();
                 let whole = (at - at.round()).abs() < 0.01;
                 let row = (row >= 0.0 && whole).then_some(row as usize);
-                row.and_then(|row| self.machines.get(row)).map_or(String::new(), |(name, _)| name.clone())
+                row.and_then(|row| self.machines.get(row))
+                    .map_or(String::new(), |(name, _)| name.clone())
             };
-            chart.configure_mesh().disable_mesh().y_labels(rows * 2).y_label_formatter(&name).draw()?;
+            chart
+                .configure_mesh()
+                .disable_mesh()
+                .y_labels(rows * 2)
+                .y_label_formatter(&name)
+                .draw()?;
             for (row, (_, spans)) in self.machines.iter().enumerate() {
                 let low = (rows - row - 1) as f64;
                 chart.draw_series(spans.iter().map(|(from, to)| {
-                    Rectangle::new([(*from, low - 0.35), (*to, low + 0.35)], BLUE.mix(0.6).filled())
+                    Rectangle::new(
+                        [(*from, low - 0.35), (*to, low + 0.35)],
+                        BLUE.mix(0.6).filled(),
+                    )
                 }))?;
             }
-            chart.draw_series(
-                self.ends
-                    .iter()
-                    .map(|at| PathElement::new([(*at, -0.5), (*at, rows as f64 - 0.5)], RED.mix(0.6))),
-            )?;
-            let most = self.fewest.iter().map(|(_, count)| *count).max().unwrap_or(1) as f64 + 0.5;
+            chart.draw_series(self.ends.iter().map(|at| {
+                PathElement::new([(*at, -0.5), (*at, rows as f64 - 0.5)], RED.mix(0.6))
+            }))?;
+            let most = self
+                .fewest
+                .iter()
+                .map(|(_, count)| *count)
+                .max()
+                .unwrap_or(1) as f64
+                + 0.5;
             let mut chart = ChartBuilder::on(&holders)
                 .caption(
                     "fewest holders of any set that are not under a permit; red: what is kept",
@@ -140,7 +156,10 @@
             chart.configure_mesh().disable_mesh().y_labels(4).draw()?;
             chart.draw_series(self.unserved.iter().map(|(bin, count)| {
                 let from = *bin as f64 * BIN;
-                Rectangle::new([(from, 0.0), (from + BIN, *count as f64)], BLACK.mix(0.5).filled())
+                Rectangle::new(
+                    [(from, 0.0), (from + BIN, *count as f64)],
+                    BLACK.mix(0.5).filled(),
+                )
             }))?;
             root.present()?;
         }
@@ -173,9 +192,18 @@
 {"at":4000000,"what":"ended","router":"n0"}
 "#;
         let of = Timeline::read(lines.as_bytes()).expect("read");
-        assert_eq!(of.machines, [("a".to_owned(), vec![(1.0, 2.0)]), ("d".to_owned(), vec![(1.5, 4.0)])]);
+        assert_eq!(
+            of.machines,
+            [
+                ("a".to_owned(), vec![(1.0, 2.0)]),
+                ("d".to_owned(), vec![(1.5, 4.0)])
+            ]
+        );
         assert_eq!(of.fewest, [(0.0, 2), (1.0, 2), (1.5, 1), (2.0, 1)]);
-        assert_eq!((of.unserved.get(&6), of.ends.clone()), (Some(&1), vec![4.0]));
+        assert_eq!(
+            (of.unserved.get(&6), of.ends.clone()),
+            (Some(&1), vec![4.0])
+        );
         let svg = of.svg().expect("a chart");
         assert!(svg.contains("<svg") && svg.contains("under a permit"));
     }
--- a/lab/src/fleet/virt.rs
+++ b/lab/src/fleet/virt.rs
@@ -10,8 +10,8 @@
 use ternpick::types::Micros;
 use ternpick_consensus::Seat;
 use ternpick_policy::{
-    seat_terms, Act, Admission, Command, Council, Effect, FleetId, Found, Heard, Incarnation, Keeper, Member,
-    Op, Register, Said, SeatNo, Seated, Terms, Verdict, Version, Wish,
+    seat_terms, Act, Admission, Command, Council, Effect, FleetId, Found, Heard, Incarnation,
+    Keeper, Member, Op, Register, Said, SeatNo, Seated, Terms, Verdict, Version, Wish,
 };
 
 const FLEET: FleetId = FleetId(1);
@@ -34,7 +34,14 @@
 
 impl Default for World {
     fn default() -> Self {
-        World { routers: 7, voters: 5, terms: Terms::default(), late: (200, 1500), disk: 1000, drift_ppm: 0 }
+        World {
+            routers: 7,
+            voters: 5,
+            terms: Terms::default(),
+            late: (200, 1500),
+            disk: 1000,
+            drift_ppm: 0,
+        }
     }
 }
 
@@ -93,7 +100,15 @@
         let members: BTreeMap<Member, Seated> = (0..world.routers)
             .map(|at| {
                 let seat = (at < world.voters).then_some(SeatNo(at as u64 + 1));
-                (member(at), Seated { address: String::new(), zone: String::new(), seat, learns: false })
+                (
+                    member(at),
+                    Seated {
+                        address: String::new(),
+                        zone: String::new(),
+                        seat,
+                        learns: false,
+                    },
+                )
             })
             .collect();
         let voters: Vec<SeatNo> = (1..=world.voters as u64).map(SeatNo).collect();
@@ -112,8 +127,13 @@
                 true => Seat::founds(FLEET, SeatNo(at as u64 + 1), &voters, state.clone()),
                 false => Vec::new(),
             };
-            let keeper =
-                Keeper::starts(world.terms, member(at), Incarnation(chance.random()), false, Micros(began));
+            let keeper = Keeper::starts(
+                world.terms,
+                member(at),
+                Incarnation(chance.random()),
+                false,
+                Micros(began),
+            );
             let seeds = chance.random();
             let council = Council::new(
                 FLEET,
@@ -209,7 +229,9 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        self.routers.iter().position(|router| router.council.leads() && !router.silent)
+        self.routers
+            .iter()
+            .position(|router| router.council.leads() && !router.silent)
     }
 
     pub fn version(&self, at: usize) -> Option<Version> {
@@ -234,10 +256,15 @@
 
     /// The number of a proposal, once its operator has heard it.
     pub fn number(&self, at: usize, op: u64) -> Option<Version> {
-        self.routers[at].heard.iter().find_map(|(of, heard)| match heard {
-            Heard::Did(ternpick_policy::Outcome::Proposed(number)) if *of == Op(op) => Some(*number),
-            _ => None,
-        })
+        self.routers[at]
+            .heard
+            .iter()
+            .find_map(|(of, heard)| match heard {
+                Heard::Did(ternpick_policy::Outcome::Proposed(number)) if *of == Op(op) => {
+                    Some(*number)
+                }
+                _ => None,
+            })
     }
 
     fn hears(&self, from: usize, to: usize) -> bool {
@@ -247,9 +274,16 @@
 
     /// Plays on until a time.
     pub fn until(&mut self, end: u64) {
-        while let Some(Reverse(key)) = self.events.peek().copied().filter(|Reverse(key)| key.0 <= end) {
+        while let Some(Reverse(key)) = self
+            .events
+            .peek()
+            .copied()
+            .filter(|Reverse(key)| key.0 <= end)
+        {
             self.events.pop();
-            let Some(what) = self.whats.remove(&key) else { continue };
+            let Some(what) = self.whats.remove(&key) else {
+                continue;
+            };
             self.now = self.now.max(key.0);
             self.play(key.2, what);
         }
@@ -294,18 +328,24 @@
     fn carry_out(&mut self, at: usize, act: Act) {
         match act {
             Act::Say(to, said) => {
-                let Some(to) = self.names.get(&to).copied() else { return };
+                let Some(to) = self.names.get(&to).copied() else {
+                    return;
+                };
                 self.traffic[at].out += 1;
                 self.traffic[at].bytes_out +=
                     postcard::to_stdvec(&said).map_or(0, |bytes| bytes.len() as u64);
-                let late = self.chance.random_range(self.world.late.0..=self.world.late.1);
+                let late = self
+                    .chance
+                    .random_range(self.world.late.0..=self.world.late.1);
                 self.at(self.now + late, to, What::Comes(at, said));
             }
             Act::Keep(image) => {
                 self.routers[at].disk = image;
                 self.at(self.now + self.world.disk, at, What::Kept);
             }
-            Act::Do(Effect::Check(paper)) => self.routers[at].council.checked(paper.number, Verdict::Fits),
+            Act::Do(Effect::Check(paper)) => self.routers[at]
+                .council
+                .checked(paper.number, Verdict::Fits),
             Act::Do(Effect::Use(paper)) => self.routers[at].policies.push(paper.number),
             Act::Heard(op, heard) => self.routers[at].heard.push((op, heard)),
             _ => {}
@@ -343,7 +383,12 @@
             }
         }
         // All that admit at one moment are judged by the highest of them.
-        let highest = under.iter().map(|(_, version)| *version).max().unwrap_or_default().max(self.highest);
+        let highest = under
+            .iter()
+            .map(|(_, version)| *version)
+            .max()
+            .unwrap_or_default()
+            .max(self.highest);
         self.highest = highest;
         for (at, version) in under {
             self.judge(at, version);
@@ -355,7 +400,9 @@
     pub fn until_in_force(&mut self, version: Version, every: u64, end: u64) -> Option<u64> {
         while self.now < end {
             let there = (0..self.routers.len()).filter(|at| !self.routers[*at].silent);
-            let mut there = there.filter(|at| self.routers[*at].side == 0).collect::<BTreeSet<_>>();
+            let mut there = there
+                .filter(|at| self.routers[*at].side == 0)
+                .collect::<BTreeSet<_>>();
             there.retain(|at| self.admission(*at) != Admission::Under(version));
             if there.is_empty() {
                 return Some(self.now);
@@ -376,7 +423,9 @@
     }
 
     pub fn forget_traffic(&mut self) {
-        self.traffic.iter_mut().for_each(|of| *of = Traffic::default());
+        self.traffic
+            .iter_mut()
+            .for_each(|of| *of = Traffic::default());
     }
 }
 
@@ -404,14 +453,22 @@
     let mut fleet = Fleet::new(world, seed);
     let (ms, s) = (1000, 1_000_000);
     fleet.until(5 * s);
-    let mut of = Size { routers: world.routers, voters: world.voters, ..Size::default() };
+    let mut of = Size {
+        routers: world.routers,
+        voters: world.voters,
+        ..Size::default()
+    };
     fleet.forget_traffic();
     fleet.pass(10 * s, 100 * ms);
     let refused_before = fleet.refused;
     if let Some(leader) = fleet.leader() {
         of.leader_rest_out = fleet.traffic[leader].out as f64 / 10.0;
         of.leader_rest_bytes = fleet.traffic[leader].bytes_out as f64 / 10.0;
-        let others = fleet.traffic.iter().enumerate().filter(|(at, _)| *at >= world.voters && *at != leader);
+        let others = fleet
+            .traffic
+            .iter()
+            .enumerate()
+            .filter(|(at, _)| *at >= world.voters && *at != leader);
         let (count, out) = others.fold((0, 0), |(count, out), (_, of)| (count + 1, out + of.out));
         of.router_rest_out = out as f64 / 10.0 / f64::from(count.max(1));
     }
@@ -420,7 +477,9 @@
         let mut took = Vec::new();
         for _ in 0..count {
             op += 1;
-            let Some(leader) = fleet.leader() else { continue };
+            let Some(leader) = fleet.leader() else {
+                continue;
+            };
             let before = fleet.traffic[leader].out;
             let began = fleet.now;
             fleet.propose(leader, op);
@@ -445,7 +504,9 @@
     // Not the one that leads, and no more than a minority of those that vote.
     let leader = fleet.leader().unwrap_or(0);
     let last = world.routers;
-    let silent: Vec<usize> = (last - of.silent..last).filter(|at| *at != leader).collect();
+    let silent: Vec<usize> = (last - of.silent..last)
+        .filter(|at| *at != leader)
+        .collect();
     silent.iter().for_each(|at| fleet.silence(*at, true));
     of.tenth_silent_ms = change(&mut fleet, changes.min(3), &mut 0.0);
     silent.iter().for_each(|at| fleet.silence(*at, false));
--- a/lab/src/fleet/works_size.rs
+++ b/lab/src/fleet/works_size.rs
@@ -62,9 +62,18 @@
         out: false,
     };
     let nodes: Vec<Node> = (0..site.nodes).map(node).collect();
-    let terms = Terms { limits: site.limits, ..Terms::default() };
+    let terms = Terms {
+        limits: site.limits,
+        ..Terms::default()
+    };
     let mut carrier = Carrier::new(terms);
-    carrier.sees(World { nodes: nodes.clone(), load: 0.0 }, 0);
+    carrier.sees(
+        World {
+            nodes: nodes.clone(),
+            load: 0.0,
+        },
+        0,
+    );
     let mut at = 0;
     let mut put = |carrier: &mut Carrier, entry: &Entry| {
         at += 1;
@@ -82,7 +91,11 @@
         };
         put(&mut carrier, &Entry::Ask { request });
     }
-    let mut went = Went { nodes: site.nodes, routers: site.routers, ..Went::default() };
+    let mut went = Went {
+        nodes: site.nodes,
+        routers: site.routers,
+        ..Went::default()
+    };
     let began = Instant::now();
     let plan: serde_json::Value = carrier
         .look(Micros(0), "works")
@@ -101,7 +114,12 @@
             return went;
         }
         // Half of the machines are done: the storm comes, for a minute.
-        let left = carrier.books.jobs.values().filter(|job| job.stage != Stage::Back).count();
+        let left = carrier
+            .books
+            .jobs
+            .values()
+            .filter(|job| job.stage != Stage::Back)
+            .count();
         if site.storm > 0.0 && storm_over.is_none() && left * 2 < site.nodes {
             let count = (site.storm * site.nodes as f64) as usize;
             storm = names.choose_multiple(&mut chance, count).cloned().collect();
@@ -110,8 +128,11 @@
         if storm_over.is_some_and(|over| now >= over) {
             storm.clear();
         }
-        let returning =
-            carrier.books.jobs.iter().filter(|(_, job)| matches!(job.stage, Stage::Returns { .. }));
+        let returning = carrier
+            .books
+            .jobs
+            .iter()
+            .filter(|(_, job)| matches!(job.stage, Stage::Returns { .. }));
         let word = Word {
             goes_by: Index(u64::MAX),
             bear: returning.map(|((_, machine), _)| machine.clone()).collect(),
@@ -135,26 +156,40 @@
         took.push(began.elapsed().as_secs_f64() * 1e3);
         let mut moved = false;
         for step in steps {
-            let Ok(step) = postcard::from_bytes::<Entry>(&step) else { continue };
+            let Ok(step) = postcard::from_bytes::<Entry>(&step) else {
+                continue;
+            };
             moved |= matches!(step, Entry::TakeOut { .. });
             went.holds += usize::from(matches!(step, Entry::OwnHold { .. }));
             put(&mut carrier, &step);
         }
-        if storm_over.is_some_and(|over| now >= over) && !moved && carrier.books.active().is_empty() {
+        if storm_over.is_some_and(|over| now >= over) && !moved && carrier.books.active().is_empty()
+        {
             still += 1;
             went.still_after_storm = went.still_after_storm.max(still);
         } else {
             still = 0;
         }
-        let permitted = carrier.books.jobs.values().filter_map(|job| match job.stage {
-            Stage::Permitted { permit, .. } => Some(permit),
-            _ => None,
-        });
+        let permitted = carrier
+            .books
+            .jobs
+            .values()
+            .filter_map(|job| match job.stage {
+                Stage::Permitted { permit, .. } => Some(permit),
+                _ => None,
+            });
         let permits: Vec<_> = permitted.collect();
         for permit in permits {
             let until = *done_at.entry(permit).or_insert(now + site.work * STEP);
             if now >= until {
-                put(&mut carrier, &Entry::Done { permit, by: "ann".into(), failed: None });
+                put(
+                    &mut carrier,
+                    &Entry::Done {
+                        permit,
+                        by: "ann".into(),
+                        failed: None,
+                    },
+                );
                 done_at.remove(&permit);
             }
         }
@@ -171,7 +206,9 @@
 fn judge(books: &Books, nodes: &[Node], site: Site, went: &mut Went) {
     let out: BTreeSet<String> = books.out().into_iter().collect();
     went.most_out = went.most_out.max(out.len());
-    went.load_on_rest = went.load_on_rest.max(site.nodes as f64 / (site.nodes - out.len()).max(1) as f64);
+    went.load_on_rest = went
+        .load_on_rest
+        .max(site.nodes as f64 / (site.nodes - out.len()).max(1) as f64);
     let mut missing = BTreeMap::<u32, usize>::new();
     for node in nodes.iter().filter(|node| out.contains(&node.name)) {
         *missing.entry(node.sets[0]).or_default() += 1;
@@ -188,14 +225,37 @@
 
     #[test]
     fn a_hundred_and_twenty_machines_go_and_come_back_through_a_storm() {
-        let limits = Limits { most_out: 0.1, ..Limits::default() };
-        let site = Site { nodes: 120, routers: 20, holders: 3, work: 60, storm: 0.1, limits, seed: 3 };
+        let limits = Limits {
+            most_out: 0.1,
+            ..Limits::default()
+        };
+        let site = Site {
+            nodes: 120,
+            routers: 20,
+            holders: 3,
+            work: 60,
+            storm: 0.1,
+            limits,
+            seed: 3,
+        };
         let calm = play(Site { storm: 0.0, ..site });
         let rough = play(site);
-        assert_eq!((calm.rounds, calm.bound, calm.breaches, rough.breaches), (10, 10, 0, 0), "{calm:?}");
+        assert_eq!(
+            (calm.rounds, calm.bound, calm.breaches, rough.breaches),
+            (10, 10, 0, 0),
+            "{calm:?}"
+        );
         assert!(calm.holds == 0 && rough.holds >= 1, "{rough:?}");
-        assert!(calm.most_out == 12 && rough.fewest_holders == 2, "{rough:?}");
+        assert!(
+            calm.most_out == 12 && rough.fewest_holders == 2,
+            "{rough:?}"
+        );
         let minutes = |of: &Went| of.minutes.expect("all are back");
-        assert!(minutes(&rough) < minutes(&calm) + 4.0, "{} and {}", minutes(&calm), minutes(&rough));
+        assert!(
+            minutes(&rough) < minutes(&calm) + 4.0,
+            "{} and {}",
+            minutes(&calm),
+            minutes(&rough)
+        );
     }
 }
--- a/lab/src/hunt.rs
+++ b/lab/src/hunt.rs
@@ -52,10 +52,18 @@
 /// Plays a day under its policy and under the oracle; rules whose breaches are known already are passed over.
 pub fn look(run: &Run, known: &[Rule]) -> Find {
     let day = run.play();
-    let oracle = Run { policy: Who::Oracle, ..run.clone() }.play();
+    let oracle = Run {
+        policy: Who::Oracle,
+        ..run.clone()
+    }
+    .play();
     Find {
         run: run.clone(),
-        rule: day.breaches.iter().map(|breach| breach.rule).find(|rule| !known.contains(rule)),
+        rule: day
+            .breaches
+            .iter()
+            .map(|breach| breach.rule)
+            .find(|rule| !known.contains(rule)),
         loss: oracle.service - day.service,
         service: day.service,
         oracle: oracle.service,
@@ -66,7 +74,8 @@
 
 fn trouble(world: &World, kinds: &[Kind], chance: &mut Pcg64Mcg) -> Trouble {
     let seconds = world.seconds as f64;
-    let at = chance.random_range(world.settle as f64 + 1.0..(seconds * 0.6).max(world.settle as f64 + 2.0));
+    let at = chance
+        .random_range(world.settle as f64 + 1.0..(seconds * 0.6).max(world.settle as f64 + 2.0));
     let kind = kinds[chance.random_range(0..kinds.len())];
     let most = if kind == Kind::Deadly { 0.05 } else { 0.5 };
     let zones = world.network.zones;
@@ -92,7 +101,9 @@
         match chance.random_range(0..9) {
             _ if kinds.is_empty() => {}
             0..=3 if count < MOST_TROUBLES => world.troubles.push(trouble(world, kinds, chance)),
-            4 if count > 0 => world.troubles[chance.random_range(0..count)] = trouble(world, kinds, chance),
+            4 if count > 0 => {
+                world.troubles[chance.random_range(0..count)] = trouble(world, kinds, chance)
+            }
             5 if count > 1 => {
                 world.troubles.remove(chance.random_range(0..count));
             }
@@ -108,10 +119,17 @@
 /// Searches so many rounds from some worlds; the worst come first. Rules that are `known` to break are passed over, and
 /// troubles of some kinds are left out.
 pub fn hunt(
-    from: &[Run], rounds: usize, seed: u64, known: &[Rule], without: &[Kind], mut told: impl FnMut(&Find),
+    from: &[Run],
+    rounds: usize,
+    seed: u64,
+    known: &[Rule],
+    without: &[Kind],
+    mut told: impl FnMut(&Find),
 ) -> Vec<Find> {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let kinds: Vec<Kind> = Kind::iter().filter(|kind| !without.contains(kind)).collect();
+    let kinds: Vec<Kind> = Kind::iter()
+        .filter(|kind| !without.contains(kind))
+        .collect();
     let mut worst: Vec<Find> = from.par_iter().map(|run| look(run, known)).collect();
     for _ in 0..rounds {
         worst.sort_by(|a, b| b.bad().total_cmp(&a.bad()));
@@ -123,7 +141,12 @@
             .map(|at| change(&worst[at % worst.len().max(1)].run, &kinds, &mut chance))
             .filter(|run| run.world.check().is_ok())
             .collect();
-        worst.extend(drawn.par_iter().map(|run| look(run, known)).collect::<Vec<Find>>());
+        worst.extend(
+            drawn
+                .par_iter()
+                .map(|run| look(run, known))
+                .collect::<Vec<Find>>(),
+        );
     }
     worst.sort_by(|a, b| b.bad().total_cmp(&a.bad()));
     worst.truncate(KEPT);
@@ -143,7 +166,13 @@
             run.world.troubles.remove(at);
         }));
     }
-    let ends = run.world.troubles.iter().map(|of| of.end() / 1_000_000).max().unwrap_or(0);
+    let ends = run
+        .world
+        .troubles
+        .iter()
+        .map(|of| of.end() / 1_000_000)
+        .max()
+        .unwrap_or(0);
     if ends + 5 < run.world.seconds && run.world.settle < ends + 5 {
         all.push(with(&|run| run.world.seconds = ends + 5));
     }
@@ -182,9 +211,14 @@
         return best;
     }
     while played < most_days {
-        let tried: Vec<Find> = smaller(&best.run).par_iter().map(|run| look(run, &find.known)).collect();
+        let tried: Vec<Find> = smaller(&best.run)
+            .par_iter()
+            .map(|run| look(run, &find.known))
+            .collect();
         played += tried.len().max(1);
-        let Some(next) = tried.into_iter().find(|tried| find.shows(tried)) else { break };
+        let Some(next) = tried.into_iter().find(|tried| find.shows(tried)) else {
+            break;
+        };
         told(&next);
         best = next;
     }
--- a/lab/src/load/clients.rs
+++ b/lab/src/load/clients.rs
@@ -30,11 +30,16 @@
 
 impl Seen {
     pub fn into_inner(self) -> (BTreeMap<u16, u64>, Histogram<u64>, u64) {
-        self.0.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.0
+            .into_inner()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn note(&self, status: u16, took: Duration, again: u64) {
-        let mut of = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut of = self
+            .0
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         *of.0.entry(status).or_default() += 1;
         of.1.saturating_record((took.as_micros() as u64).max(1));
         of.2 += again;
@@ -43,8 +48,9 @@
 
 fn request(load: &Load, id: &str) -> String {
     let share = 1.0 / load.parts as f64;
-    let parts: Vec<String> =
-        (0..load.parts).map(|at| format!(r#"{{"tablet":{at},"fraction":{share}}}"#)).collect();
+    let parts: Vec<String> = (0..load.parts)
+        .map(|at| format!(r#"{{"tablet":{at},"fraction":{share}}}"#))
+        .collect();
     let body = format!(r#"{{"tablets":[{}],"statement":"find"}}"#, parts.join(","));
     format!(
         "POST /plain HTTP/1.1\r\nHost: x\r\nReq-Id: {id}\r\nReq-Deadline-Ms: 2900\r\nContent-Length: {}\r\n\r\n{body}",
@@ -60,7 +66,10 @@
             return Some((reader.status()?, !reader.closes()));
         }
         let room = bytes.len().min(input.room());
-        let count = stream.read(&mut bytes[..room]).ok().filter(|count| *count > 0)?;
+        let count = stream
+            .read(&mut bytes[..room])
+            .ok()
+            .filter(|count| *count > 0)?;
         if !input.push(&bytes[..count]) {
             return None;
         }
@@ -80,7 +89,9 @@
             stream.set_nodelay(true).ok()?;
             Some((stream, Ring::new(ANSWER_BOUND)))
         });
-        let Some((mut stream, mut input)) = open else { return (REFUSED, again) };
+        let Some((mut stream, mut input)) = open else {
+            return (REFUSED, again);
+        };
         if stream.write_all(text.as_bytes()).is_ok() {
             if let Some((status, stays)) = answer(&mut stream, &mut input) {
                 *kept = stays.then_some((stream, input));
@@ -95,11 +106,18 @@
 }
 
 pub fn client(
-    load: &Load, number: usize, routers: &[SocketAddr], began: Instant, stop: &AtomicBool, seen: &Seen,
+    load: &Load,
+    number: usize,
+    routers: &[SocketAddr],
+    began: Instant,
+    stop: &AtomicBool,
+    seen: &Seen,
 ) {
     let gap = (load.rate > 0.0).then(|| Duration::from_secs_f64(load.clients as f64 / load.rate));
     // They do not all begin at once.
-    let first = gap.map_or(Duration::ZERO, |gap| gap.mul_f64(number as f64 / load.clients as f64));
+    let first = gap.map_or(Duration::ZERO, |gap| {
+        gap.mul_f64(number as f64 / load.clients as f64)
+    });
     let (mut kept, settled) = (None, began + Duration::from_secs(load.settle));
     for turn in 0u64.. {
         let due = match gap {
--- a/lab/src/load/mod.rs
+++ b/lab/src/load/mod.rs
@@ -111,7 +111,11 @@
     }
 
     fn checked(self) -> Result<Load, Failed> {
-        match self.events.iter().find(|event| event.router >= self.routers) {
+        match self
+            .events
+            .iter()
+            .find(|event| event.router >= self.routers)
+        {
             Some(event) => Err(Failed::NoRouter(event.router, self.routers)),
             None => Ok(self),
         }
@@ -126,7 +130,11 @@
 }
 
 fn steps(load: &Load) -> Vec<(u64, Step<'_>)> {
-    let mut steps: Vec<(u64, Step)> = load.events.iter().map(|of| (of.at, Step::Event(of))).collect();
+    let mut steps: Vec<(u64, Step)> = load
+        .events
+        .iter()
+        .map(|of| (of.at, Step::Event(of)))
+        .collect();
     for fault in &load.faults {
         steps.push((fault.at, Step::Begins(fault)));
         steps.push((fault.at + fault.lasts, Step::Ends(fault)));
@@ -140,7 +148,10 @@
     let takes = Duration::from_micros(load.takes);
     let nodes = (0..load.nodes).map(|_| Node::start_slow([Act::Serve; 2], takes));
     let nodes = nodes.collect::<std::io::Result<Vec<Node>>>()?;
-    let listed = nodes.iter().enumerate().map(|(at, node)| entry(&format!("s{at}"), node.address, "Ready"));
+    let listed = nodes
+        .iter()
+        .enumerate()
+        .map(|(at, node)| entry(&format!("s{at}"), node.address, "Ready"));
     let (discovery, listed) = (Discovery::default(), listed.collect::<Vec<_>>().join(","));
     discovery.set(|roster| (roster.version, roster.changes) = (1, listed.clone()));
     let mut routers = Routers::start(load, program, folder, &listed, discovery.start())?;
@@ -165,14 +176,19 @@
             let now = began.elapsed().as_micros() as u64;
             while let Some((_, step)) = left.next_if(|(at, _)| *at <= now) {
                 match step {
-                    Step::Begins(fault) => {
-                        nodes.iter().take(fault.nodes).for_each(|node| node.suffers(fault.kind))
-                    }
+                    Step::Begins(fault) => nodes
+                        .iter()
+                        .take(fault.nodes)
+                        .for_each(|node| node.suffers(fault.kind)),
                     Step::Ends(fault) => nodes.iter().take(fault.nodes).for_each(Node::recovers),
                     Step::Event(event) => {
                         let at = Instant::now();
                         let said = routers.play(event.kind, event.router)?;
-                        events.push(format!("{} after {} ms: {said}", event.kind, at.elapsed().as_millis()));
+                        events.push(format!(
+                            "{} after {} ms: {said}",
+                            event.kind,
+                            at.elapsed().as_millis()
+                        ));
                     }
                 }
             }
--- a/lab/src/load/routers.rs
+++ b/lab/src/load/routers.rs
@@ -31,7 +31,13 @@
     descriptors: u64,
 }
 
-fn config(load: &Load, at: usize, listen: SocketAddr, listed: &str, discovery: SocketAddr) -> String {
+fn config(
+    load: &Load,
+    at: usize,
+    listen: SocketAddr,
+    listed: &str,
+    discovery: SocketAddr,
+) -> String {
     format!(
         r#"{{"name":"n{at}","listen":"{listen}","discovery":"{discovery}","seed":"{at}7",
             "limits":{{"sockets":{},"memory_mb":{}}},"known":{{"index":1,"snapshot":true,"endpoints":[{listed}]}},
@@ -48,26 +54,48 @@
 impl Router {
     /// The process that serves now, as it has written down.
     fn pid(&self) -> Option<u32> {
-        std::fs::read_to_string(&self.pid_file).ok()?.trim().parse().ok()
+        std::fs::read_to_string(&self.pid_file)
+            .ok()?
+            .trim()
+            .parse()
+            .ok()
     }
 }
 
 impl Routers {
     pub fn start(
-        load: &Load, program: &Path, folder: &Path, listed: &str, discovery: SocketAddr,
+        load: &Load,
+        program: &Path,
+        folder: &Path,
+        listed: &str,
+        discovery: SocketAddr,
     ) -> Result<Routers, Failed> {
-        let mut of = Routers { program: program.to_owned(), routers: Vec::new(), memory: 0, descriptors: 0 };
+        let mut of = Routers {
+            program: program.to_owned(),
+            routers: Vec::new(),
+            memory: 0,
+            descriptors: 0,
+        };
         for at in 0..load.routers {
             let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
             let path = |name: &str| folder.join(format!("{name}{at}"));
             let (socket, pid_file) = (path("control"), path("pid"));
             std::fs::write(path("router"), config(load, at, address, listed, discovery))?;
-            let control = format!("control: {{socket: {socket:?}, upgrade: true, pid_file: {pid_file:?}}}\n");
+            let control =
+                format!("control: {{socket: {socket:?}, upgrade: true, pid_file: {pid_file:?}}}\n");
             std::fs::write(path("settings"), control)?;
             let (config, settings) = (path("router"), path("settings"));
             let child = process::serve(&of.program, &config, &settings).spawn()?;
-            let mut router =
-                Router { address, config, settings, socket, pid_file, child, gone: 0, last: (0, 0) };
+            let mut router = Router {
+                address,
+                config,
+                settings,
+                socket,
+                pid_file,
+                child,
+                gone: 0,
+                last: (0, 0),
+            };
             let serves = process::listens(&mut router.child, address);
             of.routers.push(router);
             serves?;
@@ -83,19 +111,25 @@
         let (mut memory, mut descriptors) = (0, 0);
         for router in &mut self.routers {
             let Some(pid) = router.pid() else { continue };
-            let Some((cpu, kib, fds)) = sample(pid) else { continue };
+            let Some((cpu, kib, fds)) = sample(pid) else {
+                continue;
+            };
             if router.last.0 != pid {
                 router.gone += router.last.1;
             }
             router.last = (pid, cpu);
             (memory, descriptors) = (memory + kib, descriptors + fds);
         }
-        (self.memory, self.descriptors) = (self.memory.max(memory), self.descriptors.max(descriptors));
+        (self.memory, self.descriptors) =
+            (self.memory.max(memory), self.descriptors.max(descriptors));
     }
 
     /// Processor time of all so far, in microseconds.
     pub fn cpu(&self) -> u64 {
-        self.routers.iter().map(|router| router.gone + router.last.1).sum()
+        self.routers
+            .iter()
+            .map(|router| router.gone + router.last.1)
+            .sum()
     }
 
     /// Resident KiB of all together, at the highest.
@@ -113,10 +147,21 @@
         let pid = router.pid().unwrap_or_else(|| router.child.id());
         let signal = match kind {
             EventKind::Upgrade => {
-                let out =
-                    Command::new(&program).arg("upgrade").arg("--socket").arg(&router.socket).output()?;
-                let said = if out.status.success() { &out.stdout } else { &out.stderr };
-                return Ok(String::from_utf8_lossy(said).lines().last().unwrap_or_default().to_owned());
+                let out = Command::new(&program)
+                    .arg("upgrade")
+                    .arg("--socket")
+                    .arg(&router.socket)
+                    .output()?;
+                let said = if out.status.success() {
+                    &out.stdout
+                } else {
+                    &out.stderr
+                };
+                return Ok(String::from_utf8_lossy(said)
+                    .lines()
+                    .last()
+                    .unwrap_or_default()
+                    .to_owned());
             }
             EventKind::Kill => Signal::KILL,
             EventKind::Restart => Signal::TERM,
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -183,11 +183,17 @@
 
 fn program(given: Option<&Path>) -> Result<PathBuf, String> {
     let own = given.map(Path::to_path_buf).or_else(load::beside);
-    own.ok_or_else(|| "the program is not beside this one: build it, or name it with --program".into())
+    own.ok_or_else(|| {
+        "the program is not beside this one: build it, or name it with --program".into()
+    })
 }
 
 /// What a run played under, by number: each from its own schedule.
-fn schedules(path: &Path, seed: u64, seeds: u64) -> Result<Vec<fleet::Schedule>, Box<dyn std::error::Error>> {
+fn schedules(
+    path: &Path,
+    seed: u64,
+    seeds: u64,
+) -> Result<Vec<fleet::Schedule>, Box<dyn std::error::Error>> {
     if path.extension().is_some_and(|of| of == "json") {
         return Ok(vec![serde_json::from_slice(&std::fs::read(path)?)?]);
     }
@@ -197,8 +203,17 @@
 
 fn fleet(command: &FleetCommand, json: bool) -> Done {
     match command {
-        FleetCommand::Run { plan, seed, seeds, disk, beside, out, program: given } => {
-            let (program, schedules) = (program(given.as_deref())?, schedules(plan, *seed, *seeds)?);
+        FleetCommand::Run {
+            plan,
+            seed,
+            seeds,
+            disk,
+            beside,
+            out,
+            program: given,
+        } => {
+            let (program, schedules) =
+                (program(given.as_deref())?, schedules(plan, *seed, *seeds)?);
             let next = std::sync::atomic::AtomicUsize::new(0);
             let bad = std::sync::atomic::AtomicUsize::new(0);
             std::thread::scope(|scope| {
@@ -207,9 +222,12 @@
                     scope.spawn(move || {
                         use std::sync::atomic::Ordering::Relaxed;
                         while let Some(schedule) = schedules.get(next.fetch_add(1, Relaxed)) {
-                            let folder = out.join(format!("{}-{}", schedule.plan.name, schedule.seed));
+                            let folder =
+                                out.join(format!("{}-{}", schedule.plan.name, schedule.seed));
                             let line = match fleet::play(schedule, program, &folder, *disk) {
-                                Ok(outcome) if json => serde_json::to_string(&outcome).unwrap_or_default(),
+                                Ok(outcome) if json => {
+                                    serde_json::to_string(&outcome).unwrap_or_default()
+                                }
                                 Ok(outcome) => {
                                     bad.fetch_add(usize::from(!outcome.is_good()), Relaxed);
                                     fleet::report::line(&outcome)
@@ -224,7 +242,11 @@
                     });
                 }
             });
-            Ok(if bad.into_inner() > 0 { ExitCode::from(2) } else { ExitCode::SUCCESS })
+            Ok(if bad.into_inner() > 0 {
+                ExitCode::from(2)
+            } else {
+                ExitCode::SUCCESS
+            })
         }
         FleetCommand::Check { histories } => {
             let mut code = ExitCode::SUCCESS;
@@ -241,40 +263,85 @@
             }
             Ok(code)
         }
-        FleetCommand::Shrink { schedule, to, most, program: given } => {
+        FleetCommand::Shrink {
+            schedule,
+            to,
+            most,
+            program: given,
+        } => {
             let of: fleet::Schedule = serde_json::from_slice(&std::fs::read(schedule)?)?;
             let folder = tempfile::tempdir()?;
             let program = program(given.as_deref())?;
-            let least = fleet::shrink(&of, &program, folder.path(), *most, &mut |line| eprintln!("{line}"))?;
+            let least = fleet::shrink(&of, &program, folder.path(), *most, &mut |line| {
+                eprintln!("{line}")
+            })?;
             ternpick_store::replace(to, &serde_json::to_vec_pretty(&least)?)?;
             println!("{} of {} steps are left", least.steps.len(), of.steps.len());
             Ok(ExitCode::SUCCESS)
         }
-        FleetCommand::Size { routers, voters, changes, seed } => {
-            let world =
-                fleet::virt::World { routers: *routers, voters: *voters, ..fleet::virt::World::default() };
+        FleetCommand::Size {
+            routers,
+            voters,
+            changes,
+            seed,
+        } => {
+            let world = fleet::virt::World {
+                routers: *routers,
+                voters: *voters,
+                ..fleet::virt::World::default()
+            };
             let of = fleet::virt::size(world, *changes, *seed);
             match json {
                 true => println!("{}", serde_json::to_string(&of)?),
                 false => println!("{of:#?}"),
             }
-            Ok(if of.broken.is_some() { ExitCode::from(2) } else { ExitCode::SUCCESS })
+            Ok(if of.broken.is_some() {
+                ExitCode::from(2)
+            } else {
+                ExitCode::SUCCESS
+            })
         }
-        FleetCommand::WorksSize { nodes, routers, holders, work, storm, seed } => {
-            let limits = ternpick_works::Limits { most_out: 0.1, ..ternpick_works::Limits::default() };
+        FleetCommand::WorksSize {
+            nodes,
+            routers,
+            holders,
+            work,
+            storm,
+            seed,
+        } => {
+            let limits = ternpick_works::Limits {
+                most_out: 0.1,
+                ..ternpick_works::Limits::default()
+            };
             let (nodes, routers, holders, work) = (*nodes, *routers, (*holders).max(1), *work);
-            let site =
-                fleet::works_size::Site { nodes, routers, holders, work, storm: *storm, limits, seed: *seed };
+            let site = fleet::works_size::Site {
+                nodes,
+                routers,
+                holders,
+                work,
+                storm: *storm,
+                limits,
+                seed: *seed,
+            };
             let of = fleet::works_size::play(site);
             match json {
                 true => println!("{}", serde_json::to_string(&of)?),
                 false => println!("{of:#?}"),
             }
-            Ok(if of.breaches > 0 || of.minutes.is_none() { ExitCode::from(2) } else { ExitCode::SUCCESS })
+            Ok(if of.breaches > 0 || of.minutes.is_none() {
+                ExitCode::from(2)
+            } else {
+                ExitCode::SUCCESS
+            })
         }
         FleetCommand::Timeline { history, to } => {
             let of = fleet::timeline::write(history, to)?;
-            println!("{} machines over {:.1} s, {}", of.machines.len(), of.until, to.display());
+            println!(
+                "{} machines over {:.1} s, {}",
+                of.machines.len(),
+                of.until,
+                to.display()
+            );
             Ok(ExitCode::SUCCESS)
         }
         FleetCommand::Report { out } => {
@@ -297,7 +364,10 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     if let Some(threads) = cli.threads {
-        if let Err(error) = rayon::ThreadPoolBuilder::new().num_threads(threads).build_global() {
+        if let Err(error) = rayon::ThreadPoolBuilder::new()
+            .num_threads(threads)
+            .build_global()
+        {
             eprintln!("ternpick-lab: {error}");
             return ExitCode::FAILURE;
         }
@@ -323,20 +393,41 @@
             }
             match cli.json {
                 true => println!("{}", serde_json::to_string(&days)?),
-                false => println!("{}{played} of {} days played anew", report::table(&days), days.len()),
+                false => println!(
+                    "{}{played} of {} days played anew",
+                    report::table(&days),
+                    days.len()
+                ),
             }
             Ok(broken(&days))
         }
-        Command::Compare { out, with, first, second } => {
+        Command::Compare {
+            out,
+            with,
+            first,
+            second,
+        } => {
             let (_, days) = experiment::read(out)?;
-            let other = with.as_deref().map(experiment::read).transpose()?.map(|(_, days)| days);
+            let other = with
+                .as_deref()
+                .map(experiment::read)
+                .transpose()?
+                .map(|(_, days)| days);
             let of = |days: &[Day], policy: Who| -> Vec<Day> {
-                days.iter().filter(|day| day.policy == policy).cloned().collect()
+                days.iter()
+                    .filter(|day| day.policy == policy)
+                    .cloned()
+                    .collect()
             };
-            let (a, b) = (of(&days, *first), of(other.as_ref().unwrap_or(&days), *second));
+            let (a, b) = (
+                of(&days, *first),
+                of(other.as_ref().unwrap_or(&days), *second),
+            );
             let rows = compare(a.iter(), b.iter());
             if rows.is_empty() {
-                return Err(format!("no day was played under both '{first}' and '{second}'").into());
+                return Err(
+                    format!("no day was played under both '{first}' and '{second}'").into(),
+                );
             }
             match cli.json {
                 true => println!("{}", serde_json::to_string(&rows)?),
@@ -344,7 +435,14 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        Command::Hunt { plan, rounds, seed, known, without, out } => {
+        Command::Hunt {
+            plan,
+            rounds,
+            seed,
+            known,
+            without,
+            out,
+        } => {
             let plan = Plan::read(plan)?;
             let from: Vec<Run> = plan
                 .worlds
@@ -382,15 +480,30 @@
             let same = is.trace == was.trace;
             match cli.json {
                 true => println!("{}", json!({"same": same, "was": was, "is": is})),
-                false => println!("{}; {}", words(&is), if same { "as it was" } else { "not as it was" }),
+                false => println!(
+                    "{}; {}",
+                    words(&is),
+                    if same { "as it was" } else { "not as it was" }
+                ),
             }
-            Ok(if same { ExitCode::SUCCESS } else { ExitCode::from(2) })
+            Ok(if same {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(2)
+            })
         }
-        Command::Load { load, program, rate, parts } => {
+        Command::Load {
+            load,
+            program,
+            rate,
+            parts,
+        } => {
             let mut load = Load::read(load)?;
             (load.rate, load.parts) = (rate.unwrap_or(load.rate), parts.unwrap_or(load.parts));
-            let program =
-                program.clone().or_else(load::beside).ok_or("there is no 'ternpick' beside this program")?;
+            let program = program
+                .clone()
+                .or_else(load::beside)
+                .ok_or("there is no 'ternpick' beside this program")?;
             let folder = tempfile::tempdir()?;
             let outcome = load::play(&load, &program, folder.path())?;
             match cli.json {
@@ -398,12 +511,20 @@
                 false => print!("{}", told(&outcome)),
             }
             let lost = outcome.answers.get(&0).copied().unwrap_or(0);
-            Ok(if lost == 0 { ExitCode::SUCCESS } else { ExitCode::from(2) })
+            Ok(if lost == 0 {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(2)
+            })
         }
         Command::Report { out, png } => {
             let (plan, days) = experiment::read(out)?;
             let files = report::write(&plan, &days, out, *png)?;
-            println!("{} files in {}, begin with report.html", files.len(), out.display());
+            println!(
+                "{} files in {}, begin with report.html",
+                files.len(),
+                out.display()
+            );
             Ok(ExitCode::SUCCESS)
         }
     }
@@ -412,7 +533,10 @@
 /// Exit status 2 where the design broke a rule.
 fn broken(days: &[Day]) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
-    for day in days.iter().filter(|day| day.policy == Who::Design && day.breach_count > 0) {
+    for day in days
+        .iter()
+        .filter(|day| day.policy == Who::Design && day.breach_count > 0)
+    {
         for breach in day.breaches.iter().take(3) {
             eprintln!(
                 "{} seed {} load {}: {:?} at {:.3} s, {}",
@@ -461,7 +585,9 @@
 
 fn verdicts(rows: &[Row], first: Who, second: Who) -> String {
     let cells = |row: &Row| {
-        let range = row.difference.map_or("-".into(), |of| format!("{:+.4} to {:+.4}", of.low, of.high));
+        let range = row.difference.map_or("-".into(), |of| {
+            format!("{:+.4} to {:+.4}", of.low, of.high)
+        });
         vec![
             row.world.clone(),
             format!("{:.2}", row.load),
@@ -474,7 +600,15 @@
     };
     let rows: Vec<Vec<String>> = rows.iter().map(cells).collect();
     report::text_table(
-        &["world", "load", "figure", &first.to_string(), &second.to_string(), "difference, 95%", "second is"],
+        &[
+            "world",
+            "load",
+            "figure",
+            &first.to_string(),
+            &second.to_string(),
+            "difference, 95%",
+            "second is",
+        ],
         &rows,
     )
 }
@@ -497,8 +631,11 @@
         "parts sent",
         "sent again",
     ];
-    let answers: Vec<String> =
-        of.answers.iter().map(|(status, count)| format!("{status}: {count}")).collect();
+    let answers: Vec<String> = of
+        .answers
+        .iter()
+        .map(|(status, count)| format!("{status}: {count}"))
+        .collect();
     let cells = vec![
         of.load.name.clone(),
         of.load.parts.to_string(),
@@ -517,12 +654,21 @@
         of.parts_again.to_string(),
     ];
     let events: Vec<String> = of.events.iter().map(|line| format!("{line}\n")).collect();
-    format!("{}{}", report::text_table(&heads, &[cells]), events.concat())
+    format!(
+        "{}{}",
+        report::text_table(&heads, &[cells]),
+        events.concat()
+    )
 }
 
 fn words(find: &Find) -> String {
     let run = &find.run;
-    let troubles: Vec<String> = run.world.troubles.iter().map(|of| of.kind.to_string()).collect();
+    let troubles: Vec<String> = run
+        .world
+        .troubles
+        .iter()
+        .map(|of| of.kind.to_string())
+        .collect();
     let what = match find.rule {
         Some(rule) => format!("breaks {rule:?}"),
         None => format!("loses {:.3} of the oracle's {:.3}", find.loss, find.oracle),
--- a/lab/src/measure.rs
+++ b/lab/src/measure.rs
@@ -88,7 +88,11 @@
 
     /// A lookup is due. What brings nodes down is not service, answered or not.
     pub fn offered(&mut self, due: u64, index: &Index, deadly: bool) {
-        if let Some(offered) = self.offered.get_mut(Measure::second(due)).filter(|_| !deadly) {
+        if let Some(offered) = self
+            .offered
+            .get_mut(Measure::second(due))
+            .filter(|_| !deadly)
+        {
             *offered += index.gain;
         }
     }
@@ -96,7 +100,13 @@
     /// A lookup is over for its client; `answer`: the share of its parts, and whether it was called whole.
     #[allow(clippy::too_many_arguments)] // a field of each kind
     pub fn closed(
-        &mut self, now: u64, index: &Index, due: u64, tries: u32, answer: Option<(f64, bool)>, refused: bool,
+        &mut self,
+        now: u64,
+        index: &Index,
+        due: u64,
+        tries: u32,
+        answer: Option<(f64, bool)>,
+        refused: bool,
         deadly: bool,
     ) {
         if deadly {
@@ -148,12 +158,19 @@
     }
 
     pub fn by_second(&self) -> Vec<f64> {
-        self.offered.iter().zip(&self.had).map(|(of, had)| if *of > 0.0 { had / of } else { 1.0 }).collect()
+        self.offered
+            .iter()
+            .zip(&self.had)
+            .map(|(of, had)| if *of > 0.0 { had / of } else { 1.0 })
+            .collect()
     }
 
     pub fn figures(&self, nodes: &[Node], world: &World) -> Figures {
         let from = self.settle as usize;
-        let (offered, had) = (self.offered[from..].iter().sum::<f64>(), self.had[from..].iter().sum::<f64>());
+        let (offered, had) = (
+            self.offered[from..].iter().sum::<f64>(),
+            self.had[from..].iter().sum::<f64>(),
+        );
         let mut f = self.figures.clone();
         let lookups = f.lookups.max(1) as f64;
         let at = |q| self.times.value_at_quantile(q) as f64 / 1e3;
@@ -171,7 +188,11 @@
         let time = (self.seconds * SECOND) as f64 * world.nodes.cores as f64;
         f.busy = mean / time;
         f.by_rank = ranks(&work).map(|worked| worked / time).collect();
-        f.imbalance = if mean > 0.0 { work.last().copied().unwrap_or(0.0) / mean } else { 1.0 };
+        f.imbalance = if mean > 0.0 {
+            work.last().copied().unwrap_or(0.0) / mean
+        } else {
+            1.0
+        };
         f
     }
 }
@@ -186,11 +207,16 @@
 /// which for a trouble that has gone means that the system holds itself down.
 pub fn back_after(by_second: &[f64], settle: u64, begins: u64, ends: u64) -> Option<f64> {
     let (settle, begins, ends) = (settle as usize, begins as usize, ends as usize);
-    let before = by_second.get(settle..begins).filter(|some| !some.is_empty());
+    let before = by_second
+        .get(settle..begins)
+        .filter(|some| !some.is_empty());
     let usual = before.map_or(1.0, |some| some.iter().sum::<f64>() / some.len() as f64);
     let after = by_second.get(ends..)?;
     let back = |some: &[f64]| some.iter().sum::<f64>() / some.len() as f64 >= usual * BACK_AT;
-    after.windows(BACK_FOR).position(back).map(|seconds| seconds as f64)
+    after
+        .windows(BACK_FOR)
+        .position(back)
+        .map(|seconds| seconds as f64)
 }
 
 #[cfg(test)]
--- a/lab/src/node.rs
+++ b/lab/src/node.rs
@@ -136,14 +136,21 @@
 
     /// What is still to be done here, for one who sees all: microseconds of a core.
     pub fn backlog(&self, now: u64) -> f64 {
-        let running: u64 = self.running.iter().map(|(_, ends)| ends.saturating_sub(now)).sum();
+        let running: u64 = self
+            .running
+            .iter()
+            .map(|(_, ends)| ends.saturating_sub(now))
+            .sum();
         let waiting: u64 = self.waiting.iter().map(|job| job.work).sum();
         running as f64 + waiting as f64 * self.slow
     }
 
     /// The process ends; what it had is lost and comes back.
     pub fn ends(&mut self) -> Vec<CallId> {
-        let lost = self.waiting.drain(..).chain(self.running.drain(..).map(|(job, _)| job));
+        let lost = self
+            .waiting
+            .drain(..)
+            .chain(self.running.drain(..).map(|(job, _)| job));
         let lost = lost.map(|job| job.call).collect();
         (self.up, self.epoch) = (false, self.epoch + 1);
         lost
@@ -151,8 +158,21 @@
 
     /// A new process, with nothing known and nothing warm.
     pub fn starts(&mut self, now: u64) {
-        let Node { zone, cell, epoch, worked, parts, .. } = *self;
-        *self = Node { epoch, started: now, worked, parts, ..Node::new(zone, cell) };
+        let Node {
+            zone,
+            cell,
+            epoch,
+            worked,
+            parts,
+            ..
+        } = *self;
+        *self = Node {
+            epoch,
+            started: now,
+            worked,
+            parts,
+            ..Node::new(zone, cell)
+        };
     }
 
     /// Whether so much in its first seconds is more than it bears.
@@ -163,7 +183,11 @@
             return false;
         }
         self.arrived.push_back((now, work));
-        while self.arrived.front().is_some_and(|(at, _)| now - at > of.fall_window) {
+        while self
+            .arrived
+            .front()
+            .is_some_and(|(at, _)| now - at > of.fall_window)
+        {
             self.arrived.pop_front();
         }
         let sent: u64 = self.arrived.iter().map(|(_, work)| work).sum();
@@ -175,7 +199,10 @@
     /// Whether it surely bears so much more work, for one who sees all.
     pub fn bears(&self, now: u64, work: u64, of: &Nodes) -> bool {
         let warmth = self.warmth(now, of);
-        let recent = self.arrived.iter().filter(|(at, _)| now.saturating_sub(*at) <= of.fall_window);
+        let recent = self
+            .arrived
+            .iter()
+            .filter(|(at, _)| now.saturating_sub(*at) <= of.fall_window);
         let sent: u64 = recent.map(|(_, work)| work).sum();
         let bears = of.falls_at * warmth * of.cores as f64 * of.fall_window as f64;
         warmth >= 1.0 || (sent + 8 * work) as f64 <= bears * 0.5
@@ -195,19 +222,28 @@
     /// Begins what waits while a core is free.
     fn begin(&mut self, now: u64, of: &Nodes, out: &mut Vec<Effect>) {
         while self.running.len() < of.cores && self.stalled <= now {
-            let Some(job) = self.waiting.pop_front() else { return };
+            let Some(job) = self.waiting.pop_front() else {
+                return;
+            };
             if of.drops_late && job.due <= now {
                 out.push(Effect::Refuses(job.call));
                 continue;
             }
-            if job.mark.is_some_and(|(mark, window)| self.has_run(now, mark, window)) {
+            if job
+                .mark
+                .is_some_and(|(mark, window)| self.has_run(now, mark, window))
+            {
                 out.push(Effect::Repeats(job.call));
                 continue;
             }
             if job.deadly {
                 return out.push(Effect::Falls(job.call));
             }
-            let saved = if self.meets(job.key, of) { of.cache_saves } else { 0.0 };
+            let saved = if self.meets(job.key, of) {
+                of.cache_saves
+            } else {
+                0.0
+            };
             let took = job.work as f64 * (1.0 - saved) * self.slow / self.warmth(now, of);
             let ends = now + (took as u64).max(1);
             self.running.push((job, ends));
@@ -217,7 +253,11 @@
 
     /// Whether what carries a mark has begun within the mark's window; from now on it has.
     fn has_run(&mut self, now: u64, mark: u64, window: u64) -> bool {
-        while self.marks_order.front().is_some_and(|(until, _)| *until <= now) {
+        while self
+            .marks_order
+            .front()
+            .is_some_and(|(until, _)| *until <= now)
+        {
             if let Some((_, old)) = self.marks_order.pop_front() {
                 self.marks.remove(&old);
             }
@@ -238,7 +278,9 @@
         let known = self.cache.insert(key, self.met).is_some();
         self.cache_order.push_back((self.met, key));
         while self.cache.len() > of.cache_keys || self.cache_order.len() > 4 * of.cache_keys {
-            let Some((met, key)) = self.cache_order.pop_front() else { break };
+            let Some((met, key)) = self.cache_order.pop_front() else {
+                break;
+            };
             if self.cache.get(&key) == Some(&met) {
                 self.cache.remove(&key);
             }
@@ -247,8 +289,17 @@
     }
 
     /// The time of a running part is over; told again later if the node stands still.
-    pub fn elapsed(&mut self, now: u64, call: CallId, fails: bool, of: &Nodes, out: &mut Vec<Effect>) {
-        let Some(at) = self.running.iter().position(|(job, _)| job.call == call) else { return };
+    pub fn elapsed(
+        &mut self,
+        now: u64,
+        call: CallId,
+        fails: bool,
+        of: &Nodes,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(at) = self.running.iter().position(|(job, _)| job.call == call) else {
+            return;
+        };
         if self.stalled > now {
             let later = self.stalled + 1;
             self.running[at].1 = later;
@@ -269,7 +320,10 @@
 
     /// Whether a running part belongs to the index that fails here.
     pub fn index_of(&self, call: CallId) -> Option<u8> {
-        self.running.iter().find(|(job, _)| job.call == call).map(|(job, _)| job.index)
+        self.running
+            .iter()
+            .find(|(job, _)| job.call == call)
+            .map(|(job, _)| job.index)
     }
 
     /// The node moves again, or has fewer to do: what waits begins.
@@ -288,11 +342,21 @@
 
     /// What it says now; figures are taken anew so often. `noise` lies between -1 and 1.
     pub fn report(&mut self, now: u64, noise: f64, of: &Nodes) -> Report {
-        let old = self.said_at.is_none_or(|at| now.saturating_sub(at) >= of.refresh);
+        let old = self
+            .said_at
+            .is_none_or(|at| now.saturating_sub(at) >= of.refresh);
         if old && !self.frozen && self.stalled <= now {
-            let rate = self.done_at.iter().filter(|at| now - **at <= 1_000_000).count() as f64;
+            let rate = self
+                .done_at
+                .iter()
+                .filter(|at| now - **at <= 1_000_000)
+                .count() as f64;
             let off = (1.0 + noise * of.noise) / self.untrue;
-            self.said = Report { latency: self.latency * off, queue: self.waiting.len() as f64 * off, rate };
+            self.said = Report {
+                latency: self.latency * off,
+                queue: self.waiting.len() as f64 * off,
+                rate,
+            };
             self.said_at = Some(now);
         }
         self.said
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -10,7 +10,9 @@
 const SCHEMA: Schema = Schema::new(&[("plan.cue", include_str!("plan.cue"))], "#Plan");
 
 /// Who decides in a day: the module, or a baseline.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Display, EnumString)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Display, EnumString,
+)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Who {
@@ -33,7 +35,9 @@
 }
 
 /// What can happen to a day.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, EnumIter, EnumString)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, EnumIter, EnumString,
+)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Kind {
@@ -211,7 +215,10 @@
 
     fn whole(read: Read<Plan>) -> Result<Plan, BadPlan> {
         for world in &read.value.worlds {
-            world.check().map_err(|what| BadPlan::Senseless { world: world.name.clone(), what })?;
+            world.check().map_err(|what| BadPlan::Senseless {
+                world: world.name.clone(),
+                what,
+            })?;
         }
         Ok(read.value)
     }
@@ -256,7 +263,8 @@
     /// Work of a lookup on the mean, in microseconds of a core.
     pub fn mean_work(&self) -> f64 {
         let all: f64 = self.indexes.iter().map(|of| of.weight).sum();
-        let of = |of: &Index| of.weight * (of.parts[0] + of.parts[1]) as f64 / 2.0 * of.work.mean as f64;
+        let of =
+            |of: &Index| of.weight * (of.parts[0] + of.parts[1]) as f64 / 2.0 * of.work.mean as f64;
         self.indexes.iter().map(of).sum::<f64>() / all
     }
 
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -15,16 +15,36 @@
 #[allow(clippy::too_many_arguments)] // a decoded field goes straight into a call
 pub trait Policy {
     fn lookup(
-        &mut self, now: Micros, id: LookupId, index: IndexNo, customer: CustomerNo, expected: usize,
-        left: Micros, repeat: bool, out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        id: LookupId,
+        index: IndexNo,
+        customer: CustomerNo,
+        expected: usize,
+        left: Micros,
+        repeat: bool,
+        out: &mut dyn Actions,
     );
     fn part(
-        &mut self, now: Micros, id: PartId, lookup: LookupId, shard: ShardNo, weight: f64,
-        hint: Option<Micros>, out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        id: PartId,
+        lookup: LookupId,
+        shard: ShardNo,
+        weight: f64,
+        hint: Option<Micros>,
+        out: &mut dyn Actions,
     );
     fn returned(
-        &mut self, now: Micros, part: PartId, call: CallNo, node: NodeId, lag: Micros, ending: Ending,
-        report: &[f64], out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        part: PartId,
+        call: CallNo,
+        node: NodeId,
+        lag: Micros,
+        ending: Ending,
+        report: &[f64],
+        out: &mut dyn Actions,
     );
     fn probed(&mut self, now: Micros, node: NodeId, report: &[f64], out: &mut dyn Actions);
     fn lapsed(&mut self, now: Micros, id: LookupId, out: &mut dyn Actions);
@@ -35,20 +55,51 @@
 
 impl Policy for Brain {
     fn lookup(
-        &mut self, now: Micros, id: LookupId, index: IndexNo, customer: CustomerNo, expected: usize,
-        left: Micros, repeat: bool, out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        id: LookupId,
+        index: IndexNo,
+        customer: CustomerNo,
+        expected: usize,
+        left: Micros,
+        repeat: bool,
+        out: &mut dyn Actions,
     ) {
-        Brain::lookup(self, now, id, QueryNo(id.0), index, customer, expected, left, repeat, out);
+        Brain::lookup(
+            self,
+            now,
+            id,
+            QueryNo(id.0),
+            index,
+            customer,
+            expected,
+            left,
+            repeat,
+            out,
+        );
     }
     fn part(
-        &mut self, now: Micros, id: PartId, lookup: LookupId, shard: ShardNo, weight: f64,
-        hint: Option<Micros>, out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        id: PartId,
+        lookup: LookupId,
+        shard: ShardNo,
+        weight: f64,
+        hint: Option<Micros>,
+        out: &mut dyn Actions,
     ) {
         Brain::part(self, now, id, QueryNo(lookup.0), shard, weight, hint, out);
     }
     fn returned(
-        &mut self, now: Micros, part: PartId, call: CallNo, node: NodeId, lag: Micros, ending: Ending,
-        report: &[f64], out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        part: PartId,
+        call: CallNo,
+        node: NodeId,
+        lag: Micros,
+        ending: Ending,
+        report: &[f64],
+        out: &mut dyn Actions,
     ) {
         Brain::returned(self, now, part, call, node, lag, ending, report, out);
     }
@@ -102,7 +153,10 @@
 
 /// When a part at a node would be done, behind those that are planned there already.
 fn foreseen(
-    sight: &[Option<Seen>], id: NodeId, index: IndexNo, planned: &BTreeMap<NodeId, f64>,
+    sight: &[Option<Seen>],
+    id: NodeId,
+    index: IndexNo,
+    planned: &BTreeMap<NodeId, f64>,
 ) -> Option<f64> {
     let seen = sight.get(id.0 as usize).copied().flatten()?;
     let sound = seen.fails != Some(index.0);
@@ -171,14 +225,28 @@
     fn holders(&self, shard: ShardNo, calls: &[(NodeId, Option<Ending>)]) -> Vec<NodeId> {
         let t = &self.tariff;
         let cells = (0..t.reach.min(t.cells)).map(|j| CellNo((shard.0 % t.cells + j) % t.cells));
-        let all = cells.filter_map(|cell| self.cells.get(&cell)).flatten().copied();
-        let ready = |id: &NodeId| self.nodes.get(id).is_some_and(|node| node.listing.phase == Phase::Ready);
+        let all = cells
+            .filter_map(|cell| self.cells.get(&cell))
+            .flatten()
+            .copied();
+        let ready = |id: &NodeId| {
+            self.nodes
+                .get(id)
+                .is_some_and(|node| node.listing.phase == Phase::Ready)
+        };
         let free: Vec<NodeId> = all
             .filter(ready)
-            .filter(|id| calls.iter().all(|(node, ending)| node != id || ending.is_some()))
+            .filter(|id| {
+                calls
+                    .iter()
+                    .all(|(node, ending)| node != id || ending.is_some())
+            })
+            .collect();
+        let untried: Vec<NodeId> = free
+            .iter()
+            .copied()
+            .filter(|id| calls.iter().all(|(node, _)| node != id))
             .collect();
-        let untried: Vec<NodeId> =
-            free.iter().copied().filter(|id| calls.iter().all(|(node, _)| node != id)).collect();
         if untried.is_empty() {
             free
         } else {
@@ -186,33 +254,51 @@
         }
     }
 
-    fn choose(&mut self, of: &[NodeId], index: IndexNo, planned: &BTreeMap<NodeId, f64>) -> Option<NodeId> {
+    fn choose(
+        &mut self,
+        of: &[NodeId],
+        index: IndexNo,
+        planned: &BTreeMap<NodeId, f64>,
+    ) -> Option<NodeId> {
         let out = |id: &NodeId| self.nodes.get(id).map_or(0, |node| node.out);
         let pick = |chance: &mut Pcg64Mcg| of.get(chance.random_range(0..of.len().max(1))).copied();
         match &self.choice {
             Choice::Random => pick(&mut self.chance),
             Choice::RoundRobin => {
                 self.turn += 1;
-                of.get((self.turn % of.len().max(1) as u64) as usize).copied()
+                of.get((self.turn % of.len().max(1) as u64) as usize)
+                    .copied()
             }
-            Choice::LeastOutstanding => of.iter().copied().min_by_key(|id| (out(id), id.0 ^ self.turn)),
+            Choice::LeastOutstanding => of
+                .iter()
+                .copied()
+                .min_by_key(|id| (out(id), id.0 ^ self.turn)),
             Choice::TwoChoices => {
                 let (a, b) = (pick(&mut self.chance)?, pick(&mut self.chance)?);
                 Some(if out(&a) <= out(&b) { a } else { b })
             }
             Choice::Paper => {
-                let reports: Vec<f64> = self.nodes.values().filter_map(|node| node.report).collect();
+                let reports: Vec<f64> =
+                    self.nodes.values().filter_map(|node| node.report).collect();
                 let mean = reports.iter().sum::<f64>() / reports.len().max(1) as f64;
                 let cost = |id: &NodeId| {
-                    let o = self.nodes.get(id).and_then(|node| node.report).unwrap_or(mean);
+                    let o = self
+                        .nodes
+                        .get(id)
+                        .and_then(|node| node.report)
+                        .unwrap_or(mean);
                     let fixed = if planned.contains_key(id) { 0.0 } else { o };
                     fixed + PAPER_M * mean.max(0.01)
                 };
-                of.iter().copied().min_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.0.cmp(&b.0)))
+                of.iter()
+                    .copied()
+                    .min_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.0.cmp(&b.0)))
             }
             Choice::Oracle(sight) => {
                 let sight = sight.borrow();
-                let sound = of.iter().filter_map(|id| Some((foreseen(&sight, *id, index, planned)?, *id)));
+                let sound = of
+                    .iter()
+                    .filter_map(|id| Some((foreseen(&sight, *id, index, planned)?, *id)));
                 sound.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
             }
         }
@@ -220,33 +306,56 @@
 
     /// Whether the oracle sees a lookup done in time; nobody else does.
     fn foresees(&mut self, now: Micros, id: LookupId) -> bool {
-        let (Choice::Oracle(sight), Some(of)) = (&self.choice, self.lookups.get(&id)) else { return true };
+        let (Choice::Oracle(sight), Some(of)) = (&self.choice, self.lookups.get(&id)) else {
+            return true;
+        };
         // What gains less gives way sooner, so that there is room for what gains more.
-        let best = self.tariff.indexes.iter().map(|row| row.gain).fold(0.0, f64::max);
+        let best = self
+            .tariff
+            .indexes
+            .iter()
+            .map(|row| row.gain)
+            .fold(0.0, f64::max);
         let allowed = ROOM + (1.0 - ROOM) * self.row(of).gain / best.max(1e-9);
         let (sight, mut planned, index) = (Rc::clone(sight), BTreeMap::new(), of.index);
-        let (left, shards) =
-            (of.soft.since(now).0 as f64 * allowed, of.parts.iter().map(|part| (part.shard, part.weight)));
+        let (left, shards) = (
+            of.soft.since(now).0 as f64 * allowed,
+            of.parts.iter().map(|part| (part.shard, part.weight)),
+        );
         let (shards, least): (Vec<_>, f64) = (shards.collect(), self.row(of).least);
         let mut in_time = 0.0;
         for (shard, weight) in shards {
             let holders = self.holders(shard, &[]);
-            let Some(node) = self.choose(&holders, index, &planned) else { continue };
+            let Some(node) = self.choose(&holders, index, &planned) else {
+                continue;
+            };
             let done = foreseen(&sight.borrow(), node, index, &planned);
-            in_time += if done.is_some_and(|done| done <= left) { weight } else { 0.0 };
+            in_time += if done.is_some_and(|done| done <= left) {
+                weight
+            } else {
+                0.0
+            };
             *planned.entry(node).or_default() += 1.0;
         }
         in_time + 1e-9 >= least
     }
 
     fn call(
-        &mut self, now: Micros, id: LookupId, at: usize, planned: &mut BTreeMap<NodeId, f64>,
+        &mut self,
+        now: Micros,
+        id: LookupId,
+        at: usize,
+        planned: &mut BTreeMap<NodeId, f64>,
         out: &mut dyn Actions,
     ) {
-        let Some(of) = self.lookups.get(&id) else { return };
+        let Some(of) = self.lookups.get(&id) else {
+            return;
+        };
         let (part, limit) = (&of.parts[at], if now < of.soft { of.soft } else { of.end });
         let (part_id, index, holders) = (part.id, of.index, self.holders(part.shard, &part.calls));
-        let Some(node) = self.choose(&holders, index, planned) else { return };
+        let Some(node) = self.choose(&holders, index, planned) else {
+            return;
+        };
         *planned.entry(node).or_default() += 1.0;
         if let Some(seen) = self.nodes.get_mut(&node) {
             seen.out += 1;
@@ -258,14 +367,22 @@
     }
 
     fn may_repeat(&self, of: &Held, part: &Part) -> bool {
-        let may_have_run =
-            part.calls.iter().any(|(_, ending)| !matches!(ending, Some(Ending::NeverRan | Ending::Unsent)));
+        let may_have_run = part
+            .calls
+            .iter()
+            .any(|(_, ending)| !matches!(ending, Some(Ending::NeverRan | Ending::Unsent)));
         let harmless = !may_have_run || self.row(of).repeat == Repeat::Idempotent;
-        harmless && self.tariff.most_calls.is_none_or(|most| part.calls.len() < most)
+        harmless
+            && self
+                .tariff
+                .most_calls
+                .is_none_or(|most| part.calls.len() < most)
     }
 
     fn close(&mut self, id: LookupId, out: &mut dyn Actions) {
-        let Some(of) = self.lookups.remove(&id) else { return };
+        let Some(of) = self.lookups.remove(&id) else {
+            return;
+        };
         for part in &of.parts {
             self.parts.remove(&part.id);
             for (at, (node, ending)) in part.calls.iter().enumerate() {
@@ -281,11 +398,25 @@
 
     /// Answers, gives up, or goes on.
     fn settle(&mut self, now: Micros, id: LookupId, out: &mut dyn Actions) {
-        let Some(of) = self.lookups.get(&id).filter(|of| of.parts.len() == of.expected) else { return };
-        let share: f64 = of.parts.iter().filter(|part| part.in_hand).map(|part| part.weight).sum();
+        let Some(of) = self
+            .lookups
+            .get(&id)
+            .filter(|of| of.parts.len() == of.expected)
+        else {
+            return;
+        };
+        let share: f64 = of
+            .parts
+            .iter()
+            .filter(|part| part.in_hand)
+            .map(|part| part.weight)
+            .sum();
         let all = of.parts.iter().all(|part| part.in_hand);
         let waits = |part: &Part| part.calls.iter().any(|(_, ending)| ending.is_none());
-        let more = of.parts.iter().any(|part| !part.in_hand && (waits(part) || self.may_repeat(of, part)));
+        let more = of
+            .parts
+            .iter()
+            .any(|part| !part.in_hand && (waits(part) || self.may_repeat(of, part)));
         let enough = share > 0.0 && share + 1e-9 >= self.row(of).least;
         let over = now + KEPT_BACK.times(2.0) >= of.end;
         if all || enough && (!more || now + KEPT_BACK >= of.soft || over) {
@@ -295,8 +426,9 @@
         if !more || over {
             let repeat = self.row(of).repeat == Repeat::Idempotent;
             let ran = of.parts.iter().flat_map(|part| &part.calls);
-            let ran =
-                ran.into_iter().any(|(_, ending)| !matches!(ending, Some(Ending::NeverRan | Ending::Unsent)));
+            let ran = ran
+                .into_iter()
+                .any(|(_, ending)| !matches!(ending, Some(Ending::NeverRan | Ending::Unsent)));
             match repeat || !ran {
                 true => out.nack(id, Micros(0)),
                 false => out.abort(id),
@@ -305,7 +437,9 @@
         }
         let again: Vec<usize> = (0..of.parts.len())
             .filter(|at| {
-                !of.parts[*at].in_hand && !waits(&of.parts[*at]) && self.may_repeat(of, &of.parts[*at])
+                !of.parts[*at].in_hand
+                    && !waits(&of.parts[*at])
+                    && self.may_repeat(of, &of.parts[*at])
             })
             .collect();
         let mut planned = BTreeMap::new();
@@ -323,22 +457,55 @@
 
 impl Policy for Plain {
     fn lookup(
-        &mut self, now: Micros, id: LookupId, index: IndexNo, _: CustomerNo, expected: usize, left: Micros,
-        _: bool, out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        id: LookupId,
+        index: IndexNo,
+        _: CustomerNo,
+        expected: usize,
+        left: Micros,
+        _: bool,
+        out: &mut dyn Actions,
     ) {
         let soft = now + self.tariff.indexes[index.at()].soft.min(left);
-        self.lookups.insert(id, Held { index, soft, end: now + left, expected, parts: Vec::new() });
+        self.lookups.insert(
+            id,
+            Held {
+                index,
+                soft,
+                end: now + left,
+                expected,
+                parts: Vec::new(),
+            },
+        );
         self.beat(out);
     }
 
     fn part(
-        &mut self, now: Micros, id: PartId, lookup: LookupId, shard: ShardNo, weight: f64, _: Option<Micros>,
+        &mut self,
+        now: Micros,
+        id: PartId,
+        lookup: LookupId,
+        shard: ShardNo,
+        weight: f64,
+        _: Option<Micros>,
         out: &mut dyn Actions,
     ) {
-        let Some(of) = self.lookups.get_mut(&lookup) else { return };
+        let Some(of) = self.lookups.get_mut(&lookup) else {
+            return;
+        };
         self.parts.insert(id, (lookup, of.parts.len()));
-        of.parts.push(Part { id, shard, weight, calls: Vec::new(), in_hand: false });
-        let complete = self.lookups.get(&lookup).is_some_and(|of| of.parts.len() == of.expected);
+        of.parts.push(Part {
+            id,
+            shard,
+            weight,
+            calls: Vec::new(),
+            in_hand: false,
+        });
+        let complete = self
+            .lookups
+            .get(&lookup)
+            .is_some_and(|of| of.parts.len() == of.expected);
         if complete && !self.foresees(now, lookup) {
             out.nack(lookup, Micros(0));
             return self.close(lookup, out);
@@ -347,17 +514,32 @@
     }
 
     fn returned(
-        &mut self, now: Micros, part: PartId, call: CallNo, node: NodeId, _: Micros, ending: Ending,
-        report: &[f64], out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        part: PartId,
+        call: CallNo,
+        node: NodeId,
+        _: Micros,
+        ending: Ending,
+        report: &[f64],
+        out: &mut dyn Actions,
     ) {
         if let Some(seen) = self.nodes.get_mut(&node) {
             seen.report = report.first().copied().or(seen.report);
         }
-        let Some((id, at)) = self.parts.get(&part).copied() else { return };
-        let Some(of) = self.lookups.get_mut(&id) else { return };
+        let Some((id, at)) = self.parts.get(&part).copied() else {
+            return;
+        };
+        let Some(of) = self.lookups.get_mut(&id) else {
+            return;
+        };
         let part = &mut of.parts[at];
         part.in_hand |= ending == Ending::Satisfied;
-        if let Some(call) = part.calls.get_mut(usize::from(call.0)).filter(|call| call.1.is_none()) {
+        if let Some(call) = part
+            .calls
+            .get_mut(usize::from(call.0))
+            .filter(|call| call.1.is_none())
+        {
             call.1 = Some(ending);
             if let Some(seen) = self.nodes.get_mut(&node) {
                 seen.out = seen.out.saturating_sub(1);
@@ -378,7 +560,9 @@
 
     fn roster(&mut self, _: Micros, list: &[Listing], full: bool, out: &mut dyn Actions) {
         if full {
-            self.nodes.values_mut().for_each(|node| node.listing.phase = Phase::Gone);
+            self.nodes
+                .values_mut()
+                .for_each(|node| node.listing.phase = Phase::Gone);
         }
         for listing in list {
             self.nodes.entry(listing.node).or_default().listing = *listing;
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -24,13 +24,22 @@
     let alive = stat.state().is_ok_and(|state| state != ProcState::Zombie);
     let cpu = (stat.utime + stat.stime) * 1_000_000 / procfs::ticks_per_second();
     let descriptors = process.fd_count().ok()?;
-    alive.then_some((cpu, stat.rss * procfs::page_size() / 1024, descriptors as u64))
+    alive.then_some((
+        cpu,
+        stat.rss * procfs::page_size() / 1024,
+        descriptors as u64,
+    ))
 }
 
 /// The command that serves. Its log is off; `stderr` may be set anew.
 pub fn serve(program: &Path, config: &Path, settings: &Path) -> Command {
     let mut command = Command::new(program);
-    command.arg("serve").arg("--config").arg(config).arg("--settings").arg(settings);
+    command
+        .arg("serve")
+        .arg("--config")
+        .arg(config)
+        .arg("--settings")
+        .arg(settings);
     command.env("RUST_LOG", "off").stdin(Stdio::null());
     // SAFETY: both calls are async-signal-safe and touch nothing of this process's memory. The child ends with the thread
     // that started it, and a file that may not grow is an error to it, as a full disk is.
@@ -68,10 +77,15 @@
 
 /// Lets no file of a process grow beyond what it has now, or lets all grow again: a disk that is full, and has room.
 pub fn full_disk(pid: u32, full: bool) {
-    let Some(pid) = i32::try_from(pid).ok().and_then(Pid::from_raw) else { return };
+    let Some(pid) = i32::try_from(pid).ok().and_then(Pid::from_raw) else {
+        return;
+    };
     let before = rustix::process::getrlimit(rustix::process::Resource::Fsize);
     let current = if full { Some(1) } else { before.maximum };
-    let limit = rustix::process::Rlimit { current, maximum: before.maximum };
+    let limit = rustix::process::Rlimit {
+        current,
+        maximum: before.maximum,
+    };
     // One that has just ended has no disk to fill.
     let _ = rustix::process::prlimit(Some(pid), rustix::process::Resource::Fsize, limit);
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -46,11 +46,18 @@
 fn groups(days: &[Day]) -> Vec<Group<'_>> {
     let mut groups: Vec<Group> = Vec::new();
     for day in days {
-        let same = |of: &&mut Group| of.world == day.world && of.load == day.load && of.policy == day.policy;
+        let same = |of: &&mut Group| {
+            of.world == day.world && of.load == day.load && of.policy == day.policy
+        };
         match groups.iter_mut().find(same) {
             Some(group) => group.days.push(day),
             None => {
-                groups.push(Group { world: &day.world, load: day.load, policy: day.policy, days: vec![day] });
+                groups.push(Group {
+                    world: &day.world,
+                    load: day.load,
+                    policy: day.policy,
+                    days: vec![day],
+                });
             }
         }
     }
@@ -65,14 +72,23 @@
     fn service(&self) -> Interval {
         let of: Vec<f64> = self.days.iter().map(|day| day.service).collect();
         let mean = self.mean(|day| day.service);
-        interval(&of).unwrap_or(Interval { mean, low: mean, high: mean, count: of.len() })
+        interval(&of).unwrap_or(Interval {
+            mean,
+            low: mean,
+            high: mean,
+            count: of.len(),
+        })
     }
 
     /// Days on which service came back after the last trouble, of those that had one, and the mean seconds it took.
     fn back(&self) -> (usize, usize, f64) {
         let troubled: Vec<&&Day> = self.days.iter().filter(|day| day.troubled).collect();
         let back: Vec<f64> = troubled.iter().filter_map(|day| day.back_after).collect();
-        (back.len(), troubled.len(), back.iter().sum::<f64>() / back.len().max(1) as f64)
+        (
+            back.len(),
+            troubled.len(),
+            back.iter().sum::<f64>() / back.len().max(1) as f64,
+        )
     }
 
     fn broken(&self) -> u64 {
@@ -106,7 +122,9 @@
         (_, 0) => format!("never in {troubled}"),
         (_, back) => format!("{after:.1} in {back} of {troubled}"),
     };
-    let share = |count: fn(&Day) -> u64| of.mean(|day| count(day) as f64 / day.figures.lookups.max(1) as f64);
+    let share = |count: fn(&Day) -> u64| {
+        of.mean(|day| count(day) as f64 / day.figures.lookups.max(1) as f64)
+    };
     vec![
         of.world.to_owned(),
         format!("{:.2}", of.load),
@@ -134,14 +152,26 @@
 
 /// Rows under heads, in columns that also a page of docs can show.
 pub fn text_table(heads: &[&str], rows: &[Vec<String>]) -> String {
-    let width = |at: usize| rows.iter().map(|row| row[at].len()).chain([heads[at].len()]).max().unwrap_or(0);
+    let width = |at: usize| {
+        rows.iter()
+            .map(|row| row[at].len())
+            .chain([heads[at].len()])
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..heads.len()).map(width).collect();
     let line = |cells: &mut dyn Iterator<Item = &str>| {
-        let cells: Vec<String> = cells.zip(&widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
+        let cells: Vec<String> = cells
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:<width$}"))
+            .collect();
         format!("| {} |\n", cells.join(" | "))
     };
     let mut text = line(&mut heads.iter().copied());
-    let dashes: Vec<String> = widths.iter().map(|width| "-".repeat((*width).max(3))).collect();
+    let dashes: Vec<String> = widths
+        .iter()
+        .map(|width| "-".repeat((*width).max(3)))
+        .collect();
     text += &line(&mut dashes.iter().map(String::as_str));
     for row in rows {
         text += &line(&mut row.iter().map(String::as_str));
@@ -155,7 +185,8 @@
     for group in groups(days) {
         to.write_record(cells(&group))?;
     }
-    to.into_inner().map_err(|error| Failed::Table(csv::Error::from(error.into_error())))
+    to.into_inner()
+        .map_err(|error| Failed::Table(csv::Error::from(error.into_error())))
 }
 
 /// A figure of a day.
@@ -184,20 +215,29 @@
         let failed = |what: String| Failed::Chart(self.title.clone(), what);
         {
             let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
-            self.draw(&area).map_err(|error| failed(error.to_string()))?;
+            self.draw(&area)
+                .map_err(|error| failed(error.to_string()))?;
             area.present().map_err(|error| failed(error.to_string()))?;
         }
         Ok(text)
     }
 
     fn draw(
-        &self, area: &DrawingArea<SVGBackend, plotters::coord::Shift>,
+        &self,
+        area: &DrawingArea<SVGBackend, plotters::coord::Shift>,
     ) -> Result<(), DrawingAreaErrorKind<<SVGBackend<'_> as DrawingBackend>::ErrorType>> {
         let points = || self.lines.iter().flat_map(|line| &line.points);
-        let (left, right) =
-            points().fold((f64::MAX, f64::MIN), |(low, high), (x, _)| (low.min(*x), high.max(*x)));
-        let top = self.most.unwrap_or_else(|| points().map(|(_, y)| *y).fold(0.0, f64::max) * 1.1);
-        let (left, right) = if left < right { (left, right) } else { (left - 1.0, left + 1.0) };
+        let (left, right) = points().fold((f64::MAX, f64::MIN), |(low, high), (x, _)| {
+            (low.min(*x), high.max(*x))
+        });
+        let top = self
+            .most
+            .unwrap_or_else(|| points().map(|(_, y)| *y).fold(0.0, f64::max) * 1.1);
+        let (left, right) = if left < right {
+            (left, right)
+        } else {
+            (left - 1.0, left + 1.0)
+        };
         area.fill(&WHITE)?;
         let (main, side) = area.split_horizontally(SIZE.0 - LEGEND);
         let mut chart = ChartBuilder::on(&main)
@@ -207,7 +247,11 @@
             .y_label_area_size(52)
             .build_cartesian_2d(left..right, 0.0..top.max(1e-6))?;
         for (from, to, _) in &self.marks {
-            let to = if to > from { *to } else { from + (right - left) / 200.0 };
+            let to = if to > from {
+                *to
+            } else {
+                from + (right - left) / 200.0
+            };
             chart.draw_series(std::iter::once(Rectangle::new(
                 [(*from, 0.0), (to.min(right), top)],
                 RGBColor(250, 225, 200).filled(),
@@ -222,22 +266,43 @@
             .draw()?;
         for (at, line) in self.lines.iter().enumerate() {
             let colour = COLOURS[at % COLOURS.len()];
-            chart.draw_series(LineSeries::new(line.points.iter().copied(), colour.stroke_width(2)))?;
+            chart.draw_series(LineSeries::new(
+                line.points.iter().copied(),
+                colour.stroke_width(2),
+            ))?;
             // Beside the chart, where it hides nothing.
             let down = 50 + 20 * at as i32;
-            side.draw(&PathElement::new(vec![(4, down), (22, down)], colour.stroke_width(2)))?;
-            side.draw(&Text::new(line.name.clone(), (28, down - 7), ("sans-serif", 13).into_font()))?;
+            side.draw(&PathElement::new(
+                vec![(4, down), (22, down)],
+                colour.stroke_width(2),
+            ))?;
+            side.draw(&Text::new(
+                line.name.clone(),
+                (28, down - 7),
+                ("sans-serif", 13).into_font(),
+            ))?;
             chart.draw_series(line.bars.iter().map(|(x, low, high)| {
-                PathElement::new(vec![(*x, low.max(0.0)), (*x, high.min(top))], colour.stroke_width(1))
+                PathElement::new(
+                    vec![(*x, low.max(0.0)), (*x, high.min(top))],
+                    colour.stroke_width(1),
+                )
             }))?;
             if line.points.len() < 30 {
-                chart.draw_series(line.points.iter().map(|point| Circle::new(*point, 3, colour.filled())))?;
+                chart.draw_series(
+                    line.points
+                        .iter()
+                        .map(|point| Circle::new(*point, 3, colour.filled())),
+                )?;
             }
         }
         for (at, (from, _, word)) in self.marks.iter().enumerate() {
             let style = ("sans-serif", 12).into_font().color(&RGBColor(150, 90, 30));
             let height = top * (0.04 + 0.05 * (at % 4) as f64);
-            chart.draw_series(std::iter::once(Text::new(word.clone(), (*from, height), style)))?;
+            chart.draw_series(std::iter::once(Text::new(
+                word.clone(),
+                (*from, height),
+                style,
+            )))?;
         }
         Ok(())
     }
@@ -245,14 +310,21 @@
 
 fn marks(world: &World) -> Vec<(f64, f64, String)> {
     let seconds = |micros: u64| micros as f64 / 1e6;
-    world.troubles.iter().map(|of| (seconds(of.at), seconds(of.end()), of.kind.to_string())).collect()
+    world
+        .troubles
+        .iter()
+        .map(|of| (seconds(of.at), seconds(of.end()), of.kind.to_string()))
+        .collect()
 }
 
 /// What a lookup costs the fleet beside its parts' work, against the number of nodes, where worlds differ in that.
 fn by_size(plan: &Plan, groups: &[Group]) -> Option<Chart<'static>> {
     let first = plan.loads.first().copied().unwrap_or(1.0);
-    let mut sizes: Vec<(&str, usize)> =
-        plan.worlds.iter().map(|world| (world.name.as_str(), world.node_count())).collect();
+    let mut sizes: Vec<(&str, usize)> = plan
+        .worlds
+        .iter()
+        .map(|world| (world.name.as_str(), world.node_count()))
+        .collect();
     sizes.sort_by_key(|(_, nodes)| *nodes);
     if sizes.first()?.1 == sizes.last()?.1 {
         return None;
@@ -266,10 +338,16 @@
             });
             Some(((*nodes as f64).log10(), extra))
         });
-        Line { name: policy.to_string(), points: points.collect(), bars: Vec::new() }
+        Line {
+            name: policy.to_string(),
+            points: points.collect(),
+            bars: Vec::new(),
+        }
     };
     Some(Chart {
-        title: format!("new connections and further calls a lookup against fleet size, load {first}"),
+        title: format!(
+            "new connections and further calls a lookup against fleet size, load {first}"
+        ),
         across: "nodes (1: ten, 2: a hundred, 3: a thousand)",
         up: "a lookup",
         lines: plan.policies.iter().map(line).collect(),
@@ -282,12 +360,25 @@
 pub fn charts(plan: &Plan, days: &[Day]) -> Result<BTreeMap<String, String>, Failed> {
     let (mut charts, groups) = (BTreeMap::new(), groups(days));
     for world in &plan.worlds {
-        let of: Vec<&Group> = groups.iter().filter(|group| group.world == world.name).collect();
+        let of: Vec<&Group> = groups
+            .iter()
+            .filter(|group| group.world == world.name)
+            .collect();
         for load in &plan.loads {
             let lines = of.iter().filter(|group| group.load == *load).map(|group| {
-                let seconds = group.days.iter().map(|day| day.by_second.len()).min().unwrap_or(0);
-                let points = (0..seconds).map(|at| (at as f64, group.mean(|day| day.by_second[at])));
-                Line { name: group.policy.to_string(), points: points.collect(), bars: Vec::new() }
+                let seconds = group
+                    .days
+                    .iter()
+                    .map(|day| day.by_second.len())
+                    .min()
+                    .unwrap_or(0);
+                let points =
+                    (0..seconds).map(|at| (at as f64, group.mean(|day| day.by_second[at])));
+                Line {
+                    name: group.policy.to_string(),
+                    points: points.collect(),
+                    bars: Vec::new(),
+                }
             });
             let chart = Chart {
                 title: format!("{}: service by second, load {load}", world.name),
@@ -302,12 +393,19 @@
         let policies = || plan.policies.iter();
         let by_load = |policy: Who, of_group: &dyn Fn(&Group) -> (f64, f64, f64)| {
             let mine: Vec<&&Group> = of.iter().filter(|group| group.policy == policy).collect();
-            let points = mine.iter().map(|group| (group.load, of_group(group).0)).collect();
+            let points = mine
+                .iter()
+                .map(|group| (group.load, of_group(group).0))
+                .collect();
             let bars = mine.iter().map(|group| {
                 let (_, low, high) = of_group(group);
                 (group.load, low, high)
             });
-            Line { name: policy.to_string(), points, bars: bars.collect() }
+            Line {
+                name: policy.to_string(),
+                points,
+                bars: bars.collect(),
+            }
         };
         if plan.loads.len() > 1 {
             let service = |group: &Group| {
@@ -318,7 +416,9 @@
                 title: format!("{}: gain against load", world.name),
                 across: "times the world's own rate",
                 up: "share of gain",
-                lines: policies().map(|policy| by_load(*policy, &service)).collect(),
+                lines: policies()
+                    .map(|policy| by_load(*policy, &service))
+                    .collect(),
                 marks: Vec::new(),
                 most: Some(1.05),
             };
@@ -332,8 +432,14 @@
         let first = plan.loads.first().copied().unwrap_or(1.0);
         let lines = of.iter().filter(|group| group.load == first).map(|group| {
             // Drawn by nines, so that the tail has its room.
-            let points = quantiles.iter().map(|(q, of)| (-(1.0 - q / 100.0).log10(), group.mean(of)));
-            Line { name: group.policy.to_string(), points: points.collect(), bars: Vec::new() }
+            let points = quantiles
+                .iter()
+                .map(|(q, of)| (-(1.0 - q / 100.0).log10(), group.mean(of)));
+            Line {
+                name: group.policy.to_string(),
+                points: points.collect(),
+                bars: Vec::new(),
+            }
         });
         let chart = Chart {
             title: format!("{}: time to the answer, load {first}", world.name),
@@ -345,10 +451,20 @@
         };
         charts.insert(format!("{}-latency.svg", world.name), chart.svg()?);
         let lines = of.iter().filter(|group| group.load == first).map(|group| {
-            let ranks = group.days.iter().map(|day| day.figures.by_rank.len()).min().unwrap_or(0);
+            let ranks = group
+                .days
+                .iter()
+                .map(|day| day.figures.by_rank.len())
+                .min()
+                .unwrap_or(0);
             let share = |at: usize| 100.0 * at as f64 / (ranks - 1).max(1) as f64;
-            let points = (0..ranks).map(|at| (share(at), group.mean(|day| day.figures.by_rank[at])));
-            Line { name: group.policy.to_string(), points: points.collect(), bars: Vec::new() }
+            let points =
+                (0..ranks).map(|at| (share(at), group.mean(|day| day.figures.by_rank[at])));
+            Line {
+                name: group.policy.to_string(),
+                points: points.collect(),
+                bars: Vec::new(),
+            }
         });
         let chart = Chart {
             title: format!("{}: load by node, load {first}", world.name),
@@ -396,12 +512,19 @@
 pub fn png(name: &str, svg: &str) -> Result<Vec<u8>, Failed> {
     let failed = |what: String| Failed::Chart(name.to_owned(), what);
     let mut options = usvg::Options::default();
-    options.fontdb_mut().load_font_data(dejavu::sans::regular().to_vec());
+    options
+        .fontdb_mut()
+        .load_font_data(dejavu::sans::regular().to_vec());
     options.fontdb_mut().set_sans_serif_family("DejaVu Sans");
     let tree = usvg::Tree::from_str(svg, &options).map_err(|error| failed(error.to_string()))?;
     let (width, height) = (tree.size().width() as u32, tree.size().height() as u32);
-    let mut dots = tiny_skia::Pixmap::new(2 * width, 2 * height).ok_or_else(|| failed("too large".into()))?;
-    resvg::render(&tree, tiny_skia::Transform::from_scale(2.0, 2.0), &mut dots.as_mut());
+    let mut dots =
+        tiny_skia::Pixmap::new(2 * width, 2 * height).ok_or_else(|| failed("too large".into()))?;
+    resvg::render(
+        &tree,
+        tiny_skia::Transform::from_scale(2.0, 2.0),
+        &mut dots.as_mut(),
+    );
     dots.encode_png().map_err(|error| failed(error.to_string()))
 }
 
@@ -411,12 +534,19 @@
     let mut files = vec![
         ("table.txt".to_owned(), table(days).into_bytes()),
         ("table.csv".to_owned(), csv(days)?),
-        ("report.html".to_owned(), page(plan, days, &charts).into_bytes()),
+        (
+            "report.html".to_owned(),
+            page(plan, days, &charts).into_bytes(),
+        ),
     ];
     for (name, svg) in charts.iter().filter(|_| as_png) {
         files.push((name.replace(".svg", ".png"), png(name, svg)?));
     }
-    files.extend(charts.into_iter().map(|(name, svg)| (name, svg.into_bytes())));
+    files.extend(
+        charts
+            .into_iter()
+            .map(|(name, svg)| (name, svg.into_bytes())),
+    );
     for (name, bytes) in &files {
         ternpick_store::replace(&out.join(name), bytes)?;
     }
--- a/lab/src/sim/asks.rs
+++ b/lab/src/sim/asks.rs
@@ -59,8 +59,13 @@
 impl Asks {
     pub fn new(world: &World, chance: Pcg64Mcg, by_tries: Pcg64Mcg) -> Asks {
         let c = &world.clients;
-        let keys = (c.popular > 0.0).then(|| Zipf::new(c.keys as f64, c.popular).ok()).flatten();
-        let storms = world.troubles.iter().filter(|of| of.kind == Kind::RetryStorm);
+        let keys = (c.popular > 0.0)
+            .then(|| Zipf::new(c.keys as f64, c.popular).ok())
+            .flatten();
+        let storms = world
+            .troubles
+            .iter()
+            .filter(|of| of.kind == Kind::RetryStorm);
         let most = storms.map(|of| of.times).fold(1.0, f64::max);
         Asks {
             next: 0,
@@ -104,7 +109,11 @@
     }
 
     fn draw(
-        &mut self, world: &World, now: u64, deadly: impl Fn(u8, f64) -> bool, client: Option<u32>,
+        &mut self,
+        world: &World,
+        now: u64,
+        deadly: impl Fn(u8, f64) -> bool,
+        client: Option<u32>,
     ) -> Ask {
         let index = Asks::pick(&mut self.chance, &self.weights);
         let of = &world.indexes[index];
@@ -119,17 +128,27 @@
             .map(|shard| {
                 let work = draw_work(&of.work, &mut self.chance);
                 let off = of.hint.powf(self.chance.random_range(-1.0..=1.0));
-                AskPart { shard: shard as u32, weight: 0.0, hint: ((work as f64 * off) as u64).max(1), work }
+                AskPart {
+                    shard: shard as u32,
+                    weight: 0.0,
+                    hint: ((work as f64 * off) as u64).max(1),
+                    work,
+                }
             })
             .collect();
         let all: f64 = parts.iter().map(|part| part.hint as f64).sum();
-        parts.iter_mut().for_each(|part| part.weight = part.hint as f64 / all);
+        parts
+            .iter_mut()
+            .for_each(|part| part.weight = part.hint as f64 / all);
         let tenant = Asks::pick(&mut self.chance, &self.tenants) as u16;
         let lot = self.chance.random();
         for number in [now, index as u64, key, u64::from(tenant)] {
             self.asked.write_u64(number);
         }
-        parts.iter().for_each(|part| self.asked.write_u64(u64::from(part.shard) << 40 | part.work));
+        parts.iter().for_each(|part| {
+            self.asked
+                .write_u64(u64::from(part.shard) << 40 | part.work)
+        });
         Ask {
             index: index as u8,
             tenant,
@@ -158,7 +177,8 @@
         "pareto" => Pareto::new(mean * 1.2 / 2.2, 2.2).map_or(mean, |of| of.sample(chance)),
         _ => {
             let sigma = (1.0 + of.spread * of.spread).ln().sqrt();
-            LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma).map_or(mean, |of| of.sample(chance))
+            LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma)
+                .map_or(mean, |of| of.sample(chance))
         }
     };
     (drawn as u64).max(1)
@@ -182,11 +202,19 @@
             self.schedule(self.now + gap, Event::Due(None));
         }
         let deadly = &self.deadly;
-        let fatal = |index, lot| deadly.values().any(|(of, share)| *of == index && lot < *share);
+        let fatal = |index, lot| {
+            deadly
+                .values()
+                .any(|(of, share)| *of == index && lot < *share)
+        };
         let ask = self.asks.draw(self.world, self.now, fatal, client);
         self.asks.next += 1;
         let id = AskId(self.asks.next);
-        self.measure.offered(self.now, &self.world.indexes[usize::from(ask.index)], ask.deadly);
+        self.measure.offered(
+            self.now,
+            &self.world.indexes[usize::from(ask.index)],
+            ask.deadly,
+        );
         self.asks.open.insert(id, ask);
         self.ask(id);
     }
@@ -195,8 +223,13 @@
     fn ask(&mut self, id: AskId) {
         let (routers, now) = (self.fronts.len() as u32, self.now);
         let router = self.asks.by_tries.random_range(0..routers);
-        let patience = self.asks.by_tries.random_range(self.world.clients.patience..=1.0);
-        let Some(ask) = self.asks.open.get_mut(&id) else { return };
+        let patience = self
+            .asks
+            .by_tries
+            .random_range(self.world.clients.patience..=1.0);
+        let Some(ask) = self.asks.open.get_mut(&id) else {
+            return;
+        };
         let hard = self.world.indexes[usize::from(ask.index)].hard;
         ask.tries += 1;
         ask.step += 1;
@@ -220,7 +253,9 @@
     }
 
     pub(super) fn client_leaves(&mut self, id: AskId, number: u32) {
-        let Some(ask) = self.trying(id, number) else { return };
+        let Some(ask) = self.trying(id, number) else {
+            return;
+        };
         let (router, lookup) = (ask.router, ask.lookup);
         if let Some(lookup) = lookup {
             self.client_left(router, lookup);
@@ -229,7 +264,9 @@
     }
 
     pub(super) fn client_hears(&mut self, id: AskId, number: u32, word: Word) {
-        let Some(ask) = self.trying(id, number) else { return };
+        let Some(ask) = self.trying(id, number) else {
+            return;
+        };
         let more = 1 + (f64::from(self.world.clients.retries) * self.more_retries) as u32;
         let once = self.world.indexes[usize::from(ask.index)].repeat == Repeated::OnceOnly;
         let goes_on = ask.tries < more && self.now < self.ends;
@@ -246,18 +283,24 @@
 
     fn tries_again(&mut self, id: AskId, come_back: u64) {
         let back_off = self.world.clients.back_off;
-        let wait =
-            come_back.max(back_off / 2 + (self.asks.by_tries.random::<f64>() * back_off as f64) as u64);
-        let Some(ask) = self.asks.open.get_mut(&id) else { return };
+        let wait = come_back
+            .max(back_off / 2 + (self.asks.by_tries.random::<f64>() * back_off as f64) as u64);
+        let Some(ask) = self.asks.open.get_mut(&id) else {
+            return;
+        };
         ask.step += 1;
         let number = ask.step;
         self.schedule(self.now + wait, Event::ClientHears(id, number, Word::Again));
     }
 
     fn closes(&mut self, id: AskId, answer: Option<(f64, bool)>, refused: bool) {
-        let Some(ask) = self.asks.open.remove(&id) else { return };
+        let Some(ask) = self.asks.open.remove(&id) else {
+            return;
+        };
         let index = &self.world.indexes[usize::from(ask.index)];
-        self.measure.closed(self.now, index, ask.due, ask.tries, answer, refused, ask.deadly);
+        self.measure.closed(
+            self.now, index, ask.due, ask.tries, answer, refused, ask.deadly,
+        );
         if ask.client.is_some() {
             let thinks = exponential(&mut self.asks.by_tries, self.world.clients.thinks as f64);
             self.schedule(self.now + thinks, Event::Due(ask.client));
@@ -266,7 +309,12 @@
 
     /// Its router has died, or there is none: heard as a broken connection.
     pub(super) fn connection_breaks(&mut self, id: AskId) {
-        let Some(number) = self.asks.get(id).map(|ask| ask.step) else { return };
-        self.schedule(self.now + SECOND / 1000, Event::ClientHears(id, number, Word::NoConnection));
+        let Some(number) = self.asks.get(id).map(|ask| ask.step) else {
+            return;
+        };
+        self.schedule(
+            self.now + SECOND / 1000,
+            Event::ClientHears(id, number, Word::NoConnection),
+        );
     }
 }
--- a/lab/src/sim/fleet.rs
+++ b/lab/src/sim/fleet.rs
@@ -55,7 +55,9 @@
         let fails = of
             .fails
             .zip(of.index_of(call))
-            .is_some_and(|((index, share), own)| index == own && self.by_nodes.random::<f64>() < share);
+            .is_some_and(|((index, share), own)| {
+                index == own && self.by_nodes.random::<f64>() < share
+            });
         let mut effects = std::mem::take(&mut self.effects);
         self.nodes[node as usize].elapsed(self.now, call, fails, &self.world.nodes, &mut effects);
         self.carry_out(node, effects);
@@ -118,13 +120,18 @@
     }
 
     fn some_nodes(&mut self, share: f64, which: impl Fn(&Node) -> bool) -> Vec<u32> {
-        let all: Vec<u32> =
-            (0..).zip(&self.nodes).filter(|(_, node)| which(node)).map(|(at, _)| at).collect();
+        let all: Vec<u32> = (0..)
+            .zip(&self.nodes)
+            .filter(|(_, node)| which(node))
+            .map(|(at, _)| at)
+            .collect();
         self.some(share, all)
     }
 
     fn some(&mut self, share: f64, of: Vec<u32>) -> Vec<u32> {
-        let count = ((of.len() as f64 * share).round() as usize).clamp(1, of.len().max(1)).min(of.len());
+        let count = ((of.len() as f64 * share).round() as usize)
+            .clamp(1, of.len().max(1))
+            .min(of.len());
         let picked = rand::seq::index::sample(&mut self.by_troubles, of.len(), count);
         let mut picked: Vec<u32> = picked.into_iter().map(|at| of[at]).collect();
         picked.sort_unstable();
@@ -139,47 +146,59 @@
             Kind::Crash | Kind::Vanish => {
                 hit = self.some_nodes(of.share, |node| node.up);
                 let back = if of.lasts > 0 { of.lasts } else { restarts };
-                hit.iter().for_each(|node| self.node_dies(*node, of.kind == Kind::Vanish, back));
+                hit.iter()
+                    .for_each(|node| self.node_dies(*node, of.kind == Kind::Vanish, back));
             }
             Kind::ZoneLoss => {
                 hit = self.some_nodes(1.0, |node| node.zone == of.zones[0]);
-                hit.iter().for_each(|node| self.node_dies(*node, true, of.lasts.max(restarts)));
+                hit.iter()
+                    .for_each(|node| self.node_dies(*node, true, of.lasts.max(restarts)));
             }
             Kind::ColdRestart => {
                 hit = self.some_nodes(of.share, |node| node.up);
-                hit.iter().for_each(|node| self.node_dies(*node, false, restarts));
+                hit.iter()
+                    .for_each(|node| self.node_dies(*node, false, restarts));
             }
             Kind::Hang => {
                 hit = self.some_nodes(of.share, |node| node.up);
-                hit.iter().for_each(|node| self.stalls(*node, self.now + of.lasts));
+                hit.iter()
+                    .for_each(|node| self.stalls(*node, self.now + of.lasts));
             }
             Kind::Slow => {
                 hit = self.some_nodes(of.share, |node| node.up);
-                hit.iter().for_each(|node| self.nodes[*node as usize].slow = of.times);
+                hit.iter()
+                    .for_each(|node| self.nodes[*node as usize].slow = of.times);
             }
             Kind::FailIndex => {
                 hit = self.some_nodes(of.share, |node| node.up);
-                hit.iter().for_each(|node| self.nodes[*node as usize].fails = Some((of.index, 0.9)));
+                hit.iter()
+                    .for_each(|node| self.nodes[*node as usize].fails = Some((of.index, 0.9)));
             }
             Kind::LoseAnswers => {
                 hit = self.some_nodes(of.share, |node| node.up);
-                hit.iter().for_each(|node| self.nodes[*node as usize].loses = 0.5);
+                hit.iter()
+                    .for_each(|node| self.nodes[*node as usize].loses = 0.5);
             }
             Kind::HalfDead => {
                 hit = self.some_nodes(of.share, |node| node.up);
-                hit.iter().for_each(|node| self.nodes[*node as usize].half_dead = 0.5);
+                hit.iter()
+                    .for_each(|node| self.nodes[*node as usize].half_dead = 0.5);
             }
             Kind::FrozenReports => {
                 hit = self.some_nodes(of.share, |node| node.up);
-                hit.iter().for_each(|node| self.nodes[*node as usize].frozen = true);
+                hit.iter()
+                    .for_each(|node| self.nodes[*node as usize].frozen = true);
             }
             Kind::UntrueReports => {
                 hit = self.some_nodes(of.share, |node| node.up);
-                hit.iter().for_each(|node| self.nodes[*node as usize].untrue = of.times);
+                hit.iter()
+                    .for_each(|node| self.nodes[*node as usize].untrue = of.times);
             }
             Kind::Drain => {
                 hit = self.some_nodes(of.share, |node| node.up);
-                hit.clone().into_iter().for_each(|node| self.drains(node, number));
+                hit.clone()
+                    .into_iter()
+                    .for_each(|node| self.drains(node, number));
             }
             Kind::Release => {
                 hit = self.some_nodes(of.share, |node| node.up);
@@ -215,7 +234,8 @@
             }
             Kind::ClockSkew => {
                 hit = self.some(of.share, (0..self.fronts.len() as u32).collect());
-                hit.iter().for_each(|at| self.fronts[*at as usize].skew = (of.times * 1e6) as u64);
+                hit.iter()
+                    .for_each(|at| self.fronts[*at as usize].skew = (of.times * 1e6) as u64);
             }
         }
         self.hit.insert(number, hit);
@@ -244,7 +264,11 @@
             return self.schedule(self.now + FLAPS, Event::Releases(number, 0));
         }
         if at > u32::MAX as usize {
-            return self.node_dies((usize::MAX - at) as u32, false, self.world.nodes.restarts_in);
+            return self.node_dies(
+                (usize::MAX - at) as u32,
+                false,
+                self.world.nodes.restarts_in,
+            );
         }
         if let Some(node) = self.hit.get(&number).and_then(|hit| hit.get(at)).copied() {
             self.drains(node, number);
