--- a/lab/src/sim/front.rs
+++ b/lab/src/sim/front.rs
@@ -8,8 +8,8 @@
 use ternpick::brain::Brain;
 use ternpick::interface::Actions;
 use ternpick::types::{
-    CallNo, CustomerNo, Ending, IndexNo, Listing, LookupId, Micros, NodeId, PartId, Phase, ShardNo, TimerId,
-    ZoneNo,
+    CallNo, CustomerNo, Ending, IndexNo, Listing, LookupId, Micros, NodeId, PartId, Phase, ShardNo,
+    TimerId, ZoneNo,
 };
 
 use super::asks::AskId;
@@ -113,10 +113,18 @@
     next: u64,
 }
 
-fn policy(world: &World, who: Who, router: u32, epoch: u32, seed: u64, sight: &Sight) -> Box<dyn Policy> {
+fn policy(
+    world: &World,
+    who: Who,
+    router: u32,
+    epoch: u32,
+    seed: u64,
+    sight: &Sight,
+) -> Box<dyn Policy> {
     let zone = ZoneNo((router % u32::from(world.network.zones)) as u16);
     let tariff = world.tariff(zone);
-    let own = seed ^ (u64::from(router) << 32 | u64::from(epoch)).wrapping_mul(0xd134_2543_de82_ef95);
+    let own =
+        seed ^ (u64::from(router) << 32 | u64::from(epoch)).wrapping_mul(0xd134_2543_de82_ef95);
     let choice = match who {
         Who::Design => return Box::new(Brain::new(tariff, own)),
         Who::Random => Choice::Random,
@@ -132,7 +140,13 @@
 impl Front {
     /// A process in its `epoch`, with a clock that is so far ahead.
     pub fn new(
-        world: &World, who: Who, router: u32, epoch: u32, skew: u64, seed: u64, sight: &Sight,
+        world: &World,
+        who: Who,
+        router: u32,
+        epoch: u32,
+        skew: u64,
+        seed: u64,
+        sight: &Sight,
     ) -> Front {
         Front {
             zone: (router % u32::from(world.network.zones)) as u16,
@@ -164,7 +178,10 @@
         (self.up, self.watching, self.epoch) = (false, false, self.epoch + 1);
         self.parts.clear();
         self.connections.clear();
-        std::mem::take(&mut self.lookups).into_values().map(|held| held.ask).collect()
+        std::mem::take(&mut self.lookups)
+            .into_values()
+            .map(|held| held.ask)
+            .collect()
     }
 
     pub fn closes_connections(&mut self, node: u32) {
@@ -195,7 +212,11 @@
         self.look(router);
         let mut acts = Acts::default();
         let front = &mut self.fronts[router as usize];
-        see(front.policy.as_mut(), Micros(self.now + front.skew), &mut acts);
+        see(
+            front.policy.as_mut(),
+            Micros(self.now + front.skew),
+            &mut acts,
+        );
         let mut returns = Vec::new();
         for act in acts.0 {
             self.act(router, act, &mut returns);
@@ -211,14 +232,22 @@
             return;
         }
         let zone = self.fronts[router as usize].zone;
-        let cut = |to: u16| self.blocked.contains_key(&(zone, to)) || self.blocked.contains_key(&(to, zone));
+        let cut = |to: u16| {
+            self.blocked.contains_key(&(zone, to)) || self.blocked.contains_key(&(to, zone))
+        };
         let (of, now) = (&self.world.nodes, self.now);
-        let mean = self.world.indexes.iter().map(|index| index.work.mean as f64).fold(0.0, f64::max);
+        let mean = self
+            .world
+            .indexes
+            .iter()
+            .map(|index| index.work.mean as f64)
+            .fold(0.0, f64::max);
         let mut sight = self.sight.borrow_mut();
         for (node, seen) in self.nodes.iter().zip(sight.iter_mut()) {
             let moves = node.up && !node.draining && node.stalled <= now;
             let sound = moves && node.loses == 0.0 && !cut(node.zone);
-            let done = node.backlog(now) / of.cores as f64 + mean * node.slow / node.warmth(now, of);
+            let done =
+                node.backlog(now) / of.cores as f64 + mean * node.slow / node.warmth(now, of);
             let each = mean * node.slow / node.warmth(now, of) / of.cores as f64;
             *seen = (sound && node.bears(now, mean as u64, of)).then_some(Seen {
                 done,
@@ -232,13 +261,32 @@
         match act {
             Act::Call(part, node, limit) => self.part_call(router, part, node.0 as u32, limit.0),
             Act::Answer(lookup, whole) => {
-                let share = self.fronts[router as usize].lookups.get(&lookup).map_or(0.0, |held| {
-                    held.parts.iter().filter(|part| part.in_hand).map(|part| part.weight).sum()
-                });
-                self.close(router, lookup, Final::Answered { whole }, Word::Answered { share, whole });
+                let share = self.fronts[router as usize]
+                    .lookups
+                    .get(&lookup)
+                    .map_or(0.0, |held| {
+                        held.parts
+                            .iter()
+                            .filter(|part| part.in_hand)
+                            .map(|part| part.weight)
+                            .sum()
+                    });
+                self.close(
+                    router,
+                    lookup,
+                    Final::Answered { whole },
+                    Word::Answered { share, whole },
+                );
             }
             Act::Nack(lookup, come_back) => {
-                self.close(router, lookup, Final::Nacked, Word::Nacked { come_back: come_back.0 });
+                self.close(
+                    router,
+                    lookup,
+                    Final::Nacked,
+                    Word::Nacked {
+                        come_back: come_back.0,
+                    },
+                );
             }
             Act::Abort(lookup) => self.close(router, lookup, Final::Aborted, Word::Aborted),
             Act::Cancel(part, number) => {
@@ -250,7 +298,9 @@
             Act::CloseIdle(node) => {
                 let carries = |call: &Call| call.router == router && u64::from(call.node) == node.0;
                 if !self.calls.values().any(carries) {
-                    self.fronts[router as usize].connections.remove(&(node.0 as u32));
+                    self.fronts[router as usize]
+                        .connections
+                        .remove(&(node.0 as u32));
                 }
             }
             Act::Probe(node) => {
@@ -262,7 +312,10 @@
             Act::Watch => self.watch(router),
             Act::Timer(delay, timer) => {
                 let epoch = self.fronts[router as usize].epoch;
-                self.schedule(self.now + delay.0.max(1), Event::Timer(router, epoch, timer));
+                self.schedule(
+                    self.now + delay.0.max(1),
+                    Event::Timer(router, epoch, timer),
+                );
             }
         }
     }
@@ -271,16 +324,23 @@
     fn close(&mut self, router: u32, lookup: LookupId, how: Final, word: Word) {
         self.checker.ended(self.now, router, lookup.0, how);
         let front = &mut self.fronts[router as usize];
-        let Some(held) = front.lookups.remove(&lookup) else { return };
+        let Some(held) = front.lookups.remove(&lookup) else {
+            return;
+        };
         for part in &held.parts {
             front.parts.remove(&part.id);
         }
         let delay = self.nearby();
-        self.schedule(self.now + delay, Event::ClientHears(held.ask, held.step, word));
+        self.schedule(
+            self.now + delay,
+            Event::ClientHears(held.ask, held.step, word),
+        );
     }
 
     pub(super) fn arrives(&mut self, id: AskId, step: u32) {
-        let Some(ask) = self.trying(id, step) else { return };
+        let Some(ask) = self.trying(id, step) else {
+            return;
+        };
         let (router, marks) = (ask.router, self.world.clients.marks_retries);
         if !self.fronts[router as usize].up {
             return self.connection_breaks(id);
@@ -288,13 +348,17 @@
         let ask = ask.clone();
         let front = &self.fronts[router as usize];
         if front.lookups.len() + front.parts.len() >= self.world.most_held {
-            return self.schedule(self.now, Event::ClientHears(id, step, Word::Nacked { come_back: 0 }));
+            return self.schedule(
+                self.now,
+                Event::ClientHears(id, step, Word::Nacked { come_back: 0 }),
+            );
         }
         let index = &self.world.indexes[usize::from(ask.index)];
         let front = &mut self.fronts[router as usize];
         let lookup = LookupId(front.number());
         let mark = |at: usize| {
-            (index.repeat == Repeated::Fingerprinted).then_some((id.0 << 16 | at as u64, index.window))
+            (index.repeat == Repeated::Fingerprinted)
+                .then_some((id.0 << 16 | at as u64, index.window))
         };
         let end = ask.end();
         let mut parts = Vec::with_capacity(ask.parts.len());
@@ -310,31 +374,55 @@
                 deadly: ask.deadly,
             };
             front.parts.insert(part_id, (lookup, at));
-            parts.push(HeldPart { id: part_id, weight: part.weight, in_hand: false, job, calls: 0 });
+            parts.push(HeldPart {
+                id: part_id,
+                weight: part.weight,
+                in_hand: false,
+                job,
+                calls: 0,
+            });
         }
         let told: Vec<(PartId, u32, f64, u64)> = parts
             .iter()
             .zip(&ask.parts)
             .map(|(held, part)| (held.id, part.shard, part.weight, part.hint))
             .collect();
-        front.lookups.insert(lookup, Held { ask: id, step, parts });
+        front.lookups.insert(
+            lookup,
+            Held {
+                ask: id,
+                step,
+                parts,
+            },
+        );
         self.set_lookup(id, lookup);
         let weights = told.iter().map(|(part, _, weight, _)| (part.0, *weight));
-        self.checker.took(router, lookup.0, repeats(index), index.least, end, weights);
+        self.checker
+            .took(router, lookup.0, repeats(index), index.least, end, weights);
         let left = Micros(end.saturating_sub(self.now));
         let repeat = marks && ask.tries > 1;
         self.sees(router, |policy, now, out| {
             let (index, customer) = (IndexNo(ask.index), CustomerNo(ask.tenant));
             policy.lookup(now, lookup, index, customer, told.len(), left, repeat, out);
             for (part, shard, weight, hint) in told {
-                policy.part(now, part, lookup, ShardNo(shard), weight, Some(Micros(hint)), out);
+                policy.part(
+                    now,
+                    part,
+                    lookup,
+                    ShardNo(shard),
+                    weight,
+                    Some(Micros(hint)),
+                    out,
+                );
             }
         });
     }
 
     pub(super) fn client_left(&mut self, router: u32, lookup: LookupId) {
         let front = &mut self.fronts[router as usize];
-        let Some(held) = front.lookups.remove(&lookup) else { return };
+        let Some(held) = front.lookups.remove(&lookup) else {
+            return;
+        };
         for part in &held.parts {
             front.parts.remove(&part.id);
         }
@@ -345,8 +433,16 @@
     fn part_call(&mut self, router: u32, part: PartId, node: u32, limit: u64) {
         let now = self.now;
         let front = &mut self.fronts[router as usize];
-        let Some((lookup, at)) = front.parts.get(&part).copied() else { return };
-        let Some(held) = front.lookups.get_mut(&lookup).map(|held| &mut held.parts[at]) else { return };
+        let Some((lookup, at)) = front.parts.get(&part).copied() else {
+            return;
+        };
+        let Some(held) = front
+            .lookups
+            .get_mut(&lookup)
+            .map(|held| &mut held.parts[at])
+        else {
+            return;
+        };
         self.next_call += 1;
         let id = CallId(self.next_call);
         let (number, mut job) = (CallNo(held.calls), held.job);
@@ -354,7 +450,10 @@
         (job.call, job.due) = (id, now + limit);
         let Node { up, epoch, .. } = self.nodes[node as usize];
         let idle = self.world.nodes.idle_close;
-        let kept = front.connections.get(&node).is_some_and(|(of, used)| *of == epoch && now - used < idle);
+        let kept = front
+            .connections
+            .get(&node)
+            .is_some_and(|(of, used)| *of == epoch && now - used < idle);
         self.checker.sent(now, router, lookup.0, part.0, node);
         self.measure.part_call(now, number.0 > 0);
         let delay = self.between(router, node, Way::There);
@@ -369,7 +468,11 @@
             (true, Some(delay)) => Some(delay),
             // Nobody listens: refused after one turn, or no word at all from a machine that has vanished.
             (false, Some(delay)) if !up => {
-                fails_after = Some(if self.vanished.contains(&node) { dial } else { 2 * delay });
+                fails_after = Some(if self.vanished.contains(&node) {
+                    dial
+                } else {
+                    2 * delay
+                });
                 None
             }
             (false, Some(delay)) => {
@@ -379,28 +482,48 @@
             }
         };
         if arrives.is_some() {
-            self.fronts[router as usize].connections.insert(node, (epoch, now));
-        }
-        self.calls.insert(id, Call { router, lookup, part, at, number, node, sent: now, job });
+            self.fronts[router as usize]
+                .connections
+                .insert(node, (epoch, now));
+        }
+        self.calls.insert(
+            id,
+            Call {
+                router,
+                lookup,
+                part,
+                at,
+                number,
+                node,
+                sent: now,
+                job,
+            },
+        );
         self.out.insert((router, part.0, number.0), id);
         match (arrives, fails_after) {
             (Some(delay), _) => self.schedule(now + delay, Event::Delivers(id)),
-            (None, Some(after)) => {
-                self.schedule(now + after, Event::Returns(id, Ending::NeverRan, Vec::new()))
-            }
+            (None, Some(after)) => self.schedule(
+                now + after,
+                Event::Returns(id, Ending::NeverRan, Vec::new()),
+            ),
             (None, None) => {}
         }
         self.schedule(now + limit, Event::CallDue(id));
     }
 
     pub(super) fn delivers(&mut self, id: CallId) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let (node, job, router) = (call.node, call.job, call.router);
         if !self.nodes[node as usize].up {
             // It died while this was on its way; the reset comes back, if anything does.
             let resets = !self.vanished.contains(&node);
             if let (true, Some(delay)) = (resets, self.between(router, node, Way::Back)) {
-                self.schedule(self.now + delay, Event::Returns(id, Ending::Broken, Vec::new()));
+                self.schedule(
+                    self.now + delay,
+                    Event::Returns(id, Ending::Broken, Vec::new()),
+                );
             }
             return;
         }
@@ -412,7 +535,9 @@
     /// An answer of a node goes out.
     pub(super) fn node_answers(&mut self, node: u32, id: CallId, ending: Ending) {
         let loses = self.nodes[node as usize].loses;
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let router = call.router;
         if loses > 0.0 && self.by_nodes.random::<f64>() < loses {
             return;
@@ -429,8 +554,11 @@
     /// What a node says of itself, in the columns of its world.
     fn says(&mut self, node: u32) -> Vec<f64> {
         let noise = self.by_nodes.random_range(-1.0..=1.0);
-        let Report { latency, queue, rate } =
-            self.nodes[node as usize].report(self.now, noise, &self.world.nodes);
+        let Report {
+            latency,
+            queue,
+            rate,
+        } = self.nodes[node as usize].report(self.now, noise, &self.world.nodes);
         let column = |name: &String| match name.as_str() {
             "latency" => latency,
             "queue" => queue,
@@ -440,7 +568,9 @@
     }
 
     pub(super) fn returns(&mut self, id: CallId, ending: Ending, report: &[f64]) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let (router, node) = (call.router, call.node);
         if let Some((_, used)) = self.fronts[router as usize].connections.get_mut(&node) {
             *used = self.now;
@@ -450,31 +580,56 @@
 
     /// The one place where a call ends for its router.
     fn tell(&mut self, router: u32, id: CallId, ending: Ending, report: &[f64]) {
-        let Some(call) = self.calls.remove(&id) else { return };
+        let Some(call) = self.calls.remove(&id) else {
+            return;
+        };
         self.out.remove(&(router, call.part.0, call.number.0));
         let may = !matches!(ending, Ending::NeverRan | Ending::Unsent);
         let satisfied = ending == Ending::Satisfied;
-        self.checker.returned(router, call.lookup.0, call.part.0, usize::from(call.number.0), satisfied, may);
+        self.checker.returned(
+            router,
+            call.lookup.0,
+            call.part.0,
+            usize::from(call.number.0),
+            satisfied,
+            may,
+        );
         let front = &mut self.fronts[router as usize];
-        let held = front.lookups.get_mut(&call.lookup).and_then(|held| held.parts.get_mut(call.at));
+        let held = front
+            .lookups
+            .get_mut(&call.lookup)
+            .and_then(|held| held.parts.get_mut(call.at));
         if let Some(part) = held.filter(|_| satisfied) {
             part.in_hand = true;
         }
         let lag = Micros(self.now - call.sent);
         self.sees(router, |policy, now, out| {
-            policy.returned(now, call.part, call.number, node_id(call.node), lag, ending, report, out);
+            policy.returned(
+                now,
+                call.part,
+                call.number,
+                node_id(call.node),
+                lag,
+                ending,
+                report,
+                out,
+            );
         });
     }
 
     pub(super) fn call_due(&mut self, id: CallId) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let router = call.router;
         self.cancel_at_node(id);
         self.tell(router, id, Ending::MayHaveRun, &[]);
     }
 
     fn cancel_at_node(&mut self, id: CallId) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let (router, node) = (call.router, call.node);
         let epoch = self.nodes[node as usize].epoch;
         if self.world.nodes.cancel == "none" {
@@ -487,17 +642,28 @@
 
     /// A node's process has ended: its connections break, unless its machine is gone too.
     pub(super) fn connections_break(&mut self, node: u32, resets: bool) {
-        let mut broken: Vec<CallId> =
-            self.calls.iter().filter(|(_, call)| call.node == node).map(|(id, _)| *id).collect();
+        let mut broken: Vec<CallId> = self
+            .calls
+            .iter()
+            .filter(|(_, call)| call.node == node)
+            .map(|(id, _)| *id)
+            .collect();
         broken.sort_unstable();
         for id in broken.into_iter().filter(|_| resets) {
-            let Some(call) = self.calls.get(&id) else { continue };
+            let Some(call) = self.calls.get(&id) else {
+                continue;
+            };
             let router = call.router;
             if let Some(delay) = self.between(router, node, Way::Back) {
-                self.schedule(self.now + delay, Event::Returns(id, Ending::Broken, Vec::new()));
+                self.schedule(
+                    self.now + delay,
+                    Event::Returns(id, Ending::Broken, Vec::new()),
+                );
             }
         }
-        self.fronts.iter_mut().for_each(|front| front.closes_connections(node));
+        self.fronts
+            .iter_mut()
+            .for_each(|front| front.closes_connections(node));
     }
 
     pub(super) fn timer(&mut self, router: u32, epoch: u32, timer: TimerId) {
@@ -521,7 +687,9 @@
 
     pub(super) fn probe_returns(&mut self, router: u32, epoch: u32, node: u32, report: &[f64]) {
         if self.alive(router, epoch) {
-            self.sees(router, |policy, now, out| policy.probed(now, node_id(node), report, out));
+            self.sees(router, |policy, now, out| {
+                policy.probed(now, node_id(node), report, out)
+            });
         }
     }
 
@@ -542,18 +710,24 @@
 
     /// The whole list as discovery knew it after so many changes.
     fn list_at(&self, version: usize) -> Vec<Listing> {
-        let mut list: BTreeMap<NodeId, Listing> = self.first_list.iter().map(|of| (of.node, *of)).collect();
+        let mut list: BTreeMap<NodeId, Listing> =
+            self.first_list.iter().map(|of| (of.node, *of)).collect();
         for change in &self.changes[..version] {
             list.insert(change.node, *change);
         }
-        list.into_values().filter(|of| of.phase != Phase::Gone).collect()
+        list.into_values()
+            .filter(|of| of.phase != Phase::Gone)
+            .collect()
     }
 
     fn tell_list(&mut self, now: u64, router: u32, list: &[Listing], full: bool) {
         for of in list {
-            self.checker.told(now, router, of.node.0 as u32, of.phase == Phase::Ready);
+            self.checker
+                .told(now, router, of.node.0 as u32, of.phase == Phase::Ready);
         }
-        self.sees(router, |policy, now, out| policy.roster(now, list, full, out));
+        self.sees(router, |policy, now, out| {
+            policy.roster(now, list, full, out)
+        });
     }
 
     pub(super) fn told(&mut self, router: u32, epoch: u32, version: usize) {
@@ -631,7 +805,14 @@
     /// A new process in a dead one's place.
     pub(super) fn renew_router(&mut self, router: u32) {
         let Front { epoch, skew, .. } = self.fronts[router as usize];
-        self.fronts[router as usize] =
-            Front::new(self.world, self.who, router, epoch, skew, self.seed, &self.sight);
+        self.fronts[router as usize] = Front::new(
+            self.world,
+            self.who,
+            router,
+            epoch,
+            skew,
+            self.seed,
+            &self.sight,
+        );
     }
 }
--- a/lab/src/sim/mod.rs
+++ b/lab/src/sim/mod.rs
@@ -174,12 +174,17 @@
 
 impl<'a> Sim<'a> {
     fn new(world: &'a World, who: Who, seed: u64) -> Sim<'a> {
-        let stream = |number: u64| Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number);
+        let stream = |number: u64| {
+            Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number)
+        };
         let n = &world.nodes;
         let nodes: Vec<Node> = (0..world.node_count() as u32)
             .map(|at| Node::new((at % u32::from(world.network.zones)) as u16, at / n.a_cell))
             .collect();
-        let first_list = (0..).zip(&nodes).map(|(at, node)| fleet::listing(at, node, Phase::Ready)).collect();
+        let first_list = (0..)
+            .zip(&nodes)
+            .map(|(at, node)| fleet::listing(at, node, Phase::Ready))
+            .collect();
         let sight = Sight::new(vec![None; nodes.len()].into());
         let mut sim = Sim {
             world,
@@ -239,7 +244,10 @@
             self.start_router(router);
         }
         for trouble in 0..self.world.troubles.len() {
-            let (at, lasts) = (self.world.troubles[trouble].at, self.world.troubles[trouble].lasts);
+            let (at, lasts) = (
+                self.world.troubles[trouble].at,
+                self.world.troubles[trouble].lasts,
+            );
             self.schedule(ZERO + at, Event::Begins(trouble));
             if lasts > 0 {
                 self.schedule(ZERO + at + lasts, Event::Over(trouble));
@@ -254,7 +262,8 @@
             0 => self.schedule(ZERO, Event::Due(None)),
             closed => {
                 for client in 0..closed as u32 {
-                    let at = ZERO + exponential(&mut self.by_network, self.world.clients.thinks as f64);
+                    let at =
+                        ZERO + exponential(&mut self.by_network, self.world.clients.thinks as f64);
                     self.schedule(at, Event::Due(Some(client)));
                 }
             }
@@ -263,7 +272,13 @@
 
     fn run(&mut self) {
         // What was due in the day is waited for.
-        let hard = self.world.indexes.iter().map(|of| of.hard).max().unwrap_or(0);
+        let hard = self
+            .world
+            .indexes
+            .iter()
+            .map(|of| of.hard)
+            .max()
+            .unwrap_or(0);
         let tries = u64::from(self.asks.most_tries());
         let last = self.ends + (hard + self.world.clients.back_off * 8 + SECOND) * tries;
         while let Some(Scheduled { at, event, .. }) = self.heap.pop() {
@@ -279,7 +294,11 @@
 
     fn schedule(&mut self, at: u64, event: Event) {
         self.numbers += 1;
-        self.heap.push(Scheduled { at: at.max(self.now), number: self.numbers, event });
+        self.heap.push(Scheduled {
+            at: at.max(self.now),
+            number: self.numbers,
+            event,
+        });
     }
 
     /// The time of a message from one zone to another, on a link that loses such a share; none: it does not come through.
@@ -305,7 +324,10 @@
 
     /// The time of a message from a router to a node, or back.
     fn between(&mut self, router: u32, node: u32, way: Way) -> Option<u64> {
-        let (zone, of) = (self.fronts[router as usize].zone, &self.nodes[node as usize]);
+        let (zone, of) = (
+            self.fronts[router as usize].zone,
+            &self.nodes[node as usize],
+        );
         let (from, to) = match way {
             Way::There => (zone, of.zone),
             Way::Back => (of.zone, zone),
@@ -346,13 +368,20 @@
             Event::Cancels(node, epoch, call) => {
                 if self.nodes[node as usize].epoch == epoch {
                     let mut effects = std::mem::take(&mut self.effects);
-                    self.nodes[node as usize].cancels(self.now, call, &self.world.nodes, &mut effects);
+                    self.nodes[node as usize].cancels(
+                        self.now,
+                        call,
+                        &self.world.nodes,
+                        &mut effects,
+                    );
                     self.carry_out(node, effects);
                 }
             }
             Event::Timer(router, epoch, timer) => self.timer(router, epoch, timer),
             Event::Probe(router, epoch, node) => self.probe_arrives(router, epoch, node),
-            Event::Probed(router, epoch, node, report) => self.probe_returns(router, epoch, node, &report),
+            Event::Probed(router, epoch, node, report) => {
+                self.probe_returns(router, epoch, node, &report)
+            }
             Event::Visible(version) => self.becomes_visible(version),
             Event::Told(router, epoch, version) => self.told(router, epoch, version),
             Event::WatchFails(router, epoch) => self.watch_fails(router, epoch),
@@ -378,7 +407,12 @@
         let begins = self.world.troubles.iter().map(|of| of.at).min();
         let by_second = self.measure.by_second();
         let back_after = ends.zip(begins).and_then(|(ends, begins)| {
-            crate::measure::back_after(&by_second, self.world.settle, begins / SECOND, ends / SECOND)
+            crate::measure::back_after(
+                &by_second,
+                self.world.settle,
+                begins / SECOND,
+                ends / SECOND,
+            )
         });
         let figures = self.measure.figures(&self.nodes, self.world);
         Day {
--- a/lab/src/sim/planted.rs
+++ b/lab/src/sim/planted.rs
@@ -51,7 +51,8 @@
         if self.fault == Fault::Forgets && lookup.0.is_multiple_of(10) {
             return;
         }
-        self.out.answer(lookup, whole || self.fault == Fault::AllWhole);
+        self.out
+            .answer(lookup, whole || self.fault == Fault::AllWhole);
         if self.fault == Fault::AnswersTwice {
             self.out.answer(lookup, whole);
         }
@@ -84,31 +85,63 @@
 
 impl Planted {
     fn bent<R>(&mut self, out: &mut dyn Actions, of: impl FnOnce(&mut Plain, &mut Bent) -> R) -> R {
-        of(&mut self.inner, &mut Bent { out, fault: self.fault })
+        of(
+            &mut self.inner,
+            &mut Bent {
+                out,
+                fault: self.fault,
+            },
+        )
     }
 }
 
 impl Policy for Planted {
     fn lookup(
-        &mut self, now: Micros, id: LookupId, index: IndexNo, customer: CustomerNo, expected: usize,
-        left: Micros, repeat: bool, out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        id: LookupId,
+        index: IndexNo,
+        customer: CustomerNo,
+        expected: usize,
+        left: Micros,
+        repeat: bool,
+        out: &mut dyn Actions,
     ) {
-        self.bent(out, |of, out| of.lookup(now, id, index, customer, expected, left, repeat, out));
+        self.bent(out, |of, out| {
+            of.lookup(now, id, index, customer, expected, left, repeat, out)
+        });
         if self.fault == Fault::Hasty {
             out.answer(id, false);
         }
     }
     fn part(
-        &mut self, now: Micros, id: PartId, lookup: LookupId, shard: ShardNo, weight: f64,
-        hint: Option<Micros>, out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        id: PartId,
+        lookup: LookupId,
+        shard: ShardNo,
+        weight: f64,
+        hint: Option<Micros>,
+        out: &mut dyn Actions,
     ) {
-        self.bent(out, |of, out| of.part(now, id, lookup, shard, weight, hint, out));
+        self.bent(out, |of, out| {
+            of.part(now, id, lookup, shard, weight, hint, out)
+        });
     }
     fn returned(
-        &mut self, now: Micros, part: PartId, call: CallNo, node: NodeId, lag: Micros, ending: Ending,
-        report: &[f64], out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        part: PartId,
+        call: CallNo,
+        node: NodeId,
+        lag: Micros,
+        ending: Ending,
+        report: &[f64],
+        out: &mut dyn Actions,
     ) {
-        self.bent(out, |of, out| of.returned(now, part, call, node, lag, ending, report, out));
+        self.bent(out, |of, out| {
+            of.returned(now, part, call, node, lag, ending, report, out)
+        });
     }
     fn probed(&mut self, now: Micros, node: NodeId, report: &[f64], out: &mut dyn Actions) {
         self.bent(out, |of, out| of.probed(now, node, report, out));
@@ -118,8 +151,11 @@
     }
     fn roster(&mut self, now: Micros, list: &[Listing], full: bool, out: &mut dyn Actions) {
         let deaf = self.fault == Fault::DeafToDrains;
-        let kept: Vec<Listing> =
-            list.iter().filter(|of| !deaf || of.phase != Phase::Draining).copied().collect();
+        let kept: Vec<Listing> = list
+            .iter()
+            .filter(|of| !deaf || of.phase != Phase::Draining)
+            .copied()
+            .collect();
         self.bent(out, |of, out| of.roster(now, &kept, full, out));
     }
     fn roster_failed(&mut self, now: Micros, out: &mut dyn Actions) {
@@ -161,10 +197,16 @@
         sim.begin();
         sim.run();
         let day = sim.finish(1.0);
-        day.breaches.iter().map(|breach| breach.rule).collect::<Vec<Rule>>()
+        day.breaches
+            .iter()
+            .map(|breach| breach.rule)
+            .collect::<Vec<Rule>>()
     };
     let found = day(Some(fault));
     assert!(found.contains(&rule), "{found:?}");
     let sound = day(None);
-    assert!(sound.iter().all(|rule| *rule == Rule::ColdSpared), "{sound:?}");
+    assert!(
+        sound.iter().all(|rule| *rule == Rule::ColdSpared),
+        "{sound:?}"
+    );
 }
--- a/lab/src/standins.rs
+++ b/lab/src/standins.rs
@@ -88,14 +88,18 @@
     /// # Panics
     /// Where loopback has no port.
     pub fn start(acts: [Act; 2]) -> Node {
-        Node::start_slow(acts, Duration::ZERO).unwrap_or_else(|error| panic!("no port on loopback: {error}"))
+        Node::start_slow(acts, Duration::ZERO)
+            .unwrap_or_else(|error| panic!("no port on loopback: {error}"))
     }
 
     /// One that takes so long for each part.
     pub fn start_slow(acts: [Act; 2], takes: Duration) -> std::io::Result<Node> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let (told, frames) = sync_channel(MOST_TOLD);
-        let (acts, streams) = (Arc::new(Mutex::new(acts)), Arc::<Mutex<Vec<TcpStream>>>::default());
+        let (acts, streams) = (
+            Arc::new(Mutex::new(acts)),
+            Arc::<Mutex<Vec<TcpStream>>>::default(),
+        );
         let shared = Arc::new(Shared {
             takes,
             acts: Arc::clone(&acts),
@@ -106,7 +110,13 @@
             sends: Mutex::default(),
         });
         let (address, frames) = (listener.local_addr()?, Mutex::new(frames));
-        let node = Node { address, acts, frames, streams, shared: Arc::clone(&shared) };
+        let node = Node {
+            address,
+            acts,
+            frames,
+            streams,
+            shared: Arc::clone(&shared),
+        };
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 if let Ok(clone) = stream.try_clone() {
@@ -140,7 +150,10 @@
 
     /// How often each part was sent here, by its id.
     pub fn sends(&self) -> Vec<(String, u64)> {
-        lock(&self.shared.sends).iter().map(|(part, sends)| (part.clone(), *sends)).collect()
+        lock(&self.shared.sends)
+            .iter()
+            .map(|(part, sends)| (part.clone(), *sends))
+            .collect()
     }
 
     /// The next frame of a letter, waited for.
@@ -166,7 +179,12 @@
 }
 
 pub fn frame(letter: u8, rest: &str) -> Vec<u8> {
-    [&(1 + rest.len() as u32).to_le_bytes()[..], &[letter], rest.as_bytes()].concat()
+    [
+        &(1 + rest.len() as u32).to_le_bytes()[..],
+        &[letter],
+        rest.as_bytes(),
+    ]
+    .concat()
 }
 
 /// A part to answer when its time has come, the earliest first.
@@ -175,15 +193,21 @@
 fn serve(mut stream: TcpStream, shared: &Shared) {
     // Each answer is a small write of its own.
     let _ = stream.set_nodelay(true);
-    let (mut input, mut into, mut due, mut number) = (Ring::new(INPUT), Vec::new(), BinaryHeap::new(), 0);
+    let (mut input, mut into, mut due, mut number) =
+        (Ring::new(INPUT), Vec::new(), BinaryHeap::new(), 0);
     loop {
         let suffers = *lock(&shared.suffers);
         if suffers == Some(Fault::Stall) {
             thread::sleep(TURN);
             continue;
         }
-        while due.peek().is_some_and(|(at, ..): &Due| at.0 .0 <= Instant::now()) {
-            let Some((_, id, shard)) = due.pop() else { break };
+        while due
+            .peek()
+            .is_some_and(|(at, ..): &Due| at.0 .0 <= Instant::now())
+        {
+            let Some((_, id, shard)) = due.pop() else {
+                break;
+            };
             let act = lock(&shared.acts)[shard.min(1)];
             let bytes = answer(&id, shard, act, suffers);
             let ends = act == Act::Reset || suffers == Some(Fault::Cut);
@@ -191,12 +215,16 @@
                 return drop(stream.shutdown(Shutdown::Both));
             }
         }
-        let next = due.peek().map_or(TURN, |(at, ..)| at.0 .0.saturating_duration_since(Instant::now()));
+        let next = due.peek().map_or(TURN, |(at, ..)| {
+            at.0 .0.saturating_duration_since(Instant::now())
+        });
         let wait = next.clamp(Duration::from_micros(50), TURN);
         let mut bytes = [0; 16 * 1024];
         let slow = suffers == Some(Fault::SlowReader);
         let room = if slow { 16 } else { bytes.len() }.min(input.room());
-        let got = stream.set_read_timeout(Some(wait)).and_then(|()| stream.read(&mut bytes[..room]));
+        let got = stream
+            .set_read_timeout(Some(wait))
+            .and_then(|()| stream.read(&mut bytes[..room]));
         match got {
             Ok(0) => return,
             Ok(count) if input.push(&bytes[..count]) => {}
@@ -234,7 +262,9 @@
     while let Some((line, more)) = left.split_once('\n') {
         let words: Vec<&str> = line.split(' ').collect();
         let figure = |at: usize| words.get(at).and_then(|word| word.parse::<usize>().ok());
-        let (Some(shard), Some(length)) = (figure(1), figure(3)) else { return };
+        let (Some(shard), Some(length)) = (figure(1), figure(3)) else {
+            return;
+        };
         *lock(&shared.sends).entry(words[0].to_owned()).or_default() += 1;
         *number += 1;
         due.push((std::cmp::Reverse((at, *number)), words[0].to_owned(), shard));
@@ -253,7 +283,11 @@
         Act::Unfinished => return b"\xff\0\0\0a".to_vec(),
         Act::Silent | Act::Reset => return Vec::new(),
     };
-    let value = if end == "served" { format!("v{shard}") } else { String::new() };
+    let value = if end == "served" {
+        format!("v{shard}")
+    } else {
+        String::new()
+    };
     let whole = frame(b'a', &format!("{id} {end} 5 queue=1\n{value}"));
     match (act, suffers) {
         (Act::Chatty, _) => {
@@ -293,7 +327,8 @@
     /// Where loopback has no port.
     pub fn start(&self) -> SocketAddr {
         let bound = TcpListener::bind("127.0.0.1:0").and_then(|of| Ok((of.local_addr()?, of)));
-        let (address, listener) = bound.unwrap_or_else(|error| panic!("no port on loopback: {error}"));
+        let (address, listener) =
+            bound.unwrap_or_else(|error| panic!("no port on loopback: {error}"));
         let of = self.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -306,10 +341,15 @@
 
     fn serve(&self, mut stream: TcpStream) {
         while let Some(head) = read_head(&mut stream) {
-            let after = head.split("after=").nth(1).and_then(|rest| rest.split('&').next()?.parse().ok());
+            let after = head
+                .split("after=")
+                .nth(1)
+                .and_then(|rest| rest.split('&').next()?.parse().ok());
             let mut roster = lock(&self.0 .0);
-            let wait =
-                head.split("wait_ms=").nth(1).and_then(|rest| rest.split([' ', '&']).next()?.parse().ok());
+            let wait = head
+                .split("wait_ms=")
+                .nth(1)
+                .and_then(|rest| rest.split([' ', '&']).next()?.parse().ok());
             let late = Instant::now() + Duration::from_millis(wait.unwrap_or(0));
             roster.asked = after.unwrap_or(0);
             roster.calls += 1;
@@ -323,7 +363,12 @@
                 if left.is_zero() {
                     break;
                 }
-                roster = self.0 .1.wait_timeout(roster, left).unwrap_or_else(PoisonError::into_inner).0;
+                roster = self
+                    .0
+                     .1
+                    .wait_timeout(roster, left)
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .0;
                 silent |= roster.silent;
             }
             if roster.cut {
@@ -339,7 +384,8 @@
                 false => {
                     // What the caller has already does not come again.
                     let news = after.is_none_or(|after| roster.version > after);
-                    let (version, changes) = (roster.version, if news { &roster.changes[..] } else { "" });
+                    let (version, changes) =
+                        (roster.version, if news { &roster.changes[..] } else { "" });
                     (
                         "200 OK",
                         format!(
@@ -377,7 +423,12 @@
                 .wait_timeout_while(roster, BOUND, |roster| !wanted(roster))
                 .unwrap_or_else(PoisonError::into_inner)
         };
-        assert!(!timed_out.timed_out(), "asked after {} in {} calls", roster.asked, roster.calls);
+        assert!(
+            !timed_out.timed_out(),
+            "asked after {} in {} calls",
+            roster.asked,
+            roster.calls
+        );
     }
 }
 
@@ -395,7 +446,13 @@
 }
 
 /// The same, of a group, and with its last start.
-pub fn entry_of(name: &str, address: SocketAddr, status: &str, group: usize, since_ms: u64) -> String {
+pub fn entry_of(
+    name: &str,
+    address: SocketAddr,
+    status: &str,
+    group: usize,
+    since_ms: u64,
+) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","group":{group},"status":"{status}","since_ms":{since_ms}}}"#
     )
--- a/lab/tests/days.rs
+++ b/lab/tests/days.rs
@@ -38,8 +38,9 @@
     );
     for policy in [Who::Design, Who::TwoChoices, Who::Oracle] {
         let here = Sim::play(&world, policy, 3, 1.0);
-        let there = std::thread::scope(|scope| scope.spawn(|| Sim::play(&world, policy, 3, 1.0)).join())
-            .expect("played");
+        let there =
+            std::thread::scope(|scope| scope.spawn(|| Sim::play(&world, policy, 3, 1.0)).join())
+                .expect("played");
         assert_eq!(here, there);
         assert_ne!(here.trace, Sim::play(&world, policy, 4, 1.0).trace);
     }
@@ -48,20 +49,33 @@
 #[test]
 fn no_policy_changes_what_is_asked_and_when() {
     let more = "routers: 3, nodes: {pause: 200ms, pause_every: 3s}";
-    let world =
-        world(more, "{kind: \"crash\", at: 5s, share: 0.3}, {kind: \"retry-storm\", at: 5s, for: 4s}");
+    let world = world(
+        more,
+        "{kind: \"crash\", at: 5s, share: 0.3}, {kind: \"retry-storm\", at: 5s, for: 4s}",
+    );
     let days = [Who::Design, Who::Random, Who::Oracle].map(|who| Sim::play(&world, who, 3, 1.0));
     assert!(days
         .iter()
         .all(|day| day.asked == days[0].asked && day.figures.lookups == days[0].figures.lookups));
-    assert!(days[0].figures.tries_a_lookup != days[1].figures.tries_a_lookup, "they fare differently");
+    assert!(
+        days[0].figures.tries_a_lookup != days[1].figures.tries_a_lookup,
+        "they fare differently"
+    );
 }
 
 #[test]
 fn a_calm_day_is_served_whole_and_breaks_nothing() {
     let day = day("");
-    assert!(day.service > 0.995 && day.breach_count == 0, "{:?}", (day.service, day.breaches));
-    assert!(day.figures.lookups > 1500 && day.figures.lost == 0, "{:?}", day.figures);
+    assert!(
+        day.service > 0.995 && day.breach_count == 0,
+        "{:?}",
+        (day.service, day.breaches)
+    );
+    assert!(
+        day.figures.lookups > 1500 && day.figures.lost == 0,
+        "{:?}",
+        day.figures
+    );
 }
 
 /// What a trouble changes against the same day without it.
@@ -89,7 +103,12 @@
 #[test_case("{kind: \"clock-skew\", at: 5s, share: 1, times: 30}, {kind: \"cold-restart\", at: 6s, share: 0.3}", |day, _| day.trace != day_of("{kind: \"cold-restart\", at: 6s, share: 0.3}"); "clock skew")]
 fn a_trouble_does_what_it_says(trouble: &str, shows: impl Fn(&Day, &Day) -> bool) {
     let (calm, troubled) = (day(""), day(trouble));
-    assert!(shows(&troubled, &calm), "{:?}\n{:?}", troubled.figures, calm.figures);
+    assert!(
+        shows(&troubled, &calm),
+        "{:?}\n{:?}",
+        troubled.figures,
+        calm.figures
+    );
 }
 
 fn day_of(troubles: &str) -> String {
@@ -104,8 +123,14 @@
     let text = format!(
         "name: \"t\"\nworlds: [{{name: \"w\", clients: rate: 100, {INDEXES},\n  {more},\n  troubles: [{troubles}]}}]"
     );
-    let said = Plan::parse("t.cue", &text).expect_err("refused").to_string();
-    let at = if troubles.is_empty() { "t.cue:7:" } else { "t.cue:8:" };
+    let said = Plan::parse("t.cue", &text)
+        .expect_err("refused")
+        .to_string();
+    let at = if troubles.is_empty() {
+        "t.cue:7:"
+    } else {
+        "t.cue:8:"
+    };
     assert!(said.contains(at), "{said}");
 }
 
@@ -115,20 +140,27 @@
     let text = format!(
         "name: \"t\"\nworlds: [{{name: \"w\", clients: rate: 100, {INDEXES}, troubles: [{troubles}]}}]"
     );
-    let said = Plan::parse("t.cue", &text).expect_err("refused").to_string();
+    let said = Plan::parse("t.cue", &text)
+        .expect_err("refused")
+        .to_string();
     assert!(said.contains("world 'w'") && said.contains(word), "{said}");
 }
 
 #[test]
 fn a_run_that_was_cut_off_goes_on_and_ends_the_same() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut plan = plan("routers: 2", "{kind: \"hang\", at: 5s, for: 4s, share: 0.2}");
+    let mut plan = plan(
+        "routers: 2",
+        "{kind: \"hang\", at: 5s, for: 4s, share: 0.2}",
+    );
     plan.policies = vec![Who::Design, Who::Random];
     let (days, played) = experiment::run(&plan, Some(folder.path())).expect("played");
     assert_eq!((days.len(), played), (6, 6));
     // Two of its files are gone, and one was cut short.
-    let mut files: Vec<_> =
-        std::fs::read_dir(folder.path().join("days")).expect("a folder").flatten().collect();
+    let mut files: Vec<_> = std::fs::read_dir(folder.path().join("days"))
+        .expect("a folder")
+        .flatten()
+        .collect();
     files.sort_by_key(|file| file.path());
     std::fs::remove_file(files[0].path()).expect("removed");
     std::fs::remove_file(files[3].path()).expect("removed");
@@ -146,7 +178,9 @@
     let rows = compare(of(Who::Random), of(Who::Design));
     assert_eq!(rows[0].verdict.to_string(), "better", "{:?}", rows[0]);
     let rows = compare(of(Who::Design), of(Who::Design));
-    assert!(rows.iter().all(|row| row.verdict.to_string() == "no difference seen"));
+    assert!(rows
+        .iter()
+        .all(|row| row.verdict.to_string() == "no difference seen"));
 }
 
 #[test]
@@ -155,11 +189,21 @@
     plan.worlds[0].seconds = 10;
     let from = [experiment::runs(&plan)[0].clone()];
     let finds = hunt(&from, 2, 5, &[], &[Kind::Deadly], |_| ());
-    assert_eq!(finds[0].trace, hunt(&from, 2, 5, &[], &[Kind::Deadly], |_| ())[0].trace);
-    assert!(finds.iter().all(|find| find.run.world.troubles.iter().all(|of| of.kind != Kind::Deadly)));
+    assert_eq!(
+        finds[0].trace,
+        hunt(&from, 2, 5, &[], &[Kind::Deadly], |_| ())[0].trace
+    );
+    assert!(finds.iter().all(|find| find
+        .run
+        .world
+        .troubles
+        .iter()
+        .all(|of| of.kind != Kind::Deadly)));
     assert!(finds[0].loss >= look(&from[0], &[]).loss);
     let small = shrink(&finds[0], 60, |_| ());
-    assert!(small.rule == finds[0].rule && (small.rule.is_some() || small.loss >= finds[0].loss * 0.8));
+    assert!(
+        small.rule == finds[0].rule && (small.rule.is_some() || small.loss >= finds[0].loss * 0.8)
+    );
     assert!(small.run.world.troubles.len() <= finds[0].run.world.troubles.len());
     assert_eq!(look(&small.run, &[]).trace, small.trace);
 }
@@ -178,10 +222,13 @@
 #[test]
 fn kept_finds_can_be_read() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("finds");
-    let kept = std::fs::read_dir(folder).expect("finds").map(|entry| entry.expect("a file").path());
+    let kept = std::fs::read_dir(folder)
+        .expect("finds")
+        .map(|entry| entry.expect("a file").path());
     let read = kept.map(|path| {
         let text = std::fs::read(&path).expect("a text");
-        serde_json::from_slice::<Find>(&text).unwrap_or_else(|bad| panic!("{}: {bad}", path.display()))
+        serde_json::from_slice::<Find>(&text)
+            .unwrap_or_else(|bad| panic!("{}: {bad}", path.display()))
     });
     let names: Vec<String> = read.map(|find| find.run.world.name).collect();
     assert!(names.len() >= 3, "{names:?}");
@@ -189,8 +236,10 @@
 
 #[test]
 fn load_by_node_and_cost_by_size_are_drawn() {
-    let (one, mut other) =
-        (plan("routers: 2", ""), plan("routers: 2, nodes: cells: 12", "").worlds.remove(0));
+    let (one, mut other) = (
+        plan("routers: 2", ""),
+        plan("routers: 2, nodes: cells: 12", "").worlds.remove(0),
+    );
     let mut plan = one;
     other.name = "larger".into();
     plan.worlds.push(other);
@@ -202,7 +251,10 @@
     for day in &days {
         let ranks = &day.figures.by_rank;
         assert!(ranks.len() == 21 && ranks.is_sorted(), "{ranks:?}");
-        assert!(ranks[0] <= day.figures.busy && day.figures.busy <= ranks[20], "{ranks:?}");
+        assert!(
+            ranks[0] <= day.figures.busy && day.figures.busy <= ranks[20],
+            "{ranks:?}"
+        );
         assert!((ranks[20] / day.figures.busy - day.figures.imbalance).abs() < 1e-9);
     }
     let charts = report::charts(&plan, &days).expect("charts");
@@ -210,7 +262,9 @@
     assert!(charts["size-cost.svg"].contains("against fleet size"));
     plan.worlds.pop();
     assert!(
-        !report::charts(&plan, &days).expect("charts").contains_key("size-cost.svg"),
+        !report::charts(&plan, &days)
+            .expect("charts")
+            .contains_key("size-cost.svg"),
         "one size is no line"
     );
 }
--- a/lab/tests/load.rs
+++ b/lab/tests/load.rs
@@ -9,7 +9,11 @@
 fn program() -> PathBuf {
     let test = std::env::current_exe().expect("a path");
     let program = test.ancestors().nth(2).expect("a folder").join("ternpick");
-    assert!(program.exists(), "{} is not there: build the workspace first", program.display());
+    assert!(
+        program.exists(),
+        "{} is not there: build the workspace first",
+        program.display()
+    );
     program
 }
 
@@ -29,7 +33,11 @@
 fn every_lookup_is_answered(more: &str) {
     let of = played(more);
     let answered = of.answers.get(&200).copied().unwrap_or(0);
-    assert_eq!(of.answers.keys().copied().collect::<Vec<u16>>(), [200], "{of:?}");
+    assert_eq!(
+        of.answers.keys().copied().collect::<Vec<u16>>(),
+        [200],
+        "{of:?}"
+    );
     assert!(answered >= 500 && of.parts_sent >= answered * 2, "{of:?}");
 }
 
@@ -48,7 +56,8 @@
 #[test_case("faults: [{kind: \"flood\", at: 1s}]", "t.cue:3"; "an unknown fault")]
 #[test_case("seconds: 100000", "t.cue:3"; "without end")]
 fn a_load_that_makes_no_sense_is_refused(more: &str, word: &str) {
-    let said =
-        Load::parse("t.cue", &format!("name: \"t\"\nrate: 1\n{more}\n")).expect_err("refused").to_string();
+    let said = Load::parse("t.cue", &format!("name: \"t\"\nrate: 1\n{more}\n"))
+        .expect_err("refused")
+        .to_string();
     assert!(said.contains(word), "{said}");
 }
--- a/lab/tests/theory.rs
+++ b/lab/tests/theory.rs
@@ -14,7 +14,10 @@
         "name: \"t\"\nworlds: [{{name: \"queue\", clients: rate: 1, indexes: [{{name: \"one\", work: {work}}}], nodes: \
          {{cores: {cores}, queue: 100000, drops_late: false, dial_work: 0s}}}}]"
     );
-    Plan::parse("t.cue", &text).expect("a plan").worlds.remove(0)
+    Plan::parse("t.cue", &text)
+        .expect("a plan")
+        .worlds
+        .remove(0)
 }
 
 /// What one node did: mean wait in microseconds, mean number here over time, mean time here, arrivals a microsecond.
@@ -39,7 +42,12 @@
     while begun < parts || !ends.is_empty() {
         let soon: Option<u64> = ends.peek().map(|Reverse((at, _))| *at);
         let arrives = begun < parts && soon.is_none_or(|at| next as u64 <= at);
-        let at = if arrives { next as u64 } else { soon.unwrap_or(now) }.max(now);
+        let at = if arrives {
+            next as u64
+        } else {
+            soon.unwrap_or(now)
+        }
+        .max(now);
         area += node.depth() as f64 * (at - now) as f64;
         now = at;
         if arrives {
@@ -74,7 +82,12 @@
         }
     }
     let n = number as f64;
-    Seen { wait: waited / n, number: area / now as f64, stay: stayed / n, rate: n / now as f64 }
+    Seen {
+        wait: waited / n,
+        number: area / now as f64,
+        stay: stayed / n,
+        rate: n / now as f64,
+    }
 }
 
 /// Erlang's C: the share of arrivals that wait.
@@ -100,7 +113,9 @@
 fn waits_are_those_of_m_m_c(cores: usize, load: f64) {
     let world = world(cores, "{kind: \"exponential\", mean: 20ms}");
     let known = erlang_c(cores, load) * 20_000.0 / (cores as f64 * (1.0 - load));
-    let runs: Vec<Seen> = (1..=5).map(|seed| one_node(&world, load, 200_000, 1.0, seed)).collect();
+    let runs: Vec<Seen> = (1..=5)
+        .map(|seed| one_node(&world, load, 200_000, 1.0, seed))
+        .collect();
     let wait = runs.iter().map(|seen| seen.wait).sum::<f64>() / runs.len() as f64;
     assert!(near(wait, known, 0.06), "{wait:.0} us against {known:.0}");
     // A node a tenth slower than it says does not pass.
@@ -123,7 +138,9 @@
     let (world, load) = (world(1, work), 0.7);
     // Pollaczek and Khinchine.
     let known = load / (1.0 - load) * 20_000.0 * (1.0 + spread * spread) / 2.0;
-    let waits: Vec<f64> = (1..=5).map(|seed| one_node(&world, load, 200_000, 1.0, seed).wait).collect();
+    let waits: Vec<f64> = (1..=5)
+        .map(|seed| one_node(&world, load, 200_000, 1.0, seed).wait)
+        .collect();
     let wait = waits.iter().sum::<f64>() / waits.len() as f64;
     assert!(near(wait, known, 0.08), "{wait:.0} us against {known:.0}");
 }
--- a/lab/tests/virtual_fleet.rs
+++ b/lab/tests/virtual_fleet.rs
@@ -10,15 +10,33 @@
 
 /// Days of changes while routers fall silent and speak again, by clocks that drift.
 fn day(drift_ppm: u64, seed: u64) -> Option<String> {
-    let terms = Terms { lease: S, renew: 250 * MS, drift_ppm: 20_000, ..Terms::default() };
-    let mut fleet = Fleet::new(World { routers: 6, voters: 3, terms, drift_ppm, ..World::default() }, seed);
+    let terms = Terms {
+        lease: S,
+        renew: 250 * MS,
+        drift_ppm: 20_000,
+        ..Terms::default()
+    };
+    let mut fleet = Fleet::new(
+        World {
+            routers: 6,
+            voters: 3,
+            terms,
+            drift_ppm,
+            ..World::default()
+        },
+        seed,
+    );
     fleet.until(3 * S);
     for change in 0..6u64 {
         // One of those that only follow stands still for longer than its lease, and its clock with it goes on.
         let silent = 3 + (seed + change) as usize % 3;
         // The slowest clock keeps its lease longest: it is silenced too, while another leads.
         let slow = 1;
-        let whom = if fleet.leader() == Some(slow) { silent } else { slow };
+        let whom = if fleet.leader() == Some(slow) {
+            silent
+        } else {
+            slow
+        };
         fleet.pass(20 * MS * (1 + seed % 7), 5 * MS);
         fleet.silence(whom, true);
         let leader = fleet.leader().unwrap_or(0);
@@ -40,31 +58,55 @@
 #[test]
 fn clocks_that_drift_far_beyond_it_do_and_that_is_seen() {
     let broken = (0..12).filter_map(|seed| day(250_000, seed)).next();
-    assert!(broken.is_some(), "a lease of one second lasts a third longer there than it is waited for");
+    assert!(
+        broken.is_some(),
+        "a lease of one second lasts a third longer there than it is waited for"
+    );
 }
 
 #[test]
 fn a_change_is_in_force_everywhere_or_waits_for_one_lease() {
-    let mut fleet = Fleet::new(World { routers: 20, ..World::default() }, 4);
+    let mut fleet = Fleet::new(
+        World {
+            routers: 20,
+            ..World::default()
+        },
+        4,
+    );
     fleet.until(4 * S);
     let leader = fleet.leader().expect("one leads");
     fleet.propose(leader, 1);
-    let took = fleet.until_in_force(Version(1), MS, fleet.now + 10 * S).expect("in force") - 4 * S;
+    let took = fleet
+        .until_in_force(Version(1), MS, fleet.now + 10 * S)
+        .expect("in force")
+        - 4 * S;
     assert!(took < 100 * MS, "{took} us with all there");
     let silent = (leader + 1) % 20;
     fleet.silence(silent, true);
     let began = fleet.now;
     fleet.propose(leader, 2);
-    let took = fleet.until_in_force(Version(2), MS, fleet.now + 10 * S).expect("in force") - began;
+    let took = fleet
+        .until_in_force(Version(2), MS, fleet.now + 10 * S)
+        .expect("in force")
+        - began;
     assert!((S..2500 * MS).contains(&took), "{took} us with one silent");
     fleet.silence(silent, false);
     fleet.pass(S, 10 * MS);
-    assert_eq!((fleet.version(silent), fleet.broken.clone()), (Some(Version(2)), None));
+    assert_eq!(
+        (fleet.version(silent), fleet.broken.clone()),
+        (Some(Version(2)), None)
+    );
 }
 
 #[test]
 fn nobody_that_hears_the_others_refuses_for_a_change_or_at_rest() {
-    let mut fleet = Fleet::new(World { routers: 9, ..World::default() }, 6);
+    let mut fleet = Fleet::new(
+        World {
+            routers: 9,
+            ..World::default()
+        },
+        6,
+    );
     fleet.until(4 * S);
     (fleet.looked, fleet.refused) = (0, 0);
     for change in 0..20 {
@@ -72,7 +114,12 @@
         fleet.propose(leader, change);
         fleet.pass(500 * MS, MS);
     }
-    assert_eq!((fleet.refused, fleet.version(0)), (0, Some(Version(20))), "{} looks", fleet.looked);
+    assert_eq!(
+        (fleet.refused, fleet.version(0)),
+        (0, Some(Version(20))),
+        "{} looks",
+        fleet.looked
+    );
 }
 
 /// The one that leads falls silent at each moment of a change: all others end under one version, and nothing is broken.
@@ -88,7 +135,13 @@
 #[test_case(15; "fifteen on")]
 #[test_case(20; "twenty on")]
 fn the_leader_goes_in_the_middle(after: u64) {
-    let mut fleet = Fleet::new(World { routers: 7, ..World::default() }, 8);
+    let mut fleet = Fleet::new(
+        World {
+            routers: 7,
+            ..World::default()
+        },
+        8,
+    );
     fleet.until(4 * S);
     let leader = fleet.leader().expect("one leads");
     let other = (leader + 1) % 7;
@@ -96,29 +149,66 @@
     fleet.pass(after * MS, MS);
     fleet.silence(leader, true);
     fleet.pass(8 * S, 5 * MS);
-    let versions: Vec<_> = (0..7).filter(|at| *at != leader).map(|at| fleet.version(at)).collect();
+    let versions: Vec<_> = (0..7)
+        .filter(|at| *at != leader)
+        .map(|at| fleet.version(at))
+        .collect();
     assert!(versions.iter().all(|of| *of == versions[0]), "{versions:?}");
-    assert!(versions[0] == Some(Version(1)), "the proposal is said again until it is heard of: {versions:?}");
+    assert!(
+        versions[0] == Some(Version(1)),
+        "the proposal is said again until it is heard of: {versions:?}"
+    );
     fleet.silence(leader, false);
     fleet.pass(3 * S, 5 * MS);
-    assert_eq!((fleet.version(leader), fleet.broken.clone()), (versions[0], None));
+    assert_eq!(
+        (fleet.version(leader), fleet.broken.clone()),
+        (versions[0], None)
+    );
 }
 
 #[test]
 fn fifty_routers_change_as_fast_as_seven_and_a_silent_tenth_costs_one_lease() {
-    let of = size(World { routers: 50, ..World::default() }, 3, 1);
+    let of = size(
+        World {
+            routers: 50,
+            ..World::default()
+        },
+        3,
+        1,
+    );
     assert_eq!((of.broken.clone(), of.refused_there), (None, 0));
-    assert!(of.all_there_ms.len() == 3 && of.all_there_ms.iter().all(|ms| *ms < 100.0), "{of:?}");
-    assert!(!of.tenth_silent_ms.is_empty() && of.tenth_silent_ms.iter().all(|ms| *ms < 2500.0), "{of:?}");
-    assert!(!of.zone_cut_ms.is_empty() && of.zone_cut_ms.iter().all(|ms| *ms < 2500.0), "{of:?}");
+    assert!(
+        of.all_there_ms.len() == 3 && of.all_there_ms.iter().all(|ms| *ms < 100.0),
+        "{of:?}"
+    );
+    assert!(
+        !of.tenth_silent_ms.is_empty() && of.tenth_silent_ms.iter().all(|ms| *ms < 2500.0),
+        "{of:?}"
+    );
+    assert!(
+        !of.zone_cut_ms.is_empty() && of.zone_cut_ms.iter().all(|ms| *ms < 2500.0),
+        "{of:?}"
+    );
 }
 
 /// Seen once on a busy machine: all were late for the round, all were without a lease for it, and nobody could begin anew.
 #[test]
 fn a_fleet_slower_than_its_patience_changes_all_the_same() {
-    let terms = Terms { lease: 8 * S, renew: S, ..Terms::default() };
-    let mut fleet =
-        Fleet::new(World { routers: 5, voters: 3, terms, late: (60 * MS, 110 * MS), ..World::default() }, 3);
+    let terms = Terms {
+        lease: 8 * S,
+        renew: S,
+        ..Terms::default()
+    };
+    let mut fleet = Fleet::new(
+        World {
+            routers: 5,
+            voters: 3,
+            terms,
+            late: (60 * MS, 110 * MS),
+            ..World::default()
+        },
+        3,
+    );
     fleet.until(10 * S);
     let leader = fleet.leader().expect("one leads");
     fleet.propose(leader, 1);
@@ -135,7 +225,14 @@
 #[test_case(16, 1500)]
 fn with_the_leader_among_two_that_fall_silent_a_change_waits_one_lease(seed: u64, after: u64) {
     let terms = Terms::default();
-    let mut fleet = Fleet::new(World { drift_ppm: terms.drift_ppm, terms, ..World::default() }, seed);
+    let mut fleet = Fleet::new(
+        World {
+            drift_ppm: terms.drift_ppm,
+            terms,
+            ..World::default()
+        },
+        seed,
+    );
     fleet.until(4 * S + seed * 37 * MS);
     let leader = fleet.leader().expect("one leads");
     let also = (leader + 1) % 7;
@@ -144,10 +241,25 @@
     let silent = fleet.now;
     fleet.pass(after * MS, MS);
     fleet.propose((leader + 2) % 7, 1);
-    let there = fleet.until_in_force(Version(1), MS, fleet.now + 10 * S).expect("in force");
-    assert!(there - silent < terms.lease + 500 * MS, "{} us", there - silent);
-    assert!(there - silent >= terms.lease, "{} us: its lease may still run", there - silent);
-    [leader, also].iter().for_each(|at| fleet.silence(*at, false));
+    let there = fleet
+        .until_in_force(Version(1), MS, fleet.now + 10 * S)
+        .expect("in force");
+    assert!(
+        there - silent < terms.lease + 500 * MS,
+        "{} us",
+        there - silent
+    );
+    assert!(
+        there - silent >= terms.lease,
+        "{} us: its lease may still run",
+        there - silent
+    );
+    [leader, also]
+        .iter()
+        .for_each(|at| fleet.silence(*at, false));
     fleet.pass(3 * S, 5 * MS);
-    assert_eq!((fleet.version(leader), fleet.broken.clone()), (Some(Version(1)), None));
+    assert_eq!(
+        (fleet.version(leader), fleet.broken.clone()),
+        (Some(Version(1)), None)
+    );
 }
--- a/limits/examples/fairness.rs
+++ b/limits/examples/fairness.rs
@@ -17,17 +17,37 @@
     for times in [1usize, 10, 100, 1000] {
         for limited in [false, true] {
             // A fair share is 10 a second, and the others ask just that.
-            let (mut got, mut asked) = (vec![0u64; usize::from(TENANTS)], vec![0u64; usize::from(TENANTS)]);
-            let terms = Terms { weight: 1.0, in_hand: 100_000, per_second: 1e9, burst: 1e9, repeats: 1.0 };
+            let (mut got, mut asked) = (
+                vec![0u64; usize::from(TENANTS)],
+                vec![0u64; usize::from(TENANTS)],
+            );
+            let terms = Terms {
+                weight: 1.0,
+                in_hand: 100_000,
+                per_second: 1e9,
+                burst: 1e9,
+                repeats: 1.0,
+            };
             let mut limits = Limits::new(
                 vec![terms; usize::from(TENANTS)],
-                Whole { begins: ROOM, least: ROOM, most: ROOM },
+                Whole {
+                    begins: ROOM,
+                    least: ROOM,
+                    most: ROOM,
+                },
             );
             let (mut out, mut owed): (VecDeque<(u64, u16)>, f64) = (VecDeque::new(), 0.0);
             for ms in 0..RUN_MS {
                 while out.front().is_some_and(|(end, _)| *end <= ms) {
-                    let Some((_, tenant)) = out.pop_front() else { break };
-                    limits.given_back(Micros(ms * 1000), CustomerNo(tenant), Micros(TAKES_MS * 1000), false);
+                    let Some((_, tenant)) = out.pop_front() else {
+                        break;
+                    };
+                    limits.given_back(
+                        Micros(ms * 1000),
+                        CustomerNo(tenant),
+                        Micros(TAKES_MS * 1000),
+                        false,
+                    );
                 }
                 owed += times as f64 * 0.01;
                 let flood = owed as usize;
@@ -36,7 +56,9 @@
                 for tenant in std::iter::repeat_n(0, flood).chain(others) {
                     asked[usize::from(tenant)] += 1;
                     let room = if limited {
-                        limits.take(Micros(ms * 1000), CustomerNo(tenant), false).is_ok()
+                        limits
+                            .take(Micros(ms * 1000), CustomerNo(tenant), false)
+                            .is_ok()
                     } else {
                         out.len() < ROOM
                     };
@@ -46,8 +68,9 @@
                     }
                 }
             }
-            let shares: Vec<f64> =
-                (1..usize::from(TENANTS)).map(|at| got[at] as f64 / asked[at].max(1) as f64).collect();
+            let shares: Vec<f64> = (1..usize::from(TENANTS))
+                .map(|at| got[at] as f64 / asked[at].max(1) as f64)
+                .collect();
             let least = shares.iter().copied().fold(f64::MAX, f64::min);
             let mean = shares.iter().sum::<f64>() / shares.len() as f64;
             let flooding = got[0] as f64 / (RUN_MS as f64 / 1000.0);
--- a/limits/src/lib.rs
+++ b/limits/src/lib.rs
@@ -111,12 +111,22 @@
 impl Tenant {
     fn new(terms: Terms) -> Self {
         let (tokens, repeats) = (terms.burst, REPEATS_SAVED * terms.repeats);
-        Tenant { terms, in_hand: 0, elsewhere: 0, tokens, counted: Micros(0), repeats }
+        Tenant {
+            terms,
+            in_hand: 0,
+            elsewhere: 0,
+            tokens,
+            counted: Micros(0),
+            repeats,
+        }
     }
 
     fn count_up(&mut self, now: Micros) {
         let came = now.since(self.counted).0 as f64 / 1e6 * self.terms.per_second;
-        (self.tokens, self.counted) = ((self.tokens + came).min(self.terms.burst), now.max(self.counted));
+        (self.tokens, self.counted) = (
+            (self.tokens + came).min(self.terms.burst),
+            now.max(self.counted),
+        );
     }
 }
 
@@ -132,9 +142,15 @@
 
 impl Limits {
     pub fn counted(&mut self, now: Micros) -> Counted {
-        self.tenants.iter_mut().for_each(|tenant| tenant.count_up(now));
+        self.tenants
+            .iter_mut()
+            .for_each(|tenant| tenant.count_up(now));
         Counted {
-            tenants: self.tenants.iter().map(|tenant| (tenant.tokens, tenant.repeats)).collect(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|tenant| (tenant.tokens, tenant.repeats))
+                .collect(),
             limit: self.limit,
             in_hand: self.tenants.iter().map(|tenant| tenant.in_hand).collect(),
         }
@@ -143,22 +159,37 @@
     /// Goes on from what another process counted, on the same tenants. What it has in hand counts here too, until
     /// [`Limits::other_done`].
     pub fn go_on(&mut self, now: Micros, from: &Counted) {
-        let all = self.tenants.iter_mut().zip(from.tenants.iter().zip(&from.in_hand));
+        let all = self
+            .tenants
+            .iter_mut()
+            .zip(from.tenants.iter().zip(&from.in_hand));
         for (tenant, ((tokens, repeats), in_hand)) in all {
-            tenant.tokens = if tokens.is_finite() { tokens.clamp(0.0, tenant.terms.burst) } else { 0.0 };
-            tenant.repeats = if repeats.is_finite() { repeats.max(0.0) } else { 0.0 };
+            tenant.tokens = if tokens.is_finite() {
+                tokens.clamp(0.0, tenant.terms.burst)
+            } else {
+                0.0
+            };
+            tenant.repeats = if repeats.is_finite() {
+                repeats.max(0.0)
+            } else {
+                0.0
+            };
             tenant.counted = now;
             tenant.elsewhere = *in_hand;
         }
         if from.limit.is_finite() {
-            self.limit =
-                from.limit.clamp(self.whole.least as f64, self.whole.most.max(self.whole.least) as f64);
+            self.limit = from.limit.clamp(
+                self.whole.least as f64,
+                self.whole.most.max(self.whole.least) as f64,
+            );
         }
     }
 
     /// The other process has nothing left in hand.
     pub fn other_done(&mut self) {
-        self.tenants.iter_mut().for_each(|tenant| tenant.elsewhere = 0);
+        self.tenants
+            .iter_mut()
+            .for_each(|tenant| tenant.elsewhere = 0);
     }
 
     /// `tenants` by number, from 0.
@@ -177,7 +208,13 @@
     /// Takes new terms while lookups are in hand; what is counted stays counted. A number that is left out keeps what
     /// it has in hand and may have nothing more.
     pub fn told_of(&mut self, tenants: Vec<Terms>, whole: Whole) {
-        let nothing = Terms { weight: 0.0, in_hand: 0, per_second: 0.0, burst: 0.0, repeats: 0.0 };
+        let nothing = Terms {
+            weight: 0.0,
+            in_hand: 0,
+            per_second: 0.0,
+            burst: 0.0,
+            repeats: 0.0,
+        };
         let count = tenants.len().max(self.tenants.len());
         let mut terms = tenants.into_iter();
         for at in 0..count {
@@ -190,7 +227,10 @@
                 None => self.tenants.push(Tenant::new(new)),
             }
         }
-        (self.whole, self.limit) = (whole, self.limit.clamp(whole.least as f64, whole.most as f64));
+        (self.whole, self.limit) = (
+            whole,
+            self.limit.clamp(whole.least as f64, whole.most as f64),
+        );
         let active = self.tenants.iter().filter(|tenant| tenant.in_hand > 0);
         self.weights = active.map(|tenant| tenant.terms.weight).sum();
     }
@@ -206,7 +246,9 @@
     }
 
     pub fn of_tenant(&self, tenant: CustomerNo) -> Option<usize> {
-        self.tenants.get(usize::from(tenant.0)).map(|tenant| tenant.in_hand)
+        self.tenants
+            .get(usize::from(tenant.0))
+            .map(|tenant| tenant.in_hand)
     }
 
     /// A tenant's part of the limit, among those that have something in hand.
@@ -221,7 +263,9 @@
         let (limit, whole_in_hand) = (self.limit, self.in_hand);
         let soon = self.takes.unwrap_or_default();
         let Some(of) = self.tenants.get_mut(at) else {
-            return Err(Refused::InHand { come_back: Micros(0) });
+            return Err(Refused::InHand {
+                come_back: Micros(0),
+            });
         };
         of.count_up(now);
         if of.in_hand + of.elsewhere >= of.terms.in_hand {
@@ -229,7 +273,9 @@
         }
         if of.tokens < 1.0 {
             let wait = (1.0 - of.tokens) / of.terms.per_second.max(1e-6) * 1e6;
-            return Err(Refused::Rate { come_back: Micros(wait.ceil() as u64) });
+            return Err(Refused::Rate {
+                come_back: Micros(wait.ceil() as u64),
+            });
         }
         if repeat && of.repeats < 1.0 {
             // Its other lookups save them up; one a smoothed lookup's time is the best guess there is.
@@ -249,9 +295,15 @@
         of.tokens -= 1.0;
         of.repeats = match repeat {
             true => of.repeats - 1.0,
-            false => (of.repeats + of.terms.repeats).min(REPEATS_SAVED * of.terms.repeats.max(0.05)),
+            false => {
+                (of.repeats + of.terms.repeats).min(REPEATS_SAVED * of.terms.repeats.max(0.05))
+            }
+        };
+        self.weights += if of.in_hand == 0 {
+            of.terms.weight
+        } else {
+            0.0
         };
-        self.weights += if of.in_hand == 0 { of.terms.weight } else { 0.0 };
         of.in_hand += 1;
         self.in_hand += 1;
         Ok(())
@@ -259,7 +311,11 @@
 
     /// A lookup is over: `took` so long, and was `late` or not.
     pub fn given_back(&mut self, now: Micros, tenant: CustomerNo, took: Micros, late: bool) {
-        let Some(of) = self.tenants.get_mut(usize::from(tenant.0)).filter(|of| of.in_hand > 0) else {
+        let Some(of) = self
+            .tenants
+            .get_mut(usize::from(tenant.0))
+            .filter(|of| of.in_hand > 0)
+        else {
             return;
         };
         of.in_hand -= 1;
@@ -282,12 +338,21 @@
 
     /// The limit follows what was seen in a window: it shrinks where answers grow late, and grows while it is used up.
     fn look(&mut self, now: Micros) {
-        let window = std::mem::replace(&mut self.window, Window { began: now, ..Window::default() });
+        let window = std::mem::replace(
+            &mut self.window,
+            Window {
+                began: now,
+                ..Window::default()
+            },
+        );
         if f64::from(window.late) > LATE_SHARE * f64::from(window.count) {
             self.limit *= SHRINKS_TO;
         } else if window.used_up {
             self.limit += 1.0 + GROWS_BY * self.limit;
         }
-        self.limit = self.limit.clamp(self.whole.least as f64, self.whole.most.max(self.whole.least) as f64);
+        self.limit = self.limit.clamp(
+            self.whole.least as f64,
+            self.whole.most.max(self.whole.least) as f64,
+        );
     }
 }
--- a/limits/tests/fairness.rs
+++ b/limits/tests/fairness.rs
@@ -11,11 +11,21 @@
 const S: u64 = 1_000_000;
 
 fn terms() -> Terms {
-    Terms { weight: 1.0, in_hand: 1000, per_second: 1e6, burst: 1e6, repeats: 0.2 }
+    Terms {
+        weight: 1.0,
+        in_hand: 1000,
+        per_second: 1e6,
+        burst: 1e6,
+        repeats: 0.2,
+    }
 }
 
 fn whole(limit: usize) -> Whole {
-    Whole { begins: limit, least: limit, most: limit }
+    Whole {
+        begins: limit,
+        least: limit,
+        most: limit,
+    }
 }
 
 /// Plays lookups that each take 10 ms: tenants 1.. ask once in `every`, tenant 0 floods as `flood` lookups a
@@ -29,36 +39,60 @@
             let (_, tenant) = out.pop_front().expect("one");
             limits.given_back(Micros(ms * MS), tenant, Micros(10 * MS), false);
         }
-        let others = (1..tenants).filter(|tenant| (ms + u64::from(*tenant) * 7).is_multiple_of(every));
-        let all = std::iter::repeat_n(0, flood).chain(others).chain(std::iter::repeat_n(0, flood));
+        let others =
+            (1..tenants).filter(|tenant| (ms + u64::from(*tenant) * 7).is_multiple_of(every));
+        let all = std::iter::repeat_n(0, flood)
+            .chain(others)
+            .chain(std::iter::repeat_n(0, flood));
         for tenant in all {
             asked[usize::from(tenant > 0)] += 1;
-            if limits.take(Micros(ms * MS), CustomerNo(tenant), false).is_ok() {
+            if limits
+                .take(Micros(ms * MS), CustomerNo(tenant), false)
+                .is_ok()
+            {
                 got[usize::from(tenant)] += 1;
                 out.push_back((ms + 10, CustomerNo(tenant)));
             }
         }
-        assert!(limits.in_hand() <= 2 * limit, "{} in hand", limits.in_hand());
+        assert!(
+            limits.in_hand() <= 2 * limit,
+            "{} in hand",
+            limits.in_hand()
+        );
     }
     let others: u64 = got[1..].iter().sum();
-    let least = got[1..].iter().min().map_or(0.0, |least| *least as f64 / (2000 / every) as f64);
-    (others as f64 / asked[1].max(1) as f64, least, got[0] as f64 / asked[0].max(1) as f64)
+    let least = got[1..]
+        .iter()
+        .min()
+        .map_or(0.0, |least| *least as f64 / (2000 / every) as f64);
+    (
+        others as f64 / asked[1].max(1) as f64,
+        least,
+        got[0] as f64 / asked[0].max(1) as f64,
+    )
 }
 
 #[test]
 fn a_thousand_tenants_keep_theirs_beside_one_that_floods_a_hundredfold() {
     // The others have 5 a millisecond, 50 in hand; the flooding one tries 100 times its fair 0.05.
     let (others, least, flooding) = play(1000, 200, 50, 100);
-    assert!(others > 0.99 && least >= 0.9, "others {others}, least {least}, flooding {flooding}");
+    assert!(
+        others > 0.99 && least >= 0.9,
+        "others {others}, least {least}, flooding {flooding}"
+    );
 }
 
 #[test]
 fn what_others_leave_is_used() {
     let mut limits = Limits::new(vec![terms(); 10], whole(100));
-    let taken = (0..300).filter(|_| limits.take(Micros(0), CustomerNo(3), false).is_ok()).count();
+    let taken = (0..300)
+        .filter(|_| limits.take(Micros(0), CustomerNo(3), false).is_ok())
+        .count();
     assert_eq!(taken, 100);
     // And yet the next tenant finds room, up to its half.
-    let taken = (0..300).filter(|_| limits.take(Micros(0), CustomerNo(4), false).is_ok()).count();
+    let taken = (0..300)
+        .filter(|_| limits.take(Micros(0), CustomerNo(4), false).is_ok())
+        .count();
     assert_eq!(taken, 50);
 }
 
@@ -68,24 +102,51 @@
 fn a_part_goes_by_weight(weight: f64, part: usize) {
     let mut limits = Limits::new(vec![terms(), Terms { weight, ..terms() }], whole(100));
     while limits.take(Micros(0), CustomerNo(0), false).is_ok() {}
-    let taken = (0..300).filter(|_| limits.take(Micros(0), CustomerNo(1), false).is_ok()).count();
+    let taken = (0..300)
+        .filter(|_| limits.take(Micros(0), CustomerNo(1), false).is_ok())
+        .count();
     assert_eq!(taken, part);
 }
 
 #[test]
 fn a_rate_is_kept_with_its_burst_and_the_time_to_come_back_is_right() {
-    let mut limits = Limits::new(vec![Terms { per_second: 10.0, burst: 3.0, ..terms() }], whole(100));
+    let mut limits = Limits::new(
+        vec![Terms {
+            per_second: 10.0,
+            burst: 3.0,
+            ..terms()
+        }],
+        whole(100),
+    );
     let now = Micros(5 * S);
-    assert_eq!((0..9).filter(|_| limits.take(now, CustomerNo(0), false).is_ok()).count(), 3);
-    let Err(Refused::Rate { come_back }) = limits.take(now, CustomerNo(0), false) else { panic!("refused") };
+    assert_eq!(
+        (0..9)
+            .filter(|_| limits.take(now, CustomerNo(0), false).is_ok())
+            .count(),
+        3
+    );
+    let Err(Refused::Rate { come_back }) = limits.take(now, CustomerNo(0), false) else {
+        panic!("refused")
+    };
     assert_eq!(come_back, Micros(100 * MS));
-    assert!(limits.take(Micros(now.0 + come_back.0 - 1000), CustomerNo(0), false).is_err());
+    assert!(limits
+        .take(Micros(now.0 + come_back.0 - 1000), CustomerNo(0), false)
+        .is_err());
     assert!(limits.take(now + come_back, CustomerNo(0), false).is_ok());
 }
 
 #[test]
 fn a_storm_of_repeats_ends_with_its_budget() {
-    let mut limits = Limits::new(vec![Terms { repeats: 0.1, ..terms() }, terms()], whole(1000));
+    let mut limits = Limits::new(
+        vec![
+            Terms {
+                repeats: 0.1,
+                ..terms()
+            },
+            terms(),
+        ],
+        whole(1000),
+    );
     let mut got = 0;
     for _ in 0..1000 {
         let _ = limits.take(Micros(0), CustomerNo(0), false);
@@ -99,12 +160,22 @@
         }
     }
     assert!((100..=103).contains(&got), "{got} repeats of 3000");
-    assert!(limits.take(Micros(0), CustomerNo(1), true).is_ok(), "another tenant's are its own");
+    assert!(
+        limits.take(Micros(0), CustomerNo(1), true).is_ok(),
+        "another tenant's are its own"
+    );
 }
 
 #[test]
 fn the_limit_shrinks_while_answers_are_late_and_grows_while_it_is_used_up() {
-    let mut limits = Limits::new(vec![terms()], Whole { begins: 50, least: 5, most: 80 });
+    let mut limits = Limits::new(
+        vec![terms()],
+        Whole {
+            begins: 50,
+            least: 5,
+            most: 80,
+        },
+    );
     let mut round = |now: u64, late: bool| {
         let mut taken = 0;
         while limits.take(Micros(now), CustomerNo(0), false).is_ok() {
--- a/policy/src/annex.rs
+++ b/policy/src/annex.rs
@@ -42,7 +42,11 @@
     fn admits(&self, now: Micros, entry: &[u8]) -> Result<(), String>;
     /// This router leads in this term: entries to be put next, and lines for the people on call.
     fn steps(
-        &mut self, now: Micros, me: &Member, term: u64, attended: &[Attended],
+        &mut self,
+        now: Micros,
+        me: &Member,
+        term: u64,
+        attended: &[Attended],
     ) -> (Vec<Vec<u8>>, Vec<String>);
     /// The answer to an operator's question, as JSON; none: it is no question of this matter.
     fn look(&self, now: Micros, what: &str) -> Option<String>;
@@ -80,7 +84,13 @@
         Err("this router's settings have no such matter".into())
     }
 
-    fn steps(&mut self, _: Micros, _: &Member, _: u64, _: &[Attended]) -> (Vec<Vec<u8>>, Vec<String>) {
+    fn steps(
+        &mut self,
+        _: Micros,
+        _: &Member,
+        _: u64,
+        _: &[Attended],
+    ) -> (Vec<Vec<u8>>, Vec<String>) {
         (Vec::new(), Vec::new())
     }
 
--- a/policy/src/chair.rs
+++ b/policy/src/chair.rs
@@ -135,12 +135,19 @@
             return;
         }
         let last = Micros(now.0.saturating_sub(self.terms.at_least(of.ago).0));
-        self.heeded.entry(of.seat).and_modify(|known| *known = last.min(*known)).or_insert(last);
+        self.heeded
+            .entry(of.seat)
+            .and_modify(|known| *known = last.min(*known))
+            .or_insert(last);
         let mut times: Vec<Micros> = self.heeded.values().copied().collect();
         times.sort_unstable();
         let majority = voters.len() / 2;
         #[cfg(any(test, feature = "planted"))]
-        let majority = if self.has(Planted::OneVotersWord) { 0 } else { majority };
+        let majority = if self.has(Planted::OneVotersWord) {
+            0
+        } else {
+            majority
+        };
         if let Some(time) = times.get(majority) {
             self.since = self.since.min(*time);
         }
@@ -154,7 +161,13 @@
     /// A router asks.
     pub fn hear(&mut self, now: Micros, register: &Register, of: Renew) -> Vec<Order> {
         if !register.members.contains_key(&of.member) {
-            return vec![Order::Tell(of.member, Box::new(Told { stranger: true, ..Told::default() }))];
+            return vec![Order::Tell(
+                of.member,
+                Box::new(Told {
+                    stranger: true,
+                    ..Told::default()
+                }),
+            )];
         }
         // What came late or twice says less than what is known.
         let newer = |heard: &Heard| heard.incarnation != of.incarnation || heard.seq < of.seq;
@@ -173,8 +186,12 @@
             outs_at: of.outs_at,
             word: of.word,
         };
-        let waiting =
-            Waiting { incarnation: of.incarnation, seq: of.seq, came: now, unfit: of.unfit.is_some() };
+        let waiting = Waiting {
+            incarnation: of.incarnation,
+            seq: of.seq,
+            came: now,
+            unfit: of.unfit.is_some(),
+        };
         if let Some(heeded) = of.heeded {
             self.dates_back(now, heeded);
         }
@@ -189,9 +206,18 @@
     }
 
     /// The same, and whether none has for so long.
-    fn over_for(&self, now: Micros, member: &Member, but: Option<Incarnation>, longer: Micros) -> bool {
+    fn over_for(
+        &self,
+        now: Micros,
+        member: &Member,
+        but: Option<Incarnation>,
+        longer: Micros,
+    ) -> bool {
         let span = self.terms.surely_over() + longer;
-        let own = self.leases.iter().filter(|((of, process), _)| of == member && Some(*process) != but);
+        let own = self
+            .leases
+            .iter()
+            .filter(|((of, process), _)| of == member && Some(*process) != but);
         let mut own_over = own.map(|(_, came)| *came).all(|came| now > came + span);
         let mut others_over = now > self.since + span;
         #[cfg(any(test, feature = "planted"))]
@@ -206,7 +232,11 @@
     /// Whether this member surely admits nothing more in this round.
     fn has_stopped(&self, now: Micros, member: &Member, next: &Pending) -> bool {
         let round = Some((next.paper.number, next.round));
-        let Some(heard) = self.heard.get(member).filter(|heard| heard.stopped == round) else {
+        let Some(heard) = self
+            .heard
+            .get(member)
+            .filter(|heard| heard.stopped == round)
+        else {
             return self.over(now, member, None);
         };
         heard.alone || self.over(now, member, Some(heard.incarnation))
@@ -214,17 +244,28 @@
 
     fn is_fresh(&self, now: Micros, member: &Member) -> bool {
         let span = self.terms.fresh();
-        !self.late.contains(member) && self.heard.get(member).is_some_and(|heard| now.since(heard.at) < span)
+        !self.late.contains(member)
+            && self
+                .heard
+                .get(member)
+                .is_some_and(|heard| now.since(heard.at) < span)
     }
 
     /// This router led still when the question with this number was put, and the register is as new as that.
     pub fn confirmed(&mut self, now: Micros, register: &Register, ask: u64) -> Vec<Order> {
-        let Some((_, _, covered)) = self.asked.take_if(|(number, ..)| *number == ask) else { return vec![] };
+        let Some((_, _, covered)) = self.asked.take_if(|(number, ..)| *number == ask) else {
+            return vec![];
+        };
         let orders = self.grant(now, register, covered);
         orders.into_iter().chain(self.beat(now, register)).collect()
     }
 
-    fn grant(&mut self, now: Micros, register: &Register, to: BTreeMap<Member, Waiting>) -> Vec<Order> {
+    fn grant(
+        &mut self,
+        now: Micros,
+        register: &Register,
+        to: BTreeMap<Member, Waiting>,
+    ) -> Vec<Order> {
         let span = self.terms.surely_over() + self.remembers;
         self.leases.retain(|_, came| now <= *came + span);
         let mut orders = Vec::new();
@@ -237,7 +278,8 @@
                 version: register.in_force.number,
             });
             if may {
-                self.leases.insert((member.clone(), waiting.incarnation), waiting.came);
+                self.leases
+                    .insert((member.clone(), waiting.incarnation), waiting.came);
             }
             let told = self.told(register, &member, grant);
             orders.push(Order::Tell(member, Box::new(told)));
@@ -249,7 +291,11 @@
     fn may_have(&self, register: &Register, member: &Member, process: Incarnation) -> bool {
         let known = self.leases.contains_key(&(member.clone(), process));
         let processes = self.leases.keys().filter(|(of, _)| of == member).count();
-        if self.heard.get(member).is_none_or(|heard| heard.outs_at < register.outs_at) {
+        if self
+            .heard
+            .get(member)
+            .is_none_or(|heard| heard.outs_at < register.outs_at)
+        {
             return false;
         }
         if !register.members.contains_key(member)
@@ -260,28 +306,39 @@
         }
         match &register.next {
             None => true,
-            Some(next) => next.barrier.is_none() && next.fits.contains(member) && !self.late.contains(member),
+            Some(next) => {
+                next.barrier.is_none() && next.fits.contains(member) && !self.late.contains(member)
+            }
         }
     }
 
     fn told(&mut self, register: &Register, member: &Member, grant: Option<Grant>) -> Told {
-        let (known, members) =
-            self.heard.get(member).map_or((Index(0), Index(0)), |h| (h.index, h.members_at));
+        let (known, members) = self
+            .heard
+            .get(member)
+            .map_or((Index(0), Index(0)), |h| (h.index, h.members_at));
         let view = (known < register.changed).then(|| View::of(register));
         let members = (members < register.members_at).then(|| register.members.clone());
-        Told { view, members, grant, stranger: false }
+        Told {
+            view,
+            members,
+            grant,
+            stranger: false,
+        }
     }
 
     /// Looks what is to be done now. To be called after each entry that was played, and every few milliseconds.
     pub fn beat(&mut self, now: Micros, register: &Register) -> Vec<Order> {
         let mut orders = Vec::new();
-        self.put.take_if(|(index, at)| *index < register.index || now.since(*at) > PUT_AGAIN);
+        self.put
+            .take_if(|(index, at)| *index < register.index || now.since(*at) > PUT_AGAIN);
         self.follow_round(now, register);
         if let (None, Some(next)) = (self.put, &register.next) {
             let step = if next.barrier.is_some() {
                 self.end_round(now, register, next, &mut orders)
             } else {
-                self.say_verdicts(next).or_else(|| self.begin_round(now, register, next))
+                self.say_verdicts(next)
+                    .or_else(|| self.begin_round(now, register, next))
             };
             if let Some(entry) = step {
                 self.put = Some((register.index, now));
@@ -299,7 +356,9 @@
         match running.map(|next| (next.paper.number, next.round)) {
             None => self.round_seen = None,
             Some((number, round)) => {
-                let same = self.round_seen.is_some_and(|(of, seen, _)| (of, seen) == (number, round));
+                let same = self
+                    .round_seen
+                    .is_some_and(|(of, seen, _)| (of, seen) == (number, round));
                 if !same {
                     self.round_seen = Some((number, round, now));
                 }
@@ -324,7 +383,12 @@
 
     /// Begins to take hold once each member fits and is there, or has surely no lease.
     fn begin_round(&self, now: Micros, register: &Register, next: &Pending) -> Option<Entry> {
-        if next.unconfirmed || !register.left.iter().all(|member| self.over(now, member, None)) {
+        if next.unconfirmed
+            || !register
+                .left
+                .iter()
+                .all(|member| self.over(now, member, None))
+        {
             return None;
         }
         let mut without = BTreeSet::new();
@@ -343,25 +407,43 @@
             without.insert(member.clone());
         }
         let (number, round) = (next.paper.number, Round(next.round.0 + 1));
-        (without.len() < register.members.len()).then_some(Entry::Begin { number, round, without })
+        (without.len() < register.members.len()).then_some(Entry::Begin {
+            number,
+            round,
+            without,
+        })
     }
 
     /// In force once all have stopped; as before if somebody has not in time.
     fn end_round(
-        &mut self, now: Micros, register: &Register, next: &Pending, orders: &mut Vec<Order>,
+        &mut self,
+        now: Micros,
+        register: &Register,
+        next: &Pending,
+        orders: &mut Vec<Order>,
     ) -> Option<Entry> {
         let (number, round, without) = (next.paper.number, next.round, next.barrier.as_ref()?);
-        let present = register.members.keys().filter(|member| !without.contains(*member));
-        let missing: BTreeSet<Member> =
-            present.filter(|member| !self.has_stopped(now, member, next)).cloned().collect();
+        let present = register
+            .members
+            .keys()
+            .filter(|member| !without.contains(*member));
+        let missing: BTreeSet<Member> = present
+            .filter(|member| !self.has_stopped(now, member, next))
+            .cloned()
+            .collect();
         #[cfg(any(test, feature = "planted"))]
-        let missing = if self.has(Planted::NoWait) { BTreeSet::new() } else { missing };
+        let missing = if self.has(Planted::NoWait) {
+            BTreeSet::new()
+        } else {
+            missing
+        };
         if missing.is_empty() {
             return Some(Entry::InForce { number, round });
         }
         let (_, _, seen) = self.round_seen?;
         // Each round waits longer than the one before: a fleet that is slow as a whole gets through all the same.
-        let patience = Micros(self.terms.patience << (round.0.saturating_sub(1)).min(LONGEST_PATIENCE));
+        let patience =
+            Micros(self.terms.patience << (round.0.saturating_sub(1)).min(LONGEST_PATIENCE));
         if now.since(seen) < patience {
             return None;
         }
@@ -384,8 +466,12 @@
             return;
         }
         self.pushed = register.changed;
-        let there: Vec<Member> =
-            self.heard.keys().filter(|member| self.is_fresh(now, member)).cloned().collect();
+        let there: Vec<Member> = self
+            .heard
+            .keys()
+            .filter(|member| self.is_fresh(now, member))
+            .cloned()
+            .collect();
         for member in there {
             let told = self.told(register, &member, None);
             if told.view.is_some() {
@@ -415,7 +501,10 @@
     /// How far each member is with the further matter: those that belong to the fleet, and those that left it.
     pub fn attended(&self, now: Micros, register: &Register, gone: &[Member]) -> Vec<Attended> {
         let of = |member: &Member| {
-            let heard = self.heard.get(member).filter(|_| register.members.contains_key(member));
+            let heard = self
+                .heard
+                .get(member)
+                .filter(|_| register.members.contains_key(member));
             let others = |but| self.over_for(now, member, but, self.remembers);
             Attended {
                 member: member.clone(),
@@ -444,7 +533,10 @@
         let seen = |member: &Member| {
             let heard = self.heard.get(member);
             let over = self.over(now, member, None);
-            let fits = register.next.as_ref().map(|next| next.fits.contains(member));
+            let fits = register
+                .next
+                .as_ref()
+                .map(|next| next.fits.contains(member));
             let stopped = register.next.as_ref().filter(|next| next.barrier.is_some());
             Seen {
                 member: member.clone(),
@@ -461,11 +553,20 @@
     /// How long from now until the lease of every silent member is surely over.
     pub fn at_the_latest(&self, now: Micros, register: &Register) -> Micros {
         let span = self.terms.surely_over();
-        let silent = register.members.keys().filter(|member| !self.is_fresh(now, member));
-        let ends = silent.filter(|member| !self.over(now, member, None)).map(|member| {
-            let own = self.leases.iter().filter(|((of, _), _)| of == member).map(|(_, came)| *came);
-            own.max().unwrap_or_default().max(self.since) + span
-        });
+        let silent = register
+            .members
+            .keys()
+            .filter(|member| !self.is_fresh(now, member));
+        let ends = silent
+            .filter(|member| !self.over(now, member, None))
+            .map(|member| {
+                let own = self
+                    .leases
+                    .iter()
+                    .filter(|((of, _), _)| of == member)
+                    .map(|(_, came)| *came);
+                own.max().unwrap_or_default().max(self.since) + span
+            });
         ends.max().map_or(Micros(0), |end| end.since(now)) + Micros(self.terms.patience)
     }
 }
@@ -500,7 +601,11 @@
     const MS: u64 = 1000;
 
     fn says(seat: u64, term: u64, ago: u64) -> Heeded {
-        Heeded { seat: SeatNo(seat), term, ago: ago * MS }
+        Heeded {
+            seat: SeatNo(seat),
+            term,
+            ago: ago * MS,
+        }
     }
 
     /// When leases of others can have begun at the latest, by a leader of three voters that leads since 10,000 ms.
@@ -512,21 +617,35 @@
     #[test_case(&[says(1, 4, 700), says(2, 3, 600)] => 10_000; "one that may still take the earlier one's word")]
     #[test_case(&[says(1, 4, 700), says(9, 4, 600)] => 10_000; "one without a vote")]
     fn leases_of_others_began_before(said: &[Heeded]) -> u64 {
-        let terms = Terms { drift_ppm: 0, ..Terms::default() };
-        let mut chair = Chair::takes(terms, Micros(10_000 * MS), &Register::begins(BTreeMap::new()));
+        let terms = Terms {
+            drift_ppm: 0,
+            ..Terms::default()
+        };
+        let mut chair = Chair::takes(
+            terms,
+            Micros(10_000 * MS),
+            &Register::begins(BTreeMap::new()),
+        );
         chair.elected(4, vec![SeatNo(1), SeatNo(2), SeatNo(3)]);
-        said.iter().for_each(|of| chair.dates_back(Micros(10_000 * MS), *of));
+        said.iter()
+            .for_each(|of| chair.dates_back(Micros(10_000 * MS), *of));
         chair.since.0 / MS
     }
 
     #[test]
     fn one_voters_word_that_counts_alone_ends_leases_too_early() {
-        let mut chair =
-            Chair::takes(Terms::default(), Micros(10_000 * MS), &Register::begins(BTreeMap::new()));
+        let mut chair = Chair::takes(
+            Terms::default(),
+            Micros(10_000 * MS),
+            &Register::begins(BTreeMap::new()),
+        );
         chair.planted = Some(Planted::OneVotersWord);
         chair.elected(4, vec![SeatNo(1), SeatNo(2), SeatNo(3)]);
         // Cut off from the leader before for three seconds, while the others still confirmed its leases.
         chair.dates_back(Micros(10_000 * MS), says(3, 4, 3000));
-        assert!(chair.over(Micros(10_000 * MS), &"n0".into(), None), "a lease may still run");
+        assert!(
+            chair.over(Micros(10_000 * MS), &"n0".into(), None),
+            "a lease may still run"
+        );
     }
 }
--- a/policy/src/council.rs
+++ b/policy/src/council.rs
@@ -125,8 +125,13 @@
 
 impl Council {
     pub fn new(
-        fleet: FleetId, terms: Terms, seat_terms: SeatTerms, keeper: Keeper,
-        members: BTreeMap<Member, Seated>, seed: u64, now: Micros,
+        fleet: FleetId,
+        terms: Terms,
+        seat_terms: SeatTerms,
+        keeper: Keeper,
+        members: BTreeMap<Member, Seated>,
+        seed: u64,
+        now: Micros,
     ) -> Council {
         Council {
             me: keeper.me().clone(),
@@ -165,22 +170,36 @@
     pub fn begins(&mut self, now: Micros, found: Found) {
         // Until now another process may have spoken from the same seat.
         self.heeds = Heeds::starts(now);
-        let votes = self.members.get(&self.me).is_some_and(|seated| seated.seat.is_some());
+        let votes = self
+            .members
+            .get(&self.me)
+            .is_some_and(|seated| seated.seat.is_some());
         match found {
             Found::Seat(seat) => {
-                self.register = seat.begins_from().and_then(|(_, state)| postcard::from_bytes(&state).ok());
-                self.log(Level::Info, format!("fleet: {} has seat {}", self.me, seat.no()));
+                self.register = seat
+                    .begins_from()
+                    .and_then(|(_, state)| postcard::from_bytes(&state).ok());
+                self.log(
+                    Level::Info,
+                    format!("fleet: {} has seat {}", self.me, seat.no()),
+                );
                 self.seat = Some(*seat);
             }
             Found::Nothing if votes => {
                 let words = "its state is not there: it takes part without a vote until it is replaced (ternpick fleet \
                              replace)";
-                self.log(Level::Error, format!("fleet: {} has a vote, and {words}", self.me));
+                self.log(
+                    Level::Error,
+                    format!("fleet: {} has a vote, and {words}", self.me),
+                );
                 self.seat_words = Some(words.to_owned());
             }
             Found::Nothing => {}
             Found::Unusable(words) => {
-                self.log(Level::Error, format!("fleet: {} takes part without its vote, {words}", self.me));
+                self.log(
+                    Level::Error,
+                    format!("fleet: {} takes part without its vote, {words}", self.me),
+                );
                 self.seat_words = Some(words);
             }
         }
@@ -226,20 +245,33 @@
 
     /// Whom to ask: the one that leads as far as is known, else one that votes after the other.
     fn whom(&mut self) -> Option<Member> {
-        let known = self.leads.clone().filter(|member| self.members.contains_key(member));
+        let known = self
+            .leads
+            .clone()
+            .filter(|member| self.members.contains_key(member));
         if known.is_some() {
             return known;
         }
-        let voters: Vec<&Member> =
-            self.members.iter().filter(|(_, of)| of.seat.is_some()).map(|(member, _)| member).collect();
+        let voters: Vec<&Member> = self
+            .members
+            .iter()
+            .filter(|(_, of)| of.seat.is_some())
+            .map(|(member, _)| member)
+            .collect();
         self.next_ask += 1;
-        voters.get(self.next_ask % voters.len().max(1)).map(|member| (*member).clone())
+        voters
+            .get(self.next_ask % voters.len().max(1))
+            .map(|member| (*member).clone())
     }
 
     /// Something has come from another router.
     pub fn hear(&mut self, now: Micros, from: &Member, said: Said) {
         match said {
-            Said::Seat { from: seat, to, word } => {
+            Said::Seat {
+                from: seat,
+                to,
+                word,
+            } => {
                 // While something cannot be kept, nothing is heard: it could not be answered for.
                 if self.failed.is_none() {
                     let own = self.seat.as_mut().filter(|own| own.no() == to);
@@ -254,7 +286,10 @@
                     self.order(orders);
                 }
                 _ => {
-                    let leads = self.leads.clone().filter(|member| *member != self.me && member != from);
+                    let leads = self
+                        .leads
+                        .clone()
+                        .filter(|member| *member != self.me && member != from);
                     self.say(from, Said::Elsewhere(leads));
                 }
             },
@@ -276,7 +311,10 @@
             Said::Look { op, what } => match self.chair {
                 Some(_) => self.acts.push(Act::Look(from.clone(), op, what)),
                 None => {
-                    let leads = self.leads.clone().filter(|member| *member != self.me && member != from);
+                    let leads = self
+                        .leads
+                        .clone()
+                        .filter(|member| *member != self.me && member != from);
                     self.say(from, Said::Elsewhere(leads));
                 }
             },
@@ -313,7 +351,14 @@
 
     /// An operator of this router wants something; it is said until something is heard of it, or it is given up.
     pub fn wish(&mut self, op: Op, wish: Wish) {
-        self.own.insert(op, Own { wish, said: None, heard: false });
+        self.own.insert(
+            op,
+            Own {
+                wish,
+                said: None,
+                heard: false,
+            },
+        );
     }
 
     pub fn give_up(&mut self, op: Op) {
@@ -322,7 +367,8 @@
 
     /// A command, put into the log once however often it is said; its outcome is told when it is known.
     fn do_for(&mut self, now: Micros, from: &Member, op: Op, command: Command) {
-        let (Some(_), Some(register), Some(seat)) = (&self.chair, &self.register, &mut self.seat) else {
+        let (Some(_), Some(register), Some(seat)) = (&self.chair, &self.register, &mut self.seat)
+        else {
             let leads = self.leads.clone().filter(|member| *member != self.me);
             return self.say(from, Said::Elsewhere(leads));
         };
@@ -344,10 +390,18 @@
         }
         if let Command::Annex { entry } = &command {
             if let Err(words) = self.annex.admits(now, entry) {
-                return self.say(from, Said::Did { op, outcome: Outcome::Refused(words) });
+                return self.say(
+                    from,
+                    Said::Did {
+                        op,
+                        outcome: Outcome::Refused(words),
+                    },
+                );
             }
         }
-        let Some(entry) = command.entry(op, self.terms.confirm) else { return };
+        let Some(entry) = command.entry(op, self.terms.confirm) else {
+            return;
+        };
         match seat.put(postcard::to_stdvec(&entry).unwrap_or_default()) {
             Ok(()) => {
                 self.doing.push_back((op, from.clone()));
@@ -356,9 +410,10 @@
                 }
             }
             // It may still be put: whoever asks says it again.
-            Err(refused) => {
-                self.log(Level::Info, format!("fleet: a command is not put into the log, {refused}"))
-            }
+            Err(refused) => self.log(
+                Level::Info,
+                format!("fleet: a command is not put into the log, {refused}"),
+            ),
         }
     }
 
@@ -368,7 +423,10 @@
                 Order::Put(entry) => {
                     let bytes = postcard::to_stdvec(&entry).unwrap_or_default();
                     if let Some(Err(refused)) = self.seat.as_mut().map(|seat| seat.put(bytes)) {
-                        self.log(Level::Debug, format!("fleet: an entry is not put, {refused}"));
+                        self.log(
+                            Level::Debug,
+                            format!("fleet: an entry is not put, {refused}"),
+                        );
                     }
                 }
                 Order::Ask(number) => {
@@ -394,10 +452,15 @@
             self.heeds.takes(now, term);
         }
         match &self.register {
-            Some(register) if seat.leads_surely() && !matches!(seat.standing(), Standing::Spoilt(_)) => {
+            Some(register)
+                if seat.leads_surely() && !matches!(seat.standing(), Standing::Spoilt(_)) =>
+            {
                 if self.chair.as_ref().is_none_or(|(of, _)| *of != term) {
                     // The votes that made it the leader had come by now: leases that others gave began before.
-                    let line = format!("fleet: {} leads in term {term}, entry {}", self.me, register.index);
+                    let line = format!(
+                        "fleet: {} leads in term {term}, entry {}",
+                        self.me, register.index
+                    );
                     #[allow(unused_mut)]
                     let mut chair = Chair::takes(self.terms, now, register);
                     chair.remembers = self.annex.lingers();
@@ -419,7 +482,10 @@
             _ => {
                 if self.chair.take().is_some() {
                     self.leads = None;
-                    self.log(Level::Info, format!("fleet: {} leads no longer, term {term}", self.me));
+                    self.log(
+                        Level::Info,
+                        format!("fleet: {} leads no longer, term {term}", self.me),
+                    );
                 }
                 if let Some(leader) = leader.filter(|leader| *leader != no) {
                     let holder = self.members.iter().find(|(_, of)| of.seat == Some(leader));
@@ -467,7 +533,9 @@
                 }
                 return;
             }
-            let Some(work) = self.seat.as_mut().and_then(Seat::work) else { return };
+            let Some(work) = self.seat.as_mut().and_then(Seat::work) else {
+                return;
+            };
             match work.image {
                 Some(image) => {
                     self.image.clone_from(&image);
@@ -495,7 +563,14 @@
         for (to, word) in done.messages {
             let holder = self.members.iter().find(|(_, of)| of.seat == Some(to));
             if let Some(member) = holder.map(|(member, _)| member.clone()) {
-                self.say(&member, Said::Seat { from: own, to, word });
+                self.say(
+                    &member,
+                    Said::Seat {
+                        from: own,
+                        to,
+                        word,
+                    },
+                );
             }
         }
         self.follow_lead(now);
@@ -509,14 +584,22 @@
                     self.register = Some(register);
                     self.restored();
                 }
-                Err(e) => self.log(Level::Error, format!("fleet: the agreed state cannot be read, {e}")),
+                Err(e) => self.log(
+                    Level::Error,
+                    format!("fleet: the agreed state cannot be read, {e}"),
+                ),
             }
         }
-        let Some(mut register) = self.register.take() else { return };
+        let Some(mut register) = self.register.take() else {
+            return;
+        };
         for (index, bytes) in &done.entries {
             match postcard::from_bytes::<Entry>(bytes) {
                 Ok(entry) => self.play_one(&mut register, Index(*index), entry),
-                Err(e) => self.log(Level::Error, format!("fleet: entry {index} cannot be read, {e}")),
+                Err(e) => self.log(
+                    Level::Error,
+                    format!("fleet: entry {index} cannot be read, {e}"),
+                ),
             }
         }
         if done.restored.is_some() || !done.entries.is_empty() {
@@ -542,7 +625,10 @@
         }
         let now = of(register);
         if let Some(number) = now.filter(|_| now != next) {
-            let author = register.next.as_ref().map_or("", |next| next.paper.author.as_str());
+            let author = register
+                .next
+                .as_ref()
+                .map_or("", |next| next.paper.author.as_str());
             self.log(
                 Level::Info,
                 format!("policy: proposal {number} by '{author}' is on its way, entry {index}"),
@@ -555,21 +641,37 @@
                 format!("policy: version {number} is agreed to be in force, entry {index}"),
             );
         } else if let Some(gone) = next.filter(|_| now.is_none()) {
-            let fate = register.history.iter().find(|past| past.number == gone).map(|past| past.fate.clone());
-            self.log(Level::Info, format!("policy: proposal {gone} is nowhere, {fate:?}, entry {index}"));
+            let fate = register
+                .history
+                .iter()
+                .find(|past| past.number == gone)
+                .map(|past| past.fate.clone());
+            self.log(
+                Level::Info,
+                format!("policy: proposal {gone} is nowhere, {fate:?}, entry {index}"),
+            );
         }
     }
 
     fn tell_outcomes(&mut self) {
-        let Some(register) = &self.register else { return };
+        let Some(register) = &self.register else {
+            return;
+        };
         let mut known = Vec::new();
-        self.doing.retain(|(op, member)| match register.outcome(*op) {
-            Some(outcome) => {
-                known.push((member.clone(), Said::Did { op: *op, outcome: outcome.clone() }));
-                false
-            }
-            None => true,
-        });
+        self.doing
+            .retain(|(op, member)| match register.outcome(*op) {
+                Some(outcome) => {
+                    known.push((
+                        member.clone(),
+                        Said::Did {
+                            op: *op,
+                            outcome: outcome.clone(),
+                        },
+                    ));
+                    false
+                }
+                None => true,
+            });
         for (member, said) in known {
             self.say(&member, said);
         }
@@ -577,12 +679,16 @@
 
     /// The chair looks what is due, and gets the answers to its questions.
     fn beat(&mut self, now: Micros) {
-        let (Some(seat), Some(register), Some((term, chair))) = (&self.seat, &self.register, &mut self.chair)
+        let (Some(seat), Some(register), Some((term, chair))) =
+            (&self.seat, &self.register, &mut self.chair)
         else {
             return;
         };
         let played = seat.played();
-        let (ready, rest): (Vec<_>, Vec<_>) = self.reads.drain(..).partition(|(_, index)| *index <= played);
+        let (ready, rest): (Vec<_>, Vec<_>) = self
+            .reads
+            .drain(..)
+            .partition(|(_, index)| *index <= played);
         self.reads = rest;
         let mut orders = Vec::new();
         for (number, _) in ready {
@@ -597,8 +703,13 @@
 
     /// The further matter goes on: what it wants put, once what it put before is played, or lost.
     fn annex_steps(&mut self, now: Micros) {
-        let (Some(register), Some((term, chair))) = (&self.register, &self.chair) else { return };
-        let played = self.annexing.take_if(|(index, _)| *index < register.index).is_some();
+        let (Some(register), Some((term, chair))) = (&self.register, &self.chair) else {
+            return;
+        };
+        let played = self
+            .annexing
+            .take_if(|(index, _)| *index < register.index)
+            .is_some();
         self.annexing.take_if(|(_, at)| now.since(*at) > SAY_AGAIN);
         if self.annexing.is_some() || now < self.next_annex && !played {
             return;
@@ -609,8 +720,12 @@
         if !steps.is_empty() {
             self.annexing = Some((register.index, now));
         }
-        lines.into_iter().for_each(|line| self.log(Level::Info, line));
-        let entries = steps.into_iter().map(|entry| Order::Put(Entry::Annex { op: None, entry }));
+        lines
+            .into_iter()
+            .for_each(|line| self.log(Level::Info, line));
+        let entries = steps
+            .into_iter()
+            .map(|entry| Order::Put(Entry::Annex { op: None, entry }));
         self.order(entries.collect());
     }
 
@@ -620,7 +735,8 @@
             return;
         }
         self.next_seats = now + SEATS_EVERY;
-        let (Some(seat), Some(register), Some(_)) = (&mut self.seat, &self.register, &self.chair) else {
+        let (Some(seat), Some(register), Some(_)) = (&mut self.seat, &self.register, &self.chair)
+        else {
             return;
         };
         let (voters, learners) = register.seats();
@@ -631,9 +747,10 @@
                 format!("fleet: who votes changes to {voters:?}, learning {learners:?}"),
             )),
             Ok(false) => {}
-            Err(refused) => {
-                lines.push((Level::Debug, format!("fleet: who votes cannot change now, {refused}")))
-            }
+            Err(refused) => lines.push((
+                Level::Debug,
+                format!("fleet: who votes cannot change now, {refused}"),
+            )),
         }
         for no in learners {
             if seat.learners().contains(&no) && seat.has_learnt(no) {
@@ -646,7 +763,9 @@
                 }
             }
         }
-        lines.into_iter().for_each(|(level, line)| self.log(level, line));
+        lines
+            .into_iter()
+            .for_each(|(level, line)| self.log(level, line));
     }
 
     /// A seat that was just given to this router begins with nothing, as it has promised nothing. Only on the word of one
@@ -655,11 +774,17 @@
         if self.keeping || self.keeper.lease_left(now).is_none() {
             return;
         }
-        let given = self.members.get(&self.me).and_then(|of| Some((of.seat?, of.learns)));
+        let given = self
+            .members
+            .get(&self.me)
+            .and_then(|of| Some((of.seat?, of.learns)));
         let own = self.seat.as_ref().map(Seat::no);
         match given {
             Some((no, true)) if own != Some(no) => {
-                self.seeds = self.seeds.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(1);
+                self.seeds = self
+                    .seeds
+                    .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+                    .wrapping_add(1);
                 match Seat::fresh(self.fleet, no, self.seat_terms, self.seeds) {
                     Ok(seat) => {
                         (self.seat, self.seat_words, self.register) = (Some(seat), None, None);
@@ -684,11 +809,17 @@
                     "its state is of seat {}, the fleet has given it seat {no}",
                     own.unwrap_or_default()
                 );
-                self.log(Level::Error, format!("fleet: {} takes part without its vote, {words}", self.me));
+                self.log(
+                    Level::Error,
+                    format!("fleet: {} takes part without its vote, {words}", self.me),
+                );
                 (self.seat, self.seat_words, self.chair) = (None, Some(words), None);
             }
             None if own.is_some() => {
-                self.log(Level::Info, format!("fleet: {} has no vote any more", self.me));
+                self.log(
+                    Level::Info,
+                    format!("fleet: {} has no vote any more", self.me),
+                );
                 (self.seat, self.register, self.chair) = (None, None, None);
             }
             _ => {}
@@ -706,7 +837,11 @@
         if let Some(mut renew) = self.keeper.renew(now) {
             renew.heeded = self.seat.as_ref().map(|seat| {
                 let term = seat.kept_term();
-                Heeded { seat: seat.no(), term, ago: now.since(self.heeds.before(term)).0 }
+                Heeded {
+                    seat: seat.no(),
+                    term,
+                    ago: now.since(self.heeds.before(term)).0,
+                }
             });
             if let Some(to) = self.whom() {
                 self.say(&to, Said::Renew(renew));
@@ -720,8 +855,14 @@
             if !own.heard && own.said.is_none_or(|at| now >= at + SAY_AGAIN) {
                 own.said = Some(now);
                 due.push(match &own.wish {
-                    Wish::Do(command) => Said::Do { op: *op, command: command.clone() },
-                    Wish::Look(what) => Said::Look { op: *op, what: what.clone() },
+                    Wish::Do(command) => Said::Do {
+                        op: *op,
+                        command: command.clone(),
+                    },
+                    Wish::Look(what) => Said::Look {
+                        op: *op,
+                        what: what.clone(),
+                    },
                 });
             }
         }
@@ -763,9 +904,13 @@
 
     /// This process is to leave: another voter that is there is to lead.
     pub fn passes_lead(&mut self, now: Micros) {
-        let Some((_, chair)) = &self.chair else { return };
+        let Some((_, chair)) = &self.chair else {
+            return;
+        };
         let register = self.register.as_ref();
-        let seen = register.map(|register| chair.members(now, register)).unwrap_or_default();
+        let seen = register
+            .map(|register| chair.members(now, register))
+            .unwrap_or_default();
         let heard = |of: &crate::Seen| of.heard.unwrap_or(Micros(u64::MAX));
         let others = seen.iter().filter(|of| of.member != self.me);
         let votes = others.filter_map(|of| {
@@ -784,7 +929,15 @@
         #[cfg(any(test, feature = "planted"))]
         let planted = self.planted;
         let annex = std::mem::replace(&mut self.annex, Box::new(Nothing));
-        *self = Council::new(self.fleet, self.terms, self.seat_terms, keeper, members, seed, now);
+        *self = Council::new(
+            self.fleet,
+            self.terms,
+            self.seat_terms,
+            keeper,
+            members,
+            seed,
+            now,
+        );
         self.annex = annex;
         self.annex.restore(&[]);
         #[cfg(any(test, feature = "planted"))]
--- a/policy/src/figures.rs
+++ b/policy/src/figures.rs
@@ -16,16 +16,30 @@
         indexes: indexes.iter().zip(&tariff.indexes).map(index).collect(),
         calls: tariff.most_calls,
         copies: tariff.second_copies,
-        customers: customers.iter().cloned().zip(tariff.quotas.iter().copied()).collect(),
-        further: tariff.extra_window.map(|_| (tariff.extra_spare, tariff.extra_ratio)),
+        customers: customers
+            .iter()
+            .cloned()
+            .zip(tariff.quotas.iter().copied())
+            .collect(),
+        further: tariff
+            .extra_window
+            .map(|_| (tariff.extra_spare, tariff.extra_ratio)),
     }
 }
 
 /// Puts a policy in force over the platform's own figures, for lookups that are admitted from now on.
 pub fn put_in_force(
-    record: &Record, platform: &Tariff, indexes: &[String], customers: &[String], tariff: &mut Tariff,
+    record: &Record,
+    platform: &Tariff,
+    indexes: &[String],
+    customers: &[String],
+    tariff: &mut Tariff,
 ) {
-    let rows = tariff.indexes.iter_mut().zip(&platform.indexes).zip(indexes);
+    let rows = tariff
+        .indexes
+        .iter_mut()
+        .zip(&platform.indexes)
+        .zip(indexes);
     for ((row, own), name) in rows {
         let terms = record.indexes.get(name).cloned().unwrap_or_default();
         row.least = terms.least.unwrap_or(own.least);
@@ -34,8 +48,16 @@
         row.no_copies = terms.copies == Some(false);
         row.further = record.further.map(|further| (further.spare, further.share));
     }
-    for ((quota, own), name) in tariff.quotas.iter_mut().zip(&platform.quotas).zip(customers) {
-        *quota = record.customers.get(name).map_or(*own, |terms| terms.per_second);
+    for ((quota, own), name) in tariff
+        .quotas
+        .iter_mut()
+        .zip(&platform.quotas)
+        .zip(customers)
+    {
+        *quota = record
+            .customers
+            .get(name)
+            .map_or(*own, |terms| terms.per_second);
     }
 }
 
--- a/policy/src/heeds.rs
+++ b/policy/src/heeds.rs
@@ -15,7 +15,11 @@
 impl Heeds {
     /// A process that starts does not know what the one before it has said: it may have been just now.
     pub fn starts(now: Micros) -> Heeds {
-        Heeds { term: 0, last: now, before: now }
+        Heeds {
+            term: 0,
+            last: now,
+            before: now,
+        }
     }
 
     /// The word of the one that leads in this term is taken; of an earlier term's none is.
@@ -50,7 +54,9 @@
     #[test_case(&[(10, 3), (30, 4), (40, 6)], 6 => 30; "two elections")]
     fn the_last_word_of_an_earlier_leader(words: &[(u64, u64)], term: u64) -> u64 {
         let mut heeds = Heeds::starts(Micros(5));
-        words.iter().for_each(|(at, term)| heeds.takes(Micros(*at), *term));
+        words
+            .iter()
+            .for_each(|(at, term)| heeds.takes(Micros(*at), *term));
         heeds.before(term).0
     }
 }
--- a/policy/src/keeper.rs
+++ b/policy/src/keeper.rs
@@ -120,8 +120,18 @@
 
 impl Keeper {
     /// One that starts at `now`. `inherits`: it takes the place of a process that may still admit for a while.
-    pub fn starts(terms: Terms, me: Member, incarnation: Incarnation, inherits: bool, now: Micros) -> Keeper {
-        let alone_from = if inherits { now + terms.surely_over() } else { now };
+    pub fn starts(
+        terms: Terms,
+        me: Member,
+        incarnation: Incarnation,
+        inherits: bool,
+        now: Micros,
+    ) -> Keeper {
+        let alone_from = if inherits {
+            now + terms.surely_over()
+        } else {
+            now
+        };
         Keeper {
             terms,
             me,
@@ -176,7 +186,10 @@
         let in_time = now < lease.until;
         #[cfg(any(test, feature = "planted"))]
         let in_time = in_time || self.has(Planted::UsedBeyondEnd);
-        let same = self.view.as_ref().is_some_and(|view| view.epoch == lease.epoch);
+        let same = self
+            .view
+            .as_ref()
+            .is_some_and(|view| view.epoch == lease.epoch);
         in_time && same
     }
 
@@ -191,7 +204,10 @@
     /// To be asked in the turn in which a lookup is admitted, with the clock as it stands then: a process that was
     /// stopped in between finds its lease over.
     pub fn admission(&self, now: Micros) -> Admission {
-        let refused = |why| Admission::Refused { why, come_back: Micros(self.terms.renew) };
+        let refused = |why| Admission::Refused {
+            why,
+            come_back: Micros(self.terms.renew),
+        };
         if self.stranger {
             return refused(Why::Stranger);
         }
@@ -251,13 +267,20 @@
     }
 
     fn stopped(&self) -> Option<(Version, Round)> {
-        let next = self.view.as_ref()?.next.as_ref().filter(|next| next.barrier)?;
+        let next = self
+            .view
+            .as_ref()?
+            .next
+            .as_ref()
+            .filter(|next| next.barrier)?;
         Some((next.paper.number, next.round))
     }
 
     /// When the next request is due.
     pub fn due(&self, now: Micros) -> Micros {
-        let Some((_, last)) = self.asked.back() else { return now };
+        let Some((_, last)) = self.asked.back() else {
+            return now;
+        };
         let wait = match (self.eager, self.answered) {
             (true, _) => Micros(0),
             // Without a lease it asks more often, so that it serves again soon.
@@ -279,18 +302,32 @@
         if let Some(view) = told.view {
             self.take(now, view, &mut effects);
         }
-        let Some(grant) = told.grant.filter(|grant| grant.incarnation == self.incarnation) else {
+        let Some(grant) = told
+            .grant
+            .filter(|grant| grant.incarnation == self.incarnation)
+        else {
+            return effects;
+        };
+        let Some((_, sent)) = self.asked.iter().find(|(seq, _)| *seq == grant.seq) else {
             return effects;
         };
-        let Some((_, sent)) = self.asked.iter().find(|(seq, _)| *seq == grant.seq) else { return effects };
         #[cfg(any(test, feature = "planted"))]
-        let sent = if self.has(Planted::CountsFromGrant) { &now } else { sent };
+        let sent = if self.has(Planted::CountsFromGrant) {
+            &now
+        } else {
+            sent
+        };
         let until = *sent + Micros(self.terms.lease);
-        let known = self.view.as_ref().map(|view| (view.epoch, view.in_force.number));
+        let known = self
+            .view
+            .as_ref()
+            .map(|view| (view.epoch, view.in_force.number));
         if known != Some((grant.epoch, grant.version)) {
             return effects;
         }
-        let longer = self.lease.is_none_or(|lease| lease.epoch != grant.epoch || lease.until < until);
+        let longer = self
+            .lease
+            .is_none_or(|lease| lease.epoch != grant.epoch || lease.until < until);
         if longer && now < until {
             if let Some(lost) = self.lost_at.take() {
                 let ms = now.since(lost).0 / 1000;
@@ -299,7 +336,11 @@
                     grant.version
                 )));
             }
-            self.lease = Some(Lease { epoch: grant.epoch, version: grant.version, until });
+            self.lease = Some(Lease {
+                epoch: grant.epoch,
+                version: grant.version,
+                until,
+            });
             self.paused = None;
         }
         effects
@@ -307,7 +348,11 @@
 
     /// Whether the last request has been without an answer for so long that whoever was asked may not lead.
     pub fn is_unanswered(&self, now: Micros) -> bool {
-        !self.answered && self.asked.back().is_some_and(|(_, sent)| now >= *sent + ASK_AGAIN)
+        !self.answered
+            && self
+                .asked
+                .back()
+                .is_some_and(|(_, sent)| now >= *sent + ASK_AGAIN)
     }
 
     /// Another process of this member may have a lease from now on, or have had one until now.
@@ -322,12 +367,17 @@
 
     fn take(&mut self, now: Micros, view: View, effects: &mut Vec<Effect>) {
         // What is older, or came twice, says nothing new: a version never goes back.
-        if self.view.as_ref().is_some_and(|known| known.index >= view.index) {
+        if self
+            .view
+            .as_ref()
+            .is_some_and(|known| known.index >= view.index)
+        {
             return;
         }
         let before = self.view.replace(view.clone());
-        let (was, epoch_was) =
-            before.as_ref().map_or((None, None), |v| (Some(v.in_force.number), Some(v.epoch)));
+        let (was, epoch_was) = before
+            .as_ref()
+            .map_or((None, None), |v| (Some(v.in_force.number), Some(v.epoch)));
         if epoch_was != Some(view.epoch) {
             // The lease is void: it waits a while, but only if it was admitting until now.
             let admitted = self.lease.is_some_and(|lease| now < lease.until);
@@ -345,11 +395,16 @@
         }
         if was != Some(view.in_force.number) {
             let (number, author) = (view.in_force.number, &view.in_force.author);
-            effects.push(Effect::Say(format!("policy: version {number} is in force, by '{author}'")));
+            effects.push(Effect::Say(format!(
+                "policy: version {number} is in force, by '{author}'"
+            )));
             effects.push(Effect::Use(view.in_force.clone()));
             self.unfit = None;
         }
-        if before.as_ref().is_none_or(|before| before.outs_at != view.outs_at) {
+        if before
+            .as_ref()
+            .is_none_or(|before| before.outs_at != view.outs_at)
+        {
             effects.push(Effect::Outs(view.outs_at, view.outs.clone()));
         }
         let next = view.next.as_ref().filter(|next| !next.barrier);
@@ -362,8 +417,16 @@
             None if view.next.is_none() => self.verdict = None,
             None => {}
         }
-        if let Some(round) = view.next.as_ref().filter(|next| next.barrier).map(|next| next.round) {
-            effects.push(Effect::Say(format!("policy: stopped for round {round}, in epoch {}", view.epoch)));
+        if let Some(round) = view
+            .next
+            .as_ref()
+            .filter(|next| next.barrier)
+            .map(|next| next.round)
+        {
+            effects.push(Effect::Say(format!(
+                "policy: stopped for round {round}, in epoch {}",
+                view.epoch
+            )));
         }
     }
 
@@ -395,7 +458,10 @@
         self.lease = None;
         self.lost_at = Some(lease.until);
         let late = now.since(lease.until).0 / 1000;
-        Some(Effect::Say(format!("lease: over since {late} ms, version {} no longer admits", lease.version)))
+        Some(Effect::Say(format!(
+            "lease: over since {late} ms, version {} no longer admits",
+            lease.version
+        )))
     }
 
     /// When time alone changes something: the lease's end, the end of holding, the next request.
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -32,8 +32,8 @@
 pub use keeper::{Admission, Effect, Keeper, Why};
 pub use record::{IndexTerms, Platform, PlatformIndex, Record, DEFINITIONS};
 pub use register::{
-    Entry, Fate, Outcome, Paper, Past, Pending, Register, Seated, Verdict, LONGEST_TEXT, LONGEST_WORDS,
-    MOST_MEMBERS,
+    Entry, Fate, Outcome, Paper, Past, Pending, Register, Seated, Verdict, LONGEST_TEXT,
+    LONGEST_WORDS, MOST_MEMBERS,
 };
 pub use say::{Command, Grant, Heeded, NextView, Renew, Said, Told, View};
 pub use terms::Terms;
--- a/policy/src/model.rs
+++ b/policy/src/model.rs
@@ -106,8 +106,12 @@
 }
 
 fn fleet() -> Register {
-    let seated =
-        |address: &str| Seated { address: address.into(), zone: String::new(), seat: None, learns: false };
+    let seated = |address: &str| Seated {
+        address: address.into(),
+        zone: String::new(),
+        seat: None,
+        learns: false,
+    };
     let members = BTreeMap::from([("a".into(), seated("1")), ("b".into(), seated("2"))]);
     Register::begins(members)
 }
@@ -118,7 +122,13 @@
 
 impl Change {
     fn keeper(&self, at: usize, incarnation: u64, now: u64) -> Keeper {
-        let mut keeper = Keeper::starts(terms(), member(at), Incarnation(incarnation), false, Micros(now));
+        let mut keeper = Keeper::starts(
+            terms(),
+            member(at),
+            Incarnation(incarnation),
+            false,
+            Micros(now),
+        );
         keeper.planted = match self.fault {
             Some(Fault::Keeper(fault)) => Some(fault),
             _ => None,
@@ -158,7 +168,9 @@
                         let lead = &mut self.leads[at];
                         orders.extend(lead.chair.confirmed(now, &lead.register, number));
                     }
-                    Order::Tell(to, told) => self.post(Letter::Tell(usize::from(to != member(0)), *told)),
+                    Order::Tell(to, told) => {
+                        self.post(Letter::Tell(usize::from(to != member(0)), *told))
+                    }
                     _ => {}
                 }
             }
@@ -226,8 +238,16 @@
                 _ => None,
             })
             .collect();
-        let highest = under.iter().copied().max().unwrap_or_default().max(self.highest);
-        self.broken = under.into_iter().find(|version| *version < highest).or(self.broken);
+        let highest = under
+            .iter()
+            .copied()
+            .max()
+            .unwrap_or_default()
+            .max(self.highest);
+        self.broken = under
+            .into_iter()
+            .find(|version| *version < highest)
+            .or(self.broken);
         self.highest = highest;
     }
 }
@@ -242,7 +262,11 @@
         let mut world = World {
             now: 10 * STEP,
             log: vec![],
-            leads: vec![Lead { chair, register, asked: None }],
+            leads: vec![Lead {
+                chair,
+                register,
+                asked: None,
+            }],
             routers: vec![self.keeper(0, 1, 10 * STEP), self.keeper(1, 2, 10 * STEP)],
             slow: [false; 2],
             holds: false,
@@ -302,8 +326,16 @@
             Action::Passes => {
                 world.now += STEP;
                 if world.log.is_empty() && world.now >= (10 + self.proposed) * STEP {
-                    let paper = Paper { author: "ann".into(), ..Paper::default() };
-                    let entry = Entry::Propose { op: Op(1), base: None, paper, confirm: false };
+                    let paper = Paper {
+                        author: "ann".into(),
+                        ..Paper::default()
+                    };
+                    let entry = Entry::Propose {
+                        op: Op(1),
+                        base: None,
+                        paper,
+                        confirm: false,
+                    };
                     world.log.push(entry.clone());
                     world.leads[0].register.play(Index(2), entry);
                 }
@@ -331,7 +363,9 @@
             }
             Action::Hears(at) => {
                 let number = world.leads[at].asked.take()?;
-                world.lead(at, |chair, now, register| chair.confirmed(now, register, number));
+                world.lead(at, |chair, now, register| {
+                    chair.confirmed(now, register, number)
+                });
             }
             Action::Changes => {
                 world.changes -= 1;
@@ -341,7 +375,14 @@
                     register.play(Index(at as u64 + 2), entry.clone());
                 }
                 let chair = self.chair(world.now, &register);
-                world.leads.insert(0, Lead { chair, register, asked: None });
+                world.leads.insert(
+                    0,
+                    Lead {
+                        chair,
+                        register,
+                        asked: None,
+                    },
+                );
             }
             Action::Leaves(at) => {
                 world.leads.remove(at);
@@ -357,28 +398,58 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no version after a later one", |_, world: &World| world.broken.is_none()),
+            Property::always("no version after a later one", |_, world: &World| {
+                world.broken.is_none()
+            }),
             Property::sometimes("the change is in force everywhere", |_, world: &World| {
                 let now = Micros(world.now);
-                world.routers.iter().all(|keeper| keeper.admission(now) == Admission::Under(Version(1)))
-            }),
-            Property::sometimes("it comes in force without one that is silent", |_, world: &World| {
-                world.leads[0].register.in_force.number == Version(1)
-                    && world.routers.iter().any(|keeper| keeper.version() == Some(Version(0)))
+                world
+                    .routers
+                    .iter()
+                    .all(|keeper| keeper.admission(now) == Admission::Under(Version(1)))
             }),
+            Property::sometimes(
+                "it comes in force without one that is silent",
+                |_, world: &World| {
+                    world.leads[0].register.in_force.number == Version(1)
+                        && world
+                            .routers
+                            .iter()
+                            .any(|keeper| keeper.version() == Some(Version(0)))
+                },
+            ),
         ]
     }
 }
 
 fn world() -> Change {
-    Change { fault: None, proposed: 1, until: 3, changes: 1, restarts: 0, doubles: 0, slows: 1 }
+    Change {
+        fault: None,
+        proposed: 1,
+        until: 3,
+        changes: 1,
+        restarts: 0,
+        doubles: 0,
+        slows: 1,
+    }
 }
 
 /// A planted fault is found, in a world where without it all is well.
 fn finds(fault: Fault, world: Change) {
-    let checker = Change { fault: Some(fault), ..world }.checker().threads(4).spawn_bfs().join();
+    let checker = Change {
+        fault: Some(fault),
+        ..world
+    }
+    .checker()
+    .threads(4)
+    .spawn_bfs()
+    .join();
     let found = checker.discovery("no version after a later one");
-    assert!(found.is_some(), "{fault:?} is not found in {} states", checker.unique_state_count());
+    assert!(
+        found.is_some(),
+        "{fault:?} is not found in {} states",
+        checker.unique_state_count()
+    );
 }
 
 #[test]
@@ -407,5 +478,13 @@
 
 #[test]
 fn a_lease_that_counts_from_its_coming_is_found() {
-    finds(Fault::Keeper(InKeeper::CountsFromGrant), Change { proposed: 2, until: 4, changes: 0, ..world() });
+    finds(
+        Fault::Keeper(InKeeper::CountsFromGrant),
+        Change {
+            proposed: 2,
+            until: 4,
+            changes: 0,
+            ..world()
+        },
+    );
 }
--- a/policy/src/record.rs
+++ b/policy/src/record.rs
@@ -74,8 +74,9 @@
         if text.is_empty() {
             return Ok((Record::default(), vec![]));
         }
-        let Read { value, used } =
-            SCHEMA.read::<Record>(name, text).map_err(|refused| refused.to_string())?;
+        let Read { value, used } = SCHEMA
+            .read::<Record>(name, text)
+            .map_err(|refused| refused.to_string())?;
         Ok((value, used))
     }
 
@@ -87,8 +88,10 @@
             return Ok(record);
         }
         let line = |(path, what): (String, String)| {
-            let place =
-                used.iter().find(|used| used.path.starts_with(&path)).and_then(|used| used.from.clone());
+            let place = used
+                .iter()
+                .find(|used| used.path.starts_with(&path))
+                .and_then(|used| used.from.clone());
             let (file, line) = place.unwrap_or((name.to_owned(), 1));
             format!("{file}:{line}: {path} {what}")
         };
@@ -99,23 +102,47 @@
     fn beyond(&self, platform: &Platform) -> Vec<(String, String)> {
         let mut all = Vec::new();
         for (name, terms) in &self.indexes {
-            let path = |key: &str| format!("indexes.{name}{}{key}", if key.is_empty() { "" } else { "." });
+            let path = |key: &str| {
+                format!(
+                    "indexes.{name}{}{key}",
+                    if key.is_empty() { "" } else { "." }
+                )
+            };
             let Some(of) = platform.indexes.iter().find(|index| index.name == *name) else {
-                let known: Vec<&str> = platform.indexes.iter().map(|index| index.name.as_str()).collect();
-                all.push((path(""), format!("is no index here; there are {}", known.join(", "))));
+                let known: Vec<&str> = platform
+                    .indexes
+                    .iter()
+                    .map(|index| index.name.as_str())
+                    .collect();
+                all.push((
+                    path(""),
+                    format!("is no index here; there are {}", known.join(", ")),
+                ));
                 continue;
             };
             let (least, most) = (of.least.min(of.need), of.need);
-            if let Some(wanted) = terms.least.filter(|wanted| !(least..=most).contains(wanted)) {
-                all.push((path("least"), format!("is {wanted}, the platform allows {least} to {most}")));
+            if let Some(wanted) = terms
+                .least
+                .filter(|wanted| !(least..=most).contains(wanted))
+            {
+                all.push((
+                    path("least"),
+                    format!("is {wanted}, the platform allows {least} to {most}"),
+                ));
             }
             if let Some(at) = terms.partly_at.filter(|at| *at > of.soft.0) {
                 let (at, soft) = (at as f64 / 1e3, of.soft.0 as f64 / 1e3);
-                all.push((path("partly_at"), format!("is {at} ms, after the soft deadline of {soft} ms")));
+                all.push((
+                    path("partly_at"),
+                    format!("is {at} ms, after the soft deadline of {soft} ms"),
+                ));
             }
             if let (Some(calls), Some(cap)) = (terms.calls, platform.calls) {
                 if calls > cap as u64 {
-                    all.push((path("calls"), format!("is {calls}, the platform allows {cap}")));
+                    all.push((
+                        path("calls"),
+                        format!("is {calls}, the platform allows {cap}"),
+                    ));
                 }
             }
             if terms.copies == Some(true) && !platform.copies {
@@ -128,19 +155,27 @@
                 None => all.push((path, "is no customer here".into())),
                 Some(most) if terms.per_second > *most => {
                     let wanted = terms.per_second;
-                    all.push((path, format!("has {wanted} a second, the platform allows {most}")));
+                    all.push((
+                        path,
+                        format!("has {wanted} a second, the platform allows {most}"),
+                    ));
                 }
                 Some(_) => {}
             }
         }
         match (self.further, platform.further) {
             (Some(of), Some((spare, share))) if of.spare > spare || of.share > share => {
-                let what =
-                    format!("is {} and {}, the platform allows {spare} and {share}", of.spare, of.share);
+                let what = format!(
+                    "is {} and {}, the platform allows {spare} and {share}",
+                    of.spare, of.share
+                );
                 all.push(("further".into(), what));
             }
             (Some(_), None) => {
-                all.push(("further".into(), "is set, and the platform counts no further calls".into()));
+                all.push((
+                    "further".into(),
+                    "is set, and the platform counts no further calls".into(),
+                ));
             }
             _ => {}
         }
@@ -153,7 +188,8 @@
         let none = || "-".to_owned();
         let paths: std::collections::BTreeSet<&String> = old.keys().chain(new.keys()).collect();
         let rows = paths.into_iter().map(|path| {
-            let of = |lines: &BTreeMap<String, String>| lines.get(path).cloned().unwrap_or_else(none);
+            let of =
+                |lines: &BTreeMap<String, String>| lines.get(path).cloned().unwrap_or_else(none);
             (path.clone(), of(&old), of(&new))
         });
         rows.filter(|(_, old, new)| old != new).collect()
@@ -165,19 +201,32 @@
         for (name, terms) in &self.indexes {
             let of = [
                 ("least", terms.least.map(|figure| figure.to_string())),
-                ("partly_at", terms.partly_at.map(|micros| format!("{} ms", micros as f64 / 1e3))),
+                (
+                    "partly_at",
+                    terms
+                        .partly_at
+                        .map(|micros| format!("{} ms", micros as f64 / 1e3)),
+                ),
                 ("calls", terms.calls.map(|calls| calls.to_string())),
                 ("copies", terms.copies.map(|copies| copies.to_string())),
             ];
-            let set =
-                of.into_iter().filter_map(|(key, value)| Some((format!("indexes.{name}.{key}"), value?)));
+            let set = of
+                .into_iter()
+                .filter_map(|(key, value)| Some((format!("indexes.{name}.{key}"), value?)));
             all.extend(set);
         }
-        all.extend(self.drained.iter().map(|node| (format!("drained.{node}"), "true".to_owned())));
-        let customers = self.customers.iter();
         all.extend(
-            customers.map(|(name, of)| (format!("customers.{name}.per_second"), of.per_second.to_string())),
+            self.drained
+                .iter()
+                .map(|node| (format!("drained.{node}"), "true".to_owned())),
         );
+        let customers = self.customers.iter();
+        all.extend(customers.map(|(name, of)| {
+            (
+                format!("customers.{name}.per_second"),
+                of.per_second.to_string(),
+            )
+        }));
         if let Some(further) = self.further {
             all.insert("further.spare".into(), further.spare.to_string());
             all.insert("further.share".into(), further.share.to_string());
@@ -228,11 +277,19 @@
     fn what_stays_within_is_taken_and_told_apart_from_another() {
         let text = format!("{HEAD}indexes: half: {{least: 0.75, calls: 2}}\ndrained: [\"s-1\"]\nfurther: {{spare: 1, share: 0.05}}\n");
         let record = Record::read_within("p.cue", &text, &platform()).expect("within");
-        assert_eq!((record.indexes["half"].least, record.indexes["half"].calls), (Some(0.75), Some(2)));
+        assert_eq!(
+            (record.indexes["half"].least, record.indexes["half"].calls),
+            (Some(0.75), Some(2))
+        );
         let rows = record.differs(&Record::default());
         let paths: Vec<&str> = rows.iter().map(|(path, ..)| path.as_str()).collect();
-        let wanted =
-            ["drained.s-1", "further.share", "further.spare", "indexes.half.calls", "indexes.half.least"];
+        let wanted = [
+            "drained.s-1",
+            "further.share",
+            "further.spare",
+            "indexes.half.calls",
+            "indexes.half.least",
+        ];
         assert_eq!(paths, wanted);
         assert_eq!(Record::read("p", ""), Ok(Record::default()));
     }
--- a/policy/src/register.rs
+++ b/policy/src/register.rs
@@ -195,7 +195,11 @@
 impl Register {
     /// The register of a new fleet: version 0, the platform's own settings.
     pub fn begins(members: BTreeMap<Member, Seated>) -> Self {
-        let last_seat = members.values().filter_map(|seated| seated.seat).max().unwrap_or_default();
+        let last_seat = members
+            .values()
+            .filter_map(|seated| seated.seat)
+            .max()
+            .unwrap_or_default();
         Register {
             // The founding itself is the first place: 0 is for those that know nothing yet.
             index: Index(1),
@@ -219,20 +223,34 @@
 
     /// What became of a command, if it is still remembered.
     pub fn outcome(&self, op: Op) -> Option<&Outcome> {
-        self.done.iter().find(|(of, _)| *of == op).map(|(_, outcome)| outcome)
+        self.done
+            .iter()
+            .find(|(of, _)| *of == op)
+            .map(|(_, outcome)| outcome)
     }
 
     /// Whether a change takes hold just now: nobody admits.
     pub fn in_barrier(&self) -> bool {
-        self.next.as_ref().is_some_and(|next| next.barrier.is_some())
+        self.next
+            .as_ref()
+            .is_some_and(|next| next.barrier.is_some())
     }
 
     pub fn holder(&self, seat: SeatNo) -> Option<&Member> {
-        self.members.iter().find(|(_, of)| of.seat == Some(seat)).map(|(member, _)| member)
+        self.members
+            .iter()
+            .find(|(_, of)| of.seat == Some(seat))
+            .map(|(member, _)| member)
     }
 
     /// An entry of the further matter was played: what it came to, and what every router has to know from here on.
-    pub fn annexed(&mut self, index: Index, op: Option<Op>, came: Result<u64, String>, outs: Vec<u8>) {
+    pub fn annexed(
+        &mut self,
+        index: Index,
+        op: Option<Op>,
+        came: Result<u64, String>,
+        outs: Vec<u8>,
+    ) {
         self.index = index;
         if let Some(op) = op {
             let outcome = came.map_or_else(Outcome::Refused, Outcome::Numbered);
@@ -258,15 +276,34 @@
         }
         let checking = matches!(entry, Entry::Verdicts { .. });
         let (op, outcome) = match entry {
-            Entry::Propose { op, base, paper, confirm } => (Some(op), self.propose(op, base, paper, confirm)),
+            Entry::Propose {
+                op,
+                base,
+                paper,
+                confirm,
+            } => (Some(op), self.propose(op, base, paper, confirm)),
             Entry::Confirm { op, number, by } => (Some(op), self.confirm(op, number, &by)),
-            Entry::Withdraw { op, number, by, reason } => (Some(op), self.withdraw(op, number, by, reason)),
-            Entry::Enter { op, member, address, zone } => (Some(op), self.enter(op, member, address, zone)),
+            Entry::Withdraw {
+                op,
+                number,
+                by,
+                reason,
+            } => (Some(op), self.withdraw(op, number, by, reason)),
+            Entry::Enter {
+                op,
+                member,
+                address,
+                zone,
+            } => (Some(op), self.enter(op, member, address, zone)),
             Entry::Leave { op, member } => (Some(op), self.leave(op, &member)),
             Entry::Seat { op, member } => (Some(op), self.seat(op, &member)),
             Entry::Unseat { op, member } => (Some(op), self.unseat(op, &member)),
             Entry::Verdicts { number, said } => (None, self.verdicts(number, said)),
-            Entry::Begin { number, round, without } => (None, self.begin(number, round, without)),
+            Entry::Begin {
+                number,
+                round,
+                without,
+            } => (None, self.begin(number, round, without)),
             Entry::InForce { number, round } => (None, self.come_in_force(number, round)),
             Entry::Learnt { seat } => (None, self.learnt(seat)),
             Entry::Resume { number, round } => (None, self.resume(number, round)),
@@ -286,14 +323,25 @@
         self.outcome(op).is_none().then_some(())
     }
 
-    fn propose(&mut self, op: Op, base: Option<Version>, mut paper: Paper, confirm: bool) -> Option<Outcome> {
+    fn propose(
+        &mut self,
+        op: Op,
+        base: Option<Version>,
+        mut paper: Paper,
+        confirm: bool,
+    ) -> Option<Outcome> {
         self.once(op)?;
         if let Some(next) = &self.next {
             let (number, author) = (next.paper.number, &next.paper.author);
-            return Some(Outcome::Refused(format!("proposal {number} by {author} is on its way")));
+            return Some(Outcome::Refused(format!(
+                "proposal {number} by {author} is on its way"
+            )));
         }
         if let Some(base) = base.filter(|base| *base != self.in_force.number) {
-            let words = format!("it was made from version {base}, in force is {}", self.in_force.number);
+            let words = format!(
+                "it was made from version {base}, in force is {}",
+                self.in_force.number
+            );
             return Some(Outcome::Refused(words));
         }
         let long = paper.text.len() > LONGEST_TEXT;
@@ -314,13 +362,21 @@
             self.history.pop_front();
         }
         let fits = BTreeSet::new();
-        self.next = Some(Pending { paper, fits, unconfirmed: confirm, round: Round(0), barrier: None });
+        self.next = Some(Pending {
+            paper,
+            fits,
+            unconfirmed: confirm,
+            round: Round(0),
+            barrier: None,
+        });
         Some(Outcome::Proposed(self.newest))
     }
 
     /// The proposal of this number, if it is the one on its way.
     fn pending(&mut self, number: Version) -> Option<&mut Pending> {
-        self.next.as_mut().filter(|next| next.paper.number == number)
+        self.next
+            .as_mut()
+            .filter(|next| next.paper.number == number)
     }
 
     fn settle(&mut self, number: Version, fate: Fate) {
@@ -333,7 +389,10 @@
     fn verdicts(&mut self, number: Version, said: Vec<(Member, Verdict)>) -> Option<Outcome> {
         let members: BTreeSet<Member> = self.members.keys().cloned().collect();
         let next = self.pending(number).filter(|next| next.barrier.is_none())?;
-        for (member, verdict) in said.into_iter().filter(|(member, _)| members.contains(member)) {
+        for (member, verdict) in said
+            .into_iter()
+            .filter(|(member, _)| members.contains(member))
+        {
             match verdict {
                 Verdict::Fits => {
                     next.fits.insert(member);
@@ -352,19 +411,32 @@
     fn confirm(&mut self, op: Op, number: Version, by: &str) -> Option<Outcome> {
         self.once(op)?;
         let Some(next) = self.pending(number) else {
-            return Some(Outcome::Refused(format!("proposal {number} is not on its way")));
+            return Some(Outcome::Refused(format!(
+                "proposal {number} is not on its way"
+            )));
         };
         if next.paper.author == by {
-            return Some(Outcome::Refused(format!("{by} made it: somebody else has to confirm it")));
+            return Some(Outcome::Refused(format!(
+                "{by} made it: somebody else has to confirm it"
+            )));
         }
         next.unconfirmed = false;
         Some(Outcome::Done)
     }
 
-    fn begin(&mut self, number: Version, round: Round, without: BTreeSet<Member>) -> Option<Outcome> {
+    fn begin(
+        &mut self,
+        number: Version,
+        round: Round,
+        without: BTreeSet<Member>,
+    ) -> Option<Outcome> {
         let members: Vec<Member> = self.members.keys().cloned().collect();
-        let next = self.pending(number).filter(|next| next.barrier.is_none() && !next.unconfirmed)?;
-        let all = members.iter().all(|member| next.fits.contains(member) || without.contains(member));
+        let next = self
+            .pending(number)
+            .filter(|next| next.barrier.is_none() && !next.unconfirmed)?;
+        let all = members
+            .iter()
+            .all(|member| next.fits.contains(member) || without.contains(member));
         if all && round.0 == next.round.0 + 1 {
             (next.round, next.barrier) = (round, Some(without));
             self.epoch = Epoch(self.epoch.0 + 1);
@@ -373,7 +445,8 @@
     }
 
     fn come_in_force(&mut self, number: Version, round: Round) -> Option<Outcome> {
-        self.pending(number).filter(|next| next.barrier.is_some() && next.round == round)?;
+        self.pending(number)
+            .filter(|next| next.barrier.is_some() && next.round == round)?;
         self.in_force = self.next.take()?.paper;
         self.epoch = Epoch(self.epoch.0 + 1);
         self.left.clear();
@@ -382,7 +455,9 @@
     }
 
     fn resume(&mut self, number: Version, round: Round) -> Option<Outcome> {
-        let next = self.pending(number).filter(|next| next.barrier.is_some() && next.round == round)?;
+        let next = self
+            .pending(number)
+            .filter(|next| next.barrier.is_some() && next.round == round)?;
         next.barrier = None;
         self.epoch = Epoch(self.epoch.0 + 1);
         None
@@ -391,8 +466,15 @@
     fn withdraw(&mut self, op: Op, number: Version, by: String, reason: String) -> Option<Outcome> {
         self.once(op)?;
         if self.pending(number).is_none() {
-            let words = match self.history.iter().find(|past| past.number == number).map(|past| &past.fate) {
-                Some(Fate::InForce) => "it is in force: to go back, propose the earlier policy anew",
+            let words = match self
+                .history
+                .iter()
+                .find(|past| past.number == number)
+                .map(|past| &past.fate)
+            {
+                Some(Fate::InForce) => {
+                    "it is in force: to go back, propose the earlier policy anew"
+                }
                 Some(Fate::Refused(..)) => "it was refused",
                 Some(Fate::Withdrawn(..)) => "it was withdrawn before",
                 _ => "there is no such proposal on its way",
@@ -421,13 +503,26 @@
             return Some(refused);
         }
         let full = self.members.len() >= MOST_MEMBERS;
-        if full || member.0.is_empty() || member.0.len() + address.len() + zone.len() > LONGEST_WORDS {
-            return Some(Outcome::Refused(format!("a fleet has at most {MOST_MEMBERS} members, with names")));
+        if full
+            || member.0.is_empty()
+            || member.0.len() + address.len() + zone.len() > LONGEST_WORDS
+        {
+            return Some(Outcome::Refused(format!(
+                "a fleet has at most {MOST_MEMBERS} members, with names"
+            )));
         }
         let known = self.members.get(&member);
         let (seat, learns) = known.map_or((None, false), |seated| (seated.seat, seated.learns));
         self.left.remove(&member);
-        self.members.insert(member, Seated { address, zone, seat, learns });
+        self.members.insert(
+            member,
+            Seated {
+                address,
+                zone,
+                seat,
+                learns,
+            },
+        );
         self.members_at = self.index;
         Some(Outcome::Done)
     }
@@ -440,7 +535,9 @@
         match self.members.get(member) {
             None => return Some(Outcome::Refused(format!("{member} is no member"))),
             Some(Seated { seat: Some(_), .. }) => {
-                return Some(Outcome::Refused(format!("{member} has a vote: take that first")));
+                return Some(Outcome::Refused(format!(
+                    "{member} has a vote: take that first"
+                )));
             }
             Some(_) => {}
         }
@@ -465,7 +562,10 @@
     }
 
     fn learnt(&mut self, seat: SeatNo) -> Option<Outcome> {
-        let seated = self.members.values_mut().find(|seated| seated.seat == Some(seat) && seated.learns)?;
+        let seated = self
+            .members
+            .values_mut()
+            .find(|seated| seated.seat == Some(seat) && seated.learns)?;
         seated.learns = false;
         self.members_at = self.index;
         None
@@ -474,7 +574,10 @@
     /// Who votes, and who learns to: what the agreement's own list of voters is to become.
     pub fn seats(&self) -> (Vec<SeatNo>, Vec<SeatNo>) {
         let of = |learns: bool| {
-            let held = self.members.values().filter(move |seated| seated.learns == learns);
+            let held = self
+                .members
+                .values()
+                .filter(move |seated| seated.learns == learns);
             let mut all: Vec<SeatNo> = held.filter_map(|seated| seated.seat).collect();
             all.sort_unstable();
             all
--- a/policy/src/say.rs
+++ b/policy/src/say.rs
@@ -190,21 +190,62 @@
     pub fn entry(self, op: Op, confirm: bool) -> Option<Entry> {
         let member = |name: String| Member(name);
         Some(match self {
-            Command::Propose { base, text, author, reason } => {
-                let paper = Paper { number: Version(0), text, author, reason };
-                Entry::Propose { op, base: base.map(Version), paper, confirm }
+            Command::Propose {
+                base,
+                text,
+                author,
+                reason,
+            } => {
+                let paper = Paper {
+                    number: Version(0),
+                    text,
+                    author,
+                    reason,
+                };
+                Entry::Propose {
+                    op,
+                    base: base.map(Version),
+                    paper,
+                    confirm,
+                }
             }
-            Command::Confirm { number, by } => Entry::Confirm { op, number: Version(number), by },
-            Command::Withdraw { number, by, reason } => {
-                Entry::Withdraw { op, number: Version(number), by, reason }
-            }
-            Command::Add { member: name, address, zone } => {
-                Entry::Enter { op, member: member(name), address, zone }
-            }
-            Command::Remove { member: name } => Entry::Leave { op, member: member(name) },
-            Command::Seat { member: name } => Entry::Seat { op, member: member(name) },
-            Command::Unseat { member: name } => Entry::Unseat { op, member: member(name) },
-            Command::Annex { entry } => Entry::Annex { op: Some(op), entry },
+            Command::Confirm { number, by } => Entry::Confirm {
+                op,
+                number: Version(number),
+                by,
+            },
+            Command::Withdraw { number, by, reason } => Entry::Withdraw {
+                op,
+                number: Version(number),
+                by,
+                reason,
+            },
+            Command::Add {
+                member: name,
+                address,
+                zone,
+            } => Entry::Enter {
+                op,
+                member: member(name),
+                address,
+                zone,
+            },
+            Command::Remove { member: name } => Entry::Leave {
+                op,
+                member: member(name),
+            },
+            Command::Seat { member: name } => Entry::Seat {
+                op,
+                member: member(name),
+            },
+            Command::Unseat { member: name } => Entry::Unseat {
+                op,
+                member: member(name),
+            },
+            Command::Annex { entry } => Entry::Annex {
+                op: Some(op),
+                entry,
+            },
             Command::Transfer { .. } => return None,
         })
     }
--- a/policy/src/terms.rs
+++ b/policy/src/terms.rs
@@ -47,7 +47,9 @@
     /// The least that this clock has counted while another, within the drift, counted so much.
     pub fn at_least(&self, other: u64) -> Micros {
         let (million, drift) = (1_000_000, self.drift_ppm.min(500_000));
-        Micros((u128::from(other) * u128::from(million - drift) / u128::from(million + drift)) as u64)
+        Micros(
+            (u128::from(other) * u128::from(million - drift) / u128::from(million + drift)) as u64,
+        )
     }
 
     /// A router that has been heard from so lately is there.
--- a/policy/tests/far_behind.rs
+++ b/policy/tests/far_behind.rs
@@ -4,26 +4,56 @@
 
 use ternpick::types::Micros;
 use ternpick_policy::{
-    Entry, Incarnation, Index, Keeper, Op, Paper, Register, Round, Seated, Terms, Told, Verdict, Version,
-    View,
+    Entry, Incarnation, Index, Keeper, Op, Paper, Register, Round, Seated, Terms, Told, Verdict,
+    Version, View,
 };
 
 #[test]
 fn ten_thousand_entries_behind_is_one_answer_away() {
-    let seated = Seated { address: "127.0.0.1:1".into(), zone: String::new(), seat: None, learns: false };
+    let seated = Seated {
+        address: "127.0.0.1:1".into(),
+        zone: String::new(),
+        seat: None,
+        learns: false,
+    };
     let mut register = Register::begins(BTreeMap::from([("a".into(), seated)]));
-    let mut keeper = Keeper::starts(Terms::default(), "a".into(), Incarnation(1), false, Micros(0));
-    let told = |register: &Register| Told { view: Some(View::of(register)), ..Told::default() };
+    let mut keeper = Keeper::starts(
+        Terms::default(),
+        "a".into(),
+        Incarnation(1),
+        false,
+        Micros(0),
+    );
+    let told = |register: &Register| Told {
+        view: Some(View::of(register)),
+        ..Told::default()
+    };
     keeper.told(Micros(1), told(&register));
     let (mut index, mut changes) = (1, 0);
     while index < 10_000 {
         changes += 1;
         let (number, round) = (Version(changes), Round(1));
-        let paper = Paper { text: "x".repeat(2000), author: "ann".into(), ..Paper::default() };
+        let paper = Paper {
+            text: "x".repeat(2000),
+            author: "ann".into(),
+            ..Paper::default()
+        };
         for entry in [
-            Entry::Propose { op: Op(changes), base: None, paper, confirm: false },
-            Entry::Verdicts { number, said: vec![("a".into(), Verdict::Fits)] },
-            Entry::Begin { number, round, without: Default::default() },
+            Entry::Propose {
+                op: Op(changes),
+                base: None,
+                paper,
+                confirm: false,
+            },
+            Entry::Verdicts {
+                number,
+                said: vec![("a".into(), Verdict::Fits)],
+            },
+            Entry::Begin {
+                number,
+                round,
+                without: Default::default(),
+            },
             Entry::InForce { number, round },
         ] {
             index += 1;
@@ -33,7 +63,12 @@
     let size = |of: &[u8]| of.len();
     let view = postcard::to_stdvec(&View::of(&register)).expect("bytes");
     let whole = postcard::to_stdvec(&register).expect("bytes");
-    assert!(size(&view) < 4096 && size(&whole) < 16 * 1024, "{} and {} bytes", size(&view), size(&whole));
+    assert!(
+        size(&view) < 4096 && size(&whole) < 16 * 1024,
+        "{} and {} bytes",
+        size(&view),
+        size(&whole)
+    );
     assert_eq!(keeper.version(), Some(Version(0)));
     keeper.told(Micros(2), told(&register));
     assert_eq!(keeper.version(), Some(Version(2500)));
--- a/router/examples/upgrade_standin.rs
+++ b/router/examples/upgrade_standin.rs
@@ -30,7 +30,10 @@
     let how = std::env::var("STANDIN").unwrap_or_default();
     let (what, at) = how.split_once(':').unwrap_or(("die", "1"));
     let at: usize = at.parse().unwrap_or(1);
-    let fd: OwnedFd = std::io::stdin().as_fd().try_clone_to_owned().expect("a link");
+    let fd: OwnedFd = std::io::stdin()
+        .as_fd()
+        .try_clone_to_owned()
+        .expect("a link");
     let mut stream = UnixStream::from(fd);
     let (mut input, mut step) = (Vec::new(), 0);
     let mut say = |stream: &mut UnixStream, message: Message| {
@@ -63,8 +66,18 @@
         }
         let _ = stream.write_all(&encode(&message));
     };
-    let version = if what == "version" { VERSION + 1 } else { VERSION };
-    say(&mut stream, Message::Hello { version, program: "a stand-in".into() });
+    let version = if what == "version" {
+        VERSION + 1
+    } else {
+        VERSION
+    };
+    say(
+        &mut stream,
+        Message::Hello {
+            version,
+            program: "a stand-in".into(),
+        },
+    );
     loop {
         match receive(&mut stream, &mut input) {
             Message::Offer { .. } => say(&mut stream, Message::Checked { same: false }),
--- a/router/src/fleet/cli.rs
+++ b/router/src/fleet/cli.rs
@@ -170,12 +170,16 @@
 pub(super) fn to_fleet(socket: &Socket, question: Value) -> Result<Value, String> {
     let mut question = question;
     question["do"] = "fleet".into();
-    let within = Duration::from_millis(question["wait_ms"].as_u64().unwrap_or(0)).saturating_add(SILENT);
+    let within =
+        Duration::from_millis(question["wait_ms"].as_u64().unwrap_or(0)).saturating_add(SILENT);
     ask_within(&socket.socket, &question, Some(within), &mut |_| ())
 }
 
 fn look(socket: &Socket, what: &str) -> Result<Option<Value>, String> {
-    let said = to_fleet(socket, json!({"ask": "look", "what": what, "wait_ms": 3000}))?;
+    let said = to_fleet(
+        socket,
+        json!({"ask": "look", "what": what, "wait_ms": 3000}),
+    )?;
     Ok(Some(said["look"].clone()).filter(|look| look.is_object()))
 }
 
@@ -200,7 +204,10 @@
 fn command(socket: &Socket, wait: &Wait, command: Value) -> Result<Value, String> {
     let op = wait.op.unwrap_or_else(chance);
     let wait_ms = u64::try_from(wait.timeout.as_millis()).unwrap_or(u64::MAX);
-    let mut said = to_fleet(socket, json!({"ask": "do", "op": op, "command": command, "wait_ms": wait_ms}))?;
+    let mut said = to_fleet(
+        socket,
+        json!({"ask": "do", "op": op, "command": command, "wait_ms": wait_ms}),
+    )?;
     if said["unknown"] == true {
         said["line"] = format!("{} (--op {op})", said["line"].as_str().unwrap_or_default()).into();
     }
@@ -233,13 +240,13 @@
             })
         }
         Policy::Check { socket, file } => {
-            let question =
-                json!({"ask": "check", "name": file.display().to_string(), "text": text_of(&file)?});
+            let question = json!({"ask": "check", "name": file.display().to_string(), "text": text_of(&file)?});
             let said = to_fleet(&socket, question)?;
             finish(&socket, &said, || {
                 let lines = said["figures"].as_object().into_iter().flatten();
-                let lines: Vec<String> =
-                    lines.map(|(path, value)| format!("{path} = {}", word(value))).collect();
+                let lines: Vec<String> = lines
+                    .map(|(path, value)| format!("{path} = {}", word(value)))
+                    .collect();
                 format!("it fits this router\n{}", lines.join("\n"))
             })
         }
@@ -249,12 +256,21 @@
             if said["ok"] != true {
                 return finish(&socket, &said, String::new);
             }
-            let old = Record::read("in force", said["in_force"]["text"].as_str().unwrap_or_default())?;
+            let old = Record::read(
+                "in force",
+                said["in_force"]["text"].as_str().unwrap_or_default(),
+            )?;
             let rows = new.differs(&old);
             if socket.json {
-                println!("{}", json!({"base": said["in_force"]["number"], "differs": rows}));
+                println!(
+                    "{}",
+                    json!({"base": said["in_force"]["number"], "differs": rows})
+                );
             } else if rows.is_empty() {
-                println!("nothing differs from version {}", said["in_force"]["number"]);
+                println!(
+                    "nothing differs from version {}",
+                    said["in_force"]["number"]
+                );
             } else {
                 println!(
                     "{:<40} {:>16} {:>16}",
@@ -262,34 +278,73 @@
                     format!("version {}", said["in_force"]["number"]),
                     "this file"
                 );
-                rows.iter().for_each(|(path, old, new)| println!("{path:<40} {old:>16} {new:>16}"));
+                rows.iter()
+                    .for_each(|(path, old, new)| println!("{path:<40} {old:>16} {new:>16}"));
             }
             Ok(ExitCode::SUCCESS)
         }
-        Policy::Propose { socket, wait, file, base, waits } => propose(&socket, &wait, &file, base, waits),
-        Policy::Confirm { socket, wait, number, by } => {
-            let said = command(&socket, &wait, json!({"confirm": {"number": number, "by": by}}))?;
-            finish(&socket, &said, || format!("proposal {number} is confirmed by {by}"))
+        Policy::Propose {
+            socket,
+            wait,
+            file,
+            base,
+            waits,
+        } => propose(&socket, &wait, &file, base, waits),
+        Policy::Confirm {
+            socket,
+            wait,
+            number,
+            by,
+        } => {
+            let said = command(
+                &socket,
+                &wait,
+                json!({"confirm": {"number": number, "by": by}}),
+            )?;
+            finish(&socket, &said, || {
+                format!("proposal {number} is confirmed by {by}")
+            })
         }
-        Policy::Withdraw { socket, wait, number, by, reason } => {
-            let said =
-                command(&socket, &wait, json!({"withdraw": {"number": number, "by": by, "reason": reason}}))?;
+        Policy::Withdraw {
+            socket,
+            wait,
+            number,
+            by,
+            reason,
+        } => {
+            let said = command(
+                &socket,
+                &wait,
+                json!({"withdraw": {"number": number, "by": by, "reason": reason}}),
+            )?;
             finish(&socket, &said, || format!("proposal {number} is withdrawn"))
         }
         Policy::History { socket } => {
-            let Some(seen) = look(&socket, "policy")? else { return nobody(&socket) };
+            let Some(seen) = look(&socket, "policy")? else {
+                return nobody(&socket);
+            };
             if socket.json {
                 println!("{}", seen["history"]);
                 return Ok(ExitCode::SUCCESS);
             }
             for past in seen["history"].as_array().into_iter().flatten() {
-                let why = past["why"]
-                    .as_str()
-                    .map_or(String::new(), |why| format!(" by {}: {why}", word(&past["by"])));
-                let now = if past["number"] == seen["in_force"]["number"] { " (now)" } else { "" };
-                let (number, fate, author) =
-                    (word(&past["number"]), word(&past["fate"]), word(&past["author"]));
-                println!("{number:>6}  {fate:<10}{now} {author}: {}{why}", word(&past["reason"]));
+                let why = past["why"].as_str().map_or(String::new(), |why| {
+                    format!(" by {}: {why}", word(&past["by"]))
+                });
+                let now = if past["number"] == seen["in_force"]["number"] {
+                    " (now)"
+                } else {
+                    ""
+                };
+                let (number, fate, author) = (
+                    word(&past["number"]),
+                    word(&past["fate"]),
+                    word(&past["author"]),
+                );
+                println!(
+                    "{number:>6}  {fate:<10}{now} {author}: {}{why}",
+                    word(&past["reason"])
+                );
             }
             Ok(ExitCode::SUCCESS)
         }
@@ -326,7 +381,11 @@
         Some(next) => format!(", {} is looked at", next["number"]),
     };
     let (member, version) = (word(&of["member"]), word(&of["version"]));
-    println!("{member}: version {version}{next}; {}; {} leads", word(&of["admission"]), word(&of["leader"]));
+    println!(
+        "{member}: version {version}{next}; {}; {} leads",
+        word(&of["admission"]),
+        word(&of["leader"])
+    );
 }
 
 pub(super) fn nobody(socket: &Socket) -> Done {
@@ -338,14 +397,16 @@
     let text = text_of(file)?;
     let record = Record::read(&file.display().to_string(), &text)?;
     let began = Instant::now();
-    let of =
-        json!({"propose": {"base": base, "text": text, "author": record.author, "reason": record.reason}});
+    let of = json!({"propose": {"base": base, "text": text, "author": record.author, "reason": record.reason}});
     let said = command(socket, wait, of)?;
     let number = said["number"].clone();
     if said["ok"] != true || !waits {
         return finish(socket, &said, || format!("proposal {number} is on its way"));
     }
-    let (terminal, mut told) = (std::io::stderr().is_terminal() && !socket.json, String::new());
+    let (terminal, mut told) = (
+        std::io::stderr().is_terminal() && !socket.json,
+        String::new(),
+    );
     while began.elapsed() < wait.timeout {
         if let Some(seen) = look(socket, "members")? {
             let past = seen["history"]
@@ -383,8 +444,10 @@
         }
         std::thread::sleep(LOOK);
     }
-    let line =
-        format!("proposal {number} is open: neither in force nor withdrawn after {:?}; {told}", wait.timeout);
+    let line = format!(
+        "proposal {number} is open: neither in force nor withdrawn after {:?}; {told}",
+        wait.timeout
+    );
     finish(
         socket,
         &json!({"ok": false, "unknown": true, "number": number, "line": line, "op": said["op"]}),
@@ -399,11 +462,23 @@
     }
     let rows = || seen["rows"].as_array().into_iter().flatten();
     let silent = |row: &&Value| row["heard_ms_ago"].as_u64().is_none_or(|ago| ago > 1000);
-    let names =
-        |rows: Vec<&Value>| rows.iter().map(|row| word(&row["member"])).collect::<Vec<_>>().join(", ");
+    let names = |rows: Vec<&Value>| {
+        rows.iter()
+            .map(|row| word(&row["member"]))
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
     let down = names(rows().filter(silent).collect());
-    let missing = names(rows().filter(|row| row["fits"] == false && !silent(row)).collect());
-    let mut words = format!("{} of {} have confirmed", word(&seen["next"]["fit"]), word(&seen["members"]));
+    let missing = names(
+        rows()
+            .filter(|row| row["fits"] == false && !silent(row))
+            .collect(),
+    );
+    let mut words = format!(
+        "{} of {} have confirmed",
+        word(&seen["next"]["fit"]),
+        word(&seen["members"])
+    );
     if !missing.is_empty() {
         words += &format!("; not yet: {missing}");
     }
@@ -419,7 +494,9 @@
         FleetCommand::Init { config, settings } => init(&config, &settings),
         FleetCommand::Status { socket } => status(&socket),
         FleetCommand::Members { socket } => {
-            let Some(seen) = look(&socket, "members")? else { return nobody(&socket) };
+            let Some(seen) = look(&socket, "members")? else {
+                return nobody(&socket);
+            };
             if socket.json {
                 println!("{}", seen["rows"]);
             } else {
@@ -427,32 +504,53 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        FleetCommand::Add { socket, wait, name, address, zone, vote } => {
+        FleetCommand::Add {
+            socket,
+            wait,
+            name,
+            address,
+            zone,
+            vote,
+        } => {
             address
                 .parse::<std::net::SocketAddr>()
                 .map_err(|_| format!("{address} is no address and port"))?;
             let of = json!({"add": {"member": name, "address": address, "zone": zone}});
             let mut said = command(&socket, &wait, of)?;
             if said["ok"] == true && vote {
-                said = command(&socket, &Wait { op: None, ..wait }, json!({"seat": {"member": name}}))?;
+                said = command(
+                    &socket,
+                    &Wait { op: None, ..wait },
+                    json!({"seat": {"member": name}}),
+                )?;
             }
             finish(&socket, &said, || match said["seat"].as_u64() {
-                Some(seat) => format!("{name} belongs to the fleet, and has seat {seat} once it has learnt"),
+                Some(seat) => {
+                    format!("{name} belongs to the fleet, and has seat {seat} once it has learnt")
+                }
                 None => format!("{name} belongs to the fleet"),
             })
         }
         FleetCommand::Remove { socket, wait, name } => {
-            let Some(seen) = look(&socket, "members")? else { return nobody(&socket) };
+            let Some(seen) = look(&socket, "members")? else {
+                return nobody(&socket);
+            };
             let mut of = seen["rows"].as_array().into_iter().flatten();
             let votes = of.any(|row| row["member"] == name && !row["seat"].is_null());
             if votes {
-                let said = command(&socket, &Wait { op: None, ..wait }, json!({"unseat": {"member": name}}))?;
+                let said = command(
+                    &socket,
+                    &Wait { op: None, ..wait },
+                    json!({"unseat": {"member": name}}),
+                )?;
                 if said["ok"] != true {
                     return finish(&socket, &said, String::new);
                 }
             }
             let said = command(&socket, &wait, json!({"remove": {"member": name}}))?;
-            finish(&socket, &said, || format!("{name} belongs to the fleet no longer"))
+            finish(&socket, &said, || {
+                format!("{name} belongs to the fleet no longer")
+            })
         }
         FleetCommand::Replace { socket, wait, name } => {
             let said = command(&socket, &wait, json!({"seat": {"member": name}}))?;
@@ -473,11 +571,17 @@
 fn init(config: &Path, path: &Path) -> Done {
     let opening = config::read(config)?;
     let settings = settings::read(path)?.for_router(&opening.name);
-    let terms = settings.fleet.ok_or_else(|| format!("{}: no fleet in it", path.display()))?;
+    let terms = settings
+        .fleet
+        .ok_or_else(|| format!("{}: no fleet in it", path.display()))?;
     let (members, me) = (founders(&terms), Member::from(opening.name.as_str()));
     let folder = PathBuf::from(&terms.folder);
     let Some(own) = members.get(&me) else {
-        return Err(format!("{}: {me} is no member of fleet {}", path.display(), terms.name));
+        return Err(format!(
+            "{}: {me} is no member of fleet {}",
+            path.display(),
+            terms.name
+        ));
     };
     let Some(seat) = own.seat else {
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -538,7 +642,11 @@
         return Ok(ExitCode::SUCCESS);
     }
     let of = &said["fleet"];
-    println!("fleet {}, this is {}", word(&of["fleet"]), word(&of["member"]));
+    println!(
+        "fleet {}, this is {}",
+        word(&of["fleet"]),
+        word(&of["member"])
+    );
     println!(
         "version {} (epoch {}, up to entry {}); {}; lease left {} ms",
         word(&of["version"]),
@@ -559,7 +667,9 @@
         ),
         None => println!(
             "no vote{}",
-            of["seat_words"].as_str().map_or(String::new(), |words| format!(": {words}"))
+            of["seat_words"]
+                .as_str()
+                .map_or(String::new(), |words| format!(": {words}"))
         ),
     }
     let Some(seen) = seen else {
--- a/router/src/fleet/commands.rs
+++ b/router/src/fleet/commands.rs
@@ -27,8 +27,7 @@
 
 fn policy(register: &Register) -> Value {
     let past = |past: &ternpick_policy::Past| {
-        let mut row =
-            json!({"number": past.number, "author": past.author, "reason": past.reason, "at": past.at});
+        let mut row = json!({"number": past.number, "author": past.author, "reason": past.reason, "at": past.at});
         if let (Value::Object(row), Value::Object(more)) = (&mut row, fate(&past.fate)) {
             row.extend(more);
         }
@@ -56,7 +55,8 @@
     let mut answer = policy(register);
     let mut seen = chair.members(now, register);
     let is_silent = |of: &ternpick_policy::Seen| of.heard.is_none_or(|ago| ago.0 > 1_000_000);
-    let waits_for = |of: &ternpick_policy::Seen| of.fits == Some(false) || of.stopped == Some(false);
+    let waits_for =
+        |of: &ternpick_policy::Seen| of.fits == Some(false) || of.stopped == Some(false);
     answer["silent"] = seen.iter().filter(|of| is_silent(of)).count().into();
     answer["latest_ms"] = (chair.at_the_latest(now, register).0 / 1000).into();
     answer["leader"] = json!(council.leader());
@@ -77,7 +77,13 @@
 
 /// Answers the control socket: what an operator asks of this router's fleet.
 pub async fn answer(router: &Router, fleet: &Fleet, asked: &Value) -> Value {
-    let wait = Micros(asked["wait_ms"].as_u64().unwrap_or(5000).saturating_mul(1000)).min(LONGEST_WAIT);
+    let wait = Micros(
+        asked["wait_ms"]
+            .as_u64()
+            .unwrap_or(5000)
+            .saturating_mul(1000),
+    )
+    .min(LONGEST_WAIT);
     let op = Op(asked["op"].as_u64().unwrap_or_else(crate::fleet::chance));
     match asked["ask"].as_str() {
         Some("status") => {
@@ -85,15 +91,22 @@
             json!({"done": true, "ok": true, "fleet": fleet.status(&desk.brain, now)})
         }
         Some("check") => {
-            let (name, text) =
-                (asked["name"].as_str().unwrap_or("policy"), asked["text"].as_str().unwrap_or_default());
+            let (name, text) = (
+                asked["name"].as_str().unwrap_or("policy"),
+                asked["text"].as_str().unwrap_or_default(),
+            );
             match Record::read_within(name, text, &fleet.platform()) {
                 Ok(record) => json!({"done": true, "ok": true, "figures": record.lines()}),
                 Err(words) => json!({"done": true, "ok": false, "line": words}),
             }
         }
         Some("show") => {
-            let text = fleet.council.borrow().keeper.view().map(|view| (view.in_force.clone(), view.epoch));
+            let text = fleet
+                .council
+                .borrow()
+                .keeper
+                .view()
+                .map(|view| (view.in_force.clone(), view.epoch));
             match text {
                 Some((of, epoch)) => {
                     json!({"done": true, "ok": true, "in_force": paper(&of), "epoch": epoch})
@@ -135,7 +148,9 @@
             }
         }
         Some("works") => crate::fleet::works::answer(router, fleet, asked, op, wait).await,
-        _ => json!({"done": true, "ok": false, "line": "ask for status, show, check, look, do or works"}),
+        _ => {
+            json!({"done": true, "ok": false, "line": "ask for status, show, check, look, do or works"})
+        }
     }
 }
 
--- a/router/src/fleet/disk.rs
+++ b/router/src/fleet/disk.rs
@@ -22,14 +22,25 @@
     };
     match Seat::open(&kept.bytes, fleet, terms, seed) {
         Ok(seat) => (Found::Seat(Box::new(seat)), Some(journal)),
-        Err(refused) => (Found::Unusable(format!("{}: {refused}", path(folder).display())), None),
+        Err(refused) => (
+            Found::Unusable(format!("{}: {refused}", path(folder).display())),
+            None,
+        ),
     }
 }
 
 /// Keeps an image; it lasts once this returns. A journal that failed is begun anew, and what is there is replaced whole.
-pub fn keep(folder: &Path, journal: &mut Option<Journal>, version: u64, image: &[u8]) -> Result<(), String> {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+pub fn keep(
+    folder: &Path,
+    journal: &mut Option<Journal>,
+    version: u64,
+    image: &[u8],
+) -> Result<(), String> {
+    let since = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
     let now = u64::try_from(since.as_micros()).unwrap_or(u64::MAX);
     let of = journal.get_or_insert_with(|| Journal::anew(&path(folder), KIND));
-    of.keep(version, now, image).map_err(|fault| fault.to_string())
+    of.keep(version, now, image)
+        .map_err(|fault| fault.to_string())
 }
--- a/router/src/fleet/drive.rs
+++ b/router/src/fleet/drive.rs
@@ -26,10 +26,17 @@
 
 impl Fleet {
     fn say(&self, router: &Rc<Router>, me: &Rc<Fleet>, to: &Member, said: Said) {
-        let address = self.council.borrow().members.get(to).and_then(|seated| seated.address.parse().ok());
+        let address = self
+            .council
+            .borrow()
+            .members
+            .get(to)
+            .and_then(|seated| seated.address.parse().ok());
         let Some(address) = address else { return };
         let mut posts = self.posts.borrow_mut();
-        let post = posts.entry(to.clone()).or_insert_with(|| Post::open(router, me, to.clone(), address));
+        let post = posts
+            .entry(to.clone())
+            .or_insert_with(|| Post::open(router, me, to.clone(), address));
         post.address.set(address);
         post.say(said);
     }
@@ -98,7 +105,12 @@
         let (folder, version, me) = (self.folder.clone(), self.images.get(), Rc::clone(me));
         let (mut journal, clock) = (self.journal.borrow_mut().take(), router.clock);
         let task = async move {
-            let write = move || (disk::keep(Path::new(&folder), &mut journal, version, &image), journal);
+            let write = move || {
+                (
+                    disk::keep(Path::new(&folder), &mut journal, version, &image),
+                    journal,
+                )
+            };
             let (kept, journal) = blocking::unblock(write).await;
             *me.journal.borrow_mut() = journal;
             me.council.borrow_mut().kept(clock.now(), kept);
@@ -138,13 +150,21 @@
     pub async fn ask(&self, router: &Router, op: Op, wish: Wish, wait: Micros) -> Option<Heard> {
         let told = Rc::new(Event::new());
         let until = router.clock.now() + wait;
-        self.waits.borrow_mut().0.insert(op, (None, Rc::clone(&told)));
+        self.waits
+            .borrow_mut()
+            .0
+            .insert(op, (None, Rc::clone(&told)));
         self.council.borrow_mut().wish(op, wish);
         self.wake.notify(1);
         let heard = async {
             loop {
                 let more = told.listen();
-                if let Some(outcome) = self.waits.borrow().0.get(&op).and_then(|(outcome, _)| outcome.clone())
+                if let Some(outcome) = self
+                    .waits
+                    .borrow()
+                    .0
+                    .get(&op)
+                    .and_then(|(outcome, _)| outcome.clone())
                 {
                     return outcome;
                 }
@@ -168,17 +188,30 @@
                 changed.await;
             }
         }
-        let Some(held) = hold(&router, &fleet).await else { continue };
+        let Some(held) = hold(&router, &fleet).await else {
+            continue;
+        };
         let Some(address) = fleet.address() else {
-            tracing::error!("fleet: {} is no member by its settings, and has no address", fleet.me);
+            tracing::error!(
+                "fleet: {} is no member by its settings, and has no address",
+                fleet.me
+            );
             return;
         };
         let (found, journal) = disk::find(&fleet.folder, fleet.id, fleet.seat_terms(), chance());
         *fleet.journal.borrow_mut() = journal;
         fleet.council.borrow_mut().begins(router.clock.now(), found);
         let listener = post::bind(&router, address).await;
-        tracing::info!("fleet: {} speaks on {address} in fleet {}", fleet.me, fleet.settings.name);
-        let listening = router.executor.spawn(post::listen(Rc::clone(&router), Rc::clone(&fleet), listener));
+        tracing::info!(
+            "fleet: {} speaks on {address} in fleet {}",
+            fleet.me,
+            fleet.settings.name
+        );
+        let listening = router.executor.spawn(post::listen(
+            Rc::clone(&router),
+            Rc::clone(&fleet),
+            listener,
+        ));
         let mut passed = false;
         while router.accepts.get() {
             if router.is_stopping() && !std::mem::replace(&mut passed, true) {
@@ -210,7 +243,10 @@
             Ok(None) if said => {}
             Ok(None) => {
                 said = true;
-                tracing::info!("fleet: waits for another process to leave {}", fleet.folder.display());
+                tracing::info!(
+                    "fleet: waits for another process to leave {}",
+                    fleet.folder.display()
+                );
             }
             Err(fault) => {
                 if !std::mem::replace(&mut said, true) {
@@ -249,5 +285,8 @@
     while fleet.council.borrow().is_keeping() {
         Timer::at(router.clock.instant(router.clock.now() + LOOK_AGAIN)).await;
     }
-    fleet.council.borrow_mut().rests(router.clock.now(), chance());
+    fleet
+        .council
+        .borrow_mut()
+        .rests(router.clock.now(), chance());
 }
