--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -26,8 +26,8 @@
 use ternpick::types::{Listing, Micros, Phase, Tariff};
 use ternpick_consensus::FleetId;
 use ternpick_policy::{
-    Admission, Council, Incarnation, Keeper, Member, Paper, Platform, Record, SeatNo, Seated, Terms, Verdict,
-    Version,
+    Admission, Council, Incarnation, Keeper, Member, Paper, Platform, Record, SeatNo, Seated,
+    Terms, Verdict, Version,
 };
 use ternpick_store::Journal;
 
@@ -51,7 +51,11 @@
 
 impl Mark {
     pub fn headers(self) -> String {
-        let guard = if self.unguarded { "Policy-Guard: none\r\n" } else { "" };
+        let guard = if self.unguarded {
+            "Policy-Guard: none\r\n"
+        } else {
+            ""
+        };
         format!("Policy-Version: {}\r\n{guard}", self.version)
     }
 }
@@ -94,7 +98,9 @@
     let mut bytes = [0; 8];
     // Without chance of the system's two processes might be taken for one; time and number tell them apart.
     if SystemRandom::new().fill(&mut bytes).is_err() {
-        let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        let since = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .unwrap_or_default();
         return since.as_nanos() as u64 ^ u64::from(std::process::id()) << 32;
     }
     u64::from_le_bytes(bytes)
@@ -120,7 +126,11 @@
 /// The fleet's number, from its name.
 pub fn number_of(name: &str) -> FleetId {
     let digest = ring::digest::digest(&ring::digest::SHA256, name.as_bytes());
-    let first = digest.as_ref().first_chunk::<8>().copied().unwrap_or_default();
+    let first = digest
+        .as_ref()
+        .first_chunk::<8>()
+        .copied()
+        .unwrap_or_default();
     FleetId(u64::from_le_bytes(first))
 }
 
@@ -142,7 +152,12 @@
     let member = |(name, terms): (&String, &crate::lifecycle::settings::MemberTerms)| {
         next += u64::from(terms.vote);
         let seat = terms.vote.then_some(SeatNo(next));
-        let seated = Seated { address: terms.address.clone(), zone: terms.zone.clone(), seat, learns: false };
+        let seated = Seated {
+            address: terms.address.clone(),
+            zone: terms.zone.clone(),
+            seat,
+            learns: false,
+        };
         (Member::from(name.as_str()), seated)
     };
     of.members.iter().map(member).collect()
@@ -150,15 +165,28 @@
 
 impl Fleet {
     pub fn new(
-        settings: FleetTerms, name: &str, tariff: &Tariff, indexes: &[String], customers: Vec<String>,
-        inherits: bool, now: Micros,
+        settings: FleetTerms,
+        name: &str,
+        tariff: &Tariff,
+        indexes: &[String],
+        customers: Vec<String>,
+        inherits: bool,
+        now: Micros,
     ) -> Rc<Fleet> {
         let (terms, me) = (spans(&settings), Member::from(name));
         let keeper = Keeper::starts(terms, me.clone(), Incarnation(chance()), inherits, now);
         let seat_terms = ternpick_policy::seat_terms(settings.election);
         let id = number_of(&settings.name);
         #[allow(unused_mut)]
-        let mut council = Council::new(id, terms, seat_terms, keeper, founders(&settings), chance(), now);
+        let mut council = Council::new(
+            id,
+            terms,
+            seat_terms,
+            keeper,
+            founders(&settings),
+            chance(),
+            now,
+        );
         #[cfg(feature = "planted")]
         plant(&mut council);
         let works = settings.works.map(works::Works::new);
@@ -194,9 +222,23 @@
 
     /// Where this router listens for the others.
     pub fn address(&self) -> Option<SocketAddr> {
-        let known = self.council.borrow().members.get(&self.me).map(|seated| seated.address.clone());
-        let own = self.settings.members.get(&self.me.0).map(|member| member.address.clone());
-        self.settings.listen.clone().or(own).or(known).and_then(|address| address.parse().ok())
+        let known = self
+            .council
+            .borrow()
+            .members
+            .get(&self.me)
+            .map(|seated| seated.address.clone());
+        let own = self
+            .settings
+            .members
+            .get(&self.me.0)
+            .map(|member| member.address.clone());
+        self.settings
+            .listen
+            .clone()
+            .or(own)
+            .or(known)
+            .and_then(|address| address.parse().ok())
     }
 
     fn seat_terms(&self) -> ternpick_consensus::Terms {
@@ -216,11 +258,14 @@
     pub async fn settled(&self, router: &Router) {
         loop {
             let changed = self.changed.listen();
-            let Admission::Hold(until) = self.council.borrow().keeper.admission(router.clock.now()) else {
+            let Admission::Hold(until) = self.council.borrow().keeper.admission(router.clock.now())
+            else {
                 return;
             };
             // In a stop the refusal that follows is owed in time too.
-            let until = router.in_time(Some(until), |of| of.answers_by).unwrap_or(until);
+            let until = router
+                .in_time(Some(until), |of| of.answers_by)
+                .unwrap_or(until);
             if until <= router.clock.now() {
                 return;
             }
@@ -234,9 +279,18 @@
     /// Whether a lookup may be taken now, and under what; else its answer.
     pub fn admit(&self, now: Micros) -> Result<Mark, Answer> {
         match self.council.borrow().keeper.admission(now) {
-            Admission::Under(version) => Ok(Mark { version, unguarded: false }),
-            Admission::Unguarded(version) => Ok(Mark { version, unguarded: true }),
-            Admission::Hold(until) => Err(Self::refusal("a change of policy takes hold", until.since(now))),
+            Admission::Under(version) => Ok(Mark {
+                version,
+                unguarded: false,
+            }),
+            Admission::Unguarded(version) => Ok(Mark {
+                version,
+                unguarded: true,
+            }),
+            Admission::Hold(until) => Err(Self::refusal(
+                "a change of policy takes hold",
+                until.since(now),
+            )),
             Admission::Refused { why, come_back } => Err(Self::refusal(why.words(), come_back)),
         }
     }
@@ -262,7 +316,8 @@
 
     pub fn counts(&self, out: (u64, u64), come: (u64, u64)) {
         let (a, b, c, d) = self.traffic.get();
-        self.traffic.set((a + out.0, b + out.1, c + come.0, d + come.1));
+        self.traffic
+            .set((a + out.0, b + out.1, c + come.0, d + come.1));
     }
 
     /// Whether a proposal fits this router's own settings.
@@ -290,14 +345,20 @@
         drop(desk);
         let drained: BTreeSet<String> = record.drained.iter().cloned().collect();
         let before = self.drained.replace(drained);
-        let changed: Vec<String> = before.symmetric_difference(&self.drained.borrow()).cloned().collect();
+        let changed: Vec<String> = before
+            .symmetric_difference(&self.drained.borrow())
+            .cloned()
+            .collect();
         self.drains(router, &changed);
     }
 
     /// Nodes that operators drain, or take out, reach the module as the roster's word does.
     fn drains(&self, router: &Router, changed: &[String]) {
         router.play(|brain, now, out| {
-            let rows: Vec<Listing> = changed.iter().filter_map(|name| self.listing(name, out)).collect();
+            let rows: Vec<Listing> = changed
+                .iter()
+                .filter_map(|name| self.listing(name, out))
+                .collect();
             brain.drains(now, &rows, out);
         });
     }
@@ -305,7 +366,11 @@
     fn listing(&self, name: &str, out: &Office) -> Option<Listing> {
         let listing = *self.listed.borrow().get(name)?;
         let node = out.nodes.number(name)?;
-        Some(Listing { node, phase: self.stricter(name, listing.phase), ..listing })
+        Some(Listing {
+            node,
+            phase: self.stricter(name, listing.phase),
+            ..listing
+        })
     }
 
     /// How discovery itself last listed a node.
@@ -332,7 +397,9 @@
 
     /// Discovery's whole list is this: others are gone.
     pub fn lists_only(&self, names: &BTreeSet<&str>) {
-        self.listed.borrow_mut().retain(|name, _| names.contains(name.as_str()));
+        self.listed
+            .borrow_mut()
+            .retain(|name, _| names.contains(name.as_str()));
     }
 
     /// How the fleet looks from here; for people.
@@ -350,7 +417,11 @@
             Admission::Hold(_) => "waits while a change takes hold".to_owned(),
             Admission::Refused { why, .. } => format!("refuses: {}", why.words()),
         };
-        let drained = brain.nodes.values().filter(|node| node.listing.phase == Phase::Draining).count();
+        let drained = brain
+            .nodes
+            .values()
+            .filter(|node| node.listing.phase == Phase::Draining)
+            .count();
         serde_json::json!({
             "fleet": self.settings.name, "member": self.me, "version": keeper.version(),
             "author": view.map(|view| &view.in_force.author), "reason": view.map(|view| &view.in_force.reason),
--- a/router/src/fleet/parcel.rs
+++ b/router/src/fleet/parcel.rs
@@ -26,9 +26,13 @@
 
     /// Reads what has come for `me`; what is wrong with it, in words.
     pub fn parse(bytes: &[u8], fleet: FleetId, me: &Member) -> Result<Parcel, String> {
-        let parcel: Parcel = postcard::from_bytes(bytes).map_err(|_| "it cannot be read".to_owned())?;
+        let parcel: Parcel =
+            postcard::from_bytes(bytes).map_err(|_| "it cannot be read".to_owned())?;
         if parcel.fleet != fleet {
-            return Err(format!("it is of fleet {}, this one is {fleet}", parcel.fleet));
+            return Err(format!(
+                "it is of fleet {}, this one is {fleet}",
+                parcel.fleet
+            ));
         }
         if parcel.to != *me {
             return Err(format!("it is for {}, this is {me}", parcel.to));
@@ -45,9 +49,15 @@
 /// state of many machines in work was dropped on its way to a voter that had to learn it, time and again.
 pub fn in_pieces(said: &Said, number: u64) -> Option<Vec<Said>> {
     let whole = postcard::to_stdvec(said).ok()?;
-    let of = u16::try_from(whole.len().div_ceil(PIECE_BYTES)).ok().filter(|of| *of <= MOST_PIECES)?;
-    let piece =
-        |(at, bytes): (usize, &[u8])| Said::Piece { number, at: at as u16, of, bytes: bytes.to_vec() };
+    let of = u16::try_from(whole.len().div_ceil(PIECE_BYTES))
+        .ok()
+        .filter(|of| *of <= MOST_PIECES)?;
+    let piece = |(at, bytes): (usize, &[u8])| Said::Piece {
+        number,
+        at: at as u16,
+        of,
+        bytes: bytes.to_vec(),
+    };
     Some(whole.chunks(PIECE_BYTES).enumerate().map(piece).collect())
 }
 
@@ -64,19 +74,37 @@
 impl Pieces {
     /// A piece, and the whole once it is there; what is no piece is whole.
     pub fn take(&mut self, from: &Member, said: Said) -> Option<Said> {
-        let Said::Piece { number, at, of, bytes } = said else { return Some(said) };
+        let Said::Piece {
+            number,
+            at,
+            of,
+            bytes,
+        } = said
+        else {
+            return Some(said);
+        };
         if of == 0 || at >= of || of > MOST_PIECES || bytes.len() > PIECE_BYTES {
             return None;
         }
         let coming = self.0.entry(from.clone()).or_default();
         if coming.number != number || coming.parts.len() != usize::from(of) {
-            *coming = Coming { number, parts: vec![None; usize::from(of)] };
+            *coming = Coming {
+                number,
+                parts: vec![None; usize::from(of)],
+            };
         }
         coming.parts[usize::from(at)] = Some(bytes);
         if coming.parts.iter().any(Option::is_none) {
             return None;
         }
-        let whole = self.0.remove(from)?.parts.into_iter().flatten().collect::<Vec<_>>().concat();
+        let whole = self
+            .0
+            .remove(from)?
+            .parts
+            .into_iter()
+            .flatten()
+            .collect::<Vec<_>>()
+            .concat();
         postcard::from_bytes(&whole).ok()
     }
 }
@@ -87,7 +115,11 @@
     use test_case::test_case;
 
     fn long(bytes: usize) -> Said {
-        Said::Seat { from: ternpick_policy::SeatNo(1), to: ternpick_policy::SeatNo(2), word: vec![7; bytes] }
+        Said::Seat {
+            from: ternpick_policy::SeatNo(1),
+            to: ternpick_policy::SeatNo(2),
+            word: vec![7; bytes],
+        }
     }
 
     /// In which order the pieces of something come, by number; whether it is whole then.
@@ -98,11 +130,19 @@
         let (said, mut pieces, from) = (long(130_000), Pieces::default(), Member::from("n1"));
         let sent = in_pieces(&said, 4).expect("it may be sent");
         assert_eq!(sent.len(), 3);
-        let fits = |of: &Said| postcard::to_stdvec(of).is_ok_and(|bytes| bytes.len() <= PARCEL_BYTES);
+        let fits =
+            |of: &Said| postcard::to_stdvec(of).is_ok_and(|bytes| bytes.len() <= PARCEL_BYTES);
         assert!(sent.iter().all(fits));
-        let come: Vec<Said> = order.iter().filter_map(|at| pieces.take(&from, sent[*at].clone())).collect();
+        let come: Vec<Said> = order
+            .iter()
+            .filter_map(|at| pieces.take(&from, sent[*at].clone()))
+            .collect();
         assert_eq!(come, if whole { vec![said] } else { vec![] });
-        assert_eq!(pieces.0.is_empty(), whole, "what is whole leaves nothing behind");
+        assert_eq!(
+            pieces.0.is_empty(),
+            whole,
+            "what is whole leaves nothing behind"
+        );
     }
 
     #[test]
@@ -110,8 +150,11 @@
         let (mut pieces, from) = (Pieces::default(), Member::from("n1"));
         let (old, new) = (in_pieces(&long(100_000), 1), in_pieces(&long(70_000), 2));
         assert_eq!(pieces.take(&from, old.expect("sent")[0].clone()), None);
-        let come: Vec<Said> =
-            new.expect("sent").into_iter().filter_map(|of| pieces.take(&from, of)).collect();
+        let come: Vec<Said> = new
+            .expect("sent")
+            .into_iter()
+            .filter_map(|of| pieces.take(&from, of))
+            .collect();
         assert_eq!(come, [long(70_000)]);
     }
 
@@ -119,7 +162,12 @@
     fn nothing_endless_is_sent_or_kept() {
         assert_eq!(in_pieces(&long(3 << 20), 1), None);
         let (mut pieces, from) = (Pieces::default(), Member::from("n1"));
-        let mad = Said::Piece { number: 1, at: 9, of: u16::MAX, bytes: vec![0; 10] };
+        let mad = Said::Piece {
+            number: 1,
+            at: 9,
+            of: u16::MAX,
+            bytes: vec![0; 10],
+        };
         assert_eq!((pieces.take(&from, mad), pieces.0.len()), (None, 0));
     }
 }
--- a/router/src/fleet/post.rs
+++ b/router/src/fleet/post.rs
@@ -41,9 +41,20 @@
 }
 
 impl Post {
-    pub fn open(router: &Rc<Router>, fleet: &Rc<Fleet>, to: Member, address: SocketAddr) -> Rc<Post> {
+    pub fn open(
+        router: &Rc<Router>,
+        fleet: &Rc<Fleet>,
+        to: Member,
+        address: SocketAddr,
+    ) -> Rc<Post> {
         let (waiting, more, ends) = (RefCell::default(), Event::new(), Cell::new(false));
-        let post = Rc::new(Post { to, address: Cell::new(address), waiting, more, ends });
+        let post = Rc::new(Post {
+            to,
+            address: Cell::new(address),
+            waiting,
+            more,
+            ends,
+        });
         let task = carry(Rc::clone(router), Rc::clone(fleet), Rc::clone(&post));
         router.executor.spawn(task).detach();
         post
@@ -72,7 +83,10 @@
             if length > PARCEL_BYTES {
                 let long = waiting.pop_front();
                 match long.and_then(|said| in_pieces(&said, chance())) {
-                    Some(pieces) => pieces.into_iter().rev().for_each(|piece| waiting.push_front(piece)),
+                    Some(pieces) => pieces
+                        .into_iter()
+                        .rev()
+                        .for_each(|piece| waiting.push_front(piece)),
                     None => tracing::warn!(
                         "fleet: {length} bytes for {} are more than is ever sent, and dropped",
                         self.to
@@ -86,7 +100,12 @@
             size += length;
             said.extend(waiting.pop_front());
         }
-        let parcel = Parcel { fleet: fleet.id, from: fleet.me.clone(), to: self.to.clone(), said };
+        let parcel = Parcel {
+            fleet: fleet.id,
+            from: fleet.me.clone(),
+            to: self.to.clone(),
+            said,
+        };
         (!parcel.said.is_empty()).then(|| parcel.bytes())
     }
 }
@@ -110,12 +129,16 @@
             Timer::at(router.clock.instant(router.clock.now() + AGAIN)).await;
             continue;
         };
-        let called = router
-            .until(Some(router.clock.now() + CALL_WITHIN), call(&router, &fleet, &mut kept, address, &body));
+        let called = router.until(
+            Some(router.clock.now() + CALL_WITHIN),
+            call(&router, &fleet, &mut kept, address, &body),
+        );
         match called.await {
             Some(Ok(())) => fleet.counts((1, body.len() as u64), (0, 0)),
             failed => {
-                let words = failed.and_then(Result::err).unwrap_or_else(|| "no answer in time".into());
+                let words = failed
+                    .and_then(Result::err)
+                    .unwrap_or_else(|| "no answer in time".into());
                 tracing::debug!("fleet: {} is not reached, {words}", post.to);
                 kept = None;
                 Timer::at(router.clock.instant(router.clock.now() + AGAIN)).await;
@@ -125,14 +148,22 @@
 }
 
 async fn call(
-    router: &Router, fleet: &Fleet, kept: &mut Option<(Async<TcpStream>, SocketAddr)>, address: SocketAddr,
+    router: &Router,
+    fleet: &Fleet,
+    kept: &mut Option<(Async<TcpStream>, SocketAddr)>,
+    address: SocketAddr,
     body: &[u8],
 ) -> Result<(), String> {
     let stream = match kept.take() {
         Some((stream, _)) => stream,
         None => {
-            let stream = send::dial(router, address).await.map_err(|_| "the connection could not be made")?;
-            stream.get_ref().set_nodelay(true).map_err(|e| e.to_string())?;
+            let stream = send::dial(router, address)
+                .await
+                .map_err(|_| "the connection could not be made")?;
+            stream
+                .get_ref()
+                .set_nodelay(true)
+                .map_err(|e| e.to_string())?;
             stream
         }
     };
@@ -153,7 +184,10 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let permit = router.descriptors.take(Peer::Node).filter(|_| open.get() < MOST_CONNECTIONS);
+                let permit = router
+                    .descriptors
+                    .take(Peer::Node)
+                    .filter(|_| open.get() < MOST_CONNECTIONS);
                 let Some(permit) = permit else { continue };
                 open.set(open.get() + 1);
                 let (of, fleet, open) = (Rc::clone(&router), Rc::clone(&fleet), Rc::clone(&open));
@@ -178,8 +212,12 @@
     let _ = stream.get_ref().set_nodelay(true);
     let (mut input, mut request) = (Ring::new(HEAD_BOUND), Reader::of_requests());
     loop {
-        let read =
-            router.until(Some(router.clock.now() + IDLE), read(&stream, &mut input, &mut request)).await;
+        let read = router
+            .until(
+                Some(router.clock.now() + IDLE),
+                read(&stream, &mut input, &mut request),
+            )
+            .await;
         let Some(Ok(())) = read else { return };
         let length = request.body().len() as u64;
         let (status, words) = match (request.method(), request.path()) {
@@ -198,7 +236,12 @@
         };
         request.forget_body();
         let answer = http::answer(status, "", &words, status != 200);
-        let written = router.until(Some(router.clock.now() + CALL_WITHIN), write(&stream, &answer)).await;
+        let written = router
+            .until(
+                Some(router.clock.now() + CALL_WITHIN),
+                write(&stream, &answer),
+            )
+            .await;
         if written != Some(true) || status != 200 {
             return;
         }
@@ -213,7 +256,10 @@
             Ok(0) => return Err(()),
             Ok(count) => input.filled_more(count),
             Err(e)
-                if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::Interrupted) => {}
+                if matches!(
+                    e.kind(),
+                    std::io::ErrorKind::WouldBlock | std::io::ErrorKind::Interrupted
+                ) => {}
             Err(_) => return Err(()),
         }
     }
--- a/router/src/fleet/works.rs
+++ b/router/src/fleet/works.rs
@@ -63,7 +63,11 @@
     }
 
     fn steps(
-        &mut self, now: Micros, me: &Member, term: u64, attended: &[Attended],
+        &mut self,
+        now: Micros,
+        me: &Member,
+        term: u64,
+        attended: &[Attended],
     ) -> (Vec<Vec<u8>>, Vec<String>) {
         self.0.borrow_mut().steps(now, me, term, attended)
     }
@@ -91,12 +95,18 @@
 /// The sets of shards that a machine of this cell holds.
 fn sets(listing: &Listing, tariff: &Tariff) -> Vec<u32> {
     let (cells, reach) = (tariff.cells.max(1), tariff.reach.min(tariff.cells).max(1));
-    (0..reach).map(|back| (listing.cell.0 % cells + cells - back) % cells).collect()
+    (0..reach)
+        .map(|back| (listing.cell.0 % cells + cells - back) % cells)
+        .collect()
 }
 
 /// Answered, and of those late, failed or refused; and part calls.
 fn counted(of: &Counts) -> (u64, u64, u64) {
-    (of.satisfied + of.nacked + of.aborted, of.late + of.nacked + of.aborted, of.calls)
+    (
+        of.satisfied + of.nacked + of.aborted,
+        of.late + of.nacked + of.aborted,
+        of.calls,
+    )
 }
 
 impl Works {
@@ -117,13 +127,15 @@
     #[cfg(feature = "planted")]
     pub fn plant(&self) {
         use ternpick_works::Planted;
-        self.carrier.0.borrow_mut().planted =
-            match std::env::var("TERNPICK_PLANTED").unwrap_or_default().as_str() {
-                "no-waiting" => Some(Planted::NoWaiting),
-                "silent-is-quiet" => Some(Planted::SilentIsQuiet),
-                "any-word" => Some(Planted::AnyWord),
-                _ => None,
-            };
+        self.carrier.0.borrow_mut().planted = match std::env::var("TERNPICK_PLANTED")
+            .unwrap_or_default()
+            .as_str()
+        {
+            "no-waiting" => Some(Planted::NoWaiting),
+            "silent-is-quiet" => Some(Planted::SilentIsQuiet),
+            "any-word" => Some(Planted::AnyWord),
+            _ => None,
+        };
     }
 
     pub fn is_out(&self, name: &str) -> bool {
@@ -135,7 +147,10 @@
         let (out, returning) = Carrier::told(outs);
         let out: BTreeSet<String> = out.into_iter().collect();
         let before = self.out.replace(out);
-        let changed = before.symmetric_difference(&self.out.borrow()).cloned().collect();
+        let changed = before
+            .symmetric_difference(&self.out.borrow())
+            .cloned()
+            .collect();
         let mut known = self.returning.borrow_mut();
         known.retain(|name, _| returning.contains(name));
         for name in returning {
@@ -146,12 +161,24 @@
         changed
     }
 
-    fn word(&self, brain: &Brain, office: &Office, listed: &BTreeMap<String, Listing>, now: Micros) -> Word {
-        let node = |name: &str| office.nodes.number(name).and_then(|id| brain.nodes.get(&id));
+    fn word(
+        &self,
+        brain: &Brain,
+        office: &Office,
+        listed: &BTreeMap<String, Listing>,
+        now: Micros,
+    ) -> Word {
+        let node = |name: &str| {
+            office
+                .nodes
+                .number(name)
+                .and_then(|id| brain.nodes.get(&id))
+        };
         let out = self.out.borrow();
         let busy = |name: &&String| node(name).is_some_and(|node| node.out(now).next().is_some());
         // By this router's own clock: what discovery claims is another's.
-        let cold = |of: &Seen| of.started.at.0 != 0 && now.since(of.started.at) < brain.tariff.warm_within;
+        let cold =
+            |of: &Seen| of.started.at.0 != 0 && now.since(of.started.at) < brain.tariff.warm_within;
         let sound = |name: &str, seen: Option<&Seen>| {
             let of = listed.get(name).filter(|of| of.phase == Phase::Ready);
             of.is_some() && seen.is_none_or(|seen| seen.doubted.is_none() && !cold(seen))
@@ -197,11 +224,20 @@
         let mut known = self.known.borrow_mut();
         for (name, listing) in listed {
             let sets = sets(listing, &brain.tariff);
-            let node = Node { name: name.clone(), zone: listing.zone.0, sets, sound: true, out: false };
+            let node = Node {
+                name: name.clone(),
+                zone: listing.zone.0,
+                sets,
+                sound: true,
+                out: false,
+            };
             known.insert(name.clone(), (node, now));
         }
         known.retain(|name, (_, last)| now.since(*last) < FORGETS || self.is_out(name));
-        World { nodes: known.values().map(|(node, _)| node.clone()).collect(), load: 0.0 }
+        World {
+            nodes: known.values().map(|(node, _)| node.clone()).collect(),
+            load: 0.0,
+        }
     }
 }
 
@@ -216,12 +252,29 @@
         works.next_look.set(now + LOOK);
         let (desk, listed) = (router.desk.borrow(), self.listed.borrow());
         let world = works.world(&desk.brain, &listed, now);
-        let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        works.carrier.0.borrow_mut().sees(world, u64::try_from(since.as_millis()).unwrap_or(u64::MAX));
+        let since = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .unwrap_or_default();
+        works
+            .carrier
+            .0
+            .borrow_mut()
+            .sees(world, u64::try_from(since.as_millis()).unwrap_or(u64::MAX));
         let word = works.word(&desk.brain, &desk.office, &listed, now);
         let before = works.said.replace(word.clone());
-        let state = |of: &Word| (of.goes_by, of.busy.clone(), of.unsound.clone(), of.bear.clone());
-        self.council.borrow_mut().keeper.goes_by(word.goes_by, word.bytes(), state(&before) != state(&word));
+        let state = |of: &Word| {
+            (
+                of.goes_by,
+                of.busy.clone(),
+                of.unsound.clone(),
+                of.bear.clone(),
+            )
+        };
+        self.council.borrow_mut().keeper.goes_by(
+            word.goes_by,
+            word.bytes(),
+            state(&before) != state(&word),
+        );
         Some(works.next_look.get())
     }
 
@@ -231,7 +284,14 @@
         let changed = works.told(router.clock.now(), index, outs);
         self.drains(router, &changed);
         for name in &changed {
-            tracing::info!("works: {name} is {}", if works.is_out(name) { "out" } else { "in again" });
+            tracing::info!(
+                "works: {name} is {}",
+                if works.is_out(name) {
+                    "out"
+                } else {
+                    "in again"
+                }
+            );
         }
         self.look_at_works(router);
     }
@@ -241,11 +301,14 @@
         let listed = self.listed.borrow();
         let strings = |key: &str| -> Vec<String> {
             let all = of[key].as_array().into_iter().flatten();
-            all.filter_map(|name| Some(name.as_str()?.to_owned())).collect()
+            all.filter_map(|name| Some(name.as_str()?.to_owned()))
+                .collect()
         };
         let mut names: BTreeSet<String> = strings("machines").into_iter().collect();
         for group in of["groups"].as_array().into_iter().flatten() {
-            let own = listed.iter().filter(|(_, of)| Some(u64::from(of.cell.0)) == group.as_u64());
+            let own = listed
+                .iter()
+                .filter(|(_, of)| Some(u64::from(of.cell.0)) == group.as_u64());
             let before = names.len();
             names.extend(own.map(|(name, _)| name.clone()));
             if names.len() == before {
@@ -253,8 +316,14 @@
             }
         }
         for zone in strings("zones") {
-            let number = router.bounds.zone_names.iter().position(|known| *known == zone);
-            let own = listed.iter().filter(|(_, of)| number == Some(usize::from(of.zone.0)));
+            let number = router
+                .bounds
+                .zone_names
+                .iter()
+                .position(|known| *known == zone);
+            let own = listed
+                .iter()
+                .filter(|(_, of)| number == Some(usize::from(of.zone.0)));
             let before = names.len();
             names.extend(own.map(|(name, _)| name.clone()));
             if names.len() == before {
@@ -267,10 +336,17 @@
                 names.extend(listed.keys().cloned());
             }
             let now = router.clock.now();
-            names.retain(|name| listed.get(name).is_none_or(|of| now.since(of.started).0 >= up_for));
+            names.retain(|name| {
+                listed
+                    .get(name)
+                    .is_none_or(|of| now.since(of.started).0 >= up_for)
+            });
         }
         if names.is_empty() || names.len() > MOST_MACHINES {
-            return Err(format!("{} machines are asked for, it has to be 1 to {MOST_MACHINES}", names.len()));
+            return Err(format!(
+                "{} machines are asked for, it has to be 1 to {MOST_MACHINES}",
+                names.len()
+            ));
         }
         Ok(names.into_iter().collect())
     }
@@ -293,7 +369,10 @@
         let question = match what {
             "works-plan" => match fleet.request(router, asked) {
                 Ok(request) => {
-                    format!("works-plan {}", serde_json::to_string(&request).unwrap_or_default())
+                    format!(
+                        "works-plan {}",
+                        serde_json::to_string(&request).unwrap_or_default()
+                    )
                 }
                 Err(words) => return refused(words),
             },
@@ -307,10 +386,13 @@
         };
     }
     let entry = match asked["request"].is_object() {
-        true => fleet.request(router, asked).map(|request| Entry::Ask { request }),
+        true => fleet
+            .request(router, asked)
+            .map(|request| Entry::Ask { request }),
         false => serde_json::from_value::<Entry>(asked["entry"].clone()).map_err(|e| e.to_string()),
     };
-    let entry = match entry.and_then(|entry| postcard::to_stdvec(&entry).map_err(|e| e.to_string())) {
+    let entry = match entry.and_then(|entry| postcard::to_stdvec(&entry).map_err(|e| e.to_string()))
+    {
         Ok(entry) => entry,
         Err(words) => return refused(words),
     };
--- a/router/src/fleet/works_cli.rs
+++ b/router/src/fleet/works_cli.rs
@@ -179,7 +179,9 @@
 
 /// When so much time will have passed, by the wall clock in milliseconds.
 fn from_now(span: Duration) -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(since.saturating_add(span).as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -214,9 +216,16 @@
 
 /// What the one that carries the work on sees; none: nobody that leads is reached.
 fn look(socket: &Socket) -> Result<Result<Value, Value>, String> {
-    let said = to_fleet(socket, json!({"ask": "works", "what": "works", "wait_ms": 3000}))?;
+    let said = to_fleet(
+        socket,
+        json!({"ask": "works", "what": "works", "wait_ms": 3000}),
+    )?;
     let seen = said["look"].clone();
-    Ok(if seen.is_object() { Ok(seen) } else { Err(said) })
+    Ok(if seen.is_object() {
+        Ok(seen)
+    } else {
+        Err(said)
+    })
 }
 
 fn span(ms: &Value) -> String {
@@ -225,18 +234,38 @@
 }
 
 fn names(of: &Value) -> String {
-    of.as_array().into_iter().flatten().map(word).collect::<Vec<_>>().join(", ")
+    of.as_array()
+        .into_iter()
+        .flatten()
+        .map(word)
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 fn rows(rows: &[&Value]) {
-    println!("{:<8} {:<20} {:<17} {:>10} {:>8}  waits for", "request", "machine", "state", "for", "permit");
+    println!(
+        "{:<8} {:<20} {:<17} {:>10} {:>8}  waits for",
+        "request", "machine", "state", "for", "permit"
+    );
     for row in rows {
-        let waits = match (names(&row["waits_for"]), &row["binds"], &row["begun"], &row["failed"]) {
+        let waits = match (
+            names(&row["waits_for"]),
+            &row["binds"],
+            &row["begun"],
+            &row["failed"],
+        ) {
             (members, ..) if !members.is_empty() => format!("{members} to be quiet there"),
             (_, Value::String(binds), ..) => binds.clone(),
             (_, _, _, Value::String(failed)) => format!("{}: {failed}", word(&row["begun"])),
             (_, _, Value::String(begun), _) => {
-                format!("{begun}{}", if row["overdue"] == true { ", overdue" } else { "" })
+                format!(
+                    "{begun}{}",
+                    if row["overdue"] == true {
+                        ", overdue"
+                    } else {
+                        ""
+                    }
+                )
             }
             _ => String::new(),
         };
@@ -246,27 +275,53 @@
             word(&row["request"]),
             word(&row["machine"]),
             word(&row["state"]),
-            if waiting { "-".into() } else { span(&row["for_ms"]) },
+            if waiting {
+                "-".into()
+            } else {
+                span(&row["for_ms"])
+            },
             word(&row["permit"])
         );
     }
 }
 
 fn head(seen: &Value) {
-    println!("{} carries the work on, number {}", word(&seen["carrier"]), word(&seen["fence"]));
+    println!(
+        "{} carries the work on, number {}",
+        word(&seen["carrier"]),
+        word(&seen["fence"])
+    );
     if seen["hold"].is_object() {
-        println!("held by {}: {}", word(&seen["hold"]["by"]), word(&seen["hold"]["why"]));
+        println!(
+            "held by {}: {}",
+            word(&seen["hold"]["by"]),
+            word(&seen["hold"]["why"])
+        );
     }
 }
 
 fn plan(of: &Value) {
     let rounds: Vec<&Value> = of["rounds"].as_array().into_iter().flatten().collect();
-    println!("{} rounds (at least {}), {} of work", rounds.len(), word(&of["bound"]), span(&of["lasts_ms"]));
+    println!(
+        "{} rounds (at least {}), {} of work",
+        rounds.len(),
+        word(&of["bound"]),
+        span(&of["lasts_ms"])
+    );
     for (at, round) in rounds.iter().enumerate() {
-        println!("{:>4}  {:<10} {}", at + 1, span(&round["lasts_ms"]), names(&round["machines"]));
+        println!(
+            "{:>4}  {:<10} {}",
+            at + 1,
+            span(&round["lasts_ms"]),
+            names(&round["machines"])
+        );
     }
     for cannot in of["cannot"].as_array().into_iter().flatten() {
-        println!("never  {}: {}", names(&cannot["machines"]), word(&cannot["binds"]));
+        println!(
+            "never  {}: {}",
+            names(&cannot["machines"]),
+            word(&cannot["binds"])
+        );
     }
 }
 
@@ -283,7 +338,9 @@
         }
     };
     // What it had before goes first.
-    own.filter(free).max_by_key(|row| row["state"] == "in work").cloned()
+    own.filter(free)
+        .max_by_key(|row| row["state"] == "in work")
+        .cloned()
 }
 
 /// Whether a request is open.
@@ -298,7 +355,11 @@
         if let Ok(seen) = look(socket)? {
             if let Some(row) = mine(&seen, request, None) {
                 let said = json!({"ok": true, "permit": row["permit"], "machine": row["machine"], "request": row["request"]});
-                let line = format!("permit {} for {}", word(&row["permit"]), word(&row["machine"]));
+                let line = format!(
+                    "permit {} for {}",
+                    word(&row["permit"]),
+                    word(&row["machine"])
+                );
                 return finish(socket, &said, || line);
             }
         }
@@ -335,7 +396,9 @@
         return finish(socket, &said, String::new);
     }
     let mut run = Command::new(&command[0]);
-    run.args(&command[1..]).env("TERNPICK_MACHINE", &machine).env("TERNPICK_PERMIT", permit.to_string());
+    run.args(&command[1..])
+        .env("TERNPICK_MACHINE", &machine)
+        .env("TERNPICK_PERMIT", permit.to_string());
     let failed = match run.stdin(Stdio::inherit()).status() {
         Ok(status) if status.success() => None,
         Ok(status) => Some(format!("{} ended with {status}", command[0])),
@@ -344,8 +407,15 @@
     let op = chance();
     let late = Instant::now();
     loop {
-        let wait = Wait { timeout: Duration::from_secs(3), op: Some(op) };
-        let said = entry(socket, &wait, json!({"done": {"permit": permit, "by": by, "failed": failed}}))?;
+        let wait = Wait {
+            timeout: Duration::from_secs(3),
+            op: Some(op),
+        };
+        let said = entry(
+            socket,
+            &wait,
+            json!({"done": {"permit": permit, "by": by, "failed": failed}}),
+        )?;
         if said["unknown"] != true || late.elapsed() >= wait.timeout * 20 {
             if let Some(words) = &failed {
                 let said = json!({"ok": false, "machine": machine, "permit": permit,
@@ -360,9 +430,17 @@
 
 pub fn works(of: Works) -> Done {
     match of {
-        Works::Ask { socket, wait, which, why, by } => {
+        Works::Ask {
+            socket,
+            wait,
+            which,
+            why,
+            by,
+        } => {
             let said = put(&socket, &wait, request(&which, &why, &by))?;
-            finish(&socket, &said, || format!("request {} is taken", said["number"]))
+            finish(&socket, &said, || {
+                format!("request {} is taken", said["number"])
+            })
         }
         Works::Plan { socket, which } => {
             let mut question = request(&which, "", "");
@@ -383,7 +461,13 @@
             }
             Ok(seen) => {
                 head(&seen);
-                rows(&seen["rows"].as_array().into_iter().flatten().collect::<Vec<_>>());
+                rows(
+                    &seen["rows"]
+                        .as_array()
+                        .into_iter()
+                        .flatten()
+                        .collect::<Vec<_>>(),
+                );
                 Ok(ExitCode::SUCCESS)
             }
             Err(said) if said["unknown"] == true => nobody(&socket),
@@ -394,30 +478,62 @@
                 let all = seen["rows"].as_array().into_iter().flatten();
                 let own: Vec<&Value> = all.filter(|row| row["request"] == request).collect();
                 if own.is_empty() {
-                    let said = json!({"ok": false, "line": format!("request {request} is not open")});
+                    let said =
+                        json!({"ok": false, "line": format!("request {request} is not open")});
                     return finish(&socket, &said, String::new);
                 }
                 if socket.json {
                     println!("{}", json!(own));
                 } else {
-                    println!("request {request} by {}: {}", word(&own[0]["by"]), word(&own[0]["why"]));
+                    println!(
+                        "request {request} by {}: {}",
+                        word(&own[0]["by"]),
+                        word(&own[0]["why"])
+                    );
                     rows(&own);
                 }
                 Ok(ExitCode::SUCCESS)
             }
             Err(said) => finish(&socket, &said, String::new),
         },
-        Works::Next { socket, wait, request } => next(&socket, &wait, request),
-        Works::Begin { socket, wait, permit, by } => {
-            let said = entry(&socket, &wait, json!({"begin": {"permit": permit, "by": by}}))?;
+        Works::Next {
+            socket,
+            wait,
+            request,
+        } => next(&socket, &wait, request),
+        Works::Begin {
+            socket,
+            wait,
+            permit,
+            by,
+        } => {
+            let said = entry(
+                &socket,
+                &wait,
+                json!({"begin": {"permit": permit, "by": by}}),
+            )?;
             finish(&socket, &said, || format!("permit {permit} is {by}'s"))
         }
-        Works::Done { socket, wait, permit, by, failed } => {
-            let said =
-                entry(&socket, &wait, json!({"done": {"permit": permit, "by": by, "failed": failed}}))?;
+        Works::Done {
+            socket,
+            wait,
+            permit,
+            by,
+            failed,
+        } => {
+            let said = entry(
+                &socket,
+                &wait,
+                json!({"done": {"permit": permit, "by": by, "failed": failed}}),
+            )?;
             finish(&socket, &said, || format!("permit {permit} is given back"))
         }
-        Works::Hold { socket, wait, by, why } => {
+        Works::Hold {
+            socket,
+            wait,
+            by,
+            why,
+        } => {
             let said = entry(&socket, &wait, json!({"hold": {"by": by, "why": why}}))?;
             finish(&socket, &said, || "nothing more goes out".into())
         }
@@ -425,16 +541,36 @@
             let said = entry(&socket, &wait, json!({"resume": {"by": by}}))?;
             finish(&socket, &said, || "it goes on".into())
         }
-        Works::Change { socket, wait, request, within, priority, by } => {
+        Works::Change {
+            socket,
+            wait,
+            request,
+            within,
+            priority,
+            by,
+        } => {
             let by_when = within.map(from_now);
-            let of = json!({"request": request, "by_when": by_when, "priority": priority, "by": by});
+            let of =
+                json!({"request": request, "by_when": by_when, "priority": priority, "by": by});
             let said = entry(&socket, &wait, json!({"change": of}))?;
             finish(&socket, &said, || format!("request {request} is changed"))
         }
-        Works::Cancel { socket, wait, request, by } => {
-            let said = entry(&socket, &wait, json!({"cancel": {"request": request, "by": by}}))?;
+        Works::Cancel {
+            socket,
+            wait,
+            request,
+            by,
+        } => {
+            let said = entry(
+                &socket,
+                &wait,
+                json!({"cancel": {"request": request, "by": by}}),
+            )?;
             finish(&socket, &said, || {
-                format!("{} machines of request {request} are cancelled", said["number"])
+                format!(
+                    "{} machines of request {request} are cancelled",
+                    said["number"]
+                )
             })
         }
         Works::History { socket } => match look(&socket)? {
@@ -450,6 +586,12 @@
             }
             Err(said) => finish(&socket, &said, String::new),
         },
-        Works::Exec { socket, wait, request, by, command } => exec(&socket, &wait, request, &by, &command),
+        Works::Exec {
+            socket,
+            wait,
+            request,
+            by,
+            command,
+        } => exec(&socket, &wait, request, &by, &command),
     }
 }
--- a/router/src/lifecycle/cli.rs
+++ b/router/src/lifecycle/cli.rs
@@ -71,8 +71,16 @@
 
 fn serve(config: PathBuf, path: Option<PathBuf>, take_over: Option<u32>) -> Result<(), String> {
     let opening = config::read(&config)?;
-    let settings = path.as_deref().map(settings::read).transpose()?.unwrap_or_default();
-    let source = Source { path: config, settings: path, fixed: opening.fixed.clone() };
+    let settings = path
+        .as_deref()
+        .map(settings::read)
+        .transpose()?
+        .unwrap_or_default();
+    let source = Source {
+        path: config,
+        settings: path,
+        fixed: opening.fixed.clone(),
+    };
     let from = match take_over {
         Some(old) => start::From::Process(takeover::link()?, old),
         None => start::From::Nothing,
@@ -88,7 +96,8 @@
         let settings = settings::read(&path)?;
         settings.used.iter().for_each(|line| println!("{line}"));
         if let Some(identity) = settings.identity {
-            ternpick_identity::Identity::new(identity.terms).map_err(|fault| format!("identity: {fault}"))?;
+            ternpick_identity::Identity::new(identity.terms)
+                .map_err(|fault| format!("identity: {fault}"))?;
         }
         if let Some(terms) = settings.tls {
             Tls::new(terms)?;
@@ -99,7 +108,11 @@
 
 pub fn run() -> ExitCode {
     let done = match Cli::parse().command {
-        Command::Serve { config, settings, take_over } => serve(config, settings, take_over),
+        Command::Serve {
+            config,
+            settings,
+            take_over,
+        } => serve(config, settings, take_over),
         Command::Check { config, settings } => check(config, settings),
         Command::Keys(command) => tools::keys(command),
         Command::Token(command) => tools::token(command),
@@ -137,15 +150,46 @@
 
 fn print(of: &config::Opening) {
     let (bounds, tariff) = (&of.bounds, &of.tariff);
-    let millis = |time: Option<Micros>| time.map_or("none".into(), |t| format!("{} ms", t.0 / 1000));
-    println!("name {}, listens on {}, discovery at {}", of.name, of.listen, of.discovery);
-    println!("descriptors: {}, memory: {} MB", of.sockets, of.memory >> 20);
-    println!("nodes known: {}", of.known["endpoints"].as_array().map_or(0, Vec::len));
+    let millis =
+        |time: Option<Micros>| time.map_or("none".into(), |t| format!("{} ms", t.0 / 1000));
+    println!(
+        "name {}, listens on {}, discovery at {}",
+        of.name, of.listen, of.discovery
+    );
+    println!(
+        "descriptors: {}, memory: {} MB",
+        of.sockets,
+        of.memory >> 20
+    );
+    println!(
+        "nodes known: {}",
+        of.known["endpoints"].as_array().map_or(0, Vec::len)
+    );
     for (name, row) in bounds.index_names.iter().zip(&tariff.indexes) {
-        println!("index {name}: soft deadline {}, {:?}", millis(Some(row.soft)), row.repeat);
+        println!(
+            "index {name}: soft deadline {}, {:?}",
+            millis(Some(row.soft)),
+            row.repeat
+        );
     }
-    println!("load reports: {:?}, of {}", tariff.reporting, bounds.columns.join(", "));
-    println!("parts: {} a call, {} a connection", bounds.parts_a_call, bounds.parts_a_connection);
-    println!("held at most: {}", bounds.most_held.map_or("no limit".into(), |most| most.to_string()));
-    println!("dial timeout {}, idle close {}", millis(bounds.dial_timeout), millis(bounds.idle_close));
+    println!(
+        "load reports: {:?}, of {}",
+        tariff.reporting,
+        bounds.columns.join(", ")
+    );
+    println!(
+        "parts: {} a call, {} a connection",
+        bounds.parts_a_call, bounds.parts_a_connection
+    );
+    println!(
+        "held at most: {}",
+        bounds
+            .most_held
+            .map_or("no limit".into(), |most| most.to_string())
+    );
+    println!(
+        "dial timeout {}, idle close {}",
+        millis(bounds.dial_timeout),
+        millis(bounds.idle_close)
+    );
 }
--- a/router/src/lifecycle/clock.rs
+++ b/router/src/lifecycle/clock.rs
@@ -12,8 +12,13 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: micros(unix), from: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            unix: micros(unix),
+            from: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Micros {
--- a/router/src/lifecycle/config.rs
+++ b/router/src/lifecycle/config.rs
@@ -40,11 +40,18 @@
 
 pub fn parse(text: &[u8]) -> Result<Opening, String> {
     let all: Value = serde_json::from_slice(text).map_err(|e| format!("not JSON: {e}"))?;
-    let word = |key: &str| all[key].as_str().ok_or_else(|| format!("'{key}' is missing"));
+    let word = |key: &str| {
+        all[key]
+            .as_str()
+            .ok_or_else(|| format!("'{key}' is missing"))
+    };
     let address = |key: &str| -> Result<SocketAddr, String> {
-        word(key)?.parse().map_err(|_| format!("'{key}' is not an address and port"))
+        word(key)?
+            .parse()
+            .map_err(|_| format!("'{key}' is not an address and port"))
     };
-    let seed = u64::from_str_radix(word("seed")?, 16).map_err(|_| "'seed' is not a hexadecimal number")?;
+    let seed =
+        u64::from_str_radix(word("seed")?, 16).map_err(|_| "'seed' is not a hexadecimal number")?;
     let settings = &all["settings"];
     let tariff = ternpick_tariff::tariff(settings).map_err(|what| format!("'settings': {what}"))?;
     let bounds = ternpick_tariff::bounds(settings);
@@ -57,9 +64,13 @@
             "'settings': class {name} has a second step, which this protocol cannot ask for"
         ));
     }
-    let sockets = all["limits"]["sockets"].as_u64().map_or(SOCKETS, |n| n as usize);
+    let sockets = all["limits"]["sockets"]
+        .as_u64()
+        .map_or(SOCKETS, |n| n as usize);
     let memory_mb = all["limits"]["memory_mb"].as_u64().unwrap_or(MEMORY_MB);
-    let memory = usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(1024 * 1024);
+    let memory = usize::try_from(memory_mb)
+        .unwrap_or(usize::MAX)
+        .saturating_mul(1024 * 1024);
     Ok(Opening {
         name: word("name")?.to_owned(),
         listen: address("listen")?,
@@ -97,7 +108,10 @@
     #[test]
     fn reads_what_it_is_given() {
         let read = parse(GOOD.as_bytes()).expect("a good configuration");
-        assert_eq!((read.seed, read.sockets, read.memory >> 20), (0x8c1f, 512, 32));
+        assert_eq!(
+            (read.seed, read.sockets, read.memory >> 20),
+            (0x8c1f, 512, 32)
+        );
         assert!(parse(b"not json").is_err_and(|what| what.starts_with("not JSON")));
     }
 }
--- a/router/src/lifecycle/control.rs
+++ b/router/src/lifecycle/control.rs
@@ -44,7 +44,13 @@
 
 impl Control {
     pub fn new(terms: ControlTerms, start: Start, upgrades: Upgrades, name: &str) -> Self {
-        Control { terms, start, upgrades, asking: Cell::new(0), name: name.to_owned() }
+        Control {
+            terms,
+            start,
+            upgrades,
+            asking: Cell::new(0),
+            name: name.to_owned(),
+        }
     }
 }
 
@@ -71,7 +77,9 @@
                 let owner = socket_peercred(stream.get_ref()).map(|peer| peer.uid);
                 let ours = owner.is_ok_and(|uid| uid == geteuid() || uid.is_root());
                 if !ours || control.asking.get() >= MOST_ASKING {
-                    tracing::warn!("control: somebody who may not, or one too many, is turned away");
+                    tracing::warn!(
+                        "control: somebody who may not, or one too many, is turned away"
+                    );
                     continue;
                 }
                 control.asking.set(control.asking.get() + 1);
@@ -98,7 +106,10 @@
             return None;
         }
         let mut some = [0; 1024];
-        let count = stream.read_with(|mut stream| stream.read(&mut some)).await.ok()?;
+        let count = stream
+            .read_with(|mut stream| stream.read(&mut some))
+            .await
+            .ok()?;
         if count == 0 {
             return None;
         }
@@ -121,14 +132,18 @@
 /// Says the steps that wait.
 async fn tell(stream: &Async<UnixStream>, steps: &RefCell<VecDeque<Value>>) {
     loop {
-        let Some(step) = steps.borrow_mut().pop_front() else { return };
+        let Some(step) = steps.borrow_mut().pop_front() else {
+            return;
+        };
         say(stream, &step).await;
     }
 }
 
 async fn answer(router: &Rc<Router>, control: &Control, stream: Async<UnixStream>) {
     let late = router.clock.now() + ASK_WITHIN;
-    let Some(asked) = router.until(Some(late), question(&stream)).await.flatten() else { return };
+    let Some(asked) = router.until(Some(late), question(&stream)).await.flatten() else {
+        return;
+    };
     let last = match asked["do"].as_str() {
         Some("status") => json!({"done": true, "ok": true, "status": status(router, control)}),
         Some("fleet") => match &router.fleet {
@@ -145,17 +160,24 @@
             json!({"done": true, "ok": false, "line": "upgrades are off: control.upgrade is not set"})
         }
         Some("upgrade") => {
-            let path = |key: &str, own: &PathBuf| asked[key].as_str().map_or(own.clone(), PathBuf::from);
+            let path =
+                |key: &str, own: &PathBuf| asked[key].as_str().map_or(own.clone(), PathBuf::from);
             let start = Start {
                 program: path("program", &control.start.program),
                 config: path("config", &control.start.config),
                 settings: path("settings", &control.start.settings),
             };
             // The steps go out as they happen; whoever asked may have left, and the upgrade goes on.
-            let (steps, more, began) = (RefCell::new(VecDeque::new()), Event::new(), router.clock.now());
+            let (steps, more, began) = (
+                RefCell::new(VecDeque::new()),
+                Event::new(),
+                router.clock.now(),
+            );
             let mut note = |line: &str| {
                 let after = router.clock.now().since(began).0 / 1000;
-                steps.borrow_mut().push_back(json!({"line": line, "after_ms": after}));
+                steps
+                    .borrow_mut()
+                    .push_back(json!({"line": line, "after_ms": after}));
                 more.notify(1);
             };
             let upgraded = async {
@@ -172,7 +194,11 @@
             let done = future::or(upgraded, told).await.unwrap_or(Ok(()));
             tell(&stream, &steps).await;
             if done.is_ok() {
-                say(&stream, &json!({"done": true, "ok": true, "line": "upgraded"})).await;
+                say(
+                    &stream,
+                    &json!({"done": true, "ok": true, "line": "upgraded"}),
+                )
+                .await;
                 leave(router);
                 return;
             }
@@ -198,15 +224,20 @@
         .filter_map(|(id, name, address)| {
             let node = brain.nodes.get(&id)?;
             let latency = node.latency.map(|micros| (micros / 10.0).round() / 100.0);
-            Some(json!({"node": snapshot::number(id), "name": name, "address": address.to_string(),
+            Some(
+                json!({"node": snapshot::number(id), "name": name, "address": address.to_string(),
                 "phase": format!("{:?}", node.listing.phase).to_lowercase(), "latency_ms": latency,
                 "report": node.report, "parts_out": node.owed.len(),
                 "doubted": node.doubted.and_then(|index| office.bounds.index_names.get(index.at())),
-                "seen_ms_ago": node.latency.map(|_| now.since(node.seen).0 / 1000)}))
+                "seen_ms_ago": node.latency.map(|_| now.since(node.seen).0 / 1000)}),
+            )
         })
         .collect();
     let machine = control.upgrades.machine.borrow();
-    let limits = office.limits.as_ref().map(|of| json!({"limit": of.limit(), "in_hand": of.in_hand()}));
+    let limits = office
+        .limits
+        .as_ref()
+        .map(|of| json!({"limit": of.limit(), "in_hand": of.in_hand()}));
     json!({
         "name": control.name, "version": env!("CARGO_PKG_VERSION"), "process": std::process::id(),
         "step": machine.word(), "upgrades_begun": control.upgrades.begun.get(),
@@ -269,15 +300,23 @@
 
 /// A router that stands still says nothing for so long: then nobody can tell what became of the question.
 pub fn ask_within(
-    socket: &Path, question: &Value, within: Option<Duration>, each: &mut dyn FnMut(&Value),
+    socket: &Path,
+    question: &Value,
+    within: Option<Duration>,
+    each: &mut dyn FnMut(&Value),
 ) -> Result<Value, String> {
     let words = |e: std::io::Error| format!("control socket {}: {e}", socket.display());
     let mut stream = UnixStream::connect(socket).map_err(words)?;
     stream.set_read_timeout(within).map_err(words)?;
-    stream.write_all(format!("{question}\n").as_bytes()).map_err(words)?;
+    stream
+        .write_all(format!("{question}\n").as_bytes())
+        .map_err(words)?;
     for line in BufReader::new(stream).lines() {
         let silent = |e: &std::io::Error| {
-            matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut)
+            matches!(
+                e.kind(),
+                std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+            )
         };
         if line.as_ref().is_err_and(silent) {
             let line = format!("the router at {} does not answer", socket.display());
@@ -293,8 +332,18 @@
 }
 
 fn show(status: &Value) {
-    let word = |key: &str| status[key].as_str().map_or_else(|| status[key].to_string(), str::to_owned);
-    println!("{} {}, process {}, {}", word("name"), word("version"), word("process"), word("step"));
+    let word = |key: &str| {
+        status[key]
+            .as_str()
+            .map_or_else(|| status[key].to_string(), str::to_owned)
+    };
+    println!(
+        "{} {}, process {}, {}",
+        word("name"),
+        word("version"),
+        word("process"),
+        word("step")
+    );
     println!(
         "lookups {} in hand, {} taken, {} satisfied, {} nacked, {} aborted; clients {}, descriptors {} of {}",
         word("lookups"),
@@ -308,9 +357,14 @@
     );
     println!("roster version {}", word("roster_version"));
     for node in status["nodes"].as_array().into_iter().flatten() {
-        let word = |key: &str| node[key].as_str().map_or_else(|| node[key].to_string(), str::to_owned);
-        let doubted =
-            node["doubted"].as_str().map_or(String::new(), |index| format!(", doubted for {index}"));
+        let word = |key: &str| {
+            node[key]
+                .as_str()
+                .map_or_else(|| node[key].to_string(), str::to_owned)
+        };
+        let doubted = node["doubted"]
+            .as_str()
+            .map_or(String::new(), |index| format!(", doubted for {index}"));
         println!(
             "  {:<4} {:<20} {:<22} {:<9} {} ms, {} out{doubted}",
             word("node"),
@@ -322,12 +376,17 @@
         );
     }
     if let Some(keys) = status["identity"]["keys"].as_array() {
-        println!("identity: {} keys, revocations up to {}", keys.len(), status["identity"]["revocations"]);
+        println!(
+            "identity: {} keys, revocations up to {}",
+            keys.len(),
+            status["identity"]["revocations"]
+        );
     }
 }
 
 fn absolute(path: Option<PathBuf>) -> Result<Option<PathBuf>, String> {
-    path.map(|path| std::fs::canonicalize(&path).map_err(|e| format!("{}: {e}", path.display()))).transpose()
+    path.map(|path| std::fs::canonicalize(&path).map_err(|e| format!("{}: {e}", path.display())))
+        .transpose()
 }
 
 pub fn run(command: Commands) -> Result<ExitCode, String> {
@@ -343,21 +402,32 @@
                 None => return Ok(ExitCode::SUCCESS),
             }
         },
-        Commands::Drain { socket } => {
-            finish(&socket, ask(&socket.socket, &json!({"do": "drain"}), &mut |_| ())?)
-        }
-        Commands::Upgrade { socket, program, config, settings, dry_run } => {
-            let (program, config, settings) = (absolute(program)?, absolute(config)?, absolute(settings)?);
+        Commands::Drain { socket } => finish(
+            &socket,
+            ask(&socket.socket, &json!({"do": "drain"}), &mut |_| ())?,
+        ),
+        Commands::Upgrade {
+            socket,
+            program,
+            config,
+            settings,
+            dry_run,
+        } => {
+            let (program, config, settings) =
+                (absolute(program)?, absolute(config)?, absolute(settings)?);
             if dry_run {
                 return check(program, config, settings);
             }
-            let question =
-                json!({"do": "upgrade", "program": program, "config": config, "settings": settings});
+            let question = json!({"do": "upgrade", "program": program, "config": config, "settings": settings});
             let json = socket.json;
             let said = ask(&socket.socket, &question, &mut |step| match json {
                 true => println!("{step}"),
                 false => {
-                    println!("{:>6} ms  {}", step["after_ms"], step["line"].as_str().unwrap_or_default())
+                    println!(
+                        "{:>6} ms  {}",
+                        step["after_ms"],
+                        step["line"].as_str().unwrap_or_default()
+                    )
                 }
             })?;
             finish(&socket, said)
@@ -370,7 +440,11 @@
     match (socket.json, said["ok"] == true) {
         (true, ok) => {
             println!("{said}");
-            Ok(if ok { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if ok {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
         (false, true) => {
             println!("{line}");
@@ -382,7 +456,9 @@
 
 /// Has the new program look at the files that it would be started with.
 fn check(
-    program: Option<PathBuf>, config: Option<PathBuf>, settings: Option<PathBuf>,
+    program: Option<PathBuf>,
+    config: Option<PathBuf>,
+    settings: Option<PathBuf>,
 ) -> Result<ExitCode, String> {
     let program = match program {
         Some(program) => program,
@@ -395,7 +471,9 @@
             command.arg(flag).arg(path);
         }
     }
-    let done = command.status().map_err(|e| format!("{}: {e}", program.display()))?;
+    let done = command
+        .status()
+        .map_err(|e| format!("{}: {e}", program.display()))?;
     match done.success() {
         true => Ok(ExitCode::SUCCESS),
         false => Err(format!("{} does not take these files", program.display())),
--- a/router/src/lifecycle/link.rs
+++ b/router/src/lifecycle/link.rs
@@ -27,7 +27,11 @@
 
 impl Link {
     pub fn new(stream: UnixStream) -> Result<Link> {
-        Ok(Link { stream: Async::new(stream)?, input: Vec::new(), fds: VecDeque::new() })
+        Ok(Link {
+            stream: Async::new(stream)?,
+            input: Vec::new(),
+            fds: VecDeque::new(),
+        })
     }
 
     /// Sends a message whole; descriptors go with its first byte.
@@ -37,7 +41,10 @@
         while sent < frame.len() {
             let rest = &frame[sent..];
             let with = if sent == 0 { fds } else { &[] };
-            sent += self.stream.write_with(|stream| send_some(stream, rest, with)).await?;
+            sent += self
+                .stream
+                .write_with(|stream| send_some(stream, rest, with))
+                .await?;
         }
         Ok(())
     }
@@ -78,14 +85,28 @@
     if !fds.is_empty() && !beside.push(SendAncillaryMessage::ScmRights(fds)) {
         return Err(Error::other("too many descriptors for one message"));
     }
-    Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut beside, SendFlags::NOSIGNAL)?)
+    Ok(sendmsg(
+        stream,
+        &[IoSlice::new(bytes)],
+        &mut beside,
+        SendFlags::NOSIGNAL,
+    )?)
 }
 
-fn receive_some(stream: &UnixStream, input: &mut Vec<u8>, fds: &mut VecDeque<OwnedFd>) -> Result<usize> {
+fn receive_some(
+    stream: &UnixStream,
+    input: &mut Vec<u8>,
+    fds: &mut VecDeque<OwnedFd>,
+) -> Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_FDS))];
     let mut beside = RecvAncillaryBuffer::new(&mut space);
     let mut bytes = vec![0; READ];
-    let got = recvmsg(stream, &mut [IoSliceMut::new(&mut bytes)], &mut beside, RecvFlags::CMSG_CLOEXEC)?;
+    let got = recvmsg(
+        stream,
+        &mut [IoSliceMut::new(&mut bytes)],
+        &mut beside,
+        RecvFlags::CMSG_CLOEXEC,
+    )?;
     input.extend_from_slice(&bytes[..got.bytes]);
     for message in beside.drain() {
         if let RecvAncillaryMessage::ScmRights(some) = message {
--- a/router/src/lifecycle/reload.rs
+++ b/router/src/lifecycle/reload.rs
@@ -34,12 +34,17 @@
 
     /// Rights, tenants and limits are taken from the settings anew; where keys come from and TLS need a restart.
     fn terms(&self, router: &Router) {
-        let (Some(path), Some(gate)) = (&self.settings, &router.gate) else { return };
+        let (Some(path), Some(gate)) = (&self.settings, &router.gate) else {
+            return;
+        };
         let told = settings::read(path).and_then(|settings| {
             let terms = settings.identity.ok_or("identity is no longer in it")?;
             let mut desk = router.desk.borrow_mut();
-            let Some(limits) = &mut desk.office.limits else { return Ok(()) };
-            gate.told_of_terms(terms, limits).map_err(|fault| fault.to_string())
+            let Some(limits) = &mut desk.office.limits else {
+                return Ok(());
+            };
+            gate.told_of_terms(terms, limits)
+                .map_err(|fault| fault.to_string())
         });
         match told {
             Ok(()) => tracing::info!("reload: the terms of identity are read anew"),
@@ -49,7 +54,12 @@
 
     fn changed(&self, opening: &Opening) -> Vec<&'static str> {
         let pairs = self.fixed.iter().zip(&opening.fixed);
-        FIXED.into_iter().zip(pairs).filter(|(_, (old, new))| old != new).map(|(name, _)| name).collect()
+        FIXED
+            .into_iter()
+            .zip(pairs)
+            .filter(|(_, (old, new))| old != new)
+            .map(|(name, _)| name)
+            .collect()
     }
 }
 
@@ -77,7 +87,11 @@
     #[test_case("idempotent", "deduplicated", &["settings"]; "settings")]
     fn tells_what_needs_a_restart(from: &str, to: &str, names: &[&str]) {
         let opening = |text: &str| config::parse(text.as_bytes()).expect("a good configuration");
-        let source = Source { path: "x".into(), settings: None, fixed: opening(TEXT).fixed };
+        let source = Source {
+            path: "x".into(),
+            settings: None,
+            fixed: opening(TEXT).fixed,
+        };
         assert_eq!(source.changed(&opening(&TEXT.replacen(from, to, 1))), names);
     }
 }
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -10,7 +10,10 @@
 use ternpick_settings::{Read, Schema};
 
 const SCHEMA: Schema = Schema::new(
-    &[("settings.cue", include_str!("settings.cue")), ("identity.cue", ternpick_identity::DEFINITIONS)],
+    &[
+        ("settings.cue", include_str!("settings.cue")),
+        ("identity.cue", ternpick_identity::DEFINITIONS),
+    ],
     "#Settings",
 );
 
@@ -74,16 +77,23 @@
             let address = member.address.parse::<std::net::SocketAddr>();
             address.map_err(|_| format!("fleet.members.{name}.address is no address and port"))?;
         }
-        if self.listen.as_ref().is_some_and(|of| of.parse::<std::net::SocketAddr>().is_err()) {
+        if self
+            .listen
+            .as_ref()
+            .is_some_and(|of| of.parse::<std::net::SocketAddr>().is_err())
+        {
             return Err("fleet.listen is no address and port".into());
         }
         let votes = self.members.values().filter(|member| member.vote).count();
         if votes == 0 || votes > 9 {
-            return Err(format!("fleet.members: {votes} vote, there have to be 1 to 9, best 3, 5 or 7"));
+            return Err(format!(
+                "fleet.members: {votes} vote, there have to be 1 to 9, best 3, 5 or 7"
+            ));
         }
         if self.renew * 2 > self.lease {
             return Err(
-                "fleet.renew is over half of fleet.lease: a lease would end between two requests".into()
+                "fleet.renew is over half of fleet.lease: a lease would end between two requests"
+                    .into(),
             );
         }
         Ok(())
@@ -118,8 +128,18 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        let log = Log { form: "text".into(), level: "info".into() };
-        Settings { log, control: None, identity: None, tls: None, fleet: None, used: Vec::new() }
+        let log = Log {
+            form: "text".into(),
+            level: "info".into(),
+        };
+        Settings {
+            log,
+            control: None,
+            identity: None,
+            tls: None,
+            fleet: None,
+            used: Vec::new(),
+        }
     }
 }
 
@@ -137,8 +157,14 @@
         limits.push((name.clone(), tenant.limits));
     }
     let terms: Terms = serde_json::from_value(value).map_err(words)?;
-    terms.check().map_err(|fault| format!("identity: {fault}"))?;
-    Ok(IdentityTerms { terms, limits, whole })
+    terms
+        .check()
+        .map_err(|fault| format!("identity: {fault}"))?;
+    Ok(IdentityTerms {
+        terms,
+        limits,
+        whole,
+    })
 }
 
 impl Settings {
@@ -158,15 +184,26 @@
 
 /// Reads a settings file; all that is wrong with it comes back, each mistake marked in the text.
 pub fn read(path: &Path) -> Result<Settings, String> {
-    let Read { value: form, used } = SCHEMA.read_file::<Form>(path).map_err(|refused| refused.to_string())?;
+    let Read { value: form, used } = SCHEMA
+        .read_file::<Form>(path)
+        .map_err(|refused| refused.to_string())?;
     let named = |what: String| format!("{}: {what}", path.display());
     let identity = form.identity.map(identity).transpose().map_err(named)?;
     if let Some(tls) = &form.tls {
-        tls.listen.parse::<std::net::SocketAddr>().map_err(|_| named("tls.listen is no address".into()))?;
+        tls.listen
+            .parse::<std::net::SocketAddr>()
+            .map_err(|_| named("tls.listen is no address".into()))?;
     }
     if let Some(fleet) = &form.fleet {
         fleet.check().map_err(named)?;
     }
     let used = used.iter().map(ToString::to_string).collect();
-    Ok(Settings { log: form.log, control: form.control, identity, tls: form.tls, fleet: form.fleet, used })
+    Ok(Settings {
+        log: form.log,
+        control: form.control,
+        identity,
+        tls: form.tls,
+        fleet: form.fleet,
+        used,
+    })
 }
--- a/router/src/lifecycle/signals.rs
+++ b/router/src/lifecycle/signals.rs
@@ -35,21 +35,31 @@
 /// Listens from here on; until then SIGHUP would end the program.
 pub fn listen() -> Result<Signals, String> {
     let words = |e: std::io::Error| format!("cannot wait for signals: {e}");
-    let (stop, reload) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+    let (stop, reload) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicBool::new(false)),
+    );
     let (read, write) = UnixStream::pair().map_err(words)?;
     for (signal, flag) in [(SIGTERM, &stop), (SIGINT, &stop), (SIGHUP, &reload)] {
         // The flag first: who is woken finds it.
         signal_hook::flag::register(signal, Arc::clone(flag)).map_err(words)?;
-        signal_hook::low_level::pipe::register(signal, write.try_clone().map_err(words)?).map_err(words)?;
+        signal_hook::low_level::pipe::register(signal, write.try_clone().map_err(words)?)
+            .map_err(words)?;
     }
-    Ok(Signals { stop, reload, pipe: Async::new(read).map_err(words)? })
+    Ok(Signals {
+        stop,
+        reload,
+        pipe: Async::new(read).map_err(words)?,
+    })
 }
 
 impl Signals {
     /// A signal that has come and was not told yet.
     fn take(&self) -> Option<Told> {
         let came = |flag: &AtomicBool| flag.swap(false, Ordering::SeqCst);
-        came(&self.stop).then_some(Told::Stop).or_else(|| came(&self.reload).then_some(Told::Reload))
+        came(&self.stop)
+            .then_some(Told::Stop)
+            .or_else(|| came(&self.reload).then_some(Told::Reload))
     }
 
     pub async fn next(&self) -> Told {
@@ -73,7 +83,12 @@
 }
 
 /// Obeys signals until the router has stopped.
-pub async fn obey(router: &Router, signals: Signals, source: &Source, accepting: async_executor::Task<()>) {
+pub async fn obey(
+    router: &Router,
+    signals: Signals,
+    source: &Source,
+    accepting: async_executor::Task<()>,
+) {
     loop {
         let told = router.told_to_stop.listen();
         if router.gone.get() {
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -35,30 +35,46 @@
     let (now, desk) = (router.clock.now(), router.desk.borrow());
     let (mut entries, mut names) = (Vec::new(), Vec::new());
     for (id, name, address) in desk.office.nodes.all() {
-        let Some(node) = desk.brain.nodes.get(&id) else { continue };
+        let Some(node) = desk.brain.nodes.get(&id) else {
+            continue;
+        };
         let listing = &node.listing;
         // Discovery's own word: what operators take out is the fleet's, and the new process hears it from there.
         // Seen: a machine that was out at an upgrade never came back, the new process had it from discovery.
-        let own = router.fleet.as_ref().and_then(|fleet| fleet.discovery_says(name));
+        let own = router
+            .fleet
+            .as_ref()
+            .and_then(|fleet| fleet.discovery_says(name));
         let status = match own.unwrap_or(listing.phase) {
             Phase::Ready => "Ready",
             Phase::Draining => "Terminating",
             Phase::Gone => continue,
         };
         // How long it has been up by this process's clock: the next one's may read another wall clock.
-        let age = Some(node.started.at).filter(|at| at.0 > 0).map(|at| now.since(at).0 / 1000);
-        let zone = desk.office.bounds.zone_names.get(usize::from(listing.zone.0));
+        let age = Some(node.started.at)
+            .filter(|at| at.0 > 0)
+            .map(|at| now.since(at).0 / 1000);
+        let zone = desk
+            .office
+            .bounds
+            .zone_names
+            .get(usize::from(listing.zone.0));
         entries.push(json!({"name": name, "address": address.to_string(), "zone": zone,
             "group": listing.cell.0, "status": status, "since_ms": listing.started.0 / 1000, "age_ms": age}));
         names.push((id.0, name.to_owned()));
     }
-    (json!({"index": router.roster_version.get(), "snapshot": true, "endpoints": entries}), names)
+    (
+        json!({"index": router.roster_version.get(), "snapshot": true, "endpoints": entries}),
+        names,
+    )
 }
 
 /// Whose beliefs these are: the names that numbers of indexes and tenants stand for.
 fn owners(router: &Router) -> String {
-    let tenants =
-        router.gate.as_ref().map_or_else(|| router.bounds.customer_names.clone(), |gate| gate.customers());
+    let tenants = router.gate.as_ref().map_or_else(
+        || router.bounds.customer_names.clone(),
+        |gate| gate.customers(),
+    );
     format!(" of {:?}", (&router.bounds.index_names, tenants))
 }
 
@@ -75,12 +91,27 @@
     pub fn take(router: &Router) -> Snapshot {
         let (roster, names) = roster(router);
         let now = router.clock.now();
-        let [keys, revocations] = router.gate.as_ref().map_or([None, None], |gate| gate.kept(router));
+        let [keys, revocations] = router
+            .gate
+            .as_ref()
+            .map_or([None, None], |gate| gate.kept(router));
         let mut desk = router.desk.borrow_mut();
-        let limits = desk.office.limits.as_mut().map(|limits| limits.counted(now));
+        let limits = desk
+            .office
+            .limits
+            .as_mut()
+            .map(|limits| limits.counted(now));
         let mut beliefs = desk.brain.beliefs(now);
         beliefs.terms = beliefs.terms.map(|terms| terms + &owners(router));
-        Snapshot { form: FORM, roster: roster.to_string(), names, beliefs, limits, keys, revocations }
+        Snapshot {
+            form: FORM,
+            roster: roster.to_string(),
+            names,
+            beliefs,
+            limits,
+            keys,
+            revocations,
+        }
     }
 
     pub fn bytes(&self) -> Vec<u8> {
@@ -111,7 +142,9 @@
             let mut desk = router.desk.borrow_mut();
             let crate::stages::Desk { brain, office } = &mut *desk;
             for entry in roster["endpoints"].as_array().into_iter().flatten() {
-                let of = entry["name"].as_str().and_then(|name| office.nodes.number(name));
+                let of = entry["name"]
+                    .as_str()
+                    .and_then(|name| office.nodes.number(name));
                 let node = of.and_then(|id| brain.nodes.get_mut(&id));
                 if let (Some(node), Some(age)) = (node, entry["age_ms"].as_u64()) {
                     node.started.at = now.since(Micros(age.saturating_mul(1000)));
@@ -120,8 +153,10 @@
             let known = |id: &u64| office.nodes.number(names.get(id)?);
             let nodes = std::mem::take(&mut self.beliefs.nodes);
             let count = nodes.len();
-            self.beliefs.nodes =
-                nodes.into_iter().filter_map(|(id, belief)| Some((known(&id)?.0, belief))).collect();
+            self.beliefs.nodes = nodes
+                .into_iter()
+                .filter_map(|(id, belief)| Some((known(&id)?.0, belief)))
+                .collect();
             let (terms, own) = own_terms(self.beliefs.terms.as_deref(), &owners(router));
             self.beliefs.terms = Some(terms);
             let taken = brain.believe(now, &self.beliefs);
--- a/router/src/lifecycle/snapshot/tests.rs
+++ b/router/src/lifecycle/snapshot/tests.rs
@@ -22,10 +22,20 @@
         sends: Vec::new(),
         out: vec![(1, 40_000, 1.0, 2.0)],
     };
-    let beliefs =
-        Beliefs { nodes: (0..nodes).map(|at| (at, belief.clone())).collect(), ..Beliefs::default() };
+    let beliefs = Beliefs {
+        nodes: (0..nodes).map(|at| (at, belief.clone())).collect(),
+        ..Beliefs::default()
+    };
     let names = (0..nodes).map(|at| (at, format!("s-{at:08x}"))).collect();
-    Snapshot { form: FORM, roster, names, beliefs, limits: None, keys: None, revocations: None }
+    Snapshot {
+        form: FORM,
+        roster,
+        names,
+        beliefs,
+        limits: None,
+        keys: None,
+        revocations: None,
+    }
 }
 
 #[test_case(12; "twelve")]
@@ -35,7 +45,11 @@
     let bytes = snapshot(nodes).bytes();
     let began = std::time::Instant::now();
     let read = Snapshot::parse(&bytes).expect("read");
-    println!("{nodes} nodes: {} bytes, read in {:?}", bytes.len(), began.elapsed());
+    println!(
+        "{nodes} nodes: {} bytes, read in {:?}",
+        bytes.len(),
+        began.elapsed()
+    );
     assert_eq!(read.beliefs.nodes.len() as u64, nodes);
     assert!(bytes.len() as u64 / nodes < 400, "{} bytes", bytes.len());
 }
@@ -45,9 +59,19 @@
     let whole = snapshot(3);
     let bytes = whole.bytes();
     for length in 0..bytes.len() {
-        assert!(Snapshot::parse(&bytes[..length]).is_err(), "cut at {length}");
+        assert!(
+            Snapshot::parse(&bytes[..length]).is_err(),
+            "cut at {length}"
+        );
     }
-    assert!(Snapshot::parse(&Snapshot { form: FORM + 1, ..whole }.bytes()).is_err());
+    assert!(Snapshot::parse(
+        &Snapshot {
+            form: FORM + 1,
+            ..whole
+        }
+        .bytes()
+    )
+    .is_err());
 }
 
 #[test_case(Some("soft 5 of a, b"), "soft 5", true; "the same names")]
--- a/router/src/lifecycle/sources.rs
+++ b/router/src/lifecycle/sources.rs
@@ -46,7 +46,10 @@
         if let Some(path) = &watched.source.kept {
             restore(router, gate, kind, Path::new(path));
         }
-        router.executor.spawn(watch(Rc::clone(router), kind)).detach();
+        router
+            .executor
+            .spawn(watch(Rc::clone(router), kind))
+            .detach();
     }
     router.executor.spawn(elapse(Rc::clone(router))).detach();
 }
@@ -61,7 +64,9 @@
             let told = kind.tell(gate, then, &kept.bytes);
             let age = now.since(then).0 / 1_000_000;
             match told {
-                Ok(()) => tracing::info!("identity: {word} as kept {age} s ago, until they are heard anew"),
+                Ok(()) => tracing::info!(
+                    "identity: {word} as kept {age} s ago, until they are heard anew"
+                ),
                 Err(what) => tracing::warn!("identity: the kept {word} are passed over, {what}"),
             }
         }
@@ -90,7 +95,9 @@
 }
 
 async fn watch(router: Rc<Router>, kind: Kind) {
-    let Some((gate, of)) = watched(&router, kind) else { return };
+    let Some((gate, of)) = watched(&router, kind) else {
+        return;
+    };
     // After a gap the whole list is asked for.
     let (mut whole, mut failing, mut kept_text) = (true, false, Vec::new());
     loop {
@@ -117,11 +124,17 @@
                 }
                 // Pages of what is new cannot be kept alone; the whole list comes again with the next start.
                 let worth = kind == Kind::Keys || whole;
-                if let Some(path) = of.source.kept.as_ref().filter(|_| worth && text != kept_text) {
+                if let Some(path) = of
+                    .source
+                    .kept
+                    .as_ref()
+                    .filter(|_| worth && text != kept_text)
+                {
                     keep(kind, PathBuf::from(path), now, text.clone()).await;
                     kept_text = text;
                 }
-                whole = kind == Kind::Revocations && (of.source.file.is_some() || of.source.kept.is_some());
+                whole = kind == Kind::Revocations
+                    && (of.source.file.is_some() || of.source.kept.is_some());
             }
             Err(what) => {
                 of.refresh.borrow_mut().failed(now);
@@ -135,9 +148,24 @@
     }
 }
 
-async fn get(router: &Router, gate: &Gate, of: &Watched, kind: Kind, whole: bool) -> Result<Vec<u8>, String> {
-    let bound = if kind == Kind::Keys { SET_BOUND } else { PAGE_BOUND };
-    let Source { file, path, patience, .. } = &of.source;
+async fn get(
+    router: &Router,
+    gate: &Gate,
+    of: &Watched,
+    kind: Kind,
+    whole: bool,
+) -> Result<Vec<u8>, String> {
+    let bound = if kind == Kind::Keys {
+        SET_BOUND
+    } else {
+        PAGE_BOUND
+    };
+    let Source {
+        file,
+        path,
+        patience,
+        ..
+    } = &of.source;
     if let Some(file) = file {
         let file = PathBuf::from(file);
         return blocking::unblock(move || read(&file, bound)).await;
@@ -154,13 +182,17 @@
     let words = |e: std::io::Error| format!("{}: {e}", path.display());
     let long = std::fs::metadata(path).map_err(words)?.len();
     if long > bound as u64 {
-        return Err(format!("{}: it is longer than {bound} bytes", path.display()));
+        return Err(format!(
+            "{}: it is longer than {bound} bytes",
+            path.display()
+        ));
     }
     std::fs::read(path).map_err(words)
 }
 
 async fn keep(kind: Kind, path: PathBuf, now: Micros, text: Vec<u8>) {
-    let kept = blocking::unblock(move || ternpick_store::put(&path, kind.word(), 1, now.0, &text)).await;
+    let kept =
+        blocking::unblock(move || ternpick_store::put(&path, kind.word(), 1, now.0, &text)).await;
     if let Err(fault) = kept {
         tracing::warn!("identity: {} could not be kept, {fault}", kind.word());
     }
--- a/router/src/lifecycle/start.rs
+++ b/router/src/lifecycle/start.rs
@@ -33,9 +33,14 @@
 /// The descriptors that the process may really hold; its own limit is raised as far as wanted and allowed.
 fn descriptors(wanted: usize) -> usize {
     let limit = getrlimit(Resource::Nofile);
-    let most = limit.maximum.map_or(wanted, |most| wanted.min(most as usize));
+    let most = limit
+        .maximum
+        .map_or(wanted, |most| wanted.min(most as usize));
     let current = limit.current.map_or(wanted, |now| now as usize);
-    let raised = Rlimit { current: Some(most as u64), ..limit };
+    let raised = Rlimit {
+        current: Some(most as u64),
+        ..limit
+    };
     if current >= wanted || setrlimit(Resource::Nofile, raised).is_ok() {
         return most;
     }
@@ -54,13 +59,21 @@
 
 /// The digest of what a router runs on, for the process that is to take its place.
 fn digest(source: &Source) -> u64 {
-    let settings = source.settings.as_ref().and_then(|path| std::fs::read(path).ok()).unwrap_or_default();
+    let settings = source
+        .settings
+        .as_ref()
+        .and_then(|path| std::fs::read(path).ok())
+        .unwrap_or_default();
     let fixed: String = source.fixed.iter().map(Value::to_string).collect();
     u64::from(crc32fast::hash(fixed.as_bytes())) << 32 | u64::from(crc32fast::hash(&settings))
 }
 
 /// Both listeners, the plain one first.
-fn bind_all(listen: SocketAddr, tls: Option<&Rc<Tls>>, sockets: usize) -> Result<Vec<TcpListener>, String> {
+fn bind_all(
+    listen: SocketAddr,
+    tls: Option<&Rc<Tls>>,
+    sockets: usize,
+) -> Result<Vec<TcpListener>, String> {
     let addresses = std::iter::once(listen).chain(tls.map(|tls| tls.listen));
     addresses.map(|address| bind(address, sockets)).collect()
 }
@@ -73,21 +86,42 @@
 }
 
 /// Serves until told to stop and nothing taken is left unanswered.
-pub fn serve(opening: Opening, settings: Settings, source: Source, from: From) -> Result<(), String> {
+pub fn serve(
+    opening: Opening,
+    settings: Settings,
+    source: Source,
+    from: From,
+) -> Result<(), String> {
     logging::start(&settings.log);
     let settings = settings.for_router(&opening.name);
     let signals = signals::listen()?;
     let digest = digest(&source);
-    let Opening { name, listen, discovery, seed, sockets, memory, known, mut tariff, bounds, .. } = opening;
+    let Opening {
+        name,
+        listen,
+        discovery,
+        seed,
+        sockets,
+        memory,
+        known,
+        mut tariff,
+        bounds,
+        ..
+    } = opening;
     let sockets = descriptors(sockets);
     let tls = settings.tls.map(Tls::new).transpose()?;
     let bound = match from {
         From::Nothing => Some(bind_all(listen, tls.as_ref(), sockets)?),
         From::Process(..) => None,
     };
-    let gate =
-        settings.identity.as_ref().map(|of| Gate::new(of, seed).map(|(gate, limits)| (gate, limits, of)));
-    let (gate, limits) = match gate.transpose().map_err(|fault| format!("identity: {fault}"))? {
+    let gate = settings
+        .identity
+        .as_ref()
+        .map(|of| Gate::new(of, seed).map(|(gate, limits)| (gate, limits, of)));
+    let (gate, limits) = match gate
+        .transpose()
+        .map_err(|fault| format!("identity: {fault}"))?
+    {
         Some((gate, limits, of)) => {
             tariff.quotas = gate.quotas(of);
             (Some(gate), Some(limits))
@@ -100,7 +134,11 @@
     };
     let inherits = matches!(from, From::Process(..));
     let clock = Clock::start();
-    let lingers = settings.fleet.as_ref().and_then(|fleet| fleet.works.as_ref()).map(|works| works.lingers);
+    let lingers = settings
+        .fleet
+        .as_ref()
+        .and_then(|fleet| fleet.works.as_ref())
+        .map(|works| works.lingers);
     if let (Some(lingers), Some(longest)) = (lingers, bounds.longest_deadline) {
         if lingers < longest.0 {
             return Err(format!(
@@ -112,11 +150,23 @@
         }
     }
     let fleet = settings.fleet.map(|terms| {
-        Fleet::new(terms, &name, &tariff, &bounds.index_names, customers, inherits, clock.now())
+        Fleet::new(
+            terms,
+            &name,
+            &tariff,
+            &bounds.index_names,
+            customers,
+            inherits,
+            clock.now(),
+        )
     });
     let cadence = Cadence::new(bounds.ask_within, !seed);
     let (bounds, asked) = (Rc::new(bounds), tariff.roster_on_request);
-    let office = Office { bounds: Rc::clone(&bounds), limits, ..Office::default() };
+    let office = Office {
+        bounds: Rc::clone(&bounds),
+        limits,
+        ..Office::default()
+    };
     let router = Rc::new(Router {
         clock,
         bounds,
@@ -124,7 +174,10 @@
         budget: Budget::new(memory),
         clients: Rc::default(),
         executor: Rc::new(LocalExecutor::new()),
-        desk: RefCell::new(Desk { brain: Brain::new(tariff, seed), office }),
+        desk: RefCell::new(Desk {
+            brain: Brain::new(tariff, seed),
+            office,
+        }),
         gate,
         fleet,
         turn: Event::new(),
@@ -148,7 +201,9 @@
     let control = settings.control;
     let executor = Rc::clone(&router.executor);
     let heir = future::block_on(executor.run(async {
-        executor.spawn(watch::watch(Rc::clone(&router), cadence)).detach();
+        executor
+            .spawn(watch::watch(Rc::clone(&router), cadence))
+            .detach();
         executor.spawn(route::turns(Rc::clone(&router))).detach();
         // The tasks are to listen before they are called upon: taking a list in may ask for the watch at once.
         future::yield_now().await;
@@ -168,7 +223,8 @@
             (None, From::Nothing) => bind_all(listen, tls.as_ref(), sockets)?,
             (None, From::Process(link, old)) => {
                 let patience = control.as_ref().map(upgrade::patience).unwrap_or_default();
-                let taken = takeover::take_over(&router, &share, (link, old), patience, digest).await?;
+                let taken =
+                    takeover::take_over(&router, &share, (link, old), patience, digest).await?;
                 let listeners = match &taken.listeners {
                     Some(passed) => {
                         let again = passed.iter().map(TcpListener::try_clone);
@@ -182,7 +238,13 @@
                 if taken.version.is_none() {
                     take_known();
                 }
-                executor.spawn(takeover::follow(Rc::clone(&router), Rc::clone(&share), taken)).detach();
+                executor
+                    .spawn(takeover::follow(
+                        Rc::clone(&router),
+                        Rc::clone(&share),
+                        taken,
+                    ))
+                    .detach();
                 listeners
             }
         };
@@ -195,19 +257,26 @@
         );
         sources::start(&router);
         if let Some(fleet) = &router.fleet {
-            executor.spawn(drive::run(Rc::clone(&router), Rc::clone(fleet))).detach();
+            executor
+                .spawn(drive::run(Rc::clone(&router), Rc::clone(fleet)))
+                .detach();
         }
         let control = match control {
-            Some(terms) => Some(open_control(&router, &share, terms, &source, digest, &listeners, &name)?),
+            Some(terms) => Some(open_control(
+                &router, &share, terms, &source, digest, &listeners, &name,
+            )?),
             None => None,
         };
         let mut accepting = Vec::new();
         for (at, listener) in listeners.into_iter().enumerate() {
-            let listener = Async::new(listener).map_err(|e| format!("cannot listen on {listen}: {e}"))?;
+            let listener =
+                Async::new(listener).map_err(|e| format!("cannot listen on {listen}: {e}"))?;
             let tls = if at == 0 { None } else { tls.clone() };
             if let Some(tls) = &tls {
                 tracing::info!("{name} serves TLS on {}", tls.listen);
-                executor.spawn(tls::watch(Rc::clone(&router), Rc::clone(tls))).detach();
+                executor
+                    .spawn(tls::watch(Rc::clone(&router), Rc::clone(tls)))
+                    .detach();
             }
             accepting.push(executor.spawn(take_in::accept(Rc::clone(&router), listener, tls)));
         }
@@ -229,18 +298,27 @@
 
 /// Opens the control socket, and writes down which process serves.
 fn open_control(
-    router: &Rc<Router>, share: &Rc<Share>, terms: ControlTerms, source: &Source, digest: u64,
-    listeners: &[TcpListener], name: &str,
+    router: &Rc<Router>,
+    share: &Rc<Share>,
+    terms: ControlTerms,
+    source: &Source,
+    digest: u64,
+    listeners: &[TcpListener],
+    name: &str,
 ) -> Result<Rc<Control>, String> {
     let passed = listeners.iter().map(|of| of.try_clone().map(OwnedFd::from));
-    let passed = passed.collect::<Result<Vec<_>, _>>().map_err(|e| format!("a listener is spoilt: {e}"))?;
+    let passed = passed
+        .collect::<Result<Vec<_>, _>>()
+        .map_err(|e| format!("a listener is spoilt: {e}"))?;
     if let Some(path) = &terms.pid_file {
         let text = format!("{}\n", std::process::id());
-        ternpick_store::replace(path.as_ref(), text.as_bytes()).map_err(|fault| fault.to_string())?;
+        ternpick_store::replace(path.as_ref(), text.as_bytes())
+            .map_err(|fault| fault.to_string())?;
     }
     let socket = control::bind(terms.socket.as_ref())?;
     let start = Start {
-        program: std::env::current_exe().map_err(|e| format!("the program is not to be found: {e}"))?,
+        program: std::env::current_exe()
+            .map_err(|e| format!("the program is not to be found: {e}"))?,
         config: source.path.clone(),
         settings: source.settings.clone().unwrap_or_default(),
     };
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -75,7 +75,9 @@
             break;
         }
         // Connections that had brought no request yet were left open, and got first requests up to the kill.
-        router.clients.end(State::New, |accepted| of.closes_new(accepted) <= now);
+        router
+            .clients
+            .end(State::New, |accepted| of.closes_new(accepted) <= now);
         router.clients.end(State::Partial, |_| of.answers_by <= now);
         Timer::at(router.clock.instant(now + LOOK_AGAIN)).await;
     }
--- a/router/src/lifecycle/takeover.rs
+++ b/router/src/lifecycle/takeover.rs
@@ -39,9 +39,14 @@
 
 /// The link that an old process has left on standard input.
 pub fn link() -> Result<Link, String> {
-    let fd = std::io::stdin().as_fd().try_clone_to_owned().map_err(|e| format!("no link: {e}"))?;
+    let fd = std::io::stdin()
+        .as_fd()
+        .try_clone_to_owned()
+        .map_err(|e| format!("no link: {e}"))?;
     let stream = UnixStream::from(fd);
-    stream.peer_addr().map_err(|_| "--take-over is for a process that another one starts".to_owned())?;
+    stream
+        .peer_addr()
+        .map_err(|_| "--take-over is for a process that another one starts".to_owned())?;
     Link::new(stream).map_err(|e| format!("no link: {e}"))
 }
 
@@ -58,11 +63,19 @@
 
 /// Takes over, or says why not. Returns once this process is to accept.
 pub async fn take_over(
-    router: &Rc<Router>, share: &Share, (mut link, old): (Link, u32), patience: Patience, digest: u64,
+    router: &Rc<Router>,
+    share: &Share,
+    (mut link, old): (Link, u32),
+    patience: Patience,
+    digest: u64,
 ) -> Result<Taken, String> {
     // It may have died before this process began.
     let parent = i32::try_from(old).ok().and_then(Pid::from_raw);
-    let program = format!("ternpick {} (process {})", env!("CARGO_PKG_VERSION"), std::process::id());
+    let program = format!(
+        "ternpick {} (process {})",
+        env!("CARGO_PKG_VERSION"),
+        std::process::id()
+    );
     let (mut machine, mut effects) = New::begins(patience, digest, &program, router.clock.now());
     let (mut listeners, mut state, mut version) = (None::<Vec<TcpListener>>, Vec::new(), None);
     loop {
@@ -83,7 +96,15 @@
             }
         }
         if machine.serves() {
-            return Ok(Taken { listeners, version, follow: Follow { link, machine, parent } });
+            return Ok(Taken {
+                listeners,
+                version,
+                follow: Follow {
+                    link,
+                    machine,
+                    parent,
+                },
+            });
         }
         let heard = router.until(machine.due(), link.receive()).await;
         let now = router.clock.now();
@@ -91,7 +112,11 @@
             None => machine.elapsed(now),
             Some(Err(_)) => {
                 let old_lives = old_lives(router, parent).await;
-                machine.heard(router.clock.now(), FromOld::Lost { old_lives }, share.whole())
+                machine.heard(
+                    router.clock.now(),
+                    FromOld::Lost { old_lives },
+                    share.whole(),
+                )
             }
             Some(Ok(message)) => {
                 let mut last = false;
@@ -111,13 +136,18 @@
                 }
                 let mut effects = machine.heard(now, FromOld::Heard(message), share.whole());
                 if last {
-                    let applied = Snapshot::parse(&state).and_then(|snapshot| snapshot.apply(router));
+                    let applied =
+                        Snapshot::parse(&state).and_then(|snapshot| snapshot.apply(router));
                     state = Vec::new();
                     if let Err(what) = &applied {
                         tracing::warn!("upgrade: the state cannot be used, {what}");
                     }
                     version = applied.as_ref().ok().copied();
-                    effects.extend(machine.heard(now, FromOld::Loaded(applied.is_ok()), share.whole()));
+                    effects.extend(machine.heard(
+                        now,
+                        FromOld::Loaded(applied.is_ok()),
+                        share.whole(),
+                    ));
                 }
                 effects
             }
@@ -127,7 +157,11 @@
 
 /// Hears on from the old process, until its link ends: clients' connections, its questions, its end.
 pub async fn follow(router: Rc<Router>, share: Rc<Share>, taken: Taken) {
-    let Follow { mut link, mut machine, parent } = taken.follow;
+    let Follow {
+        mut link,
+        mut machine,
+        parent,
+    } = taken.follow;
     let adopted = Cell::new(0u32);
     loop {
         let heard = link.receive().await;
@@ -153,7 +187,11 @@
                 {
                     Timer::at(router.clock.instant(router.clock.now() + LOOK_ON)).await;
                 }
-                machine.heard(router.clock.now(), FromOld::Lost { old_lives: false }, share.whole())
+                machine.heard(
+                    router.clock.now(),
+                    FromOld::Lost { old_lives: false },
+                    share.whole(),
+                )
             }
         };
         for effect in effects {
@@ -175,7 +213,10 @@
             }
         }
         if lost || machine.is_over() {
-            tracing::info!("upgrade: the old process has left, {} connections came over", adopted.get());
+            tracing::info!(
+                "upgrade: the old process has left, {} connections came over",
+                adopted.get()
+            );
             return;
         }
     }
--- a/router/src/lifecycle/tls.rs
+++ b/router/src/lifecycle/tls.rs
@@ -37,7 +37,9 @@
 
 fn read(path: &str) -> Result<Vec<u8>, String> {
     let words = |what: String| format!("{path}: {what}");
-    let long = std::fs::metadata(Path::new(path)).map_err(|e| words(e.to_string()))?.len();
+    let long = std::fs::metadata(Path::new(path))
+        .map_err(|e| words(e.to_string()))?
+        .len();
     if long > FILE_BOUND {
         return Err(words("it is longer than any such file is".into()));
     }
@@ -56,27 +58,39 @@
 }
 
 fn build(
-    terms: &TlsTerms, authorities: &[CertificateDer<'static>], sessions: Sessions,
+    terms: &TlsTerms,
+    authorities: &[CertificateDer<'static>],
+    sessions: Sessions,
 ) -> Result<Arc<ServerConfig>, String> {
     let chain = certificates(&terms.certificate)?;
-    let key = rustls_pemfile::private_key(&mut &read(&terms.key)?[..]).map_err(|e| e.to_string())?;
+    let key =
+        rustls_pemfile::private_key(&mut &read(&terms.key)?[..]).map_err(|e| e.to_string())?;
     let key = key.ok_or_else(|| format!("{}: no private key in PEM", terms.key))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let versions = ServerConfig::builder_with_provider(Arc::clone(&provider));
-    let builder = versions.with_safe_default_protocol_versions().map_err(|e| e.to_string())?;
+    let builder = versions
+        .with_safe_default_protocol_versions()
+        .map_err(|e| e.to_string())?;
     let builder = if authorities.is_empty() {
         builder.with_no_client_auth()
     } else {
         let mut roots = RootCertStore::empty();
         for authority in authorities {
-            roots.add(authority.clone()).map_err(|e| format!("an authority of clients: {e}"))?;
+            roots
+                .add(authority.clone())
+                .map_err(|e| format!("an authority of clients: {e}"))?;
         }
         let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider);
-        let verifier = if terms.required { verifier } else { verifier.allow_unauthenticated() };
+        let verifier = if terms.required {
+            verifier
+        } else {
+            verifier.allow_unauthenticated()
+        };
         builder.with_client_cert_verifier(verifier.build().map_err(|e| e.to_string())?)
     };
-    let mut config =
-        builder.with_single_cert(chain, key).map_err(|e| format!("{}: {e}", terms.certificate))?;
+    let mut config = builder
+        .with_single_cert(chain, key)
+        .map_err(|e| format!("{}: {e}", terms.certificate))?;
     config.session_storage = sessions;
     config.max_early_data_size = 0;
     Ok(Arc::new(config))
@@ -84,8 +98,14 @@
 
 impl Tls {
     pub fn new(terms: TlsTerms) -> Result<Rc<Tls>, String> {
-        let listen = terms.listen.parse().map_err(|_| "tls.listen is no address".to_owned())?;
-        let authorities = terms.authorities.as_deref().map_or(Ok(Vec::new()), certificates)?;
+        let listen = terms
+            .listen
+            .parse()
+            .map_err(|_| "tls.listen is no address".to_owned())?;
+        let authorities = terms
+            .authorities
+            .as_deref()
+            .map_or(Ok(Vec::new()), certificates)?;
         let sessions = rustls::server::ServerSessionMemoryCache::new(SESSIONS);
         let config = RefCell::new(build(&terms, &authorities, Arc::clone(&sessions))?);
         let tls = Tls {
@@ -112,8 +132,10 @@
 
     fn look(&self) -> Vec<Option<(SystemTime, u64)>> {
         let terms = &self.terms;
-        let files =
-            [&terms.certificate, &terms.key].into_iter().chain(&terms.authorities).chain(&terms.lists);
+        let files = [&terms.certificate, &terms.key]
+            .into_iter()
+            .chain(&terms.authorities)
+            .chain(&terms.lists);
         let seen = |path: &String| {
             let of = std::fs::metadata(path).ok()?;
             Some((of.modified().ok()?, of.len()))
@@ -123,7 +145,11 @@
 
     /// Reads the files again; one that cannot be used changes nothing.
     fn reload(&self) -> Result<(), String> {
-        let authorities = self.terms.authorities.as_deref().map_or(Ok(Vec::new()), certificates)?;
+        let authorities = self
+            .terms
+            .authorities
+            .as_deref()
+            .map_or(Ok(Vec::new()), certificates)?;
         let same = *self.authorities.borrow() == authorities;
         let sessions = match same {
             true => Arc::clone(&self.sessions.borrow()),
@@ -171,7 +197,10 @@
         match tls.reload() {
             Ok(()) => {
                 tls.seen.replace(seen);
-                tracing::info!("tls: new files are in use, {} authorities", tls.authorities.borrow().len());
+                tracing::info!(
+                    "tls: new files are in use, {} authorities",
+                    tls.authorities.borrow().len()
+                );
                 tls.tell_lists(&router);
             }
             // Half of them may be written: it is tried again, and said each time.
--- a/router/src/lifecycle/tools.rs
+++ b/router/src/lifecycle/tools.rs
@@ -169,7 +169,10 @@
 }
 
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs()
 }
 
 fn words(what: impl ToString) -> String {
@@ -204,7 +207,8 @@
         std::fs::create_dir_all(&self.keys).map_err(|e| format!("{}: {e}", self.keys.display()))?;
         let text = serde_json::to_vec(shop).map_err(words)?;
         let path = self.keys.join(PRIVATE);
-        ternpick_store::put(&path, KEPT_KEYS, shop.serial, now * 1_000_000, &text).map_err(words)?;
+        ternpick_store::put(&path, KEPT_KEYS, shop.serial, now * 1_000_000, &text)
+            .map_err(words)?;
         let public = serde_json::to_vec_pretty(&shop.public(now).map_err(words)?).map_err(words)?;
         ternpick_store::replace(&self.keys.join(PUBLIC), &public).map_err(words)
     }
@@ -222,7 +226,10 @@
             let stage = match key.stage(now) {
                 Stage::Published => format!("published, signs from {}", time(key.signs)),
                 Stage::Signing => "signing".into(),
-                Stage::Retired => format!("retired, published until {}", key.until.map_or("-".into(), time)),
+                Stage::Retired => format!(
+                    "retired, published until {}",
+                    key.until.map_or("-".into(), time)
+                ),
                 Stage::Gone => "gone".into(),
             };
             println!("{:<24} {:<6} {stage}", key.id, key.algorithm);
@@ -232,31 +239,49 @@
 
 pub fn keys(command: Keys) -> Result<(), String> {
     let (now, random) = (now(), SystemRandom::new());
-    let named =
-        |id: Option<String>, shop: &Workshop| id.unwrap_or_else(|| format!("k{now}-{}", shop.serial + 1));
+    let named = |id: Option<String>, shop: &Workshop| {
+        id.unwrap_or_else(|| format!("k{now}-{}", shop.serial + 1))
+    };
     let folder = match command {
         Keys::List { folder } => {
             folder.list(&folder.open()?, now);
             return Ok(());
         }
-        Keys::New { folder, id, kind, lead } => {
+        Keys::New {
+            folder,
+            id,
+            kind,
+            lead,
+        } => {
             let mut shop = folder.open()?;
             let id = named(id, &shop);
-            shop.new_key(&id, kind.algorithm(), now, lead.as_secs(), &random).map_err(words)?;
+            shop.new_key(&id, kind.algorithm(), now, lead.as_secs(), &random)
+                .map_err(words)?;
             folder.save(&shop, now)?;
             folder
         }
-        Keys::Retire { folder, id, overlap } => {
+        Keys::Retire {
+            folder,
+            id,
+            overlap,
+        } => {
             let mut shop = folder.open()?;
             shop.retire(&id, now, overlap.as_secs()).map_err(words)?;
             folder.save(&shop, now)?;
             folder
         }
-        Keys::Rotate { folder, id, kind, lead, overlap } => {
+        Keys::Rotate {
+            folder,
+            id,
+            kind,
+            lead,
+            overlap,
+        } => {
             let mut shop = folder.open()?;
             let id = named(id, &shop);
             let (lead, overlap) = (lead.as_secs(), overlap.as_secs());
-            shop.rotate(&id, kind.algorithm(), now, lead, overlap, &random).map_err(words)?;
+            shop.rotate(&id, kind.algorithm(), now, lead, overlap, &random)
+                .map_err(words)?;
             folder.save(&shop, now)?;
             folder
         }
@@ -270,7 +295,16 @@
 
 pub fn token(command: Token) -> Result<(), String> {
     match command {
-        Token::Mint { folder, issuer, audience, subject, tenant, role, life, id } => {
+        Token::Mint {
+            folder,
+            issuer,
+            audience,
+            subject,
+            tenant,
+            role,
+            life,
+            id,
+        } => {
             let (now, shop) = (now(), folder.open()?);
             let id = match id {
                 Some(id) => id,
@@ -312,14 +346,25 @@
         Some(path) => {
             let set = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
             let now = Micros(now() * 1_000_000);
-            ternpick_identity::workshop::verify(text.trim(), &set, now).map_err(words)?.into()
+            ternpick_identity::workshop::verify(text.trim(), &set, now)
+                .map_err(words)?
+                .into()
         }
     };
     if json {
-        println!("{}", json!({"header": seen.header, "claims": seen.claims, "verified": verified}));
+        println!(
+            "{}",
+            json!({"header": seen.header, "claims": seen.claims, "verified": verified})
+        );
         return Ok(());
     }
-    for (name, value) in seen.header.as_object().into_iter().chain(seen.claims.as_object()).flatten() {
+    for (name, value) in seen
+        .header
+        .as_object()
+        .into_iter()
+        .chain(seen.claims.as_object())
+        .flatten()
+    {
         match (name.as_str(), value.as_u64()) {
             ("exp" | "nbf" | "iat", Some(at)) => println!("{name:<8} {} ({at})", time(at)),
             _ => println!("{name:<8} {value}"),
@@ -335,19 +380,34 @@
 
 pub fn revoke(of: Revoke) -> Result<(), String> {
     let mut feed: Value = match std::fs::read(&of.feed) {
-        Ok(text) => serde_json::from_slice(&text).map_err(|e| format!("{}: {e}", of.feed.display()))?,
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => json!({"to": 0, "whole": true, "entries": []}),
+        Ok(text) => {
+            serde_json::from_slice(&text).map_err(|e| format!("{}: {e}", of.feed.display()))?
+        }
+        Err(e) if e.kind() == std::io::ErrorKind::NotFound => {
+            json!({"to": 0, "whole": true, "entries": []})
+        }
         Err(e) => return Err(format!("{}: {e}", of.feed.display())),
     };
     let now = now();
-    let number = feed["to"].as_u64().ok_or_else(|| format!("{}: no feed", of.feed.display()))? + 1;
+    let number = feed["to"]
+        .as_u64()
+        .ok_or_else(|| format!("{}: no feed", of.feed.display()))?
+        + 1;
     let what = [
         ("token", of.what.token),
         ("subject", of.what.subject),
         ("key", of.what.key),
-        ("certificate", of.what.certificate.map(|print| print.replace(':', "").to_ascii_lowercase())),
+        (
+            "certificate",
+            of.what
+                .certificate
+                .map(|print| print.replace(':', "").to_ascii_lowercase()),
+        ),
     ];
-    let Some((kind, name)) = what.into_iter().find_map(|(kind, name)| Some((kind, name?))) else {
+    let Some((kind, name)) = what
+        .into_iter()
+        .find_map(|(kind, name)| Some((kind, name?)))
+    else {
         return Err("say what is revoked: --token, --subject, --key or --certificate".into());
     };
     let mut entry = json!({"number": number, kind: name});
@@ -357,7 +417,9 @@
     if let Some(matters) = of.matters {
         entry["until"] = (now + matters.as_secs()).into();
     }
-    let entries = feed["entries"].as_array_mut().ok_or_else(|| format!("{}: no feed", of.feed.display()))?;
+    let entries = feed["entries"]
+        .as_array_mut()
+        .ok_or_else(|| format!("{}: no feed", of.feed.display()))?;
     entries.retain(|entry| entry["until"].as_u64().is_none_or(|until| until > now));
     entries.push(entry.clone());
     (feed["to"], feed["whole"]) = (number.into(), true.into());
@@ -368,27 +430,45 @@
     match of.json {
         true => println!("{entry}"),
         false => {
-            println!("{kind} {name} is {}, as number {number}", if of.lift { "lifted" } else { "revoked" })
+            println!(
+                "{kind} {name} is {}, as number {number}",
+                if of.lift { "lifted" } else { "revoked" }
+            )
         }
     }
     Ok(())
 }
 
 pub fn rights(command: RightsCommand) -> Result<(), String> {
-    let RightsCommand::Explain { subject, settings, tenant, role, behalf, json } = command;
+    let RightsCommand::Explain {
+        subject,
+        settings,
+        tenant,
+        role,
+        behalf,
+        json,
+    } = command;
     let read = settings::read(&settings)?;
-    let identity = read.identity.ok_or_else(|| format!("{}: no identity in it", settings.display()))?;
+    let identity = read
+        .identity
+        .ok_or_else(|| format!("{}: no identity in it", settings.display()))?;
     let mut rights = Rights::default();
     rights.told_of(&identity.terms).map_err(words)?;
     let caller = Caller {
         subject: Subject::from(subject.as_str()),
         tenant: Tenant::from(tenant.as_str()),
         roles: role.iter().map(|role| Role::from(role.as_str())).collect(),
-        proof: Proof::Token { key: KeyId::from("-"), id: None },
+        proof: Proof::Token {
+            key: KeyId::from("-"),
+            id: None,
+        },
         until: Micros(u64::MAX),
     };
     let lines = rights.explain(&caller, behalf.as_deref(), Micros(now() * 1_000_000));
-    let until = |at: Option<Micros>| at.filter(|at| at.0 < u64::MAX).map(|at| time(at.0 / 1_000_000));
+    let until = |at: Option<Micros>| {
+        at.filter(|at| at.0 < u64::MAX)
+            .map(|at| time(at.0 / 1_000_000))
+    };
     if json {
         let row = |line: &ternpick_identity::Explained| {
             let (allowed, why) = match &line.allowed {
--- a/router/src/lifecycle/upgrade.rs
+++ b/router/src/lifecycle/upgrade.rs
@@ -53,7 +53,12 @@
             sockets: number(total.saturating_sub(OWN)),
             memory: memory as u64,
         };
-        Share { whole, has: Cell::new(whole), total, memory }
+        Share {
+            whole,
+            has: Cell::new(whole),
+            total,
+            memory,
+        }
     }
 
     pub fn whole(&self) -> Lease {
@@ -67,7 +72,12 @@
         let held = router.desk.borrow().office.ledger.held() + half_read;
         let sockets = router.descriptors.held() + SPARE_SOCKETS;
         let number = |of: usize| u32::try_from(of).unwrap_or(u32::MAX);
-        Lease { held: number(held), extra: 0, sockets: number(sockets), memory: router.budget.used() as u64 }
+        Lease {
+            held: number(held),
+            extra: 0,
+            sockets: number(sockets),
+            memory: router.budget.used() as u64,
+        }
     }
 
     /// Puts a lease to use. `goes_on`: this process takes in new lookups.
@@ -88,7 +98,9 @@
         }
         desk.brain.serve_part(f64::from(lease.extra), goes_on);
         router.descriptors.set_total(lease.sockets as usize);
-        router.budget.set_limit(usize::try_from(lease.memory).unwrap_or(usize::MAX));
+        router
+            .budget
+            .set_limit(usize::try_from(lease.memory).unwrap_or(usize::MAX));
     }
 }
 
@@ -102,7 +114,12 @@
 
 pub fn patience(of: &ControlTerms) -> Patience {
     let (hello, step) = (Micros(of.hello), Micros(of.step));
-    Patience { hello, step, ready: Micros(of.ready), silence: Micros(of.silence) }
+    Patience {
+        hello,
+        step,
+        ready: Micros(of.ready),
+        silence: Micros(of.silence),
+    }
 }
 
 pub struct Upgrades {
@@ -136,7 +153,11 @@
 impl Run<'_> {
     fn spawn(&mut self) -> Result<(), String> {
         let (ours, theirs) = UnixStream::pair().map_err(|e| format!("no link: {e}"))?;
-        let Start { program, config, settings } = self.start;
+        let Start {
+            program,
+            config,
+            settings,
+        } = self.start;
         let mut command = Command::new(program);
         command
             .arg("serve")
@@ -147,8 +168,11 @@
             .arg("--take-over")
             .arg(std::process::id().to_string());
         command.stdin(Stdio::from(OwnedFd::from(theirs)));
-        self.child =
-            Some(command.spawn().map_err(|e| format!("{} cannot be started: {e}", program.display()))?);
+        self.child = Some(
+            command
+                .spawn()
+                .map_err(|e| format!("{} cannot be started: {e}", program.display()))?,
+        );
         self.link = Some(Link::new(ours).map_err(|e| format!("no link: {e}"))?);
         Ok(())
     }
@@ -202,7 +226,14 @@
                     let pieces: Vec<&[u8]> = bytes.chunks(PIECE).collect();
                     for (at, piece) in pieces.iter().enumerate() {
                         let left = u32::try_from(pieces.len() - 1 - at).unwrap_or(u32::MAX);
-                        self.send(&Message::State { left, piece: piece.to_vec() }, false).await;
+                        self.send(
+                            &Message::State {
+                                left,
+                                piece: piece.to_vec(),
+                            },
+                            false,
+                        )
+                        .await;
                     }
                 }
                 Effect::Accept(accepts) => {
@@ -241,7 +272,10 @@
             let message = Message::Client { unread };
             let fds = [socket.as_fd()];
             let late = self.router.clock.now() + LOOK.times(100.0);
-            let sent = self.router.until(Some(late), link.send(&message, &fds)).await;
+            let sent = self
+                .router
+                .until(Some(late), link.send(&message, &fds))
+                .await;
             if matches!(sent, Some(Ok(()))) {
                 continue;
             }
@@ -302,10 +336,16 @@
 /// One upgrade, from its beginning to its end; `say` hears the steps as they happen. What went wrong comes back, and
 /// then this process serves as before.
 pub async fn upgrade(
-    router: &Rc<Router>, of: &Upgrades, start: &Start, say: &mut dyn FnMut(&str),
+    router: &Rc<Router>,
+    of: &Upgrades,
+    start: &Start,
+    say: &mut dyn FnMut(&str),
 ) -> Result<(), String> {
-    let effects =
-        of.machine.borrow_mut().begin(router.clock.now(), of.share.has.get()).map_err(str::to_owned)?;
+    let effects = of
+        .machine
+        .borrow_mut()
+        .begin(router.clock.now(), of.share.has.get())
+        .map_err(str::to_owned)?;
     of.begun.set(of.begun.get() + 1);
     let mut run = Run {
         router,
@@ -361,7 +401,18 @@
 }
 
 /// The old side of a router that serves, for upgrades to come.
-pub fn upgrades(share: &Rc<Share>, terms: &ControlTerms, digest: u64, listeners: Vec<OwnedFd>) -> Upgrades {
+pub fn upgrades(
+    share: &Rc<Share>,
+    terms: &ControlTerms,
+    digest: u64,
+    listeners: Vec<OwnedFd>,
+) -> Upgrades {
     let machine = RefCell::new(Old::new(patience(terms), share.whole(), digest));
-    Upgrades { machine, share: Rc::clone(share), listeners, heir: RefCell::default(), begun: Cell::new(0) }
+    Upgrades {
+        machine,
+        share: Rc::clone(share),
+        listeners,
+        heir: RefCell::default(),
+        begun: Cell::new(0),
+    }
 }
--- a/router/src/lifecycle/watch.rs
+++ b/router/src/lifecycle/watch.rs
@@ -40,8 +40,12 @@
                 Err(what) => {
                     tracing::warn!("roster: an entry is skipped, {what}: {entry}");
                     // A whole list that names a node and spoils the rest does not say that it is gone: it stays as it was.
-                    let known = entry["name"].as_str().and_then(|name| out.nodes.number(name));
-                    let known = known.filter(|_| full).and_then(|node| brain.nodes.get(&node));
+                    let known = entry["name"]
+                        .as_str()
+                        .and_then(|name| out.nodes.number(name));
+                    let known = known
+                        .filter(|_| full)
+                        .and_then(|node| brain.nodes.get(&node));
                     listings.extend(known.map(|node| node.listing));
                 }
             }
@@ -50,11 +54,22 @@
             let listed: Vec<_> = listings.iter().map(|listing| listing.node).collect();
             out.nodes.keep_only(&listed);
             if let Some(fleet) = &router.fleet {
-                fleet.lists_only(&entries.iter().filter_map(|entry| entry["name"].as_str()).collect());
+                fleet.lists_only(
+                    &entries
+                        .iter()
+                        .filter_map(|entry| entry["name"].as_str())
+                        .collect(),
+                );
             }
         }
-        let gone = listings.iter().filter(|listing| listing.phase == Phase::Gone).count();
-        tracing::debug!("roster: version {version}, {} entries, {gone} gone", listings.len());
+        let gone = listings
+            .iter()
+            .filter(|listing| listing.phase == Phase::Gone)
+            .count();
+        tracing::debug!(
+            "roster: version {version}, {} entries, {gone} gone",
+            listings.len()
+        );
         brain.roster(now, &listings, full, out);
         out.nodes.forget_gone();
     });
@@ -93,7 +108,9 @@
             moved.await;
             None
         };
-        let Some(answered) = future::or(leaves, called).await else { continue };
+        let Some(answered) = future::or(leaves, called).await else {
+            continue;
+        };
         let silent = answered.is_none();
         let answered = answered.unwrap_or_else(|| Err("no answer in time".into()));
         match answered.and_then(|list| take_list(&router, &list).map_err(str::to_owned)) {
@@ -130,13 +147,18 @@
 
 /// One call, on the kept connection if there is one.
 async fn call(
-    router: &Router, kept: &mut Option<Async<TcpStream>>, discovery: SocketAddr, after: Option<u64>,
+    router: &Router,
+    kept: &mut Option<Async<TcpStream>>,
+    discovery: SocketAddr,
+    after: Option<u64>,
     wait: Micros,
 ) -> Result<Value, String> {
     let stream = match kept.take() {
         Some(stream) => stream,
         // A machine that has vanished is found out by the dial, not by the call's far longer wait.
-        None => send::dial(router, discovery).await.map_err(|_| "the connection could not be made")?,
+        None => send::dial(router, discovery)
+            .await
+            .map_err(|_| "the connection could not be made")?,
     };
     let request = discovery::call(&discovery.to_string(), after, wait);
     let answer = fetch::exchange(&stream, &request, discovery::LIST_BOUND).await?;
--- a/router/src/memory/budget.rs
+++ b/router/src/memory/budget.rs
@@ -18,11 +18,17 @@
     /// Peers get half of the memory that there is: the rest is for the program, its books, and what reading a
     /// message takes beside the message.
     pub fn new(memory: usize) -> Rc<Self> {
-        Rc::new(Budget { limit: Cell::new(memory / 2), used: Cell::new(0) })
+        Rc::new(Budget {
+            limit: Cell::new(memory / 2),
+            used: Cell::new(0),
+        })
     }
 
     pub fn share(self: &Rc<Self>) -> Share {
-        Share { of: Rc::clone(self), bytes: 0 }
+        Share {
+            of: Rc::clone(self),
+            bytes: 0,
+        }
     }
 
     pub fn limit(&self) -> usize {
--- a/router/src/memory/clients.rs
+++ b/router/src/memory/clients.rs
@@ -82,9 +82,18 @@
     pub fn wait(self: &Rc<Self>, now: Micros, state: State) -> Place {
         let key = self.next.replace(self.next.get() + 1);
         let told = Rc::new(Event::new());
-        let waiting = Waiting { state, since: now, bytes: 0, told: Rc::clone(&told) };
+        let waiting = Waiting {
+            state,
+            since: now,
+            bytes: 0,
+            told: Rc::clone(&told),
+        };
         self.waiting.borrow_mut().insert(key, waiting);
-        Place { of: Rc::clone(self), key, told }
+        Place {
+            of: Rc::clone(self),
+            key,
+            told,
+        }
     }
 
     /// A number of its own for each connection.
@@ -95,7 +104,9 @@
     /// Has the one give way that is first by `order`; false if there is none.
     fn give_way<T: Ord>(&self, order: impl Fn(&Waiting) -> Option<T>) -> bool {
         let mut waiting = self.waiting.borrow_mut();
-        let ordered = waiting.iter().filter_map(|(key, of)| Some((order(of)?, *key)));
+        let ordered = waiting
+            .iter()
+            .filter_map(|(key, of)| Some((order(of)?, *key)));
         let first = ordered.min().and_then(|(_, key)| waiting.remove(&key));
         first.map(|of| of.told.notify(1)).is_some()
     }
@@ -113,7 +124,12 @@
     /// Some clients ask once and keep their connection: those idle longest give way until no more than `most` are.
     /// What clients may hold is bounded on their side too, and used up by such connections nobody else gets in.
     pub fn keep_idle(&self, most: usize) {
-        let idle = self.waiting.borrow().values().filter(|of| of.state.is_idle()).count();
+        let idle = self
+            .waiting
+            .borrow()
+            .values()
+            .filter(|of| of.state.is_idle())
+            .count();
         for _ in most..idle {
             self.give_way(|of| of.state.is_idle().then_some(of.since));
         }
@@ -129,7 +145,11 @@
 
     /// How many connections have no whole request and are owed no answer; a part of one is owed.
     pub fn waiting(&self) -> usize {
-        self.waiting.borrow().values().filter(|of| of.state != State::Partial).count()
+        self.waiting
+            .borrow()
+            .values()
+            .filter(|of| of.state != State::Partial)
+            .count()
     }
 
     /// How many connections stand at a state, and since when the first of them does.
@@ -163,7 +183,12 @@
     fn the_idle_give_way_first_then_what_is_longest_in_coming() {
         let clients = Rc::new(Clients::default());
         let at = |at, state| clients.wait(Micros(at), state);
-        let places = [at(1, State::Partial), at(3, State::Resting), at(2, State::Closing), at(0, State::New)];
+        let places = [
+            at(1, State::Partial),
+            at(3, State::Resting),
+            at(2, State::Closing),
+            at(0, State::New),
+        ];
         let mut told: Vec<_> = places.iter().map(|place| place.told.listen()).collect();
         for first in [2, 1, 3, 0] {
             assert!(clients.close_longest());
@@ -183,19 +208,29 @@
         let _places = [5, 3, 4].map(|at| clients.wait(Micros(at), State::Resting));
         let _whole = clients.wait(Micros(0), State::Partial);
         clients.keep_idle(2);
-        let left: Vec<u64> = clients.waiting.borrow().values().map(|of| of.since.0).collect();
+        let left: Vec<u64> = clients
+            .waiting
+            .borrow()
+            .values()
+            .map(|of| of.since.0)
+            .collect();
         assert_eq!(left, [5, 4, 0]);
     }
 
     #[test]
     fn the_largest_request_gives_way_and_no_lookup_in_hand() {
         let clients = Rc::new(Clients::default());
-        let (small, large) =
-            (clients.wait(Micros(0), State::Partial), clients.wait(Micros(1), State::Partial));
+        let (small, large) = (
+            clients.wait(Micros(0), State::Partial),
+            clients.wait(Micros(1), State::Partial),
+        );
         small.holds(10);
         large.holds(20);
         assert!(clients.close_largest());
-        assert!(clients.waiting.borrow().contains_key(&small.key) && clients.waiting.borrow().len() == 1);
+        assert!(
+            clients.waiting.borrow().contains_key(&small.key)
+                && clients.waiting.borrow().len() == 1
+        );
         drop(small);
         assert!(!clients.close_largest());
     }
--- a/router/src/memory/descriptors.rs
+++ b/router/src/memory/descriptors.rs
@@ -35,7 +35,13 @@
         let total = limit.saturating_sub(OWN).max(2);
         let total = Cell::new(total);
         let (clients, nodes, highest) = (Cell::new(0), Cell::new(0), Cell::new(0));
-        Rc::new(Descriptors { total, clients, nodes, highest, freed: Event::new() })
+        Rc::new(Descriptors {
+            total,
+            clients,
+            nodes,
+            highest,
+            freed: Event::new(),
+        })
     }
 
     /// How many a kind of peer holds, and how many it may.
@@ -54,7 +60,10 @@
         }
         used.set(used.get() + 1);
         self.highest.set(self.highest.get().max(all + 1));
-        Some(Permit { of: Rc::clone(self), peer })
+        Some(Permit {
+            of: Rc::clone(self),
+            peer,
+        })
     }
 
     /// All that peers may hold, and another number for it: two processes share a router's while one gives way.
@@ -111,6 +120,9 @@
         let (clients, nodes) = (all(Peer::Client), all(Peer::Node));
         assert_eq!((clients.len(), nodes.len(), of.highest()), (12, 4, 16));
         drop(clients);
-        assert_eq!((of.clients(), all(Peer::Node).len(), all(Peer::Client).len()), (0, 4, 8));
+        assert_eq!(
+            (of.clients(), all(Peer::Node).len(), all(Peer::Client).len()),
+            (0, 4, 8)
+        );
     }
 }
--- a/router/src/memory/ledger.rs
+++ b/router/src/memory/ledger.rs
@@ -34,7 +34,13 @@
 
 impl Default for Taken {
     fn default() -> Self {
-        Taken { tenant: None, at: Micros(0), soft: Micros(u64::MAX), mark: None, span: tracing::Span::none() }
+        Taken {
+            tenant: None,
+            at: Micros(0),
+            soft: Micros(u64::MAX),
+            mark: None,
+            span: tracing::Span::none(),
+        }
     }
 }
 
@@ -119,19 +125,37 @@
 
     /// Writes a lookup in, and tells its id and its parts' ids, in the order of `shards`.
     pub fn open(
-        &mut self, name: &str, statement: &str, key: Option<&str>, shards: impl Iterator<Item = ShardNo>,
-        reply: Rc<Reply>, taken: Taken,
+        &mut self,
+        name: &str,
+        statement: &str,
+        key: Option<&str>,
+        shards: impl Iterator<Item = ShardNo>,
+        reply: Rc<Reply>,
+        taken: Taken,
     ) -> (LookupId, Vec<PartId>) {
         let (lookup, name) = (LookupId(self.number()), Rc::<str>::from(name));
         let mut parts = Vec::new();
         for (at, shard) in shards.enumerate() {
             let id = PartId(self.number());
             self.parts.insert(id, (lookup, at));
-            parts.push(HeldPart { id, shard, calls: 0, carried: Vec::new(), value: None });
+            parts.push(HeldPart {
+                id,
+                shard,
+                calls: 0,
+                carried: Vec::new(),
+                value: None,
+            });
         }
         let ids = parts.iter().map(|part| part.id).collect();
         self.names.insert(Rc::clone(&name));
-        let held = Held { taken, name, statement: statement.into(), key: key.map(Rc::from), parts, reply };
+        let held = Held {
+            taken,
+            name,
+            statement: statement.into(),
+            key: key.map(Rc::from),
+            parts,
+            reply,
+        };
         self.lookups.insert(lookup, held);
         (lookup, ids)
     }
@@ -153,7 +177,12 @@
 
     /// Writes a call in that the module wants made; none if the part is not in hand.
     pub fn order(
-        &mut self, part: PartId, node: NodeId, now: Micros, limit: Micros, dial: Option<Micros>,
+        &mut self,
+        part: PartId,
+        node: NodeId,
+        now: Micros,
+        limit: Micros,
+        dial: Option<Micros>,
     ) -> Option<CallKey> {
         let (lookup, at) = *self.parts.get(&part)?;
         let held = self.lookups.get_mut(&lookup)?;
@@ -162,7 +191,19 @@
         of.calls = of.calls.checked_add(1)?;
         let (id, due) = (format!("{}.{}", held.name, of.shard.0).into(), now + limit);
         let look = dial.map_or(due, |dial| due.min(now + dial));
-        self.calls.insert(key, CallOut { lookup, at, node, id, sent: now, due, look, place: Place::Ordered });
+        self.calls.insert(
+            key,
+            CallOut {
+                lookup,
+                at,
+                node,
+                id,
+                sent: now,
+                due,
+                look,
+                place: Place::Ordered,
+            },
+        );
         self.due.insert((look, key));
         Some(key)
     }
@@ -184,9 +225,13 @@
 
     /// Says that a call has been given to a connection, and where it stands there.
     pub fn place(&mut self, key: CallKey, place: Place) {
-        let Some(call) = self.calls.get_mut(&key) else { return };
+        let Some(call) = self.calls.get_mut(&key) else {
+            return;
+        };
         call.place = place;
-        let (Place::Waiting(connection) | Place::Queued(connection, _)) = place else { return };
+        let (Place::Waiting(connection) | Place::Queued(connection, _)) = place else {
+            return;
+        };
         let held = self.lookups.get_mut(&call.lookup);
         if let Some(part) = held.and_then(|held| held.parts.get_mut(call.at)) {
             if !part.carried.contains(&connection) {
@@ -204,7 +249,9 @@
 
     /// Looks at a call again when its time is up.
     pub fn look_when_due(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get_mut(&key) else { return };
+        let Some(call) = self.calls.get_mut(&key) else {
+            return;
+        };
         self.due.remove(&(call.look, key));
         call.look = call.due;
         self.due.insert((call.look, key));
@@ -225,11 +272,16 @@
     }
 
     pub fn overdue(&self, now: Micros) -> Option<CallKey> {
-        self.due.first().filter(|(at, _)| *at <= now).map(|(_, key)| *key)
+        self.due
+            .first()
+            .filter(|(at, _)| *at <= now)
+            .map(|(_, key)| *key)
     }
 
     /// Calls of a part that are still out.
     pub fn out_of(&self, part: PartId) -> impl Iterator<Item = (CallKey, &CallOut)> {
-        self.calls.range((part, CallNo(0))..=(part, CallNo(u8::MAX))).map(|(key, call)| (*key, call))
+        self.calls
+            .range((part, CallNo(0))..=(part, CallNo(u8::MAX)))
+            .map(|(key, call)| (*key, call))
     }
 }
--- a/router/src/memory/nodes.rs
+++ b/router/src/memory/nodes.rs
@@ -69,7 +69,11 @@
     /// A call that it carried is over.
     pub fn over(&mut self, name: &Rc<str>, now: Micros) {
         let old = |at: Micros, count| now.since(at) > KNOWN_FOR || count >= KNOWN;
-        while self.past.front().is_some_and(|(at, _)| old(*at, self.past.len())) {
+        while self
+            .past
+            .front()
+            .is_some_and(|(at, _)| old(*at, self.past.len()))
+        {
             self.past.pop_front();
         }
         self.past.push_back((now, Rc::clone(name)));
@@ -136,7 +140,9 @@
 
     /// All nodes with their names and addresses.
     pub fn all(&self) -> impl Iterator<Item = (NodeId, &str, SocketAddr)> {
-        self.nodes.iter().map(|(id, node)| (*id, node.name.as_str(), node.address))
+        self.nodes
+            .iter()
+            .map(|(id, node)| (*id, node.name.as_str(), node.address))
     }
 
     /// The number of a name that is listed.
@@ -146,15 +152,26 @@
 
     /// Marks all nodes as gone that a whole list did not name.
     pub fn keep_only(&mut self, listed: &[NodeId]) {
-        let left: Vec<NodeId> = self.nodes.keys().filter(|id| !listed.contains(id)).copied().collect();
+        let left: Vec<NodeId> = self
+            .nodes
+            .keys()
+            .filter(|id| !listed.contains(id))
+            .copied()
+            .collect();
         for id in left {
-            self.nodes.entry(id).and_modify(|node| node.phase = Phase::Gone);
+            self.nodes
+                .entry(id)
+                .and_modify(|node| node.phase = Phase::Gone);
             self.retire(id);
         }
     }
 
     fn retire(&mut self, id: NodeId) {
-        let ids = self.nodes.get(&id).map(|node| node.connections.clone()).unwrap_or_default();
+        let ids = self
+            .nodes
+            .get(&id)
+            .map(|node| node.connections.clone())
+            .unwrap_or_default();
         for id in ids {
             if let Some(connection) = self.connections.get_mut(&id) {
                 connection.retired = true;
@@ -165,7 +182,11 @@
 
     /// Retires a node's connections that carry nothing.
     pub fn retire_idle(&mut self, node: NodeId) {
-        for connection in self.connections.values_mut().filter(|of| of.node == node && of.idle()) {
+        for connection in self
+            .connections
+            .values_mut()
+            .filter(|of| of.node == node && of.idle())
+        {
             connection.retired = true;
             connection.stirred.notify(1);
         }
@@ -192,7 +213,12 @@
 
     /// A node's connections that may carry more, those that are up first.
     pub fn usable(&self, id: NodeId) -> impl Iterator<Item = (ConnectionId, &Connection)> {
-        let ids = || self.nodes.get(&id).into_iter().flat_map(|node| &node.connections);
+        let ids = || {
+            self.nodes
+                .get(&id)
+                .into_iter()
+                .flat_map(|node| &node.connections)
+        };
         let of = move |open: bool| {
             let known = ids().filter_map(|id| Some((*id, self.connections.get(id)?)));
             known.filter(move |(_, of)| of.stream.is_some() == open && !of.retired && !of.abandoned)
@@ -201,7 +227,11 @@
     }
 
     pub fn connect(
-        &mut self, node: NodeId, now: Micros, out_bound: usize, permit: Permit,
+        &mut self,
+        node: NodeId,
+        now: Micros,
+        out_bound: usize,
+        permit: Permit,
     ) -> Option<ConnectionId> {
         self.next += 1;
         let (id, of) = (ConnectionId(self.next), self.nodes.get_mut(&node)?);
@@ -245,7 +275,9 @@
             connection.carries.remove(name);
             connection.abandoned |= connection.written < end;
             connection.over(name, now);
-            connection.stirred.notify(usize::from(connection.retired || connection.abandoned));
+            connection
+                .stirred
+                .notify(usize::from(connection.retired || connection.abandoned));
         }
     }
 
@@ -258,7 +290,11 @@
 
     /// Lets a retired connection see whether it still carries something.
     pub fn stir_retired(&self, id: ConnectionId) {
-        if let Some(connection) = self.connections.get(&id).filter(|connection| connection.retired) {
+        if let Some(connection) = self
+            .connections
+            .get(&id)
+            .filter(|connection| connection.retired)
+        {
             connection.stirred.notify(1);
         }
     }
@@ -275,8 +311,13 @@
 
     /// Retires the connection that has stood idle longest; false if none is idle.
     pub fn retire_longest_idle(&mut self) -> bool {
-        let idle = self.connections.values_mut().filter(|c| c.idle() && !c.retired);
-        let Some(connection) = idle.min_by_key(|c| c.used) else { return false };
+        let idle = self
+            .connections
+            .values_mut()
+            .filter(|c| c.idle() && !c.retired);
+        let Some(connection) = idle.min_by_key(|c| c.used) else {
+            return false;
+        };
         connection.retired = true;
         connection.stirred.notify(1);
         true
@@ -296,8 +337,12 @@
     fn connected() -> (Nodes, NodeId, ConnectionId) {
         let mut nodes = Nodes::default();
         let (node, _) = nodes.list("a", at(1), Phase::Ready);
-        let permit = Descriptors::new(100).take(Peer::Node).expect("a descriptor");
-        let id = nodes.connect(node, Micros(5), 100, permit).expect("a connection");
+        let permit = Descriptors::new(100)
+            .take(Peer::Node)
+            .expect("a descriptor");
+        let id = nodes
+            .connect(node, Micros(5), 100, permit)
+            .expect("a connection");
         (nodes, node, id)
     }
 
@@ -331,13 +376,20 @@
         let (mut nodes, _, first) = connected();
         for number in 0..1000 {
             let (node, _) = nodes.list(&format!("n{number}"), at(number), Phase::Ready);
-            let permit = Descriptors::new(100).take(Peer::Node).expect("a descriptor");
-            let id = nodes.connect(node, Micros(5), 100, permit).expect("a connection");
+            let permit = Descriptors::new(100)
+                .take(Peer::Node)
+                .expect("a descriptor");
+            let id = nodes
+                .connect(node, Micros(5), 100, permit)
+                .expect("a connection");
             nodes.list(&format!("n{number}"), at(number), Phase::Gone);
             nodes.disconnect(id);
         }
         nodes.forget_gone();
-        assert_eq!((nodes.nodes.len(), nodes.ids.len(), nodes.connections.len()), (1, 1, 1));
+        assert_eq!(
+            (nodes.nodes.len(), nodes.ids.len(), nodes.connections.len()),
+            (1, 1, 1)
+        );
         assert!(nodes.connection(first).is_some());
     }
 
@@ -353,10 +405,18 @@
     #[test]
     fn what_carries_something_is_not_let_go() {
         let (mut nodes, node, id) = connected();
-        nodes.connection_mut(id).expect("a connection").waiting.push_back(Vec::new());
+        nodes
+            .connection_mut(id)
+            .expect("a connection")
+            .waiting
+            .push_back(Vec::new());
         nodes.retire_idle(node);
         assert_eq!(nodes.usable(node).count(), 1);
-        nodes.connection_mut(id).expect("a connection").waiting.clear();
+        nodes
+            .connection_mut(id)
+            .expect("a connection")
+            .waiting
+            .clear();
         nodes.retire_idle(NodeId(node.0 + 1));
         assert_eq!(nodes.usable(node).count(), 1, "another node's");
         nodes.retire_idle(node);
@@ -366,9 +426,17 @@
     #[test]
     fn only_an_idle_connection_makes_room() {
         let (mut nodes, _, id) = connected();
-        nodes.connection_mut(id).expect("a connection").waiting.push_back(Vec::new());
+        nodes
+            .connection_mut(id)
+            .expect("a connection")
+            .waiting
+            .push_back(Vec::new());
         assert!(!nodes.retire_longest_idle());
-        nodes.connection_mut(id).expect("a connection").waiting.clear();
+        nodes
+            .connection_mut(id)
+            .expect("a connection")
+            .waiting
+            .clear();
         assert!(nodes.retire_longest_idle() && !nodes.retire_longest_idle());
     }
 
@@ -377,7 +445,11 @@
         let (mut nodes, _, id) = connected();
         let name = |number: usize| Rc::<str>::from(format!("x.{number}"));
         (0..2 * KNOWN).for_each(|number| nodes.unload(id, &name(number), 0, Micros(7)));
-        let known = |nodes: &Nodes, number| nodes.connection(id).is_some_and(|of| of.is_over(&name(number)));
+        let known = |nodes: &Nodes, number| {
+            nodes
+                .connection(id)
+                .is_some_and(|of| of.is_over(&name(number)))
+        };
         assert_eq!(
             [0, KNOWN - 1, KNOWN, 2 * KNOWN - 1].map(|n| known(&nodes, n)),
             [false, false, true, true]
@@ -393,8 +465,15 @@
         let (mut nodes, _, id) = connected();
         let connection = nodes.connection_mut(id).expect("a connection");
         let key = |part| (ternpick::types::PartId(part), ternpick::types::CallNo(0));
-        connection.carries.extend([("x.2".into(), key(2)), ("x.1".into(), key(1)), ("x.3".into(), key(3))]);
+        connection.carries.extend([
+            ("x.2".into(), key(2)),
+            ("x.1".into(), key(1)),
+            ("x.3".into(), key(3)),
+        ]);
         connection.spoil(named);
-        assert_eq!((connection.spoilt, connection.abandoned), (Some(key(call)), true));
+        assert_eq!(
+            (connection.spoilt, connection.abandoned),
+            (Some(key(call)), true)
+        );
     }
 }
--- a/router/src/stages/admit.rs
+++ b/router/src/stages/admit.rs
@@ -30,50 +30,85 @@
 
 /// Takes a request whose first byte came at `began`, on a connection that has shown `certificate`.
 pub fn admit(
-    router: &Router, request: &Reader, began: Micros, certificate: Option<Rc<Certificate>>,
+    router: &Router,
+    request: &Reader,
+    began: Micros,
+    certificate: Option<Rc<Certificate>>,
 ) -> Admitted {
     match (request.method(), request.path()) {
-        ("GET" | "HEAD", "/_health") if router.is_stopping() => Admitted::Answer(line(503, "stopping")),
+        ("GET" | "HEAD", "/_health") if router.is_stopping() => {
+            Admitted::Answer(line(503, "stopping"))
+        }
         ("GET" | "HEAD", "/_health") => Admitted::Answer(line(200, "{}")),
-        (_, "/_health") => Admitted::Answer((405, "Allow: GET, HEAD\r\n".into(), "only GET\n".into())),
+        (_, "/_health") => {
+            Admitted::Answer((405, "Allow: GET, HEAD\r\n".into(), "only GET\n".into()))
+        }
         _ => lookup(router, request, began, certificate).unwrap_or_else(Admitted::Answer),
     }
 }
 
 /// Asks the gate, if there is one, before anything is told of what exists; the tenant comes back.
 fn gate(
-    router: &Router, request: &Reader, certificate: Option<&Rc<Certificate>>, segment: &str,
-    index: Option<IndexNo>, fields: Option<&Value>,
+    router: &Router,
+    request: &Reader,
+    certificate: Option<&Rc<Certificate>>,
+    segment: &str,
+    index: Option<IndexNo>,
+    fields: Option<&Value>,
 ) -> Result<Option<CustomerNo>, Answer> {
-    let Some(gate) = &router.gate else { return Ok(None) };
+    let Some(gate) = &router.gate else {
+        return Ok(None);
+    };
     let token = gate::token(request)?;
     let repeat = |index: IndexNo| router.desk.borrow().brain.tariff.indexes[index.at()].repeat;
-    let idempotent = index.map(repeat).is_none_or(|repeat| repeat == Repeat::Idempotent);
-    let statement = fields.and_then(|fields| query::statement(fields).ok()).unwrap_or_default();
+    let idempotent = index
+        .map(repeat)
+        .is_none_or(|repeat| repeat == Repeat::Idempotent);
+    let statement = fields
+        .and_then(|fields| query::statement(fields).ok())
+        .unwrap_or_default();
     let ask = gate::ask(token, certificate, request, segment, idempotent, statement);
-    gate.check(router, request, &ask).map(|pass| Some(pass.tenant))
+    gate.check(router, request, &ask)
+        .map(|pass| Some(pass.tenant))
 }
 
 fn lookup(
-    router: &Router, request: &Reader, began: Micros, certificate: Option<Rc<Certificate>>,
+    router: &Router,
+    request: &Reader,
+    began: Micros,
+    certificate: Option<Rc<Certificate>>,
 ) -> Result<Admitted, Answer> {
     let bounds = &router.bounds;
     let segment = request.path().split('/').nth(1).unwrap_or_default();
     let at = bounds.index_names.iter().position(|name| name == segment);
     let (index, fields) = (at.map(|at| IndexNo(at as u8)), query::parse(request.body()));
-    let tenant = gate(router, request, certificate.as_ref(), segment, index, fields.as_ref().ok())?;
+    let tenant = gate(
+        router,
+        request,
+        certificate.as_ref(),
+        segment,
+        index,
+        fields.as_ref().ok(),
+    )?;
     let index = index.ok_or_else(|| line(404, "no such index"))?;
     if request.method() != "POST" {
         return Err((405, "Allow: POST\r\n".into(), "only POST\n".into()));
     }
     let bad = |what: &str| line(400, what);
-    if request.header("req-kind").is_some_and(|kind| kind != segment) {
+    if request
+        .header("req-kind")
+        .is_some_and(|kind| kind != segment)
+    {
         return Err(bad("Req-Kind is not the path's"));
     }
     let word = |name: &str| request.header(name).filter(|word| plain(word));
     let name = word("req-id").ok_or_else(|| bad("Req-Id is missing or malformed"))?;
-    let deadline = request.header("req-deadline-ms").and_then(|ms| ms.parse::<u32>().ok());
-    let deadline = deadline.filter(|ms| *ms > 0).ok_or_else(|| bad("Req-Deadline-Ms makes no sense"))?;
+    let deadline = request
+        .header("req-deadline-ms")
+        .and_then(|ms| ms.parse::<u32>().ok());
+    let deadline = deadline
+        .filter(|ms| *ms > 0)
+        .ok_or_else(|| bad("Req-Deadline-Ms makes no sense"))?;
     // Nobody waits longer than the settings say, whatever a client claims.
     let deadline =
         Micros(u64::from(deadline) * 1000).min(bounds.longest_deadline.unwrap_or(Micros(u64::MAX)));
@@ -86,7 +121,8 @@
     let mut desk = router.desk.borrow_mut();
     let row = &desk.brain.tariff.indexes[index.at()];
     let (fingerprinted, soft) = (matches!(row.repeat, Repeat::Fingerprinted(_)), row.soft);
-    let key = fingerprinted.then(|| word("idempotency-key").ok_or_else(|| bad("Idempotency-Key is missing")));
+    let key = fingerprinted
+        .then(|| word("idempotency-key").ok_or_else(|| bad("Idempotency-Key is missing")));
     let key = key.transpose()?;
     if desk.office.ledger.knows(name) {
         return Err(bad("Req-Id is in hand already"));
@@ -95,19 +131,43 @@
         return Err(line(503, "too many lookups in hand"));
     }
     // By the clock as it stands in this very turn: a process that was stopped finds its lease over.
-    let mark = router.fleet.as_ref().map(|fleet| fleet.admit(router.clock.now())).transpose()?;
+    let mark = router
+        .fleet
+        .as_ref()
+        .map(|fleet| fleet.admit(router.clock.now()))
+        .transpose()?;
     // From here on the place is the lookup's, and is given back where it closes.
     if let (Some(limits), Some(tenant)) = (&mut desk.office.limits, tenant) {
         gate::place(limits, now, tenant, repeat)?;
     }
     let span = tracing::debug_span!("lookup", id = name, index = segment);
-    let taken = Taken { tenant, at: now, soft, mark, span };
+    let taken = Taken {
+        tenant,
+        at: now,
+        soft,
+        mark,
+        span,
+    };
     let reply = Rc::new(Reply::default());
     let shards = parts.iter().map(|(shard, _, _)| *shard);
-    let (id, ids) = desk.office.ledger.open(name, statement, key, shards, Rc::clone(&reply), taken);
+    let (id, ids) = desk
+        .office
+        .ledger
+        .open(name, statement, key, shards, Rc::clone(&reply), taken);
     drop(desk);
-    let parts = ids.into_iter().zip(parts).map(|(id, (shard, weight, hint))| (id, shard, weight, hint));
-    route::take(router, id, index, tenant.unwrap_or_default(), left, repeat, parts.collect());
+    let parts = ids
+        .into_iter()
+        .zip(parts)
+        .map(|(id, (shard, weight, hint))| (id, shard, weight, hint));
+    route::take(
+        router,
+        id,
+        index,
+        tenant.unwrap_or_default(),
+        left,
+        repeat,
+        parts.collect(),
+    );
     Ok(Admitted::Held(id, reply))
 }
 
--- a/router/src/stages/book.rs
+++ b/router/src/stages/book.rs
@@ -84,7 +84,9 @@
 
     /// A node has sent what cannot be used: its connection ends, and the call is named if the bytes name it.
     pub fn spoil(&mut self, id: ConnectionId, what: &str, named: Option<&str>) {
-        let Some(connection) = self.nodes.connection_mut(id) else { return };
+        let Some(connection) = self.nodes.connection_mut(id) else {
+            return;
+        };
         connection.spoil(named);
         let node = connection.node.0;
         self.counts.spoilt += 1;
@@ -99,12 +101,17 @@
 
     /// Ends a call: the one way in which it leaves the books. The module hears of it in the next turn.
     pub fn end_call(&mut self, key: CallKey, ending: Ending) {
-        let Some(call) = self.ledger.finish(key) else { return };
+        let Some(call) = self.ledger.finish(key) else {
+            return;
+        };
         match call.place {
             Place::Ordered => self.orders.retain(|order| *order != key),
             Place::Waiting(id) => {
                 if let Some(connection) = self.nodes.connection_mut(id) {
-                    connection.waiting.iter_mut().for_each(|frame| frame.retain(|of| *of != key));
+                    connection
+                        .waiting
+                        .iter_mut()
+                        .for_each(|frame| frame.retain(|of| *of != key));
                     connection.waiting.retain(|frame| !frame.is_empty());
                 }
             }
@@ -115,7 +122,9 @@
 
     /// Gives a call up: at the node too, if it may have heard of it.
     pub fn give_up(&mut self, key: CallKey, ending: Ending, cancels: bool) {
-        let Some(call) = self.ledger.call(key) else { return };
+        let Some(call) = self.ledger.call(key) else {
+            return;
+        };
         let written = send::is_written(&self.nodes, call);
         if let (Place::Queued(id, _), true) = (call.place, cancels && written) {
             let frame = frames::give_up(&call.id);
@@ -129,17 +138,26 @@
 
     /// The one place where a lookup is closed. Nothing of it is sent from here on.
     fn close(&mut self, id: LookupId, status: u16, headers: String, body: String) {
-        let Some(held) = self.ledger.close(id) else { return };
+        let Some(held) = self.ledger.close(id) else {
+            return;
+        };
         let took = self.now.since(held.taken.at);
-        held.taken.span.in_scope(|| tracing::debug!("book: {status} after {} us", took.0));
+        held.taken
+            .span
+            .in_scope(|| tracing::debug!("book: {status} after {} us", took.0));
         self.counts.late += u64::from(status == 200 && took > held.taken.soft);
         if let (Some(limits), Some(tenant)) = (&mut self.limits, held.taken.tenant) {
             limits.given_back(self.now, tenant, took, took > held.taken.soft);
         }
         for part in &held.parts {
-            let out = self.ledger.out_of(part.id).filter(|(_, call)| !send::is_written(&self.nodes, call));
+            let out = self
+                .ledger
+                .out_of(part.id)
+                .filter(|(_, call)| !send::is_written(&self.nodes, call));
             let unsent: Vec<CallKey> = out.map(|(key, _)| key).collect();
-            unsent.into_iter().for_each(|key| self.end_call(key, Ending::Unsent));
+            unsent
+                .into_iter()
+                .for_each(|key| self.end_call(key, Ending::Unsent));
         }
         let mark = held.taken.mark.map(Mark::headers).unwrap_or_default();
         held.reply.set(status, headers + &mark, body);
@@ -154,15 +172,23 @@
 
 impl Actions for Office {
     fn part_call(&mut self, part: PartId, node: NodeId, limit: Micros) {
-        if let Some(key) = self.ledger.order(part, node, self.now, limit, self.bounds.dial_timeout) {
+        if let Some(key) = self
+            .ledger
+            .order(part, node, self.now, limit, self.bounds.dial_timeout)
+        {
             self.counts.calls += 1;
             self.orders.push(key);
         }
     }
 
     fn answer(&mut self, lookup: LookupId, whole: bool) {
-        let Some(held) = self.ledger.lookup(lookup) else { return };
-        let values = held.parts.iter().filter_map(|part| Some((part.shard, part.value.as_deref()?)));
+        let Some(held) = self.ledger.lookup(lookup) else {
+            return;
+        };
+        let values = held
+            .parts
+            .iter()
+            .filter_map(|part| Some((part.shard, part.value.as_deref()?)));
         let body = query::answer(whole, values);
         self.counts.satisfied += 1;
         self.close(lookup, 200, String::new(), body);
@@ -170,12 +196,22 @@
 
     fn nack(&mut self, lookup: LookupId, come_back: Micros) {
         self.counts.nacked += 1;
-        self.close(lookup, 503, retry_after(come_back), "refused: asking again is harmless\n".into());
+        self.close(
+            lookup,
+            503,
+            retry_after(come_back),
+            "refused: asking again is harmless\n".into(),
+        );
     }
 
     fn abort(&mut self, lookup: LookupId) {
         self.counts.aborted += 1;
-        self.close(lookup, 502, String::new(), "failed: it may have had its effect\n".into());
+        self.close(
+            lookup,
+            502,
+            String::new(),
+            "failed: it may have had its effect\n".into(),
+        );
     }
 
     fn cancel(&mut self, part: PartId, call: CallNo) {
@@ -200,7 +236,9 @@
 
     fn reason(&mut self, lookup: LookupId, why: Reason) {
         if let Some(held) = self.ledger.lookup(lookup) {
-            held.taken.span.in_scope(|| tracing::debug!("decided: {why:?}"));
+            held.taken
+                .span
+                .in_scope(|| tracing::debug!("decided: {why:?}"));
         }
     }
 
@@ -214,7 +252,11 @@
     if come_back.0 == 0 {
         return String::new();
     }
-    format!("Retry-After: {}.{:03}\r\n", come_back.0 / 1_000_000, come_back.0 / 1000 % 1000)
+    format!(
+        "Retry-After: {}.{:03}\r\n",
+        come_back.0 / 1_000_000,
+        come_back.0 / 1000 % 1000
+    )
 }
 
 #[cfg(test)]
@@ -231,14 +273,33 @@
     /// A lookup of two parts with a call out for the first, on a connection where it has come as far as told:
     /// ordered, waiting, in the buffer, half written, written.
     fn office(far: u8) -> (Office, LookupId, CallKey, ConnectionId, Rc<Reply>) {
-        let bounds = Bounds { dial_timeout: Some(Micros(250 * MS)), ..Bounds::default() };
-        let mut office = Office { bounds: Rc::new(bounds), ..Office::default() };
-        let (node, _) = office.nodes.list("n", ([127, 0, 0, 1], 9).into(), Phase::Ready);
-        let permit = Descriptors::new(100).take(Peer::Node).expect("a descriptor");
-        let id = office.nodes.connect(node, Micros(0), 1 << 10, permit).expect("a connection");
+        let bounds = Bounds {
+            dial_timeout: Some(Micros(250 * MS)),
+            ..Bounds::default()
+        };
+        let mut office = Office {
+            bounds: Rc::new(bounds),
+            ..Office::default()
+        };
+        let (node, _) = office
+            .nodes
+            .list("n", ([127, 0, 0, 1], 9).into(), Phase::Ready);
+        let permit = Descriptors::new(100)
+            .take(Peer::Node)
+            .expect("a descriptor");
+        let id = office
+            .nodes
+            .connect(node, Micros(0), 1 << 10, permit)
+            .expect("a connection");
         let (shards, reply) = ([ShardNo(0), ShardNo(1)], Rc::new(Reply::default()));
-        let (lookup, parts) =
-            office.ledger.open("r", "text", None, shards.into_iter(), Rc::clone(&reply), Taken::default());
+        let (lookup, parts) = office.ledger.open(
+            "r",
+            "text",
+            None,
+            shards.into_iter(),
+            Rc::clone(&reply),
+            Taken::default(),
+        );
         office.part_call(parts[0], node, Micros(900 * MS));
         let key = (parts[0], CallNo(0));
         if far > 0 {
@@ -288,13 +349,19 @@
         let (mut office, lookup, _, id, reply) = office(far);
         office.nack(lookup, Micros(1500 * MS));
         let answer = reply.answer.borrow().clone().expect("an answer");
-        assert_eq!((answer.0, answer.1.as_str()), (503, "Retry-After: 1.500\r\n"));
+        assert_eq!(
+            (answer.0, answer.1.as_str()),
+            (503, "Retry-After: 1.500\r\n")
+        );
         assert_eq!(office.ledger.held(), 0);
         assert!(!office.ledger.knows("r"));
         assert_eq!(nothing_is_out(&office, id), taken_off);
         // A second word on a lookup that is over changes nothing.
         office.abort(lookup);
-        assert_eq!(reply.answer.borrow().as_ref().map(|answer| answer.0), Some(503));
+        assert_eq!(
+            reply.answer.borrow().as_ref().map(|answer| answer.0),
+            Some(503)
+        );
     }
 
     #[test_case(2, false; "not gone out")]
@@ -303,7 +370,14 @@
         let (mut office, _, key, id, _) = office(far);
         office.cancel(key.0, key.1);
         let connection = office.nodes.connection(id).expect("a connection");
-        assert_eq!(connection.out.filled(), if named { frames::give_up("r.0") } else { Vec::new() });
+        assert_eq!(
+            connection.out.filled(),
+            if named {
+                frames::give_up("r.0")
+            } else {
+                Vec::new()
+            }
+        );
     }
 
     #[test]
@@ -312,10 +386,17 @@
         let call = office.ledger.finish(key).expect("a call");
         office.ledger.keep(&call, "first");
         office.ledger.keep(&call, "second");
-        assert_eq!(office.ledger.held(), 2, "the lookup, and the part that is not in");
+        assert_eq!(
+            office.ledger.held(),
+            2,
+            "the lookup, and the part that is not in"
+        );
         office.answer(lookup, false);
         let body = reply.answer.borrow_mut().take().expect("an answer").2;
-        assert_eq!(body, r#"{"full":false,"pieces":[{"cell":"first","tablet":0}]}"#);
+        assert_eq!(
+            body,
+            r#"{"full":false,"pieces":[{"cell":"first","tablet":0}]}"#
+        );
     }
 
     #[test]
--- a/router/src/stages/mod.rs
+++ b/router/src/stages/mod.rs
@@ -99,7 +99,9 @@
 
     /// What comes of `what`, or nothing once the time is up; without a time it is waited for.
     pub async fn until<T>(&self, at: Option<Micros>, what: impl Future<Output = T>) -> Option<T> {
-        let Some(at) = at else { return Some(what.await) };
+        let Some(at) = at else {
+            return Some(what.await);
+        };
         let late = async {
             Timer::at(self.clock.instant(at)).await;
             None
--- a/router/src/stages/relay.rs
+++ b/router/src/stages/relay.rs
@@ -25,7 +25,9 @@
     let (mut input, mut frame, mut begun) = (Ring::new(IN_BOUND), Vec::new(), None::<Micros>);
     let mut share = router.budget.share();
     loop {
-        let stalled = begun.zip(router.bounds.dial_timeout).map(|(at, limit)| at + limit);
+        let stalled = begun
+            .zip(router.bounds.dial_timeout)
+            .map(|(at, limit)| at + limit);
         match router.until(stalled, stream.readable()).await {
             Some(Ok(())) => {}
             Some(Err(_)) => return "cannot be read",
@@ -54,7 +56,9 @@
                 }
             }
             share.set(frame.capacity());
-            begun = begun.or(Some(router.clock.now())).filter(|_| !frame.is_empty());
+            begun = begun
+                .or(Some(router.clock.now()))
+                .filter(|_| !frame.is_empty());
         }
         input.rest();
     }
@@ -75,13 +79,21 @@
     }
 }
 
-fn take_frame(router: &Router, id: ConnectionId, letter: u8, rest: &[u8]) -> Result<(), frames::BadFrame> {
+fn take_frame(
+    router: &Router,
+    id: ConnectionId,
+    letter: u8,
+    rest: &[u8],
+) -> Result<(), frames::BadFrame> {
     match letter {
         b'a' => answer(router, id, rest),
         b'l' => load(router, id, rest),
         b'p' => Ok(()),
         b'e' => {
-            tracing::debug!("a node's words: {}", String::from_utf8_lossy(&rest[..rest.len().min(WORDS)]));
+            tracing::debug!(
+                "a node's words: {}",
+                String::from_utf8_lossy(&rest[..rest.len().min(WORDS)])
+            );
             Err("the node could not use a frame")
         }
         _ => Err("a frame of unknown letter"),
@@ -98,16 +110,26 @@
     let back = {
         let (now, mut desk) = (router.clock.now(), router.desk.borrow_mut());
         let office = &mut desk.office;
-        let Some(connection) = office.nodes.connection_mut(id) else { return Err("gone") };
+        let Some(connection) = office.nodes.connection_mut(id) else {
+            return Err("gone");
+        };
         let Some(key) = connection.carries.remove(name) else {
             // An answer to a call given up is ordinary, and a second copy harmless. One to a call that never was
             // on this connection belongs to one that is: that one would wait for its time to be up.
-            return if connection.is_over(name) { Ok(()) } else { Err("an answer of unknown id") };
+            return if connection.is_over(name) {
+                Ok(())
+            } else {
+                Err("an answer of unknown id")
+            };
+        };
+        let Some(call) = office.ledger.finish(key) else {
+            return Ok(());
         };
-        let Some(call) = office.ledger.finish(key) else { return Ok(()) };
         connection.over(&call.id, now);
         if let Some((held, _)) = office.ledger.part(&call) {
-            held.taken.span.in_scope(|| tracing::debug!("relay: part {} {ending:?}", call.id));
+            held.taken
+                .span
+                .in_scope(|| tracing::debug!("relay: part {} {ending:?}", call.id));
         }
         if ending == Ending::Satisfied {
             office.ledger.keep(&call, value);
@@ -115,7 +137,11 @@
         office.nodes.stir_retired(id);
         Return { key, call, ending }
     };
-    route::returned(router, back, &frames::report(report, &router.bounds.columns));
+    route::returned(
+        router,
+        back,
+        &frames::report(report, &router.bounds.columns),
+    );
     Ok(())
 }
 
--- a/router/src/stages/route.rs
+++ b/router/src/stages/route.rs
@@ -13,16 +13,33 @@
 
 /// Plays a lookup and all its parts.
 pub fn take(
-    router: &Router, id: LookupId, index: IndexNo, customer: CustomerNo, left: Micros, repeat: bool,
+    router: &Router,
+    id: LookupId,
+    index: IndexNo,
+    customer: CustomerNo,
+    left: Micros,
+    repeat: bool,
     parts: Vec<(PartId, ShardNo, f64, Option<Micros>)>,
 ) {
     let query = QueryNo(id.0);
     router.play(|brain, now, out| {
         out.counts.taken += 1;
         if let Some(held) = out.ledger.lookup(id) {
-            held.taken.span.in_scope(|| tracing::debug!("route: {} parts, {} us left", parts.len(), left.0));
+            held.taken
+                .span
+                .in_scope(|| tracing::debug!("route: {} parts, {} us left", parts.len(), left.0));
         }
-        brain.lookup(now, id, query, index, customer, parts.len(), left, repeat, out);
+        brain.lookup(
+            now,
+            id,
+            query,
+            index,
+            customer,
+            parts.len(),
+            left,
+            repeat,
+            out,
+        );
         for (part, shard, weight, hint) in parts {
             brain.part(now, part, query, shard, weight, hint, out);
         }
@@ -41,9 +58,22 @@
 
 /// Tells the module of one call's end.
 pub fn returned(router: &Router, back: Return, report: &[f64]) {
-    let Return { key: (part, number), call, ending } = back;
+    let Return {
+        key: (part, number),
+        call,
+        ending,
+    } = back;
     router.play(|brain, now, out| {
-        brain.returned(now, part, number, call.node, now.since(call.sent), ending, report, out);
+        brain.returned(
+            now,
+            part,
+            number,
+            call.node,
+            now.since(call.sent),
+            ending,
+            report,
+            out,
+        );
     });
 }
 
@@ -60,7 +90,9 @@
         } else if let Some(key) = office.ledger.overdue(now) {
             call_is_late(office, key, cancels);
         } else if office.timers.first().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, timer)) = office.timers.pop_first() else { return };
+            let Some((_, timer)) = office.timers.pop_first() else {
+                return;
+            };
             drop(desk);
             router.play(|brain, now, out| brain.elapsed(now, timer, out));
         } else {
@@ -73,7 +105,9 @@
 /// A connection that has brought nothing since is not trusted with more: its peer may have vanished, and on
 /// its return would reset what is written to it.
 fn call_is_late(office: &mut Office, key: CallKey, cancels: bool) {
-    let Some(call) = office.ledger.call(key) else { return };
+    let Some(call) = office.ledger.call(key) else {
+        return;
+    };
     let (written, sent, place) = (send::is_written(&office.nodes, call), call.sent, call.place);
     if written && call.due > office.now {
         return office.ledger.look_when_due(key);
@@ -82,7 +116,12 @@
         office.nodes.retire_silent(id, sent);
     }
     // A dial that this machine could not make, though it tried up to now, is not held against the node.
-    let dials = |id| office.nodes.connection(id).map(|connection| connection.dials.get());
+    let dials = |id| {
+        office
+            .nodes
+            .connection(id)
+            .map(|connection| connection.dials.get())
+    };
     let ours = matches!(place, Place::Waiting(id) if dials(id) == Some(Owner::Machine));
     let ending = match (written, ours) {
         (true, _) => Ending::MayHaveRun,
--- a/router/src/stages/send.rs
+++ b/router/src/stages/send.rs
@@ -22,7 +22,9 @@
 /// Whether the last byte of a call's frame has left.
 pub fn is_written(nodes: &Nodes, call: &CallOut) -> bool {
     match call.place {
-        Place::Queued(id, end) => nodes.connection(id).is_none_or(|connection| connection.written >= end),
+        Place::Queued(id, end) => nodes
+            .connection(id)
+            .is_none_or(|connection| connection.written >= end),
         Place::Ordered | Place::Waiting(_) => false,
     }
 }
@@ -33,14 +35,19 @@
     let office = &mut desk.office;
     office.now = router.clock.now();
     let mut orders = std::mem::take(&mut office.orders);
-    while let Some(node) = orders.first().and_then(|key| Some(office.ledger.call(*key)?.node)) {
+    while let Some(node) = orders
+        .first()
+        .and_then(|key| Some(office.ledger.call(*key)?.node))
+    {
         let (frame, rest) = split(office, orders, node);
         orders = rest;
         send_frame(router, office, node, frame);
     }
     for node in std::mem::take(&mut office.probes) {
         let known = office.nodes.usable(node).next().map(|(id, _)| id);
-        let Some(id) = known.or_else(|| open(router, office, node)) else { continue };
+        let Some(id) = known.or_else(|| open(router, office, node)) else {
+            continue;
+        };
         let now = office.now;
         if let Some(connection) = office.nodes.connection_mut(id) {
             // A buffer too full for it: the node is not reading, and would not answer.
@@ -55,9 +62,16 @@
 
 /// The next frame for a node, and the orders left over.
 fn split(office: &Office, orders: Vec<CallKey>, node: NodeId) -> (Vec<CallKey>, Vec<CallKey>) {
-    let mut room = office.bounds.parts_a_call.min(office.bounds.parts_a_connection);
+    let mut room = office
+        .bounds
+        .parts_a_call
+        .min(office.bounds.parts_a_connection);
     orders.into_iter().partition(|key| {
-        let shares = room > 0 && office.ledger.call(*key).is_some_and(|call| call.node == node);
+        let shares = room > 0
+            && office
+                .ledger
+                .call(*key)
+                .is_some_and(|call| call.node == node);
         room -= usize::from(shares);
         shares
     })
@@ -73,13 +87,19 @@
         let waiting = connection.waiting.iter().map(Vec::len).sum::<usize>();
         fits(*id, connection.carries.len() + waiting)
     });
-    let found = found.map(|(id, _)| id).or_else(|| open(router, office, node));
+    let found = found
+        .map(|(id, _)| id)
+        .or_else(|| open(router, office, node));
     let Some(id) = found else {
         // A shortage of the router's own: it says nothing of the node.
-        frame.into_iter().for_each(|key| office.end_call(key, Ending::Unsent));
+        frame
+            .into_iter()
+            .for_each(|key| office.end_call(key, Ending::Unsent));
         return;
     };
-    frame.iter().for_each(|key| office.ledger.place(*key, Place::Waiting(id)));
+    frame
+        .iter()
+        .for_each(|key| office.ledger.place(*key, Place::Waiting(id)));
     if let Some(connection) = office.nodes.connection_mut(id) {
         connection.waiting.push_back(frame);
         // What the socket does not take now, the connection's task writes; it also finds what is wrong.
@@ -97,20 +117,34 @@
     // Room for the longest call at least.
     let out_bound = office.bounds.parts_a_call * (BODY_BOUND + LINE_BOUND);
     let id = office.nodes.connect(node, office.now, out_bound, permit)?;
-    router.executor.spawn(connection(Rc::clone(router), id)).detach();
+    router
+        .executor
+        .spawn(connection(Rc::clone(router), id))
+        .detach();
     Some(id)
 }
 
 /// Moves frames that wait into the connection's buffer while it is up and has room.
 fn fill(office: &mut Office, id: ConnectionId) {
-    let Office { nodes, ledger, now, .. } = office;
-    let Some(connection) = nodes.connection_mut(id).filter(|of| of.stream.is_some()) else { return };
+    let Office {
+        nodes, ledger, now, ..
+    } = office;
+    let Some(connection) = nodes.connection_mut(id).filter(|of| of.stream.is_some()) else {
+        return;
+    };
     while let Some(keys) = connection.waiting.pop_front() {
         let mut rest = Vec::new();
-        let calls = || keys.iter().filter_map(|key| Some((*key, ledger.call(*key)?)));
+        let calls = || {
+            keys.iter()
+                .filter_map(|key| Some((*key, ledger.call(*key)?)))
+        };
         for (_, call) in calls() {
-            let Some((held, part)) = ledger.part(call) else { continue };
-            held.taken.span.in_scope(|| tracing::debug!("send: part {} to node {:x}", call.id, call.node.0));
+            let Some((held, part)) = ledger.part(call) else {
+                continue;
+            };
+            held.taken
+                .span
+                .in_scope(|| tracing::debug!("send: part {} to node {:x}", call.id, call.node.0));
             // Rounded down: a node is never told more than is left.
             let wait_ms = (call.due.since(*now).0 / 1000).max(1);
             frames::add_part(
@@ -126,7 +160,9 @@
             return connection.waiting.push_front(keys);
         }
         let end = connection.queued;
-        let carried: Vec<_> = calls().map(|(key, call)| (Rc::clone(&call.id), key)).collect();
+        let carried: Vec<_> = calls()
+            .map(|(key, call)| (Rc::clone(&call.id), key))
+            .collect();
         for (name, key) in carried {
             connection.carries.insert(name, key);
             ledger.place(key, Place::Queued(id, end));
@@ -138,7 +174,9 @@
 async fn connection(router: Rc<Router>, id: ConnectionId) {
     let found = |of: &Connection| (of.address, Rc::clone(&of.dials));
     let found = router.desk.borrow().office.nodes.connection(id).map(found);
-    let Some((address, dials)) = found else { return };
+    let Some((address, dials)) = found else {
+        return;
+    };
     let dialled = dial_noting(&router, address, &dials).await;
     if let Ok(stream) = dialled {
         let stream = Rc::new(stream);
@@ -146,7 +184,10 @@
         if let Some(connection) = router.desk.borrow_mut().office.nodes.connection_mut(id) {
             connection.stream = Some(Rc::clone(&stream));
         }
-        let talk = future::or(write(&router, id, &stream), relay::read(&router, id, &stream));
+        let talk = future::or(
+            write(&router, id, &stream),
+            relay::read(&router, id, &stream),
+        );
         let what = future::or(talk, idle(&router, id)).await;
         tracing::debug!("connection to {address}: {what}");
     } else if let Err(of) = dialled {
@@ -169,7 +210,9 @@
 /// The same; `last` says at any moment for whom it waits. What fails for a moment on this machine, or on the way, is
 /// tried again within the time of the dial.
 async fn dial_noting(
-    router: &Router, address: SocketAddr, last: &Cell<Owner>,
+    router: &Router,
+    address: SocketAddr,
+    last: &Cell<Owner>,
 ) -> Result<Async<TcpStream>, Owner> {
     let began = router.clock.now();
     let limit = router.bounds.dial_timeout.map(|limit| began + limit);
@@ -200,7 +243,10 @@
             }
         }
     };
-    let stream = router.until(limit, dials).await.unwrap_or(Err(last.get()))?;
+    let stream = router
+        .until(limit, dials)
+        .await
+        .unwrap_or(Err(last.get()))?;
     // Frames and calls are small, and each is wanted at once.
     let _ = stream.get_ref().set_nodelay(true);
     Ok(stream)
@@ -212,11 +258,18 @@
     let mut desk = router.desk.borrow_mut();
     let office = &mut desk.office;
     office.now = router.clock.now();
-    let Some(connection) = office.nodes.connection(id) else { return };
+    let Some(connection) = office.nodes.connection(id) else {
+        return;
+    };
     let mut carried: Vec<CallKey> = connection.carries.values().copied().collect();
     carried.sort();
     let all = connection.waiting.iter().flatten().copied().chain(carried);
-    let written = |key| office.ledger.call(key).is_some_and(|call| is_written(&office.nodes, call));
+    let written = |key| {
+        office
+            .ledger
+            .call(key)
+            .is_some_and(|call| is_written(&office.nodes, call))
+    };
     let ending = |key| match (written(key), connection.abandoned) {
         (true, true) if connection.spoilt == Some(key) => Ending::MayHaveRun,
         (true, true) => Ending::Cancelled,
@@ -226,7 +279,8 @@
     };
     let ends: Vec<(CallKey, Ending)> = all.map(|key| (key, ending(key))).collect();
     office.nodes.disconnect(id);
-    ends.into_iter().for_each(|(key, ending)| office.end_call(key, ending));
+    ends.into_iter()
+        .for_each(|(key, ending)| office.end_call(key, ending));
     router.turn.notify(1);
 }
 
@@ -236,13 +290,21 @@
         let (stirred, written) = {
             let mut desk = router.desk.borrow_mut();
             desk.office.now = router.clock.now();
-            let Some(connection) = desk.office.nodes.connection(id) else { return "gone" };
+            let Some(connection) = desk.office.nodes.connection(id) else {
+                return "gone";
+            };
             (connection.stirred.listen(), write_out(&mut desk.office, id))
         };
         match written {
             Ok(true) => stirred.await,
             Ok(false) => {
-                let free = async { stream.writable().await.map_err(|_| "cannot be written").err() };
+                let free = async {
+                    stream
+                        .writable()
+                        .await
+                        .map_err(|_| "cannot be written")
+                        .err()
+                };
                 let stirred = async {
                     stirred.await;
                     None
@@ -261,13 +323,21 @@
 fn write_out(office: &mut Office, id: ConnectionId) -> Result<bool, &'static str> {
     loop {
         fill(office, id);
-        let Some(connection) = office.nodes.connection_mut(id) else { return Err("gone") };
-        let Some(stream) = connection.stream.clone() else { return Ok(true) };
+        let Some(connection) = office.nodes.connection_mut(id) else {
+            return Err("gone");
+        };
+        let Some(stream) = connection.stream.clone() else {
+            return Ok(true);
+        };
         if connection.abandoned {
             return Err("abandoned");
         }
         if connection.out.is_empty() {
-            return if connection.retired && connection.idle() { Err("retired") } else { Ok(true) };
+            return if connection.retired && connection.idle() {
+                Err("retired")
+            } else {
+                Ok(true)
+            };
         }
         match stream.get_ref().write(connection.out.filled()) {
             Ok(0) => return Err("takes nothing"),
@@ -284,12 +354,16 @@
 
 /// Ends a connection that has stood idle so long that the node is about to close it.
 async fn idle(router: &Router, id: ConnectionId) -> &'static str {
-    let Some(limit) = router.bounds.idle_close else { return future::pending().await };
+    let Some(limit) = router.bounds.idle_close else {
+        return future::pending().await;
+    };
     let limit = limit.since(router.bounds.dial_timeout.unwrap_or_default());
     loop {
         let at = {
             let desk = router.desk.borrow();
-            let Some(connection) = desk.office.nodes.connection(id) else { return "gone" };
+            let Some(connection) = desk.office.nodes.connection(id) else {
+                return "gone";
+            };
             let now = router.clock.now();
             match connection.idle() {
                 true if connection.used + limit <= now => return "idle",
--- a/router/src/stages/stream.rs
+++ b/router/src/stages/stream.rs
@@ -57,7 +57,10 @@
             processed.map_err(|what| Error::new(ErrorKind::InvalidData, what))?;
             self.barren += 1;
             if self.barren > MOST_BARREN {
-                return Err(Error::new(ErrorKind::InvalidData, "records without end that carry nothing"));
+                return Err(Error::new(
+                    ErrorKind::InvalidData,
+                    "records without end that carry nothing",
+                ));
             }
         }
         self.more = true;
@@ -95,19 +98,34 @@
     fn certificate(&mut self) -> Option<Rc<Certificate>> {
         if self.certificate.is_none() && !self.tls.is_handshaking() {
             let shown = self.tls.peer_certificates().and_then(|chain| chain.first());
-            self.certificate = shown.and_then(|der| Certificate::read(der).ok()).map(Rc::new);
+            self.certificate = shown
+                .and_then(|der| Certificate::read(der).ok())
+                .map(Rc::new);
         }
         // What other authorities have verified proves nothing once they are gone; a resumed session neither.
-        self.certificate.clone().filter(|_| self.epoch == self.of.epoch())
+        self.certificate
+            .clone()
+            .filter(|_| self.epoch == self.of.epoch())
     }
 }
 
 impl Stream {
     /// A connection that begins with a handshake; an error if TLS cannot be had at all.
-    pub fn secure(socket: Async<TcpStream>, of: &Rc<Tls>) -> std::result::Result<Stream, rustls::Error> {
+    pub fn secure(
+        socket: Async<TcpStream>,
+        of: &Rc<Tls>,
+    ) -> std::result::Result<Stream, rustls::Error> {
         let tls = ServerConnection::new(of.config())?;
         let (of, epoch) = (Rc::clone(of), of.epoch());
-        let secure = Secure { socket, tls, of, epoch, certificate: None, more: false, barren: 0 };
+        let secure = Secure {
+            socket,
+            tls,
+            of,
+            epoch,
+            certificate: None,
+            more: false,
+            barren: 0,
+        };
         Ok(Stream::Secure(Box::new(secure)))
     }
 
@@ -135,7 +153,11 @@
             Stream::Plain(socket) => socket.get_ref().write(bytes),
             Stream::Secure(secure) => {
                 // What is taken is bounded by rustls, and goes out with this or a later flush.
-                let count = if secure.flush()? { secure.tls.writer().write(bytes)? } else { 0 };
+                let count = if secure.flush()? {
+                    secure.tls.writer().write(bytes)?
+                } else {
+                    0
+                };
                 secure.flush()?;
                 if count == 0 {
                     Err(ErrorKind::WouldBlock.into())
--- a/router/src/stages/take_in.rs
+++ b/router/src/stages/take_in.rs
@@ -58,7 +58,9 @@
                     changed.await;
                     None
                 };
-                let Some(accepted) = future::or(stops, async { Some(listener.accept().await) }).await else {
+                let Some(accepted) =
+                    future::or(stops, async { Some(listener.accept().await) }).await
+                else {
                     continue;
                 };
                 match accepted {
@@ -234,12 +236,19 @@
     );
     // Whole requests that wait and idle connections go on in the new process. TLS has its state here, and ends.
     if !(line.handed && matches!(line.stream, Stream::Plain(_))) {
-        return if line.gone { line.stream.finish() } else { linger(&router, &mut line).await };
+        return if line.gone {
+            line.stream.finish()
+        } else {
+            linger(&router, &mut line).await
+        };
     }
     let Line { stream, input, .. } = line;
     if let Stream::Plain(socket) = stream {
         if let Ok(socket) = socket.into_inner() {
-            router.handed.borrow_mut().push_back((socket, input.to_vec()));
+            router
+                .handed
+                .borrow_mut()
+                .push_back((socket, input.to_vec()));
             router.handed_more.notify(1);
         }
     }
@@ -247,9 +256,17 @@
 
 /// A connection that another process has handed over, with what its client has sent already.
 pub fn adopt(router: &Rc<Router>, socket: TcpStream, unread: &[u8]) -> Result<(), &'static str> {
-    let permit = router.descriptors.take(Peer::Client).ok_or("no descriptor is left")?;
+    let permit = router
+        .descriptors
+        .take(Peer::Client)
+        .ok_or("no descriptor is left")?;
     let stream = Async::new(socket).map_err(|_| "it cannot be used")?;
-    let task = client(Rc::clone(router), Stream::Plain(stream), permit, unread.to_vec());
+    let task = client(
+        Rc::clone(router),
+        Stream::Plain(stream),
+        permit,
+        unread.to_vec(),
+    );
     router.executor.spawn(task).detach();
     Ok(())
 }
@@ -266,8 +283,16 @@
     }
     let now = router.clock.now();
     let (from, began) = (line.accepted.take().unwrap_or(now), ahead.unwrap_or(now));
-    let whole = router.bounds.longest_deadline.map_or(WHOLE_WITHIN, |longest| longest.min(WHOLE_WITHIN));
-    let read = router.until(Some(from + whole), read_request(router, line, request, from)).await;
+    let whole = router
+        .bounds
+        .longest_deadline
+        .map_or(WHOLE_WITHIN, |longest| longest.min(WHOLE_WITHIN));
+    let read = router
+        .until(
+            Some(from + whole),
+            read_request(router, line, request, from),
+        )
+        .await;
     let read = read.unwrap_or(Err(Stop::Fault(Fault::TooSlow)));
     let (answer, mut last) = match read {
         Err(Stop::Ended) => {
@@ -285,8 +310,10 @@
             }
             line.requests += 1;
             line.ahead = Some(began).filter(|_| !line.input.is_empty());
-            let (id, age) =
-                (request.header("req-id").unwrap_or("-"), router.clock.now().since(line.opened).0 / 1000);
+            let (id, age) = (
+                request.header("req-id").unwrap_or("-"),
+                router.clock.now().since(line.opened).0 / 1000,
+            );
             tracing::debug!(
                 "client {}: request {} is whole, id {id}, connection {age} ms old",
                 line.number,
@@ -302,8 +329,10 @@
                 line.ends = "the client left before its request was begun";
                 return false;
             }
-            let (closes, admitted) =
-                (request.closes(), admit::admit(router, request, began, line.stream.certificate()));
+            let (closes, admitted) = (
+                request.closes(),
+                admit::admit(router, request, began, line.stream.certificate()),
+            );
             line.holds(request.body().len());
             request.forget_body();
             let answer = match admitted {
@@ -324,21 +353,41 @@
     // After a request that made no sense, what follows on its connection may make none either.
     let bad = matches!(status, 400..=499 | 501 | 505) && !matches!(status, 401 | 403 | 429);
     last |= bad || line.floods || router.is_stopping();
-    let body = if request.method() == "HEAD" { String::new() } else { body };
-    if !line.output.push(&http::answer(status, &headers, &body, last)) {
+    let body = if request.method() == "HEAD" {
+        String::new()
+    } else {
+        body
+    };
+    if !line
+        .output
+        .push(&http::answer(status, &headers, &body, last))
+    {
         tracing::warn!("an answer of {} bytes is longer than its bound", body.len());
         line.ends = "an answer longer than its bound";
         return false;
     }
     line.holds(0);
     // After the longest time that any client waits, a slow one holds nothing up.
-    let last_byte = router.bounds.longest_deadline.map(|longest| router.clock.now() + longest);
+    let last_byte = router
+        .bounds
+        .longest_deadline
+        .map(|longest| router.clock.now() + longest);
     let last_byte = router.in_time(last_byte, |of| of.leaves_by);
-    let written = router.until(last_byte, write_all(line)).await.unwrap_or(false);
+    let written = router
+        .until(last_byte, write_all(line))
+        .await
+        .unwrap_or(false);
     line.gone |= !written;
     line.holds(0);
-    tracing::debug!("client {}: answered {status}, written whole: {written}", line.number);
-    line.ends = if written { "its answer was the last" } else { "the answer could not be written" };
+    tracing::debug!(
+        "client {}: answered {status}, written whole: {written}",
+        line.number
+    );
+    line.ends = if written {
+        "its answer was the last"
+    } else {
+        "the answer could not be written"
+    };
     written && !last
 }
 
@@ -371,7 +420,11 @@
 async fn idle(router: &Router, line: &mut Line) -> bool {
     // One that has brought nothing yet stands with the requests that are not whole, by its age.
     let since = line.accepted.unwrap_or_else(|| router.clock.now());
-    let state = if line.accepted.is_none() { State::Resting } else { State::New };
+    let state = if line.accepted.is_none() {
+        State::Resting
+    } else {
+        State::New
+    };
     let place = router.clients.wait(since, state);
     let mut told = place.told.listen();
     router.clients.keep_idle(router.descriptors.kept_idle());
@@ -401,7 +454,11 @@
         match take_bytes(line) {
             Ok(false) if waits_on => {}
             taken => {
-                line.ends = if line.gone { "the client left" } else { "it rested, and gave way" };
+                line.ends = if line.gone {
+                    "the client left"
+                } else {
+                    "it rested, and gave way"
+                };
                 return taken.unwrap_or(false);
             }
         }
@@ -453,7 +510,10 @@
 }
 
 async fn read_request(
-    router: &Router, line: &mut Line, request: &mut Reader, since: Micros,
+    router: &Router,
+    line: &mut Line,
+    request: &mut Reader,
+    since: Micros,
 ) -> Result<(), Stop> {
     let place = router.clients.wait(since, State::Partial);
     let mut told = place.told.listen();
--- a/router/tests/common/cold.rs
+++ b/router/tests/common/cold.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 /// What a node bears in a second at this age, of parts of 100 ms: twice what it can do, from a fifth of its ten on.
-pub const RAMP: &str = r#""rules":{"coldFrom":0.2,"warmWithin":6000000,"fallMultiple":2,"fall":1000000,"#;
+pub const RAMP: &str =
+    r#""rules":{"coldFrom":0.2,"warmWithin":6000000,"fallMultiple":2,"fall":1000000,"#;
 
 /// The first second with more than is borne in it, 2 roots of that and 2: when, how many, how many are borne.
 pub fn overrun(sent: &[Duration]) -> Option<(Duration, usize, f64)> {
--- a/router/tests/common/faulty.rs
+++ b/router/tests/common/faulty.rs
@@ -11,8 +11,15 @@
 /// The library that carries plans out; `cargo test --workspace` builds it.
 fn preload() -> PathBuf {
     let program = Path::new(env!("CARGO_BIN_EXE_ternpick"));
-    let library = program.parent().expect("a folder").join("examples/libpreload.so");
-    assert!(library.exists(), "cargo build -p ternpick-faults --examples builds {}", library.display());
+    let library = program
+        .parent()
+        .expect("a folder")
+        .join("examples/libpreload.so");
+    assert!(
+        library.exists(),
+        "cargo build -p ternpick-faults --examples builds {}",
+        library.display()
+    );
     library
 }
 
@@ -28,26 +35,45 @@
 impl Faulty {
     pub fn start(settings: &str, nodes: &[Act], plan: &Plan) -> Faulty {
         let nodes: Vec<Node> = nodes.iter().map(|act| Node::start([*act; 2])).collect();
-        let listed =
-            nodes.iter().enumerate().map(|(at, node)| entry(&format!("s{at}"), node.address, "Ready"));
+        let listed = nodes
+            .iter()
+            .enumerate()
+            .map(|(at, node)| entry(&format!("s{at}"), node.address, "Ready"));
         let (discovery, listed) = (Discovery::default(), listed.collect::<Vec<_>>().join(","));
         let address = discovery.start();
         Faulty::with(settings, nodes, discovery, address, &listed, plan)
     }
 
     pub fn with(
-        settings: &str, nodes: Vec<Node>, discovery: Discovery, address: SocketAddr, listed: &str,
+        settings: &str,
+        nodes: Vec<Node>,
+        discovery: Discovery,
+        address: SocketAddr,
+        listed: &str,
         plan: &Plan,
     ) -> Faulty {
         let folder = tempfile::tempdir().expect("a folder");
-        let plan = Plan { discovery_port: address.port(), ..plan.clone() };
+        let plan = Plan {
+            discovery_port: address.port(),
+            ..plan.clone()
+        };
         let ((variable, path), strikes) = plan.write(folder.path(), "faults").expect("a plan");
         let log = std::fs::File::create(folder.path().join("log")).expect("a log");
         let router = Router::start_with(address, listed, 1024, 4, settings, |command| {
-            command.env(variable, &path).env("LD_PRELOAD", preload()).env("RUST_LOG", "info");
+            command
+                .env(variable, &path)
+                .env("LD_PRELOAD", preload())
+                .env("RUST_LOG", "info");
             command.stderr(Stdio::from(log));
         });
-        Faulty { router, nodes, discovery, strikes, folder, rules: plan.rules.len() }
+        Faulty {
+            router,
+            nodes,
+            discovery,
+            strikes,
+            folder,
+            rules: plan.rules.len(),
+        }
     }
 
     pub fn log(&self) -> String {
@@ -57,6 +83,9 @@
     /// A fault that never struck has shown nothing.
     pub fn all_struck(&self) {
         let counts: Vec<u64> = (0..self.rules).map(|rule| self.strikes.of(rule)).collect();
-        assert!(counts.iter().all(|count| *count > 0), "a fault never struck: {counts:?}");
+        assert!(
+            counts.iter().all(|count| *count > 0),
+            "a fault never struck: {counts:?}"
+        );
     }
 }
--- a/router/tests/common/fleets.rs
+++ b/router/tests/common/fleets.rs
@@ -25,14 +25,21 @@
 
 pub fn plan(more: &str) -> FleetPlan {
     // What `more` says goes before.
-    let own = |line: &&str| !more.lines().any(|said| said.split(':').next() == line.split(':').next());
+    let own = |line: &&str| {
+        !more
+            .lines()
+            .any(|said| said.split(':').next() == line.split(':').next())
+    };
     let rest: Vec<&str> = SMALL.lines().filter(own).collect();
     // Of what `more` says twice the last counts.
     let more: Vec<&str> = more
         .lines()
         .enumerate()
         .filter(|(at, line)| {
-            !more.lines().skip(at + 1).any(|later| later.split(':').next() == line.split(':').next())
+            !more
+                .lines()
+                .skip(at + 1)
+                .any(|later| later.split(':').next() == line.split(':').next())
         })
         .map(|(_, line)| line)
         .collect();
@@ -41,18 +48,35 @@
 }
 
 pub fn change(at: u64, through: usize) -> Change {
-    Change { at, through, calls: 2, drained: None, withdrawn: None }
+    Change {
+        at,
+        through,
+        calls: 2,
+        drained: None,
+        withdrawn: None,
+    }
 }
 
 pub fn step(at: u64, lasts: u64, kind: Kind, whom: usize) -> Step {
-    Step { at, lasts, kind, whom, other: whom + 1 }
+    Step {
+        at,
+        lasts,
+        kind,
+        whom,
+        other: whom + 1,
+    }
 }
 
 /// Plays a schedule; its history has to keep all rules, and the fleet has to be well again.
 pub fn played(plan: FleetPlan, steps: Vec<Step>, changes: Vec<Change>) -> (Outcome, Counts) {
     let _turn = turn();
     let folder = tempfile::tempdir().expect("a folder");
-    let schedule = Schedule { plan, seed: 1, steps, changes };
+    let schedule = Schedule {
+        plan,
+        seed: 1,
+        steps,
+        changes,
+    };
     judged(&schedule, folder.path())
 }
 
@@ -66,12 +90,19 @@
     let Verdict::Accepted(counts) = outcome.verdict.clone() else {
         let logs = std::env::temp_dir().join(format!("ternpick-fleet-{}", std::process::id()));
         let kept = std::fs::rename(folder, &logs);
-        panic!("{:?}; kept in {} ({kept:?})", outcome.verdict, logs.display());
+        panic!(
+            "{:?}; kept in {} ({kept:?})",
+            outcome.verdict,
+            logs.display()
+        );
     };
     if outcome.well_after_ms.is_none() {
         let logs = std::env::temp_dir().join(format!("ternpick-fleet-{}", std::process::id()));
         let kept = std::fs::rename(folder, &logs);
-        panic!("not well again, kept in {} ({kept:?}): {outcome:?}", logs.display());
+        panic!(
+            "not well again, kept in {} ({kept:?}): {outcome:?}",
+            logs.display()
+        );
     }
     (outcome, counts)
 }
