--- a/router/tests/common/guarded.rs
+++ b/router/tests/common/guarded.rs
@@ -39,7 +39,10 @@
 "##;
 
 pub fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_secs()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("a clock")
+        .as_secs()
 }
 
 /// A folder with keys, a feed and settings; its files are what the router watches.
@@ -64,7 +67,10 @@
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
         let pem = params.self_signed(&key).expect("a certificate").pem();
-        Authority { pem, issuer: Issuer::new(params, key) }
+        Authority {
+            pem,
+            issuer: Issuer::new(params, key),
+        }
     }
 
     /// A certificate and its key, PEM.
@@ -91,14 +97,19 @@
             revoked_certs: revoked.collect(),
             key_identifier_method: rcgen::KeyIdMethod::Sha256,
         };
-        params.signed_by(&self.issuer).expect("a list").pem().expect("PEM")
+        params
+            .signed_by(&self.issuer)
+            .expect("a list")
+            .pem()
+            .expect("PEM")
     }
 }
 
 impl World {
     pub fn new() -> World {
         let mut shop = Workshop::default();
-        shop.new_key("k1", Algorithm::EdDsa, now(), 0, &SystemRandom::new()).expect("a key");
+        shop.new_key("k1", Algorithm::EdDsa, now(), 0, &SystemRandom::new())
+            .expect("a key");
         let world = World {
             folder: tempfile::tempdir().expect("a folder"),
             shop: Mutex::new(shop),
@@ -125,7 +136,12 @@
     }
 
     pub fn public(&self) -> String {
-        self.shop.lock().unwrap().public(now()).expect("a set").to_string()
+        self.shop
+            .lock()
+            .unwrap()
+            .public(now())
+            .expect("a set")
+            .to_string()
     }
 
     pub fn publish(&self) {
@@ -134,7 +150,15 @@
 
     pub fn rotate(&self, id: &str, lead: u64, overlap: u64) {
         let mut shop = self.shop.lock().unwrap();
-        shop.rotate(id, Algorithm::EdDsa, now(), lead, overlap, &SystemRandom::new()).expect("a key");
+        shop.rotate(
+            id,
+            Algorithm::EdDsa,
+            now(),
+            lead,
+            overlap,
+            &SystemRandom::new(),
+        )
+        .expect("a key");
         shop.elapsed(now());
         drop(shop);
         self.publish();
@@ -155,7 +179,9 @@
     pub fn revoke(&self, kind: &str, name: &str) {
         // One at a time, or an older feed may be written over a newer one.
         static ONE: Mutex<()> = Mutex::new(());
-        let _one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let _one = ONE
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let mut feed = self.feed.lock().unwrap();
         let number = feed.len() + 1;
         feed.push(json!({"number": number, kind: name}));
@@ -179,7 +205,11 @@
     }
 
     pub fn mint(&self, claims: &Claims) -> String {
-        self.shop.lock().unwrap().mint(claims, now()).expect("a token")
+        self.shop
+            .lock()
+            .unwrap()
+            .mint(claims, now())
+            .expect("a token")
     }
 
     pub fn token(&self, roles: &[&str]) -> String {
@@ -199,11 +229,18 @@
     }
 
     /// The settings: sources as told, or files that are looked at every 100 ms; TLS on `tls`.
-    pub fn settings(&self, keys: Option<&str>, feed: Option<&str>, tls: Option<SocketAddr>) -> PathBuf {
+    pub fn settings(
+        &self,
+        keys: Option<&str>,
+        feed: Option<&str>,
+        tls: Option<SocketAddr>,
+    ) -> PathBuf {
         let path = |name: &str| self.path(name).display().to_string();
         let file = |name: &str| format!("{{file: {:?}, every: 100ms, apart: 100ms}}", path(name));
-        let (keys, feed) =
-            (keys.map_or(file("jwks.json"), str::to_owned), feed.map_or(file("feed.json"), str::to_owned));
+        let (keys, feed) = (
+            keys.map_or(file("jwks.json"), str::to_owned),
+            feed.map_or(file("feed.json"), str::to_owned),
+        );
         let mut text = format!(
             "identity: {{{TERMS}\nkeys: {{from: {keys}, lingers: 10s}}\n\
              revocations: {{from: {feed}, reads_go_on: 1min, changes_go_on: 20s}}}}\n"
@@ -226,15 +263,20 @@
             .expect("a root");
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = rustls::ClientConfig::builder_with_provider(provider);
-        let builder =
-            builder.with_safe_default_protocol_versions().expect("versions").with_root_certificates(roots);
+        let builder = builder
+            .with_safe_default_protocol_versions()
+            .expect("versions")
+            .with_root_certificates(roots);
         let config = match shows {
             None => builder.with_no_client_auth(),
             Some((name, serial)) => {
                 let (certificate, key) = self.authority.issue(name, serial);
-                let certificate = CertificateDer::from_pem_slice(certificate.as_bytes()).expect("PEM");
+                let certificate =
+                    CertificateDer::from_pem_slice(certificate.as_bytes()).expect("PEM");
                 let key = PrivateKeyDer::from_pem_slice(key.as_bytes()).expect("PEM");
-                builder.with_client_auth_cert(vec![certificate], key).expect("a client")
+                builder
+                    .with_client_auth_cert(vec![certificate], key)
+                    .expect("a client")
             }
         };
         Arc::new(config)
@@ -255,22 +297,53 @@
         Guarded::with(world, None, None, "info", 1024)
     }
 
-    pub fn with(world: &World, keys: Option<&str>, feed: Option<&str>, log: &str, sockets: usize) -> Guarded {
+    pub fn with(
+        world: &World,
+        keys: Option<&str>,
+        feed: Option<&str>,
+        log: &str,
+        sockets: usize,
+    ) -> Guarded {
         Guarded::sized(world, keys, feed, log, sockets, 32)
     }
 
     pub fn sized(
-        world: &World, keys: Option<&str>, feed: Option<&str>, level: &str, sockets: usize, memory_mb: u64,
+        world: &World,
+        keys: Option<&str>,
+        feed: Option<&str>,
+        level: &str,
+        sockets: usize,
+        memory_mb: u64,
     ) -> Guarded {
-        let (nodes, discovery, tls) = (vec![Node::start([Act::Serve; 2])], Discovery::default(), free());
+        let (nodes, discovery, tls) = (
+            vec![Node::start([Act::Serve; 2])],
+            Discovery::default(),
+            free(),
+        );
         let listed = entry("s0", nodes[0].address, "Ready");
         let (settings, log) = (world.settings(keys, feed, Some(tls)), world.path("log"));
         let out = std::fs::File::create(&log).expect("a log");
-        let router =
-            Router::start_with(discovery.start(), &listed, sockets, memory_mb, super::SETTINGS, |command| {
-                command.arg("--settings").arg(&settings).env("RUST_LOG", level).stderr(Stdio::from(out));
-            });
-        let guarded = Guarded { router, nodes, _discovery: discovery, log, tls };
+        let router = Router::start_with(
+            discovery.start(),
+            &listed,
+            sockets,
+            memory_mb,
+            super::SETTINGS,
+            |command| {
+                command
+                    .arg("--settings")
+                    .arg(&settings)
+                    .env("RUST_LOG", level)
+                    .stderr(Stdio::from(out));
+            },
+        );
+        let guarded = Guarded {
+            router,
+            nodes,
+            _discovery: discovery,
+            log,
+            tls,
+        };
         if keys.is_none() {
             guarded.log_has("1 keys, new");
         }
@@ -282,7 +355,10 @@
     }
 
     pub fn log_has(&self, words: &str) {
-        within(|| self.log().contains(words), &format!("'{words}' in {}", self.log()));
+        within(
+            || self.log().contains(words),
+            &format!("'{words}' in {}", self.log()),
+        );
     }
 
     pub fn secure(&self, config: &Arc<rustls::ClientConfig>) -> Secure {
@@ -302,9 +378,13 @@
 pub struct Secure(pub rustls::StreamOwned<rustls::ClientConnection, TcpStream>);
 
 impl Secure {
-    pub fn over(address: SocketAddr, config: &Arc<rustls::ClientConfig>) -> std::io::Result<Secure> {
+    pub fn over(
+        address: SocketAddr,
+        config: &Arc<rustls::ClientConfig>,
+    ) -> std::io::Result<Secure> {
         let name = ServerName::try_from("localhost").expect("a name");
-        let tls = rustls::ClientConnection::new(Arc::clone(config), name).map_err(std::io::Error::other)?;
+        let tls = rustls::ClientConnection::new(Arc::clone(config), name)
+            .map_err(std::io::Error::other)?;
         let socket = TcpStream::connect(address)?;
         socket.set_read_timeout(Some(BOUND))?;
         let mut stream = rustls::StreamOwned::new(tls, socket);
@@ -320,7 +400,11 @@
 impl<T: Read + Write> Talks for T {}
 
 pub fn with_headers(index: &str, id: &str, statement: &str, headers: &str) -> String {
-    let body = request(index, id).split("\r\n\r\n").nth(1).expect("a body").replace("find", statement);
+    let body = request(index, id)
+        .split("\r\n\r\n")
+        .nth(1)
+        .expect("a body")
+        .replace("find", statement);
     format!(
         "POST /{index} HTTP/1.1\r\nHost: x\r\nReq-Id: {id}\r\nReq-Deadline-Ms: 2000\r\n\
          Idempotency-Key: key{id}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -335,11 +419,18 @@
 pub fn send(stream: &mut dyn Talks, index: &str, statement: &str, headers: &str) {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let id = format!("q{}", NUMBER.fetch_add(1, Ordering::Relaxed));
-    stream.write_all(with_headers(index, &id, statement, headers).as_bytes()).expect("written");
+    stream
+        .write_all(with_headers(index, &id, statement, headers).as_bytes())
+        .expect("written");
 }
 
 /// Asks; the status, head and body come back.
-pub fn ask(stream: &mut dyn Talks, index: &str, statement: &str, headers: &str) -> (u16, String, String) {
+pub fn ask(
+    stream: &mut dyn Talks,
+    index: &str,
+    statement: &str,
+    headers: &str,
+) -> (u16, String, String) {
     send(stream, index, statement, headers);
     receive(stream)
 }
@@ -351,11 +442,17 @@
         head.push(byte[0]);
     }
     let head = String::from_utf8(head).expect("text");
-    let length =
-        head.split("Content-Length: ").nth(1).and_then(|rest| rest.split("\r\n").next()?.parse().ok());
+    let length = head
+        .split("Content-Length: ")
+        .nth(1)
+        .and_then(|rest| rest.split("\r\n").next()?.parse().ok());
     let mut body = vec![0; length.expect("a length")];
     stream.read_exact(&mut body).expect("a body");
-    let status = head.split(' ').nth(1).and_then(|n| n.parse().ok()).expect("a status");
+    let status = head
+        .split(' ')
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .expect("a status");
     (status, head, String::from_utf8(body).expect("text"))
 }
 
@@ -386,7 +483,11 @@
     pub fn start(serves: Serves) -> Service {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let service = Service { serves: Arc::new(Mutex::new(serves)), calls: Arc::default(), address };
+        let service = Service {
+            serves: Arc::new(Mutex::new(serves)),
+            calls: Arc::default(),
+            address,
+        };
         let of = service.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -402,14 +503,20 @@
     }
 
     fn serve(&self, mut stream: TcpStream) {
-        let Some(_) = read_head(&mut stream) else { return };
+        let Some(_) = read_head(&mut stream) else {
+            return;
+        };
         let count = self.calls.fetch_add(1, Ordering::Relaxed);
         let serves = self.serves.lock().unwrap().clone();
-        let ok =
-            |text: &str, length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{text}");
+        let ok = |text: &str, length: usize| {
+            format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{text}")
+        };
         let said = match serves {
             Serves::Text(text) => ok(&text, text.len()),
-            Serves::Turns(texts) => ok(&texts[count % texts.len()], texts[count % texts.len()].len()),
+            Serves::Turns(texts) => ok(
+                &texts[count % texts.len()],
+                texts[count % texts.len()].len(),
+            ),
             Serves::Down => "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n".into(),
             Serves::Slow => {
                 thread::sleep(Duration::from_secs(2));
@@ -417,7 +524,10 @@
             }
             Serves::Endless => {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                while stream.write_all(&[b"1000\r\n", &[b' '; 0x1000][..], b"\r\n"].concat()).is_ok() {}
+                while stream
+                    .write_all(&[b"1000\r\n", &[b' '; 0x1000][..], b"\r\n"].concat())
+                    .is_ok()
+                {}
                 return;
             }
             Serves::Reset => return,
@@ -428,7 +538,9 @@
 
     /// As a source in settings.
     pub fn source(&self, kept: Option<&Path>) -> String {
-        let kept = kept.map_or(String::new(), |path| format!(", kept: {:?}", path.display().to_string()));
+        let kept = kept.map_or(String::new(), |path| {
+            format!(", kept: {:?}", path.display().to_string())
+        });
         format!(
             "{{address: \"{}\", path: \"/set\", every: 200ms, apart: 100ms, patience: 300ms{kept}}}",
             self.address
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -23,8 +23,15 @@
 pub fn free() -> SocketAddr {
     static NUMBER: AtomicUsize = AtomicUsize::new(1);
     let (pid, number) = (std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
-    let own = [127, 1 + (pid % 250) as u8, (pid / 250 % 250) as u8, number as u8];
-    TcpListener::bind(SocketAddr::from((own, 0))).and_then(|of| of.local_addr()).expect("a port")
+    let own = [
+        127,
+        1 + (pid % 250) as u8,
+        (pid / 250 % 250) as u8,
+        number as u8,
+    ];
+    TcpListener::bind(SocketAddr::from((own, 0)))
+        .and_then(|of| of.local_addr())
+        .expect("a port")
 }
 
 /// Three indexes: whole answers only; half is enough; never to run twice.
@@ -52,7 +59,11 @@
 
     /// A router on `settings` of the platform's, whose command `more` may change.
     pub fn start_with(
-        discovery: SocketAddr, known: &str, sockets: usize, memory_mb: u64, settings: &str,
+        discovery: SocketAddr,
+        known: &str,
+        sockets: usize,
+        memory_mb: u64,
+        settings: &str,
         more: impl FnOnce(&mut Command),
     ) -> Router {
         Router::start_seeded(7, discovery, known, sockets, memory_mb, settings, more)
@@ -60,11 +71,20 @@
 
     /// One of many, each with chance of its own.
     pub fn start_seeded(
-        seed: usize, discovery: SocketAddr, known: &str, sockets: usize, memory_mb: u64, settings: &str,
+        seed: usize,
+        discovery: SocketAddr,
+        known: &str,
+        sockets: usize,
+        memory_mb: u64,
+        settings: &str,
         more: impl FnOnce(&mut Command),
     ) -> Router {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
-        let (port, pid, number) = (free(), std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
+        let (port, pid, number) = (
+            free(),
+            std::process::id(),
+            NUMBER.fetch_add(1, Ordering::Relaxed),
+        );
         let name = format!("ternpick-{pid}-{number}.json");
         let config = std::env::temp_dir().join(name);
         let text = format!(
@@ -73,14 +93,25 @@
         );
         std::fs::write(&config, text).expect("a configuration");
         let mut command = Command::new(env!("CARGO_BIN_EXE_ternpick"));
-        command.args(["serve", "--config"]).arg(&config).env("RUST_LOG", "off");
+        command
+            .args(["serve", "--config"])
+            .arg(&config)
+            .env("RUST_LOG", "off");
         more(&mut command);
         let child = command.spawn().expect("the router starts");
-        let mut router = Router { child, address: port, discovery, config };
+        let mut router = Router {
+            child,
+            address: port,
+            discovery,
+            config,
+        };
         let late = Instant::now() + BOUND;
         while TcpStream::connect(router.address).is_err() {
             let ended = router.child.try_wait().expect("a child");
-            assert!(ended.is_none() && Instant::now() < late, "the router listens in time, {ended:?}");
+            assert!(
+                ended.is_none() && Instant::now() < late,
+                "the router listens in time, {ended:?}"
+            );
             thread::sleep(Duration::from_millis(2));
         }
         router
@@ -89,17 +120,26 @@
     /// Starts the program again in the place of one that has ended.
     pub fn again(&mut self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ternpick"));
-        command.args(["serve", "--config"]).arg(&self.config).env("RUST_LOG", "off");
+        command
+            .args(["serve", "--config"])
+            .arg(&self.config)
+            .env("RUST_LOG", "off");
         self.child = command.spawn().expect("the router starts");
     }
 
     /// A router of one or two nodes that are listed, each with what it does.
     pub fn with(nodes: &[Act]) -> (Router, Vec<Node>, Discovery) {
         let nodes: Vec<Node> = nodes.iter().map(|act| Node::start([*act; 2])).collect();
-        let listed =
-            nodes.iter().enumerate().map(|(at, node)| entry(&format!("s{at}"), node.address, "Ready"));
+        let listed = nodes
+            .iter()
+            .enumerate()
+            .map(|(at, node)| entry(&format!("s{at}"), node.address, "Ready"));
         let (discovery, listed) = (Discovery::default(), listed.collect::<Vec<_>>().join(","));
-        (Router::start(discovery.start(), &listed, 1024), nodes, discovery)
+        (
+            Router::start(discovery.start(), &listed, 1024),
+            nodes,
+            discovery,
+        )
     }
 
     pub fn connect(&self) -> TcpStream {
@@ -110,7 +150,11 @@
 
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([signal, &pid]).status().expect("kill runs").success());
+        assert!(Command::new("kill")
+            .args([signal, &pid])
+            .status()
+            .expect("kill runs")
+            .success());
     }
 
     /// Replaces the configuration, and has it read.
@@ -141,7 +185,11 @@
 }
 
 pub fn request(index: &str, id: &str) -> String {
-    request_of(index, id, r#"{"tablet":0,"fraction":0.5},{"tablet":1,"fraction":0.5}"#)
+    request_of(
+        index,
+        id,
+        r#"{"tablet":0,"fraction":0.5},{"tablet":1,"fraction":0.5}"#,
+    )
 }
 
 pub fn request_of(index: &str, id: &str, parts: &str) -> String {
@@ -156,11 +204,21 @@
 /// An answer's status, head and body.
 pub fn answer(stream: &mut TcpStream) -> (u16, String, String) {
     let head = read_head(stream).expect("an answer");
-    let of = |name: &str| head.split(name).nth(1).and_then(|rest| rest.split("\r\n").next());
-    let length = of("Content-Length: ").and_then(|n| n.parse().ok()).expect("a length");
+    let of = |name: &str| {
+        head.split(name)
+            .nth(1)
+            .and_then(|rest| rest.split("\r\n").next())
+    };
+    let length = of("Content-Length: ")
+        .and_then(|n| n.parse().ok())
+        .expect("a length");
     let mut body = vec![0; length];
     stream.read_exact(&mut body).expect("a body");
-    let status = head.split(' ').nth(1).and_then(|n| n.parse().ok()).expect("a status");
+    let status = head
+        .split(' ')
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .expect("a status");
     (status, head, String::from_utf8(body).expect("text"))
 }
 
@@ -182,24 +240,41 @@
             _ => return Err(bytes.is_empty()),
         }
         let text = String::from_utf8_lossy(&bytes);
-        let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
-        let of = |name: &str| head.split(name).nth(1).and_then(|rest| rest.split("\r\n").next());
-        let length: usize = of("Content-Length: ").and_then(|n| n.parse().ok()).expect("a length");
+        let Some((head, body)) = text.split_once("\r\n\r\n") else {
+            continue;
+        };
+        let of = |name: &str| {
+            head.split(name)
+                .nth(1)
+                .and_then(|rest| rest.split("\r\n").next())
+        };
+        let length: usize = of("Content-Length: ")
+            .and_then(|n| n.parse().ok())
+            .expect("a length");
         if body.len() >= length {
-            return Ok(head.split(' ').nth(1).and_then(|n| n.parse().ok()).expect("a status"));
+            return Ok(head
+                .split(' ')
+                .nth(1)
+                .and_then(|n| n.parse().ok())
+                .expect("a status"));
         }
     }
 }
 
 pub fn ask(stream: &mut TcpStream, index: &str, id: &str) -> (u16, String, String) {
-    stream.write_all(request(index, id).as_bytes()).expect("written");
+    stream
+        .write_all(request(index, id).as_bytes())
+        .expect("written");
     answer(stream)
 }
 
 pub fn health(router: &Router) -> u16 {
     let mut stream = router.connect();
-    stream.write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").expect("written");
+    stream
+        .write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+        .expect("written");
     answer(&mut stream).0
 }
 
-pub const WHOLE: &str = r#"{"full":true,"pieces":[{"cell":"v0","tablet":0},{"cell":"v1","tablet":1}]}"#;
+pub const WHOLE: &str =
+    r#"{"full":true,"pieces":[{"cell":"v0","tablet":0},{"cell":"v1","tablet":1}]}"#;
--- a/router/tests/drawn.rs
+++ b/router/tests/drawn.rs
@@ -89,7 +89,14 @@
     let from = draw.between(0, 1500);
     let rules = match kind {
         0 => {
-            let errors = ["ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "EINTR", "EPROTO"];
+            let errors = [
+                "ECONNABORTED",
+                "ENFILE",
+                "EMFILE",
+                "ENOBUFS",
+                "EINTR",
+                "EPROTO",
+            ];
             vec![Rule::fails(Call::Accept, Role::Listener, every, &errors)]
         }
         1 => [Call::Receive, Call::Send, Call::Accept, Call::Wait]
@@ -97,7 +104,9 @@
             .to_vec(),
         2 => {
             let most = draw.between(1, 40) as usize;
-            [Call::Receive, Call::Send].map(|call| Rule::new(call, Role::Any, 1, Does::Short(most))).to_vec()
+            [Call::Receive, Call::Send]
+                .map(|call| Rule::new(call, Role::Any, 1, Does::Short(most)))
+                .to_vec()
         }
         3 => {
             let error = draw.one(&["EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH", "ENOBUFS"]);
@@ -109,7 +118,12 @@
         }
         5 => {
             let errors = ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"];
-            vec![Rule::fails(Call::Receive, Role::Node, draw.between(15, 40), &errors)]
+            vec![Rule::fails(
+                Call::Receive,
+                Role::Node,
+                draw.between(15, 40),
+                &errors,
+            )]
         }
         6 => {
             let by_ms = draw.one(&[3_600_000, -3_600_000, 5000, -5000]);
@@ -117,17 +131,27 @@
         }
         _ => {
             let (on, ms) = (draw.one(&[Role::Node, Role::Client]), draw.between(50, 150));
-            vec![Rule::new(Call::Send, on, draw.between(20, 60), Does::HeldUp(ms))]
+            vec![Rule::new(
+                Call::Send,
+                on,
+                draw.between(20, 60),
+                Does::HeldUp(ms),
+            )]
         }
     };
     (rules, Vec::new())
 }
 
-const CLASSES: [(&str, Effect); 3] =
-    [("whole", Effect::Any), ("half", Effect::Within(5_000_000)), ("once", Effect::Once)];
+const CLASSES: [(&str, Effect); 3] = [
+    ("whole", Effect::Any),
+    ("half", Effect::Within(5_000_000)),
+    ("once", Effect::Once),
+];
 
 fn text(class: &str, id: &str, deadline: u64) -> Vec<u8> {
-    request(class, id).replace("Deadline-Ms: 2000", &format!("Deadline-Ms: {deadline}")).into_bytes()
+    request(class, id)
+        .replace("Deadline-Ms: 2000", &format!("Deadline-Ms: {deadline}"))
+        .into_bytes()
 }
 
 fn connect(address: SocketAddr) -> Option<TcpStream> {
@@ -146,11 +170,16 @@
             return;
         }
         let (class, effect) = draw.one(&CLASSES);
-        let (id, deadline) = (format!("{router}c{number}x{turn}"), draw.between(700, LONGEST));
+        let (id, deadline) = (
+            format!("{router}c{number}x{turn}"),
+            draw.between(700, LONGEST),
+        );
         let served = kept.is_some();
         let found = kept.take().filter(|stream| !has_ended(stream));
         let rested = served && found.is_some();
-        let Some(mut stream) = found.or_else(|| connect(address)) else { return };
+        let Some(mut stream) = found.or_else(|| connect(address)) else {
+            return;
+        };
         // A first request that comes late.
         if kind == 3 {
             thread::sleep(Duration::from_millis(draw.between(100, 1600)));
@@ -165,9 +194,12 @@
             if stream.write_all(&half[..half.len() / 2]).is_ok() {
                 let _ = stream.set_read_timeout(Some(Duration::from_millis(3300)));
                 let got = stream.read(&mut [0; 512]);
-                let waits =
-                    matches!(&got, Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut));
-                assert!(!waits, "half a request, and nothing for {:?}", began.elapsed());
+                let waits = matches!(&got, Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut));
+                assert!(
+                    !waits,
+                    "half a request, and nothing for {:?}",
+                    began.elapsed()
+                );
             }
             continue;
         }
@@ -178,7 +210,12 @@
             // Not all of it went out, or nobody can have read it.
             continue;
         }
-        let sent = Saw::Sent { id: id.clone(), router: router.to_owned(), deadline: deadline * 1000, effect };
+        let sent = Saw::Sent {
+            id: id.clone(),
+            router: router.to_owned(),
+            deadline: deadline * 1000,
+            effect,
+        };
         record.events.lock().unwrap().push((at, sent));
         if kind == 2 && draw.below(2) == 0 {
             thread::sleep(Duration::from_millis(draw.between(1, 80)));
@@ -206,14 +243,19 @@
         while let (Some((line, more)), 'q') = (left.split_once('\n'), letter) {
             let words: Vec<&str> = line.split(' ').collect();
             let (id, part) = words[0].rsplit_once('.').expect("a part's id");
-            let told = words[2].split(',').find_map(|of| of.strip_prefix("d=")).expect("a time");
+            let told = words[2]
+                .split(',')
+                .find_map(|of| of.strip_prefix("d="))
+                .expect("a time");
             record.saw(Saw::Came {
                 id: id.to_owned(),
                 part: part.parse().expect("a shard"),
                 node: name.clone(),
                 told: told.parse::<u64>().expect("milliseconds") * 1000,
             });
-            left = more.get(words[3].parse::<usize>().expect("a length")..).unwrap_or_default();
+            left = more
+                .get(words[3].parse::<usize>().expect("a length")..)
+                .unwrap_or_default();
         }
     })));
 }
@@ -239,26 +281,58 @@
     let drains = (draw.below(2) == 0).then(|| draw.between(100, 1000));
     let stop = (draw.below(4) > 0).then(|| draw.between(600, 1600));
     let said = format!("seed {seed}: {routers} routers, {hangs} hang at {hang_at}, discovery down {outage:?}, drains {drains:?}, stop {stop:?}, {rules:?}, {steps:?}");
-    let settings = SETTINGS.replace("\"deadline\":3000000", &format!("\"deadline\":{}", LONGEST * 1000));
+    let settings = SETTINGS.replace(
+        "\"deadline\":3000000",
+        &format!("\"deadline\":{}", LONGEST * 1000),
+    );
 
-    let record = Record { began: Instant::now(), events: Arc::default() };
+    let record = Record {
+        began: Instant::now(),
+        events: Arc::default(),
+    };
     let nodes: Vec<Node> = (0..3).map(|_| Node::start([Act::Serve; 2])).collect();
-    nodes.iter().enumerate().for_each(|(at, node)| watch(node, &format!("s{at}"), &record));
+    nodes
+        .iter()
+        .enumerate()
+        .for_each(|(at, node)| watch(node, &format!("s{at}"), &record));
     let listed = |status: &str| {
-        let of =
-            |at: usize| entry(&format!("s{at}"), nodes[at].address, if at == 1 { status } else { "Ready" });
+        let of = |at: usize| {
+            entry(
+                &format!("s{at}"),
+                nodes[at].address,
+                if at == 1 { status } else { "Ready" },
+            )
+        };
         [of(0), of(1), of(2)].join(",")
     };
     let (ready, draining) = (listed("Ready"), listed("Terminating"));
     let discovery = Discovery::default();
     discovery.set(|roster| roster.version = 1);
     let address = discovery.start();
-    let plan = Plan { seed, rules: rules.clone(), steps, ..Plan::default() };
+    let plan = Plan {
+        seed,
+        rules: rules.clone(),
+        steps,
+        ..Plan::default()
+    };
     let mut all: Vec<Faulty> = (0..routers)
-        .map(|_| Faulty::with(&settings, Vec::new(), discovery.clone(), address, &ready, &plan))
+        .map(|_| {
+            Faulty::with(
+                &settings,
+                Vec::new(),
+                discovery.clone(),
+                address,
+                &ready,
+                &plan,
+            )
+        })
+        .collect();
+    let acts: Vec<Arc<Mutex<[Act; 2]>>> = nodes
+        .iter()
+        .rev()
+        .take(hangs)
+        .map(|node| Arc::clone(&node.acts))
         .collect();
-    let acts: Vec<Arc<Mutex<[Act; 2]>>> =
-        nodes.iter().rev().take(hangs).map(|node| Arc::clone(&node.acts)).collect();
     let began = Instant::now();
     thread::scope(|scope| {
         for (at, of) in all.iter().enumerate() {
@@ -267,7 +341,8 @@
                 scope.spawn(move || client(number, seed, address, &format!("n{at}"), &record));
             }
         }
-        let until = |ms: u64| thread::sleep(Duration::from_millis(ms).saturating_sub(began.elapsed()));
+        let until =
+            |ms: u64| thread::sleep(Duration::from_millis(ms).saturating_sub(began.elapsed()));
         let (writes, discovery) = (record.clone(), discovery.clone());
         scope.spawn(move || {
             until(hang_at);
@@ -285,12 +360,15 @@
                 match what {
                     0 => discovery.set(|roster| roster.down = true),
                     1 => discovery.set(|roster| roster.down = false),
-                    _ => discovery.set(|roster| (roster.version, roster.changes) = (2, draining.clone())),
+                    _ => discovery
+                        .set(|roster| (roster.version, roster.changes) = (2, draining.clone())),
                 }
             }
             // Told from when it can be reached.
             if let Some(at) = drains {
-                let from = outage.filter(|of| (*of..of + 800).contains(&at)).map_or(at, |of| of + 800);
+                let from = outage
+                    .filter(|of| (*of..of + 800).contains(&at))
+                    .map_or(at, |of| of + 800);
                 until(from);
                 writes.saw(Saw::Drains { node: "s1".into() });
             }
@@ -318,25 +396,44 @@
         _ => None,
     });
     let terms = Terms::default();
-    let terms = Terms { gone: terms.gone + held.max().unwrap_or(0), ..terms };
-    let mut breaks: Vec<String> = check(&events, terms).iter().map(|of| format!("{of:?}")).collect();
+    let terms = Terms {
+        gone: terms.gone + held.max().unwrap_or(0),
+        ..terms
+    };
+    let mut breaks: Vec<String> = check(&events, terms)
+        .iter()
+        .map(|of| format!("{of:?}"))
+        .collect();
     if log.contains("panicked") {
         breaks.push("a process panicked".into());
     }
-    let sent = events.iter().filter(|(_, saw)| matches!(saw, Saw::Sent { .. })).count();
-    let whole = events.iter().filter(|(_, saw)| matches!(saw, Saw::Answered { status: 200, .. })).count();
-    println!("seed {seed}: {sent} sent, {whole} whole, strikes {strikes:?}, {} breaks", breaks.len());
+    let sent = events
+        .iter()
+        .filter(|(_, saw)| matches!(saw, Saw::Sent { .. }))
+        .count();
+    let whole = events
+        .iter()
+        .filter(|(_, saw)| matches!(saw, Saw::Answered { status: 200, .. }))
+        .count();
+    println!(
+        "seed {seed}: {sent} sent, {whole} whole, strikes {strikes:?}, {} breaks",
+        breaks.len()
+    );
     if !breaks.is_empty() {
         println!("{said}\n{breaks:?}\n{log}");
-        let ids: Vec<&str> = breaks.iter().filter_map(|of| of.split('"').nth(1)).collect();
-        for (at, saw) in events
+        let ids: Vec<&str> = breaks
             .iter()
-            .filter(|(_, saw)| ids.iter().any(|id| format!("{saw:?}").contains(&format!("\"{id}\""))))
-        {
+            .filter_map(|of| of.split('"').nth(1))
+            .collect();
+        for (at, saw) in events.iter().filter(|(_, saw)| {
+            ids.iter()
+                .any(|id| format!("{saw:?}").contains(&format!("\"{id}\"")))
+        }) {
             println!("{at} {saw:?}");
         }
-        for (at, saw) in
-            events.iter().filter(|(_, saw)| matches!(saw, Saw::ToldToEnd { .. } | Saw::Killed { .. }))
+        for (at, saw) in events
+            .iter()
+            .filter(|(_, saw)| matches!(saw, Saw::ToldToEnd { .. } | Saw::Killed { .. }))
         {
             println!("{at} {saw:?}");
         }
@@ -346,10 +443,15 @@
 
 /// Tells a process to end, and kills it as early as the protocol allows.
 fn record_stop<'scope>(
-    of: &'scope mut Faulty, name: &str, scope: &'scope thread::Scope<'scope, '_>, record: &Record,
+    of: &'scope mut Faulty,
+    name: &str,
+    scope: &'scope thread::Scope<'scope, '_>,
+    record: &Record,
 ) {
     let (name, record) = (name.to_owned(), record.clone());
-    record.saw(Saw::ToldToEnd { router: name.clone() });
+    record.saw(Saw::ToldToEnd {
+        router: name.clone(),
+    });
     of.router.signal("-TERM");
     let told = Instant::now();
     scope.spawn(move || {
@@ -370,7 +472,9 @@
     thread::scope(|scope| {
         for _ in 0..abreast {
             scope.spawn(|| loop {
-                let Some(seed) = next.lock().unwrap().next() else { return };
+                let Some(seed) = next.lock().unwrap().next() else {
+                    return;
+                };
                 let (strikes, breaks) = play(seed);
                 results.lock().unwrap().push((seed, strikes, breaks));
             });
@@ -381,15 +485,27 @@
     for (_, strikes, breaks) in &results {
         for (kind, count) in strikes {
             let of = by_kind.entry(*kind).or_default();
-            *of = (of.0 + 1, of.1 + usize::from(!breaks.is_empty()), of.2 + count);
+            *of = (
+                of.0 + 1,
+                of.1 + usize::from(!breaks.is_empty()),
+                of.2 + count,
+            );
         }
     }
     for (kind, (drawn, broken, struck)) in &by_kind {
         println!("| {} | {drawn} | {struck} | {broken} |", KINDS[*kind]);
     }
-    let broken: Vec<u64> = results.iter().filter(|of| !of.2.is_empty()).map(|of| of.0).collect();
+    let broken: Vec<u64> = results
+        .iter()
+        .filter(|of| !of.2.is_empty())
+        .map(|of| of.0)
+        .collect();
     assert!(broken.is_empty(), "seeds with broken rules: {broken:?}");
-    let idle: Vec<&str> = by_kind.iter().filter(|of| of.1 .2 == 0).map(|of| KINDS[*of.0]).collect();
+    let idle: Vec<&str> = by_kind
+        .iter()
+        .filter(|of| of.1 .2 == 0)
+        .map(|of| KINDS[*of.0])
+        .collect();
     assert!(idle.is_empty(), "faults that never struck: {idle:?}");
     assert_eq!(results.len() as u64, seeds.end - seeds.start);
 }
@@ -404,5 +520,8 @@
 fn no_rule_is_broken_under_faults_drawn_by_many_seeds() {
     let range = std::env::var("DRAWN").unwrap_or_else(|_| "1..101".into());
     let (from, to) = range.split_once("..").expect("DRAWN=FROM..TO");
-    plays(from.parse().expect("a number")..to.parse().expect("a number"), 6);
+    plays(
+        from.parse().expect("a number")..to.parse().expect("a number"),
+        6,
+    );
 }
--- a/router/tests/endings.rs
+++ b/router/tests/endings.rs
@@ -26,7 +26,10 @@
         for node in nodes {
             let into = record.clone();
             node.watch(Some(Arc::new(move |letter, rest| {
-                into.0.lock().unwrap().push((Instant::now(), letter, rest.to_owned()));
+                into.0
+                    .lock()
+                    .unwrap()
+                    .push((Instant::now(), letter, rest.to_owned()));
             })));
         }
         record
@@ -34,13 +37,24 @@
 
     /// Calls that have come after `then`.
     fn calls_after(&self, then: Instant) -> usize {
-        self.0.lock().unwrap().iter().filter(|(at, letter, _)| *letter == 'q' && *at > then).count()
+        self.0
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|(at, letter, _)| *letter == 'q' && *at > then)
+            .count()
     }
 
     /// Waits for the first frame of a letter.
     fn wait(&self, wanted: char) {
         let late = Instant::now() + BOUND;
-        while !self.0.lock().unwrap().iter().any(|(_, letter, _)| *letter == wanted) {
+        while !self
+            .0
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|(_, letter, _)| *letter == wanted)
+        {
             assert!(Instant::now() < late, "a frame '{wanted}' in time");
             thread::sleep(MS);
         }
@@ -67,9 +81,17 @@
 fn in_hand(index: &str) -> InHand {
     let (router, nodes, _discovery) = Router::with(&[Act::Silent, Act::Silent]);
     let (record, mut client) = (Record::of(&nodes), router.connect());
-    client.write_all(request(index, "r").as_bytes()).expect("written");
+    client
+        .write_all(request(index, "r").as_bytes())
+        .expect("written");
     record.wait('q');
-    InHand { router, nodes, record, client, _discovery }
+    InHand {
+        router,
+        nodes,
+        record,
+        client,
+        _discovery,
+    }
 }
 
 /// Whether the connection ends in order; what comes before its end is passed over.
@@ -98,7 +120,9 @@
 #[test_case(Outage::Silent(5); "calls stay unanswered for a while")]
 #[test_case(Outage::Refused(3); "calls are refused for a while")]
 #[test_case(Outage::Cut(1); "an open watch is cut off, and calls for a while")]
-fn a_change_is_known_within_six_seconds_of_when_discovery_had_it_and_could_be_reached(outage: Outage) {
+fn a_change_is_known_within_six_seconds_of_when_discovery_had_it_and_could_be_reached(
+    outage: Outage,
+) {
     let (router, nodes, discovery) = Router::with(&[Act::Serve, Act::Serve]);
     discovery.set(|roster| roster.version = 1);
     discovery.wait_until(|roster| roster.calls >= 1 && roster.asked == 1);
@@ -130,9 +154,16 @@
     let record = Record::of(&nodes[..1]);
     let then = Instant::now();
     for id in 0..8 {
-        assert_eq!(ask(&mut router.connect(), "whole", &format!("r{id}")).0, 200);
+        assert_eq!(
+            ask(&mut router.connect(), "whole", &format!("r{id}")).0,
+            200
+        );
     }
-    assert_eq!(record.calls_after(then), 0, "the node that drains gets nothing new");
+    assert_eq!(
+        record.calls_after(then),
+        0,
+        "the node that drains gets nothing new"
+    );
 }
 
 /// An answer of discovery's without a length is whole when its connection ends, and the next call is made on a new one.
@@ -157,7 +188,8 @@
     discovery.wait_until(|roster| roster.calls >= 1);
     // The whole list comes from where discovery has moved to.
     let new = Discovery::default();
-    let listed = entry("s0", nodes[0].address, "Ready").replace("\"group\":0", "\"group\":\"none\"");
+    let listed =
+        entry("s0", nodes[0].address, "Ready").replace("\"group\":0", "\"group\":\"none\"");
     new.set(|roster| (roster.version, roster.changes) = (7, listed));
     let address = new.start().to_string();
     router.reload(|text| text.replace(&router.discovery.to_string(), &address));
@@ -178,7 +210,11 @@
     of.client.set_nonblocking(true).expect("a socket");
     for id in 0..ahead {
         // What the way there does not hold is not sent.
-        if of.client.write(request("whole", &format!("a{id}")).as_bytes()).is_err() {
+        if of
+            .client
+            .write(request("whole", &format!("a{id}")).as_bytes())
+            .is_err()
+        {
             break;
         }
     }
@@ -211,9 +247,14 @@
     assert_eq!(ask(&mut router.connect(), "whole", "first").0, 200);
     let open = router.connect();
     router.signal("-STOP");
-    for (at, mut client) in [open, router.connect(), router.connect()].into_iter().enumerate() {
+    for (at, mut client) in [open, router.connect(), router.connect()]
+        .into_iter()
+        .enumerate()
+    {
         for id in 0..requests {
-            client.write_all(request("whole", &format!("r{at}-{id}")).as_bytes()).expect("written");
+            client
+                .write_all(request("whole", &format!("r{at}-{id}")).as_bytes())
+                .expect("written");
         }
     }
     let left = Instant::now();
@@ -222,8 +263,14 @@
     assert_eq!(ask(&mut router.connect(), "whole", "last").0, 200);
     thread::sleep(100 * MS);
     let calls = record.0.lock().unwrap().clone();
-    let calls: Vec<_> = calls.into_iter().filter(|(at, letter, _)| *letter == 'q' && *at > left).collect();
-    assert!(calls.iter().all(|(_, _, text)| text.starts_with("last.")), "{calls:?}");
+    let calls: Vec<_> = calls
+        .into_iter()
+        .filter(|(at, letter, _)| *letter == 'q' && *at > left)
+        .collect();
+    assert!(
+        calls.iter().all(|(_, _, text)| text.starts_with("last.")),
+        "{calls:?}"
+    );
 }
 
 /// Whoever shuts its way to the router waits for nothing more.
@@ -241,7 +288,9 @@
 fn a_probe_that_half_closes_is_answered() {
     let (router, _nodes, _discovery) = Router::with(&[Act::Serve]);
     let mut probe = router.connect();
-    probe.write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("written");
+    probe
+        .write_all(b"GET /_health HTTP/1.1\r\n\r\n")
+        .expect("written");
     probe.shutdown(Shutdown::Write).expect("shut");
     assert_eq!(answer(&mut probe).0, 200);
 }
@@ -290,10 +339,14 @@
         assert_eq!(ask(client, "whole", &format!("r{id}")).0, 200);
     }
     router.signal("-STOP");
-    resting[0].write_all(request("whole", "again").as_bytes()).expect("written");
+    resting[0]
+        .write_all(request("whole", "again").as_bytes())
+        .expect("written");
     let mut more: Vec<TcpStream> = (0..14).map(|_| router.connect()).collect();
     for (id, client) in more.iter_mut().enumerate() {
-        client.write_all(request("whole", &format!("m{id}")).as_bytes()).expect("written");
+        client
+            .write_all(request("whole", &format!("m{id}")).as_bytes())
+            .expect("written");
     }
     router.signal("-CONT");
     assert_eq!(answer(&mut resting[0]).2, WHOLE);
@@ -313,7 +366,9 @@
     client.write_all(last.as_bytes()).expect("written");
     nodes[0].frame('q');
     // More than the router reads ahead.
-    client.write_all("x".repeat(150_000).as_bytes()).expect("written");
+    client
+        .write_all("x".repeat(150_000).as_bytes())
+        .expect("written");
     ["r.0", "r.1"].iter().for_each(|id| nodes[0].answer(id));
     thread::sleep(200 * MS);
     let (status, head, _) = answer(&mut client);
@@ -338,7 +393,9 @@
     thread::sleep((500 * MS).saturating_sub(told.elapsed()));
     // It stands still over the moment in which it closes.
     router.signal("-STOP");
-    resting.write_all(request("whole", "r2").as_bytes()).expect("written");
+    resting
+        .write_all(request("whole", "r2").as_bytes())
+        .expect("written");
     thread::sleep((900 * MS).saturating_sub(told.elapsed()));
     let then = Instant::now();
     router.signal("-CONT");
@@ -364,7 +421,9 @@
     thread::sleep(20 * MS);
     resting.write_all(rest).expect("written");
     thread::sleep(20 * MS);
-    resting.shutdown(Shutdown::Write).expect("the connection still stands");
+    resting
+        .shutdown(Shutdown::Write)
+        .expect("the connection still stands");
     assert!(ends_in_order(&mut resting) && router.ended());
     assert_eq!(record.calls_after(then), 0);
 }
@@ -374,7 +433,8 @@
 fn what_is_taken_late_in_a_stop_is_answered_before_the_router_may_be_killed() {
     let (mut router, nodes, _discovery) = Router::with(&[Act::Silent]);
     let mut slow = router.connect();
-    slow.write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("written");
+    slow.write_all(b"GET /_health HTTP/1.1\r\n\r\n")
+        .expect("written");
     assert_eq!(answer(&mut slow).0, 200);
     let text = request("whole", "r1").replace("Deadline-Ms: 2000", "Deadline-Ms: 3000");
     let (first, rest) = text.as_bytes().split_at(40);
@@ -401,7 +461,11 @@
     // Some say nothing, some half of something, some rest behind an answer.
     let mut resting: Vec<TcpStream> = (0..150).map(|_| router.connect()).collect();
     for (at, stream) in resting.iter_mut().enumerate() {
-        let text = ["", "POST /whole HTTP/1.1\r\n", "GET /_health HTTP/1.1\r\n\r\n"][at % 3];
+        let text = [
+            "",
+            "POST /whole HTTP/1.1\r\n",
+            "GET /_health HTTP/1.1\r\n\r\n",
+        ][at % 3];
         // Those that gave way already are gone.
         let _ = stream.write_all(text.as_bytes());
     }
@@ -421,7 +485,9 @@
     let (node, discovery) = (Node::start([Act::Serve; 2]), Discovery::default());
     discovery.set(|roster| (roster.silent, roster.down) = (how == "silent", how == "down"));
     let (address, known) = (discovery.start(), entry("s0", node.address, "Ready"));
-    let mut routers: Vec<Router> = (0..20).map(|_| Router::start(address, &known, 256)).collect();
+    let mut routers: Vec<Router> = (0..20)
+        .map(|_| Router::start(address, &known, 256))
+        .collect();
     for router in &mut routers {
         router.signal("-KILL");
         router.child.wait().expect("it ends");
@@ -431,9 +497,14 @@
     assert_eq!(started.len(), 20);
     let mut ready = Vec::new();
     for (at, router) in routers.iter().enumerate() {
-        eventually("a restarted router is ready", || TcpStream::connect(router.address).is_ok());
+        eventually("a restarted router is ready", || {
+            TcpStream::connect(router.address).is_ok()
+        });
         assert_eq!(health(router), 200);
-        assert_eq!(ask(&mut router.connect(), "whole", &format!("r{at}")).2, WHOLE);
+        assert_eq!(
+            ask(&mut router.connect(), "whole", &format!("r{at}")).2,
+            WHOLE
+        );
         ready.push(began.elapsed());
     }
     ready.sort();
@@ -446,11 +517,19 @@
 #[test]
 fn a_second_that_holds_too_much_is_found() {
     let at = |from: u64, count: u64, apart: u64| -> Vec<Duration> {
-        (0..count).map(|number| Duration::from_millis(from + number * apart)).collect()
+        (0..count)
+            .map(|number| Duration::from_millis(from + number * apart))
+            .collect()
     };
     assert_eq!(overrun(&at(0, 10, 1)), None);
-    assert_eq!(overrun(&at(0, 11, 1)).map(|(first, count, _)| (first, count)), Some((Duration::ZERO, 11)));
-    assert_eq!((overrun(&at(1000, 11, 1)), overrun(&at(0, 11, 200))), (None, None));
+    assert_eq!(
+        overrun(&at(0, 11, 1)).map(|(first, count, _)| (first, count)),
+        Some((Duration::ZERO, 11))
+    );
+    assert_eq!(
+        (overrun(&at(1000, 11, 1)), overrun(&at(0, 11, 200))),
+        (None, None)
+    );
 }
 
 /// The cold node is the only holder of its shard, and each process is asked for far more than it may send there. They hear of
@@ -466,7 +545,9 @@
     let listed = |at: usize, since: u128| {
         let since = format!(r#""since_ms":{since}"#);
         let entry = entry(&format!("s{at}"), nodes[at].address, "Ready");
-        entry.replace(r#""group":0"#, &format!(r#""group":{at}"#)).replace(r#""since_ms":0"#, &since)
+        entry
+            .replace(r#""group":0"#, &format!(r#""group":{at}"#))
+            .replace(r#""since_ms":0"#, &since)
     };
     let (discovery, known) = (Discovery::default(), listed(0, 0));
     discovery.set(|roster| roster.version = 1);
@@ -477,7 +558,10 @@
     let mut routers: Vec<Router> = (0..processes).map(start).collect();
     let record = Record::of(&nodes[1..]);
     let (started, unix) = (Instant::now(), std::time::SystemTime::now());
-    let unix = unix.duration_since(std::time::UNIX_EPOCH).expect("a time").as_millis();
+    let unix = unix
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("a time")
+        .as_millis();
     thread::sleep(1500 * MS);
     let changes = [listed(0, 0), listed(1, unix)].join(",");
     discovery.set(|roster| (roster.version, roster.changes) = (2, changes));
@@ -495,7 +579,9 @@
                     // While it is restarted, nobody is there.
                     if let Ok(mut stream) = TcpStream::connect(address) {
                         let _ = stream.set_read_timeout(Some(BOUND));
-                        let _ = stream.write_all(text.as_bytes()).and_then(|()| stream.read(&mut [0; 512]));
+                        let _ = stream
+                            .write_all(text.as_bytes())
+                            .and_then(|()| stream.read(&mut [0; 512]));
                     }
                     thread::sleep(20 * MS);
                 }
@@ -509,8 +595,11 @@
         }
     });
     let calls = record.0.lock().unwrap();
-    let sent: Vec<Duration> =
-        calls.iter().filter(|call| call.1 == 'q').map(|call| call.0 - started).collect();
+    let sent: Vec<Duration> = calls
+        .iter()
+        .filter(|call| call.1 == 'q')
+        .map(|call| call.0 - started)
+        .collect();
     assert_eq!(overrun(&sent), None);
     assert!(sent.len() >= 10, "{} in all", sent.len());
 }
--- a/router/tests/faults.rs
+++ b/router/tests/faults.rs
@@ -18,12 +18,20 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn plan(rules: Vec<Rule>) -> Plan {
-    Plan { seed: 1, rules, ..Plan::default() }
+    Plan {
+        seed: 1,
+        rules,
+        ..Plan::default()
+    }
 }
 
 /// How many requests 16 clients have answered in a fifth of a second, each on a connection of its own, and how many were not.
 fn served(of: &Faulty, turn: usize) -> (usize, usize) {
-    let (served, lost, over) = (AtomicUsize::new(0), AtomicUsize::new(0), AtomicBool::new(false));
+    let (served, lost, over) = (
+        AtomicUsize::new(0),
+        AtomicUsize::new(0),
+        AtomicBool::new(false),
+    );
     let address = of.router.address;
     thread::scope(|scope| {
         for client in 0..16 {
@@ -35,7 +43,8 @@
                     }
                     let mut stream = TcpStream::connect(address).expect("a connection");
                     stream.set_read_timeout(Some(BOUND)).expect("a time-out");
-                    let whole = ask(&mut stream, "whole", &format!("c{turn}x{client}x{number}")).0 == 200;
+                    let whole =
+                        ask(&mut stream, "whole", &format!("c{turn}x{client}x{number}")).0 == 200;
                     if whole { served } else { lost }.fetch_add(1, Ordering::Relaxed);
                 }
             });
@@ -66,9 +75,20 @@
         assert_eq!((lost, lost_too), (0, 0));
     }
     ill.all_struck();
-    assert!(under * 2 > usual, "{under} served, {usual} without faults, {} struck", ill.strikes.of(0));
-    println!("{errors:?}: {under} served of {usual}, {} struck", ill.strikes.of(0));
-    let lines = ill.log().lines().filter(|line| line.contains("cannot accept")).count();
+    assert!(
+        under * 2 > usual,
+        "{under} served, {usual} without faults, {} struck",
+        ill.strikes.of(0)
+    );
+    println!(
+        "{errors:?}: {under} served of {usual}, {} struck",
+        ill.strikes.of(0)
+    );
+    let lines = ill
+        .log()
+        .lines()
+        .filter(|line| line.contains("cannot accept"))
+        .count();
     assert!(lines <= 3, "{lines} lines of one fault");
 }
 
@@ -82,7 +102,11 @@
     assert_eq!(ask(&mut of.router.connect(), "whole", "r").0, 200);
     assert!(began.elapsed() < 1100 * MS, "after {:?}", began.elapsed());
     of.all_struck();
-    assert!(of.strikes.of(0) < 200, "{} tries in a second", of.strikes.of(0));
+    assert!(
+        of.strikes.of(0) < 200,
+        "{} tries in a second",
+        of.strikes.of(0)
+    );
 }
 
 /// The signal's bytes came in parts, with failed reads between: SIGTERM was not obeyed.
@@ -95,7 +119,11 @@
 /// Cases beside each other; all of them are played, whatever one shows.
 fn together<T: FnOnce() + Send + 'static>(cases: impl IntoIterator<Item = T>) {
     let played: Vec<_> = cases.into_iter().map(thread::spawn).collect();
-    let failed = played.into_iter().map(thread::JoinHandle::join).filter(Result::is_err).count();
+    let failed = played
+        .into_iter()
+        .map(thread::JoinHandle::join)
+        .filter(Result::is_err)
+        .count();
     assert_eq!(failed, 0, "cases that failed");
 }
 
@@ -113,30 +141,56 @@
     }
     let mut of = Faulty::start(SETTINGS, &[Act::Serve, Act::Serve], &plan(rules));
     for id in 0..20 {
-        assert_eq!(ask(&mut of.router.connect(), "whole", &format!("r{id}")).2, WHOLE);
+        assert_eq!(
+            ask(&mut of.router.connect(), "whole", &format!("r{id}")).2,
+            WHOLE
+        );
     }
     of.router.signal("-TERM");
     let told = Instant::now();
     assert_eq!(ask(&mut of.router.connect(), "whole", "late").2, WHOLE);
-    assert!(of.router.ended() && told.elapsed() < 3700 * MS, "after {:?}", told.elapsed());
+    assert!(
+        of.router.ended() && told.elapsed() < 3700 * MS,
+        "after {:?}",
+        told.elapsed()
+    );
     of.all_struck();
     let log = of.log();
     let lines = |what: &str| log.lines().filter(|line| line.contains(what)).count();
     assert_eq!(lines("stopping: "), 3, "{log}");
-    assert_eq!((lines("passed over"), lines("could not be read")), (0, 0), "{log}");
+    assert_eq!(
+        (lines("passed over"), lines("could not be read")),
+        (0, 0),
+        "{log}"
+    );
 }
 
 /// Dials that fail at once, for 0.4 s: a lookup's attempts were gone within a millisecond.
 #[test]
 fn dials_that_fail_for_a_moment_lose_no_lookup_and_blame_no_node() {
-    let connects = ["EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH", "ENOBUFS", "EINTR"];
+    let connects = [
+        "EADDRNOTAVAIL",
+        "ENETUNREACH",
+        "EHOSTUNREACH",
+        "ENOBUFS",
+        "EINTR",
+    ];
     let connects = connects.map(|error| (Call::Connect, error));
     let sockets = ["EMFILE", "ENFILE", "ENOBUFS"].map(|error| (Call::Socket, error));
-    together(connects.into_iter().chain(sockets).map(|(call, error)| move || dials_fail(call, error)));
+    together(
+        connects
+            .into_iter()
+            .chain(sockets)
+            .map(|(call, error)| move || dials_fail(call, error)),
+    );
 }
 
 fn dials_fail(call: Call, error: &'static str) {
-    let on = if call == Call::Socket { Role::Any } else { Role::Node };
+    let on = if call == Call::Socket {
+        Role::Any
+    } else {
+        Role::Node
+    };
     let rules = vec![Rule::fails(call, on, 1, &[error]).between(800, 1200)];
     let of = Faulty::start(SETTINGS, &[Act::Serve, Act::Serve], &plan(rules));
     thread::sleep(900 * MS);
@@ -146,10 +200,17 @@
             thread::spawn(move || ask(&mut stream, "whole", &format!("r{id}")))
         })
         .collect();
-    let answers: Vec<_> = clients.into_iter().map(|client| client.join().expect("a client")).collect();
+    let answers: Vec<_> = clients
+        .into_iter()
+        .map(|client| client.join().expect("a client"))
+        .collect();
     of.all_struck();
     let statuses: Vec<u16> = answers.iter().map(|answer| answer.0).collect();
-    assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}\n{}", of.log());
+    assert!(
+        statuses.iter().all(|status| *status == 200),
+        "{statuses:?}\n{}",
+        of.log()
+    );
     assert!(!of.log().contains("doubted"), "{}", of.log());
 }
 
@@ -162,7 +223,11 @@
     let rules = vec![Rule::fails(Call::Receive, Role::Node, 7, &[error])];
     let of = Faulty::start(SETTINGS, &[Act::Serve, Act::Serve], &plan(rules));
     for id in 0..40 {
-        assert_eq!(ask(&mut of.router.connect(), "whole", &format!("r{id}")).2, WHOLE, "r{id}");
+        assert_eq!(
+            ask(&mut of.router.connect(), "whole", &format!("r{id}")).2,
+            WHOLE,
+            "r{id}"
+        );
     }
     of.all_struck();
 }
@@ -178,7 +243,9 @@
 #[test_case(HOUR, true; "an hour ahead, and it started before the router")]
 #[test_case(-HOUR, true; "an hour behind, and it started before the router")]
 fn a_cold_node_is_known_to_be_cold_whatever_the_wall_clock_reads(by_ms: i64, before: bool) {
-    let settings = SETTINGS.replace(r#""rules":{"#, RAMP).replace(r#""positions":1"#, r#""positions":2"#);
+    let settings = SETTINGS
+        .replace(r#""rules":{"#, RAMP)
+        .replace(r#""positions":1"#, r#""positions":2"#);
     let nodes = vec![Node::start([Act::Serve; 2]), Node::start([Act::Serve; 2])];
     let addresses = [nodes[0].address, nodes[1].address];
     let listed = |at: usize, since: u128| {
@@ -195,9 +262,23 @@
     discovery.set(|roster| roster.version = 1);
     let address = discovery.start();
     let (mut started, mut since) = (Instant::now(), unix());
-    let known = if before { [listed(0, 0), listed(1, since)].join(",") } else { listed(0, 0) };
+    let known = if before {
+        [listed(0, 0), listed(1, since)].join(",")
+    } else {
+        listed(0, 0)
+    };
     let steps = vec![ternpick_faults::Step { at_ms: 0, by_ms }];
-    let of = Faulty::with(&settings, nodes, discovery, address, &known, &Plan { steps, ..plan(Vec::new()) });
+    let of = Faulty::with(
+        &settings,
+        nodes,
+        discovery,
+        address,
+        &known,
+        &Plan {
+            steps,
+            ..plan(Vec::new())
+        },
+    );
     of.discovery.wait_until(|roster| roster.asked == 1);
     if !before {
         (started, since) = (Instant::now(), unix());
@@ -209,8 +290,9 @@
             into.lock().unwrap().push(started.elapsed());
         }
     })));
-    of.discovery
-        .set(|roster| (roster.version, roster.changes) = (2, [listed(0, 0), listed(1, since)].join(",")));
+    of.discovery.set(|roster| {
+        (roster.version, roster.changes) = (2, [listed(0, 0), listed(1, since)].join(","))
+    });
     let address = of.router.address;
     thread::scope(|scope| {
         for client in 0..8 {
@@ -234,7 +316,11 @@
     let cold: Vec<Duration> = sent.iter().copied().filter(|at| *at < 6000 * MS).collect();
     assert_eq!(overrun(&cold), None);
     let warm = sent.iter().filter(|at| **at > 7000 * MS).count();
-    assert!(cold.len() >= 10 && warm > 60, "{} while cold, {warm} in 1.5 s once warm", cold.len());
+    assert!(
+        cold.len() >= 10 && warm > 60,
+        "{} while cold, {warm} in 1.5 s once warm",
+        cold.len()
+    );
 }
 
 /// A client's machine is gone and its connection breaks, however that shows: its parts are given up, and none is begun.
@@ -249,7 +335,10 @@
     std::io::Write::write_all(&mut client, request("whole", "r").as_bytes()).expect("written");
     of.nodes.iter().for_each(|node| drop(node.sends()));
     thread::sleep(500 * MS);
-    let (left, calls) = (Instant::now(), std::sync::Arc::new(std::sync::Mutex::new(Vec::new())));
+    let (left, calls) = (
+        Instant::now(),
+        std::sync::Arc::new(std::sync::Mutex::new(Vec::new())),
+    );
     for node in &of.nodes {
         let into = calls.clone();
         node.watch(Some(std::sync::Arc::new(move |letter, _: &str| {
@@ -261,9 +350,16 @@
     thread::sleep(1200 * MS);
     of.all_struck();
     let calls = calls.lock().unwrap();
-    assert!(calls.iter().any(|(at, letter)| *letter == 'c' && *at < 100 * MS), "given up at once: {calls:?}");
     assert!(
-        !calls.iter().any(|(at, letter)| *letter == 'q' && *at > 100 * MS),
+        calls
+            .iter()
+            .any(|(at, letter)| *letter == 'c' && *at < 100 * MS),
+        "given up at once: {calls:?}"
+    );
+    assert!(
+        !calls
+            .iter()
+            .any(|(at, letter)| *letter == 'q' && *at > 100 * MS),
         "begun for nobody: {calls:?}"
     );
 }
@@ -272,16 +368,24 @@
 #[test]
 fn a_request_sent_ahead_is_passed_on_with_what_its_client_has_left() {
     let of = Faulty::start(SETTINGS, &[Act::Silent], &plan(Vec::new()));
-    let timed =
-        |id: &str, ms: u64| request("half", id).replace("Deadline-Ms: 2000", &format!("Deadline-Ms: {ms}"));
+    let timed = |id: &str, ms: u64| {
+        request("half", id).replace("Deadline-Ms: 2000", &format!("Deadline-Ms: {ms}"))
+    };
     let mut client = of.router.connect();
-    let (told, sent) = (std::sync::Arc::new(std::sync::Mutex::new(Vec::new())), Instant::now());
+    let (told, sent) = (
+        std::sync::Arc::new(std::sync::Mutex::new(Vec::new())),
+        Instant::now(),
+    );
     let into = told.clone();
     of.nodes[0].watch(Some(std::sync::Arc::new(move |letter, rest: &str| {
-        let told =
-            rest.split("d=").nth(1).and_then(|rest| rest.split([',', ' ']).next()?.parse::<u64>().ok());
+        let told = rest
+            .split("d=")
+            .nth(1)
+            .and_then(|rest| rest.split([',', ' ']).next()?.parse::<u64>().ok());
         if let ('q', Some(told)) = (letter, told) {
-            into.lock().unwrap().push((sent.elapsed().as_millis() as u64, rest.to_owned(), told));
+            into.lock()
+                .unwrap()
+                .push((sent.elapsed().as_millis() as u64, rest.to_owned(), told));
         }
     })));
     let both = timed("a", 700) + &timed("b", 1000);
@@ -291,11 +395,21 @@
     *of.nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
     answer(&mut client);
     answer(&mut client);
-    assert!(sent.elapsed() < 1200 * MS, "both are answered in their time, after {:?}", sent.elapsed());
+    assert!(
+        sent.elapsed() < 1200 * MS,
+        "both are answered in their time, after {:?}",
+        sent.elapsed()
+    );
     let told = told.lock().unwrap();
-    let behind: Vec<_> = told.iter().filter(|(_, text, _)| text.starts_with("b.")).collect();
+    let behind: Vec<_> = told
+        .iter()
+        .filter(|(_, text, _)| text.starts_with("b."))
+        .collect();
     assert!(!behind.is_empty(), "{told:?}");
-    assert!(behind.iter().all(|(at, _, told)| told + at <= 1000 + 150), "{behind:?}");
+    assert!(
+        behind.iter().all(|(at, _, told)| told + at <= 1000 + 150),
+        "{behind:?}"
+    );
 }
 
 /// Accepts fail while the listener goes: who waits in it is answered once they pass. Peers that have gone do not count.
@@ -308,7 +422,11 @@
 /// For so many milliseconds, or a hundred times.
 fn last_accepts_fail(error: &str, ms: u64) {
     let mut rule = Rule::fails(Call::Accept, Role::Listener, 1, &[error]);
-    rule = if ms > 0 { rule.between(1500, 1500 + ms) } else { rule.between(1500, 60_000).most(100) };
+    rule = if ms > 0 {
+        rule.between(1500, 1500 + ms)
+    } else {
+        rule.between(1500, 60_000).most(100)
+    };
     let began = Instant::now();
     let of = Faulty::start(SETTINGS, &[Act::Serve, Act::Serve], &plan(vec![rule]));
     thread::sleep((900 * MS).saturating_sub(began.elapsed()));
--- a/router/tests/identity.rs
+++ b/router/tests/identity.rs
@@ -30,7 +30,11 @@
 #[test_case("once", "find", "CREW", 403, "insufficient_scope"; "no grant")]
 #[test_case("nowhere", "find", "CREW", 403, "insufficient_scope"; "no such index is told as no grant")]
 fn a_request_is_judged_before_anything_is_told(
-    index: &str, statement: &str, headers: &str, status: u16, says: &str,
+    index: &str,
+    statement: &str,
+    headers: &str,
+    status: u16,
+    says: &str,
 ) {
     let world = World::new();
     let guarded = Guarded::start(&world);
@@ -45,7 +49,16 @@
     assert_eq!((got, head.contains(says)), (status, true), "{head}{body}");
     if matches!(status, 401 | 403) {
         // The connection stays, and with the right token it is served.
-        assert_eq!(ask(&mut stream, "whole", "find", &bearer(&world.token(&["crew"]))).0, 200);
+        assert_eq!(
+            ask(
+                &mut stream,
+                "whole",
+                "find",
+                &bearer(&world.token(&["crew"]))
+            )
+            .0,
+            200
+        );
     }
     assert_eq!(health(&guarded.router), 200);
 }
@@ -55,20 +68,34 @@
     let world = World::new();
     let guarded = Guarded::start(&world);
     *guarded.nodes[0].acts.lock().unwrap() = [Act::Silent; 2];
-    let (token, other) = (world.claims("a", "north", &["crew"], 300), world.token(&["crew"]));
+    let (token, other) = (
+        world.claims("a", "north", &["crew"], 300),
+        world.token(&["crew"]),
+    );
     let (id, token) = (token.jti.clone(), world.mint(&token));
     let mut stream = guarded.router.connect();
     send(&mut stream, "whole", "find", &bearer(&token));
     let frame = guarded.nodes[0].frame('q');
-    let ids: Vec<&str> =
-        frame.split("find").filter_map(|line| line.split(' ').next()).filter(|id| !id.is_empty()).collect();
+    let ids: Vec<&str> = frame
+        .split("find")
+        .filter_map(|line| line.split(' ').next())
+        .filter(|id| !id.is_empty())
+        .collect();
     world.revoke("token", &id);
     guarded.log_has("1 words on revocations");
     ids.iter().for_each(|id| guarded.nodes[0].answer(id));
     assert_eq!(receive(&mut stream).0, 200, "taken before");
     *guarded.nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
-    assert_eq!(ask(&mut stream, "whole", "find", &bearer(&token)).0, 401, "on the same connection");
-    assert_eq!(ask(&mut stream, "whole", "find", &bearer(&other)).0, 200, "another's token");
+    assert_eq!(
+        ask(&mut stream, "whole", "find", &bearer(&token)).0,
+        401,
+        "on the same connection"
+    );
+    assert_eq!(
+        ask(&mut stream, "whole", "find", &bearer(&other)).0,
+        200,
+        "another's token"
+    );
 }
 
 #[test]
@@ -82,7 +109,11 @@
     let frame = guarded.nodes[0].frame('q');
     world.rotate("k2", 0, 60);
     guarded.log_has("2 keys, new: k2");
-    for id in frame.split("find").filter_map(|line| line.split(' ').next()).filter(|id| !id.is_empty()) {
+    for id in frame
+        .split("find")
+        .filter_map(|line| line.split(' ').next())
+        .filter(|id| !id.is_empty())
+    {
         guarded.nodes[0].answer(id);
     }
     assert_eq!(receive(&mut stream).0, 200);
@@ -111,7 +142,15 @@
     let token = world.token(&["crew"]);
     let other = {
         let mut other = ternpick_identity::workshop::Workshop::default();
-        other.new_key("z", Algorithm::Es256, now(), 0, &ring::rand::SystemRandom::new()).expect("a key");
+        other
+            .new_key(
+                "z",
+                Algorithm::Es256,
+                now(),
+                0,
+                &ring::rand::SystemRandom::new(),
+            )
+            .expect("a key");
         other.public(now()).expect("a set").to_string()
     };
     service.set(match trouble {
@@ -122,8 +161,11 @@
     let (before, began) = (service.calls.load(Ordering::Relaxed), Instant::now());
     let mut stream = guarded.router.connect();
     // Tokens of unknown keys flood in between.
-    let unknown =
-        token.replacen(&token[..token.find('.').expect("a dot")], "eyJhbGciOiJFZERTQSIsImtpZCI6Ing5In0", 1);
+    let unknown = token.replacen(
+        &token[..token.find('.').expect("a dot")],
+        "eyJhbGciOiJFZERTQSIsImtpZCI6Ing5In0",
+        1,
+    );
     while began.elapsed() < 1500 * MS {
         assert_eq!(ask(&mut stream, "whole", "find", &bearer(&token)).0, 200);
         assert_eq!(ask(&mut stream, "whole", "find", &bearer(&unknown)).0, 401);
@@ -135,14 +177,26 @@
     world.rotate("k2", 0, 60);
     service.set(Serves::Text(world.public()));
     guarded.log_has("new: k2");
-    assert_eq!(ask(&mut stream, "whole", "find", &bearer(&world.token(&["crew"]))).0, 200);
+    assert_eq!(
+        ask(
+            &mut stream,
+            "whole",
+            "find",
+            &bearer(&world.token(&["crew"]))
+        )
+        .0,
+        200
+    );
 }
 
 #[test]
 fn a_start_while_the_key_service_is_away_goes_by_what_was_kept() {
     let world = World::new();
-    let (service, kept, feed) =
-        (Service::start(Serves::Text(world.public())), world.path("kept-keys"), world.path("kept-feed"));
+    let (service, kept, feed) = (
+        Service::start(Serves::Text(world.public())),
+        world.path("kept-keys"),
+        world.path("kept-feed"),
+    );
     let revocations = Service::start(Serves::Text(world.page(None)));
     let (keys_from, feed_from) = (service.source(Some(&kept)), revocations.source(Some(&feed)));
     let token = world.token(&["crew"]);
@@ -152,17 +206,44 @@
     service.set(Serves::Down);
     revocations.set(Serves::Down);
     let second = Guarded::with(&world, Some(&keys_from), Some(&feed_from), "info", 1024);
-    assert_eq!(ask(&mut second.router.connect(), "whole", "find", &bearer(&token)).0, 200);
+    assert_eq!(
+        ask(
+            &mut second.router.connect(),
+            "whole",
+            "find",
+            &bearer(&token)
+        )
+        .0,
+        200
+    );
     drop(second);
     // Half a file is told from a whole one, and believed in nothing.
     let whole = std::fs::read(&kept).expect("kept");
     std::fs::write(&kept, &whole[..whole.len() - 1]).expect("cut");
     let third = Guarded::with(&world, Some(&keys_from), Some(&feed_from), "info", 1024);
     third.log_has("the kept keys are passed over");
-    assert_eq!(ask(&mut third.router.connect(), "whole", "find", &bearer(&token)).0, 401);
+    assert_eq!(
+        ask(
+            &mut third.router.connect(),
+            "whole",
+            "find",
+            &bearer(&token)
+        )
+        .0,
+        401
+    );
     service.set(Serves::Text(world.public()));
     third.log_has("keys are heard again");
-    assert_eq!(ask(&mut third.router.connect(), "whole", "find", &bearer(&token)).0, 200);
+    assert_eq!(
+        ask(
+            &mut third.router.connect(),
+            "whole",
+            "find",
+            &bearer(&token)
+        )
+        .0,
+        200
+    );
 }
 
 #[test]
@@ -172,16 +253,44 @@
     let guarded = Guarded::with(&world, None, Some(&feed.source(None)), "info", 1024);
     let claims = world.claims("a", "north", &["crew"], 300);
     let (id, token) = (claims.jti.clone(), world.mint(&claims));
-    assert_eq!(ask(&mut guarded.router.connect(), "whole", "find", &bearer(&token)).0, 200);
+    assert_eq!(
+        ask(
+            &mut guarded.router.connect(),
+            "whole",
+            "find",
+            &bearer(&token)
+        )
+        .0,
+        200
+    );
     world.revoke("token", "x");
     world.revoke("token", &id);
     // Only the second word is served, then the whole list.
     feed.set(Serves::Text(world.page(Some(1))));
     guarded.log_has("numbers are missing");
-    assert_eq!(ask(&mut guarded.router.connect(), "whole", "find", &bearer(&token)).0, 200, "not told yet");
+    assert_eq!(
+        ask(
+            &mut guarded.router.connect(),
+            "whole",
+            "find",
+            &bearer(&token)
+        )
+        .0,
+        200,
+        "not told yet"
+    );
     feed.set(Serves::Text(world.page(None)));
     guarded.log_has("2 words on revocations");
-    assert_eq!(ask(&mut guarded.router.connect(), "whole", "find", &bearer(&token)).0, 401);
+    assert_eq!(
+        ask(
+            &mut guarded.router.connect(),
+            "whole",
+            "find",
+            &bearer(&token)
+        )
+        .0,
+        401
+    );
 }
 
 #[test]
@@ -194,27 +303,57 @@
     for _ in 0..100 {
         let (status, head, _) = ask(&mut stream, "whole", "find", &bearer(&flood));
         got[usize::from(status == 200)] += 1;
-        assert!(status == 200 || status == 429 && head.contains("Retry-After: 0.0"), "{head}");
+        assert!(
+            status == 200 || status == 429 && head.contains("Retry-After: 0.0"),
+            "{head}"
+        );
     }
     // Five at once and twenty a second, whatever this took.
     let most = 6 + (began.elapsed().as_millis() / 50) as usize;
-    assert!(got[1] >= 5 && got[1] <= most && got[0] > 0, "{got:?}, at most {most}");
-    assert_eq!(ask(&mut stream, "whole", "find", &bearer(&world.token(&["crew"]))).0, 200);
+    assert!(
+        got[1] >= 5 && got[1] <= most && got[0] > 0,
+        "{got:?}, at most {most}"
+    );
+    assert_eq!(
+        ask(
+            &mut stream,
+            "whole",
+            "find",
+            &bearer(&world.token(&["crew"]))
+        )
+        .0,
+        200
+    );
 }
 
 #[test]
 fn a_certificate_is_who_asks_and_its_revocation_holds_on_an_open_idle_connection() {
     let world = World::new();
     let guarded = Guarded::start(&world);
-    let (crew, none, unknown) =
-        (world.client(Some(("crew-7.example", 7))), world.client(None), world.client(Some(("x.example", 8))));
+    let (crew, none, unknown) = (
+        world.client(Some(("crew-7.example", 7))),
+        world.client(None),
+        world.client(Some(("x.example", 8))),
+    );
     let mut stream = guarded.secure(&crew);
     for _ in 0..3 {
         assert_eq!(ask(&mut stream.0, "whole", "find", "").0, 200);
     }
     assert_eq!(ask(&mut stream.0, "half", "set tag 7", "").0, 403);
-    assert_eq!(ask(&mut guarded.secure(&none).0, "whole", "find", "").0, 401);
-    assert_eq!(ask(&mut guarded.secure(&none).0, "whole", "find", &bearer(&world.token(&["crew"]))).0, 200);
+    assert_eq!(
+        ask(&mut guarded.secure(&none).0, "whole", "find", "").0,
+        401
+    );
+    assert_eq!(
+        ask(
+            &mut guarded.secure(&none).0,
+            "whole",
+            "find",
+            &bearer(&world.token(&["crew"]))
+        )
+        .0,
+        200
+    );
     let (status, head, _) = ask(&mut guarded.secure(&unknown).0, "whole", "find", "");
     assert!(status == 401 && head.contains("names nobody"), "{head}");
     let mut chief = guarded.secure(&world.client(Some(("chief.example", 9))));
@@ -222,10 +361,16 @@
     world.list(2, &[7]);
     guarded.log_has("1 certificates are revoked");
     let (status, head, _) = ask(&mut stream.0, "whole", "find", "");
-    assert!(status == 401 && head.contains("the certificate is revoked"), "{head}");
+    assert!(
+        status == 401 && head.contains("the certificate is revoked"),
+        "{head}"
+    );
     // A resumed session is judged as any.
     let resumed = guarded.secure(&crew);
-    assert_eq!(resumed.0.conn.handshake_kind(), Some(rustls::HandshakeKind::Resumed));
+    assert_eq!(
+        resumed.0.conn.handshake_kind(),
+        Some(rustls::HandshakeKind::Resumed)
+    );
     let mut resumed = resumed;
     assert_eq!(ask(&mut resumed.0, "whole", "find", "").0, 401);
     assert_eq!(ask(&mut chief.0, "half", "set tag 7", "").0, 200);
@@ -241,7 +386,11 @@
     let frame = guarded.nodes[0].frame('q');
     world.list(2, &[7]);
     guarded.log_has("1 certificates are revoked");
-    for id in frame.split("find").filter_map(|line| line.split(' ').next()).filter(|id| !id.is_empty()) {
+    for id in frame
+        .split("find")
+        .filter_map(|line| line.split(' ').next())
+        .filter(|id| !id.is_empty())
+    {
         guarded.nodes[0].answer(id);
     }
     assert_eq!(receive(&mut stream.0).0, 200, "taken before");
@@ -260,15 +409,31 @@
     // Half of the files, then spoilt ones: those in use stay.
     world.write("server.pem", "-----BEGIN CERTIFICATE-----\nAAAA\n");
     guarded.log_has("tls: the files in use stay");
-    assert_eq!(ask(&mut guarded.secure(&client).0, "whole", "find", "").0, 200);
+    assert_eq!(
+        ask(&mut guarded.secure(&client).0, "whole", "find", "").0,
+        200
+    );
     world.renew_server(50);
     guarded.log_has("tls: new files are in use");
-    within(|| of(&guarded.secure(&world.client(None))) != first, "the new certificate");
-    assert_eq!(ask(&mut stream.0, "whole", "find", "").0, 200, "the standing connection");
+    within(
+        || of(&guarded.secure(&world.client(None))) != first,
+        "the new certificate",
+    );
+    assert_eq!(
+        ask(&mut stream.0, "whole", "find", "").0,
+        200,
+        "the standing connection"
+    );
     // An authority that is gone takes its clients with it.
     let other = World::new();
-    world.write("authorities.pem", &std::fs::read_to_string(other.path("authorities.pem")).expect("PEM"));
-    within(|| guarded.log().matches("tls: new files are in use").count() >= 2, "new authorities");
+    world.write(
+        "authorities.pem",
+        &std::fs::read_to_string(other.path("authorities.pem")).expect("PEM"),
+    );
+    within(
+        || guarded.log().matches("tls: new files are in use").count() >= 2,
+        "new authorities",
+    );
     assert_eq!(ask(&mut stream.0, "whole", "find", "").0, 401);
     assert!(Secure::over(guarded.tls, &client)
         .and_then(|mut stream| stream
@@ -297,8 +462,12 @@
         }
     }
     let name = rustls::pki_types::ServerName::try_from("localhost").expect("a name");
-    let mut tls = rustls::ClientConnection::new(std::sync::Arc::clone(config), name).expect("a client");
-    let mut tee = Tee(TcpStream::connect(guarded.tls).expect("a connection"), Vec::new());
+    let mut tls =
+        rustls::ClientConnection::new(std::sync::Arc::clone(config), name).expect("a client");
+    let mut tee = Tee(
+        TcpStream::connect(guarded.tls).expect("a connection"),
+        Vec::new(),
+    );
     while tls.is_handshaking() {
         tls.complete_io(&mut tee).expect("a handshake");
     }
@@ -323,9 +492,12 @@
         }
         held.push(stream);
     }
-    for garbage in
-        [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0; 4096], &[22, 3, 1, 255, 255], &[21, 3, 3, 0, 2, 2, 40]]
-    {
+    for garbage in [
+        &b"GET / HTTP/1.1\r\n\r\n"[..],
+        &[0; 4096],
+        &[22, 3, 1, 255, 255],
+        &[21, 3, 3, 0, 2, 2, 40],
+    ] {
         let mut stream = TcpStream::connect(guarded.tls).expect("a connection");
         stream.set_read_timeout(Some(BOUND)).expect("a time-out");
         let _ = stream.write_all(garbage);
@@ -337,8 +509,14 @@
     let began = Instant::now();
     let token = bearer(&world.token(&["crew"]));
     for _ in 0..5 {
-        assert_eq!(ask(&mut guarded.secure(&client).0, "whole", "find", "").0, 200);
-        assert_eq!(ask(&mut guarded.router.connect(), "whole", "find", &token).0, 200);
+        assert_eq!(
+            ask(&mut guarded.secure(&client).0, "whole", "find", "").0,
+            200
+        );
+        assert_eq!(
+            ask(&mut guarded.router.connect(), "whole", "find", &token).0,
+            200
+        );
     }
     assert!(began.elapsed() < BOUND, "{:?}", began.elapsed());
     // Each of them is closed in its time.
@@ -346,7 +524,9 @@
         stream.set_read_timeout(Some(BOUND)).expect("a time-out");
         let mut rest = Vec::new();
         let ended = stream.read_to_end(&mut rest);
-        assert!(ended.is_ok() || ended.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
+        assert!(
+            ended.is_ok() || ended.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset)
+        );
     }
 }
 
@@ -390,7 +570,12 @@
     }
     let forged = format!("{}x", &crew[..crew.len() - 1]);
     let _ = ask(&mut stream, "half", "set tag 7", &bearer(&forged));
-    let _ = ask(&mut guarded.secure(&world.client(Some(("chief.example", 9)))).0, "half", "set tag 7", "");
+    let _ = ask(
+        &mut guarded.secure(&world.client(Some(("chief.example", 9)))).0,
+        "half",
+        "set tag 7",
+        "",
+    );
     guarded.log_has("chief of north");
     let log = guarded.log();
     for token in [&crew, &safety, &forged] {
@@ -398,11 +583,24 @@
             assert!(!log.contains(part), "a part of a token in {log}");
         }
     }
-    let lines: Vec<&str> = log.lines().filter(|line| line.contains("audit: ")).collect();
+    let lines: Vec<&str> = log
+        .lines()
+        .filter(|line| line.contains("audit: "))
+        .collect();
     let of = |word: &str| lines.iter().filter(|line| line.contains(word)).count();
-    assert_eq!((lines.len(), of("half allowed"), of("half denied")), (4, 2, 2), "{lines:#?}");
-    assert!(of("by key k1") == 2 && of("nobody proved") == 1 && of("request=\"q") == 4, "{lines:#?}");
-    assert!(log.contains("lookup{id=\"q"), "spans follow a lookup: {log}");
+    assert_eq!(
+        (lines.len(), of("half allowed"), of("half denied")),
+        (4, 2, 2),
+        "{lines:#?}"
+    );
+    assert!(
+        of("by key k1") == 2 && of("nobody proved") == 1 && of("request=\"q") == 4,
+        "{lines:#?}"
+    );
+    assert!(
+        log.contains("lookup{id=\"q"),
+        "spans follow a lookup: {log}"
+    );
 }
 
 #[test]
@@ -411,30 +609,65 @@
     let (guarded, log) = {
         let settings = world.settings(None, None, None);
         let text = std::fs::read_to_string(&settings).expect("settings");
-        world.write("settings.cue", &format!("{text}log: {{form: \"json\", level: \"error\"}}\n"));
+        world.write(
+            "settings.cue",
+            &format!("{text}log: {{form: \"json\", level: \"error\"}}\n"),
+        );
         let node = common::Node::start([Act::Serve; 2]);
         let discovery = common::Discovery::default();
         let listed = common::entry("s0", node.address, "Ready");
         let log = world.path("log");
         let out = std::fs::File::create(&log).expect("a log");
-        let router =
-            common::Router::start_with(discovery.start(), &listed, 256, 32, common::SETTINGS, |command| {
-                command.arg("--settings").arg(&settings).env_remove("RUST_LOG").stderr(Stdio::from(out));
-            });
+        let router = common::Router::start_with(
+            discovery.start(),
+            &listed,
+            256,
+            32,
+            common::SETTINGS,
+            |command| {
+                command
+                    .arg("--settings")
+                    .arg(&settings)
+                    .env_remove("RUST_LOG")
+                    .stderr(Stdio::from(out));
+            },
+        );
         (router, log)
     };
     let text = || std::fs::read_to_string(&log).expect("a log");
     within(
-        || ask(&mut guarded.connect(), "half", "set tag 7", &bearer(&world.token(&["safety"]))).0 == 200,
+        || {
+            ask(
+                &mut guarded.connect(),
+                "half",
+                "set tag 7",
+                &bearer(&world.token(&["safety"])),
+            )
+            .0 == 200
+        },
         "keys",
     );
-    let line = text().lines().find(|line| line.contains("\"allowed\":true")).expect("a record").to_owned();
+    let line = text()
+        .lines()
+        .find(|line| line.contains("\"allowed\":true"))
+        .expect("a record")
+        .to_owned();
     let record: serde_json::Value = serde_json::from_str(&line).expect("JSON");
     assert_eq!(
         (&record["acts"], &record["who"], &record["index"]),
-        (&"set".into(), &"dispatcher-1 of north".into(), &"half".into())
+        (
+            &"set".into(),
+            &"dispatcher-1 of north".into(),
+            &"half".into()
+        )
+    );
+    assert!(
+        text()
+            .lines()
+            .all(|line| line.contains("\"target\":\"audit\"")),
+        "{}",
+        text()
     );
-    assert!(text().lines().all(|line| line.contains("\"target\":\"audit\"")), "{}", text());
 }
 
 #[test]
@@ -445,13 +678,19 @@
     let mut stream = guarded.router.connect();
     assert_eq!(ask(&mut stream, "half", "set tag 7", &token).0, 403);
     let text = std::fs::read_to_string(world.path("settings.cue")).expect("settings");
-    world.write("settings.cue", &text.replace("{index: \"half\"}", "{index: \"half\", acts: [\"fly\"]}"));
+    world.write(
+        "settings.cue",
+        &text.replace("{index: \"half\"}", "{index: \"half\", acts: [\"fly\"]}"),
+    );
     guarded.router.signal("-HUP");
     guarded.log_has("the terms of identity stay as they were");
     assert_eq!(ask(&mut stream, "half", "find", &token).0, 200);
     world.write(
         "settings.cue",
-        &text.replace("{index: \"half\"}", "{index: \"half\", acts: [\"read\", \"set\"]}"),
+        &text.replace(
+            "{index: \"half\"}",
+            "{index: \"half\", acts: [\"read\", \"set\"]}",
+        ),
     );
     guarded.router.signal("-HUP");
     guarded.log_has("the terms of identity are read anew");
@@ -468,9 +707,17 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("it runs");
-    child.stdin.take().expect("an input").write_all(input.as_bytes()).expect("written");
+    child
+        .stdin
+        .take()
+        .expect("an input")
+        .write_all(input.as_bytes())
+        .expect("written");
     let out = child.wait_with_output().expect("it ends");
-    (out.status.success(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
+    (
+        out.status.success(),
+        String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned(),
+    )
 }
 
 #[test]
@@ -483,17 +730,23 @@
         assert!(done, "{text}");
         serde_json::from_str(&text).expect("JSON")
     };
-    assert_eq!(json(&["keys", "new", "--keys", keys, "--id", "a", "--json"])["keys"][0]["stage"], "signing");
+    assert_eq!(
+        json(&["keys", "new", "--keys", keys, "--id", "a", "--json"])["keys"][0]["stage"],
+        "signing"
+    );
     let (done, text) = run(&["keys", "retire", "--keys", keys, "a"], "");
     assert!(!done && text.contains("make another first"), "{text}");
-    let listed =
-        json(&["keys", "rotate", "--keys", keys, "--id", "b", "--kind", "es256", "--lead", "1h", "--json"]);
+    let listed = json(&[
+        "keys", "rotate", "--keys", keys, "--id", "b", "--kind", "es256", "--lead", "1h", "--json",
+    ]);
     assert_eq!(
         (&listed["keys"][0]["stage"], &listed["keys"][1]["stage"]),
         (&"signing".into(), &"published".into())
     );
     let mode = std::os::unix::fs::PermissionsExt::mode(
-        &std::fs::metadata(folder.path().join("keys/private.keys")).expect("there").permissions(),
+        &std::fs::metadata(folder.path().join("keys/private.keys"))
+            .expect("there")
+            .permissions(),
     );
     assert_eq!(mode & 0o777, 0o600);
     let mint = [
@@ -517,27 +770,57 @@
     let (done, token) = run(&mint, "");
     assert!(done && token.trim().split('.').count() == 3, "{token}");
     let jwks = folder.path().join("keys/jwks.json");
-    let (done, text) = run(&["token", "inspect", "--jwks", jwks.to_str().expect("a path")], &token);
-    assert!(done && text.contains("signature right") && text.contains("\"sign-on\""), "{text}");
+    let (done, text) = run(
+        &["token", "inspect", "--jwks", jwks.to_str().expect("a path")],
+        &token,
+    );
+    assert!(
+        done && text.contains("signature right") && text.contains("\"sign-on\""),
+        "{text}"
+    );
     let feed = folder.path().join("feed.json");
     let feed = feed.to_str().expect("a path");
-    assert_eq!(json(&["revoke", "--feed", feed, "--token", "t1", "--json"])["number"], 1);
-    assert_eq!(json(&["revoke", "--feed", feed, "--token", "t1", "--lift", "--json"])["lifted"], true);
+    assert_eq!(
+        json(&["revoke", "--feed", feed, "--token", "t1", "--json"])["number"],
+        1
+    );
+    assert_eq!(
+        json(&["revoke", "--feed", feed, "--token", "t1", "--lift", "--json"])["lifted"],
+        true
+    );
     assert!(
         !run(&["revoke", "--feed", feed], "").0
-            && !run(&["revoke", "--feed", feed, "--token", "a", "--key", "b"], "").0
+            && !run(
+                &["revoke", "--feed", feed, "--token", "a", "--key", "b"],
+                ""
+            )
+            .0
     );
     let world = World::new();
     let settings = world.settings(None, None, Some(free()));
     let settings = settings.to_str().expect("a path");
     let (done, text) = run(&["check", "--settings", settings], "");
     assert!(
-        done && text.contains("identity.skew = 2s  (") && text.contains("identity.longest = 1h  (default)"),
+        done && text.contains("identity.skew = 2s  (")
+            && text.contains("identity.longest = 1h  (default)"),
         "{text}"
     );
-    let explain = ["rights", "explain", "d", "--settings", settings, "--tenant", "north", "--role", "crew"];
+    let explain = [
+        "rights",
+        "explain",
+        "d",
+        "--settings",
+        settings,
+        "--tenant",
+        "north",
+        "--role",
+        "crew",
+    ];
     let (done, text) = run(&explain, "");
-    assert!(done && text.contains("half                 set    denied: no role grants set here"), "{text}");
+    assert!(
+        done && text.contains("half                 set    denied: no role grants set here"),
+        "{text}"
+    );
     std::fs::write(settings, "identity: {issuer: 3}\nlgo: {}\n").expect("written");
     let (done, text) = run(&["check", "--settings", settings], "");
     assert!(
--- a/router/tests/identity_load.rs
+++ b/router/tests/identity_load.rs
@@ -20,7 +20,10 @@
 const SKEW: u64 = 3;
 
 fn seconds(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+    std::env::var(name)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(otherwise)
 }
 
 #[derive(Default)]
@@ -86,7 +89,10 @@
             0 => token,
             // "{"alg":"none","kid":"k1"}" and "{"alg":"EdDSA","kid":"ghost"}"
             1 => format!("eyJhbGciOiJub25lIiwia2lkIjoiazEifQ.{}.", parts[1]),
-            _ => format!("eyJhbGciOiJFZERTQSIsImtpZCI6Imdob3N0In0.{}.{}", parts[1], parts[2]),
+            _ => format!(
+                "eyJhbGciOiJFZERTQSIsImtpZCI6Imdob3N0In0.{}.{}",
+                parts[1], parts[2]
+            ),
         };
         turn += 1;
         add(&counts.bad);
@@ -123,7 +129,9 @@
             assert!(sent < Duration::from_secs(4), "the router is told in time");
             thread::sleep(Duration::from_millis(2));
         }
-        counts.longest_us.fetch_max(last.as_micros() as u64, Ordering::Relaxed);
+        counts
+            .longest_us
+            .fetch_max(last.as_micros() as u64, Ordering::Relaxed);
         for _ in 0..10 {
             add(&counts.asked_after);
             if ask(&token) == 200 {
@@ -136,7 +144,10 @@
 
 #[test]
 fn keys_rotate_and_no_valid_caller_is_refused_nor_a_revoked_one_admitted() {
-    let (whole, every) = (seconds("IDENTITY_LOAD_S", 8), seconds("IDENTITY_ROTATE_S", 2));
+    let (whole, every) = (
+        seconds("IDENTITY_LOAD_S", 8),
+        seconds("IDENTITY_ROTATE_S", 2),
+    );
     let (world, counts, stop) = (World::new(), Counts::default(), AtomicBool::new(false));
     let guarded = Guarded::start(&world);
     let crew = world.client(Some(("crew-7.example", 7)));
@@ -160,8 +171,9 @@
         scope.spawn(move || revoked(world, counts, asking(tls, Some(&second)), stop, false));
         while began.elapsed() < Duration::from_secs(whole) {
             thread::sleep(
-                Duration::from_secs(every)
-                    .min(Duration::from_secs(whole) - began.elapsed().min(Duration::from_secs(whole))),
+                Duration::from_secs(every).min(
+                    Duration::from_secs(whole) - began.elapsed().min(Duration::from_secs(whole)),
+                ),
             );
             rotations += 1;
             world.rotate(&format!("r{rotations}"), 1, LIFE + SKEW);
@@ -183,14 +195,28 @@
         of(&counts.longest_us) as f64 / 1000.0
     );
     assert_eq!((of(&counts.valid_refused), of(&counts.valid_else)), (0, 0));
-    assert_eq!((of(&counts.bad_admitted), of(&counts.admitted_after)), (0, 0));
-    assert!(of(&counts.valid) > 100 && of(&counts.revoked) > 5 && of(&counts.bad) > 100 && rotations > 2);
+    assert_eq!(
+        (of(&counts.bad_admitted), of(&counts.admitted_after)),
+        (0, 0)
+    );
+    assert!(
+        of(&counts.valid) > 100
+            && of(&counts.revoked) > 5
+            && of(&counts.bad) > 100
+            && rotations > 2
+    );
 }
 
 fn resident_kb(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("a process");
-    let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("a line");
-    line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number")
+    let line = status
+        .lines()
+        .find(|line| line.starts_with("VmRSS"))
+        .expect("a line");
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|kb| kb.parse().ok())
+        .expect("a number")
 }
 
 #[test]
@@ -209,16 +235,32 @@
             held.push(stream);
         }
         let now = resident_kb(guarded.router.child.id());
-        println!("| {} | {now} | {:.1} |", held.len(), (now - base) as f64 / held.len() as f64);
+        println!(
+            "| {} | {now} | {:.1} |",
+            held.len(),
+            (now - base) as f64 / held.len() as f64
+        );
     }
     let mut plain = Vec::new();
     let before = resident_kb(guarded.router.child.id());
     for _ in 0..150 {
         let mut stream = guarded.router.connect();
-        assert_eq!(ask(&mut stream, "whole", "find", &bearer(&world.token(&["crew"]))).0, 200);
+        assert_eq!(
+            ask(
+                &mut stream,
+                "whole",
+                "find",
+                &bearer(&world.token(&["crew"]))
+            )
+            .0,
+            200
+        );
         plain.push(stream);
     }
-    println!("150 plain ones more: {} kB", resident_kb(guarded.router.child.id()) - before);
+    println!(
+        "150 plain ones more: {} kB",
+        resident_kb(guarded.router.child.id()) - before
+    );
 }
 
 #[test]
@@ -236,7 +278,8 @@
             let began = Instant::now();
             assert_eq!(ask(&tokens[at % tokens.len()]), 200);
             if at >= 500 {
-                seen.record(began.elapsed().as_micros() as u64).expect("recorded");
+                seen.record(began.elapsed().as_micros() as u64)
+                    .expect("recorded");
             }
         }
         let at = |q| seen.value_at_quantile(q);
@@ -256,6 +299,14 @@
     print("without identity", plain(&open), &[String::new()]);
     print("a token that is remembered", plain(&guarded.router), &one);
     print("a new token each time", plain(&guarded.router), &many);
-    print("TLS, a token that is remembered", secure(&world.client(None)), &one);
-    print("TLS, a certificate", secure(&world.client(Some(("crew-7.example", 7)))), &[String::new()]);
+    print(
+        "TLS, a token that is remembered",
+        secure(&world.client(None)),
+        &one,
+    );
+    print(
+        "TLS, a certificate",
+        secure(&world.client(Some(("crew-7.example", 7)))),
+        &[String::new()],
+    );
 }
--- a/router/tests/sockets.rs
+++ b/router/tests/sockets.rs
@@ -20,8 +20,14 @@
     }
     let call = nodes[0].frame('q');
     let lines: Vec<&str> = call.split("find").collect();
-    assert!(lines[0].starts_with("r1.0 0 d=") && lines[0].ends_with(",k=keyr1 4\n"), "{call}");
-    assert!(lines[1].starts_with("r1.1 1 d=") && lines[1].ends_with(",k=keyr1 4\n"), "{call}");
+    assert!(
+        lines[0].starts_with("r1.0 0 d=") && lines[0].ends_with(",k=keyr1 4\n"),
+        "{call}"
+    );
+    assert!(
+        lines[1].starts_with("r1.1 1 d=") && lines[1].ends_with(",k=keyr1 4\n"),
+        "{call}"
+    );
 }
 
 #[test_case("whole", [Act::Serve, Act::Broke], 503; "nacked where a repeat is harmless")]
@@ -32,7 +38,11 @@
     *nodes[0].acts.lock().unwrap() = acts;
     let (got, _, body) = ask(&mut router.connect(), index, "r1");
     let part = r#"{"full":false,"pieces":[{"cell":"v0","tablet":0}]}"#;
-    assert_eq!((got, status != 200 || body == part), (status, true), "{body}");
+    assert_eq!(
+        (got, status != 200 || body == part),
+        (status, true),
+        "{body}"
+    );
 }
 
 #[test_case(Act::Broke; "which fails")]
@@ -59,7 +69,10 @@
     for id in ["r1", "r2", "r3"] {
         let began = Instant::now();
         assert_eq!(ask(&mut client, "whole", id).2, WHOLE);
-        assert!(began.elapsed() < Duration::from_millis(550), "before the soft deadline");
+        assert!(
+            began.elapsed() < Duration::from_millis(550),
+            "before the soft deadline"
+        );
     }
 }
 
@@ -71,7 +84,11 @@
         let request = request_of("once", id, r#"{"tablet":0,"fraction":1}"#);
         client.write_all(request.as_bytes()).expect("written");
         let (status, _, body) = answer(&mut client);
-        assert_eq!((status, body.contains(r#""cell":"v0""#)), (200, true), "{body}");
+        assert_eq!(
+            (status, body.contains(r#""cell":"v0""#)),
+            (200, true),
+            "{body}"
+        );
     }
 }
 
@@ -79,7 +96,11 @@
 fn a_node_that_refuses_connections_is_passed_over() {
     let closed = free();
     let (node, discovery) = (Node::start([Act::Serve; 2]), Discovery::default());
-    let listed = [entry("s0", closed, "Ready"), entry("s1", node.address, "Ready")].join(",");
+    let listed = [
+        entry("s0", closed, "Ready"),
+        entry("s1", node.address, "Ready"),
+    ]
+    .join(",");
     let router = Router::start(discovery.start(), &listed, 1024);
     for id in ["r1", "r2"] {
         assert_eq!(ask(&mut router.connect(), "once", id).2, WHOLE);
@@ -98,7 +119,11 @@
         .collect();
     assert!(waiting.len() < 5000, "the backlog fills");
     let (node, discovery) = (Node::start([Act::Serve; 2]), Discovery::default());
-    let listed = [entry("s0", address, "Ready"), entry("s1", node.address, "Ready")].join(",");
+    let listed = [
+        entry("s0", address, "Ready"),
+        entry("s1", node.address, "Ready"),
+    ]
+    .join(",");
     let router = Router::start(discovery.start(), &listed, 1024);
     for id in ["r1", "r2", "r3"] {
         assert_eq!(ask(&mut router.connect(), "once", id).2, WHOLE);
@@ -109,7 +134,9 @@
 fn a_client_that_leaves_has_its_parts_given_up() {
     let (router, nodes, _discovery) = Router::with(&[Act::Silent]);
     let mut client = router.connect();
-    client.write_all(request("whole", "r1").as_bytes()).expect("written");
+    client
+        .write_all(request("whole", "r1").as_bytes())
+        .expect("written");
     nodes[0].frame('q');
     drop(client);
     let mut given_up = [nodes[0].frame('c'), nodes[0].frame('c')];
@@ -131,7 +158,12 @@
     for id in 0..8 {
         assert_eq!(ask(&mut client, "whole", &format!("r{id}")).0, 200);
     }
-    assert!(nodes[0].frames.lock().unwrap().try_iter().all(|(letter, _)| letter != 'q'));
+    assert!(nodes[0]
+        .frames
+        .lock()
+        .unwrap()
+        .try_iter()
+        .all(|(letter, _)| letter != 'q'));
 }
 
 #[test]
@@ -162,7 +194,10 @@
     let asked = Instant::now();
     discovery.wait_until(|roster| roster.calls >= 2);
     let took = asked.elapsed();
-    assert!((Duration::from_millis(1500)..Duration::from_millis(3300)).contains(&took), "{took:?}");
+    assert!(
+        (Duration::from_millis(1500)..Duration::from_millis(3300)).contains(&took),
+        "{took:?}"
+    );
 }
 
 #[test]
@@ -184,7 +219,12 @@
     for id in 0..8 {
         assert_eq!(ask(&mut client, "whole", &format!("r{id}")).0, 200);
     }
-    assert!(nodes[0].frames.lock().unwrap().try_iter().all(|(letter, _)| letter != 'q'));
+    assert!(nodes[0]
+        .frames
+        .lock()
+        .unwrap()
+        .try_iter()
+        .all(|(letter, _)| letter != 'q'));
     old.set(|roster| assert_eq!(roster.calls, 1));
 }
 
@@ -204,7 +244,10 @@
     let (mut good, mut bad) = (router.connect(), router.connect());
     bad.write_all(input.as_bytes()).expect("written");
     let (got, head, _) = answer(&mut bad);
-    assert_eq!((got, head.contains("Connection: close")), (status, status != 200));
+    assert_eq!(
+        (got, head.contains("Connection: close")),
+        (status, status != 200)
+    );
     if status != 200 {
         assert_eq!(bad.read(&mut [0]).expect("an end"), 0);
     }
@@ -222,7 +265,10 @@
     for piece in both.as_bytes().chunks(50) {
         client.write_all(piece).expect("written");
     }
-    assert_eq!([answer(&mut client).2, answer(&mut client).2], [WHOLE, WHOLE]);
+    assert_eq!(
+        [answer(&mut client).2, answer(&mut client).2],
+        [WHOLE, WHOLE]
+    );
 }
 
 #[test]
@@ -264,22 +310,37 @@
         let _ = stream.write_all(half.as_bytes());
     }
     assert_eq!(ask(&mut router.connect(), "whole", "r1").2, WHOLE);
-    assert!(began.elapsed() < Duration::from_secs(2), "they make room at once");
+    assert!(
+        began.elapsed() < Duration::from_secs(2),
+        "they make room at once"
+    );
     for mut stream in halves {
         let mut said = Vec::new();
         let _ = stream.read_to_end(&mut said);
-        assert!(said.is_empty() || said.starts_with(b"HTTP/1.1 408") || said.starts_with(b"HTTP/1.1 503"));
+        assert!(
+            said.is_empty()
+                || said.starts_with(b"HTTP/1.1 408")
+                || said.starts_with(b"HTTP/1.1 503")
+        );
     }
-    assert!(began.elapsed() < Duration::from_secs(3), "and are told in time");
+    assert!(
+        began.elapsed() < Duration::from_secs(3),
+        "and are told in time"
+    );
 }
 
 #[test]
 fn half_bodies_give_way_when_memory_runs_out_and_lookups_do_not() {
     let (router, nodes, _discovery) = Router::with(&[Act::Silent]);
     let mut taken = router.connect();
-    taken.write_all(request("whole", "r1").as_bytes()).expect("written");
+    taken
+        .write_all(request("whole", "r1").as_bytes())
+        .expect("written");
     nodes[0].frame('q');
-    let half = format!("POST /whole HTTP/1.1\r\nContent-Length: 65000\r\n\r\n{}", " ".repeat(60000));
+    let half = format!(
+        "POST /whole HTTP/1.1\r\nContent-Length: 65000\r\n\r\n{}",
+        " ".repeat(60000)
+    );
     let mut halves: Vec<TcpStream> = (0..20).map(|_| router.connect()).collect();
     for stream in &mut halves {
         stream.write_all(half.as_bytes()).expect("written");
@@ -290,7 +351,10 @@
         stream.read(&mut [0; 12]).is_ok()
     };
     let gave_way = halves.iter().filter(|stream| early(stream)).count();
-    assert!(gave_way >= 8 && began.elapsed() < Duration::from_secs(2), "{gave_way} of 20 gave way");
+    assert!(
+        gave_way >= 8 && began.elapsed() < Duration::from_secs(2),
+        "{gave_way} of 20 gave way"
+    );
     ["r1.0", "r1.1"].iter().for_each(|id| nodes[0].answer(id));
     assert_eq!(answer(&mut taken).0, 200);
 }
@@ -299,7 +363,9 @@
 fn what_was_taken_before_a_stop_is_answered_and_the_router_leaves() {
     let (mut router, nodes, _discovery) = Router::with(&[Act::Silent]);
     let (mut client, mut idle) = (router.connect(), router.connect());
-    client.write_all(request("whole", "r1").as_bytes()).expect("written");
+    client
+        .write_all(request("whole", "r1").as_bytes())
+        .expect("written");
     nodes[0].frame('q');
     router.signal("-TERM");
     let late = Instant::now() + BOUND;
@@ -322,15 +388,28 @@
 fn what_cannot_be_used_ends_with_one_line() {
     let run = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ternpick"));
-        let out = command.args(args).env_remove("ROUTER_CONFIG").output().expect("it runs");
-        (out.status.success(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
+        let out = command
+            .args(args)
+            .env_remove("ROUTER_CONFIG")
+            .output()
+            .expect("it runs");
+        (
+            out.status.success(),
+            String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned(),
+        )
     };
-    assert_eq!(run(&["version"]), (true, format!("ternpick {}\n", env!("CARGO_PKG_VERSION"))));
+    assert_eq!(
+        run(&["version"]),
+        (true, format!("ternpick {}\n", env!("CARGO_PKG_VERSION")))
+    );
     let (done, text) = run(&["serve", "--config", "/nonexistent/config.json"]);
     assert_eq!((done, text.lines().count()), (false, 1), "{text}");
     let (router, _nodes, _discovery) = Router::with(&[Act::Serve]);
     let config = router.config.to_str().expect("a path");
     assert!(run(&["check", "--config", config]).0);
     let (done, text) = run(&["serve", "--config", config]);
-    assert!(!done && text.starts_with("ternpick: cannot listen on") && text.lines().count() == 1, "{text}");
+    assert!(
+        !done && text.starts_with("ternpick: cannot listen on") && text.lines().count() == 1,
+        "{text}"
+    );
 }
--- a/router/tests/stop.rs
+++ b/router/tests/stop.rs
@@ -48,9 +48,15 @@
 
 /// A router whose longest deadline is so many milliseconds.
 fn router(longest: u64, nodes: &[Act]) -> (Router, Vec<Node>, Discovery) {
-    let settings = SETTINGS.replace("\"deadline\":3000000", &format!("\"deadline\":{}", longest * 1000));
+    let settings = SETTINGS.replace(
+        "\"deadline\":3000000",
+        &format!("\"deadline\":{}", longest * 1000),
+    );
     let nodes: Vec<Node> = nodes.iter().map(|act| Node::start([*act; 2])).collect();
-    let listed = nodes.iter().enumerate().map(|(at, node)| entry(&format!("s{at}"), node.address, "Ready"));
+    let listed = nodes
+        .iter()
+        .enumerate()
+        .map(|(at, node)| entry(&format!("s{at}"), node.address, "Ready"));
     let (discovery, listed) = (Discovery::default(), listed.collect::<Vec<_>>().join(","));
     let router = Router::start_with(discovery.start(), &listed, 1024, 1, &settings, |_| ());
     (router, nodes, discovery)
@@ -111,11 +117,20 @@
         .enumerate()
         .map(|(at, stream)| {
             let when = [1400, 2000][at % 2] * MS;
-            thread::spawn(move || send(stream, told, &[(when, text(&format!("r{at}"), 1900).as_bytes())]))
+            thread::spawn(move || {
+                send(
+                    stream,
+                    told,
+                    &[(when, text(&format!("r{at}"), 1900).as_bytes())],
+                )
+            })
         })
         .collect();
     kill_at(&mut router, told, kill);
-    let fates: Vec<Fate> = clients.into_iter().map(|client| client.join().expect("a client")).collect();
+    let fates: Vec<Fate> = clients
+        .into_iter()
+        .map(|client| client.join().expect("a client"))
+        .collect();
     assert!(fates.iter().all(|fate| fate.keeps(kill)), "{fates:?}");
 }
 
@@ -141,14 +156,19 @@
 fn a_lookup_of_a_long_deadline_is_answered_before_the_kill_and_the_process_ends() {
     let (mut router, nodes, _discovery) = router(8000, &[Act::Silent]);
     let mut stream = router.connect();
-    stream.write_all(text("r", 8000).as_bytes()).expect("written");
+    stream
+        .write_all(text("r", 8000).as_bytes())
+        .expect("written");
     nodes[0].frame('q');
     router.signal("-TERM");
     let (told, kill) = (Instant::now(), ACCEPTS + 3000 * MS);
     let client = thread::spawn(move || send(stream, told, &[]));
     let ended = kill_at(&mut router, told, kill);
     let fate = client.join().expect("a client");
-    assert!(fate.keeps(kill) && ended.is_some(), "{fate:?}, ended {ended:?}");
+    assert!(
+        fate.keeps(kill) && ended.is_some(),
+        "{fate:?}, ended {ended:?}"
+    );
 }
 
 /// With everything answered a stop does not wait for clients that say nothing.
@@ -172,7 +192,9 @@
     router.signal("-TERM");
     let (told, kill) = (Instant::now(), ACCEPTS + 1900 * MS);
     until(told, 600 * MS);
-    stream.write_all(text("r", 1900).as_bytes()).expect("written");
+    stream
+        .write_all(text("r", 1900).as_bytes())
+        .expect("written");
     nodes[0].frame('q');
     let client = thread::spawn(move || send(stream, told, &[]));
     until(told, kill - 300 * MS);
--- a/router/tests/works.rs
+++ b/router/tests/works.rs
@@ -28,20 +28,33 @@
 #[test_case(2)]
 fn whatever_breaks_every_machine_goes_out_and_back_by_the_rules(seed: u64) {
     let _turn = turn();
-    let plan =
-        FleetPlan::parse("works-test.cue", include_str!("../../lab/plans/works-test.cue")).expect("a plan");
+    let plan = FleetPlan::parse(
+        "works-test.cue",
+        include_str!("../../lab/plans/works-test.cue"),
+    )
+    .expect("a plan");
     let folder = tempfile::tempdir().expect("a folder");
     let (outcome, counts) = judged(&plan.draw(seed), folder.path());
     let worked = outcome.worked.expect("crews worked");
-    assert_eq!((worked.back, worked.all_back_ms.is_some()), (9, true), "{worked:?}");
+    assert_eq!(
+        (worked.back, worked.all_back_ms.is_some()),
+        (9, true),
+        "{worked:?}"
+    );
     assert!(counts.permits == 9 && counts.parts > 500, "{counts:?}");
 }
 
 #[test]
 fn with_nothing_broken_no_lookup_is_refused_for_the_work() {
     let (outcome, counts) = worked(vec![], vec![], "");
-    assert_eq!(counts.statuses.keys().collect::<Vec<_>>(), [&200], "{counts:?}");
-    assert!(outcome.worked.is_some_and(|worked| worked.longest_still_ms < 3000));
+    assert_eq!(
+        counts.statuses.keys().collect::<Vec<_>>(),
+        [&200],
+        "{counts:?}"
+    );
+    assert!(outcome
+        .worked
+        .is_some_and(|worked| worked.longest_still_ms < 3000));
 }
 
 /// The router that carries the work on is ended at each moment of a machine's going out and back.
@@ -53,12 +66,18 @@
 fn whoever_carries_the_work_on_is_ended(after: u64) {
     let (outcome, _) = worked(vec![step(20 + after, 1500, Kind::LeadKill, 0)], vec![], "");
     let still = outcome.worked.map(|worked| worked.longest_still_ms);
-    assert!(still.is_some_and(|ms| ms < 5000), "another goes on within five seconds: {still:?}");
+    assert!(
+        still.is_some_and(|ms| ms < 5000),
+        "another goes on within five seconds: {still:?}"
+    );
 }
 
 #[test]
 fn one_that_stands_still_while_machines_go_out_sends_nothing_there_afterwards() {
-    let steps = vec![step(300, 2500, Kind::LongStop, 1), step(3200, 1500, Kind::Isolate, 2)];
+    let steps = vec![
+        step(300, 2500, Kind::LongStop, 1),
+        step(3200, 1500, Kind::Isolate, 2),
+    ];
     worked(steps, vec![], "seconds: 7");
 }
 
@@ -69,14 +88,19 @@
 
 #[test]
 fn a_change_of_policy_and_an_upgrade_in_the_middle() {
-    let steps = vec![step(400, 0, Kind::Upgrade, 0), step(1600, 0, Kind::Upgrade, 1)];
+    let steps = vec![
+        step(400, 0, Kind::Upgrade, 0),
+        step(1600, 0, Kind::Upgrade, 1),
+    ];
     let (_, counts) = worked(steps, vec![change(600, 1), change(1900, 2)], "");
     assert!(counts.in_force >= 1 && counts.lost == 0, "{counts:?}");
 }
 
 #[test]
 fn discovery_lists_them_ready_while_they_are_out() {
-    let steps = (0..12).map(|at| step(300 + at * 200, 0, Kind::AllReady, 0)).collect();
+    let steps = (0..12)
+        .map(|at| step(300 + at * 200, 0, Kind::AllReady, 0))
+        .collect();
     worked(steps, vec![], "");
 }
 
@@ -84,7 +108,13 @@
 /// what has gone there in vain keeps no permit away.
 #[test]
 fn a_cut_between_those_who_see_a_machine_and_those_who_do_not() {
-    let cut = |at: u64, node: usize| Step { at, lasts: 3000, kind: Kind::NodeCut, whom: 1, other: node };
+    let cut = |at: u64, node: usize| Step {
+        at,
+        lasts: 3000,
+        kind: Kind::NodeCut,
+        whom: 1,
+        other: node,
+    };
     let (_, counts) = worked(vec![cut(300, 1), cut(1200, 4)], vec![], "");
     assert_eq!(counts.lost, 0, "{counts:?}");
 }
@@ -104,9 +134,18 @@
 /// An address of this process's own, so that it stays free while its router is down.
 fn free() -> std::net::SocketAddr {
     static NUMBER: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(1);
-    let (pid, number) = (std::process::id(), NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
-    let own = [127, 1 + (pid % 250) as u8, 252 + (pid / 250 % 3) as u8, number];
-    let listener = std::net::TcpListener::bind(std::net::SocketAddr::from((own, 0))).expect("a port");
+    let (pid, number) = (
+        std::process::id(),
+        NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed),
+    );
+    let own = [
+        127,
+        1 + (pid % 250) as u8,
+        252 + (pid / 250 % 3) as u8,
+        number,
+    ];
+    let listener =
+        std::net::TcpListener::bind(std::net::SocketAddr::from((own, 0))).expect("a port");
     listener.local_addr().expect("an address")
 }
 
@@ -135,7 +174,10 @@
             (0..routers).map(member).collect::<String>()
         );
         std::fs::write(at("fleet.cue".into()), settings).expect("written");
-        let mut fleet = Small { folder, routers: Vec::new() };
+        let mut fleet = Small {
+            folder,
+            routers: Vec::new(),
+        };
         for number in 0..routers {
             let config = format!(
                 r#"{{"name":"n{number}","listen":"{}","discovery":"{}","seed":"7","known":{{"index":1,"snapshot":true,
@@ -148,7 +190,12 @@
                 free()
             );
             std::fs::write(fleet.path(&format!("n{number}.json")), config).expect("written");
-            assert!(fleet.run(&["fleet", "init"], number).output().expect("it runs").status.success());
+            assert!(fleet
+                .run(&["fleet", "init"], number)
+                .output()
+                .expect("it runs")
+                .status
+                .success());
             let router = fleet.run(&["serve"], number).spawn().expect("it starts");
             fleet.routers.push(router);
         }
@@ -162,8 +209,14 @@
 
     fn run(&self, words: &[&str], number: usize) -> Command {
         let mut command = Command::new(program());
-        command.args(words).arg("--config").arg(self.path(&format!("n{number}.json")));
-        command.arg("--settings").arg(self.path("fleet.cue")).stderr(Stdio::null());
+        command
+            .args(words)
+            .arg("--config")
+            .arg(self.path(&format!("n{number}.json")));
+        command
+            .arg("--settings")
+            .arg(self.path("fleet.cue"))
+            .stderr(Stdio::null());
         command
     }
 
@@ -174,7 +227,12 @@
 
     fn command(&self, words: &[&str]) -> Command {
         let mut command = Command::new(program());
-        command.arg("works").arg(words[0]).arg("--socket").arg(self.path("n0")).args(&words[1..]);
+        command
+            .arg("works")
+            .arg(words[0])
+            .arg("--socket")
+            .arg(self.path("n0"))
+            .args(&words[1..]);
         command
     }
 
@@ -187,7 +245,11 @@
         }
         .expect("it ends");
         let said = serde_json::from_slice(&done.stdout).unwrap_or_default();
-        (said, done.status.code(), String::from_utf8_lossy(&done.stderr).into_owned())
+        (
+            said,
+            done.status.code(),
+            String::from_utf8_lossy(&done.stderr).into_owned(),
+        )
     }
 
     fn state_of(&self, machine: &str) -> Option<String> {
@@ -199,7 +261,11 @@
 }
 
 fn lines(path: &Path) -> Vec<String> {
-    std::fs::read_to_string(path).unwrap_or_default().lines().map(str::to_owned).collect()
+    std::fs::read_to_string(path)
+        .unwrap_or_default()
+        .lines()
+        .map(str::to_owned)
+        .collect()
 }
 
 #[test]
@@ -212,7 +278,17 @@
     let script = |more: &str| format!("echo $TERNPICK_MACHINE >> {}; {more}", told.display());
     let exec = |more: &str| {
         let script = script(more);
-        one.command(&["exec", "--request", &request, "--by", "ann", "--", "sh", "-c", &script])
+        one.command(&[
+            "exec",
+            "--request",
+            &request,
+            "--by",
+            "ann",
+            "--",
+            "sh",
+            "-c",
+            &script,
+        ])
     };
     // Killed in the middle: the machine stays ann's, and she goes on with it.
     let mut killed = exec("exec sleep 5").spawn().expect("it starts");
@@ -229,12 +305,19 @@
     assert_eq!(lines(&told), [first.clone(), first.clone()]);
     // Given back unfit, it stays out.
     let failed = exec("exit 3").output().expect("it ends");
-    assert_eq!(failed.status.code(), Some(1), "{}", String::from_utf8_lossy(&failed.stderr));
+    assert_eq!(
+        failed.status.code(),
+        Some(1),
+        "{}",
+        String::from_utf8_lossy(&failed.stderr)
+    );
     let second = lines(&told)[2].clone();
     assert_ne!(first, second);
     assert_eq!(one.state_of(&second).as_deref(), Some("given back unfit"));
     assert!(
-        exec("exit 0").output().is_ok_and(|done| done.status.code() == Some(4)),
+        exec("exit 0")
+            .output()
+            .is_ok_and(|done| done.status.code() == Some(4)),
         "its turn does not come"
     );
 }
@@ -243,15 +326,47 @@
 fn an_operator_asks_looks_holds_cancels_and_is_told_why_not() {
     let one = Small::start(1, 3);
     let (_, status, words) = one.works(&["ask", "s-9", "--why", "disks", "--by", "ann"]);
-    assert_eq!((status, words.is_empty()), (Some(1), true), "its answer is JSON");
-    let (said, ..) = one.works(&["ask", "s-0", "s-1", "--together", "--why", "disks", "--by", "ann"]);
-    assert!(said["line"].as_str().is_some_and(|line| line.contains("can never go out")), "{said}");
-    let (said, ..) =
-        one.works(&["ask", "--group", "0", "--lasts", "1h", "--within", "2h", "--why", "d", "--by", "ann"]);
-    assert!(said["line"].as_str().is_some_and(|line| line.contains("needs 3 rounds")), "{said}");
+    assert_eq!(
+        (status, words.is_empty()),
+        (Some(1), true),
+        "its answer is JSON"
+    );
+    let (said, ..) = one.works(&[
+        "ask",
+        "s-0",
+        "s-1",
+        "--together",
+        "--why",
+        "disks",
+        "--by",
+        "ann",
+    ]);
+    assert!(
+        said["line"]
+            .as_str()
+            .is_some_and(|line| line.contains("can never go out")),
+        "{said}"
+    );
+    let (said, ..) = one.works(&[
+        "ask", "--group", "0", "--lasts", "1h", "--within", "2h", "--why", "d", "--by", "ann",
+    ]);
+    assert!(
+        said["line"]
+            .as_str()
+            .is_some_and(|line| line.contains("needs 3 rounds")),
+        "{said}"
+    );
     let request_of = |said: &Value| said["number"].to_string();
-    assert_eq!(one.works(&["change", "77", "--priority", "3", "--by", "ann"]).1, Some(1), "no such request");
-    assert_eq!(one.works(&["hold", "--by", "ann", "--why", "a storm"]).1, Some(0));
+    assert_eq!(
+        one.works(&["change", "77", "--priority", "3", "--by", "ann"])
+            .1,
+        Some(1),
+        "no such request"
+    );
+    assert_eq!(
+        one.works(&["hold", "--by", "ann", "--why", "a storm"]).1,
+        Some(0)
+    );
     let (plan, ..) = one.works(&["plan", "--up-for", "1d"]);
     assert_eq!(
         plan["rounds"].as_array().map(Vec::len),
@@ -261,20 +376,41 @@
     let (said, ..) = one.works(&["ask", "--zone", "a", "--why", "disks", "--by", "ann"]);
     let request = request_of(&said);
     assert_eq!(
-        one.works(&["change", &request, "--priority", "3", "--within", "9h", "--by", "ann"]).1,
+        one.works(&[
+            "change",
+            &request,
+            "--priority",
+            "3",
+            "--within",
+            "9h",
+            "--by",
+            "ann"
+        ])
+        .1,
         Some(0)
     );
     let (plan, ..) = one.works(&["plan", "s-2"]);
     assert_eq!(plan["rounds"].as_array().map(Vec::len), Some(4), "{plan}");
     std::thread::sleep(Duration::from_millis(600));
     assert_eq!(one.state_of("s-0").as_deref(), Some("waits"), "it is held");
-    assert_eq!(one.works(&["next", "--timeout", "300ms"]).1, Some(3), "nobody can tell when");
+    assert_eq!(
+        one.works(&["next", "--timeout", "300ms"]).1,
+        Some(3),
+        "nobody can tell when"
+    );
     assert_eq!(one.works(&["resume", "--by", "ann"]).1, Some(0));
     let (said, status, _) = one.works(&["next", "--request", &request]);
     assert_eq!(status, Some(0), "{said}");
-    let (permit, machine) = (said["permit"].to_string(), said["machine"].as_str().expect("one").to_owned());
+    let (permit, machine) = (
+        said["permit"].to_string(),
+        said["machine"].as_str().expect("one").to_owned(),
+    );
     assert_eq!(one.works(&["begin", &permit, "--by", "ann"]).1, Some(0));
-    assert_eq!(one.works(&["begin", &permit, "--by", "bob"]).1, Some(1), "ann has it");
+    assert_eq!(
+        one.works(&["begin", &permit, "--by", "bob"]).1,
+        Some(1),
+        "ann has it"
+    );
     let (said, ..) = one.works(&["cancel", &request, "--by", "ann"]);
     assert_eq!(said["number"], 2, "what she has in hand stays out");
     assert_eq!(one.state_of(&machine).as_deref(), Some("in work"));
@@ -289,8 +425,19 @@
 fn a_voter_that_lost_its_disk_learns_thousands_of_machines() {
     let mut fleet = Small::start(3, 60);
     let machines: Vec<String> = (0..60).map(|at| format!("s-{at}")).collect();
-    let ask = ["ask", "--in", "9h", "--why", "a long list of disks that are to be exchanged", "--by", "ann"];
-    let ask: Vec<&str> = ask.into_iter().chain(machines.iter().map(String::as_str)).collect();
+    let ask = [
+        "ask",
+        "--in",
+        "9h",
+        "--why",
+        "a long list of disks that are to be exchanged",
+        "--by",
+        "ann",
+    ];
+    let ask: Vec<&str> = ask
+        .into_iter()
+        .chain(machines.iter().map(String::as_str))
+        .collect();
     for _ in 0..50 {
         until("it is asked", || fleet.works(&ask).1 == Some(0));
     }
@@ -304,11 +451,21 @@
     fleet.routers[2] = router;
     let fleet_says = |words: &[&str]| {
         let mut command = Command::new(program());
-        command.arg("fleet").args(words).arg("--json").arg("--socket").arg(fleet.path("n0"));
+        command
+            .arg("fleet")
+            .args(words)
+            .arg("--json")
+            .arg("--socket")
+            .arg(fleet.path("n0"));
         let done = command.output().expect("it ends");
-        (serde_json::from_slice::<Value>(&done.stdout).unwrap_or_default(), done.status.code())
+        (
+            serde_json::from_slice::<Value>(&done.stdout).unwrap_or_default(),
+            done.status.code(),
+        )
     };
-    until("it has another seat", || fleet_says(&["replace", "n2"]).1 == Some(0));
+    until("it has another seat", || {
+        fleet_says(&["replace", "n2"]).1 == Some(0)
+    });
     until("it has learnt, and votes", || {
         let (rows, _) = fleet_says(&["members"]);
         let mut rows = rows.as_array().cloned().unwrap_or_default().into_iter();
--- a/settings/examples/cost.rs
+++ b/settings/examples/cost.rs
@@ -23,13 +23,23 @@
         let (mut best, mut used) = (f64::MAX, 0);
         for _ in 0..5 {
             let began = Instant::now();
-            let read =
-                SCHEMA.read::<serde_json::Value>("t.cue", &text).unwrap_or_else(|fault| panic!("{fault}"));
-            (best, used) = (best.min(began.elapsed().as_secs_f64() * 1e3), read.used.len());
+            let read = SCHEMA
+                .read::<serde_json::Value>("t.cue", &text)
+                .unwrap_or_else(|fault| panic!("{fault}"));
+            (best, used) = (
+                best.min(began.elapsed().as_secs_f64() * 1e3),
+                read.used.len(),
+            );
         }
         let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-        let highest =
-            status.lines().find(|line| line.starts_with("VmHWM")).map_or("-", |line| line[6..].trim());
-        println!("| {} | {} | {best:.1} | {used} | {highest} |", text.lines().count(), text.len());
+        let highest = status
+            .lines()
+            .find(|line| line.starts_with("VmHWM"))
+            .map_or("-", |line| line[6..].trim());
+        println!(
+            "| {} | {} | {best:.1} | {used} | {highest} |",
+            text.lines().count(),
+            text.len()
+        );
     }
 }
--- a/settings/src/eval.rs
+++ b/settings/src/eval.rs
@@ -43,8 +43,18 @@
 
     /// The value of the text `own` under the definition `name` of the text `schema`.
     pub fn whole(&mut self, schema: &'a Members, own: &'a Members, name: &'a str, at: Span) -> V {
-        let wish = self.named(&Scope { round: vec![schema], by: None }, &[name.to_owned()], at);
-        let scope = Scope { round: vec![schema, own], by: None };
+        let wish = self.named(
+            &Scope {
+                round: vec![schema],
+                by: None,
+            },
+            &[name.to_owned()],
+            at,
+        );
+        let scope = Scope {
+            round: vec![schema, own],
+            by: None,
+        };
         let said = self.record(own, &scope, at);
         // Definitions of the text are for its own use.
         let said = match &said.form {
@@ -62,8 +72,16 @@
         if !self.unifier.step() {
             return value(Form::Bad, expr.at);
         }
-        let demand =
-            |must| value(Form::Demands(vec![Demand { must, at: expr.at, by: scope.by.clone() }]), expr.at);
+        let demand = |must| {
+            value(
+                Form::Demands(vec![Demand {
+                    must,
+                    at: expr.at,
+                    by: scope.by.clone(),
+                }]),
+                expr.at,
+            )
+        };
         match &expr.of {
             Of::Top => value(Form::Demands(Vec::new()), expr.at),
             Of::Scalar(of) => value(Form::Scalar(of.clone()), expr.at),
@@ -92,7 +110,10 @@
                 whole
             }
             Of::Any(any) => {
-                let ways = any.iter().map(|(star, one)| (*star, self.eval(one, scope))).collect();
+                let ways = any
+                    .iter()
+                    .map(|(star, one)| (*star, self.eval(one, scope)))
+                    .collect();
                 value(Form::Any(ways), expr.at)
             }
             Of::List(items, rest) => {
@@ -103,7 +124,14 @@
             Of::Record(members) => {
                 let mut round = scope.round.clone();
                 round.push(members);
-                self.record(members, &Scope { round, by: scope.by.clone() }, expr.at)
+                self.record(
+                    members,
+                    &Scope {
+                        round,
+                        by: scope.by.clone(),
+                    },
+                    expr.at,
+                )
             }
         }
     }
@@ -128,7 +156,10 @@
 
     /// The innermost record round a place that has the name, and its depth.
     fn holder(&self, scope: &Scope<'a>, name: &str) -> Option<usize> {
-        scope.round.iter().rposition(|members| members.fields.contains_key(name))
+        scope
+            .round
+            .iter()
+            .rposition(|members| members.fields.contains_key(name))
     }
 
     fn named(&mut self, scope: &Scope<'a>, path: &[String], at: Span) -> V {
@@ -136,10 +167,15 @@
             return self.problem(at, format!("nothing is named '{}' here", path[0]));
         };
         let (holder, round) = (scope.round[depth], scope.round[..=depth].to_vec());
-        let Some((label, _)) = holder.fields.get_key_value(&path[0]) else { return value(Form::Bad, at) };
+        let Some((label, _)) = holder.fields.get_key_value(&path[0]) else {
+            return value(Form::Bad, at);
+        };
         let key = (std::ptr::from_ref(holder), label.as_str());
         if self.under_way.contains(&key) || self.under_way.len() > DEEPEST {
-            return self.problem(at, format!("'{label}' goes back to itself, or stands too deep"));
+            return self.problem(
+                at,
+                format!("'{label}' goes back to itself, or stands too deep"),
+            );
         }
         let whole = match self.known.get(&key) {
             Some(known) => Rc::clone(known),
@@ -148,7 +184,11 @@
                 // The schema's definitions close their records and are told by name; a text's own are only a way
                 // to write a thing once. Other names leave a demand whose it is.
                 let defines = label.starts_with('#') && round.len() == 1;
-                let by = if defines { Some(label.as_str().into()) } else { scope.by.clone() };
+                let by = if defines {
+                    Some(label.as_str().into())
+                } else {
+                    scope.by.clone()
+                };
                 let found = self.field(holder, label, &Scope { round, by });
                 self.under_way.pop();
                 self.known.insert(key, Rc::clone(&found));
@@ -156,7 +196,9 @@
             }
         };
         path[1..].iter().fold(whole, |of, step| match &of.form {
-            Form::Record(record) if record.fields.contains_key(step) => Rc::clone(&record.fields[step].value),
+            Form::Record(record) if record.fields.contains_key(step) => {
+                Rc::clone(&record.fields[step].value)
+            }
             Form::Bad => of,
             _ => self.problem(at, format!("'{}' has no field '{step}'", path[0])),
         })
@@ -165,9 +207,16 @@
     /// All that a record says of one of its fields, as one.
     fn field(&mut self, members: &'a Members, label: &str, scope: &Scope<'a>) -> V {
         let said = members.fields.get(label).map_or(&[][..], Vec::as_slice);
-        let all: Vec<V> = said.iter().map(|field| self.eval(&field.value, scope)).collect();
-        let first = all.first().map_or_else(|| value(Form::Bad, Span::new(0, 0, 0)), Rc::clone);
-        all.iter().skip(1).fold(first, |whole, one| self.unifier.unify(&whole, one, &mut self.problems))
+        let all: Vec<V> = said
+            .iter()
+            .map(|field| self.eval(&field.value, scope))
+            .collect();
+        let first = all
+            .first()
+            .map_or_else(|| value(Form::Bad, Span::new(0, 0, 0)), Rc::clone);
+        all.iter().skip(1).fold(first, |whole, one| {
+            self.unifier.unify(&whole, one, &mut self.problems)
+        })
     }
 
     fn record(&mut self, members: &'a Members, scope: &Scope<'a>, at: Span) -> V {
@@ -179,12 +228,17 @@
                 }
                 Of::Bound(Compare::Matches, Scalar::Text(text)) => self.pattern(text, label.at),
                 _ => {
-                    self.problem(label.at, "a field's pattern is [string] or [=~\"...\"]".into());
+                    self.problem(
+                        label.at,
+                        "a field's pattern is [string] or [=~\"...\"]".into(),
+                    );
                     None
                 }
             };
             let wish = self.eval(wish, scope);
-            record.patterns.extend(pattern.map(|pattern| (pattern, wish)));
+            record
+                .patterns
+                .extend(pattern.map(|pattern| (pattern, wish)));
         }
         for (label, said) in &members.fields {
             let mut of = self.named(scope, std::slice::from_ref(label), said[0].at);
@@ -195,12 +249,28 @@
                 }
             }
             let optional = said.iter().all(|field| field.optional);
-            record.fields.insert(label.clone(), Slot { value: of, optional, at: said[0].at });
+            record.fields.insert(
+                label.clone(),
+                Slot {
+                    value: of,
+                    optional,
+                    at: said[0].at,
+                },
+            );
         }
         if let (Some(by), false) = (&scope.by, members.open) {
             let labels = record.fields.keys().cloned().collect();
-            let patterns = record.patterns.iter().map(|(pattern, _)| Rc::clone(pattern)).collect();
-            record.closed.push(Closed { by: Rc::clone(by), at, labels, patterns });
+            let patterns = record
+                .patterns
+                .iter()
+                .map(|(pattern, _)| Rc::clone(pattern))
+                .collect();
+            record.closed.push(Closed {
+                by: Rc::clone(by),
+                at,
+                labels,
+                patterns,
+            });
         }
         value(Form::Record(record), at)
     }
--- a/settings/src/export.rs
+++ b/settings/src/export.rs
@@ -19,8 +19,18 @@
 impl<'a> Export<'a> {
     pub fn new(sources: &'a Sources) -> Self {
         let text = &sources[0].1;
-        let lines = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n').map(|(at, _)| at + 1);
-        Export { sources, used: Vec::new(), problems: Vec::new(), steps: 0, lines: lines.collect() }
+        let lines = text
+            .bytes()
+            .enumerate()
+            .filter(|(_, byte)| *byte == b'\n')
+            .map(|(at, _)| at + 1);
+        Export {
+            sources,
+            used: Vec::new(),
+            problems: Vec::new(),
+            steps: 0,
+            lines: lines.collect(),
+        }
     }
 
     pub fn whole(&mut self, of: &V) -> serde_json::Value {
@@ -31,8 +41,10 @@
         self.steps += 1;
         if self.steps >= MOST_VALUES {
             if self.steps == MOST_VALUES {
-                self.problems
-                    .push(Problem::new(holder.at, format!("more than {MOST_VALUES} values come out")));
+                self.problems.push(Problem::new(
+                    holder.at,
+                    format!("more than {MOST_VALUES} values come out"),
+                ));
             }
             return serde_json::Value::Null;
         }
@@ -40,30 +52,51 @@
             Form::Scalar(scalar) => {
                 let line = || 1 + self.lines.partition_point(|start| *start <= of.at.start);
                 let from = (of.at.file == 0).then(|| (self.sources[0].0.clone(), line()));
-                self.used.push(Used { path: path.to_owned(), value: scalar.to_string(), from });
+                self.used.push(Used {
+                    path: path.to_owned(),
+                    value: scalar.to_string(),
+                    from,
+                });
                 scalar.json()
             }
             Form::Record(record) => {
                 let mut all = serde_json::Map::new();
-                for (label, Slot { value, optional, .. }) in &record.fields {
+                for (
+                    label,
+                    Slot {
+                        value, optional, ..
+                    },
+                ) in &record.fields
+                {
                     if *optional || label.starts_with('#') {
                         continue;
                     }
                     if self.steps >= MOST_VALUES {
                         break;
                     }
-                    let path = if path.is_empty() { label.clone() } else { format!("{path}.{label}") };
+                    let path = if path.is_empty() {
+                        label.clone()
+                    } else {
+                        format!("{path}.{label}")
+                    };
                     all.insert(label.clone(), self.value(value, &path, of));
                 }
                 all.into()
             }
             Form::List(items, _) => {
                 let each = items.iter().enumerate();
-                each.map(|(at, item)| self.value(item, &format!("{path}[{at}]"), of)).collect()
+                each.map(|(at, item)| self.value(item, &format!("{path}[{at}]"), of))
+                    .collect()
             }
             Form::Any(ways) => {
-                let ways = || ways.iter().filter(|(_, way)| !matches!(way.form, Form::Bad));
-                let mut open: Vec<&V> = ways().filter(|(star, _)| *star).map(|(_, way)| way).collect();
+                let ways = || {
+                    ways.iter()
+                        .filter(|(_, way)| !matches!(way.form, Form::Bad))
+                };
+                let mut open: Vec<&V> = ways()
+                    .filter(|(star, _)| *star)
+                    .map(|(_, way)| way)
+                    .collect();
                 if open.len() != 1 {
                     // A list or record that may be anything of its kind is itself once it is closed: `[...] | *[]`.
                     open = ways().map(|(_, way)| way).collect();
@@ -81,14 +114,18 @@
     fn missing(&mut self, of: &V, path: &str, holder: &V) -> serde_json::Value {
         let by = match &of.form {
             Form::Demands(demands) => {
-                let kind = demands.iter().find(|demand| matches!(demand.must, Must::Be(_)));
-                kind.or(demands.first()).and_then(|demand| demand.by.clone())
+                let kind = demands
+                    .iter()
+                    .find(|demand| matches!(demand.must, Must::Be(_)));
+                kind.or(demands.first())
+                    .and_then(|demand| demand.by.clone())
             }
             _ => None,
         };
         let what = format!("'{path}' is missing: {} is wanted", of.wanted());
         let at = if of.at.file == 0 { of.at } else { holder.at };
-        self.problems.push(Problem::new(at, what).beside(of.at, asked_by(by.as_deref())));
+        self.problems
+            .push(Problem::new(at, what).beside(of.at, asked_by(by.as_deref())));
         serde_json::Value::Null
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -81,10 +81,15 @@
 
     pub fn read_file<T: DeserializeOwned>(&self, path: &Path) -> Result<Read<T>, Refused> {
         let name = path.display().to_string();
-        let unreadable = |error| Refused::Unreadable { name: name.clone(), error };
+        let unreadable = |error| Refused::Unreadable {
+            name: name.clone(),
+            error,
+        };
         let long = std::fs::metadata(path).map_err(unreadable)?.len();
         if long > LONGEST as u64 {
-            return Err(unreadable(std::io::Error::other("it is longer than any settings are")));
+            return Err(unreadable(std::io::Error::other(
+                "it is longer than any settings are",
+            )));
         }
         let text = std::fs::read_to_string(path).map_err(unreadable)?;
         self.read(&name, &text)
@@ -94,7 +99,9 @@
     pub fn read<T: DeserializeOwned>(&self, name: &str, text: &str) -> Result<Read<T>, Refused> {
         let own_source = std::iter::once((name, text));
         let all = own_source.chain(self.parts.iter().copied());
-        let sources: report::Sources = all.map(|(name, text)| (name.to_owned(), text.to_owned())).collect();
+        let sources: report::Sources = all
+            .map(|(name, text)| (name.to_owned(), text.to_owned()))
+            .collect();
         let (own, mut problems) = syntax::parse(0, text);
         let mut schema = syntax::Members::default();
         for (at, (_, text)) in self.parts.iter().enumerate() {
@@ -113,7 +120,10 @@
             problems.append(&mut export.problems);
         }
         if tired {
-            problems = vec![Problem::new(at, "working this text out takes too long".into())];
+            problems = vec![Problem::new(
+                at,
+                "working this text out takes too long".into(),
+            )];
         }
         if !problems.is_empty() {
             problems.sort_by_key(|problem| (problem.at.file, problem.at.start));
@@ -121,8 +131,10 @@
             return Err(Refused::Wrong(Report { sources, problems }));
         }
         let used = export.used;
-        let value = serde_json::from_value(json)
-            .map_err(|error| Refused::Unfit { name: name.to_owned(), what: error.to_string() })?;
+        let value = serde_json::from_value(json).map_err(|error| Refused::Unfit {
+            name: name.to_owned(),
+            what: error.to_string(),
+        })?;
         Ok(Read { value, used })
     }
 }
--- a/settings/src/report.rs
+++ b/settings/src/report.rs
@@ -31,7 +31,11 @@
 
 impl Problem {
     pub fn new(at: Span, what: String) -> Self {
-        Problem { at, what, beside: Vec::new() }
+        Problem {
+            at,
+            what,
+            beside: Vec::new(),
+        }
     }
 
     pub fn beside(mut self, at: Span, why: impl Into<String>) -> Self {
@@ -54,8 +58,14 @@
 pub fn place(text: &str, at: usize) -> (usize, usize) {
     let before = &text.as_bytes()[..at.min(text.len())];
     let line = before.iter().filter(|byte| **byte == b'\n').count();
-    let start = before.iter().rposition(|byte| *byte == b'\n').map_or(0, |end| end + 1);
-    (line + 1, String::from_utf8_lossy(&before[start..]).chars().count() + 1)
+    let start = before
+        .iter()
+        .rposition(|byte| *byte == b'\n')
+        .map_or(0, |end| end + 1);
+    (
+        line + 1,
+        String::from_utf8_lossy(&before[start..]).chars().count() + 1,
+    )
 }
 
 impl Report {
@@ -79,11 +89,16 @@
         let (mut out, config) = (NoColor::new(Vec::new()), term::Config::default());
         for problem in &self.problems {
             let mut labels =
-                vec![Label::primary(problem.at.file, problem.at.start..problem.at.end).with_message("here")];
+                vec![
+                    Label::primary(problem.at.file, problem.at.start..problem.at.end)
+                        .with_message("here"),
+                ];
             for (at, why) in &problem.beside {
                 labels.push(Label::secondary(at.file, at.start..at.end).with_message(why));
             }
-            let told = Diagnostic::error().with_message(&problem.what).with_labels(labels);
+            let told = Diagnostic::error()
+                .with_message(&problem.what)
+                .with_labels(labels);
             term::emit(&mut out, &config, &files, &told).map_err(|_| fmt::Error)?;
         }
         f.write_str(&String::from_utf8_lossy(&out.into_inner()))
--- a/settings/src/syntax.rs
+++ b/settings/src/syntax.rs
@@ -85,18 +85,29 @@
     let mut problems = Vec::new();
     if text.len() > LONGEST {
         let what = format!("the text is longer than {} MiB", LONGEST >> 20);
-        return (Members::default(), vec![Problem::new(Span::new(file, 0, 0), what)]);
+        return (
+            Members::default(),
+            vec![Problem::new(Span::new(file, 0, 0), what)],
+        );
     }
     if let Some(at) = too_deep(text) {
         let what = format!("brackets stand more than {DEEPEST} deep");
-        return (Members::default(), vec![Problem::new(Span::new(file, at, at + 1), what)]);
+        return (
+            Members::default(),
+            vec![Problem::new(Span::new(file, at, at + 1), what)],
+        );
     }
     let mut text = text.to_owned();
     loop {
         match Grammar::parse(Rule::file, &text) {
             Ok(mut pairs) => {
-                let whole = pairs.next().map(|file| file.into_inner().collect::<Vec<_>>());
-                let mut tree = Tree { file, problems: &mut problems };
+                let whole = pairs
+                    .next()
+                    .map(|file| file.into_inner().collect::<Vec<_>>());
+                let mut tree = Tree {
+                    file,
+                    problems: &mut problems,
+                };
                 let members = tree.members(whole.unwrap_or_default());
                 return (members, problems);
             }
@@ -159,12 +170,24 @@
         next.is_ascii_alphabetic() || matches!(next, b'#' | b'"' | b'_')
     };
     let lines = || std::iter::once(0).chain(text.match_indices('\n').map(|(end, _)| end + 1));
-    let from = lines().take_while(|line| *line <= at).filter(|line| begins(*line)).last().unwrap_or(0);
-    let to = lines().find(|line| *line > at && begins(*line)).unwrap_or(text.len());
-    if text.as_bytes()[from..to].iter().all(u8::is_ascii_whitespace) {
+    let from = lines()
+        .take_while(|line| *line <= at)
+        .filter(|line| begins(*line))
+        .last()
+        .unwrap_or(0);
+    let to = lines()
+        .find(|line| *line > at && begins(*line))
+        .unwrap_or(text.len());
+    if text.as_bytes()[from..to]
+        .iter()
+        .all(u8::is_ascii_whitespace)
+    {
         return false;
     }
-    let blank: String = text[from..to].bytes().map(|byte| if byte == b'\n' { '\n' } else { ' ' }).collect();
+    let blank: String = text[from..to]
+        .bytes()
+        .map(|byte| if byte == b'\n' { '\n' } else { ' ' })
+        .collect();
     text.replace_range(from..to, &blank);
     true
 }
@@ -189,10 +212,12 @@
     let rest = &text[at.min(text.len())..];
     let span = Span::new(file, at, at + rest.chars().next().map_or(0, char::len_utf8));
     // Where a label was read already, what is left out stands before the place.
-    let line = &text[text[..at.min(text.len())].rfind('\n').map_or(0, |end| end + 1)..];
-    let left_out = LEFT_OUT
-        .iter()
-        .find(|(word, _)| rest.starts_with(word) || word.len() > 2 && line.trim_start().starts_with(word));
+    let line = &text[text[..at.min(text.len())]
+        .rfind('\n')
+        .map_or(0, |end| end + 1)..];
+    let left_out = LEFT_OUT.iter().find(|(word, _)| {
+        rest.starts_with(word) || word.len() > 2 && line.trim_start().starts_with(word)
+    });
     if let Some((_, what)) = left_out {
         return Problem::new(span, format!("{what} are left out of this subset of CUE"));
     }
@@ -211,7 +236,9 @@
 fn words(rule: Rule) -> Option<&'static str> {
     Some(match rule {
         Rule::field | Rule::label | Rule::nested => "a field ('name: value')",
-        Rule::expr | Rule::marked | Rule::all | Rule::literal | Rule::reference | Rule::bound => "a value",
+        Rule::expr | Rule::marked | Rule::all | Rule::literal | Rule::reference | Rule::bound => {
+            "a value"
+        }
         Rule::record => "'{'",
         Rule::list => "'['",
         Rule::mark => "':'",
@@ -231,7 +258,11 @@
 impl Tree<'_> {
     fn span(&self, pair: &Pair<Rule>) -> Span {
         let span = pair.as_span();
-        Span::new(self.file, span.start(), span.start() + span.as_str().trim_end().len())
+        Span::new(
+            self.file,
+            span.start(),
+            span.start() + span.as_str().trim_end().len(),
+        )
     }
 
     fn members(&mut self, pairs: Vec<Pair<Rule>>) -> Members {
@@ -258,13 +289,21 @@
     fn field(&mut self, pair: Pair<Rule>) -> (String, Field) {
         let at = self.span(&pair);
         let mut label = String::new();
-        let mut field = Field { at, optional: false, value: Expr { at, of: Of::Top } };
+        let mut field = Field {
+            at,
+            optional: false,
+            value: Expr { at, of: Of::Top },
+        };
         for part in pair.into_inner() {
             match part.as_rule() {
                 Rule::label => {
                     field.at = self.span(&part);
                     let text = part.as_str().trim();
-                    label = if text.starts_with('"') { self.text(text, field.at) } else { text.into() };
+                    label = if text.starts_with('"') {
+                        self.text(text, field.at)
+                    } else {
+                        text.into()
+                    };
                 }
                 Rule::mark => field.optional = part.as_str() == "?",
                 _ => field.value = self.expr(part),
@@ -280,7 +319,10 @@
             return String::new();
         }
         serde_json::from_str(quoted).unwrap_or_else(|_| {
-            self.problems.push(Problem::new(at, "an escape here is none that JSON knows".into()));
+            self.problems.push(Problem::new(
+                at,
+                "an escape here is none that JSON knows".into(),
+            ));
             String::new()
         })
     }
@@ -292,7 +334,9 @@
                 let mut any: Vec<(bool, Expr)> = Vec::new();
                 for marked in pair.into_inner() {
                     let mut inner = marked.into_inner().peekable();
-                    let star = inner.next_if(|first| first.as_rule() == Rule::star).is_some();
+                    let star = inner
+                        .next_if(|first| first.as_rule() == Rule::star)
+                        .is_some();
                     any.extend(inner.next().map(|all| (star, self.expr(all))));
                 }
                 match any.len() {
@@ -317,7 +361,8 @@
                 for item in pair.into_inner() {
                     let at = self.span(&item);
                     if rest.is_some() {
-                        self.problems.push(Problem::new(at, "nothing may follow '...'".into()));
+                        self.problems
+                            .push(Problem::new(at, "nothing may follow '...'".into()));
                     } else if item.as_rule() == Rule::rest {
                         let of = item.into_inner().next().map(|of| self.expr(of));
                         rest = Some(Box::new(of.unwrap_or(Expr { at, of: Of::Top })));
@@ -338,7 +383,9 @@
                     "=~" => Compare::Matches,
                     _ => Compare::MatchesNot,
                 };
-                inner.next().map_or(Of::Top, |literal| Of::Bound(compare, self.scalar(literal)))
+                inner
+                    .next()
+                    .map_or(Of::Top, |literal| Of::Bound(compare, self.scalar(literal)))
             }
             Rule::literal => Of::Scalar(self.scalar(pair)),
             Rule::reference => match pair.as_str() {
@@ -362,7 +409,11 @@
             }
             Rule::string => Some(Scalar::Text(self.text(inner.as_str(), at).into())),
             Rule::int => digits.parse().ok().map(Scalar::Int),
-            Rule::float => digits.parse().ok().filter(|float: &f64| float.is_finite()).map(Scalar::Float),
+            Rule::float => digits
+                .parse()
+                .ok()
+                .filter(|float: &f64| float.is_finite())
+                .map(Scalar::Float),
             Rule::quantity => quantity(&digits),
             _ => Some(match inner.as_str() {
                 "true" => Scalar::Bool(true),
@@ -371,7 +422,8 @@
             }),
         };
         read.unwrap_or_else(|| {
-            self.problems.push(Problem::new(at, "this number is too large".into()));
+            self.problems
+                .push(Problem::new(at, "this number is too large".into()));
             Scalar::Null
         })
     }
@@ -403,5 +455,9 @@
             (all.abs() < i64::MAX as f64 / 2.0).then_some(all.round() as i64)?
         }
     };
-    Some(if time { Scalar::Duration(all) } else { Scalar::Size(all) })
+    Some(if time {
+        Scalar::Duration(all)
+    } else {
+        Scalar::Size(all)
+    })
 }
--- a/settings/src/value.rs
+++ b/settings/src/value.rs
@@ -101,7 +101,9 @@
     fn order(&self, other: &Scalar) -> Option<std::cmp::Ordering> {
         match (self, other) {
             (Scalar::Int(a), Scalar::Int(b)) => Some(a.cmp(b)),
-            (Scalar::Duration(a), Scalar::Duration(b)) | (Scalar::Size(a), Scalar::Size(b)) => Some(a.cmp(b)),
+            (Scalar::Duration(a), Scalar::Duration(b)) | (Scalar::Size(a), Scalar::Size(b)) => {
+                Some(a.cmp(b))
+            }
             (Scalar::Int(a), Scalar::Float(b)) => (*a as f64).partial_cmp(b),
             (Scalar::Float(a), Scalar::Int(b)) => a.partial_cmp(&(*b as f64)),
             (Scalar::Float(a), Scalar::Float(b)) => a.partial_cmp(b),
@@ -146,9 +148,16 @@
                     (1, "us"),
                 ],
             ),
-            Scalar::Size(of) => {
-                units(f, *of, &[(1 << 30, "GiB"), (1 << 20, "MiB"), (1 << 10, "KiB"), (1, "B")])
-            }
+            Scalar::Size(of) => units(
+                f,
+                *of,
+                &[
+                    (1 << 30, "GiB"),
+                    (1 << 20, "MiB"),
+                    (1 << 10, "KiB"),
+                    (1, "B"),
+                ],
+            ),
         }
     }
 }
@@ -221,7 +230,9 @@
         match &self.must {
             Must::Be(kind) => f.write_str(kind.words()),
             Must::Match(pattern, true) => write!(f, "a text that matches {:?}", pattern.as_str()),
-            Must::Match(pattern, false) => write!(f, "a text that does not match {:?}", pattern.as_str()),
+            Must::Match(pattern, false) => {
+                write!(f, "a text that does not match {:?}", pattern.as_str())
+            }
             Must::Compare(compare, bound) => {
                 let words = match compare {
                     Compare::AtLeast => "at least",
@@ -256,13 +267,18 @@
                 // The kind says itself where a bound of it is told.
                 let bounded = demands.len() > 1;
                 let told = demands.iter().filter(|of| {
-                    !bounded || !matches!(of.must, Must::Be(Kind::Duration | Kind::Size | Kind::Text))
+                    !bounded
+                        || !matches!(of.must, Must::Be(Kind::Duration | Kind::Size | Kind::Text))
                 });
-                told.map(Demand::to_string).collect::<Vec<_>>().join(" and ")
+                told.map(Demand::to_string)
+                    .collect::<Vec<_>>()
+                    .join(" and ")
             }
             Form::Any(any) => {
                 let some = any.iter().filter(|(_, one)| !matches!(one.form, Form::Bad));
-                some.map(|(_, one)| one.wanted()).collect::<Vec<_>>().join(" or ")
+                some.map(|(_, one)| one.wanted())
+                    .collect::<Vec<_>>()
+                    .join(" or ")
             }
             Form::Record(_) => Kind::Record.words().into(),
             Form::List(..) => Kind::List.words().into(),
@@ -320,7 +336,11 @@
                     }
                 }
                 let mut all = x.clone();
-                all.extend(y.iter().filter(|of| !x.iter().any(|known| known.at == of.at)).cloned());
+                all.extend(
+                    y.iter()
+                        .filter(|of| !x.iter().any(|known| known.at == of.at))
+                        .cloned(),
+                );
                 value(Form::Demands(all), a.at)
             }
             (Form::Record(x), Form::Record(y)) => self.records(x, y, a, b, problems),
@@ -330,7 +350,8 @@
                     match (x.get(at).or(x_rest.as_ref()), y.get(at).or(y_rest.as_ref())) {
                         (Some(x), Some(y)) => items.push(self.unify(x, y, problems)),
                         _ => {
-                            let what = format!("a list of {}, and of {} elsewhere", y.len(), x.len());
+                            let what =
+                                format!("a list of {}, and of {} elsewhere", y.len(), x.len());
                             problems.push(Problem::new(b.at, what).beside(a.at, "the other"));
                             return value(Form::Bad, b.at);
                         }
@@ -340,7 +361,10 @@
                     (Some(x), Some(y)) => Some(self.unify(x, y, problems)),
                     _ => None,
                 };
-                value(Form::List(items, rest), if y_rest.is_none() { b.at } else { a.at })
+                value(
+                    Form::List(items, rest),
+                    if y_rest.is_none() { b.at } else { a.at },
+                )
             }
             _ => self.conflict(a, b, problems),
         }
@@ -360,14 +384,24 @@
         value(Form::Bad, said.at)
     }
 
-    fn check(&mut self, of: &Scalar, said: &V, demands: &[Demand], problems: &mut Vec<Problem>) -> V {
+    fn check(
+        &mut self,
+        of: &Scalar,
+        said: &V,
+        demands: &[Demand],
+        problems: &mut Vec<Problem>,
+    ) -> V {
         // Of the wrong kind, it breaks every bound: that is said once.
-        let wrong = demands.iter().find(|demand| matches!(demand.must, Must::Be(_)) && !demand.holds(of));
+        let wrong = demands
+            .iter()
+            .find(|demand| matches!(demand.must, Must::Be(_)) && !demand.holds(of));
         match wrong.or_else(|| demands.iter().find(|demand| !demand.holds(of))) {
             None => Rc::clone(said),
             Some(demand) => {
                 let what = format!("{demand} is wanted, this is {of}");
-                problems.push(Problem::new(said.at, what).beside(demand.at, asked_by(demand.by.as_deref())));
+                problems.push(
+                    Problem::new(said.at, what).beside(demand.at, asked_by(demand.by.as_deref())),
+                );
                 value(Form::Bad, said.at)
             }
         }
@@ -412,20 +446,27 @@
             0 if none && failed.is_empty() => value(Form::Bad, other.at),
             0 => {
                 // A default is one of what may be there: the other way says what that is.
-                if any.len() == 2 && any.iter().filter(|(star, _)| *star).count() == 1 && theirs.len() == 1 {
+                if any.len() == 2
+                    && any.iter().filter(|(star, _)| *star).count() == 1
+                    && theirs.len() == 1
+                {
                     let beside = usize::from(any[0].0).min(failed.len() - 1);
                     problems.append(&mut failed[beside].1);
                     return value(Form::Bad, other.at);
                 }
                 // The way of the same kind says more than all of them together.
                 let alike = failed.iter().position(|(mine, _)| {
-                    matches!(mine.form, Form::Record(_) | Form::List(..)) && mine.kind() == other.kind()
+                    matches!(mine.form, Form::Record(_) | Form::List(..))
+                        && mine.kind() == other.kind()
                 });
                 match alike {
                     Some(at) => problems.append(&mut failed[at].1),
                     None => {
-                        let what = format!("{} is wanted, this is {}", whole.wanted(), other.wanted());
-                        problems.push(Problem::new(other.at, what).beside(whole.at, "these are the choices"));
+                        let what =
+                            format!("{} is wanted, this is {}", whole.wanted(), other.wanted());
+                        problems.push(
+                            Problem::new(other.at, what).beside(whole.at, "these are the choices"),
+                        );
                     }
                 }
                 value(Form::Bad, other.at)
@@ -441,9 +482,14 @@
     fn records(&mut self, x: &Record, y: &Record, a: &V, b: &V, problems: &mut Vec<Problem>) -> V {
         let mut all = Record::default();
         all.closed.extend(x.closed.iter().chain(&y.closed).cloned());
-        all.patterns.extend(x.patterns.iter().chain(&y.patterns).cloned());
+        all.patterns
+            .extend(x.patterns.iter().chain(&y.patterns).cloned());
         let mut labels: Vec<&String> = x.fields.keys().collect();
-        labels.extend(y.fields.keys().filter(|label| !x.fields.contains_key(*label)));
+        labels.extend(
+            y.fields
+                .keys()
+                .filter(|label| !x.fields.contains_key(*label)),
+        );
         for label in labels {
             let slot = match (x.fields.get(label), y.fields.get(label)) {
                 (Some(mine), Some(their)) => Slot {
@@ -457,25 +503,43 @@
             };
             all.fields.insert(label.clone(), slot);
         }
-        let said = if x.closed.is_empty() && !y.closed.is_empty() { a.at } else { b.at };
+        let said = if x.closed.is_empty() && !y.closed.is_empty() {
+            a.at
+        } else {
+            b.at
+        };
         value(Form::Record(all), said)
     }
 
     /// A field that only one of two records has, as the other's patterns and closedness have it.
-    fn fits(&mut self, label: &str, slot: &Slot, other: &Record, problems: &mut Vec<Problem>) -> Slot {
+    fn fits(
+        &mut self,
+        label: &str,
+        slot: &Slot,
+        other: &Record,
+        problems: &mut Vec<Problem>,
+    ) -> Slot {
         let mut slot = slot.clone();
         let unknown = other.closed.iter().find(|closed| {
             !closed.labels.iter().any(|known| known == label)
-                && !closed.patterns.iter().any(|pattern| pattern.is_match(label))
+                && !closed
+                    .patterns
+                    .iter()
+                    .any(|pattern| pattern.is_match(label))
         });
         if let (Some(closed), false) = (unknown, slot.optional) {
             let near = closed.labels.iter().find(|known| alike(known, label));
             let what = match near {
-                Some(near) => format!("{} has no field '{label}'; '{near}' may be meant", closed.by),
+                Some(near) => format!(
+                    "{} has no field '{label}'; '{near}' may be meant",
+                    closed.by
+                ),
                 None => format!("{} has no field '{label}'", closed.by),
             };
-            problems
-                .push(Problem::new(slot.at, what).beside(closed.at, "this definition names all its fields"));
+            problems.push(
+                Problem::new(slot.at, what)
+                    .beside(closed.at, "this definition names all its fields"),
+            );
             slot.value = value(Form::Bad, slot.at);
             return slot;
         }
@@ -499,7 +563,8 @@
     let same = long.iter().zip(&short).take_while(|(x, y)| x == y).count();
     match long.len() - short.len() {
         0 => {
-            let swapped = long.get(same) == short.get(same + 1) && long.get(same + 1) == short.get(same);
+            let swapped =
+                long.get(same) == short.get(same + 1) && long.get(same + 1) == short.get(same);
             let after = if swapped { same + 2 } else { same + 1 };
             long.get(after..) == short.get(after..)
         }
--- a/settings/tests/records.rs
+++ b/settings/tests/records.rs
@@ -72,7 +72,11 @@
 #[test_case("x: [1, 2] & [1]", "a list of 1, and of 2 elsewhere"; "lengths")]
 #[test_case("x: 1 | 2", "f.cue:1:4: 'x' is missing: 1 or 2 is wanted"; "left open")]
 fn says_what_is_wrong_and_where(text: &str, says: &str) {
-    let text = if text.contains("roles") { text.to_owned() } else { format!("{text}\nroles: {{}}") };
+    let text = if text.contains("roles") {
+        text.to_owned()
+    } else {
+        format!("{text}\nroles: {{}}")
+    };
     let lines = read(&text).expect_err("it is wrong");
     assert!(lines[0].contains(says), "{lines:?}");
 }
@@ -81,16 +85,31 @@
 fn all_mistakes_of_a_text_are_told_at_once_in_form_and_in_meaning() {
     let text = "roles: {}\nx: 1 + 2\ny: {\n  a: ]\n}\nskew: 3h\nmost: true\n";
     let lines = read(text).expect_err("it is wrong");
-    let at: Vec<&str> = lines.iter().map(|line| line.split(": ").next().unwrap_or_default()).collect();
-    assert_eq!(at, ["f.cue:2:6", "f.cue:4:6", "f.cue:6:7", "f.cue:7:7"], "{lines:?}");
+    let at: Vec<&str> = lines
+        .iter()
+        .map(|line| line.split(": ").next().unwrap_or_default())
+        .collect();
+    assert_eq!(
+        at,
+        ["f.cue:2:6", "f.cue:4:6", "f.cue:6:7", "f.cue:7:7"],
+        "{lines:?}"
+    );
 }
 
 #[test]
 fn a_report_marks_the_place_and_names_who_asked() {
     let schema = Schema::new(&[("root.schema", SCHEMA)], "#Root");
-    let refused = schema.read::<Value>("f.cue", "roles: {}\nskew: 2min").expect_err("it is wrong");
+    let refused = schema
+        .read::<Value>("f.cue", "roles: {}\nskew: 2min")
+        .expect_err("it is wrong");
     let told = refused.to_string();
-    for part in ["f.cue:2:7", "skew: 2min", "^^^^ here", "root.schema:14:", "asked for by #Root"] {
+    for part in [
+        "f.cue:2:7",
+        "skew: 2min",
+        "^^^^ here",
+        "root.schema:14:",
+        "asked for by #Root",
+    ] {
         assert!(told.contains(part), "{part} in {told}");
     }
 }
@@ -98,9 +117,18 @@
 #[test]
 fn each_value_used_tells_its_origin() {
     let schema = Schema::new(&[("root.schema", SCHEMA)], "#Root");
-    let read = schema.read::<Value>("f.cue", "roles: {}\n\nskew: 1500ms\nshare: 0.5").expect("it is right");
+    let read = schema
+        .read::<Value>("f.cue", "roles: {}\n\nskew: 1500ms\nshare: 0.5")
+        .expect("it is right");
     let told: Vec<String> = read.used.iter().map(ToString::to_string).collect();
-    assert_eq!(told, ["skew = 1500ms  (f.cue:3)", "most = 16KiB  (default)", "share = 0.5  (f.cue:4)"]);
+    assert_eq!(
+        told,
+        [
+            "skew = 1500ms  (f.cue:3)",
+            "most = 16KiB  (default)",
+            "share = 0.5  (f.cue:4)"
+        ]
+    );
 }
 
 #[test_case("[".repeat(100_000); "brackets")]
@@ -140,9 +168,22 @@
 #[test_case("*0 | int", ">=1", "5", Some(5); "what is said after a default that cannot be")]
 #[test_case("*0 | 1", ">=1", "int", Some(1); "the one way left")]
 fn defaults_join_alike_in_any_order(x: &str, y: &str, z: &str, wanted: Option<i64>) {
-    for [a, b, c] in [[x, y, z], [z, x, y], [y, z, x], [x, z, y], [z, y, x], [y, x, z]] {
-        let read = read(&format!("roles: {{}}\nv: {{b: {a}}} & {{b: {b}}} & {{b: {c}}}"));
-        assert_eq!(read.ok().and_then(|all| all["v"]["b"].as_i64()), wanted, "{a} & {b} & {c}");
+    for [a, b, c] in [
+        [x, y, z],
+        [z, x, y],
+        [y, z, x],
+        [x, z, y],
+        [z, y, x],
+        [y, x, z],
+    ] {
+        let read = read(&format!(
+            "roles: {{}}\nv: {{b: {a}}} & {{b: {b}}} & {{b: {c}}}"
+        ));
+        assert_eq!(
+            read.ok().and_then(|all| all["v"]["b"].as_i64()),
+            wanted,
+            "{a} & {b} & {c}"
+        );
     }
 }
 
