--- a/src/brain.rs
+++ b/src/brain.rs
@@ -134,7 +134,10 @@
     distrusted: Option<Micros>,
 }
 
-type Rule = (fn(&Brain) -> Option<Case>, fn(&mut Brain, Case, &mut dyn Actions));
+type Rule = (
+    fn(&Brain) -> Option<Case>,
+    fn(&mut Brain, Case, &mut dyn Actions),
+);
 
 /// Gone through in this order, from the top again after each that fires.
 const RULES: [Rule; 11] = [
@@ -155,7 +158,14 @@
     pub fn new(tariff: Tariff, seed: u64) -> Self {
         let quota_left = vec![(0.0, Micros(0)); tariff.quotas.len()];
         let ask_at = tariff.roster_on_request.then_some(Micros(0));
-        Brain { chance: Chance::new(seed), stale: true, quota_left, ask_at, tariff, ..Brain::default() }
+        Brain {
+            chance: Chance::new(seed),
+            stale: true,
+            quota_left,
+            ask_at,
+            tariff,
+            ..Brain::default()
+        }
     }
 
     /// Two processes serve one router's share: of its further calls `spare` are this one's. One that only
@@ -163,7 +173,10 @@
     pub fn serve_part(&mut self, spare: f64, goes_on: bool) {
         self.take_back();
         let of = &mut self.tariff;
-        let (whole, mut made) = ((of.extra_spare, of.extra_ratio, of.cold_share), VecDeque::new());
+        let (whole, mut made) = (
+            (of.extra_spare, of.extra_ratio, of.cold_share),
+            VecDeque::new(),
+        );
         of.extra_spare = spare;
         if !goes_on {
             (of.extra_ratio, of.cold_share) = (0.0, 0.0);
@@ -181,15 +194,23 @@
 
     /// Takes back the whole budget, with all that was made of it.
     fn take_back(&mut self) {
-        let Some((spare, ratio, cold, mut made)) = self.whole.take() else { return };
-        (self.tariff.extra_spare, self.tariff.extra_ratio, self.tariff.cold_share) = (spare, ratio, cold);
+        let Some((spare, ratio, cold, mut made)) = self.whole.take() else {
+            return;
+        };
+        (
+            self.tariff.extra_spare,
+            self.tariff.extra_ratio,
+            self.tariff.cold_share,
+        ) = (spare, ratio, cold);
         made.append(&mut self.extras);
         (self.extras, self.stale) = (made, true);
     }
 
     /// Counts a request for the budget, where one is set.
     fn take(&mut self) {
-        let Some(window) = self.tariff.extra_window else { return };
+        let Some(window) = self.tariff.extra_window else {
+            return;
+        };
         self.taken.push_back(self.now);
         let now = self.now;
         for times in [&mut self.taken, &mut self.extras] {
@@ -198,8 +219,16 @@
     }
 
     pub fn lookup(
-        &mut self, now: Micros, id: LookupId, query: QueryNo, index: IndexNo, customer: CustomerNo,
-        expected: usize, left: Micros, repeat: bool, out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        id: LookupId,
+        query: QueryNo,
+        index: IndexNo,
+        customer: CustomerNo,
+        expected: usize,
+        left: Micros,
+        repeat: bool,
+        out: &mut dyn Actions,
     ) {
         self.now = now;
         self.take();
@@ -209,43 +238,92 @@
         let left = self.answers_by.map_or(left, |by| left.min(by.since(now)));
         let (soft, end, row) = (now + row.soft.min(left), now + left, row.clone());
         let partly = row.partly_at.map_or(soft, |at| soft.min(now + at));
-        let of = Lookup { id, query, repeat, index, row, customer, expected, ..Lookup::default() };
-        self.lookups.insert(id, Lookup { soft, partly, end, left, ..of });
+        let of = Lookup {
+            id,
+            query,
+            repeat,
+            index,
+            row,
+            customer,
+            expected,
+            ..Lookup::default()
+        };
+        self.lookups.insert(
+            id,
+            Lookup {
+                soft,
+                partly,
+                end,
+                left,
+                ..of
+            },
+        );
         self.settle(out);
     }
 
     pub fn part(
-        &mut self, now: Micros, id: PartId, query: QueryNo, shard: ShardNo, weight: f64,
-        hint: Option<Micros>, out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        id: PartId,
+        query: QueryNo,
+        shard: ShardNo,
+        weight: f64,
+        hint: Option<Micros>,
+        out: &mut dyn Actions,
     ) {
         self.now = now;
         self.take();
         self.stale |= self.mean_hint.is_none() && hint.is_some();
-        self.mean_hint = hint.map(|hint| blend(self.mean_hint, hint.0 as f64, STEADY)).or(self.mean_hint);
+        self.mean_hint = hint
+            .map(|hint| blend(self.mean_hint, hint.0 as f64, STEADY))
+            .or(self.mean_hint);
         // Parts come for the newest, and may still for a lookup that has ended in the same batch.
         if let Some(lookup) = self.lookups.values_mut().rev().find(|lk| lk.query == query) {
-            lookup.parts.push(Part { id, shard, weight, hint, ..Part::default() });
+            lookup.parts.push(Part {
+                id,
+                shard,
+                weight,
+                hint,
+                ..Part::default()
+            });
         }
         self.settle(out);
     }
 
     pub fn returned(
-        &mut self, now: Micros, part: PartId, call: CallNo, node: NodeId, lag: Micros, ending: Ending,
-        report: &[f64], out: &mut dyn Actions,
+        &mut self,
+        now: Micros,
+        part: PartId,
+        call: CallNo,
+        node: NodeId,
+        lag: Micros,
+        ending: Ending,
+        report: &[f64],
+        out: &mut dyn Actions,
     ) {
         self.now = now;
-        let owed = self.nodes.get_mut(&node).and_then(|n| Some((n.owed.remove(&(part, call))?, n)));
+        let owed = self
+            .nodes
+            .get_mut(&node)
+            .and_then(|n| Some((n.owed.remove(&(part, call))?, n)));
         if let Some((owed, n)) = owed {
             let rested = n.rested_call.take_if(|of| *of == (part, call)).is_some();
             if ending == Ending::Satisfied {
                 let heard = rested.then(|| blend(Some(self.silent), 0.0, STEADY));
                 self.silent = heard.unwrap_or(self.silent);
-                n.pace = Some(blend(n.pace, lag.0 as f64 / (owed.depth + FREE_DEPTH), FRESH));
+                n.pace = Some(blend(
+                    n.pace,
+                    lag.0 as f64 / (owed.depth + FREE_DEPTH),
+                    FRESH,
+                ));
             }
             self.learn(node, owed.index, lag, ending);
             // Returns still come for lookups, and for first steps, that are over.
             let parts = self.lookups.get_mut(&owed.lookup).map(|lk| &mut lk.parts);
-            if let Some(p) = parts.and_then(|parts| parts.get_mut(owed.at)).filter(|p| p.id == part) {
+            if let Some(p) = parts
+                .and_then(|parts| parts.get_mut(owed.at))
+                .filter(|p| p.id == part)
+            {
                 p.satisfied |= ending == Ending::Satisfied;
                 if ending == Ending::Unsent {
                     p.rests_until = now + UNSENT_PAUSE;
@@ -290,28 +368,52 @@
         self.now = now;
         self.born = self.born.or(Some(now));
         let heard = self.heard.replace(now);
-        let newest = list.iter().map(|listing| listing.started).max().unwrap_or_default();
+        let newest = list
+            .iter()
+            .map(|listing| listing.started)
+            .max()
+            .unwrap_or_default();
         if full {
-            self.nodes.values_mut().for_each(|n| n.listing.phase = Phase::Gone);
+            self.nodes
+                .values_mut()
+                .for_each(|n| n.listing.phase = Phase::Gone);
         }
         for listing in list {
-            let (lot, known) = (self.chance.0.generate(), self.nodes.contains_key(&listing.node));
-            let node = self.nodes.entry(listing.node).or_insert_with(|| Node { lot, ..Node::default() });
+            let (lot, known) = (
+                self.chance.0.generate(),
+                self.nodes.contains_key(&listing.node),
+            );
+            let node = self.nodes.entry(listing.node).or_insert_with(|| Node {
+                lot,
+                ..Node::default()
+            });
             // Gone without a drain, or back before it was missed: it fell. A new process is not known.
             let not_before = slow_start::not_before(heard, now, listing.started, newest);
             let anew = node.started.told(listing.started, now, not_before);
             let fell = known && node.listing.phase == Phase::Ready;
-            self.alarm_at = (fell && (anew || listing.phase == Phase::Gone)).then_some(now).or(self.alarm_at);
+            self.alarm_at = (fell && (anew || listing.phase == Phase::Gone))
+                .then_some(now)
+                .or(self.alarm_at);
             if anew || !known {
                 // What it was sent since its start counts, though this router hears of the start only now.
-                let (mut sends, owed) = (std::mem::take(&mut node.sends), std::mem::take(&mut node.owed));
+                let (mut sends, owed) = (
+                    std::mem::take(&mut node.sends),
+                    std::mem::take(&mut node.owed),
+                );
                 drop_front(&mut sends, |(at, _)| *at < node.started.at);
-                *node =
-                    Node { lot: node.lot, told: now, started: node.started, owed, sends, ..Node::default() };
+                *node = Node {
+                    lot: node.lot,
+                    told: now,
+                    started: node.started,
+                    owed,
+                    sends,
+                    ..Node::default()
+                };
             }
             node.listing = *listing;
         }
-        self.nodes.retain(|_, n| n.listing.phase != Phase::Gone || !n.owed.is_empty());
+        self.nodes
+            .retain(|_, n| n.listing.phase != Phase::Gone || !n.owed.is_empty());
         self.index_nodes();
         if std::mem::take(&mut self.roster_lost) {
             out.log(&format!("roster: back, {} nodes known", self.nodes.len()));
@@ -323,7 +425,9 @@
     pub fn drains(&mut self, now: Micros, list: &[Listing], out: &mut dyn Actions) {
         self.now = now;
         for listing in list {
-            self.nodes.entry(listing.node).and_modify(|n| n.listing.phase = listing.phase);
+            self.nodes
+                .entry(listing.node)
+                .and_modify(|n| n.listing.phase = listing.phase);
         }
         self.stale = true;
         self.settle(out);
@@ -331,8 +435,20 @@
 
     /// What the figures of beliefs rest on.
     fn terms(&self) -> String {
-        let (rows, of) = (self.tariff.indexes.iter().map(|row| (row.soft, row.repeat)), &self.tariff);
-        format!("{:?}", (rows.collect::<Vec<_>>(), &of.gauges, of.quotas.len(), of.cells, of.reach))
+        let (rows, of) = (
+            self.tariff.indexes.iter().map(|row| (row.soft, row.repeat)),
+            &self.tariff,
+        );
+        format!(
+            "{:?}",
+            (
+                rows.collect::<Vec<_>>(),
+                &of.gauges,
+                of.quotas.len(),
+                of.cells,
+                of.reach
+            )
+        )
     }
 
     /// What of another's beliefs means the same here. Under other indexes, customers, gauges or shards what
@@ -346,8 +462,20 @@
             (node.report, node.best_rate, node.doubted) = (None, 0.0, None);
             node.standings.clear();
         }
-        let Beliefs { nodes, taken, extras, alarm, .. } = of;
-        Beliefs { nodes, taken, extras, alarm, ..Beliefs::default() }
+        let Beliefs {
+            nodes,
+            taken,
+            extras,
+            alarm,
+            ..
+        } = of;
+        Beliefs {
+            nodes,
+            taken,
+            extras,
+            alarm,
+            ..Beliefs::default()
+        }
     }
 
     fn index_nodes(&mut self) {
@@ -363,10 +491,17 @@
     pub fn roster_failed(&mut self, now: Micros, out: &mut dyn Actions) {
         self.now = now;
         // An agent that pushes lists is asked by nobody else, and what it has counts as told.
-        let pause = if self.tariff.roster_on_request { ASK_AGAIN } else { ASK_AGAIN.times(AGENT) };
+        let pause = if self.tariff.roster_on_request {
+            ASK_AGAIN
+        } else {
+            ASK_AGAIN.times(AGENT)
+        };
         self.ask_at = Some(now + pause + Micros(self.chance.0.generate_range(0..pause.0)));
         if !std::mem::replace(&mut self.roster_lost, true) {
-            out.log(&format!("roster: lost, {} nodes known, asking again", self.nodes.len()));
+            out.log(&format!(
+                "roster: lost, {} nodes known, asking again",
+                self.nodes.len()
+            ));
         }
         self.settle(out);
     }
@@ -376,7 +511,8 @@
         self.beating = false;
         let (memory, nodes) = (self.memory(), &self.nodes);
         let owes = |n: &Node| n.out(now).next().is_some();
-        let wanted = |n: &Node| n.doubted.is_some() || owes(n) || now.since(n.seen).0 as f64 <= memory;
+        let wanted =
+            |n: &Node| n.doubted.is_some() || owes(n) || now.since(n.seen).0 as f64 <= memory;
         self.watched.retain(|id| nodes.get(id).is_some_and(wanted));
         self.settle(out);
     }
@@ -390,7 +526,10 @@
         if self.stale && !(self.lookups.is_empty() && self.watched.is_empty()) {
             (self.survey, self.stale) = (self.take_survey(), false);
         }
-        while let Some((then, case)) = RULES.iter().find_map(|(when, then)| Some((then, when(self)?))) {
+        while let Some((then, case)) = RULES
+            .iter()
+            .find_map(|(when, then)| Some((then, when(self)?)))
+        {
             then(self, case, out);
         }
         let idle = self.lookups.is_empty() && self.watched.is_empty();
@@ -405,7 +544,9 @@
     }
 
     fn roster_is_due(&self) -> Option<Case> {
-        self.ask_at.filter(|&at| at <= self.now).map(|_| Case::default())
+        self.ask_at
+            .filter(|&at| at <= self.now)
+            .map(|_| Case::default())
     }
 
     fn ask_roster(&mut self, _: Case, out: &mut dyn Actions) {
@@ -418,18 +559,27 @@
             return None;
         }
         let recent = |at: Micros| self.now.since(at) < PROBE_EVERY;
-        let used = |n: &Node| !n.owed.is_empty() || n.sends.back().is_some_and(|(at, _)| recent(*at));
+        let used =
+            |n: &Node| !n.owed.is_empty() || n.sends.back().is_some_and(|(at, _)| recent(*at));
         let due = |n: &&Node| used(n) && n.probed.is_none_or(|at| !recent(at));
-        self.watched_nodes().find(due).map(|n| Case { node: n.listing.node, ..Case::default() })
+        self.watched_nodes().find(due).map(|n| Case {
+            node: n.listing.node,
+            ..Case::default()
+        })
     }
 
     fn probe(&mut self, case: Case, out: &mut dyn Actions) {
-        self.nodes.entry(case.node).and_modify(|n| n.probed = Some(self.now));
+        self.nodes
+            .entry(case.node)
+            .and_modify(|n| n.probed = Some(self.now));
         out.probe(case.node);
     }
 
     fn find(&self, wanted: impl Fn(&Lookup) -> bool) -> Option<Case> {
-        self.lookups.values().find(|lk| wanted(lk)).map(|lk| Case { lookup: lk.id, ..Case::default() })
+        self.lookups.values().find(|lk| wanted(lk)).map(|lk| Case {
+            lookup: lk.id,
+            ..Case::default()
+        })
     }
 
     /// The weight that makes the present step whole, and the least that may be answered.
@@ -444,7 +594,11 @@
 
     fn whole(&self, lookup: &Lookup) -> bool {
         let all_in = lookup.parts.iter().all(|p| p.satisfied);
-        let enough = if lookup.second { all_in } else { all_in || lookup.weight_in() >= self.bars(lookup).0 };
+        let enough = if lookup.second {
+            all_in
+        } else {
+            all_in || lookup.weight_in() >= self.bars(lookup).0
+        };
         lookup.complete() && enough
     }
 
@@ -452,7 +606,11 @@
     /// its time.
     fn cut_at(&self, lookup: &Lookup) -> Micros {
         let second = !lookup.second && lookup.row.second_step > 0;
-        let needed = self.survey.middle.filter(|_| second).map_or(Micros(0), |m| Micros((m * SECOND) as u64));
+        let needed = self
+            .survey
+            .middle
+            .filter(|_| second)
+            .map_or(Micros(0), |m| Micros((m * SECOND) as u64));
         Micros(lookup.partly.0 - needed.0.min(lookup.partly.since(self.now).0))
     }
 
@@ -460,7 +618,8 @@
     fn answer_is_due(&self) -> Option<Case> {
         self.find(|lk| {
             // To the letter, but for sums: weights that are off are no leave to answer from too little.
-            let enough = lk.complete() && lk.weight_in() + EXACT >= self.bars(lk).1 && lk.weight_in() > 0.0;
+            let enough =
+                lk.complete() && lk.weight_in() + EXACT >= self.bars(lk).1 && lk.weight_in() > 0.0;
             let last = || lk.parts.iter().all(|p| p.satisfied || self.spent(lk, p));
             self.whole(lk) || enough && (self.soon(self.cut_at(lk)) || last())
         })
@@ -468,10 +627,22 @@
 
     fn answer(&mut self, case: Case, out: &mut dyn Actions) {
         let id = case.lookup;
-        let whole = self.lookups.get(&id).is_some_and(|lk| self.whole(lk) && (!lk.second || lk.first_whole));
-        out.reason(id, if whole { Reason::Whole } else { Reason::Partial });
+        let whole = self
+            .lookups
+            .get(&id)
+            .is_some_and(|lk| self.whole(lk) && (!lk.second || lk.first_whole));
+        out.reason(
+            id,
+            if whole {
+                Reason::Whole
+            } else {
+                Reason::Partial
+            },
+        );
         out.answer(id, whole);
-        let Some(lookup) = self.lookups.get_mut(&id) else { return };
+        let Some(lookup) = self.lookups.get_mut(&id) else {
+            return;
+        };
         let second_step = lookup.row.second_step;
         if lookup.second || second_step == 0 {
             return self.close(id, out);
@@ -491,7 +662,13 @@
     /// Given up as soon as what is in and may still come is too little, and just before the client's end.
     fn hopeless(&self) -> Option<Case> {
         self.find(|lk| {
-            let spent = || lk.parts.iter().filter(|p| self.spent(lk, p)).map(|p| p.weight).sum::<f64>();
+            let spent = || {
+                lk.parts
+                    .iter()
+                    .filter(|p| self.spent(lk, p))
+                    .map(|p| p.weight)
+                    .sum::<f64>()
+            };
             let short = |spent: f64| spent > 0.0 && 1.0 - spent + EXACT < self.bars(lk).1;
             self.soon(lk.end) || lk.complete() && (self.deadly(lk) || short(spent()))
         })
@@ -507,9 +684,19 @@
         while self.fatal.len() > MOST_FATAL {
             self.fatal.pop_front();
         }
-        let over = self.lookups.get(&case.lookup).is_some_and(|lk| self.soon(lk.end));
-        let why = if over { Reason::Deadline } else { Reason::Exhausted };
-        out.reason(case.lookup, if come_back.0 > 0 { Reason::Deadly } else { why });
+        let over = self
+            .lookups
+            .get(&case.lookup)
+            .is_some_and(|lk| self.soon(lk.end));
+        let why = if over {
+            Reason::Deadline
+        } else {
+            Reason::Exhausted
+        };
+        out.reason(
+            case.lookup,
+            if come_back.0 > 0 { Reason::Deadly } else { why },
+        );
         self.refuse(case.lookup, come_back, out);
     }
 
@@ -518,14 +705,20 @@
     /// broke its scout's, or a repeat of such, needs no second proof. Hurts one that falling nodes meet.
     fn deadly(&self, lookup: &Lookup) -> bool {
         let print = lookup.repeat.then(|| lookup.print());
-        let known = || self.fatal.iter().any(|(_, known)| Some(known) == print.as_ref());
+        let known = || {
+            self.fatal
+                .iter()
+                .any(|(_, known)| Some(known) == print.as_ref())
+        };
         let fell = || lookup.broken_at() > usize::from(lookup.placed && !lookup.repeat);
         lookup.unanswered() && fell() || lookup.repeat && lookup.complete() && known()
     }
 
     /// While nodes fall, and for a client's repeat, one node is tried before the others see the lookup.
     fn wary(&self, lookup: &Lookup) -> bool {
-        let alarmed = self.alarm_at.is_some_and(|at| self.now.since(at) < self.tariff.warm_within);
+        let alarmed = self
+            .alarm_at
+            .is_some_and(|at| self.now.since(at) < self.tariff.warm_within);
         (alarmed || lookup.repeat) && lookup.unanswered()
     }
 
@@ -538,11 +731,22 @@
 
     /// A nack where a repeat is harmless, else an abort.
     fn refuse(&mut self, id: LookupId, come_back: Micros, out: &mut dyn Actions) {
-        let Some(lookup) = self.lookups.get(&id) else { return };
+        let Some(lookup) = self.lookups.get(&id) else {
+            return;
+        };
         let harmless = lookup.row.repeat == Repeat::Idempotent
-            || !lookup.second && lookup.parts.iter().all(|p| !p.calls.iter().any(Call::may_have_run));
+            || !lookup.second
+                && lookup
+                    .parts
+                    .iter()
+                    .all(|p| !p.calls.iter().any(Call::may_have_run));
         if harmless {
-            out.nack(id, self.tariff.longest_advice.map_or(Micros(0), |longest| come_back.min(longest)));
+            out.nack(
+                id,
+                self.tariff
+                    .longest_advice
+                    .map_or(Micros(0), |longest| come_back.min(longest)),
+            );
         } else {
             out.abort(id);
         }
@@ -550,13 +754,19 @@
     }
 
     fn close(&mut self, id: LookupId, out: &mut dyn Actions) {
-        let Some(lookup) = self.lookups.remove(&id) else { return };
+        let Some(lookup) = self.lookups.remove(&id) else {
+            return;
+        };
         self.drop_parts(&lookup.parts, out);
     }
 
     fn drop_parts(&mut self, parts: &[Part], out: &mut dyn Actions) {
         for part in parts {
-            let still_out = part.calls.iter().enumerate().filter(|(_, call)| call.ending.is_none());
+            let still_out = part
+                .calls
+                .iter()
+                .enumerate()
+                .filter(|(_, call)| call.ending.is_none());
             for (at, _) in still_out.filter(|_| self.tariff.cancels) {
                 out.cancel(part.id, CallNo(at as u8));
             }
@@ -569,37 +779,57 @@
 
     fn place_or_nack(&mut self, case: Case, out: &mut dyn Actions) {
         let id = case.lookup;
-        let Some(lookup) = self.lookups.get(&id) else { return };
+        let Some(lookup) = self.lookups.get(&id) else {
+            return;
+        };
         let (customer, second, least) = (lookup.customer, lookup.second, self.bars(lookup).1);
         let first = !second && lookup.parts.iter().all(|p| p.calls.is_empty());
         let within_share = !first || self.draw_quota(customer);
-        let Some(lookup) = self.lookups.get(&id) else { return };
+        let Some(lookup) = self.lookups.get(&id) else {
+            return;
+        };
         let left = lookup.soft.since(self.now).0 as f64 * self.time_allowed(lookup, within_share);
         let plan = self.plan(lookup, left);
         if first && plan.in_time + SHORT < least {
             if self.shed_at.replace(self.now).is_none() {
                 let (slowest, left, placed) = (plan.slowest / 1e3, left / 1e3, plan.places.len());
-                out.log(&format!("shedding: {placed} parts in {slowest:.0} ms, allowed {left:.0}"));
+                out.log(&format!(
+                    "shedding: {placed} parts in {slowest:.0} ms, allowed {left:.0}"
+                ));
             }
             out.reason(id, Reason::Shed);
             let excess = Micros((plan.slowest - left).max(BEAT.0 as f64) as u64);
             return self.refuse(id, excess, out);
         }
-        let scout = plan.places.first().filter(|_| self.wary(lookup) && lookup.sent_out().next().is_none());
+        let scout = plan
+            .places
+            .first()
+            .filter(|_| self.wary(lookup) && lookup.sent_out().next().is_none());
         let scout = scout.map(|(_, node)| *node);
-        self.lookups.entry(id).and_modify(|lk| lk.placed = scout.is_none());
-        for (at, node) in plan.places.into_iter().filter(|(_, node)| scout.is_none_or(|s| s == *node)) {
+        self.lookups
+            .entry(id)
+            .and_modify(|lk| lk.placed = scout.is_none());
+        for (at, node) in plan
+            .places
+            .into_iter()
+            .filter(|(_, node)| scout.is_none_or(|s| s == *node))
+        {
             self.call(id, at, node, out);
         }
     }
 
     fn shedding_is_over(&self) -> Option<Case> {
-        self.shed_at.filter(|at| self.now.since(*at).0 as f64 > self.memory()).map(|_| Case::default())
+        self.shed_at
+            .filter(|at| self.now.since(*at).0 as f64 > self.memory())
+            .map(|_| Case::default())
     }
 
     fn end_shedding(&mut self, _: Case, out: &mut dyn Actions) {
         self.shed_at = None;
-        out.log(&format!("shedding: over, {} lookups in hand", self.lookups.len()));
+        out.log(&format!(
+            "shedding: over, {} lookups in hand",
+            self.lookups.len()
+        ));
     }
 
     /// The share of its time that a lookup may be predicted to take: all of it where the gain is the best
@@ -608,17 +838,33 @@
     fn time_allowed(&self, lookup: &Lookup, within_share: bool) -> f64 {
         let seen = self.tariff.indexes.iter().filter(|row| row.seen);
         let best = seen.map(|row| row.gain).fold(0.0, f64::max);
-        let share = if within_share { 1.0 } else { self.tariff.over_share_gain };
-        let rank = if best > 0.0 { share * lookup.row.gain / best } else { 1.0 };
-        let rank = if lookup.left < lookup.row.soft { 1.0 } else { rank };
-        let spare = self.tariff.vain.map_or(SPARE_TIME, |vain| SPARE_TIME.max(1.0 - DEAR * vain));
+        let share = if within_share {
+            1.0
+        } else {
+            self.tariff.over_share_gain
+        };
+        let rank = if best > 0.0 {
+            share * lookup.row.gain / best
+        } else {
+            1.0
+        };
+        let rank = if lookup.left < lookup.row.soft {
+            1.0
+        } else {
+            rank
+        };
+        let spare = self
+            .tariff
+            .vain
+            .map_or(SPARE_TIME, |vain| SPARE_TIME.max(1.0 - DEAR * vain));
         spare + (1.0 - spare) * rank
     }
 
     /// Takes one lookup from the customer's share; false if it has used that up.
     fn draw_quota(&mut self, customer: CustomerNo) -> bool {
         let at = usize::from(customer.0);
-        let (Some(quota), Some((left, drawn))) = (self.tariff.quotas.get(at), self.quota_left.get_mut(at))
+        let (Some(quota), Some((left, drawn))) =
+            (self.tariff.quotas.get(at), self.quota_left.get_mut(at))
         else {
             return true;
         };
@@ -635,34 +881,64 @@
         // One walk: at thousands of nodes it is what deciding costs.
         let reported = self.tariff.gauges.contains(&Gauge::LatencyMs);
         let [mut read, mut paces, mut latencies, mut works, mut rates] = [const { Vec::new() }; 5];
-        for n in self.nodes.values().filter(|n| n.listing.phase == Phase::Ready) {
+        for n in self
+            .nodes
+            .values()
+            .filter(|n| n.listing.phase == Phase::Ready)
+        {
             read.extend(self.reading(n));
             paces.extend(n.pace);
             latencies.extend(n.latency);
-            works.extend(if reported { n.report.map(|ms| ms * 1e3) } else { n.latency });
+            works.extend(if reported {
+                n.report.map(|ms| ms * 1e3)
+            } else {
+                n.latency
+            });
             rates.extend(Some(n.best_rate).filter(|rate| *rate > 0.0));
         }
-        let mean_o =
-            if read.is_empty() { self.memory() } else { read.iter().sum::<f64>() / read.len() as f64 };
+        let mean_o = if read.is_empty() {
+            self.memory()
+        } else {
+            read.iter().sum::<f64>() / read.len() as f64
+        };
         // What a warm node surely does: one core's work, or what the middle reported; a few are always odd.
-        let work = self.mean_hint.or_else(|| median(works)).unwrap_or(self.memory());
+        let work = self
+            .mean_hint
+            .or_else(|| median(works))
+            .unwrap_or(self.memory());
         let rate = median(rates).unwrap_or(0.0).max(1e6 / work);
         let (pace, middle) = (median(paces).unwrap_or(0.0), median(latencies));
-        Survey { mean_o, m: mean_o * PART_RATIO, middle, pace, rate }
+        Survey {
+            mean_o,
+            m: mean_o * PART_RATIO,
+            middle,
+            pace,
+            rate,
+        }
     }
 
     /// A node's o as reported, or from its answers where it is not.
     fn reading(&self, node: &Node) -> Option<f64> {
         let t = &self.tariff;
-        let silent = t.reporting == Reporting::Off || t.reporting == Reporting::OnProbe && !t.probing;
-        if silent || t.gauges.iter().all(|g| matches!(g, Gauge::Rate | Gauge::Unread)) {
+        let silent =
+            t.reporting == Reporting::Off || t.reporting == Reporting::OnProbe && !t.probing;
+        if silent
+            || t.gauges
+                .iter()
+                .all(|g| matches!(g, Gauge::Rate | Gauge::Unread))
+        {
             return node.latency;
         }
         if t.gauges.contains(&Gauge::LatencyMs) {
             return node.report.or(node.latency.map(|micros| micros / 1e3));
         }
         // A queue of none is no free ride: a call costs a node work of its own, told in mean parts.
-        node.report.map(|queue| queue + self.mean_hint.map_or(1.0, |hint| t.call_cost.0 as f64 / hint))
+        node.report.map(|queue| {
+            queue
+                + self
+                    .mean_hint
+                    .map_or(1.0, |hint| t.call_cost.0 as f64 / hint)
+        })
     }
 
     /// The answer latency to expect for an index: as smoothed, later by how often the node failed that index,
@@ -672,7 +948,10 @@
         let (middle, lasting) = (self.survey.middle.unwrap_or(0.0), self.memory() * LASTING);
         let known = node.latency.unwrap_or(middle);
         let latency = middle + (known - middle) * self.fade(node.seen, self.memory());
-        let age = node.out(self.now).map(|out| self.overdue(node, out, index)).fold(0.0, f64::max);
+        let age = node
+            .out(self.now)
+            .map(|out| self.overdue(node, out, index))
+            .fold(0.0, f64::max);
         (latency + self.feared(node, index, lasting)).max(age)
     }
 
@@ -693,9 +972,12 @@
     /// answers no sooner than what it owes is old.
     fn predicted(&self, node: &Node, index: IndexNo, more: f64) -> f64 {
         let depth = node.owed_z() + more;
-        let owing = |out: (&Owed, Micros)| self.overdue(node, out, index) / (out.0.depth + FREE_DEPTH);
+        let owing =
+            |out: (&Owed, Micros)| self.overdue(node, out, index) / (out.0.depth + FREE_DEPTH);
         // A node not heard from yet is no better than the middle, and one that warms up is slower.
-        let known = node.pace.unwrap_or(self.survey.pace / self.warmth(node, self.now));
+        let known = node
+            .pace
+            .unwrap_or(self.survey.pace / self.warmth(node, self.now));
         // Fear is short here, or a router that saw all fail would nack for good.
         let feared = self.feared(node, index, self.memory());
         node.out(self.now).map(owing).fold(known, f64::max) * (depth + FREE_DEPTH) + feared
@@ -703,14 +985,20 @@
 
     /// How long an opinion of a node lasts unrefreshed: the shortest soft deadline.
     fn memory(&self) -> f64 {
-        self.tariff.indexes.iter().map(|row| row.soft.0 as f64).fold(f64::MAX, f64::min)
+        self.tariff
+            .indexes
+            .iter()
+            .map(|row| row.soft.0 as f64)
+            .fold(f64::MAX, f64::min)
     }
 
     /// The design's o of a node, our own parts out included.
     fn o(&self, node: &Node, index: IndexNo) -> f64 {
         let survey = &self.survey;
         let mut o = self.reading(node).unwrap_or(survey.mean_o);
-        o = self.doubt(node, index).map_or(o, |late| o.max(survey.mean_o * late));
+        o = self
+            .doubt(node, index)
+            .map_or(o, |late| o.max(survey.mean_o * late));
         if node.listing.zone != self.tariff.zone {
             o += survey.mean_o * self.tariff.crossing * CROSSING;
         }
@@ -728,7 +1016,9 @@
     fn held_by(&self, shard: ShardNo) -> impl Iterator<Item = &Node> {
         let (cells, reach) = (self.tariff.cells, self.tariff.reach.min(self.tariff.cells));
         let cell = move |j| CellNo((shard.0 % cells + j) % cells);
-        let ids = (0..reach).filter_map(move |j| self.cells.get(&cell(j))).flatten();
+        let ids = (0..reach)
+            .filter_map(move |j| self.cells.get(&cell(j)))
+            .flatten();
         ids.filter_map(|id| self.nodes.get(id))
     }
 
@@ -737,7 +1027,10 @@
         let z = self.z(part);
         let fit = |n: &&Node| {
             let more = planned.get(&n.listing.node).copied().unwrap_or(0.0);
-            let free = part.calls.iter().all(|c| c.ending.is_some() || c.node != n.listing.node);
+            let free = part
+                .calls
+                .iter()
+                .all(|c| c.ending.is_some() || c.node != n.listing.node);
             n.listing.phase == Phase::Ready && free && self.has_room(n, more + z.max(1.0))
         };
         let fit: Vec<&Node> = self.held_by(part.shard).filter(fit).collect();
@@ -749,14 +1042,26 @@
         let mut planned: BTreeMap<NodeId, f64> = BTreeMap::new();
         let (mut plan, mut sum) = (Plan::default(), 0.0);
         // Visited in order of choice: parts with few holders first, the heavier first among equals.
-        let choice = |(at, part): (usize, &Part)| (self.held_by(part.shard).count(), self.z(part), at);
-        let open = |(_, part): &(usize, &Part)| part.calls_out() == 0 && self.may_call(lookup, part);
-        let mut order: Vec<_> = lookup.parts.iter().enumerate().filter(open).map(choice).collect();
+        let choice =
+            |(at, part): (usize, &Part)| (self.held_by(part.shard).count(), self.z(part), at);
+        let open =
+            |(_, part): &(usize, &Part)| part.calls_out() == 0 && self.may_call(lookup, part);
+        let mut order: Vec<_> = lookup
+            .parts
+            .iter()
+            .enumerate()
+            .filter(open)
+            .map(choice)
+            .collect();
         order.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)).then(a.2.cmp(&b.2)));
         for (_, z, at) in order {
             let part = &lookup.parts[at];
             let added = |n: &Node| {
-                let fixed = if planned.contains_key(&n.listing.node) { 0.0 } else { self.o(n, lookup.index) };
+                let fixed = if planned.contains_key(&n.listing.node) {
+                    0.0
+                } else {
+                    self.o(n, lookup.index)
+                };
                 fixed + self.survey.m * z
             };
             let latency = |n: &Node| {
@@ -765,7 +1070,9 @@
             };
             // A discount stacks parts behind the chosen: late holders give way to those in time.
             let holders = prefer(self.holders(part, &planned), |n| latency(n) <= left);
-            let Some(node) = self.cheapest(&holders, added) else { continue };
+            let Some(node) = self.cheapest(&holders, added) else {
+                continue;
+            };
             let latency = latency(node);
             *planned.entry(node.listing.node).or_default() += z;
             plan.in_time += if latency <= left { part.weight } else { 0.0 };
@@ -774,7 +1081,8 @@
             sum += latency / MARGIN;
         }
         let calls = planned.len().max(1) as f64;
-        let latest = sum / plan.places.len().max(1) as f64 * (LATEST.0 + LATEST.1 * calls.ln()).max(1.0);
+        let latest =
+            sum / plan.places.len().max(1) as f64 * (LATEST.0 + LATEST.1 * calls.ln()).max(1.0);
         // Not where some may be missing; and a client that gives less than the aim is no sign of load.
         let holds = self.bars(lookup).1 >= 1.0 && lookup.left >= lookup.row.soft;
         if holds && latest > left {
@@ -785,28 +1093,50 @@
 
     fn cheapest<'a>(&self, nodes: &[&'a Node], cost: impl Fn(&Node) -> f64) -> Option<&'a Node> {
         let away = |n: &Node| (n.listing.zone != self.tariff.zone, n.lot);
-        nodes.iter().copied().min_by(|a, b| cost(a).total_cmp(&cost(b)).then(away(a).cmp(&away(b))))
+        nodes
+            .iter()
+            .copied()
+            .min_by(|a, b| cost(a).total_cmp(&cost(b)).then(away(a).cmp(&away(b))))
     }
 
     fn call(&mut self, id: LookupId, at: usize, to: NodeId, out: &mut dyn Actions) {
         // A plan may hold further calls of many parts: each may use up the budget that the next was planned
         // on.
-        let lookup = self.lookups.get(&id).filter(|lk| self.may_call(lk, &lk.parts[at]));
+        let lookup = self
+            .lookups
+            .get(&id)
+            .filter(|lk| self.may_call(lk, &lk.parts[at]));
         let Some(lookup) = lookup else { return };
         let part = &lookup.parts[at];
         let (part_id, z, number) = (part.id, self.z(part), CallNo(part.calls.len() as u8));
         let index = lookup.index;
-        let due = if self.soon(lookup.soft) { lookup.end } else { lookup.soft };
+        let due = if self.soon(lookup.soft) {
+            lookup.end
+        } else {
+            lookup.soft
+        };
         let limit = due.since(self.now).max(Micros(1));
         let longest = self.memory();
-        let Some(node) = self.nodes.get_mut(&to) else { return };
+        let Some(node) = self.nodes.get_mut(&to) else {
+            return;
+        };
         let (depth, mut rested) = (node.owed_z() + z, node.rested(self.now).0 as f64 > longest);
         if rested && self.distrusted.is_some() {
             out.close_idle(to);
             rested = false;
         }
         node.rested_call = rested.then_some((part_id, number)).or(node.rested_call);
-        node.owed.insert((part_id, number), Owed { lookup: id, at, index, sent: self.now, z, depth });
+        node.owed.insert(
+            (part_id, number),
+            Owed {
+                lookup: id,
+                at,
+                index,
+                sent: self.now,
+                z,
+                depth,
+            },
+        );
         let (now, kept) = (self.now, self.tariff.warm_within);
         drop_front(&mut node.sends, |(at, _)| now.since(*at) > kept);
         node.sends.push_back((self.now, z.max(1.0)));
@@ -815,7 +1145,11 @@
             self.extras.push_back(self.now);
         }
         if let Some(lookup) = self.lookups.get_mut(&id) {
-            lookup.parts[at].calls.push(Call { node: to, sent: self.now, ending: None });
+            lookup.parts[at].calls.push(Call {
+                node: to,
+                sent: self.now,
+                ending: None,
+            });
         }
         out.part_call(part_id, to, limit);
     }
@@ -823,14 +1157,24 @@
     /// Whether the rules let a part have a call, first or further, now.
     fn may_call(&self, lookup: &Lookup, part: &Part) -> bool {
         let calls = &part.calls;
-        let (dial, first_run) = (self.tariff.dial, calls.iter().find(|c| c.may_have_run()).map(|c| c.sent));
+        let (dial, first_run) = (
+            self.tariff.dial,
+            calls.iter().find(|c| c.may_have_run()).map(|c| c.sent),
+        );
         let harmless = match lookup.row.repeat {
             Repeat::Idempotent => true,
             // A dial and two beats are kept back: the window is the nodes', the call has yet to reach one.
-            Repeat::Fingerprinted(window) => first_run.is_none_or(|s| !self.soon(s + window.since(dial))),
+            Repeat::Fingerprinted(window) => {
+                first_run.is_none_or(|s| !self.soon(s + window.since(dial)))
+            }
             Repeat::OnceOnly => first_run.is_none(),
         };
-        let most = lookup.row.calls.or(self.tariff.most_calls).unwrap_or(255).min(255);
+        let most = lookup
+            .row
+            .calls
+            .or(self.tariff.most_calls)
+            .unwrap_or(255)
+            .min(255);
         // What never left counts for no try: three were gone within a millisecond of a shortage here.
         let (made, unsent) = part.made();
         let tries_left = made < most && unsent < MOST_UNSENT && calls.len() < 255;
@@ -841,12 +1185,23 @@
     }
 
     fn within_budget(&self, lookup: &Lookup) -> bool {
-        let Some(window) = self.tariff.extra_window else { return true };
+        let Some(window) = self.tariff.extra_window else {
+            return true;
+        };
         // At the very edge of the window a call made may still count, a request taken may not.
-        let made = self.extras.iter().filter(|at| self.now.since(**at) <= window).count() as f64;
-        let taken = self.taken.iter().filter(|at| self.now.since(**at) < window).count() as f64;
+        let made = self
+            .extras
+            .iter()
+            .filter(|at| self.now.since(**at) <= window)
+            .count() as f64;
+        let taken = self
+            .taken
+            .iter()
+            .filter(|at| self.now.since(**at) < window)
+            .count() as f64;
         let fits = |(spare, ratio): (f64, f64)| made + 1.0 <= spare + ratio * taken;
-        fits((self.tariff.extra_spare, self.tariff.extra_ratio)) && lookup.row.further.is_none_or(fits)
+        fits((self.tariff.extra_spare, self.tariff.extra_ratio))
+            && lookup.row.further.is_none_or(fits)
     }
 
     /// Connections that rest may be dropped on the way, and neither end is told: what is sent on one is lost.
@@ -856,17 +1211,24 @@
         let late = |n: &Node| Micros(n.latency.unwrap_or(middle).max(middle) as u64).times(LATE);
         let sent = |n: &Node| Some(n.owed.get(n.rested_call.as_ref()?)?.sent);
         let lost = |n: &&Node| sent(n).is_some_and(|sent| self.now.since(sent) > late(n));
-        self.watched_nodes().find(lost).map(|n| Case { node: n.listing.node, ..Case::default() })
+        self.watched_nodes().find(lost).map(|n| Case {
+            node: n.listing.node,
+            ..Case::default()
+        })
     }
 
     fn count_silent(&mut self, case: Case, out: &mut dyn Actions) {
-        let Some(node) = self.nodes.get_mut(&case.node) else { return };
+        let Some(node) = self.nodes.get_mut(&case.node) else {
+            return;
+        };
         node.rested_call = None;
         self.silent = blend(Some(self.silent), 1.0, STEADY);
         if self.silent > SILENT && self.distrusted.is_none() {
             self.distrusted = Some(self.now);
             let share = self.silent * 100.0;
-            out.log(&format!("connections: new ones after a rest, {share:.0}% of the rested silent"));
+            out.log(&format!(
+                "connections: new ones after a rest, {share:.0}% of the rested silent"
+            ));
         }
     }
 
@@ -894,13 +1256,19 @@
         let middle = Micros(self.survey.middle? as u64);
         // One at a time where no budget bounds them: more cost an overloaded fleet a fifth of its gain.
         let share = self.tariff.extra_window.map_or(0.0, |_| COPIES);
-        let out = self.lookups.values().flat_map(|lk| &lk.parts).map(Part::calls_out);
+        let out = self
+            .lookups
+            .values()
+            .flat_map(|lk| &lk.parts)
+            .map(Part::calls_out);
         let (copies, out) = out.fold((0, 0), |(c, o), n| (c + n.saturating_sub(1), o + n));
         if copies as f64 >= (out as f64 * share).max(1.0) {
             return None;
         }
         let late = |c: &Call| c.ending.is_none() && self.now.since(c.sent) > middle.times(LATE);
-        self.find_call(|lk, part| part.calls.iter().any(late) && self.now + middle < lk.soft && lk.outlived())
+        self.find_call(|lk, part| {
+            part.calls.iter().any(late) && self.now + middle < lk.soft && lk.outlived()
+        })
     }
 
     fn find_call(&self, wanted: impl Fn(&Lookup, &Part) -> bool) -> Option<Case> {
@@ -911,15 +1279,26 @@
                 }
                 let holders = self.holders(part, &BTreeMap::new());
                 let node = self.cheapest(&holders, |n| self.o(n, lk.index))?;
-                Some(Case { lookup: lk.id, at, node: node.listing.node, ..Case::default() })
+                Some(Case {
+                    lookup: lk.id,
+                    at,
+                    node: node.listing.node,
+                    ..Case::default()
+                })
             })
         })
     }
 
     fn call_again(&mut self, case: Case, out: &mut dyn Actions) {
-        let part = self.lookups.get(&case.lookup).and_then(|lk| lk.parts.get(case.at));
+        let part = self
+            .lookups
+            .get(&case.lookup)
+            .and_then(|lk| lk.parts.get(case.at));
         let hedges = part.is_some_and(|part| part.calls_out() > 0);
-        out.reason(case.lookup, if hedges { Reason::Hedge } else { Reason::Retry });
+        out.reason(
+            case.lookup,
+            if hedges { Reason::Hedge } else { Reason::Retry },
+        );
         self.call(case.lookup, case.at, case.node, out);
     }
 
@@ -929,11 +1308,17 @@
         let sane = |figure: &f64| figure.is_finite() && *figure >= 0.0;
         let at = |wanted: Gauge| gauges.iter().position(|g| *g == wanted);
         let read = |wanted: Gauge| report.get(at(wanted)?).copied().filter(sane);
-        let (o, rate) = (read(Gauge::LatencyMs).or(read(Gauge::Queue)), read(Gauge::Rate));
+        let (o, rate) = (
+            read(Gauge::LatencyMs).or(read(Gauge::Queue)),
+            read(Gauge::Rate),
+        );
         // Work that takes no time is no report at all, and what came before it is not to be believed either.
         let untrue = read(Gauge::LatencyMs) == Some(0.0);
         if let Some(node) = self.nodes.get_mut(&id) {
-            node.report = o.map(|o| blend(node.report, o, FRESH)).or(node.report).filter(|_| !untrue);
+            node.report = o
+                .map(|o| blend(node.report, o, FRESH))
+                .or(node.report)
+                .filter(|_| !untrue);
             node.best_rate = node.best_rate.max(rate.unwrap_or(0.0));
             self.stale = true;
         }
@@ -943,10 +1328,14 @@
     /// What shows the process down counts for every index, an error only for its own, and where it may be
     /// repeated for the time it took and another try's: a node that fails briskly does a part of its work.
     fn learn(&mut self, id: NodeId, index: IndexNo, lag: Micros, ending: Ending) {
-        self.alarm_at = Some(self.now).filter(|_| ending == Ending::Broken).or(self.alarm_at);
+        self.alarm_at = Some(self.now)
+            .filter(|_| ending == Ending::Broken)
+            .or(self.alarm_at);
         let (longest, middle) = (self.memory(), self.survey.middle.unwrap_or(f64::MAX));
         let once = self.tariff.indexes[index.at()].repeat == Repeat::OnceOnly;
-        let Some(node) = self.nodes.get_mut(&id) else { return };
+        let Some(node) = self.nodes.get_mut(&id) else {
+            return;
+        };
         let (fear, toll) = match ending {
             Ending::Satisfied => (0.0, 0.0),
             Ending::Cancelled | Ending::Unsent => return,
@@ -956,13 +1345,18 @@
         if ending == Ending::Satisfied {
             (node.latency, node.seen) = (Some(blend(node.latency, lag.0 as f64, FRESH)), self.now);
         }
-        node.standings.resize(self.tariff.indexes.len(), Standing::default());
+        node.standings
+            .resize(self.tariff.indexes.len(), Standing::default());
         for (at, standing) in node.standings.iter_mut().enumerate() {
             if at == index.at() || matches!(ending, Ending::NeverRan | Ending::Broken) {
                 standing.fear = blend(Some(standing.fear), fear, FRESH);
                 standing.toll = blend(Some(standing.toll), toll, FRESH);
                 standing.at = self.now;
-                standing.answered = if fear > 0.0 { standing.answered } else { self.now };
+                standing.answered = if fear > 0.0 {
+                    standing.answered
+                } else {
+                    self.now
+                };
             }
         }
         self.watched.insert(id);
@@ -980,16 +1374,33 @@
         let doubted = |n: &Node| indexes().find(|index| self.doubt(n, *index).is_some());
         let mut now = self.watched_nodes().map(|n| (n, doubted(n)));
         let (n, index) = now.find(|(n, index)| index.is_some() != n.doubted.is_some())?;
-        Some(Case { index: index.or(n.doubted)?, node: n.listing.node, ..Case::default() })
+        Some(Case {
+            index: index.or(n.doubted)?,
+            node: n.listing.node,
+            ..Case::default()
+        })
     }
 
     fn change_doubt(&mut self, case: Case, out: &mut dyn Actions) {
-        let Some(node) = self.nodes.get(&case.node) else { return };
-        let (id, index, word) = (case.node.0, case.index, node.doubted.map_or("doubted", |_| "trusted"));
-        let (late, middle) = (self.belief(node, index) / 1e3, self.survey.middle.unwrap_or(0.0) / 1e3);
+        let Some(node) = self.nodes.get(&case.node) else {
+            return;
+        };
+        let (id, index, word) = (
+            case.node.0,
+            case.index,
+            node.doubted.map_or("doubted", |_| "trusted"),
+        );
+        let (late, middle) = (
+            self.belief(node, index) / 1e3,
+            self.survey.middle.unwrap_or(0.0) / 1e3,
+        );
         let failing = node.standing(index).fear * 100.0;
-        out.log(&format!("node {id:x}: {word}, {late:.0} ms against {middle:.0}, failing {failing:.0}%"));
-        self.nodes.entry(case.node).and_modify(|n| n.doubted = n.doubted.is_none().then_some(index));
+        out.log(&format!(
+            "node {id:x}: {word}, {late:.0} ms against {middle:.0}, failing {failing:.0}%"
+        ));
+        self.nodes
+            .entry(case.node)
+            .and_modify(|n| n.doubted = n.doubted.is_none().then_some(index));
     }
 
     /// The share of its capacity that a node surely had when the window up to a time began.
@@ -1013,11 +1424,21 @@
         let share = self.share(node, self.now);
         if share < 1.0 {
             let first = (node.told, f64::from(node.lot) / f64::from(u32::MAX));
-            let (from, part) = node.sends.back().copied().filter(|of| of.0 >= node.told).unwrap_or(first);
+            let (from, part) = node
+                .sends
+                .back()
+                .copied()
+                .filter(|of| of.0 >= node.told)
+                .unwrap_or(first);
             let earned = (self.share(node, from) + share) / 2.0 * self.now.since(from).over(window);
             return more <= LARGE && earned > part;
         }
-        let sent: f64 = node.sends.iter().filter(|of| self.now.since(of.0) <= window).map(|of| of.1).sum();
+        let sent: f64 = node
+            .sends
+            .iter()
+            .filter(|of| self.now.since(of.0) <= window)
+            .map(|of| of.1)
+            .sum();
         let fresh = |born| born > node.started.at && self.now.since(born) <= window;
         !self.born.is_some_and(fresh) && sent + more <= share.max(LARGE)
     }
@@ -1041,7 +1462,10 @@
 /// Those wanted, if there are any, else all.
 fn prefer<T: Copy>(of: Vec<T>, wanted: impl Fn(&T) -> bool) -> Vec<T> {
     let kept: Vec<T> = of.iter().copied().filter(wanted).collect();
-    [kept, of].into_iter().find(|some| !some.is_empty()).unwrap_or_default()
+    [kept, of]
+        .into_iter()
+        .find(|some| !some.is_empty())
+        .unwrap_or_default()
 }
 
 /// Empties a table by age, the oldest first.
--- a/src/brain/snapshot.rs
+++ b/src/brain/snapshot.rs
@@ -67,28 +67,36 @@
             pace: self.pace,
             doubted: self.doubted.map(|index| index.0),
             sends: self.sends.iter().map(|(at, z)| (age(*at), *z)).collect(),
-            out: self.out(now).map(|(of, _)| (of.index.0, age(of.sent), of.z, of.depth)).collect(),
+            out: self
+                .out(now)
+                .map(|(of, _)| (of.index.0, age(of.sent), of.z, of.depth))
+                .collect(),
         }
     }
 
     /// Takes on what was believed of the same start of the same node.
     fn believe(&mut self, now: Micros, of: &NodeBelief) {
         let at = |age: u64| now.since(Micros(age));
-        let sound = |figure: Option<f64>| figure.filter(|figure| figure.is_finite() && *figure >= 0.0);
+        let sound =
+            |figure: Option<f64>| figure.filter(|figure| figure.is_finite() && *figure >= 0.0);
         let standing = |(fear, toll, changed, answered): &(f64, f64, u64, u64)| Standing {
             fear: sound(Some(*fear)).unwrap_or(0.0).min(1.0),
             toll: sound(Some(*toll)).unwrap_or(0.0),
             at: at(*changed),
             answered: at(*answered),
         };
-        (self.report, self.latency, self.pace) = (sound(of.report), sound(of.latency), sound(of.pace));
+        (self.report, self.latency, self.pace) =
+            (sound(of.report), sound(of.latency), sound(of.pace));
         self.best_rate = sound(Some(of.best_rate)).unwrap_or(0.0);
         self.seen = at(of.seen);
         self.standings = of.standings.iter().map(standing).collect();
         self.doubted = of.doubted.map(IndexNo);
         self.sends = of.sends.iter().map(|(age, z)| (at(*age), *z)).collect();
         // What it hears of these, this process does not; an age that went on would doubt a node that has answered.
-        let out = of.out.iter().filter(|(_, _, z, depth)| (0.0..1e9).contains(z) && *depth >= 0.0);
+        let out = of
+            .out
+            .iter()
+            .filter(|(_, _, z, depth)| (0.0..1e9).contains(z) && *depth >= 0.0);
         let out = out.map(|(index, age, z, depth)| Owed {
             index: IndexNo(*index),
             sent: at(*age),
@@ -104,13 +112,27 @@
     pub fn beliefs(&self, now: Micros) -> Beliefs {
         let age = |at: &Micros| now.since(*at).0;
         let ages = |times: &std::collections::VecDeque<Micros>| times.iter().map(age).collect();
-        let print = |(until, (index, customer, shards)): &(Micros, (IndexNo, CustomerNo, Vec<ShardNo>))| {
-            (until.since(now).0, index.0, customer.0, shards.iter().map(|shard| shard.0).collect())
-        };
+        let print =
+            |(until, (index, customer, shards)): &(Micros, (IndexNo, CustomerNo, Vec<ShardNo>))| {
+                (
+                    until.since(now).0,
+                    index.0,
+                    customer.0,
+                    shards.iter().map(|shard| shard.0).collect(),
+                )
+            };
         Beliefs {
-            nodes: self.nodes.iter().map(|(id, node)| (id.0, node.belief(now))).collect(),
+            nodes: self
+                .nodes
+                .iter()
+                .map(|(id, node)| (id.0, node.belief(now)))
+                .collect(),
             mean_hint: self.mean_hint,
-            quota_left: self.quota_left.iter().map(|(left, at)| (*left, age(at))).collect(),
+            quota_left: self
+                .quota_left
+                .iter()
+                .map(|(left, at)| (*left, age(at)))
+                .collect(),
             taken: ages(&self.taken),
             extras: ages(&self.extras),
             alarm: self.alarm_at.as_ref().map(age),
@@ -131,8 +153,10 @@
         let mut taken = 0;
         for (id, belief) in &of.nodes {
             let indexes = self.tariff.indexes.len();
-            let node =
-                self.nodes.get_mut(&NodeId(*id)).filter(|node| node.listing.started.0 == belief.started);
+            let node = self
+                .nodes
+                .get_mut(&NodeId(*id))
+                .filter(|node| node.listing.started.0 == belief.started);
             if let Some(node) = node.filter(|_| belief.standings.len() <= indexes) {
                 node.believe(now, belief);
                 if node.doubted.is_some() || !node.abroad.1.is_empty() {
@@ -150,7 +174,10 @@
         (self.alarm_at, self.shed_at) = (of.alarm.as_ref().map(at), of.shed.as_ref().map(at));
         let print = |(ahead, index, customer, shards): &(u64, u8, u16, Vec<u32>)| {
             let shards = shards.iter().map(|shard| ShardNo(*shard)).collect();
-            (now + Micros(*ahead), (IndexNo(*index), CustomerNo(*customer), shards))
+            (
+                now + Micros(*ahead),
+                (IndexNo(*index), CustomerNo(*customer), shards),
+            )
         };
         self.fatal = of.fatal.iter().map(print).collect();
         self.stale = true;
@@ -165,11 +192,27 @@
     use test_case::test_case;
 
     fn brain(now: Micros) -> Brain {
-        let mut brain = Brain::new(Tariff { quotas: vec![5.0], ..Tariff::default() }, 1);
+        let mut brain = Brain::new(
+            Tariff {
+                quotas: vec![5.0],
+                ..Tariff::default()
+            },
+            1,
+        );
         brain.now = now;
         for id in 1..4u64 {
-            let listing = Listing { node: NodeId(id), started: Micros(id), ..Listing::default() };
-            brain.nodes.insert(NodeId(id), Node { listing, ..Node::default() });
+            let listing = Listing {
+                node: NodeId(id),
+                started: Micros(id),
+                ..Listing::default()
+            };
+            brain.nodes.insert(
+                NodeId(id),
+                Node {
+                    listing,
+                    ..Node::default()
+                },
+            );
         }
         brain
     }
@@ -181,19 +224,34 @@
         let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
         (node.latency, node.pace, node.seen) = (Some(4000.0), Some(1000.0), Micros(here.0 - 7_000));
         node.sends.push_back((Micros(here.0 - 50_000), 2.0));
-        node.standings =
-            vec![Standing { fear: 0.5, toll: 10.0, at: Micros(here.0 - 3), answered: Micros(here.0 - 9) }];
-        let owed = Owed { sent: Micros(here.0 - 80), z: 1.5, depth: 3.0, ..Owed::default() };
+        node.standings = vec![Standing {
+            fear: 0.5,
+            toll: 10.0,
+            at: Micros(here.0 - 3),
+            answered: Micros(here.0 - 9),
+        }];
+        let owed = Owed {
+            sent: Micros(here.0 - 80),
+            z: 1.5,
+            depth: 3.0,
+            ..Owed::default()
+        };
         node.owed.insert((PartId(1), CallNo(0)), owed);
         old.tariff.indexes = vec![Default::default()];
         old.extras.push_back(Micros(here.0 - 1000));
-        old.fatal.push_back((here + Micros(5_000_000), (IndexNo(0), CustomerNo(0), vec![ShardNo(3)])));
+        old.fatal.push_back((
+            here + Micros(5_000_000),
+            (IndexNo(0), CustomerNo(0), vec![ShardNo(3)]),
+        ));
         let beliefs = old.beliefs(here);
         let mut new = brain(there);
         new.tariff.indexes = vec![Default::default()];
         assert_eq!(new.believe(there, &beliefs), 3);
         assert_eq!(new.beliefs(there), beliefs);
-        assert_eq!(new.nodes[&NodeId(2)].sends[0], (Micros(there.0 - 50_000), 2.0));
+        assert_eq!(
+            new.nodes[&NodeId(2)].sends[0],
+            (Micros(there.0 - 50_000), 2.0)
+        );
         assert_eq!(new.fatal[0].0, there + Micros(5_000_000));
     }
 
@@ -203,8 +261,21 @@
         let now = Micros(1_000_000_000);
         let mut new = brain(now);
         let out = vec![(0, 300_000, 2.0, 1.0), (0, 1, f64::NAN, 1.0)];
-        let nodes = vec![(2, NodeBelief { started: 2, out, ..NodeBelief::default() })];
-        new.believe(now, &Beliefs { nodes, ..Beliefs::default() });
+        let nodes = vec![(
+            2,
+            NodeBelief {
+                started: 2,
+                out,
+                ..NodeBelief::default()
+            },
+        )];
+        new.believe(
+            now,
+            &Beliefs {
+                nodes,
+                ..Beliefs::default()
+            },
+        );
         new.serve_part(1.0, true);
         new.now = now + Micros(later);
         let seen = |new: &Brain| {
@@ -218,13 +289,25 @@
 
     #[test_case(false, (2.0, 0.0, 0.0, 0); "one that finishes")]
     #[test_case(true, (2.0, 0.1, 0.2, 1); "one that goes on")]
-    fn a_part_of_the_budget_is_kept_and_the_whole_comes_back(goes_on: bool, kept: (f64, f64, f64, usize)) {
+    fn a_part_of_the_budget_is_kept_and_the_whole_comes_back(
+        goes_on: bool,
+        kept: (f64, f64, f64, usize),
+    ) {
         let mut brain = brain(Micros(1_000_000));
-        (brain.tariff.extra_spare, brain.tariff.extra_ratio, brain.tariff.cold_share) = (8.0, 0.1, 0.2);
+        (
+            brain.tariff.extra_spare,
+            brain.tariff.extra_ratio,
+            brain.tariff.cold_share,
+        ) = (8.0, 0.1, 0.2);
         brain.extras.push_back(Micros(990_000));
         let seen = |brain: &Brain| {
             let of = &brain.tariff;
-            (of.extra_spare, of.extra_ratio, of.cold_share, brain.extras.len())
+            (
+                of.extra_spare,
+                of.extra_ratio,
+                of.cold_share,
+                brain.extras.len(),
+            )
         };
         brain.serve_part(4.0, goes_on);
         brain.serve_part(2.0, goes_on);
@@ -240,34 +323,73 @@
     #[test_case(true, (Some(4000.0), Some(90.0), 1, 1, 1, 1); "the same terms")]
     #[test_case(false, (Some(4000.0), None, 0, 1, 1, 0); "other terms")]
     fn what_means_the_same_is_carried_over_a_move(
-        same: bool, kept: (Option<f64>, Option<f64>, usize, usize, usize, usize),
+        same: bool,
+        kept: (Option<f64>, Option<f64>, usize, usize, usize, usize),
     ) {
         let now = Micros(900_000_000);
         let mut old = brain(now);
         old.tariff.indexes = vec![Default::default()];
         let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
         (node.latency, node.report) = (Some(4000.0), Some(90.0));
-        node.standings = vec![Standing { fear: 1.0, toll: 1e6, ..Standing::default() }];
+        node.standings = vec![Standing {
+            fear: 1.0,
+            toll: 1e6,
+            ..Standing::default()
+        }];
         node.sends.push_back((now, 2.0));
         old.extras.push_back(now);
-        old.fatal.push_back((now + Micros(5_000_000), (IndexNo(0), CustomerNo(0), vec![ShardNo(3)])));
+        old.fatal.push_back((
+            now + Micros(5_000_000),
+            (IndexNo(0), CustomerNo(0), vec![ShardNo(3)]),
+        ));
         let mut new = brain(now);
         new.tariff.indexes = vec![Default::default()];
         new.tariff.reach = if same { 0 } else { 3 };
         new.believe(now, &old.beliefs(now));
         let node = &new.nodes[&NodeId(2)];
-        let counts = (node.standings.len(), node.sends.len(), new.extras.len(), new.fatal.len());
-        assert_eq!((node.latency, node.report, counts.0, counts.1, counts.2, counts.3), kept);
+        let counts = (
+            node.standings.len(),
+            node.sends.len(),
+            new.extras.len(),
+            new.fatal.len(),
+        );
+        assert_eq!(
+            (
+                node.latency,
+                node.report,
+                counts.0,
+                counts.1,
+                counts.2,
+                counts.3
+            ),
+            kept
+        );
     }
 
     #[test]
     fn another_start_of_a_node_another_node_and_nonsense_are_passed_over() {
         let mut new = brain(Micros(1_000_000));
-        let belief =
-            |started, latency| NodeBelief { started, latency: Some(latency), ..NodeBelief::default() };
-        let nodes =
-            vec![(1, belief(9, 1.0)), (2, belief(2, f64::NAN)), (3, belief(3, 70.0)), (8, belief(8, 1.0))];
-        assert_eq!(new.believe(Micros(1_000_000), &Beliefs { nodes, ..Beliefs::default() }), 2);
+        let belief = |started, latency| NodeBelief {
+            started,
+            latency: Some(latency),
+            ..NodeBelief::default()
+        };
+        let nodes = vec![
+            (1, belief(9, 1.0)),
+            (2, belief(2, f64::NAN)),
+            (3, belief(3, 70.0)),
+            (8, belief(8, 1.0)),
+        ];
+        assert_eq!(
+            new.believe(
+                Micros(1_000_000),
+                &Beliefs {
+                    nodes,
+                    ..Beliefs::default()
+                }
+            ),
+            2
+        );
         let latencies: Vec<Option<f64>> = new.nodes.values().map(|node| node.latency).collect();
         assert_eq!(latencies, [None, None, Some(70.0)]);
     }
--- a/src/brain/tests.rs
+++ b/src/brain/tests.rs
@@ -11,25 +11,43 @@
 const NEVER: Option<Ending> = Some(Ending::NeverRan);
 
 fn node(brain: &mut Brain, id: u64) -> &mut Node {
-    brain.nodes.get_mut(&NodeId(id)).expect("a node of the router")
+    brain
+        .nodes
+        .get_mut(&NodeId(id))
+        .expect("a node of the router")
 }
 
 fn places(brain: Brain, parts: usize) -> Vec<u64> {
     let brain = fresh(brain);
     let lookup = lookup(&brain, &vec![1.0 / parts as f64; parts], &[]);
-    brain.plan(&lookup, 1e6).places.iter().map(|(_, node)| node.0).collect()
+    brain
+        .plan(&lookup, 1e6)
+        .places
+        .iter()
+        .map(|(_, node)| node.0)
+        .collect()
 }
 
 // The cost model.
 
 #[test]
 fn a_chosen_node_draws_the_other_parts() {
-    let mut brain = router(Tariff { cells: 3, reach: 2, ..tariff() }, 2);
+    let mut brain = router(
+        Tariff {
+            cells: 3,
+            reach: 2,
+            ..tariff()
+        },
+        2,
+    );
     (node(&mut brain, 2).listing.cell, node(&mut brain, 2).report) = (CellNo(1), Some(90.0));
     let mut both = lookup(&brain, &[0.5, 0.5], &[]);
     // Only node 1 holds this one; the other part is held by both.
     both.parts[1].shard = ShardNo(2);
-    assert_eq!(fresh(brain).plan(&both, 1e6).places, [(1, NodeId(1)), (0, NodeId(1))]);
+    assert_eq!(
+        fresh(brain).plan(&both, 1e6).places,
+        [(1, NodeId(1)), (0, NodeId(1))]
+    );
 }
 
 #[test]
@@ -59,7 +77,13 @@
 
 #[test]
 fn empty_queues_still_tell_a_busy_node_from_an_idle_one() {
-    let mut brain = router(Tariff { gauges: vec![Gauge::Queue], ..tariff() }, 2);
+    let mut brain = router(
+        Tariff {
+            gauges: vec![Gauge::Queue],
+            ..tariff()
+        },
+        2,
+    );
     brain.nodes.values_mut().for_each(|n| n.report = Some(0.0));
     owe(&mut brain, 1, 1, ms(1));
     assert_eq!(places(brain, 1), [2]);
@@ -67,7 +91,13 @@
 
 #[test]
 fn a_priced_crossing_tips_the_balance() {
-    let mut brain = router(Tariff { crossing: 0.04, ..tariff() }, 2);
+    let mut brain = router(
+        Tariff {
+            crossing: 0.04,
+            ..tariff()
+        },
+        2,
+    );
     node(&mut brain, 1).listing.zone = ZoneNo(1);
     node(&mut brain, 2).report = Some(110.0);
     assert_eq!(places(brain, 1), [2]);
@@ -77,7 +107,14 @@
 #[test_case(3, 0, 5, true; "next cell, round the ring")]
 #[test_case(3, 1, 5, false; "not a holder")]
 fn a_shard_is_held_by_reach_cells(cells: u32, cell: u32, shard: u32, held: bool) {
-    let mut brain = router(Tariff { cells, reach: 2, ..tariff() }, 1);
+    let mut brain = router(
+        Tariff {
+            cells,
+            reach: 2,
+            ..tariff()
+        },
+        1,
+    );
     node(&mut brain, 1).listing.cell = CellNo(cell);
     assert_eq!(fresh(brain).held_by(ShardNo(shard)).count() == 1, held);
 }
@@ -92,7 +129,10 @@
     hold(&mut brain, held);
     let mut tape = Tape::default();
     brain.settle(&mut tape);
-    assert_eq!(tape.0, [Did::Nack(Micros(0)), Did::Cancel(PartId(1), CallNo(0))]);
+    assert_eq!(
+        tape.0,
+        [Did::Nack(Micros(0)), Did::Cancel(PartId(1), CallNo(0))]
+    );
     assert!(brain.lookups.is_empty());
 }
 
@@ -101,7 +141,16 @@
     let (mut brain, mut tape) = (router(tariff(), 1), Tape::default());
     owe(&mut brain, 1, 1, ms(5));
     let (now, part, node) = (brain.now, PartId(1000), NodeId(1));
-    brain.returned(now, part, CallNo(0), node, ms(5), Ending::Satisfied, &[80.0], &mut tape);
+    brain.returned(
+        now,
+        part,
+        CallNo(0),
+        node,
+        ms(5),
+        Ending::Satisfied,
+        &[80.0],
+        &mut tape,
+    );
     brain.lapsed(now, LookupId(9), &mut tape);
     assert!(tape.0.is_empty() && brain.nodes[&node].owed.is_empty());
 }
@@ -119,7 +168,13 @@
 #[test_case(Repeat::Idempotent, &[RAN, RAN, RAN], 0, false; "no calls left")]
 #[test_case(Repeat::Idempotent, &[RAN], 2985, false; "no time left")]
 fn further_calls_keep_the_rules(repeat: Repeat, calls: &[Option<Ending>], later: u64, may: bool) {
-    let mut brain = router(Tariff { most_calls: Some(3), ..tariff() }, 2);
+    let mut brain = router(
+        Tariff {
+            most_calls: Some(3),
+            ..tariff()
+        },
+        2,
+    );
     brain.tariff.indexes[0].repeat = repeat;
     let lookup = lookup(&brain, &[1.0], calls);
     brain.now += ms(later);
@@ -131,7 +186,13 @@
 #[test_case(100, 390, false; "the dial would end too near the window's end")]
 #[test_case(600, 0, false; "no dial fits the window")]
 fn a_fingerprinted_repeat_leaves_time_to_dial(dial: u64, later: u64, may: bool) {
-    let mut brain = router(Tariff { dial: ms(dial), ..tariff() }, 2);
+    let mut brain = router(
+        Tariff {
+            dial: ms(dial),
+            ..tariff()
+        },
+        2,
+    );
     brain.tariff.indexes[0].repeat = Repeat::Fingerprinted(ms(500));
     let lookup = lookup(&brain, &[1.0], &[RAN]);
     brain.now += ms(later);
@@ -140,7 +201,13 @@
 
 #[test]
 fn no_second_copy_where_none_is_allowed() {
-    let brain = router(Tariff { second_copies: false, ..tariff() }, 2);
+    let brain = router(
+        Tariff {
+            second_copies: false,
+            ..tariff()
+        },
+        2,
+    );
     let lookup = lookup(&brain, &[1.0], &[OUT]);
     assert!(!brain.may_call(&lookup, &lookup.parts[0]));
 }
@@ -151,7 +218,13 @@
 #[test_case(Repeat::OnceOnly, NEVER, true, Did::Abort; "once only, its first step ran")]
 #[test_case(Repeat::Fingerprinted(ms(500)), OUT, false, Did::Abort; "fingerprinted, still out")]
 fn a_nack_promises_that_nothing_ran(repeat: Repeat, call: Option<Ending>, second: bool, did: Did) {
-    let mut brain = router(Tariff { cancels: false, ..tariff() }, 1);
+    let mut brain = router(
+        Tariff {
+            cancels: false,
+            ..tariff()
+        },
+        1,
+    );
     brain.tariff.indexes[0].repeat = repeat;
     let held = lookup(&brain, &[1.0], &[call]);
     hold(&mut brain, Lookup { second, ..held });
@@ -162,7 +235,13 @@
 
 #[test]
 fn a_nack_advises_no_longer_than_clients_heed() {
-    let mut brain = router(Tariff { longest_advice: Some(ms(300)), ..tariff() }, 1);
+    let mut brain = router(
+        Tariff {
+            longest_advice: Some(ms(300)),
+            ..tariff()
+        },
+        1,
+    );
     let held = lookup(&brain, &[1.0], &[]);
     hold(&mut brain, held);
     let mut tape = Tape::default();
@@ -185,7 +264,15 @@
     let mut brain = router(tariff(), 2);
     owe(&mut brain, 1, 1, ms(1));
     let now = brain.now;
-    brain.roster(now, &[Listing { node: NodeId(2), ..Listing::default() }], true, &mut Tape::default());
+    brain.roster(
+        now,
+        &[Listing {
+            node: NodeId(2),
+            ..Listing::default()
+        }],
+        true,
+        &mut Tape::default(),
+    );
     assert_eq!(brain.nodes[&NodeId(1)].listing.phase, Phase::Gone);
 }
 
@@ -204,7 +291,13 @@
 #[test_case(1, 5, false; "beyond it")]
 #[test_case(2, 3, false; "beyond one router's share of it")]
 fn a_cold_node_gets_its_allowance(routers: u32, parts: u32, room: bool) {
-    let mut brain = router(Tariff { routers: routers.into(), ..tariff() }, 1);
+    let mut brain = router(
+        Tariff {
+            routers: routers.into(),
+            ..tariff()
+        },
+        1,
+    );
     let now = brain.now;
     node(&mut brain, 1).started.at = now;
     node(&mut brain, 1).sends = (1..parts).map(|_| (now, 1.0)).collect();
@@ -225,7 +318,10 @@
 fn a_reported_rate_raises_the_allowance() {
     let mut brain = router(tariff(), 2);
     let now = brain.now;
-    (node(&mut brain, 1).started.at, node(&mut brain, 2).best_rate) = (now, 20.0);
+    (
+        node(&mut brain, 1).started.at,
+        node(&mut brain, 2).best_rate,
+    ) = (now, 20.0);
     let brain = fresh(brain);
     assert!(brain.has_room(&brain.nodes[&NodeId(1)], 8.0));
 }
@@ -236,14 +332,28 @@
 #[test_case(0.9, 0.5, &[0.9], Some(true); "enough for whole")]
 #[test_case(1.0, 0.6, &[0.7], Some(false); "enough for part")]
 #[test_case(1.0, 0.8, &[0.7], None; "too little")]
-fn answers_are_honest_at_the_soft_deadline(need: f64, least: f64, weights: &[f64], whole: Option<bool>) {
-    let mut brain = router(Tariff { second_copies: false, ..tariff() }, 1);
+fn answers_are_honest_at_the_soft_deadline(
+    need: f64,
+    least: f64,
+    weights: &[f64],
+    whole: Option<bool>,
+) {
+    let mut brain = router(
+        Tariff {
+            second_copies: false,
+            ..tariff()
+        },
+        1,
+    );
     (brain.tariff.indexes[0].need, brain.tariff.indexes[0].least) = (need, least);
     let mut held = lookup(&brain, weights, &[OK]);
     let rest = 1.0 - weights.iter().sum::<f64>();
     if rest > 0.001 {
         let out = lookup(&brain, &[rest], &[OUT]).parts.remove(0);
-        held.parts.push(Part { id: PartId(99), ..out });
+        held.parts.push(Part {
+            id: PartId(99),
+            ..out
+        });
         held.expected += 1;
     }
     brain.now = held.soft;
@@ -258,7 +368,14 @@
 fn a_second_step_is_whole_only_after_a_whole_first(first_whole: bool, whole: bool) {
     let mut brain = router(tariff(), 1);
     let held = lookup(&brain, &[1.0], &[OK]);
-    hold(&mut brain, Lookup { second: true, first_whole, ..held });
+    hold(
+        &mut brain,
+        Lookup {
+            second: true,
+            first_whole,
+            ..held
+        },
+    );
     let mut tape = Tape::default();
     brain.settle(&mut tape);
     assert_eq!(tape.0, [Did::Answer(whole)]);
@@ -269,7 +386,10 @@
 #[test_case(810, true; "the second step needs the rest")]
 fn a_first_step_leaves_the_second_its_time(later: u64, answered: bool) {
     let mut brain = router(tariff(), 3);
-    (brain.tariff.indexes[0].second_step, brain.tariff.indexes[0].least) = (2, 0.5);
+    (
+        brain.tariff.indexes[0].second_step,
+        brain.tariff.indexes[0].least,
+    ) = (2, 0.5);
     let mut half = lookup(&brain, &[0.5, 0.5], &[OUT]);
     half.parts[0].satisfied = true;
     hold(&mut brain, half);
@@ -284,7 +404,13 @@
     let held = lookup(&brain, &[0.5, 0.5], &[OK]);
     hold(&mut brain, held);
     brain.settle(&mut Tape::default());
-    assert_eq!((brain.lookups[&LookupId(1)].expected, brain.lookups[&LookupId(1)].second), (2, true));
+    assert_eq!(
+        (
+            brain.lookups[&LookupId(1)].expected,
+            brain.lookups[&LookupId(1)].second
+        ),
+        (2, true)
+    );
 }
 
 // Rule 5: the least share, to the letter. The lab found answers from 0.69996 where 0.7 was asked for.
@@ -296,11 +422,18 @@
     brain.tariff.indexes[0].least = least;
     let mut held = lookup(&brain, weights, &[OK]);
     (held.soft, held.partly) = (brain.now, brain.now);
-    for part in held.parts.iter_mut().skip((least * weights.len() as f64) as usize) {
+    for part in held
+        .parts
+        .iter_mut()
+        .skip((least * weights.len() as f64) as usize)
+    {
         (part.satisfied, part.calls[0].ending) = (false, None);
     }
     hold(&mut brain, held);
-    assert_eq!((brain.answer_is_due().is_some(), brain.hopeless().is_some()), (answers, false));
+    assert_eq!(
+        (brain.answer_is_due().is_some(), brain.hopeless().is_some()),
+        (answers, false)
+    );
 }
 
 #[test]
@@ -321,8 +454,18 @@
 #[test_case(1.0, 0.0, 1, false; "spare ones used up")]
 #[test_case(0.0, 0.5, 0, true; "a share of what was taken")]
 #[test_case(0.0, 0.4, 0, false; "too small a share")]
-fn further_calls_stay_within_the_budget(extra_spare: f64, extra_ratio: f64, made: usize, may: bool) {
-    let budget = Tariff { extra_spare, extra_ratio, extra_window: Some(ms(1000)), ..tariff() };
+fn further_calls_stay_within_the_budget(
+    extra_spare: f64,
+    extra_ratio: f64,
+    made: usize,
+    may: bool,
+) {
+    let budget = Tariff {
+        extra_spare,
+        extra_ratio,
+        extra_window: Some(ms(1000)),
+        ..tariff()
+    };
     let mut brain = router(budget, 2);
     (brain.taken, brain.extras) = (vec![brain.now; 2].into(), vec![brain.now; made].into());
     assert_eq!(brain.within_budget(&lookup(&brain, &[1.0], &[])), may);
@@ -332,25 +475,50 @@
 #[test]
 fn further_calls_that_are_planned_together_stay_within_the_budget() {
     let (spare, window) = (2.0, Some(ms(5000)));
-    let mut brain = router(Tariff { extra_spare: spare, extra_window: window, ..tariff() }, 3);
+    let mut brain = router(
+        Tariff {
+            extra_spare: spare,
+            extra_window: window,
+            ..tariff()
+        },
+        3,
+    );
     let mut failed = lookup(&brain, &[0.2; 5], &[NEVER]);
     failed.placed = false;
     hold(&mut brain, failed);
     let mut tape = Tape::default();
     brain.settle(&mut tape);
-    assert_eq!(tape.0.iter().filter(|did| matches!(did, Did::Call(..))).count(), 2);
+    assert_eq!(
+        tape.0
+            .iter()
+            .filter(|did| matches!(did, Did::Call(..)))
+            .count(),
+        2
+    );
 }
 
 #[test]
 fn a_first_call_needs_no_budget() {
-    let brain = router(Tariff { extra_window: Some(ms(1000)), ..tariff() }, 2);
+    let brain = router(
+        Tariff {
+            extra_window: Some(ms(1000)),
+            ..tariff()
+        },
+        2,
+    );
     let (fresh, failed) = (lookup(&brain, &[1.0], &[]), lookup(&brain, &[1.0], &[RAN]));
     assert!(brain.may_call(&fresh, &fresh.parts[0]) && !brain.may_call(&failed, &failed.parts[0]));
 }
 
 #[test]
 fn the_budget_tables_are_emptied_by_age() {
-    let mut brain = router(Tariff { extra_window: Some(ms(1000)), ..tariff() }, 0);
+    let mut brain = router(
+        Tariff {
+            extra_window: Some(ms(1000)),
+            ..tariff()
+        },
+        0,
+    );
     brain.extras = vec![Micros(0); 5].into();
     brain.take();
     assert!(brain.extras.is_empty());
@@ -373,8 +541,15 @@
 fn doubt_comes_late(latency: u64, doubted: bool) {
     let mut brain = router(Tariff::default(), 0);
     brain.survey.middle = Some(100_000.0);
-    brain.tariff.indexes = vec![IndexRow { soft: ms(1400), ..IndexRow::default() }];
-    let late = Node { latency: Some(latency as f64 * 1e3), seen: brain.now, ..Node::default() };
+    brain.tariff.indexes = vec![IndexRow {
+        soft: ms(1400),
+        ..IndexRow::default()
+    }];
+    let late = Node {
+        latency: Some(latency as f64 * 1e3),
+        seen: brain.now,
+        ..Node::default()
+    };
     assert_eq!(brain.doubt(&late, IndexNo(0)).is_some(), doubted);
 }
 
@@ -395,12 +570,20 @@
 #[test_case(Ending::MayHaveRun, 1000, Repeat::Idempotent, true; "a time-out")]
 #[test_case(Ending::MayHaveRun, 2, Repeat::OnceOnly, true; "an error that cannot be repeated")]
 #[test_case(Ending::NeverRan, 2, Repeat::Idempotent, true; "turned away briskly")]
-fn a_node_that_fails_briskly_still_takes_its_part(ending: Ending, lag: u64, repeat: Repeat, doubted: bool) {
+fn a_node_that_fails_briskly_still_takes_its_part(
+    ending: Ending,
+    lag: u64,
+    repeat: Repeat,
+    doubted: bool,
+) {
     let mut brain = router(tariff(), 2);
     brain.tariff.indexes[0].repeat = repeat;
     brain.survey.middle = Some(100_000.0);
     (0..9).for_each(|_| brain.learn(NodeId(1), IndexNo(0), ms(lag), ending));
-    assert_eq!(brain.doubt(&brain.nodes[&NodeId(1)], IndexNo(0)).is_some(), doubted);
+    assert_eq!(
+        brain.doubt(&brain.nodes[&NodeId(1)], IndexNo(0)).is_some(),
+        doubted
+    );
 }
 
 // A long day: every node is replaced by a new one again and again, some while they owe answers.
@@ -410,14 +593,42 @@
     for id in 3..500 {
         let now = brain.now + ms(50);
         owe(&mut brain, id - 1, 1, ms(0));
-        brain.roster(now, &[Listing { node: NodeId(id), ..Listing::default() }], true, &mut tape);
+        brain.roster(
+            now,
+            &[Listing {
+                node: NodeId(id),
+                ..Listing::default()
+            }],
+            true,
+            &mut tape,
+        );
         let lag = ms(50);
-        brain.returned(now, PartId(1000), CallNo(0), NodeId(id - 1), lag, Ending::Broken, &[], &mut tape);
+        brain.returned(
+            now,
+            PartId(1000),
+            CallNo(0),
+            NodeId(id - 1),
+            lag,
+            Ending::Broken,
+            &[],
+            &mut tape,
+        );
     }
     let now = brain.now + ms(60_000);
-    brain.roster(now, &[Listing { node: NodeId(500), ..Listing::default() }], true, &mut tape);
+    brain.roster(
+        now,
+        &[Listing {
+            node: NodeId(500),
+            ..Listing::default()
+        }],
+        true,
+        &mut tape,
+    );
     brain.elapsed(now, TimerId(0), &mut tape);
-    assert_eq!((brain.nodes.len(), brain.cells.len(), brain.watched.len()), (1, 1, 0));
+    assert_eq!(
+        (brain.nodes.len(), brain.cells.len(), brain.watched.len()),
+        (1, 1, 0)
+    );
 }
 
 #[test]
@@ -436,7 +647,10 @@
 fn a_deadly_lookup_is_nacked(fell: &[u64], repeat: bool, outlived: bool, nacked: bool) {
     let mut brain = router(tariff(), 3);
     let mut held = lookup(&brain, &[0.5, 0.5], &[Some(Ending::Broken)]);
-    held.parts.iter_mut().zip(fell).for_each(|(part, node)| part.calls[0].node = NodeId(*node));
+    held.parts
+        .iter_mut()
+        .zip(fell)
+        .for_each(|(part, node)| part.calls[0].node = NodeId(*node));
     held.parts[1].satisfied = outlived;
     hold(&mut brain, Lookup { repeat, ..held });
     brain.settle(&mut Tape::default());
@@ -447,7 +661,10 @@
 #[test_case(false, false; "a like one that is no repeat")]
 fn a_repeat_of_a_deadly_lookup_is_known(repeat: bool, nacked: bool) {
     let mut brain = router(tariff(), 3);
-    let fresh = Lookup { repeat, ..lookup(&brain, &[1.0], &[]) };
+    let fresh = Lookup {
+        repeat,
+        ..lookup(&brain, &[1.0], &[])
+    };
     brain.fatal.push_back((fresh.end, fresh.print()));
     hold(&mut brain, fresh);
     let mut tape = Tape::default();
@@ -458,7 +675,17 @@
 #[test_case(true, 1; "a scout goes first")]
 #[test_case(false, 2; "no node has fallen")]
 fn while_nodes_fall_one_tries_a_lookup_first(alarmed: bool, calls: usize) {
-    let (mut brain, mut tape) = (router(Tariff { cells: 2, reach: 1, ..tariff() }, 2), Tape::default());
+    let (mut brain, mut tape) = (
+        router(
+            Tariff {
+                cells: 2,
+                reach: 1,
+                ..tariff()
+            },
+            2,
+        ),
+        Tape::default(),
+    );
     node(&mut brain, 2).listing.cell = CellNo(1);
     brain = fresh(brain);
     brain.alarm_at = alarmed.then_some(brain.now);
@@ -472,7 +699,13 @@
 #[test_case(0, false; "another router's turn")]
 #[test_case(2, true; "its turn")]
 fn many_routers_take_turns_at_a_cold_node(seconds: u64, room: bool) {
-    let mut brain = router(Tariff { routers: 10.0, ..tariff() }, 1);
+    let mut brain = router(
+        Tariff {
+            routers: 10.0,
+            ..tariff()
+        },
+        1,
+    );
     (node(&mut brain, 1).started.at, node(&mut brain, 1).lot) = (brain.now, u32::MAX / 2);
     node(&mut brain, 1).told = brain.now;
     brain.now += ms(seconds * 1000);
@@ -484,10 +717,39 @@
 fn the_first_hint_of_work_counts_at_once() {
     let mut brain = Brain::new(tariff(), 1);
     let (now, mut tape) = (ms(1), Tape::default());
-    brain.roster(now, &[Listing { node: NodeId(1), ..Listing::default() }], true, &mut tape);
-    brain.lookup(now, LookupId(1), QueryNo(1), IndexNo(0), CustomerNo(0), 1, ms(900), false, &mut tape);
-    assert_eq!(brain.survey.rate, 1.0, "one part in the shortest soft deadline");
-    brain.part(now, PartId(1), QueryNo(1), ShardNo(0), 1.0, Some(ms(100)), &mut tape);
+    brain.roster(
+        now,
+        &[Listing {
+            node: NodeId(1),
+            ..Listing::default()
+        }],
+        true,
+        &mut tape,
+    );
+    brain.lookup(
+        now,
+        LookupId(1),
+        QueryNo(1),
+        IndexNo(0),
+        CustomerNo(0),
+        1,
+        ms(900),
+        false,
+        &mut tape,
+    );
+    assert_eq!(
+        brain.survey.rate, 1.0,
+        "one part in the shortest soft deadline"
+    );
+    brain.part(
+        now,
+        PartId(1),
+        QueryNo(1),
+        ShardNo(0),
+        1.0,
+        Some(ms(100)),
+        &mut tape,
+    );
     assert_eq!(brain.survey.rate, 10.0);
 }
 
@@ -505,14 +767,24 @@
     for seed in 0..40 {
         let mut chance = Chance::new(seed);
         let mut of = || {
-            let mut brain = fresh(router(Tariff { routers: routers as f64, ..tariff() }, 1));
+            let mut brain = fresh(router(
+                Tariff {
+                    routers: routers as f64,
+                    ..tariff()
+                },
+                1,
+            ));
             node(&mut brain, 1).lot = chance.0.generate();
             brain
         };
         let mut brains: Vec<Brain> = (0..routers).map(|_| of()).collect();
         let began = brains[0].now;
         let told = began + ms((late * 1000.0) as u64);
-        let listing = Listing { node: NodeId(1), started: began, ..Listing::default() };
+        let listing = Listing {
+            node: NodeId(1),
+            started: began,
+            ..Listing::default()
+        };
         let mut sent: Vec<u64> = Vec::new();
         for step in 0..400u64 {
             let now = told + ms(step * 10);
@@ -536,17 +808,27 @@
         }
         let window = brains[0].tariff.fall_window.0;
         for (at, first) in sent.iter().enumerate() {
-            let count = sent[at..].iter().take_while(|other| **other < first + window).count() as f64;
+            let count = sent[at..]
+                .iter()
+                .take_while(|other| **other < first + window)
+                .count() as f64;
             // What the node surely bears as the window begins: its cold share, and what it has gained by then.
             let age = (first - began.0) as f64 / tariff().warm_within.0 as f64;
             let warmth = tariff().cold_share + (1.0 - tariff().cold_share) * age;
-            let bears = tariff().fall_multiple * warmth * window as f64 / 1e6 * brains[0].survey.rate;
+            let bears =
+                tariff().fall_multiple * warmth * window as f64 / 1e6 * brains[0].survey.rate;
             let most = bears + 2.0 * bears.sqrt() + 2.0;
-            assert!(count <= most, "seed {seed}: {count} in a window at {age:.2}, {bears:.1} are borne");
+            assert!(
+                count <= most,
+                "seed {seed}: {count} in a window at {age:.2}, {bears:.1} are borne"
+            );
         }
         all += sent.len();
     }
-    assert!(all > 40 * 4 * 4, "it is used: {all} parts in 40 times four seconds");
+    assert!(
+        all > 40 * 4 * 4,
+        "it is used: {all} parts in 40 times four seconds"
+    );
 }
 
 #[test]
@@ -581,7 +863,11 @@
 fn copies_do_not_feed_a_jam() {
     let mut brain = router(tariff(), 3);
     let mut held = lookup(&brain, &[0.5, 0.5], &[OUT]);
-    held.parts[0].calls.push(Call { node: NodeId(2), sent: brain.now, ending: OUT });
+    held.parts[0].calls.push(Call {
+        node: NodeId(2),
+        sent: brain.now,
+        ending: OUT,
+    });
     brain.now += ms(450);
     hold(&mut brain, held);
     assert!(brain.needs_a_copy().is_none());
@@ -603,8 +889,15 @@
 #[test_case(1500, false; "a while ago")]
 fn a_router_that_saw_all_fail_tries_again(later: u64, nacked: bool) {
     let (mut brain, mut tape) = (router(tariff(), 2), Tape::default());
-    let standing = Standing { toll: brain.memory(), at: brain.now, ..Standing::default() };
-    brain.nodes.values_mut().for_each(|n| n.standings = vec![standing]);
+    let standing = Standing {
+        toll: brain.memory(),
+        at: brain.now,
+        ..Standing::default()
+    };
+    brain
+        .nodes
+        .values_mut()
+        .for_each(|n| n.standings = vec![standing]);
     brain.now += ms(later);
     let held = lookup(&brain, &[1.0], &[]);
     hold(&mut brain, held);
@@ -635,25 +928,57 @@
 #[test_case(1.0, Some(9.0), true, 0.68; "less gain, and lateness is dear")]
 #[test_case(5.0, None, false, 0.6; "beyond the customer's share")]
 fn time_allowed_follows_gain(gain: f64, vain: Option<f64>, within_share: bool, allowed: f64) {
-    let mut brain = router(Tariff { over_share_gain: 0.0, vain, ..tariff() }, 0);
-    let row = IndexRow { seen: true, ..brain.tariff.indexes[0].clone() };
-    brain.tariff.indexes = vec![IndexRow { gain, ..row.clone() }, IndexRow { gain: 5.0, ..row }];
+    let mut brain = router(
+        Tariff {
+            over_share_gain: 0.0,
+            vain,
+            ..tariff()
+        },
+        0,
+    );
+    let row = IndexRow {
+        seen: true,
+        ..brain.tariff.indexes[0].clone()
+    };
+    brain.tariff.indexes = vec![
+        IndexRow {
+            gain,
+            ..row.clone()
+        },
+        IndexRow { gain: 5.0, ..row },
+    ];
     let lookup = lookup(&brain, &[1.0], &[]);
     assert!((brain.time_allowed(&lookup, within_share) - allowed).abs() < 1e-9);
 }
 
 #[test]
 fn a_share_is_used_up_and_comes_back() {
-    let mut brain = router(Tariff { quotas: vec![1.0], ..tariff() }, 0);
+    let mut brain = router(
+        Tariff {
+            quotas: vec![1.0],
+            ..tariff()
+        },
+        0,
+    );
     brain.quota_left = vec![(0.0, Micros(0))];
     let drawn: Vec<bool> = (0..3).map(|_| brain.draw_quota(CustomerNo(0))).collect();
     brain.now += ms(1000);
-    assert_eq!((drawn, brain.draw_quota(CustomerNo(0))), (vec![true, true, false], true));
+    assert_eq!(
+        (drawn, brain.draw_quota(CustomerNo(0))),
+        (vec![true, true, false], true)
+    );
 }
 
 #[test]
 fn used_nodes_are_probed_once_a_second_where_only_probes_report() {
-    let mut brain = router(Tariff { reporting: Reporting::OnProbe, probing: true, ..tariff() }, 2);
+    let mut brain = router(
+        Tariff {
+            reporting: Reporting::OnProbe,
+            probing: true,
+            ..tariff()
+        },
+        2,
+    );
     owe(&mut brain, 1, 1, ms(1));
     let mut tape = Tape::default();
     brain.settle(&mut tape);
@@ -683,10 +1008,16 @@
 #[test_case(Some(ms(5000)), 3; "under a budget, a tenth of what is out")]
 #[test_case(None, 1; "one at a time")]
 fn copies_are_few(extra_window: Option<Micros>, copies: usize) {
-    let budget = Tariff { extra_spare: 9.0, extra_window, ..tariff() };
+    let budget = Tariff {
+        extra_spare: 9.0,
+        extra_window,
+        ..tariff()
+    };
     let (mut brain, mut tape) = (router(budget, 3), Tape::default());
     let mut late = lookup(&brain, &[0.04; 25], &[OUT]);
-    late.parts.iter_mut().for_each(|part| part.calls[0].sent = Micros(brain.now.0 - 450_000));
+    late.parts
+        .iter_mut()
+        .for_each(|part| part.calls[0].sent = Micros(brain.now.0 - 450_000));
     hold(&mut brain, late);
     brain.settle(&mut tape);
     let calls: Vec<PartId> = tape
@@ -715,7 +1046,12 @@
     let mut brain = router(tariff(), 1);
     (node(&mut brain, 1).listing.phase, brain.alarm_at) = (was, None);
     let now = brain.now;
-    let listing = Listing { node: NodeId(1), phase, started: Micros(started), ..Listing::default() };
+    let listing = Listing {
+        node: NodeId(1),
+        phase,
+        started: Micros(started),
+        ..Listing::default()
+    };
     brain.roster(now, &[listing], false, &mut Tape::default());
     assert_eq!(brain.alarm_at.is_some(), alarmed);
 }
@@ -727,12 +1063,35 @@
 #[test_case(0, 1, 1000, 1; "no part expected")]
 #[test_case(usize::MAX, 1, 1000, 1; "more parts expected than can come")]
 fn odd_lookups_get_one_final_answer(expected: usize, shard: u32, left: u64, nodes: u64) {
-    let (mut brain, mut tape) = (router(Tariff { cells: 7, reach: 9, ..tariff() }, nodes), Tape::default());
+    let (mut brain, mut tape) = (
+        router(
+            Tariff {
+                cells: 7,
+                reach: 9,
+                ..tariff()
+            },
+            nodes,
+        ),
+        Tape::default(),
+    );
     let (now, id, query, out) = (brain.now, LookupId(1), QueryNo(1), &mut tape);
-    brain.lookup(now, id, query, IndexNo(0), CustomerNo(9), expected, ms(left), false, out);
+    brain.lookup(
+        now,
+        id,
+        query,
+        IndexNo(0),
+        CustomerNo(9),
+        expected,
+        ms(left),
+        false,
+        out,
+    );
     brain.part(now, PartId(1), query, ShardNo(shard), 1.0, None, out);
     brain.elapsed(now + ms(left.saturating_sub(15)), TimerId(0), out);
-    let ends = tape.0.iter().filter(|did| matches!(did, Did::Answer(_) | Did::Nack(_) | Did::Abort));
+    let ends = tape
+        .0
+        .iter()
+        .filter(|did| matches!(did, Did::Answer(_) | Did::Nack(_) | Did::Abort));
     assert_eq!((ends.count(), brain.lookups.len()), (1, 0));
 }
 
@@ -740,13 +1099,29 @@
 #[test_case(40, 1000, true; "many parts")]
 #[test_case(40, 900, false; "many parts, and a client with little time")]
 fn a_lookup_is_as_late_as_the_latest_of_its_parts(parts: usize, left: u64, nacked: bool) {
-    let (mut brain, mut tape) = (router(Tariff { cells: 64, reach: 1, ..tariff() }, 40), Tape::default());
+    let (mut brain, mut tape) = (
+        router(
+            Tariff {
+                cells: 64,
+                reach: 1,
+                ..tariff()
+            },
+            40,
+        ),
+        Tape::default(),
+    );
     for (cell, node) in brain.nodes.values_mut().enumerate() {
         (node.listing.cell, node.pace) = (CellNo(cell as u32), Some(130_000.0));
     }
     brain = fresh(brain);
-    let mut held = Lookup { left: ms(left), ..lookup(&brain, &vec![1.0 / parts as f64; parts], &[]) };
-    held.parts.iter_mut().enumerate().for_each(|(at, part)| part.shard = ShardNo(at as u32));
+    let mut held = Lookup {
+        left: ms(left),
+        ..lookup(&brain, &vec![1.0 / parts as f64; parts], &[])
+    };
+    held.parts
+        .iter_mut()
+        .enumerate()
+        .for_each(|(at, part)| part.shard = ShardNo(at as u32));
     hold(&mut brain, held);
     brain.settle(&mut tape);
     assert_eq!(tape.0.iter().any(|did| matches!(did, Did::Nack(_))), nacked);
@@ -758,8 +1133,21 @@
     let held = lookup(&brain, &[0.5, 0.5], &[]);
     hold(&mut brain, held);
     brain.settle(&mut tape);
-    brain.returned(brain.now, PartId(2), CallNo(0), NodeId(1), ms(5), Ending::Satisfied, &[], &mut tape);
-    let came: Vec<bool> = brain.lookups[&LookupId(1)].parts.iter().map(|p| p.satisfied).collect();
+    brain.returned(
+        brain.now,
+        PartId(2),
+        CallNo(0),
+        NodeId(1),
+        ms(5),
+        Ending::Satisfied,
+        &[],
+        &mut tape,
+    );
+    let came: Vec<bool> = brain.lookups[&LookupId(1)]
+        .parts
+        .iter()
+        .map(|p| p.satisfied)
+        .collect();
     assert_eq!(came, [false, true]);
 }
 
@@ -769,7 +1157,10 @@
     brain.tariff.indexes.push(brain.tariff.indexes[0].clone());
     node(&mut brain, 1).doubted = Some(IndexNo(1));
     brain.watched.insert(NodeId(1));
-    assert_eq!(brain.doubt_has_changed().map(|case| case.index), Some(IndexNo(1)));
+    assert_eq!(
+        brain.doubt_has_changed().map(|case| case.index),
+        Some(IndexNo(1))
+    );
 }
 
 // Connections that rest may be dropped unseen: calls on such are lost, and the next go on new ones.
@@ -779,7 +1170,11 @@
 #[test_case(0.0, true, 100, 0, false; "the first")]
 #[test_case(0.14, true, 100, 60_000, false; "long ago")]
 fn what_rests_is_not_used_while_such_is_lost(
-    silent: f64, rested: bool, latency: u64, later: u64, closed: bool,
+    silent: f64,
+    rested: bool,
+    latency: u64,
+    later: u64,
+    closed: bool,
 ) {
     let (mut brain, mut tape) = (router(tariff(), 3), Tape::default());
     owe(&mut brain, 2, 1, ms(500));
@@ -792,15 +1187,26 @@
     node(&mut brain, 2).owed.clear();
     (brain.now, node(&mut brain, 1).seen) = (brain.now + ms(later), ms(1000));
     let held = Lookup {
-        parts: vec![Part { id: PartId(1), weight: 1.0, ..Part::default() }],
+        parts: vec![Part {
+            id: PartId(1),
+            weight: 1.0,
+            ..Part::default()
+        }],
         ..lookup(&brain, &[1.0], &[])
     };
     hold(&mut brain, held);
     brain.settle(&mut tape);
     brain.call(LookupId(1), 0, NodeId(1), &mut tape);
-    let close = tape.0.iter().position(|did| *did == Did::CloseIdle(NodeId(1)));
+    let close = tape
+        .0
+        .iter()
+        .position(|did| *did == Did::CloseIdle(NodeId(1)));
     assert_eq!(close.is_some(), closed);
-    assert_eq!(node(&mut brain, 1).rested_call.is_some(), !closed, "a new connection has not rested");
+    assert_eq!(
+        node(&mut brain, 1).rested_call.is_some(),
+        !closed,
+        "a new connection has not rested"
+    );
 }
 
 // A policy of the fleet: stricter than the platform, never looser, and for lookups that are admitted under it.
@@ -809,10 +1215,22 @@
 #[test_case(IndexRow { further: Some((1.0, 0.0)), ..IndexRow::default() }, true; "a spare one")]
 #[test_case(IndexRow::default(), true; "says nothing")]
 fn a_policy_binds_further_calls(row: IndexRow, may: bool) {
-    let budget = Tariff { extra_spare: 5.0, extra_window: Some(ms(1000)), ..tariff() };
+    let budget = Tariff {
+        extra_spare: 5.0,
+        extra_window: Some(ms(1000)),
+        ..tariff()
+    };
     let brain = router(budget, 2);
-    let row = IndexRow { soft: ms(1000), need: 1.0, least: 1.0, ..row };
-    let held = Lookup { row, ..lookup(&brain, &[1.0], &[NEVER]) };
+    let row = IndexRow {
+        soft: ms(1000),
+        need: 1.0,
+        least: 1.0,
+        ..row
+    };
+    let held = Lookup {
+        row,
+        ..lookup(&brain, &[1.0], &[NEVER])
+    };
     assert_eq!(brain.may_call(&held, &held.parts[0]), may);
 }
 
@@ -831,10 +1249,23 @@
 #[test_case(Some(9000), 950, false; "never after the soft deadline")]
 fn an_answer_in_part_goes_when_the_policy_says(at: Option<u64>, later: u64, due: bool) {
     let mut brain = router(tariff(), 2);
-    (brain.tariff.indexes[0].least, brain.tariff.indexes[0].partly_at) = (0.5, at.map(ms));
+    (
+        brain.tariff.indexes[0].least,
+        brain.tariff.indexes[0].partly_at,
+    ) = (0.5, at.map(ms));
     brain.tariff.indexes[0].soft = ms(1000);
     let (now, mut tape) = (brain.now, Tape::default());
-    brain.lookup(now, LookupId(1), QueryNo(1), IndexNo(0), CustomerNo(0), 2, ms(3000), false, &mut tape);
+    brain.lookup(
+        now,
+        LookupId(1),
+        QueryNo(1),
+        IndexNo(0),
+        CustomerNo(0),
+        2,
+        ms(3000),
+        false,
+        &mut tape,
+    );
     // Whatever is in force by now, it keeps what it was admitted under.
     brain.tariff.indexes[0].partly_at = Some(ms(1));
     let held = lookup(&brain, &[0.5, 0.5], &[OUT]);
--- a/src/brain/tests/helpers.rs
+++ b/src/brain/tests/helpers.rs
@@ -55,7 +55,13 @@
 
 /// One cell, one index: soft deadline 1 s, whole answers only, reports of latency.
 pub fn tariff() -> Tariff {
-    let index = IndexRow { soft: ms(1000), gain: 1.0, need: 1.0, least: 1.0, ..IndexRow::default() };
+    let index = IndexRow {
+        soft: ms(1000),
+        gain: 1.0,
+        need: 1.0,
+        least: 1.0,
+        ..IndexRow::default()
+    };
     Tariff {
         indexes: vec![index],
         routers: 1.0,
@@ -78,9 +84,18 @@
     let mut brain = Brain::new(tariff, 1);
     brain.now = ms(10_000);
     for id in 1..=nodes {
-        let listing = Listing { node: NodeId(id), ..Listing::default() };
+        let listing = Listing {
+            node: NodeId(id),
+            ..Listing::default()
+        };
         let known = (Some(100.0), Some(100_000.0));
-        let node = Node { listing, report: known.0, latency: known.1, seen: brain.now, ..Node::default() };
+        let node = Node {
+            listing,
+            report: known.0,
+            latency: known.1,
+            seen: brain.now,
+            ..Node::default()
+        };
         brain.nodes.insert(NodeId(id), node);
     }
     fresh(brain)
@@ -95,7 +110,11 @@
 
 /// Lookup 1 with parts 1 to n of the weights given; each has had the calls given, all to node 1 a moment ago.
 pub fn lookup(brain: &Brain, weights: &[f64], calls: &[Option<Ending>]) -> Lookup {
-    let call = |ending: &Option<Ending>| Call { node: NodeId(1), sent: brain.now, ending: *ending };
+    let call = |ending: &Option<Ending>| Call {
+        node: NodeId(1),
+        sent: brain.now,
+        ending: *ending,
+    };
     let part = |(at, weight): (usize, &f64)| Part {
         id: PartId(at as u64 + 1),
         weight: *weight,
@@ -125,7 +144,21 @@
 pub fn owe(brain: &mut Brain, node: u64, parts: u64, age: Micros) {
     brain.watched.insert(NodeId(node));
     let sent = Micros(brain.now.0 - age.0);
-    let owed = (0..parts)
-        .map(|n| ((PartId(1000 + n), CallNo(0)), Owed { sent, z: 1.0, depth: 1.0, ..Owed::default() }));
-    brain.nodes.get_mut(&NodeId(node)).expect("a node of the router").owed.extend(owed);
+    let owed = (0..parts).map(|n| {
+        (
+            (PartId(1000 + n), CallNo(0)),
+            Owed {
+                sent,
+                z: 1.0,
+                depth: 1.0,
+                ..Owed::default()
+            },
+        )
+    });
+    brain
+        .nodes
+        .get_mut(&NodeId(node))
+        .expect("a node of the router")
+        .owed
+        .extend(owed);
 }
--- a/src/cadence.rs
+++ b/src/cadence.rs
@@ -44,16 +44,30 @@
 impl Cadence {
     /// Under settings by which a router asks within `ask_within`, with chance of its own.
     pub fn new(ask_within: Option<Micros>, seed: u64) -> Self {
-        Cadence { longest: ask_within.unwrap_or(WAITS).min(WAITS), chance: Chance::new(seed), looks: false }
+        Cadence {
+            longest: ask_within.unwrap_or(WAITS).min(WAITS),
+            chance: Chance::new(seed),
+            looks: false,
+        }
     }
 
     /// The next call, for what is newer than a version if `after` is known, else for the whole list.
     pub fn next(&mut self, after: bool) -> Call {
         if self.looks || !after {
-            return Call { wait: Micros(0), patience: OVERDUE.times(2.0) };
+            return Call {
+                wait: Micros(0),
+                patience: OVERDUE.times(2.0),
+            };
+        }
+        let wait = Micros(
+            self.chance
+                .0
+                .generate_range(self.longest.0 * 2 / 3..=self.longest.0),
+        );
+        Call {
+            wait,
+            patience: wait + OVERDUE,
         }
-        let wait = Micros(self.chance.0.generate_range(self.longest.0 * 2 / 3..=self.longest.0));
-        Call { wait, patience: wait + OVERDUE }
     }
 
     /// A call was answered.
--- a/src/cadence/tests.rs
+++ b/src/cadence/tests.rs
@@ -21,7 +21,11 @@
     let mut cadence = Cadence::new(None, 7);
     assert!(!cadence.failed(false));
     assert!(cadence.failed(true) && !cadence.failed(true) && !cadence.failed(false));
-    assert_eq!(cadence.next(true).wait, Micros(0), "still unanswered: it waits for nothing");
+    assert_eq!(
+        cadence.next(true).wait,
+        Micros(0),
+        "still unanswered: it waits for nothing"
+    );
     cadence.answered();
     assert!(cadence.next(true).wait > Micros(0) && cadence.failed(true));
 }
@@ -35,7 +39,11 @@
 
 #[test]
 fn watches_that_were_answered_together_come_apart() {
-    let waits: Vec<u64> = (0..300).map(|seed| Cadence::new(None, seed).next(true).wait.0).collect();
+    let waits: Vec<u64> = (0..300)
+        .map(|seed| Cadence::new(None, seed).next(true).wait.0)
+        .collect();
     let (least, most) = (waits.iter().min().copied(), waits.iter().max().copied());
-    assert!(most.zip(least).is_some_and(|(most, least)| most - least > WAITS.0 / 4));
+    assert!(most
+        .zip(least)
+        .is_some_and(|(most, least)| most - least > WAITS.0 / 4));
 }
--- a/src/io_errors.rs
+++ b/src/io_errors.rs
@@ -38,8 +38,12 @@
 pub fn dial(errno: i32) -> Owner {
     match errno {
         libc::EINTR => Owner::Nobody,
-        libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::EADDRNOTAVAIL => Owner::Machine,
-        libc::EAGAIN | libc::EPERM | libc::EACCES | libc::ENETDOWN | libc::EADDRINUSE => Owner::Machine,
+        libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::EADDRNOTAVAIL => {
+            Owner::Machine
+        }
+        libc::EAGAIN | libc::EPERM | libc::EACCES | libc::ENETDOWN | libc::EADDRINUSE => {
+            Owner::Machine
+        }
         libc::ENETUNREACH | libc::EHOSTUNREACH => Owner::Route,
         _ => Owner::Peer,
     }
@@ -95,7 +99,14 @@
         let due = self.said.is_none_or(|said| now.since(said) >= SAY_AGAIN);
         let said = due.then(|| std::mem::take(&mut self.unsaid));
         self.said = if due { Some(now) } else { self.said };
-        (if machine { pause(self.in_a_row) } else { Micros(0) }, said)
+        (
+            if machine {
+                pause(self.in_a_row)
+            } else {
+                Micros(0)
+            },
+            said,
+        )
     }
 
     pub fn passed(&mut self) {
--- a/src/io_errors/tests.rs
+++ b/src/io_errors/tests.rs
@@ -52,7 +52,10 @@
 #[test]
 fn pauses_grow_to_their_bound() {
     let all: Vec<u64> = (1..10).map(|count| pause(count).0).collect();
-    assert_eq!(all, [0, 1000, 2000, 4000, 8000, 16_000, 32_000, 50_000, 50_000]);
+    assert_eq!(
+        all,
+        [0, 1000, 2000, 4000, 8000, 16_000, 32_000, 50_000, 50_000]
+    );
     assert_eq!(pause(u32::MAX).0, 50_000);
 }
 
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -61,6 +61,8 @@
     /// gets first requests up to the kill (connections of the incident were 1.1 to 1.5 s old at their
     /// first).
     pub fn closes_new(&self, accepted: Micros) -> Micros {
-        self.accepts_until.max(accepted + FIRST_BYTE).min(self.answers_by)
+        self.accepts_until
+            .max(accepted + FIRST_BYTE)
+            .min(self.answers_by)
     }
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -39,7 +39,11 @@
             return false;
         }
         let at = claimed.min(now).max(not_before);
-        *self = Started { claimed, at, before: Some(self.claimed).filter(|of| of.0 > 0) };
+        *self = Started {
+            claimed,
+            at,
+            before: Some(self.claimed).filter(|of| of.0 > 0),
+        };
         true
     }
 }
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -15,7 +15,10 @@
 #[test_case(at(HOUR), at(2 * S); "this machine's clock is an hour ahead")]
 #[test_case(Micros(NOW.0 + HOUR), NOW; "this machine's clock is an hour behind")]
 #[test_case(at(10 * S), at(2 * S); "some seconds ahead")]
-fn a_start_that_was_seen_is_no_older_than_the_last_list_without_it(claimed: Micros, started: Micros) {
+fn a_start_that_was_seen_is_no_older_than_the_last_list_without_it(
+    claimed: Micros,
+    started: Micros,
+) {
     let mut of = Started::default();
     assert!(of.told(claimed, NOW, at(2 * S)));
     assert_eq!(of.at, started);
--- a/src/types.rs
+++ b/src/types.rs
@@ -275,13 +275,17 @@
     /// What is out here, and up to when that is known.
     pub fn out(&self, now: Micros) -> impl Iterator<Item = (&Owed, Micros)> {
         let abroad = self.abroad.1.iter().map(|owed| (owed, self.abroad.0));
-        self.owed.values().map(move |owed| (owed, now)).chain(abroad)
+        self.owed
+            .values()
+            .map(move |owed| (owed, now))
+            .chain(abroad)
     }
 
     /// For how long nothing has gone between this router and the node, if ever something has.
     pub fn rested(&self, now: Micros) -> Micros {
         let last = self.sends.back().map(|(at, _)| (*at).max(self.seen));
-        last.filter(|_| self.owed.is_empty()).map_or(Micros(0), |last| now.since(last))
+        last.filter(|_| self.owed.is_empty())
+            .map_or(Micros(0), |last| now.since(last))
     }
 
     /// Our parts out, in parts of the mean size.
@@ -349,7 +353,11 @@
 impl Part {
     /// Calls that left, or may yet, and those that never did.
     pub fn made(&self) -> (usize, usize) {
-        let unsent = self.calls.iter().filter(|c| c.ending == Some(Ending::Unsent)).count();
+        let unsent = self
+            .calls
+            .iter()
+            .filter(|c| c.ending == Some(Ending::Unsent))
+            .count();
         (self.calls.len() - unsent, unsent)
     }
 
@@ -365,7 +373,11 @@
     }
 
     pub fn weight_in(&self) -> f64 {
-        self.parts.iter().filter(|p| p.satisfied).map(|p| p.weight).sum()
+        self.parts
+            .iter()
+            .filter(|p| p.satisfied)
+            .map(|p| p.weight)
+            .sum()
     }
 
     /// When each call that is out was made.
@@ -383,7 +395,11 @@
 
     /// What it has in common with its repeats.
     pub fn print(&self) -> Print {
-        (self.index, self.customer, self.parts.iter().map(|p| p.shard).collect())
+        (
+            self.index,
+            self.customer,
+            self.parts.iter().map(|p| p.shard).collect(),
+        )
     }
 
     /// No part of it, in either step, has been answered.
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -27,11 +27,19 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("cannot {what} {path}: {error}")]
-    Io { what: &'static str, path: String, error: std::io::Error },
+    Io {
+        what: &'static str,
+        path: String,
+        error: std::io::Error,
+    },
     #[error("{path} is not kept by this program, or its first line is spoilt")]
     Foreign { path: String },
     #[error("{path} holds '{found}', not '{wanted}'")]
-    Other { path: String, found: String, wanted: String },
+    Other {
+        path: String,
+        found: String,
+        wanted: String,
+    },
     #[error("{path} is spoilt: its length or checksum is not what its first line says")]
     Spoilt { path: String },
     #[error("{path} is longer than {LONGEST} bytes")]
@@ -62,22 +70,34 @@
 }
 
 fn fault<'a>(what: &'static str, path: &'a Path) -> impl Fn(std::io::Error) -> Fault + 'a {
-    move |error| Fault::Io { what, path: path.display().to_string(), error }
+    move |error| Fault::Io {
+        what,
+        path: path.display().to_string(),
+        error,
+    }
 }
 
 /// Replaces the file at `path` whole, in the mode 0600: whoever reads it sees the old one or the new one.
 pub fn replace(path: &Path, bytes: &[u8]) -> Result<(), Fault> {
-    let folder = path.parent().filter(|of| !of.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    let mut beside = tempfile::NamedTempFile::new_in(folder).map_err(fault("write beside", path))?;
+    let folder = path
+        .parent()
+        .filter(|of| !of.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
+    let mut beside =
+        tempfile::NamedTempFile::new_in(folder).map_err(fault("write beside", path))?;
     let write = |file: &mut fs::File| {
         file.set_permissions(fs::Permissions::from_mode(0o600))?;
         file.write_all(bytes)?;
         file.sync_all()
     };
     write(beside.as_file_mut()).map_err(fault("write", path))?;
-    beside.persist(path).map_err(|error| fault("replace", path)(error.error))?;
+    beside
+        .persist(path)
+        .map_err(|error| fault("replace", path)(error.error))?;
     // The name lasts only once its folder is written too.
-    fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(fault("write the folder of", path))
+    fs::File::open(folder)
+        .and_then(|folder| folder.sync_all())
+        .map_err(fault("write the folder of", path))
 }
 
 /// Keeps `bytes` as `kind` in its `version`, saved at `now` (microseconds of Unix time).
@@ -94,7 +114,11 @@
 }
 
 fn checksum(line: &str, bytes: &[u8]) -> String {
-    let sum = Sha256::new().chain_update(line).chain_update(b"\n").chain_update(bytes).finalize();
+    let sum = Sha256::new()
+        .chain_update(line)
+        .chain_update(b"\n")
+        .chain_update(bytes)
+        .finalize();
     sum.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -124,9 +148,13 @@
 fn read(path: &Path) -> Result<Vec<u8>, Fault> {
     let file = fs::File::open(path).map_err(fault("read", path))?;
     let mut whole = Vec::new();
-    file.take(LONGEST + 1).read_to_end(&mut whole).map_err(fault("read", path))?;
+    file.take(LONGEST + 1)
+        .read_to_end(&mut whole)
+        .map_err(fault("read", path))?;
     if whole.len() as u64 > LONGEST {
-        return Err(Fault::TooLong { path: path.display().to_string() });
+        return Err(Fault::TooLong {
+            path: path.display().to_string(),
+        });
     }
     Ok(whole)
 }
@@ -171,8 +199,8 @@
             match parse_one(&whole[at..], kind) {
                 Ok((kept, length)) => (last, at) = (Some(kept), at + length),
                 Err(wrong) => {
-                    let later =
-                        later_marks(&whole, at + 1).any(|from| parse_one(&whole[from..], kind).is_ok());
+                    let later = later_marks(&whole, at + 1)
+                        .any(|from| parse_one(&whole[from..], kind).is_ok());
                     if last.is_none() || later {
                         return Err(wrong.at(path, kind));
                     }
@@ -192,7 +220,12 @@
 
     /// One that replaces whatever is there, with the first that it keeps.
     pub fn anew(path: &Path, kind: &str) -> Journal {
-        Journal { path: path.to_owned(), kind: kind.to_owned(), file: None, size: 0 }
+        Journal {
+            path: path.to_owned(),
+            kind: kind.to_owned(),
+            file: None,
+            size: 0,
+        }
     }
 
     /// Keeps `bytes`: they last once this returns.
@@ -202,13 +235,18 @@
         if let Some(mut file) = self.file.take().filter(|_| grown <= REPLACED_FROM) {
             // Nothing of what was cut here may stand behind what is whole.
             let cut = file.set_len(self.size);
-            let written = cut.and_then(|()| file.write_all(&whole)).and_then(|()| file.sync_all());
+            let written = cut
+                .and_then(|()| file.write_all(&whole))
+                .and_then(|()| file.sync_all());
             written.map_err(fault("write", &self.path))?;
             (self.file, self.size) = (Some(file), grown);
             return Ok(());
         }
         replace(&self.path, &whole)?;
-        let file = fs::OpenOptions::new().append(true).open(&self.path).map_err(fault("open", &self.path))?;
+        let file = fs::OpenOptions::new()
+            .append(true)
+            .open(&self.path)
+            .map_err(fault("open", &self.path))?;
         (self.file, self.size) = (Some(file), whole.len() as u64);
         Ok(())
     }
@@ -230,7 +268,11 @@
         let path = path.display().to_string();
         match self {
             Wrong::Foreign => Fault::Foreign { path },
-            Wrong::Other(found) => Fault::Other { path, found, wanted: kind.into() },
+            Wrong::Other(found) => Fault::Other {
+                path,
+                found,
+                wanted: kind.into(),
+            },
             Wrong::Spoilt => Fault::Spoilt { path },
         }
     }
@@ -245,11 +287,17 @@
 
 /// What stands first, and how long it is.
 fn parse_one(whole: &[u8], kind: &str) -> Result<(Kept, usize), Wrong> {
-    let end = whole.iter().take(HEAD_BOUND).position(|byte| *byte == b'\n').ok_or(Wrong::Foreign)?;
+    let end = whole
+        .iter()
+        .take(HEAD_BOUND)
+        .position(|byte| *byte == b'\n')
+        .ok_or(Wrong::Foreign)?;
     let (head, rest) = (&whole[..end], &whole[end + 1..]);
     let head = std::str::from_utf8(head).map_err(|_| Wrong::Foreign)?;
     let words: Vec<&str> = head.split(' ').collect();
-    let [MARK, found, version, saved, length, sum] = words.as_slice() else { return Err(Wrong::Foreign) };
+    let [MARK, found, version, saved, length, sum] = words.as_slice() else {
+        return Err(Wrong::Foreign);
+    };
     let line = head.len() - sum.len() - 1;
     let length: usize = length.parse().map_err(|_| Wrong::Foreign)?;
     let bytes = rest.get(..length).ok_or(Wrong::Spoilt)?;
@@ -260,7 +308,11 @@
         return Err(Wrong::Other((*found).to_owned()));
     }
     let number = |word: &str| word.parse::<u64>().map_err(|_| Wrong::Foreign);
-    let kept = Kept { version: number(version)?, saved: number(saved)?, bytes: bytes.to_vec() };
+    let kept = Kept {
+        version: number(version)?,
+        saved: number(saved)?,
+        bytes: bytes.to_vec(),
+    };
     Ok((kept, end + 1 + length))
 }
 
@@ -293,7 +345,9 @@
         let (mut journal, _) = Journal::open(&path, "list").expect("none yet");
         let mut ends = vec![0];
         for version in 1..=3u64 {
-            journal.keep(version, 9, format!("number {version}").as_bytes()).expect("kept");
+            journal
+                .keep(version, 9, format!("number {version}").as_bytes())
+                .expect("kept");
             ends.push(fs::metadata(&path).expect("there").len() as usize);
         }
         let whole = fs::read(&path).expect("read");
@@ -302,7 +356,11 @@
             let wanted = ends.iter().rposition(|end| *end <= length).unwrap_or(0) as u64;
             match Journal::open(&path, "list") {
                 Ok((mut journal, kept)) => {
-                    assert_eq!(kept.map(|kept| kept.version), Some(wanted), "cut at {length}");
+                    assert_eq!(
+                        kept.map(|kept| kept.version),
+                        Some(wanted),
+                        "cut at {length}"
+                    );
                     journal.keep(9, 9, b"next").expect("kept");
                     let (_, kept) = Journal::open(&path, "list").expect("whole");
                     assert_eq!(kept.map(|kept| kept.version), Some(9), "cut at {length}");
@@ -325,8 +383,14 @@
         let mut whole = fs::read(&path).expect("read");
         whole[200] ^= 1;
         fs::write(&path, &whole).expect("spoilt");
-        assert!(matches!(Journal::open(&path, "list"), Err(Fault::Spoilt { .. })));
-        assert!(matches!(Journal::open(&path, "keys"), Err(Fault::Spoilt { .. } | Fault::Other { .. })));
+        assert!(matches!(
+            Journal::open(&path, "list"),
+            Err(Fault::Spoilt { .. })
+        ));
+        assert!(matches!(
+            Journal::open(&path, "keys"),
+            Err(Fault::Spoilt { .. } | Fault::Other { .. })
+        ));
     }
 
     #[test]
@@ -344,10 +408,20 @@
         let (folder, path) = kept(b"x");
         put(&path, "list", 8, 2000, b"y").expect("written again");
         let mode = fs::metadata(&path).expect("there").permissions().mode();
-        assert_eq!((mode & 0o777, fs::read_dir(folder.path()).expect("there").count()), (0o600, 1));
+        assert_eq!(
+            (
+                mode & 0o777,
+                fs::read_dir(folder.path()).expect("there").count()
+            ),
+            (0o600, 1)
+        );
         assert_eq!(
             get(&path, "list").expect("whole"),
-            Kept { version: 8, saved: 2000, bytes: b"y".to_vec() }
+            Kept {
+                version: 8,
+                saved: 2000,
+                bytes: b"y".to_vec()
+            }
         );
     }
 
--- a/tariff/src/lib.rs
+++ b/tariff/src/lib.rs
@@ -46,7 +46,9 @@
 }
 
 fn texts(from: &[Value], of: impl Fn(&Value) -> &Value) -> Vec<String> {
-    from.iter().map(|row| of(row).as_str().unwrap_or_default().to_owned()).collect()
+    from.iter()
+        .map(|row| of(row).as_str().unwrap_or_default().to_owned())
+        .collect()
 }
 
 /// Reads settings as they come on a wire, as text.
@@ -68,7 +70,10 @@
         parts_a_connection: count(limits, "streamsPerConn").unwrap_or(1),
         dial_timeout: time(limits, "dialTimeout"),
         idle_close: time(limits, "idleClose"),
-        longest_deadline: rows(all, "classes").iter().filter_map(|row| time(row, "deadline")).max(),
+        longest_deadline: rows(all, "classes")
+            .iter()
+            .filter_map(|row| time(row, "deadline"))
+            .max(),
         ask_within: time(&all["rules"], "askWithin"),
     }
 }
@@ -79,7 +84,11 @@
     }
     check(all)?;
     let (limits, rules, extra) = (&all["ceilings"], &all["rules"], &all["extra"]);
-    let indexes = rows(all, "classes").iter().enumerate().map(|(at, row)| index(at, row, extra)).collect();
+    let indexes = rows(all, "classes")
+        .iter()
+        .enumerate()
+        .map(|(at, row)| index(at, row, extra))
+        .collect();
     Ok(Tariff {
         indexes,
         quotas: rows(all, "projects")
@@ -107,7 +116,8 @@
         most_calls: num(limits, "attemptsCap").map(|n| n as usize),
         second_copies: flag(limits, "secondCopies"),
         cancels: flag(limits, "cancel"),
-        longest_advice: flag(limits, "retryAfter").then(|| time(limits, "maxRetryAfter").unwrap_or_default()),
+        longest_advice: flag(limits, "retryAfter")
+            .then(|| time(limits, "maxRetryAfter").unwrap_or_default()),
         dial: time(limits, "dialTimeout").unwrap_or_default(),
         tick: time(all, "tick").unwrap_or_default(),
         cold_share: num(rules, "coldFrom").unwrap_or(1.0),
@@ -142,7 +152,14 @@
     for key in ["lateFail", "waste", "crossZone"] {
         some(&format!("charges.{key}"), &all["charges"][key])?;
     }
-    for key in ["spareAttempts", "extraRatio", "countedOver", "fall", "fallMultiple", "warmWithin"] {
+    for key in [
+        "spareAttempts",
+        "extraRatio",
+        "countedOver",
+        "fall",
+        "fallMultiple",
+        "warmWithin",
+    ] {
         some(&format!("rules.{key}"), &all["rules"][key])?;
     }
     share("rules.coldFrom", &all["rules"]["coldFrom"])
@@ -150,16 +167,23 @@
 
 fn figure(at: &str, value: &Value, most: f64) -> Result<(), BadTariff> {
     let within = value.as_f64().is_some_and(|n| (0.0..=most).contains(&n));
-    let upper = if most == 1.0 { "from 0 to 1" } else { "of 0 or more" };
+    let upper = if most == 1.0 {
+        "from 0 to 1"
+    } else {
+        "of 0 or more"
+    };
     let good = value.is_null() || within;
-    good.then_some(()).ok_or_else(|| format!("settings: {at} is {value}, wanted a number {upper}"))
+    good.then_some(())
+        .ok_or_else(|| format!("settings: {at} is {value}, wanted a number {upper}"))
 }
 
 fn index(at: usize, row: &Value, extra: &Value) -> IndexRow {
     let of_extra = |key: &str| extra[key].get(at).and_then(Value::as_f64);
     let need = of_extra("classNeed").unwrap_or(1.0);
     IndexRow {
-        soft: time(row, "onTime").or(time(row, "deadline")).unwrap_or(Micros(u64::MAX)),
+        soft: time(row, "onTime")
+            .or(time(row, "deadline"))
+            .unwrap_or(Micros(u64::MAX)),
         gain: num(row, "worth").unwrap_or(1.0),
         repeat: match row["semantics"].as_str() {
             Some("idempotent") => Repeat::Idempotent,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -88,8 +88,16 @@
         ..Tariff::default()
     };
     let mut brain = Brain::new(tariff, 7);
-    let listing = |id| Listing { node: NodeId(id), ..Listing::default() };
-    brain.roster(Micros(1), &[listing(1), listing(2), listing(3)], true, &mut Tape::default());
+    let listing = |id| Listing {
+        node: NodeId(id),
+        ..Listing::default()
+    };
+    brain.roster(
+        Micros(1),
+        &[listing(1), listing(2), listing(3)],
+        true,
+        &mut Tape::default(),
+    );
     brain
 }
 
--- a/wire/src/discovery.rs
+++ b/wire/src/discovery.rs
@@ -12,7 +12,9 @@
 /// call for the whole list, if there is no version to go on from.
 pub fn call(host: &str, after: Option<u64>, wait: Micros) -> Vec<u8> {
     let wait_ms = wait.0 / 1000;
-    let query = after.map(|after| format!("?after={after}&wait_ms={wait_ms}")).unwrap_or_default();
+    let query = after
+        .map(|after| format!("?after={after}&wait_ms={wait_ms}"))
+        .unwrap_or_default();
     format!("GET /catalog/members{query} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
@@ -23,27 +25,53 @@
 /// The list's version, and whether it is the whole list.
 pub fn version(list: &Value) -> Result<(u64, bool), &'static str> {
     let version = list["index"].as_u64().ok_or("a list without its version")?;
-    let full = list["snapshot"].as_bool().ok_or("a list that does not say whether it is whole")?;
-    list["endpoints"].as_array().ok_or("a list without entries")?;
+    let full = list["snapshot"]
+        .as_bool()
+        .ok_or("a list that does not say whether it is whole")?;
+    list["endpoints"]
+        .as_array()
+        .ok_or("a list without entries")?;
     Ok((version, full))
 }
 
 /// One entry: its name, where it listens, and what the module is to know of it but for its id.
 pub fn entry(of: &Value, zones: &[String]) -> Result<(String, SocketAddr, Listing), &'static str> {
-    let name = of["name"].as_str().filter(|name| !name.is_empty()).ok_or("no name")?;
-    let address = of["address"].as_str().and_then(|text| text.parse().ok()).ok_or("no address")?;
+    let name = of["name"]
+        .as_str()
+        .filter(|name| !name.is_empty())
+        .ok_or("no name")?;
+    let address = of["address"]
+        .as_str()
+        .and_then(|text| text.parse().ok())
+        .ok_or("no address")?;
     let zone = of["zone"].as_str().ok_or("no zone")?;
     // A zone that the settings do not name is nobody's own.
-    let zone = zones.iter().position(|known| known == zone).map_or(u16::MAX, |at| at as u16);
-    let cell = of["group"].as_u64().and_then(|cell| u32::try_from(cell).ok()).ok_or("no group")?;
+    let zone = zones
+        .iter()
+        .position(|known| known == zone)
+        .map_or(u16::MAX, |at| at as u16);
+    let cell = of["group"]
+        .as_u64()
+        .and_then(|cell| u32::try_from(cell).ok())
+        .ok_or("no group")?;
     let phase = match of["status"].as_str() {
         Some("Ready") => Phase::Ready,
         Some("Terminating") => Phase::Draining,
         Some("Gone") => Phase::Gone,
         _ => return Err("no known status"),
     };
-    let started = Micros(of["since_ms"].as_f64().map_or(0, |ms| (ms.max(0.0) * 1e3) as u64));
-    let listing = Listing { node: NodeId(0), zone: ZoneNo(zone), cell: CellNo(cell), phase, started };
+    let started = Micros(
+        of["since_ms"]
+            .as_f64()
+            .map_or(0, |ms| (ms.max(0.0) * 1e3) as u64),
+    );
+    let listing = Listing {
+        node: NodeId(0),
+        zone: ZoneNo(zone),
+        cell: CellNo(cell),
+        phase,
+        started,
+    };
     Ok((name.to_owned(), address, listing))
 }
 
@@ -65,7 +93,12 @@
     fn reads_entries(from: &str, to: &str, read: Option<(u16, Phase)>) {
         let of = parse(GOOD.replacen(from, to, 1).as_bytes()).expect("JSON");
         let entry = entry(&of, &["a".to_owned(), "b".to_owned()]).ok();
-        assert_eq!(entry.as_ref().map(|(_, _, listing)| (listing.zone.0, listing.phase)), read);
+        assert_eq!(
+            entry
+                .as_ref()
+                .map(|(_, _, listing)| (listing.zone.0, listing.phase)),
+            read
+        );
         assert!(entry.is_none_or(|(_, _, listing)| listing.started == Micros(1_500_000)));
     }
 
--- a/wire/src/frames.rs
+++ b/wire/src/frames.rs
@@ -23,7 +23,11 @@
 /// Takes a whole frame's letter and rest off `input`, if it is all there.
 pub fn next(input: &mut Ring, into: &mut Vec<u8>) -> Result<Option<u8>, BadFrame> {
     while into.len() < 4 || into.len() < 4 + length(into)? {
-        let wanted = if into.len() < 4 { 4 - into.len() } else { 4 + length(into)? - into.len() };
+        let wanted = if into.len() < 4 {
+            4 - into.len()
+        } else {
+            4 + length(into)? - into.len()
+        };
         let run = input.filled();
         if run.is_empty() {
             return Ok(None);
@@ -54,8 +58,13 @@
 /// An `a` frame's fields: id, end, report, value. A report that is not text is an unreadable one, and spoils
 /// nothing else. No text holds a NUL: it is the length of the frame behind, which a wrong length took in.
 pub fn answer(rest: &[u8]) -> Result<(&str, End, &str, &str), BadFrame> {
-    let end = rest.iter().position(|byte| *byte == b'\n').ok_or("an answer without its line")?;
-    let value = std::str::from_utf8(&rest[end + 1..]).ok().filter(|value| !value.contains('\0'));
+    let end = rest
+        .iter()
+        .position(|byte| *byte == b'\n')
+        .ok_or("an answer without its line")?;
+    let value = std::str::from_utf8(&rest[end + 1..])
+        .ok()
+        .filter(|value| !value.contains('\0'));
     let value = value.ok_or("an answer's value is not text")?;
     let mut words = rest[..end].splitn(4, |byte| *byte == b' ');
     let mut word = || std::str::from_utf8(words.next()?).ok();
@@ -72,7 +81,12 @@
         "skipped" => End::Skipped,
         _ => return Err("an answer of unknown end"),
     };
-    Ok((id, end, std::str::from_utf8(report).unwrap_or_default(), value))
+    Ok((
+        id,
+        end,
+        std::str::from_utf8(report).unwrap_or_default(),
+        value,
+    ))
 }
 
 /// A load report's figures in the order of `columns`, which are the settings' words; one that is missing or
@@ -82,9 +96,15 @@
         return Vec::new();
     }
     let figure = |column: &String| {
-        let of =
-            |(word, figure): (&str, &str)| (meaning(word) == column).then(|| figure.parse().ok()).flatten();
-        text.split(',').filter_map(|pair| pair.split_once('=')).find_map(of).unwrap_or(f64::NAN)
+        let of = |(word, figure): (&str, &str)| {
+            (meaning(word) == column)
+                .then(|| figure.parse().ok())
+                .flatten()
+        };
+        text.split(',')
+            .filter_map(|pair| pair.split_once('='))
+            .find_map(of)
+            .unwrap_or(f64::NAN)
     };
     columns.iter().map(figure).collect()
 }
@@ -111,9 +131,18 @@
 }
 
 /// Adds one part to the rest of a `q` frame.
-pub fn add_part(rest: &mut Vec<u8>, id: &str, shard: u32, wait_ms: u64, key: Option<&str>, text: &str) {
+pub fn add_part(
+    rest: &mut Vec<u8>,
+    id: &str,
+    shard: u32,
+    wait_ms: u64,
+    key: Option<&str>,
+    text: &str,
+) {
     let key = key.map(|key| format!(",k={key}")).unwrap_or_default();
-    rest.extend_from_slice(format!("{id} {shard} d={wait_ms}{key} {}\n{text}", text.len()).as_bytes());
+    rest.extend_from_slice(
+        format!("{id} {shard} d={wait_ms}{key} {}\n{text}", text.len()).as_bytes(),
+    );
 }
 
 pub fn call(rest: &[u8]) -> Vec<u8> {
@@ -146,7 +175,14 @@
                     got.push((letter, std::mem::take(&mut into)));
                 }
             }
-            assert_eq!(got, [(b'a', b"x.1 served 0 -\nvalue".to_vec()), (b'p', Vec::new())], "split at {at}");
+            assert_eq!(
+                got,
+                [
+                    (b'a', b"x.1 served 0 -\nvalue".to_vec()),
+                    (b'p', Vec::new())
+                ],
+                "split at {at}"
+            );
         }
     }
 
@@ -178,7 +214,10 @@
         assert!(answer(b"x.1 served 0 -\n\xff").is_err());
         assert!(answer(b"\xff served 0 -\n").is_err());
         // Nothing but its report is lost with a report that is not.
-        assert_eq!(answer(b"x.1 served 0 \xff\nv"), Ok(("x.1", End::Served, "", "v")));
+        assert_eq!(
+            answer(b"x.1 served 0 \xff\nv"),
+            Ok(("x.1", End::Served, "", "v"))
+        );
     }
 
     #[test_case("queue=4,qps=2.5,util=0.5", &[2.5, 0.5, 4.0]; "in another order")]
@@ -193,7 +232,9 @@
     #[test]
     fn a_figure_that_is_missing_or_unreadable_is_none() {
         let columns = ["tps", "depth"].map(str::to_owned);
-        assert!(report("queue=many,util=1", &columns).iter().all(|figure| figure.is_nan()));
+        assert!(report("queue=many,util=1", &columns)
+            .iter()
+            .all(|figure| figure.is_nan()));
     }
 
     #[test_case(b"x.1 ? 0 -\nv", Some("x.1"); "of unknown end")]
--- a/wire/src/http.rs
+++ b/wire/src/http.rs
@@ -153,8 +153,9 @@
     }
 
     fn line_ended(&mut self, line: &[u8]) -> Result<(), Fault> {
-        let text =
-            std::str::from_utf8(line).ok().filter(|text| !text.bytes().any(|b| b < b' ' && b != b'\t'));
+        let text = std::str::from_utf8(line)
+            .ok()
+            .filter(|text| !text.bytes().any(|b| b < b' ' && b != b'\t'));
         let text = text.ok_or(Fault::Malformed("a line is not plain text"))?;
         match self.state {
             State::Start if text.is_empty() && !self.answers => {}
@@ -165,16 +166,21 @@
             }
             State::Headers if text.is_empty() => self.head_ended()?,
             State::Headers => {
-                let (name, value) = text.split_once(':').ok_or(Fault::Malformed("a header has no colon"))?;
+                let (name, value) = text
+                    .split_once(':')
+                    .ok_or(Fault::Malformed("a header has no colon"))?;
                 if name.is_empty()
-                    || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.~!#$%&'*+^`|".contains(&b))
+                    || !name
+                        .bytes()
+                        .all(|b| b.is_ascii_alphanumeric() || b"-_.~!#$%&'*+^`|".contains(&b))
                 {
                     return Err(Fault::Malformed("a header's name is malformed"));
                 }
                 if self.headers.len() >= HEADERS_BOUND {
                     return Err(Fault::HeadTooLarge);
                 }
-                self.headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
+                self.headers
+                    .push((name.to_ascii_lowercase(), value.trim().to_owned()));
             }
             State::ChunkSize => {
                 let digits = text.split(';').next().unwrap_or_default().trim_end();
@@ -185,7 +191,11 @@
                 if size > self.body_bound - self.body.len() {
                     return Err(Fault::BodyTooLarge);
                 }
-                self.state = if size == 0 { State::Trailer } else { State::Chunk(size) };
+                self.state = if size == 0 {
+                    State::Trailer
+                } else {
+                    State::Chunk(size)
+                };
             }
             State::ChunkEnd if text.is_empty() => self.state = State::ChunkSize,
             State::ChunkEnd => return Err(Fault::Malformed("a chunk is longer than its size")),
@@ -199,7 +209,8 @@
         let mut words = self.start.split(' ');
         let (first, second, third) = (words.next(), words.next(), words.next());
         let version = if self.answers { first } else { third };
-        if !self.answers && (first == Some("") || second.is_none_or(str::is_empty) || words.next().is_some())
+        if !self.answers
+            && (first == Some("") || second.is_none_or(str::is_empty) || words.next().is_some())
         {
             return Err(Fault::Malformed("the request line is malformed"));
         }
@@ -211,8 +222,12 @@
     }
 
     fn head_ended(&mut self) -> Result<(), Fault> {
-        let all = |wanted: &'static str| self.headers.iter().filter(move |(name, _)| name == wanted);
-        let length = match (all("content-length").count(), all("transfer-encoding").count()) {
+        let all =
+            |wanted: &'static str| self.headers.iter().filter(move |(name, _)| name == wanted);
+        let length = match (
+            all("content-length").count(),
+            all("transfer-encoding").count(),
+        ) {
             (0, 0) if self.answers && !matches!(self.status(), Some(204 | 304)) => {
                 self.state = State::Rest;
                 return Ok(());
@@ -225,7 +240,11 @@
                 }
                 digits.parse().unwrap_or(usize::MAX)
             }
-            (0, 1) if self.header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) => {
+            (0, 1)
+                if self
+                    .header("transfer-encoding")
+                    .is_some_and(|v| v.eq_ignore_ascii_case("chunked")) =>
+            {
                 self.state = State::ChunkSize;
                 return Ok(());
             }
@@ -235,7 +254,11 @@
         if length > self.body_bound {
             return Err(Fault::BodyTooLarge);
         }
-        self.state = if length == 0 { State::Complete } else { State::Body(length) };
+        self.state = if length == 0 {
+            State::Complete
+        } else {
+            State::Body(length)
+        };
         Ok(())
     }
 
@@ -256,12 +279,18 @@
 
     /// All headers of a name in lower case.
     pub fn headers<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        self.headers.iter().filter(move |(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .filter(move |(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// A header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// Gives the body's memory back while its answer is waited for.
@@ -282,9 +311,14 @@
     pub fn closes(&self) -> bool {
         let version = self.start.split(' ').nth(if self.answers { 0 } else { 2 });
         let said = self.header("connection").unwrap_or_default();
-        let says = |wanted: &str| said.split(',').any(|word| word.trim().eq_ignore_ascii_case(wanted));
+        let says = |wanted: &str| {
+            said.split(',')
+                .any(|word| word.trim().eq_ignore_ascii_case(wanted))
+        };
         let framed = !self.answers
-            || ["content-length", "transfer-encoding"].iter().any(|of| self.header(of).is_some());
+            || ["content-length", "transfer-encoding"]
+                .iter()
+                .any(|of| self.header(of).is_some());
         says("close") || version == Some("HTTP/1.0") && !says("keep-alive") || !framed
     }
 }
@@ -311,7 +345,11 @@
 
 /// The bytes of an answer to a client; `headers` are whole lines.
 pub fn answer(status: u16, headers: &str, body: &str, close: bool) -> Vec<u8> {
-    let kind = if status == 200 { "application/json" } else { "text/plain; charset=utf-8" };
+    let kind = if status == 200 {
+        "application/json"
+    } else {
+        "text/plain; charset=utf-8"
+    };
     let last = if close { "Connection: close\r\n" } else { "" };
     let mut text = String::with_capacity(160 + headers.len() + body.len());
     let (name, length) = (reason(status), body.len());
--- a/wire/src/http/tests.rs
+++ b/wire/src/http/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use test_case::test_case;
 
-const PLAIN: &str = "\r\nPOST /a/b?c=1 HTTP/1.1\r\nHost: x\r\nReq-Id:  7 \r\nContent-Length: 4\r\n\r\nbody";
+const PLAIN: &str =
+    "\r\nPOST /a/b?c=1 HTTP/1.1\r\nHost: x\r\nReq-Id:  7 \r\nContent-Length: 4\r\n\r\nbody";
 const CHUNKS: &str = "POST /a/b HTTP/1.1\r\nReq-Id: 7\r\nTransfer-Encoding: Chunked\r\n\r\n\
                       2;x=y\r\nbo\r\n2\r\ndy\r\n0\r\nTrailer: t\r\n\r\n";
 
@@ -22,9 +23,16 @@
     for at in 0..message.len() {
         let (first, second) = message.as_bytes().split_at(at);
         let mut reader = Reader::of_requests();
-        assert_eq!(read(&mut reader, &[first, second]), Ok(true), "split at {at}");
+        assert_eq!(
+            read(&mut reader, &[first, second]),
+            Ok(true),
+            "split at {at}"
+        );
         assert_eq!((reader.method(), reader.path()), ("POST", "/a/b"));
-        assert_eq!((reader.header("req-id"), reader.body()), (Some("7"), &b"body"[..]));
+        assert_eq!(
+            (reader.header("req-id"), reader.body()),
+            (Some("7"), &b"body"[..])
+        );
     }
     let bytes: Vec<&[u8]> = message.as_bytes().chunks(1).collect();
     assert_eq!(read(&mut Reader::of_requests(), &bytes), Ok(true));
@@ -69,8 +77,17 @@
 #[test]
 fn bounds_the_number_of_headers() {
     let head = |count| format!("GET / HTTP/1.1\r\n{}\r\n", "a:\r\n".repeat(count));
-    assert_eq!(read(&mut Reader::of_requests(), &[head(HEADERS_BOUND).as_bytes()]), Ok(true));
-    let more = read(&mut Reader::of_requests(), &[head(HEADERS_BOUND + 1).as_bytes()]);
+    assert_eq!(
+        read(
+            &mut Reader::of_requests(),
+            &[head(HEADERS_BOUND).as_bytes()]
+        ),
+        Ok(true)
+    );
+    let more = read(
+        &mut Reader::of_requests(),
+        &[head(HEADERS_BOUND + 1).as_bytes()],
+    );
     assert_eq!(more, Err(Fault::HeadTooLarge));
 }
 
@@ -78,14 +95,21 @@
 #[test_case("no end of this line "; "one endless line")]
 fn bounds_a_head(piece: &str) {
     let message = format!("GET / HTTP/1.1\r\n{}", piece.repeat(HEAD_BOUND));
-    assert_eq!(read(&mut Reader::of_requests(), &[message.as_bytes()]), Err(Fault::HeadTooLarge));
+    assert_eq!(
+        read(&mut Reader::of_requests(), &[message.as_bytes()]),
+        Err(Fault::HeadTooLarge)
+    );
 }
 
 #[test]
 fn bounds_chunks_together() {
     let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
-    let message = format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{chunk}1\r\n");
-    assert_eq!(read(&mut Reader::of_requests(), &[message.as_bytes()]), Err(Fault::BodyTooLarge));
+    let message =
+        format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{chunk}1\r\n");
+    assert_eq!(
+        read(&mut Reader::of_requests(), &[message.as_bytes()]),
+        Err(Fault::BodyTooLarge)
+    );
 }
 
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", Ok(Some(200)); "whole")]
@@ -103,15 +127,28 @@
 fn an_answer_without_a_length_is_whole_when_its_connection_ends() {
     let head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
     let mut reader = Reader::of_answers(BODY_BOUND);
-    assert_eq!(read(&mut reader, &[head.as_bytes(), b"{\"a\"", b":1}"]), Ok(false));
+    assert_eq!(
+        read(&mut reader, &[head.as_bytes(), b"{\"a\"", b":1}"]),
+        Ok(false)
+    );
     assert!(reader.closes() && reader.ended());
-    assert_eq!((reader.status(), reader.body()), (Some(200), &b"{\"a\":1}"[..]));
-    for cut in ["", "HTTP/1.1 200 OK\r\nConn", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfour"] {
+    assert_eq!(
+        (reader.status(), reader.body()),
+        (Some(200), &b"{\"a\":1}"[..])
+    );
+    for cut in [
+        "",
+        "HTTP/1.1 200 OK\r\nConn",
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfour",
+    ] {
         let mut reader = Reader::of_answers(BODY_BOUND);
         assert_eq!(read(&mut reader, &[cut.as_bytes()]), Ok(false));
         assert!(!reader.ended(), "{cut:?} is no whole answer");
     }
     let endless = "x".repeat(BODY_BOUND + 1);
-    let read = read(&mut Reader::of_answers(BODY_BOUND), &[head.as_bytes(), endless.as_bytes()]);
+    let read = read(
+        &mut Reader::of_answers(BODY_BOUND),
+        &[head.as_bytes(), endless.as_bytes()],
+    );
     assert_eq!(read, Err(Fault::BodyTooLarge));
 }
--- a/wire/src/query.rs
+++ b/wire/src/query.rs
@@ -14,18 +14,34 @@
 const ROUNDED: f64 = 0.01;
 
 pub fn parts(body: &Value, shards: Option<u32>) -> Result<Vec<PartFields>, &'static str> {
-    let listed = body["tablets"].as_array().filter(|rows| !rows.is_empty()).ok_or("no tablets")?;
+    let listed = body["tablets"]
+        .as_array()
+        .filter(|rows| !rows.is_empty())
+        .ok_or("no tablets")?;
     let mut parts: Vec<PartFields> = Vec::with_capacity(listed.len());
     let mut seen = std::collections::BTreeSet::new();
     for row in listed {
-        let shard = row["tablet"].as_u64().and_then(|shard| u32::try_from(shard).ok());
-        let shard = shard.filter(|shard| shards.is_none_or(|all| *shard < all)).ok_or("an unknown tablet")?;
+        let shard = row["tablet"]
+            .as_u64()
+            .and_then(|shard| u32::try_from(shard).ok());
+        let shard = shard
+            .filter(|shard| shards.is_none_or(|all| *shard < all))
+            .ok_or("an unknown tablet")?;
         if !seen.insert(shard) {
             return Err("a tablet stands twice");
         }
-        let fraction = row["fraction"].as_f64().filter(|share| (0.0..=1.0).contains(share));
-        let guess = row["guess"].as_f64().filter(|guess| *guess >= 1.0).map(|guess| Micros(guess as u64));
-        parts.push((ShardNo(shard), fraction.ok_or("a fraction that is none")?, guess));
+        let fraction = row["fraction"]
+            .as_f64()
+            .filter(|share| (0.0..=1.0).contains(share));
+        let guess = row["guess"]
+            .as_f64()
+            .filter(|guess| *guess >= 1.0)
+            .map(|guess| Micros(guess as u64));
+        parts.push((
+            ShardNo(shard),
+            fraction.ok_or("a fraction that is none")?,
+            guess,
+        ));
     }
     let sum = parts.iter().map(|(_, share, _)| share).sum::<f64>();
     if (sum - 1.0).abs() > ROUNDED {
@@ -40,7 +56,9 @@
 }
 
 pub fn answer<'a>(whole: bool, values: impl Iterator<Item = (ShardNo, &'a str)>) -> String {
-    let pieces: Vec<Value> = values.map(|(shard, value)| json!({"tablet": shard.0, "cell": value})).collect();
+    let pieces: Vec<Value> = values
+        .map(|(shard, value)| json!({"tablet": shard.0, "cell": value}))
+        .collect();
     json!({"full": whole, "pieces": pieces}).to_string()
 }
 
@@ -74,7 +92,10 @@
     #[test_case(r#""9""#, None; "not a number")]
     fn reads_guesses(guess: &str, hint: Option<Micros>) {
         let body = format!(r#"{{"tablets":[{{"tablet":0,"fraction":1,"guess":{guess}}}]}}"#);
-        assert_eq!(parts(&parse(body.as_bytes()).unwrap(), None), Ok(vec![(ShardNo(0), 1.0, hint)]));
+        assert_eq!(
+            parts(&parse(body.as_bytes()).unwrap(), None),
+            Ok(vec![(ShardNo(0), 1.0, hint)])
+        );
     }
 
     #[test]
--- a/wire/src/ring.rs
+++ b/wire/src/ring.rs
@@ -13,7 +13,12 @@
 impl Ring {
     /// An empty buffer that never holds more than `bound` bytes.
     pub fn new(bound: usize) -> Self {
-        Ring { bytes: Box::default(), head: 0, len: 0, bound }
+        Ring {
+            bytes: Box::default(),
+            head: 0,
+            len: 0,
+            bound,
+        }
     }
 
     pub fn is_empty(&self) -> bool {
@@ -60,7 +65,11 @@
             self.grow(self.len + 1);
         }
         let (size, tail) = (self.bytes.len(), self.head + self.len);
-        let run = if tail < size { tail..size } else { tail - size..self.head };
+        let run = if tail < size {
+            tail..size
+        } else {
+            tail - size..self.head
+        };
         &mut self.bytes[run]
     }
 
--- a/works/src/books.rs
+++ b/works/src/books.rs
@@ -61,7 +61,10 @@
 impl Stage {
     /// Nothing new goes there.
     pub fn is_out(&self) -> bool {
-        matches!(self, Stage::Out | Stage::Permitted { .. } | Stage::Kept { .. })
+        matches!(
+            self,
+            Stage::Out | Stage::Permitted { .. } | Stage::Kept { .. }
+        )
     }
 
     /// Somebody is at it, or it has yet to be there again.
@@ -73,7 +76,9 @@
         match self {
             Stage::Waits => "waits",
             Stage::Out => "being emptied",
-            Stage::Permitted { failed: Some(_), .. } => "given back unfit",
+            Stage::Permitted {
+                failed: Some(_), ..
+            } => "given back unfit",
             Stage::Permitted { begun: Some(_), .. } => "in work",
             Stage::Permitted { .. } => "permitted",
             Stage::Returns { .. } => "coming back",
@@ -85,9 +90,9 @@
 
     pub fn permit(&self) -> Option<PermitNo> {
         match self {
-            Stage::Permitted { permit, .. } | Stage::Returns { permit } | Stage::Kept { permit } => {
-                Some(*permit)
-            }
+            Stage::Permitted { permit, .. }
+            | Stage::Returns { permit }
+            | Stage::Kept { permit } => Some(*permit),
             _ => None,
         }
     }
@@ -234,7 +239,10 @@
     }
 
     fn permitted(&self, permit: PermitNo) -> Option<(RequestNo, String)> {
-        let found = self.jobs.iter().find(|(_, job)| job.stage.permit() == Some(permit));
+        let found = self
+            .jobs
+            .iter()
+            .find(|(_, job)| job.stage.permit() == Some(permit));
         found.map(|(key, _)| key.clone())
     }
 
@@ -276,7 +284,12 @@
     pub fn play(&mut self, at: Index, entry: Entry) -> Played {
         match entry {
             Entry::Ask { request } => self.ask(at, request),
-            Entry::Change { request, by_when, priority, by } => {
+            Entry::Change {
+                request,
+                by_when,
+                priority,
+                by,
+            } => {
                 let Some(of) = self.requests.get_mut(&request) else {
                     return refused(format!("there is no open request {request}"));
                 };
@@ -287,7 +300,11 @@
             Entry::Cancel { request, by } => self.cancel(at, request, &by),
             Entry::Hold { by, why } => {
                 self.note(at, format!("held by {by}: {why}"));
-                self.hold = Some(Hold { by, why, own: false });
+                self.hold = Some(Hold {
+                    by,
+                    why,
+                    own: false,
+                });
                 Ok(at.0)
             }
             Entry::Resume { by } => {
@@ -301,7 +318,11 @@
             Entry::Done { permit, by, failed } => self.done(at, permit, &by, failed),
             Entry::Carry { member, term } => {
                 // A term has one that leads; an earlier one's word comes too late.
-                if self.carrier.as_ref().is_some_and(|(_, known)| *known >= term) {
+                if self
+                    .carrier
+                    .as_ref()
+                    .is_some_and(|(_, known)| *known >= term)
+                {
                     return refused("another carries the work on by now");
                 }
                 self.note(at, format!("{member} carries the work on"));
@@ -318,12 +339,19 @@
             | Entry::Forget { fence, .. }
                 if fence != self.fence =>
             {
-                refused(format!("its number {fence} is old, the work is carried on under {}", self.fence))
+                refused(format!(
+                    "its number {fence} is old, the work is carried on under {}",
+                    self.fence
+                ))
             }
             Entry::TakeOut { jobs, now, .. } => self.take_out(at, jobs, now),
             Entry::Permit { job, now, .. } => match self.jobs.get(&job).map(|of| &of.stage) {
                 Some(Stage::Out) => {
-                    let stage = Stage::Permitted { permit: PermitNo(at.0), begun: None, failed: None };
+                    let stage = Stage::Permitted {
+                        permit: PermitNo(at.0),
+                        begun: None,
+                        failed: None,
+                    };
                     self.set(&job, stage, at, now);
                     Ok(at.0)
                 }
@@ -347,7 +375,11 @@
             Entry::OwnHold { why, .. } => {
                 if self.hold.is_none() {
                     self.note(at, format!("held by itself: {why}"));
-                    self.hold = Some(Hold { by: "the fleet".into(), why, own: true });
+                    self.hold = Some(Hold {
+                        by: "the fleet".into(),
+                        why,
+                        own: true,
+                    });
                 }
                 Ok(at.0)
             }
@@ -377,16 +409,25 @@
         if names.len() != request.machines.len() {
             return refused("it names a machine twice");
         }
-        if request.machines.iter().any(|name| name.is_empty() || name.len() > LONGEST)
+        if request
+            .machines
+            .iter()
+            .any(|name| name.is_empty() || name.len() > LONGEST)
             || request.why.len() + request.by.len() > LONGEST * 2
         {
             return refused("its words are longer than any are");
         }
         if self.requests.len() >= MOST_REQUESTS {
-            return refused(format!("{MOST_REQUESTS} requests are open: close some first"));
+            return refused(format!(
+                "{MOST_REQUESTS} requests are open: close some first"
+            ));
         }
         for machine in &request.machines {
-            let job = Job { stage: Stage::Waits, at, since: 0 };
+            let job = Job {
+                stage: Stage::Waits,
+                at,
+                since: 0,
+            };
             self.jobs.insert((number, machine.clone()), job);
         }
         self.note(
@@ -410,7 +451,13 @@
         // What somebody may be working on stays out until it is given back.
         let free = own.filter(|(_, job)| matches!(job.stage, Stage::Waits | Stage::Out));
         let free: Vec<(RequestNo, String)> = free.map(|(key, _)| key.clone()).collect();
-        self.note(at, format!("request {request} is cancelled by {by}, {} machines", free.len()));
+        self.note(
+            at,
+            format!(
+                "request {request} is cancelled by {by}, {} machines",
+                free.len()
+            ),
+        );
         let count = free.len() as u64;
         for key in free {
             let since = self.jobs.get(&key).map_or(0, |job| job.since);
@@ -422,7 +469,10 @@
     fn take_out(&mut self, at: Index, jobs: Vec<(RequestNo, String)>, now: u64) -> Played {
         let active: BTreeSet<String> = self.active().into_iter().map(str::to_owned).collect();
         let waits = |key: &(RequestNo, String)| {
-            self.jobs.get(key).is_some_and(|job| job.stage == Stage::Waits) && !active.contains(&key.1)
+            self.jobs
+                .get(key)
+                .is_some_and(|job| job.stage == Stage::Waits)
+                && !active.contains(&key.1)
         };
         if self.hold.is_some() || !jobs.iter().all(waits) || active.len() + jobs.len() > MOST_OUT {
             return refused("it was held, cancelled or taken out meanwhile");
@@ -435,11 +485,14 @@
 
     fn begin(&mut self, at: Index, permit: PermitNo, by: String) -> Played {
         let found = self.permitted(permit);
-        let stage = found.as_ref().and_then(|key| self.jobs.get_mut(key)).map(|job| &mut job.stage);
+        let stage = found
+            .as_ref()
+            .and_then(|key| self.jobs.get_mut(key))
+            .map(|job| &mut job.stage);
         match stage {
-            Some(Stage::Permitted { begun: Some(other), .. }) if *other != by => {
-                refused(format!("{other} has taken permit {permit}"))
-            }
+            Some(Stage::Permitted {
+                begun: Some(other), ..
+            }) if *other != by => refused(format!("{other} has taken permit {permit}")),
             Some(Stage::Permitted { begun, failed, .. }) => {
                 (*begun, *failed) = (Some(by.clone()), None);
                 let machine = found.map(|(_, machine)| machine).unwrap_or_default();
@@ -456,10 +509,15 @@
         };
         let since = self.jobs.get(&key).map_or(0, |job| job.since);
         match (self.jobs.get_mut(&key).map(|job| &mut job.stage), failed) {
-            (Some(Stage::Returns { .. }), _) => refused(format!("permit {permit} was given back before")),
+            (Some(Stage::Returns { .. }), _) => {
+                refused(format!("permit {permit} was given back before"))
+            }
             (Some(Stage::Permitted { failed, .. }), Some(words)) => {
                 *failed = Some(words.chars().take(LONGEST).collect());
-                self.note(at, format!("{} is given back unfit by {by}, and stays out", key.1));
+                self.note(
+                    at,
+                    format!("{} is given back unfit by {by}, and stays out", key.1),
+                );
                 Ok(permit.0)
             }
             (Some(Stage::Permitted { .. } | Stage::Kept { .. }), None) => {
@@ -478,7 +536,13 @@
 
     fn ask(machines: &[&str]) -> Entry {
         let machines = machines.iter().map(|name| (*name).to_owned()).collect();
-        Entry::Ask { request: Request { machines, by: "ann".into(), ..Request::default() } }
+        Entry::Ask {
+            request: Request {
+                machines,
+                by: "ann".into(),
+                ..Request::default()
+            },
+        }
     }
 
     fn key(request: u64, machine: &str) -> (RequestNo, String) {
@@ -490,8 +554,15 @@
         let mut books = Books::default();
         for (at, entry) in [
             ask(&["a", "b"]),
-            Entry::Carry { member: "n0".into(), term: 1 },
-            Entry::TakeOut { fence: Fence(2), jobs: vec![key(1, "a")], now: 5 },
+            Entry::Carry {
+                member: "n0".into(),
+                term: 1,
+            },
+            Entry::TakeOut {
+                fence: Fence(2),
+                jobs: vec![key(1, "a")],
+                now: 5,
+            },
         ]
         .into_iter()
         .enumerate()
@@ -504,24 +575,59 @@
     #[test]
     fn an_old_carriers_steps_count_for_nothing() {
         let mut books = begun();
-        assert_eq!(books.play(Index(4), Entry::Carry { member: "n1".into(), term: 2 }), Ok(4));
-        let late = Entry::Permit { fence: Fence(2), job: key(1, "a"), now: 6 };
+        assert_eq!(
+            books.play(
+                Index(4),
+                Entry::Carry {
+                    member: "n1".into(),
+                    term: 2
+                }
+            ),
+            Ok(4)
+        );
+        let late = Entry::Permit {
+            fence: Fence(2),
+            job: key(1, "a"),
+            now: 6,
+        };
         assert!(books.play(Index(5), late).is_err());
-        assert!(books.play(Index(6), Entry::Carry { member: "n0".into(), term: 1 }).is_err());
-        let step = Entry::Permit { fence: Fence(4), job: key(1, "a"), now: 6 };
+        assert!(books
+            .play(
+                Index(6),
+                Entry::Carry {
+                    member: "n0".into(),
+                    term: 1
+                }
+            )
+            .is_err());
+        let step = Entry::Permit {
+            fence: Fence(4),
+            job: key(1, "a"),
+            now: 6,
+        };
         assert_eq!(books.play(Index(7), step), Ok(7));
     }
 
     #[test]
     fn a_permit_stands_until_it_is_given_back_and_exists_once() {
         let mut books = begun();
-        let permit = Entry::Permit { fence: Fence(2), job: key(1, "a"), now: 6 };
+        let permit = Entry::Permit {
+            fence: Fence(2),
+            job: key(1, "a"),
+            now: 6,
+        };
         assert_eq!(books.play(Index(4), permit.clone()), Ok(4));
         assert!(books.play(Index(5), permit).is_err(), "a second permit");
-        let cancel = Entry::Cancel { request: RequestNo(1), by: "ann".into() };
+        let cancel = Entry::Cancel {
+            request: RequestNo(1),
+            by: "ann".into(),
+        };
         assert_eq!(books.play(Index(6), cancel), Ok(1), "only b, which waits");
         assert_eq!(books.out(), ["a"]);
-        let begin = |by: &str| Entry::Begin { permit: PermitNo(4), by: by.into() };
+        let begin = |by: &str| Entry::Begin {
+            permit: PermitNo(4),
+            by: by.into(),
+        };
         assert_eq!(books.play(Index(7), begin("ann")), Ok(4));
         assert!(books.play(Index(8), begin("bob")).is_err(), "ann has it");
         let done = |failed: Option<&str>| Entry::Done {
@@ -533,19 +639,37 @@
         assert_eq!(books.out(), ["a"], "unfit stays out");
         assert_eq!(books.play(Index(10), done(None)), Ok(4));
         assert!(books.out().is_empty() && books.active().contains("a"));
-        assert!(books.play(Index(11), done(None)).is_err(), "given back twice");
-        let back = Entry::Back { fence: Fence(2), job: key(1, "a"), now: 9 };
+        assert!(
+            books.play(Index(11), done(None)).is_err(),
+            "given back twice"
+        );
+        let back = Entry::Back {
+            fence: Fence(2),
+            job: key(1, "a"),
+            now: 9,
+        };
         assert_eq!(books.play(Index(12), back), Ok(12));
-        assert!(books.requests.is_empty() && books.jobs.is_empty(), "{books:?}");
+        assert!(
+            books.requests.is_empty() && books.jobs.is_empty(),
+            "{books:?}"
+        );
     }
 
     #[test]
     fn the_same_machine_in_two_requests_goes_out_for_one_at_a_time() {
         let mut books = begun();
         books.play(Index(4), ask(&["a", "c"])).expect("asked");
-        let again = Entry::TakeOut { fence: Fence(2), jobs: vec![key(4, "a")], now: 5 };
+        let again = Entry::TakeOut {
+            fence: Fence(2),
+            jobs: vec![key(4, "a")],
+            now: 5,
+        };
         assert!(books.play(Index(5), again).is_err());
-        let other = Entry::TakeOut { fence: Fence(2), jobs: vec![key(4, "c")], now: 5 };
+        let other = Entry::TakeOut {
+            fence: Fence(2),
+            jobs: vec![key(4, "c")],
+            now: 5,
+        };
         assert!(books.play(Index(6), other).is_ok());
     }
 
@@ -555,32 +679,61 @@
         books.belong(["n0", "n1"].map(Member::from).into());
         books.belong(["n0"].map(Member::from).into());
         assert!(books.gone.contains(&"n1".into()));
-        books.play(Index(9), Entry::Forget { fence: Fence(2), member: "n1".into() }).expect("forgotten");
+        books
+            .play(
+                Index(9),
+                Entry::Forget {
+                    fence: Fence(2),
+                    member: "n1".into(),
+                },
+            )
+            .expect("forgotten");
         assert!(books.gone.is_empty());
     }
 
     fn entry() -> impl Strategy<Value = Entry> {
-        let job = || (1u64..4, 0usize..4).prop_map(|(request, at)| key(request, ["a", "b", "c", "d"][at]));
+        let job = || {
+            (1u64..4, 0usize..4).prop_map(|(request, at)| key(request, ["a", "b", "c", "d"][at]))
+        };
         let fence = || (0u64..6).prop_map(Fence);
         let permit = || (0u64..40).prop_map(PermitNo);
         prop_oneof![
             Just(ask(&["a", "b"])),
             Just(ask(&["c", "d"])),
-            (1u64..4).prop_map(|no| Entry::Cancel { request: RequestNo(no), by: "ann".into() }),
-            Just(Entry::Hold { by: "ann".into(), why: "wait".into() }),
+            (1u64..4).prop_map(|no| Entry::Cancel {
+                request: RequestNo(no),
+                by: "ann".into()
+            }),
+            Just(Entry::Hold {
+                by: "ann".into(),
+                why: "wait".into()
+            }),
             Just(Entry::Resume { by: "ann".into() }),
-            permit().prop_map(|permit| Entry::Begin { permit, by: "ann".into() }),
+            permit().prop_map(|permit| Entry::Begin {
+                permit,
+                by: "ann".into()
+            }),
             (permit(), any::<bool>()).prop_map(|(permit, fails)| Entry::Done {
                 permit,
                 by: "ann".into(),
                 failed: fails.then(|| "broken".into())
             }),
-            (1u64..4).prop_map(|term| Entry::Carry { member: "n0".into(), term }),
-            (fence(), job()).prop_map(|(fence, job)| Entry::TakeOut { fence, jobs: vec![job], now: 0 }),
+            (1u64..4).prop_map(|term| Entry::Carry {
+                member: "n0".into(),
+                term
+            }),
+            (fence(), job()).prop_map(|(fence, job)| Entry::TakeOut {
+                fence,
+                jobs: vec![job],
+                now: 0
+            }),
             (fence(), job()).prop_map(|(fence, job)| Entry::Permit { fence, job, now: 0 }),
             (fence(), job()).prop_map(|(fence, job)| Entry::Back { fence, job, now: 0 }),
             (fence(), job()).prop_map(|(fence, job)| Entry::Keep { fence, job, now: 0 }),
-            fence().prop_map(|fence| Entry::OwnHold { fence, why: "late".into() }),
+            fence().prop_map(|fence| Entry::OwnHold {
+                fence,
+                why: "late".into()
+            }),
             fence().prop_map(|fence| Entry::GoOn { fence }),
             (fence(), 0u64..9).prop_map(|(fence, calls)| Entry::Load { fence, calls }),
         ]
