--- a/works/src/carrier.rs
+++ b/works/src/carrier.rs
@@ -136,7 +136,10 @@
 
     /// Words of all that have been heard.
     fn words(&self) -> Vec<&Word> {
-        self.attended.iter().filter_map(|of| of.word.as_ref()).collect()
+        self.attended
+            .iter()
+            .filter_map(|of| of.word.as_ref())
+            .collect()
     }
 
     /// Whom a machine that went out at a place still waits for.
@@ -146,7 +149,12 @@
             #[cfg(any(test, feature = "planted"))]
             let knows = |word: &Word| knows(word) || self.planted == Some(Planted::AnyWord);
             let free = |word: &Word| !word.busy.iter().any(|name| name == machine);
-            let quiet = of.alone && of.word.as_ref().is_some_and(|word| knows(word) && free(word)) || of.over;
+            let quiet = of.alone
+                && of
+                    .word
+                    .as_ref()
+                    .is_some_and(|word| knows(word) && free(word))
+                || of.over;
             #[cfg(any(test, feature = "planted"))]
             let quiet = match self.planted {
                 Some(Planted::NoWaiting) => true,
@@ -155,32 +163,56 @@
             };
             !quiet
         };
-        self.attended.iter().filter(waits).map(|of| &of.member).collect()
+        self.attended
+            .iter()
+            .filter(waits)
+            .map(|of| &of.member)
+            .collect()
     }
 
     /// Requests in their order: by deadline, then by priority.
     fn ordered(&self) -> Vec<(RequestNo, &Request)> {
-        let mut all: Vec<(RequestNo, &Request)> =
-            self.books.requests.iter().map(|(no, of)| (*no, of)).collect();
+        let mut all: Vec<(RequestNo, &Request)> = self
+            .books
+            .requests
+            .iter()
+            .map(|(no, of)| (*no, of))
+            .collect();
         all.sort_by_key(|(no, of)| (of.by_when.unwrap_or(u64::MAX), u8::MAX - of.priority, *no));
         all
     }
 
     /// What waits, as items for a plan.
     fn items(&self, world: &World) -> Vec<Item> {
-        let numbers: BTreeMap<&str, usize> =
-            world.nodes.iter().enumerate().map(|(at, node)| (node.name.as_str(), at)).collect();
+        let numbers: BTreeMap<&str, usize> = world
+            .nodes
+            .iter()
+            .enumerate()
+            .map(|(at, node)| (node.name.as_str(), at))
+            .collect();
         let mut items = Vec::new();
         for (no, request) in self.ordered() {
             let waits = request.machines.iter().filter(|machine| {
-                self.books.jobs.get(&(no, (*machine).clone())).is_some_and(|job| job.stage == Stage::Waits)
+                self.books
+                    .jobs
+                    .get(&(no, (*machine).clone()))
+                    .is_some_and(|job| job.stage == Stage::Waits)
             });
-            let urgency = (request.by_when.unwrap_or(u64::MAX), u8::MAX - request.priority);
+            let urgency = (
+                request.by_when.unwrap_or(u64::MAX),
+                u8::MAX - request.priority,
+            );
             let mut item = |nodes: Vec<usize>| {
-                items.push(Item { request: no, nodes, urgency, lasts: request.lasts });
+                items.push(Item {
+                    request: no,
+                    nodes,
+                    urgency,
+                    lasts: request.lasts,
+                });
             };
-            let nodes: Vec<usize> =
-                waits.filter_map(|machine| numbers.get(machine.as_str()).copied()).collect();
+            let nodes: Vec<usize> = waits
+                .filter_map(|machine| numbers.get(machine.as_str()).copied())
+                .collect();
             match request.together {
                 true if nodes.is_empty() => {}
                 true => item(nodes),
@@ -197,9 +229,18 @@
         world.load = self.books.load as f64;
         let mut items = self.items(&world);
         if let Some(of) = more {
-            let nodes: Vec<usize> = of.machines.iter().filter_map(|name| world.number(name)).collect();
+            let nodes: Vec<usize> = of
+                .machines
+                .iter()
+                .filter_map(|name| world.number(name))
+                .collect();
             let urgency = (of.by_when.unwrap_or(u64::MAX), u8::MAX - of.priority);
-            let item = |nodes| Item { request: RequestNo(u64::MAX), nodes, urgency, lasts: of.lasts };
+            let item = |nodes| Item {
+                request: RequestNo(u64::MAX),
+                nodes,
+                urgency,
+                lasts: of.lasts,
+            };
             match of.together {
                 true => items.push(item(nodes)),
                 false => items.extend(nodes.into_iter().map(|node| item(vec![node]))),
@@ -212,11 +253,19 @@
     /// Steps for what is out or on its way back.
     fn follow(&mut self, now: Micros, steps: &mut Vec<Entry>) {
         let (fence, wall) = (self.books.fence, self.wall);
-        let active = self.books.jobs.iter().filter(|(_, job)| job.stage.is_active());
-        let jobs: Vec<((RequestNo, String), Job)> =
-            active.map(|(key, job)| (key.clone(), job.clone())).collect();
+        let active = self
+            .books
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.stage.is_active());
+        let jobs: Vec<((RequestNo, String), Job)> = active
+            .map(|(key, job)| (key.clone(), job.clone()))
+            .collect();
         self.returning.retain(|key, _| {
-            self.books.jobs.get(key).is_some_and(|job| matches!(job.stage, Stage::Returns { .. }))
+            self.books
+                .jobs
+                .get(key)
+                .is_some_and(|job| matches!(job.stage, Stage::Returns { .. }))
         });
         let fresh = self.words();
         let bad = unsound(&fresh);
@@ -224,21 +273,40 @@
         for (key, job) in jobs {
             match job.stage {
                 // A router is quiet when its operator has drained it: the permit is the fleet's word that it may.
-                Stage::Out if router_of(&key.1).is_some() || self.waits_for(&key.1, job.at).is_empty() => {
-                    steps.push(Entry::Permit { fence, job: key, now: wall });
+                Stage::Out
+                    if router_of(&key.1).is_some() || self.waits_for(&key.1, job.at).is_empty() =>
+                {
+                    steps.push(Entry::Permit {
+                        fence,
+                        job: key,
+                        now: wall,
+                    });
                 }
                 Stage::Returns { .. } => {
                     let began = self.returning.get(&key).copied();
                     // Nobody has anything for it: after a while discovery's word is all there is.
-                    let idle = !fresh.is_empty() && fresh.iter().all(|word| word.idle.contains(&key.1));
+                    let idle =
+                        !fresh.is_empty() && fresh.iter().all(|word| word.idle.contains(&key.1));
                     let calm = began.is_some_and(|began| now.since(began).0 >= self.terms.calm);
-                    let there = |of: &Heard| of.fresh && Some(&of.member) == router_of(&key.1).as_ref();
+                    let there =
+                        |of: &Heard| of.fresh && Some(&of.member) == router_of(&key.1).as_ref();
                     let there = self.attended.iter().any(there);
-                    let bears = fresh.iter().any(|word| word.bear.contains(&key.1)) || idle && calm || there;
+                    let bears = fresh.iter().any(|word| word.bear.contains(&key.1))
+                        || idle && calm
+                        || there;
                     if bears && !bad.contains(key.1.as_str()) {
-                        steps.push(Entry::Back { fence, job: key, now: wall });
-                    } else if began.is_some_and(|began| now.since(began).0 > self.terms.back_within) {
-                        steps.push(Entry::Keep { fence, job: key, now: wall });
+                        steps.push(Entry::Back {
+                            fence,
+                            job: key,
+                            now: wall,
+                        });
+                    } else if began.is_some_and(|began| now.since(began).0 > self.terms.back_within)
+                    {
+                        steps.push(Entry::Keep {
+                            fence,
+                            job: key,
+                            now: wall,
+                        });
                     } else if began.is_none() {
                         since.push(key);
                     }
@@ -246,7 +314,8 @@
                 _ => {}
             }
         }
-        self.returning.extend(since.into_iter().map(|key| (key, now)));
+        self.returning
+            .extend(since.into_iter().map(|key| (key, now)));
     }
 
     /// Whether the work is held, or goes on.
@@ -256,21 +325,31 @@
         let working = self.books.active();
         let failing: BTreeSet<String> = unsound(&words)
             .into_iter()
-            .filter(|name| !working.contains(name) && self.world.nodes.iter().any(|node| node.name == **name))
+            .filter(|name| {
+                !working.contains(name) && self.world.nodes.iter().any(|node| node.name == **name)
+            })
             .map(str::to_owned)
             .collect();
-        let (answered, late) =
-            words.iter().fold((0, 0), |(all, late), word| (all + word.answered, late + word.late));
+        let (answered, late) = words.iter().fold((0, 0), |(all, late), word| {
+            (all + word.answered, late + word.late)
+        });
         let share = f64::from(late) / f64::from(answered.max(1));
         let says = answered >= LEAST_ANSWERED;
         let new: Vec<String> = failing.difference(&self.failing).cloned().collect();
         self.failing = failing;
         let held = self.books.hold.as_ref().map(|hold| hold.own);
-        let limit = if held == Some(true) { self.terms.late_over / 2.0 } else { self.terms.late_over };
+        let limit = if held == Some(true) {
+            self.terms.late_over / 2.0
+        } else {
+            self.terms.late_over
+        };
         let why = if !new.is_empty() {
             Some(format!("{} failing without work", new.join(", ")))
         } else if says && share > limit {
-            Some(format!("{:.1}% of {answered} lookups late, failed or refused", share * 100.0))
+            Some(format!(
+                "{:.1}% of {answered} lookups late, failed or refused",
+                share * 100.0
+            ))
         } else {
             None
         };
@@ -297,13 +376,18 @@
         let moved = calls.abs_diff(known) > known / LOAD_PART + LEAST_LOAD;
         if moved && told.is_none_or(|told| now.since(told) >= LOAD_EVERY) {
             self.told_load = Some(now);
-            steps.push(Entry::Load { fence: self.books.fence, calls });
+            steps.push(Entry::Load {
+                fence: self.books.fence,
+                calls,
+            });
         }
     }
 
     /// What may go out now, in the order of the requests.
     fn take_out(&self, now: Micros, steps: &mut Vec<Entry>) {
-        let calm = self.well_since.is_some_and(|since| now.since(since).0 >= self.terms.calm);
+        let calm = self
+            .well_since
+            .is_some_and(|since| now.since(since).0 >= self.terms.calm);
         if self.books.hold.is_some() || !calm || self.world.nodes.is_empty() {
             return;
         }
@@ -318,8 +402,15 @@
         let mut room = Room::of(&world, &self.terms.limits, active.len());
         let mut items = self.items(&world);
         items.retain(|item| {
-            let free = item.nodes.iter().all(|node| !active.contains(world.nodes[*node].name.as_str()));
-            let due = self.books.requests.get(&item.request).and_then(|of| of.not_before);
+            let free = item
+                .nodes
+                .iter()
+                .all(|node| !active.contains(world.nodes[*node].name.as_str()));
+            let due = self
+                .books
+                .requests
+                .get(&item.request)
+                .and_then(|of| of.not_before);
             free && due.is_none_or(|due| due <= self.wall)
         });
         // The plan's order: its first round is what fits best beside each other now.
@@ -327,8 +418,14 @@
         let mut jobs = Vec::new();
         for at in order.rounds.iter().flat_map(|round| &round.items) {
             let item = &items[*at];
-            let names = item.nodes.iter().map(|node| (item.request, world.nodes[*node].name.clone()));
-            let twice = |node: &usize| jobs.iter().any(|(_, name)| *name == world.nodes[*node].name);
+            let names = item
+                .nodes
+                .iter()
+                .map(|node| (item.request, world.nodes[*node].name.clone()));
+            let twice = |node: &usize| {
+                jobs.iter()
+                    .any(|(_, name)| *name == world.nodes[*node].name)
+            };
             if jobs.len() + item.nodes.len() <= MOST_A_STEP.max(item.nodes.len())
                 && !item.nodes.iter().any(twice)
                 && room.take_all(&item.nodes).is_ok()
@@ -337,7 +434,11 @@
             }
         }
         if !jobs.is_empty() {
-            steps.push(Entry::TakeOut { fence: self.books.fence, jobs, now: self.wall });
+            steps.push(Entry::TakeOut {
+                fence: self.books.fence,
+                jobs,
+                now: self.wall,
+            });
         }
     }
 
@@ -348,10 +449,15 @@
         }
         let waiting = self.waiting_routers();
         let may = |(_, router): &&((RequestNo, String), Member)| {
-            self.routers().is_some_and(|routers| routers.may_go(router, waiting.len() > 1).is_ok())
+            self.routers()
+                .is_some_and(|routers| routers.may_go(router, waiting.len() > 1).is_ok())
         };
         if let Some((key, _)) = waiting.iter().find(may) {
-            steps.push(Entry::TakeOut { fence: self.books.fence, jobs: vec![key.clone()], now: self.wall });
+            steps.push(Entry::TakeOut {
+                fence: self.books.fence,
+                jobs: vec![key.clone()],
+                now: self.wall,
+            });
         }
     }
 
@@ -359,21 +465,40 @@
     fn waiting_routers(&self) -> Vec<((RequestNo, String), Member)> {
         let due = |of: &Request| of.not_before.is_none_or(|due| due <= self.wall);
         let requests = self.ordered().into_iter().filter(|(_, of)| due(of));
-        let all = requests.flat_map(|(no, of)| of.machines.iter().map(move |machine| (no, machine.clone())));
-        let waits =
-            |key: &(RequestNo, String)| self.books.jobs.get(key).is_some_and(|job| job.stage == Stage::Waits);
-        let routers = all.filter(waits).filter_map(|key| Some((key.clone(), router_of(&key.1)?)));
+        let all = requests
+            .flat_map(|(no, of)| of.machines.iter().map(move |machine| (no, machine.clone())));
+        let waits = |key: &(RequestNo, String)| {
+            self.books
+                .jobs
+                .get(key)
+                .is_some_and(|job| job.stage == Stage::Waits)
+        };
+        let routers = all
+            .filter(waits)
+            .filter_map(|key| Some((key.clone(), router_of(&key.1)?)));
         routers.collect()
     }
 
     fn routers(&self) -> Option<Routers<'_>> {
         let active = self.books.active();
-        let out = |member: &Member| active.iter().any(|name| router_of(name).as_ref() == Some(member));
-        let there =
-            self.attended.iter().filter(|of| of.fresh && !out(&of.member)).map(|of| of.member.clone());
+        let out = |member: &Member| {
+            active
+                .iter()
+                .any(|name| router_of(name).as_ref() == Some(member))
+        };
+        let there = self
+            .attended
+            .iter()
+            .filter(|of| of.fresh && !out(&of.member))
+            .map(|of| of.member.clone());
         let carrier = &self.books.carrier.as_ref()?.0;
         let zone_share = self.terms.limits.zone_share;
-        Some(Routers { members: &self.members, there: there.collect(), carrier, zone_share })
+        Some(Routers {
+            members: &self.members,
+            there: there.collect(),
+            carrier,
+            zone_share,
+        })
     }
 
     fn row(&self, key: &(RequestNo, String), job: &Job, binds: &BTreeMap<String, String>) -> Value {
@@ -404,12 +529,18 @@
         let world = self.standing(&words);
         let room = Room::of(&world, &self.terms.limits, self.books.active().len());
         let (mut binds, waiting) = (BTreeMap::new(), self.waiting_routers());
-        for (_, machine) in
-            self.books.jobs.iter().filter(|(_, job)| job.stage == Stage::Waits).map(|(key, _)| key)
+        for (_, machine) in self
+            .books
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.stage == Stage::Waits)
+            .map(|(key, _)| key)
         {
             let said = match (router_of(machine), world.number(machine)) {
                 (Some(router), _) => {
-                    let may = self.routers().map(|routers| routers.may_go(&router, waiting.len() > 1));
+                    let may = self
+                        .routers()
+                        .map(|routers| routers.may_go(&router, waiting.len() > 1));
                     may.and_then(Result::err).map(|stays| stays.to_string())
                 }
                 (None, Some(at)) => room.may(at).err().map(|binds| binds.to_string()),
@@ -419,8 +550,16 @@
                 binds.insert(machine.clone(), said);
             }
         }
-        let rows = self.books.jobs.iter().map(|(key, job)| self.row(key, job, &binds));
-        let past = self.books.past.iter().map(|past| json!({"at": past.at, "words": past.words}));
+        let rows = self
+            .books
+            .jobs
+            .iter()
+            .map(|(key, job)| self.row(key, job, &binds));
+        let past = self
+            .books
+            .past
+            .iter()
+            .map(|past| json!({"at": past.at, "words": past.words}));
         json!({"carrier": self.books.carrier.as_ref().map(|(member, _)| member), "fence": self.books.fence,
             "hold": self.books.hold, "rows": rows.collect::<Vec<_>>(), "plan": self.plan_told(None),
             "out": self.books.out(), "past": past.collect::<Vec<_>>()})
@@ -429,14 +568,20 @@
     fn plan_told(&self, more: Option<&Request>) -> Value {
         let (plan, items, world) = self.planned(more);
         let names = |at: &usize| -> Vec<&str> {
-            items[*at].nodes.iter().map(|node| world.nodes[*node].name.as_str()).collect()
+            items[*at]
+                .nodes
+                .iter()
+                .map(|node| world.nodes[*node].name.as_str())
+                .collect()
         };
         let rounds = plan.rounds.iter().map(|round| {
             let machines: Vec<&str> = round.items.iter().flat_map(names).collect();
             json!({"machines": machines, "lasts_ms": round.lasts / 1000})
         });
-        let cannot =
-            plan.cannot.iter().map(|(at, binds)| json!({"machines": names(at), "binds": binds.to_string()}));
+        let cannot = plan
+            .cannot
+            .iter()
+            .map(|(at, binds)| json!({"machines": names(at), "binds": binds.to_string()}));
         let lasts: u64 = plan.rounds.iter().map(|round| round.lasts / 1000).sum();
         json!({"rounds": rounds.collect::<Vec<_>>(), "cannot": cannot.collect::<Vec<_>>(),
             "bound": plan.bound, "lasts_ms": lasts})
@@ -450,7 +595,11 @@
         *counts.entry(name).or_default() += 1;
     }
     let enough = (words.len() / ONE_IN).max(1);
-    counts.into_iter().filter(|(_, count)| *count >= enough).map(|(name, _)| name).collect()
+    counts
+        .into_iter()
+        .filter(|(_, count)| *count >= enough)
+        .map(|(name, _)| name)
+        .collect()
 }
 
 impl Annex for Carrier {
@@ -474,7 +623,11 @@
 
     fn outs(&self) -> Vec<u8> {
         // Machines on their way back are told too: routers watch how they bear load.
-        let returning = self.books.jobs.iter().filter(|(_, job)| matches!(job.stage, Stage::Returns { .. }));
+        let returning = self
+            .books
+            .jobs
+            .iter()
+            .filter(|(_, job)| matches!(job.stage, Stage::Returns { .. }));
         let returning: BTreeSet<&String> = returning.map(|((_, machine), _)| machine).collect();
         postcard::to_stdvec(&(self.books.out(), returning)).unwrap_or_default()
     }
@@ -504,9 +657,13 @@
         };
         for name in &request.machines {
             match router_of(name) {
-                Some(router) if !self.members.contains_key(&router) => return Err(Stays::Unknown.to_string()),
+                Some(router) if !self.members.contains_key(&router) => {
+                    return Err(Stays::Unknown.to_string())
+                }
                 Some(_) if request.together => {
-                    return Err("routers go one at a time: they cannot be asked for together".into());
+                    return Err(
+                        "routers go one at a time: they cannot be asked for together".into(),
+                    );
                 }
                 None if self.world.number(name).is_none() => {
                     return Err(Binds::Unknown(name.clone()).to_string());
@@ -517,14 +674,23 @@
         let (plan, items, world) = self.planned(Some(&request));
         let own = |at: &usize| items[*at].request == RequestNo(u64::MAX);
         if let Some((at, binds)) = plan.cannot.iter().find(|(at, _)| own(at)) {
-            let names: Vec<&str> =
-                items[*at].nodes.iter().map(|node| world.nodes[*node].name.as_str()).collect();
+            let names: Vec<&str> = items[*at]
+                .nodes
+                .iter()
+                .map(|node| world.nodes[*node].name.as_str())
+                .collect();
             return Err(format!("{} can never go out: {binds}", names.join(", ")));
         }
         if let Some(by_when) = request.by_when {
-            let last =
-                plan.rounds.iter().rposition(|round| round.items.iter().any(own)).map_or(0, |at| at + 1);
-            let lasts: u64 = plan.rounds[..last].iter().map(|round| round.lasts / 1000).sum();
+            let last = plan
+                .rounds
+                .iter()
+                .rposition(|round| round.items.iter().any(own))
+                .map_or(0, |at| at + 1);
+            let lasts: u64 = plan.rounds[..last]
+                .iter()
+                .map(|round| round.lasts / 1000)
+                .sum();
             let begins = request.not_before.unwrap_or(0).max(self.wall);
             if begins + lasts > by_when {
                 return Err(format!(
@@ -539,7 +705,11 @@
     }
 
     fn steps(
-        &mut self, now: Micros, me: &Member, term: u64, attended: &[Attended],
+        &mut self,
+        now: Micros,
+        me: &Member,
+        term: u64,
+        attended: &[Attended],
     ) -> (Vec<Vec<u8>>, Vec<String>) {
         if self.led_term != term {
             // What an earlier time in the chair has seen says nothing.
@@ -548,21 +718,39 @@
         }
         let read = |of: &Attended| {
             let word = of.word.as_ref().and_then(|word| Word::read(word));
-            Heard { member: of.member.clone(), word, fresh: of.fresh, alone: of.alone, over: of.over }
+            Heard {
+                member: of.member.clone(),
+                word,
+                fresh: of.fresh,
+                alone: of.alone,
+                over: of.over,
+            }
         };
         self.attended = attended.iter().map(read).collect();
-        if self.books.requests.is_empty() && self.books.jobs.is_empty() && self.books.gone.is_empty() {
+        if self.books.requests.is_empty()
+            && self.books.jobs.is_empty()
+            && self.books.gone.is_empty()
+        {
             self.well_since.get_or_insert(now);
             return (Vec::new(), Vec::new());
         }
         if self.books.carrier.as_ref() != Some(&(me.clone(), term)) {
-            let carry = Entry::Carry { member: me.clone(), term };
-            return (vec![postcard::to_stdvec(&carry).unwrap_or_default()], Vec::new());
+            let carry = Entry::Carry {
+                member: me.clone(),
+                term,
+            };
+            return (
+                vec![postcard::to_stdvec(&carry).unwrap_or_default()],
+                Vec::new(),
+            );
         }
         let mut steps = Vec::new();
         let over = |member: &Member| attended.iter().any(|of| of.member == *member && of.over);
         if let Some(member) = self.books.gone.iter().find(|member| over(member)) {
-            steps.push(Entry::Forget { fence: self.books.fence, member: member.clone() });
+            steps.push(Entry::Forget {
+                fence: self.books.fence,
+                member: member.clone(),
+            });
         }
         self.follow(now, &mut steps);
         self.hold(now, &mut steps);
@@ -574,7 +762,13 @@
             self.take_router(&mut steps);
         }
         let lines = steps.iter().filter_map(line).collect();
-        (steps.iter().map(|step| postcard::to_stdvec(step).unwrap_or_default()).collect(), lines)
+        (
+            steps
+                .iter()
+                .map(|step| postcard::to_stdvec(step).unwrap_or_default())
+                .collect(),
+            lines,
+        )
     }
 
     fn look(&self, _: Micros, what: &str) -> Option<String> {
@@ -592,13 +786,19 @@
 /// One line for each step that people on call would want to know of.
 fn line(step: &Entry) -> Option<String> {
     let names = |jobs: &[(RequestNo, String)]| {
-        jobs.iter().map(|(_, machine)| machine.as_str()).collect::<Vec<_>>().join(", ")
+        jobs.iter()
+            .map(|(_, machine)| machine.as_str())
+            .collect::<Vec<_>>()
+            .join(", ")
     };
     match step {
         Entry::TakeOut { jobs, .. } => Some(format!("works: {} to go out", names(jobs))),
         Entry::Permit { job, .. } => Some(format!("works: {} is quiet", job.1)),
         Entry::Back { job, .. } => Some(format!("works: {} bears load again", job.1)),
-        Entry::Keep { job, .. } => Some(format!("works: {} does not come back in time, kept out", job.1)),
+        Entry::Keep { job, .. } => Some(format!(
+            "works: {} does not come back in time, kept out",
+            job.1
+        )),
         Entry::OwnHold { why, .. } => Some(format!("works: held, {why}")),
         Entry::GoOn { .. } => Some("works: goes on".into()),
         _ => None,
@@ -624,31 +824,60 @@
     /// Six machines in two sets of three.
     fn carrier() -> Carrier {
         let terms = Terms {
-            limits: Limits { zone_share: 0.0, most_out: 1.0, ..Limits::default() },
+            limits: Limits {
+                zone_share: 0.0,
+                most_out: 1.0,
+                ..Limits::default()
+            },
             ..Terms::default()
         };
         let mut carrier = Carrier::new(terms);
-        let node =
-            |at: u32| Node { name: format!("s{at}"), zone: 0, sets: vec![at / 3], sound: true, out: false };
-        carrier.sees(World { nodes: (0..6).map(node).collect(), load: 0.0 }, 1000);
+        let node = |at: u32| Node {
+            name: format!("s{at}"),
+            zone: 0,
+            sets: vec![at / 3],
+            sound: true,
+            out: false,
+        };
+        carrier.sees(
+            World {
+                nodes: (0..6).map(node).collect(),
+                load: 0.0,
+            },
+            1000,
+        );
         carrier
     }
 
     fn ask(machines: &[&str]) -> Request {
         let machines = machines.iter().map(|name| (*name).to_owned()).collect();
-        Request { machines, by: "ann".into(), lasts: 60 * S, ..Request::default() }
+        Request {
+            machines,
+            by: "ann".into(),
+            lasts: 60 * S,
+            ..Request::default()
+        }
     }
 
     impl Carrier {
         fn permit_of(&self, machine: &str) -> Option<PermitNo> {
-            let found =
-                self.books.jobs.iter().find(|((_, of), job)| of == machine && job.stage.permit().is_some());
+            let found = self
+                .books
+                .jobs
+                .iter()
+                .find(|((_, of), job)| of == machine && job.stage.permit().is_some());
             found.and_then(|(_, job)| job.stage.permit())
         }
     }
 
     fn says(member: &str, word: &Word) -> Attended {
-        Attended { member: member.into(), word: Some(word.bytes()), fresh: true, alone: true, over: false }
+        Attended {
+            member: member.into(),
+            word: Some(word.bytes()),
+            fresh: true,
+            alone: true,
+            over: false,
+        }
     }
 
     struct Fleet {
@@ -659,22 +888,34 @@
 
     impl Fleet {
         fn asked(machines: &[&str]) -> Fleet {
-            let mut fleet = Fleet { carrier: carrier(), at: 0, now: 0 };
-            fleet.put(Entry::Ask { request: ask(machines) });
+            let mut fleet = Fleet {
+                carrier: carrier(),
+                at: 0,
+                now: 0,
+            };
+            fleet.put(Entry::Ask {
+                request: ask(machines),
+            });
             fleet
         }
 
         fn put(&mut self, entry: Entry) {
             self.at += 1;
-            self.carrier.play(Index(self.at), &postcard::to_stdvec(&entry).expect("bytes")).expect("it fits");
+            self.carrier
+                .play(Index(self.at), &postcard::to_stdvec(&entry).expect("bytes"))
+                .expect("it fits");
         }
 
         /// A second passes; what was put comes back.
         fn step(&mut self, attended: &[Attended]) -> Vec<Entry> {
             self.now += S;
-            let (steps, _) = self.carrier.steps(Micros(self.now), &"n0".into(), 1, attended);
-            let steps: Vec<Entry> =
-                steps.iter().map(|bytes| postcard::from_bytes(bytes).expect("an entry")).collect();
+            let (steps, _) = self
+                .carrier
+                .steps(Micros(self.now), &"n0".into(), 1, attended);
+            let steps: Vec<Entry> = steps
+                .iter()
+                .map(|bytes| postcard::from_bytes(bytes).expect("an entry"))
+                .collect();
             steps.iter().for_each(|step| self.put(step.clone()));
             steps
         }
@@ -689,7 +930,10 @@
     }
 
     fn knows(goes_by: u64) -> Word {
-        Word { goes_by: Index(goes_by), ..Word::default() }
+        Word {
+            goes_by: Index(goes_by),
+            ..Word::default()
+        }
     }
 
     #[test]
@@ -699,10 +943,17 @@
         fleet.run(10, &quiet);
         assert_eq!(fleet.out(), ["s0", "s3"], "two of each set stay");
         let permit = fleet.carrier.permit_of("s0").expect("a permit");
-        fleet.put(Entry::Done { permit, by: "ann".into(), failed: None });
+        fleet.put(Entry::Done {
+            permit,
+            by: "ann".into(),
+            failed: None,
+        });
         fleet.run(10, &quiet);
         assert_eq!(fleet.out(), ["s3"], "it has yet to show that it bears load");
-        let bears = Word { bear: vec!["s0".into()], ..knows(100) };
+        let bears = Word {
+            bear: vec!["s0".into()],
+            ..knows(100)
+        };
         fleet.run(10, &[says("n0", &bears), says("n1", &knows(100))]);
         assert_eq!(fleet.out(), ["s1", "s3"]);
     }
@@ -714,25 +965,49 @@
     #[test_case(knows(100), true, false, true; "quiet")]
     fn a_permit_waits_for_every_router(word: Word, alone: bool, over: bool, given: bool) {
         let mut fleet = Fleet::asked(&["s0"]);
-        let slow = Attended { alone, over, ..says("n1", &word) };
+        let slow = Attended {
+            alone,
+            over,
+            ..says("n1", &word)
+        };
         fleet.run(12, &[says("n0", &knows(100)), slow]);
-        assert_eq!((fleet.out(), fleet.carrier.permit_of("s0").is_some()), (vec!["s0".into()], given));
+        assert_eq!(
+            (fleet.out(), fleet.carrier.permit_of("s0").is_some()),
+            (vec!["s0".into()], given)
+        );
     }
 
     #[test]
     fn one_that_has_not_been_heard_keeps_a_permit_away() {
         let mut fleet = Fleet::asked(&["s0"]);
-        let unheard = Attended { word: None, alone: false, fresh: false, ..says("n1", &Word::default()) };
+        let unheard = Attended {
+            word: None,
+            alone: false,
+            fresh: false,
+            ..says("n1", &Word::default())
+        };
         fleet.run(12, &[says("n0", &knows(100)), unheard.clone()]);
         assert_eq!(fleet.carrier.permit_of("s0"), None);
-        fleet.run(1, &[says("n0", &knows(100)), Attended { over: true, ..unheard }]);
+        fleet.run(
+            1,
+            &[
+                says("n0", &knows(100)),
+                Attended {
+                    over: true,
+                    ..unheard
+                },
+            ],
+        );
         assert!(fleet.carrier.permit_of("s0").is_some());
     }
 
     #[test]
     fn a_failure_without_work_holds_it_and_calm_lets_it_go_on() {
         let mut fleet = Fleet::asked(&["s0", "s3"]);
-        let dead = Word { unsound: vec!["s1".into()], ..knows(100) };
+        let dead = Word {
+            unsound: vec!["s1".into()],
+            ..knows(100)
+        };
         let well = [says("n0", &knows(100))];
         fleet.run(4, &well);
         assert!(fleet.out().is_empty(), "not calm for long enough yet");
@@ -748,7 +1023,16 @@
     #[test]
     fn late_lookups_hold_the_work_without_flapping() {
         let mut fleet = Fleet::asked(&["s0"]);
-        let share = |late| [says("n0", &Word { answered: 1000, late, ..knows(100) })];
+        let share = |late| {
+            [says(
+                "n0",
+                &Word {
+                    answered: 1000,
+                    late,
+                    ..knows(100)
+                },
+            )]
+        };
         fleet.run(2, &share(0));
         let mut holds = 0;
         // Between half of the limit and the limit it stays as it is.
@@ -757,7 +1041,10 @@
         }
         assert_eq!(holds, 1, "{:?}", fleet.carrier.books.past);
         let steps = fleet.run(7, &share(10));
-        assert!(matches!(steps[..], [Entry::GoOn { .. }, Entry::TakeOut { .. }]), "{steps:?}");
+        assert!(
+            matches!(steps[..], [Entry::GoOn { .. }, Entry::TakeOut { .. }]),
+            "{steps:?}"
+        );
     }
 
     #[test]
@@ -767,11 +1054,28 @@
         let quiet = [says("n0", &knows(1000))];
         fleet.run(10, &quiet);
         let permit = fleet.carrier.permit_of("s0").expect("a permit");
-        fleet.put(Entry::Done { permit, by: "ann".into(), failed: None });
+        fleet.put(Entry::Done {
+            permit,
+            by: "ann".into(),
+            failed: None,
+        });
         fleet.run(8, &quiet);
         assert_eq!(fleet.out(), ["s0", "s3"], "kept out");
-        fleet.put(Entry::Done { permit, by: "ann".into(), failed: None });
-        fleet.run(1, &[says("n0", &Word { bear: vec!["s0".into()], ..knows(1000) })]);
+        fleet.put(Entry::Done {
+            permit,
+            by: "ann".into(),
+            failed: None,
+        });
+        fleet.run(
+            1,
+            &[says(
+                "n0",
+                &Word {
+                    bear: vec!["s0".into()],
+                    ..knows(1000)
+                },
+            )],
+        );
         assert_eq!(fleet.out(), ["s3"]);
     }
 
@@ -780,22 +1084,43 @@
     #[test_case(&["s0", "s1"], |of| of.together = true, Some("can never go out: set 0"); "two of a set at once")]
     #[test_case(&["s0", "s1"], |of| of.by_when = Some(60_000), Some("needs 2 rounds and 120 s"); "too little time")]
     #[test_case(&["s0", "s1"], |of| of.by_when = Some(130_000), None; "time enough")]
-    fn a_request_is_answered_at_once(machines: &[&str], more: fn(&mut Request), said: Option<&str>) {
+    fn a_request_is_answered_at_once(
+        machines: &[&str],
+        more: fn(&mut Request),
+        said: Option<&str>,
+    ) {
         let mut request = ask(machines);
         more(&mut request);
         let entry = postcard::to_stdvec(&Entry::Ask { request }).expect("bytes");
         let words = carrier().admits(Micros(0), &entry).err();
         assert_eq!(words.is_some(), said.is_some(), "{words:?}");
-        assert!(said.is_none_or(|said| words.clone().unwrap_or_default().contains(said)), "{words:?}");
+        assert!(
+            said.is_none_or(|said| words.clone().unwrap_or_default().contains(said)),
+            "{words:?}"
+        );
     }
 
     #[test]
     fn a_request_for_the_last_holder_is_refused_with_words() {
         let mut carrier = carrier();
-        let node =
-            |at: u32| Node { name: format!("s{at}"), zone: 0, sets: vec![at], sound: true, out: false };
-        carrier.sees(World { nodes: (0..2).map(node).collect(), load: 0.0 }, 0);
-        let entry = postcard::to_stdvec(&Entry::Ask { request: ask(&["s0"]) }).expect("bytes");
+        let node = |at: u32| Node {
+            name: format!("s{at}"),
+            zone: 0,
+            sets: vec![at],
+            sound: true,
+            out: false,
+        };
+        carrier.sees(
+            World {
+                nodes: (0..2).map(node).collect(),
+                load: 0.0,
+            },
+            0,
+        );
+        let entry = postcard::to_stdvec(&Entry::Ask {
+            request: ask(&["s0"]),
+        })
+        .expect("bytes");
         let words = carrier.admits(Micros(0), &entry).expect_err("refused");
         assert!(words.contains("only sound holder of set 0"), "{words}");
     }
@@ -806,14 +1131,28 @@
         fleet.run(8, &[says("n0", &knows(100))]);
         assert_eq!(fleet.out(), ["s0", "s3"]);
         let permit = fleet.carrier.permit_of("s3").expect("a permit");
-        let dead = Word { unsound: vec!["s1".into()], ..knows(100) };
+        let dead = Word {
+            unsound: vec!["s1".into()],
+            ..knows(100)
+        };
         let steps = fleet.run(3, &[says("n0", &dead)]);
         assert!(matches!(steps[..], [Entry::OwnHold { .. }]), "{steps:?}");
-        fleet.put(Entry::Done { permit, by: "ann".into(), failed: None });
+        fleet.put(Entry::Done {
+            permit,
+            by: "ann".into(),
+            failed: None,
+        });
         // Its own set is whole again, and it waits all the same until the failure is known for long enough.
-        let bears = Word { bear: vec!["s3".into()], ..dead };
+        let bears = Word {
+            bear: vec!["s3".into()],
+            ..dead
+        };
         fleet.run(1, &[says("n0", &bears)]);
-        assert_eq!(fleet.out(), ["s0"], "nothing more goes out, and s0 stays with whom it is");
+        assert_eq!(
+            fleet.out(),
+            ["s0"],
+            "nothing more goes out, and s0 stays with whom it is"
+        );
         assert!(fleet.carrier.permit_of("s0").is_some());
     }
 
@@ -825,12 +1164,21 @@
         fleet.carrier.wall += 400_000;
         let table = fleet.carrier.table();
         let row = |name: &str| {
-            table["rows"].as_array().into_iter().flatten().find(|row| row["machine"] == name).cloned()
+            table["rows"]
+                .as_array()
+                .into_iter()
+                .flatten()
+                .find(|row| row["machine"] == name)
+                .cloned()
         };
-        assert_eq!(row("s0").map(|row| row["overdue"].clone()), Some(true.into()), "{table}");
-        assert!(
-            row("s1").is_some_and(|row| row["binds"].as_str().is_some_and(|binds| binds.contains("set 0")))
+        assert_eq!(
+            row("s0").map(|row| row["overdue"].clone()),
+            Some(true.into()),
+            "{table}"
         );
+        assert!(row("s1").is_some_and(|row| row["binds"]
+            .as_str()
+            .is_some_and(|binds| binds.contains("set 0"))));
         assert_eq!(fleet.out(), ["s0", "s3"]);
     }
 
@@ -838,11 +1186,25 @@
     fn load_that_doubles_in_the_middle_lets_nothing_more_out() {
         let mut fleet = Fleet::asked(&["s0", "s3"]);
         fleet.carrier.terms.limits.per_node = Some(10.0);
-        let load = |calls| [says("n0", &Word { calls, ..knows(100) })];
+        let load = |calls| {
+            [says(
+                "n0",
+                &Word {
+                    calls,
+                    ..knows(100)
+                },
+            )]
+        };
         fleet.run(4, &load(30));
         fleet.run(10, &load(45));
-        assert_eq!(fleet.carrier.books.load, 45, "it is agreed before anything rests on it");
-        assert!(fleet.out().is_empty(), "45 with a quarter more and one failure need seven");
+        assert_eq!(
+            fleet.carrier.books.load, 45,
+            "it is agreed before anything rests on it"
+        );
+        assert!(
+            fleet.out().is_empty(),
+            "45 with a quarter more and one failure need seven"
+        );
         fleet.run(10, &load(28));
         assert_eq!(fleet.out().len(), 1, "28 need five of six: one may go");
     }
@@ -851,7 +1213,10 @@
     fn a_release_by_discovery_leaves_no_room_where_it_is_at_work() {
         let mut fleet = Fleet::asked(&["s0", "s3"]);
         // Known for long: one of the first set is listed as terminating all the time.
-        let released = Word { unsound: vec!["s2".into()], ..knows(100) };
+        let released = Word {
+            unsound: vec!["s2".into()],
+            ..knows(100)
+        };
         fleet.run(20, &[says("n0", &released)]);
         assert_eq!(fleet.out(), ["s3"]);
     }
@@ -871,24 +1236,40 @@
 
     #[test]
     fn routers_go_one_after_the_other_and_the_one_that_carries_on_goes_last() {
-        let mut fleet = Fleet { carrier: carrier(), at: 0, now: 0 };
+        let mut fleet = Fleet {
+            carrier: carrier(),
+            at: 0,
+            now: 0,
+        };
         let seated = |seat: u64| Seated {
             address: String::new(),
             zone: String::new(),
             seat: Some(ternpick_policy::SeatNo(seat)),
             learns: false,
         };
-        let members = (0..3).map(|at| (Member(format!("n{at}")), seated(at + 1))).collect();
+        let members = (0..3)
+            .map(|at| (Member(format!("n{at}")), seated(at + 1)))
+            .collect();
         fleet.carrier.members(&members);
-        fleet.put(Entry::Ask { request: ask(&["router:n0", "router:n1", "router:n2"]) });
-        let all: Vec<Attended> = (0..3).map(|at| says(&format!("n{at}"), &knows(100))).collect();
+        fleet.put(Entry::Ask {
+            request: ask(&["router:n0", "router:n1", "router:n2"]),
+        });
+        let all: Vec<Attended> = (0..3)
+            .map(|at| says(&format!("n{at}"), &knows(100)))
+            .collect();
         let mut order = Vec::new();
         for _ in 0..3 {
             fleet.run(3, &all);
-            let [out] = &fleet.out()[..] else { panic!("one at a time: {:?}", fleet.out()) };
+            let [out] = &fleet.out()[..] else {
+                panic!("one at a time: {:?}", fleet.out())
+            };
             order.push(out.clone());
             let permit = fleet.carrier.permit_of(out).expect("a permit");
-            fleet.put(Entry::Done { permit, by: "ann".into(), failed: None });
+            fleet.put(Entry::Done {
+                permit,
+                by: "ann".into(),
+                failed: None,
+            });
             fleet.run(1, &all);
         }
         assert_eq!(order, ["router:n1", "router:n2", "router:n0"]);
@@ -897,9 +1278,15 @@
     #[test]
     fn a_machine_that_fails_for_a_moment_refuses_no_request() {
         let mut fleet = Fleet::asked(&["s3"]);
-        let dead = Word { unsound: vec!["s1".into()], ..knows(100) };
+        let dead = Word {
+            unsound: vec!["s1".into()],
+            ..knows(100)
+        };
         fleet.run(2, &[says("n0", &dead)]);
-        let entry = postcard::to_stdvec(&Entry::Ask { request: ask(&["s0"]) }).expect("bytes");
+        let entry = postcard::to_stdvec(&Entry::Ask {
+            request: ask(&["s0"]),
+        })
+        .expect("bytes");
         assert_eq!(fleet.carrier.admits(Micros(0), &entry), Ok(()));
     }
 
@@ -908,23 +1295,51 @@
         let mut fleet = Fleet::asked(&["s0"]);
         fleet.run(8, &[says("n0", &knows(100))]);
         let permit = fleet.carrier.permit_of("s0").expect("a permit");
-        fleet.put(Entry::Done { permit, by: "ann".into(), failed: None });
-        let listed = Word { unsound: vec!["s0".into()], bear: vec!["s0".into()], ..knows(100) };
+        fleet.put(Entry::Done {
+            permit,
+            by: "ann".into(),
+            failed: None,
+        });
+        let listed = Word {
+            unsound: vec!["s0".into()],
+            bear: vec!["s0".into()],
+            ..knows(100)
+        };
         fleet.run(20, &[says("n0", &listed)]);
-        assert!(fleet.carrier.books.active().contains("s0"), "it answers one router, and is about to go");
-        fleet.run(1, &[says("n0", &Word { bear: vec!["s0".into()], ..knows(100) })]);
+        assert!(
+            fleet.carrier.books.active().contains("s0"),
+            "it answers one router, and is about to go"
+        );
+        fleet.run(
+            1,
+            &[says(
+                "n0",
+                &Word {
+                    bear: vec!["s0".into()],
+                    ..knows(100)
+                },
+            )],
+        );
         assert!(fleet.carrier.books.jobs.is_empty());
     }
 
     #[test]
     fn nobody_puts_a_step_by_command() {
-        let step = Entry::Carry { member: "n9".into(), term: 9 };
-        assert!(carrier().admits(Micros(0), &postcard::to_stdvec(&step).expect("bytes")).is_err());
+        let step = Entry::Carry {
+            member: "n9".into(),
+            term: 9,
+        };
+        assert!(carrier()
+            .admits(Micros(0), &postcard::to_stdvec(&step).expect("bytes"))
+            .is_err());
     }
 
     #[test]
     fn what_one_router_alone_of_many_calls_unsound_is_sound() {
-        let one = Word { unsound: vec!["s1".into()], ..Word::default() };
+        let one = Word {
+            unsound: vec!["s1".into()],
+            ..Word::default()
+        };
         let others = vec![Word::default(); 6];
         let words: Vec<&Word> = others.iter().chain([&one]).collect();
         assert!(unsound(&words).is_empty());
--- a/works/src/model.rs
+++ b/works/src/model.rs
@@ -74,7 +74,10 @@
     }
 
     fn permitted(&self) -> bool {
-        self.books.jobs.values().any(|job| matches!(job.stage, Stage::Permitted { .. }))
+        self.books
+            .jobs
+            .values()
+            .any(|job| matches!(job.stage, Stage::Permitted { .. }))
     }
 
     fn play(&mut self, entry: Entry) {
@@ -91,27 +94,70 @@
     fn attended(&self) -> Vec<Attended> {
         let of = |at: usize| {
             let word = self.words[at].map(|(goes_by, busy)| {
-                let busy = if busy { vec!["s0".to_owned()] } else { Vec::new() };
-                Word { goes_by: Index(goes_by), busy, ..Word::default() }.bytes()
+                let busy = if busy {
+                    vec!["s0".to_owned()]
+                } else {
+                    Vec::new()
+                };
+                Word {
+                    goes_by: Index(goes_by),
+                    busy,
+                    ..Word::default()
+                }
+                .bytes()
             });
             let span = LEASE + LINGERS;
-            let over = self.now > self.since + span && self.granted[at].is_none_or(|at| self.now > at + span);
+            let over = self.now > self.since + span
+                && self.granted[at].is_none_or(|at| self.now > at + span);
             let member = if at == 0 { "a" } else { "b" }.into();
-            Attended { member, fresh: word.is_some(), word, alone: true, over }
+            Attended {
+                member,
+                fresh: word.is_some(),
+                word,
+                alone: true,
+                over,
+            }
         };
         vec![of(0), of(1)]
     }
 
     fn steps(&self, planted: Option<Planted>) -> Vec<Entry> {
-        let limits = Limits { zone_share: 0.0, most_out: 1.0, ..Limits::default() };
-        let mut carrier = Carrier::new(Terms { limits, calm: 0, ..Terms::default() });
+        let limits = Limits {
+            zone_share: 0.0,
+            most_out: 1.0,
+            ..Limits::default()
+        };
+        let mut carrier = Carrier::new(Terms {
+            limits,
+            calm: 0,
+            ..Terms::default()
+        });
         (carrier.books, carrier.planted) = (self.books.clone(), planted);
-        let node = |at: u32| Node { name: format!("s{at}"), zone: 0, sets: vec![0], sound: true, out: false };
-        carrier.sees(Fleet { nodes: (0..3).map(node).collect(), load: 0.0 }, 0);
-        let me = if self.term.is_multiple_of(2) { "a" } else { "b" };
+        let node = |at: u32| Node {
+            name: format!("s{at}"),
+            zone: 0,
+            sets: vec![0],
+            sound: true,
+            out: false,
+        };
+        carrier.sees(
+            Fleet {
+                nodes: (0..3).map(node).collect(),
+                load: 0.0,
+            },
+            0,
+        );
+        let me = if self.term.is_multiple_of(2) {
+            "a"
+        } else {
+            "b"
+        };
         let now = Micros(u64::from(self.now) * 1_000_000);
         let (steps, _) = carrier.steps(now, &me.into(), self.term, &self.attended());
-        steps.iter().filter_map(|bytes| postcard::from_bytes(bytes).ok()).collect()
+        steps
+            .iter()
+            .filter_map(|bytes| postcard::from_bytes(bytes).ok())
+            .collect()
     }
 }
 
@@ -120,7 +166,10 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
-        let router = Router { lease: LEASE, ..Router::default() };
+        let router = Router {
+            lease: LEASE,
+            ..Router::default()
+        };
         let mut world = World {
             now: 0,
             at: 0,
@@ -134,9 +183,16 @@
             late: None,
             broken: false,
         };
-        let request = Request { machines: vec!["s0".into()], by: "ann".into(), ..Request::default() };
+        let request = Request {
+            machines: vec!["s0".into()],
+            by: "ann".into(),
+            ..Request::default()
+        };
         world.play(Entry::Ask { request });
-        world.play(Entry::Carry { member: "b".into(), term: 1 });
+        world.play(Entry::Carry {
+            member: "b".into(),
+            term: 1,
+        });
         vec![world]
     }
 
@@ -210,7 +266,10 @@
                 of.broken |= of.out() && of.permitted();
             }
             Action::Ends(at) => of.routers[at].busy = false,
-            Action::Steps => of.steps(self.planted).into_iter().for_each(|step| of.play(step)),
+            Action::Steps => of
+                .steps(self.planted)
+                .into_iter()
+                .for_each(|step| of.play(step)),
             Action::Holds => of.late = of.steps(self.planted).into_iter().next(),
             Action::Late => {
                 let step = of.late.take()?;
@@ -222,7 +281,11 @@
             }
             Action::GivesBack => {
                 let permit = of.books.jobs.values().find_map(|job| job.stage.permit())?;
-                of.play(Entry::Done { permit, by: "ann".into(), failed: None });
+                of.play(Entry::Done {
+                    permit,
+                    by: "ann".into(),
+                    failed: None,
+                });
             }
         }
         // A part that is at the machine as the permit is given breaks the rule as well.
@@ -232,26 +295,48 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is at a machine under its permit", |_, of: &World| !of.broken),
+            Property::always(
+                "nothing is at a machine under its permit",
+                |_, of: &World| !of.broken,
+            ),
             Property::sometimes("a permit is given", |_, of: &World| of.permitted()),
-            Property::sometimes("a permit is given without a word of one router", |_, of: &World| {
-                of.permitted() && of.words.contains(&None)
-            }),
+            Property::sometimes(
+                "a permit is given without a word of one router",
+                |_, of: &World| of.permitted() && of.words.contains(&None),
+            ),
         ]
     }
 
     /// A permit that has been given back ends the story.
     fn within_boundary(&self, of: &World) -> bool {
-        of.at < 9 && of.books.jobs.values().all(|job| !matches!(job.stage, Stage::Returns { .. }))
+        of.at < 9
+            && of
+                .books
+                .jobs
+                .values()
+                .all(|job| !matches!(job.stage, Stage::Returns { .. }))
     }
 }
 
 #[test]
 fn nothing_is_ever_begun_under_a_permit() {
-    let checker = Out { planted: None }.checker().threads(4).target_state_count(600_000).spawn_bfs().join();
+    let checker = Out { planted: None }
+        .checker()
+        .threads(4)
+        .target_state_count(600_000)
+        .spawn_bfs()
+        .join();
     checker.assert_no_discovery("nothing is at a machine under its permit");
-    assert!(checker.discovery("a permit is given").is_some(), "{} states", checker.unique_state_count());
-    assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
+    assert!(
+        checker.discovery("a permit is given").is_some(),
+        "{} states",
+        checker.unique_state_count()
+    );
+    assert!(
+        checker.unique_state_count() > 10_000,
+        "{} states",
+        checker.unique_state_count()
+    );
     eprintln!("{} states", checker.unique_state_count());
 }
 
@@ -259,7 +344,15 @@
 #[test_case(Planted::SilentIsQuiet)]
 #[test_case(Planted::AnyWord)]
 fn a_planted_fault_is_found(planted: Planted) {
-    let checker =
-        Out { planted: Some(planted) }.checker().threads(4).target_state_count(600_000).spawn_bfs().join();
-    assert!(checker.discovery("nothing is at a machine under its permit").is_some());
+    let checker = Out {
+        planted: Some(planted),
+    }
+    .checker()
+    .threads(4)
+    .target_state_count(600_000)
+    .spawn_bfs()
+    .join();
+    assert!(checker
+        .discovery("nothing is at a machine under its permit")
+        .is_some());
 }
--- a/works/src/order.rs
+++ b/works/src/order.rs
@@ -40,8 +40,13 @@
 /// bears the fewest.
 fn tightest(demand: &[usize], room: &Room, item: &Item) -> (f64, Option<usize>) {
     let uses = || item.nodes.iter().flat_map(|node| room.uses(*node));
-    let scarce = uses().map(|(limit, free)| demand[limit] as f64 / free.max(1) as f64).fold(0.0, f64::max);
-    (scarce, uses().min_by_key(|(_, free)| *free).map(|(limit, _)| limit))
+    let scarce = uses()
+        .map(|(limit, free)| demand[limit] as f64 / free.max(1) as f64)
+        .fold(0.0, f64::max);
+    (
+        scarce,
+        uses().min_by_key(|(_, free)| *free).map(|(limit, _)| limit),
+    )
 }
 
 fn demand(items: &[Item], room: &Room) -> Vec<usize> {
@@ -55,7 +60,11 @@
 /// Rounds that no plan can do without: of each limit, what is wanted by what is free.
 pub fn lower_bound(items: &[Item], room: &Room) -> usize {
     let pairs = demand(items, room).into_iter().zip(room.free());
-    pairs.filter(|(_, free)| *free > 0).map(|(wanted, free)| wanted.div_ceil(free)).max().unwrap_or(0)
+    pairs
+        .filter(|(_, free)| *free > 0)
+        .map(|(wanted, free)| wanted.div_ceil(free))
+        .max()
+        .unwrap_or(0)
 }
 
 /// What a round has taken of each limit.
@@ -82,7 +91,11 @@
 
     fn add(&mut self, room: &Room, item: &Item, sign: bool) {
         for (limit, _) in item.nodes.iter().flat_map(|node| room.uses(*node)) {
-            self.0[limit] = if sign { self.0[limit] + 1 } else { self.0[limit] - 1 };
+            self.0[limit] = if sign {
+                self.0[limit] + 1
+            } else {
+                self.0[limit] - 1
+            };
         }
     }
 }
@@ -109,16 +122,22 @@
     }
     order.sort_by(|(a, tight_a, rank_a), (b, tight_b, rank_b)| {
         let urgency = items[*a].urgency.cmp(&items[*b].urgency);
-        urgency.then(tight_b.total_cmp(tight_a)).then(rank_a.cmp(rank_b)).then(a.cmp(b))
+        urgency
+            .then(tight_b.total_cmp(tight_a))
+            .then(rank_a.cmp(rank_b))
+            .then(a.cmp(b))
     });
     let (mut rounds, mut taken) = (Vec::<Round>::new(), Vec::<Taken>::new());
     for (at, ..) in order {
         let item = &items[at];
-        let round = taken.iter().position(|taken| taken.fits(room, item)).unwrap_or_else(|| {
-            rounds.push(Round::default());
-            taken.push(Taken(vec![0; limits]));
-            taken.len() - 1
-        });
+        let round = taken
+            .iter()
+            .position(|taken| taken.fits(room, item))
+            .unwrap_or_else(|| {
+                rounds.push(Round::default());
+                taken.push(Taken(vec![0; limits]));
+                taken.len() - 1
+            });
         taken[round].add(room, item, true);
         rounds[round].items.push(at);
         rounds[round].lasts = rounds[round].lasts.max(item.lasts);
@@ -130,17 +149,26 @@
         .map(|(_, item)| item.clone())
         .collect();
     let bound = lower_bound(&fits, room).max(usize::from(!rounds.is_empty()));
-    Plan { rounds, cannot, bound }
+    Plan {
+        rounds,
+        cannot,
+        bound,
+    }
 }
 
 /// The least rounds there are, by search; none: some item fits nowhere, or it takes more than so many tries.
 pub fn exact_rounds(items: &[Item], room: &Room, most_tries: usize) -> Option<usize> {
-    if items.iter().any(|item| room.clone().take_all(&item.nodes).is_err()) {
+    if items
+        .iter()
+        .any(|item| room.clone().take_all(&item.nodes).is_err())
+    {
         return None;
     }
     let mut tries = 0;
     for count in lower_bound(items, room)..=items.len() {
-        let mut taken: Vec<Taken> = (0..count).map(|_| Taken(vec![0; room.free().len()])).collect();
+        let mut taken: Vec<Taken> = (0..count)
+            .map(|_| Taken(vec![0; room.free().len()]))
+            .collect();
         match fill(items, room, &mut taken, 0, &mut tries, most_tries) {
             Some(true) => return Some(count),
             Some(false) => {}
@@ -151,9 +179,16 @@
 }
 
 fn fill(
-    items: &[Item], room: &Room, taken: &mut [Taken], used: usize, tries: &mut usize, most: usize,
+    items: &[Item],
+    room: &Room,
+    taken: &mut [Taken],
+    used: usize,
+    tries: &mut usize,
+    most: usize,
 ) -> Option<bool> {
-    let Some((item, rest)) = items.split_first() else { return Some(true) };
+    let Some((item, rest)) = items.split_first() else {
+        return Some(true);
+    };
     *tries += 1;
     if *tries > most {
         return None;
--- a/works/src/room.rs
+++ b/works/src/room.rs
@@ -28,7 +28,14 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { keep: 2, zone_share: 0.5, most_out: 0.2, per_node: None, growth: 0.25, reserve: 1 }
+        Limits {
+            keep: 2,
+            zone_share: 0.5,
+            most_out: 0.2,
+            per_node: None,
+            growth: 0.25,
+            reserve: 1,
+        }
     }
 }
 
@@ -92,16 +99,25 @@
         match self {
             Binds::Unknown(name) => write!(f, "discovery lists no {name}"),
             Binds::LastHolder(set) => {
-                write!(f, "it is the only sound holder of set {set}: give that another first")
+                write!(
+                    f,
+                    "it is the only sound holder of set {set}: give that another first"
+                )
             }
             Binds::Holders { set, sound, floor } => {
                 write!(f, "set {set} has {sound} sound holders and keeps {floor}")
             }
             Binds::Zone { zone, sound, floor } => {
-                write!(f, "zone {zone} has {sound} sound machines and keeps {floor}")
+                write!(
+                    f,
+                    "zone {zone} has {sound} sound machines and keeps {floor}"
+                )
             }
             Binds::Load { sound, floor } => {
-                write!(f, "{sound} machines are sound, the load with its reserve needs {floor}")
+                write!(
+                    f,
+                    "{sound} machines are sound, the load with its reserve needs {floor}"
+                )
             }
             Binds::MostOut(most) => write!(f, "{most} machines are out, no more may be at a time"),
         }
@@ -151,13 +167,18 @@
             // Each limit twice: of those that are sound, and of those that are not in work. One that fails just now
             // takes nothing of the first, and all the same must not go where a neighbour is out: it may be sound in a
             // moment, and under a permit it could not. Seen: two permits in a set of three, one for a doubted machine.
-            for (key, in_work) in
-                sets.chain([(1, u32::from(node.zone))]).flat_map(|key| [(key, false), (key, true)])
+            for (key, in_work) in sets
+                .chain([(1, u32::from(node.zone))])
+                .flat_map(|key| [(key, false), (key, true)])
             {
                 let limit = *at.entry((key, in_work)).or_insert_with(|| {
                     all.push(Limit { sound: 0, floor: 0 });
                     totals.push(0);
-                    names.push(if key.0 == 0 { Name::Set(key.1) } else { Name::Zone(node.zone) });
+                    names.push(if key.0 == 0 {
+                        Name::Set(key.1)
+                    } else {
+                        Name::Zone(node.zone)
+                    });
                     all.len() - 1
                 });
                 totals[limit] += 1;
@@ -175,26 +196,52 @@
             };
         }
         let sound = world.nodes.iter().filter(|node| node.sound).count();
-        let needed = limits.per_node.filter(|per_node| *per_node > 0.0).map_or(0, |per_node| {
-            (world.load * (1.0 + limits.growth) / per_node).ceil() as usize + limits.reserve
-        });
+        let needed = limits
+            .per_node
+            .filter(|per_node| *per_node > 0.0)
+            .map_or(0, |per_node| {
+                (world.load * (1.0 + limits.growth) / per_node).ceil() as usize + limits.reserve
+            });
         let most_out = limits.most_out(world.nodes.len());
         for (name, limit) in [
-            (Name::Load, Limit { sound, floor: needed }),
-            (Name::MostOut, Limit { sound: most_out, floor: out.min(most_out) }),
+            (
+                Name::Load,
+                Limit {
+                    sound,
+                    floor: needed,
+                },
+            ),
+            (
+                Name::MostOut,
+                Limit {
+                    sound: most_out,
+                    floor: out.min(most_out),
+                },
+            ),
         ] {
             names.push(name);
             all.push(limit);
             let takes = |node: &Node| node.sound || matches!(name, Name::MostOut);
-            let of = of.iter_mut().zip(&world.nodes).filter(|(_, node)| takes(node));
+            let of = of
+                .iter_mut()
+                .zip(&world.nodes)
+                .filter(|(_, node)| takes(node));
             of.for_each(|(of, _)| of.push(all.len() - 1));
         }
-        Room { limits: all, names, of, most_out }
+        Room {
+            limits: all,
+            names,
+            of,
+            most_out,
+        }
     }
 
     /// What a machine's going out would break, if anything.
     pub fn may(&self, node: usize) -> Result<(), Binds> {
-        match self.of[node].iter().find(|limit| self.limits[**limit].free() == 0) {
+        match self.of[node]
+            .iter()
+            .find(|limit| self.limits[**limit].free() == 0)
+        {
             Some(limit) => Err(self.binds(*limit)),
             None => Ok(()),
         }
@@ -232,7 +279,9 @@
 
     /// The limits that a machine takes of, and how many of each are free.
     pub(crate) fn uses(&self, node: usize) -> impl Iterator<Item = (usize, usize)> + '_ {
-        self.of[node].iter().map(|limit| (*limit, self.limits[*limit].free()))
+        self.of[node]
+            .iter()
+            .map(|limit| (*limit, self.limits[*limit].free()))
     }
 
     pub(crate) fn free(&self) -> Vec<usize> {
@@ -250,15 +299,24 @@
         let node = |at: usize| Node {
             name: format!("s{at}"),
             zone: (at % 2) as u16,
-            sets: (0..sets.len() as u32).filter(|set| sets[*set as usize].contains(&at)).collect(),
+            sets: (0..sets.len() as u32)
+                .filter(|set| sets[*set as usize].contains(&at))
+                .collect(),
             sound: !dead.contains(&at),
             out: false,
         };
-        World { nodes: (0..nodes).map(node).collect(), load: 0.0 }
+        World {
+            nodes: (0..nodes).map(node).collect(),
+            load: 0.0,
+        }
     }
 
     fn open() -> Limits {
-        Limits { zone_share: 0.0, most_out: 1.0, ..Limits::default() }
+        Limits {
+            zone_share: 0.0,
+            most_out: 1.0,
+            ..Limits::default()
+        }
     }
 
     #[test_case(&[&[0, 1, 2]], &[], Ok(()); "three holders, two stay")]
@@ -277,7 +335,10 @@
     #[test_case(Limits { per_node: Some(10.0), ..open() }, 0, Err(Binds::Load { sound: 6, floor: 6 }); "the load")]
     #[test_case(Limits { per_node: Some(13.0), ..open() }, 0, Ok(()); "room for the load and one failure")]
     fn what_else_binds(limits: Limits, out: usize, said: Result<(), Binds>) {
-        let world = World { load: 40.0, ..world(6, &[&[0, 1, 2]], &[]) };
+        let world = World {
+            load: 40.0,
+            ..world(6, &[&[0, 1, 2]], &[])
+        };
         assert_eq!(Room::of(&world, &limits, out).may(0), said);
     }
 
@@ -286,15 +347,33 @@
     fn nobody_goes_where_a_neighbour_is_out(fails: bool) {
         let mut world = world(6, &[&[0, 1, 2]], if fails { &[0] } else { &[] });
         (world.nodes[1].sound, world.nodes[1].out) = (false, true);
-        assert_eq!(Room::of(&world, &open(), 1).may(0), Err(Binds::Holders { set: 0, sound: 2, floor: 2 }));
+        assert_eq!(
+            Room::of(&world, &open(), 1).may(0),
+            Err(Binds::Holders {
+                set: 0,
+                sound: 2,
+                floor: 2
+            })
+        );
     }
 
     #[test]
     fn together_means_all_or_none() {
         let world = world(6, &[&[0, 1, 2], &[3, 4, 5]], &[]);
         let mut room = Room::of(&world, &open(), 0);
-        assert_eq!(room.take_all(&[0, 1]), Err(Binds::Holders { set: 0, sound: 2, floor: 2 }));
-        assert_eq!(room.take_all(&[0, 3]), Ok(()), "nothing was taken by the try before");
+        assert_eq!(
+            room.take_all(&[0, 1]),
+            Err(Binds::Holders {
+                set: 0,
+                sound: 2,
+                floor: 2
+            })
+        );
+        assert_eq!(
+            room.take_all(&[0, 3]),
+            Ok(()),
+            "nothing was taken by the try before"
+        );
         assert!(room.may(4).is_err());
     }
 }
--- a/works/src/routers.rs
+++ b/works/src/routers.rs
@@ -36,12 +36,20 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Stays::Unknown => f.write_str("no such router belongs to the fleet"),
-            Stays::Another(other) => write!(f, "{other} is out or not there: one router goes at a time"),
+            Stays::Another(other) => {
+                write!(f, "{other} is out or not there: one router goes at a time")
+            }
             Stays::Zone { zone, there, floor } => {
-                write!(f, "zone '{zone}' has {there} routers there and keeps {floor}")
+                write!(
+                    f,
+                    "zone '{zone}' has {there} routers there and keeps {floor}"
+                )
             }
             Stays::Quorum { there, floor } => {
-                write!(f, "{there} routers that vote are there, the fleet needs {floor}")
+                write!(
+                    f,
+                    "{there} routers that vote are there, the fleet needs {floor}"
+                )
             }
             Stays::CarriesOn => f.write_str("it carries the work on, and goes last"),
         }
@@ -61,9 +69,13 @@
 impl Routers<'_> {
     /// Whether a router may go now. `others`: more wait to go.
     pub fn may_go(&self, whom: &Member, others: bool) -> Result<(), Stays> {
-        let Some(own) = self.members.get(whom) else { return Err(Stays::Unknown) };
-        if let Some(other) =
-            self.members.keys().find(|member| *member != whom && !self.there.contains(*member))
+        let Some(own) = self.members.get(whom) else {
+            return Err(Stays::Unknown);
+        };
+        if let Some(other) = self
+            .members
+            .keys()
+            .find(|member| *member != whom && !self.there.contains(*member))
         {
             return Err(Stays::Another(other.clone()));
         }
@@ -84,12 +96,19 @@
             0
         };
         if there < floor {
-            return Err(Stays::Zone { zone: own.zone.clone(), there: there + 1, floor });
+            return Err(Stays::Zone {
+                zone: own.zone.clone(),
+                there: there + 1,
+                floor,
+            });
         }
         let (voters, there) = left(&|of| of.seat.is_some() && !of.learns);
         let floor = voters / 2 + 1;
         if own.seat.is_some() && there < floor {
-            return Err(Stays::Quorum { there: there + 1, floor });
+            return Err(Stays::Quorum {
+                there: there + 1,
+                floor,
+            });
         }
         if whom == self.carrier && others {
             return Err(Stays::CarriesOn);
@@ -112,7 +131,9 @@
             seat: (at < voters).then_some(SeatNo(at as u64 + 1)),
             learns: false,
         };
-        (0..5).map(|at| (format!("n{at}").as_str().into(), seated(at))).collect()
+        (0..5)
+            .map(|at| (format!("n{at}").as_str().into(), seated(at)))
+            .collect()
     }
 
     #[test_case(3, &[], "n4", false, Ok(()); "one without a vote")]
@@ -123,11 +144,26 @@
     #[test_case(3, &[], "n0", true, Err(Stays::CarriesOn); "the carrier, and others wait")]
     #[test_case(3, &[], "n0", false, Ok(()); "the carrier last")]
     #[test_case(3, &[], "n9", false, Err(Stays::Unknown); "a stranger")]
-    fn a_router_may_go(voters: usize, missing: &[&str], whom: &str, others: bool, said: Result<(), Stays>) {
+    fn a_router_may_go(
+        voters: usize,
+        missing: &[&str],
+        whom: &str,
+        others: bool,
+        said: Result<(), Stays>,
+    ) {
         let members = fleet(voters);
-        let there = members.keys().filter(|member| !missing.contains(&member.0.as_str())).cloned().collect();
+        let there = members
+            .keys()
+            .filter(|member| !missing.contains(&member.0.as_str()))
+            .cloned()
+            .collect();
         let carrier: Member = "n0".into();
-        let routers = Routers { members: &members, there, carrier: &carrier, zone_share: 0.5 };
+        let routers = Routers {
+            members: &members,
+            there,
+            carrier: &carrier,
+            zone_share: 0.5,
+        };
         assert_eq!(routers.may_go(&whom.into(), others), said);
     }
 
@@ -136,9 +172,18 @@
         let members = fleet(3);
         let there = members.keys().cloned().collect();
         let carrier: Member = "n0".into();
-        let routers = Routers { members: &members, there, carrier: &carrier, zone_share: 1.0 };
+        let routers = Routers {
+            members: &members,
+            there,
+            carrier: &carrier,
+            zone_share: 1.0,
+        };
         // Never the last of a zone, and of two one may go whatever the share.
         assert_eq!(routers.may_go(&"n1".into(), false), Ok(()));
-        assert_eq!(routers.may_go(&"n4".into(), false), Ok(()), "two of three stay");
+        assert_eq!(
+            routers.may_go(&"n4".into(), false),
+            Ok(()),
+            "two of three stay"
+        );
     }
 }
--- a/works/tests/rounds.rs
+++ b/works/tests/rounds.rs
@@ -7,18 +7,31 @@
 fn drawn(seed: u64) -> (World, Limits, Vec<Item>) {
     let mut chance = WyRand::new_seed(seed);
     let nodes = chance.generate_range(3usize..13);
-    let (reach, ring) = (chance.generate_range(1u32..5), chance.generate_range(0u32..2) == 0);
+    let (reach, ring) = (
+        chance.generate_range(1u32..5),
+        chance.generate_range(0u32..2) == 0,
+    );
     let cells = (nodes as u32).div_ceil(2).max(1);
     let node = |at: usize, dead: bool| {
         let own = at as u32 % cells;
         let sets = if ring {
-            (0..reach.min(cells)).map(|j| (own + cells - j) % cells).collect()
+            (0..reach.min(cells))
+                .map(|j| (own + cells - j) % cells)
+                .collect()
         } else {
             vec![own / reach]
         };
-        Node { name: format!("s{at}"), zone: (at % 3) as u16, sets, sound: !dead, out: false }
+        Node {
+            name: format!("s{at}"),
+            zone: (at % 3) as u16,
+            sets,
+            sound: !dead,
+            out: false,
+        }
     };
-    let nodes = (0..nodes).map(|at| node(at, chance.generate_range(0u32..12) == 0)).collect();
+    let nodes = (0..nodes)
+        .map(|at| node(at, chance.generate_range(0u32..12) == 0))
+        .collect();
     let limits = Limits {
         keep: chance.generate_range(1usize..4),
         zone_share: [0.0, 0.3, 0.5][chance.generate_range(0usize..3)],
@@ -34,7 +47,12 @@
         let nodes: Vec<usize> = if together { vec![at, at + 1] } else { vec![at] };
         at += nodes.len();
         if chance.generate_range(0u32..5) > 0 && room.clone().take_all(&nodes).is_ok() {
-            items.push(Item { request: RequestNo(1), nodes, urgency: (u64::MAX, 0), lasts: 1 });
+            items.push(Item {
+                request: RequestNo(1),
+                nodes,
+                urgency: (u64::MAX, 0),
+                lasts: 1,
+            });
         }
     }
     (world, limits, items)
@@ -48,18 +66,30 @@
         let room = Room::of(&world, &limits, 0);
         let of = plan(&items, &room);
         assert_eq!(of.cannot, [], "seed {seed}: each alone may go");
-        let mut placed: Vec<usize> = of.rounds.iter().flat_map(|round| round.items.clone()).collect();
+        let mut placed: Vec<usize> = of
+            .rounds
+            .iter()
+            .flat_map(|round| round.items.clone())
+            .collect();
         placed.sort_unstable();
-        assert_eq!(placed, (0..items.len()).collect::<Vec<_>>(), "seed {seed}: each once");
+        assert_eq!(
+            placed,
+            (0..items.len()).collect::<Vec<_>>(),
+            "seed {seed}: each once"
+        );
         for round in &of.rounds {
             let mut room = room.clone();
             for at in &round.items {
-                room.take_all(&items[*at].nodes).unwrap_or_else(|binds| panic!("seed {seed}: {binds}"));
+                room.take_all(&items[*at].nodes)
+                    .unwrap_or_else(|binds| panic!("seed {seed}: {binds}"));
             }
         }
-        let least =
-            exact_rounds(&items, &room, 2_000_000).unwrap_or_else(|| panic!("seed {seed}: too large"));
-        assert!(lower_bound(&items, &room) <= least && least <= of.rounds.len(), "seed {seed}");
+        let least = exact_rounds(&items, &room, 2_000_000)
+            .unwrap_or_else(|| panic!("seed {seed}: too large"));
+        assert!(
+            lower_bound(&items, &room) <= least && least <= of.rounds.len(),
+            "seed {seed}"
+        );
         bound_met += usize::from(lower_bound(&items, &room) == least);
         match of.rounds.len() - least {
             0 => same += 1,
@@ -67,15 +97,34 @@
             _ => worse += 1,
         }
     }
-    eprintln!("the least {same}, one more {one_more}, worse {worse}; the bound is the least {bound_met}");
-    assert!(same >= 950 && worse == 0, "the least {same}, one more {one_more}, worse {worse}");
+    eprintln!(
+        "the least {same}, one more {one_more}, worse {worse}; the bound is the least {bound_met}"
+    );
+    assert!(
+        same >= 950 && worse == 0,
+        "the least {same}, one more {one_more}, worse {worse}"
+    );
 }
 
 #[test]
 fn urgent_ones_go_first_and_a_dead_machine_is_in_nobodys_way() {
-    let node = |at: u32, sound| Node { name: format!("s{at}"), zone: 0, sets: vec![0], sound, out: false };
-    let world = World { nodes: (0..5).map(|at| node(at, at != 4)).collect(), load: 0.0 };
-    let limits = Limits { keep: 3, zone_share: 0.0, most_out: 1.0, ..Limits::default() };
+    let node = |at: u32, sound| Node {
+        name: format!("s{at}"),
+        zone: 0,
+        sets: vec![0],
+        sound,
+        out: false,
+    };
+    let world = World {
+        nodes: (0..5).map(|at| node(at, at != 4)).collect(),
+        load: 0.0,
+    };
+    let limits = Limits {
+        keep: 3,
+        zone_share: 0.0,
+        most_out: 1.0,
+        ..Limits::default()
+    };
     let item = |node: usize, by_when| Item {
         request: RequestNo(node as u64),
         nodes: vec![node],
@@ -97,15 +146,31 @@
         sound: true,
         out: false,
     };
-    let world = World { nodes: (0..12_000).map(node).collect(), load: 0.0 };
-    let limits = Limits { most_out: 0.1, ..Limits::default() };
+    let world = World {
+        nodes: (0..12_000).map(node).collect(),
+        load: 0.0,
+    };
+    let limits = Limits {
+        most_out: 0.1,
+        ..Limits::default()
+    };
     let room = Room::of(&world, &limits, 0);
     let items: Vec<Item> = (0..12_000)
-        .map(|at| Item { request: RequestNo(1), nodes: vec![at], urgency: (0, 0), lasts: 1 })
+        .map(|at| Item {
+            request: RequestNo(1),
+            nodes: vec![at],
+            urgency: (0, 0),
+            lasts: 1,
+        })
         .collect();
     let began = std::time::Instant::now();
     let of = plan(&items, &room);
-    eprintln!("{} rounds, at least {}, {:?}", of.rounds.len(), of.bound, began.elapsed());
+    eprintln!(
+        "{} rounds, at least {}, {:?}",
+        of.rounds.len(),
+        of.bound,
+        began.elapsed()
+    );
     // 128 at a time, as every router has to know them.
     assert_eq!((of.rounds.len(), of.bound), (94, 94));
 }
