--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -6,7 +6,7 @@
 use ternpick::brain::Brain;
 use ternpick::interface::Actions;
 use ternpick::types::*;
-use ternpick_tariff as tariff;
+use ternpick_platform_config as tariff;
 
 use crate::frame::{BadFrame, Batch, Fields, Reply};
 
--- a/faults/examples/preload.rs
+++ b/fault_injection/examples/preload.rs
@@ -8,7 +8,7 @@
 use std::sync::OnceLock;
 
 use libc::{iovec, msghdr, size_t, sockaddr, socklen_t, ssize_t, timespec};
-use ternpick_faults::{Call, Effect, Plan, Role, Rule, VARIABLE};
+use ternpick_fault_injection::{Call, Effect, Plan, Role, Rule, VARIABLE};
 
 const DESCRIPTORS: usize = 65_536;
 
--- a/policy/tests/far_behind.rs
+++ b/fleet_policy/tests/far_behind.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use ternpick::types::Micros;
-use ternpick_policy::{
+use ternpick_fleet_policy::{
     Entry, Incarnation, Index, Keeper, Op, Paper, Register, Round, Seated, Terms, Told, Verdict,
     Version, View,
 };
--- a/works/src/books.rs
+++ b/maintenance/src/books.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde::{Deserialize, Serialize};
-use ternpick_policy::{Index, Member};
+use ternpick_fleet_policy::{Index, Member};
 
 use crate::ids::{Fence, PermitNo, RequestNo};
 use crate::room::MOST_OUT;
--- a/works/src/carrier.rs
+++ b/maintenance/src/carrier.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use ternpick::types::Micros;
-use ternpick_policy::{Annex, Attended, Index, Member, Seated};
+use ternpick_fleet_policy::{Annex, Attended, Index, Member, Seated};
 
 use crate::books::{Books, Entry, Job, Request, Stage};
 use crate::ids::RequestNo;
@@ -1244,7 +1244,7 @@
         let seated = |seat: u64| Seated {
             address: String::new(),
             zone: String::new(),
-            seat: Some(ternpick_policy::SeatNo(seat)),
+            seat: Some(ternpick_fleet_policy::SeatNo(seat)),
             learns: false,
         };
         let members = (0..3)
--- a/works/src/ids.rs
+++ b/maintenance/src/ids.rs
@@ -1,6 +1,6 @@
 //! Numbers of the works; each is a place in the agreed log, so that none is ever given twice.
 
-ternpick_policy::numbers! {
+ternpick_fleet_policy::numbers! {
     /// A request for machines.
     RequestNo,
     /// A permit to work on one machine.
--- a/works/src/model.rs
+++ b/maintenance/src/model.rs
@@ -4,7 +4,7 @@
 
 use stateright::{Checker, Model, Property};
 use ternpick::types::Micros;
-use ternpick_policy::{Annex, Attended, Index};
+use ternpick_fleet_policy::{Annex, Attended, Index};
 use test_case::test_case;
 
 use crate::room::{Limits, Node, World as Fleet};
--- a/works/src/routers.rs
+++ b/maintenance/src/routers.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use ternpick_policy::{Member, Seated};
+use ternpick_fleet_policy::{Member, Seated};
 
 /// A router is asked for by this and its name.
 const PREFIX: &str = "router:";
@@ -120,7 +120,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use ternpick_policy::SeatNo;
+    use ternpick_fleet_policy::SeatNo;
     use test_case::test_case;
 
     /// n0 to n4; the first `voters` vote, two zones by turns.
--- a/works/src/word.rs
+++ b/maintenance/src/word.rs
@@ -1,7 +1,7 @@
 //! What a router says of the works, with each request for its lease.
 
 use serde::{Deserialize, Serialize};
-use ternpick_policy::Index;
+use ternpick_fleet_policy::Index;
 
 /// A router's word. All that it says is its state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/works/tests/rounds.rs
+++ b/maintenance/tests/rounds.rs
@@ -1,7 +1,7 @@
 //! Rounds on drawn fleets: never against the limits, nothing left out that could go, close to the least there is.
 
 use nanorand::{Rng, WyRand};
-use ternpick_works::{exact_rounds, lower_bound, plan, Item, Limits, Node, RequestNo, Room, World};
+use ternpick_maintenance::{exact_rounds, lower_bound, plan, Item, Limits, Node, RequestNo, Room, World};
 
 /// A drawn fleet: a ring of sets or blocks of holders, some machines dead, and some of them wanted.
 fn drawn(seed: u64) -> (World, Limits, Vec<Item>) {
--- a/router/examples/upgrade_standin.rs
+++ b/router/examples/upgrade_standin.rs
@@ -6,7 +6,7 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-use ternpick_handover::{decode, encode, Message, VERSION};
+use ternpick_hot_restart::{decode, encode, Message, VERSION};
 
 fn receive(stream: &mut UnixStream, input: &mut Vec<u8>) -> Message {
     loop {
--- a/router/src/fleet/cli.rs
+++ b/router/src/fleet/cli.rs
@@ -9,7 +9,7 @@
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
 use ternpick_consensus::Seat;
-use ternpick_policy::{Member, Record, Register};
+use ternpick_fleet_policy::{Member, Record, Register};
 
 use crate::fleet::{chance, disk, founders, number_of};
 use crate::lifecycle::control::{ask_within, Socket};
--- a/router/src/fleet/commands.rs
+++ b/router/src/fleet/commands.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{json, Value};
 use ternpick::types::Micros;
-use ternpick_policy::{Command, Council, Fate, Heard, Op, Outcome, Paper, Record, Register, Wish};
+use ternpick_fleet_policy::{Command, Council, Fate, Heard, Op, Outcome, Paper, Record, Register, Wish};
 
 use crate::fleet::Fleet;
 use crate::stages::Router;
@@ -26,7 +26,7 @@
 }
 
 fn policy(register: &Register) -> Value {
-    let past = |past: &ternpick_policy::Past| {
+    let past = |past: &ternpick_fleet_policy::Past| {
         let mut row = json!({"number": past.number, "author": past.author, "reason": past.reason, "at": past.at});
         if let (Value::Object(row), Value::Object(more)) = (&mut row, fate(&past.fate)) {
             row.extend(more);
@@ -54,9 +54,9 @@
     }
     let mut answer = policy(register);
     let mut seen = chair.members(now, register);
-    let is_silent = |of: &ternpick_policy::Seen| of.heard.is_none_or(|ago| ago.0 > 1_000_000);
+    let is_silent = |of: &ternpick_fleet_policy::Seen| of.heard.is_none_or(|ago| ago.0 > 1_000_000);
     let waits_for =
-        |of: &ternpick_policy::Seen| of.fits == Some(false) || of.stopped == Some(false);
+        |of: &ternpick_fleet_policy::Seen| of.fits == Some(false) || of.stopped == Some(false);
     answer["silent"] = seen.iter().filter(|of| is_silent(of)).count().into();
     answer["latest_ms"] = (chair.at_the_latest(now, register).0 / 1000).into();
     answer["leader"] = json!(council.leader());
--- a/router/src/fleet/disk.rs
+++ b/router/src/fleet/disk.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use ternpick_consensus::{FleetId, Seat, Terms};
-use ternpick_policy::Found;
+use ternpick_fleet_policy::Found;
 use ternpick_store::Journal;
 
 /// The name of the file, and the kind of what is in it.
--- a/router/src/fleet/drive.rs
+++ b/router/src/fleet/drive.rs
@@ -9,7 +9,7 @@
 use event_listener::Event;
 use futures_lite::future;
 use ternpick::types::Micros;
-use ternpick_policy::{Act, Effect, Heard, Level, Member, Op, Said, Verdict, Wish};
+use ternpick_fleet_policy::{Act, Effect, Heard, Level, Member, Op, Said, Verdict, Wish};
 
 use crate::fleet::post::{self, Post};
 use crate::fleet::{chance, commands, disk, Fleet};
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! Talk between the routers of one fleet, where the settings ask for it: moves bytes, keeps files, passes time in. What is
-//! agreed, who may admit and which step comes next are decided by `ternpick-consensus` and `ternpick-policy`.
+//! agreed, who may admit and which step comes next are decided by `ternpick-consensus` and `ternpick-fleet-policy`.
 //!
 //! One task ([`drive::run`]) drives this router's council; the keeper of its lease is asked by
 //! the stage `admit` in the turn in which a lookup is taken.
@@ -25,7 +25,7 @@
 use ternpick::brain::Brain;
 use ternpick::types::{Listing, Micros, Phase, Tariff};
 use ternpick_consensus::FleetId;
-use ternpick_policy::{
+use ternpick_fleet_policy::{
     Admission, Council, Incarnation, Keeper, Member, Paper, Platform, Record, SeatNo, Seated,
     Terms, Verdict, Version,
 };
@@ -109,7 +109,7 @@
 /// Plants the fault that the environment names.
 #[cfg(feature = "planted")]
 fn plant(council: &mut Council) {
-    use ternpick_policy::planted::{InChair, InKeeper};
+    use ternpick_fleet_policy::planted::{InChair, InKeeper};
     let word = std::env::var("TERNPICK_PLANTED").unwrap_or_default();
     match word.as_str() {
         "no-wait" => council.planted = Some(InChair::NoWait),
@@ -175,7 +175,7 @@
     ) -> Rc<Fleet> {
         let (terms, me) = (spans(&settings), Member::from(name));
         let keeper = Keeper::starts(terms, me.clone(), Incarnation(chance()), inherits, now);
-        let seat_terms = ternpick_policy::seat_terms(settings.election);
+        let seat_terms = ternpick_fleet_policy::seat_terms(settings.election);
         let id = number_of(&settings.name);
         #[allow(unused_mut)]
         let mut council = Council::new(
@@ -242,11 +242,11 @@
     }
 
     fn seat_terms(&self) -> ternpick_consensus::Terms {
-        ternpick_policy::seat_terms(self.settings.election)
+        ternpick_fleet_policy::seat_terms(self.settings.election)
     }
 
     pub fn platform(&self) -> Platform {
-        ternpick_policy::platform(&self.own, &self.indexes, &self.customers)
+        ternpick_fleet_policy::platform(&self.own, &self.indexes, &self.customers)
     }
 
     /// Has those that wait to be taken look again.
@@ -341,7 +341,7 @@
         };
         let mut desk = router.desk.borrow_mut();
         let tariff = &mut desk.brain.tariff;
-        ternpick_policy::put_in_force(&record, &self.own, &self.indexes, &self.customers, tariff);
+        ternpick_fleet_policy::put_in_force(&record, &self.own, &self.indexes, &self.customers, tariff);
         drop(desk);
         let drained: BTreeSet<String> = record.drained.iter().cloned().collect();
         let before = self.drained.replace(drained);
--- a/router/src/fleet/parcel.rs
+++ b/router/src/fleet/parcel.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use ternpick_consensus::FleetId;
-use ternpick_policy::{Member, Said};
+use ternpick_fleet_policy::{Member, Said};
 
 /// The path that fleets speak on, and the form of what is said there.
 pub const PATH: &str = "/_fleet/1";
@@ -116,8 +116,8 @@
 
     fn long(bytes: usize) -> Said {
         Said::Seat {
-            from: ternpick_policy::SeatNo(1),
-            to: ternpick_policy::SeatNo(2),
+            from: ternpick_fleet_policy::SeatNo(1),
+            to: ternpick_fleet_policy::SeatNo(2),
             word: vec![7; bytes],
         }
     }
--- a/router/src/fleet/post.rs
+++ b/router/src/fleet/post.rs
@@ -10,7 +10,7 @@
 use event_listener::Event;
 use futures_lite::future;
 use ternpick::types::Micros;
-use ternpick_policy::{Member, Said};
+use ternpick_fleet_policy::{Member, Said};
 use ternpick_wire::http::{self, Reader, HEAD_BOUND};
 use ternpick_wire::ring::Ring;
 
--- a/router/src/fleet/works.rs
+++ b/router/src/fleet/works.rs
@@ -1,5 +1,5 @@
 //! Work on machines, as far as it touches this router: what is out reaches the module as the roster's word does; this
-//! router's own word of it is made from what it sees. What is decided is in `ternpick-works`.
+//! router's own word of it is made from what it sees. What is decided is in `ternpick-maintenance`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,8 +8,8 @@
 use serde_json::{json, Value};
 use ternpick::brain::Brain;
 use ternpick::types::{Listing, Micros, Node as Seen, Phase, Tariff};
-use ternpick_policy::{Annex, Attended, Command, Heard, Index, Member, Op, Outcome, Seated, Wish};
-use ternpick_works::{Carrier, Entry, Node, Request, Terms, Word, World, MOST_MACHINES};
+use ternpick_fleet_policy::{Annex, Attended, Command, Heard, Index, Member, Op, Outcome, Seated, Wish};
+use ternpick_maintenance::{Carrier, Entry, Node, Request, Terms, Word, World, MOST_MACHINES};
 
 use crate::fleet::commands::unknown;
 use crate::fleet::Fleet;
@@ -126,7 +126,7 @@
     /// Plants the fault that the environment names.
     #[cfg(feature = "planted")]
     pub fn plant(&self) {
-        use ternpick_works::Planted;
+        use ternpick_maintenance::Planted;
         self.carrier.0.borrow_mut().planted = match std::env::var("TERNPICK_PLANTED")
             .unwrap_or_default()
             .as_str()
--- a/router/src/lifecycle/config.rs
+++ b/router/src/lifecycle/config.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 use ternpick::types::Tariff;
-use ternpick_tariff::Bounds;
+use ternpick_platform_config::Bounds;
 
 /// Descriptors, where the configuration does not say.
 const SOCKETS: usize = 1024;
@@ -53,8 +53,8 @@
     let seed =
         u64::from_str_radix(word("seed")?, 16).map_err(|_| "'seed' is not a hexadecimal number")?;
     let settings = &all["settings"];
-    let tariff = ternpick_tariff::tariff(settings).map_err(|what| format!("'settings': {what}"))?;
-    let bounds = ternpick_tariff::bounds(settings);
+    let tariff = ternpick_platform_config::tariff(settings).map_err(|what| format!("'settings': {what}"))?;
+    let bounds = ternpick_platform_config::bounds(settings);
     if tariff.indexes.is_empty() || bounds.index_names.iter().any(String::is_empty) {
         return Err("'settings': no classes, or one without a name".into());
     }
--- a/router/src/lifecycle/link.rs
+++ b/router/src/lifecycle/link.rs
@@ -1,4 +1,4 @@
-//! The link between an old and a new process: frames of [`ternpick_handover`], and descriptors beside them.
+//! The link between an old and a new process: frames of [`ternpick_hot_restart`], and descriptors beside them.
 
 use std::collections::VecDeque;
 use std::io::{Error, ErrorKind, IoSlice, IoSliceMut, Result};
@@ -11,7 +11,7 @@
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
 };
-use ternpick_handover::{decode, encode, Message, FRAME_BOUND};
+use ternpick_hot_restart::{decode, encode, Message, FRAME_BOUND};
 
 /// Descriptors in one message: the listeners, or one client's.
 const MOST_FDS: usize = 4;
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use ternpick_identity::Terms;
-use ternpick_limits::{Terms as LimitTerms, Whole};
+use ternpick_tenant_limits::{Terms as LimitTerms, Whole};
 use ternpick_settings::{Read, Schema};
 
 const SCHEMA: Schema = Schema::new(
@@ -67,7 +67,7 @@
     pub without_lease: String,
     pub confirm: bool,
     pub election: u64,
-    pub works: Option<ternpick_works::Terms>,
+    pub works: Option<ternpick_maintenance::Terms>,
 }
 
 impl FleetTerms {
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use ternpick::brain::Beliefs;
 use ternpick::types::{Micros, NodeId, Phase};
-use ternpick_limits::Counted;
+use ternpick_tenant_limits::Counted;
 
 use crate::lifecycle::watch;
 use crate::stages::Router;
--- a/router/src/lifecycle/takeover.rs
+++ b/router/src/lifecycle/takeover.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use rustix::process::{getppid, Pid};
 use ternpick::types::Micros;
-use ternpick_handover::{Effect, FromOld, Message, New, Patience};
+use ternpick_hot_restart::{Effect, FromOld, Message, New, Patience};
 
 use crate::lifecycle::link::Link;
 use crate::lifecycle::snapshot::Snapshot;
--- a/router/src/lifecycle/upgrade.rs
+++ b/router/src/lifecycle/upgrade.rs
@@ -1,4 +1,4 @@
-//! The old side of an upgrade, driven: starts the new process, carries out what [`ternpick_handover::Old`] says, and
+//! The old side of an upgrade, driven: starts the new process, carries out what [`ternpick_hot_restart::Old`] says, and
 //! passes clients' connections on. Also how a lease is put to use, on both sides.
 
 use std::cell::{Cell, RefCell};
@@ -12,7 +12,7 @@
 use futures_lite::future;
 use rustix::process::{kill_process, Pid, Signal};
 use ternpick::types::Micros;
-use ternpick_handover::{Effect, FromNew, Lease, Message, Old, Patience};
+use ternpick_hot_restart::{Effect, FromNew, Lease, Message, Old, Patience};
 
 use crate::lifecycle::link::Link;
 use crate::lifecycle::settings::ControlTerms;
--- a/router/src/stages/book.rs
+++ b/router/src/stages/book.rs
@@ -6,8 +6,8 @@
 
 use ternpick::interface::Actions;
 use ternpick::types::{CallNo, Ending, LookupId, Micros, NodeId, PartId, Reason, TimerId};
-use ternpick_limits::Limits;
-use ternpick_tariff::Bounds;
+use ternpick_tenant_limits::Limits;
+use ternpick_platform_config::Bounds;
 
 use crate::fleet::Mark;
 use crate::memory::ledger::{CallKey, CallOut, Ledger, Place};
--- a/router/src/stages/gate.rs
+++ b/router/src/stages/gate.rs
@@ -13,7 +13,7 @@
     Ask, Calendar, Certificate, Identity, KeySet, Page, Pass, Refresh, Refusal, Refused, Source,
     TermsFault, Trust,
 };
-use ternpick_limits::{Limits, Terms as LimitTerms};
+use ternpick_tenant_limits::{Limits, Terms as LimitTerms};
 
 use crate::lifecycle::settings::IdentityTerms;
 use crate::memory::clients::Answer;
--- a/router/src/stages/mod.rs
+++ b/router/src/stages/mod.rs
@@ -22,7 +22,7 @@
 use ternpick::brain::Brain;
 use ternpick::shutdown::Shutdown;
 use ternpick::types::Micros;
-use ternpick_tariff::Bounds;
+use ternpick_platform_config::Bounds;
 
 use crate::fleet::Fleet;
 use crate::lifecycle::clock::Clock;
--- a/router/tests/common/faulty.rs
+++ b/router/tests/common/faulty.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 
-use ternpick_faults::{Plan, Strikes};
+use ternpick_fault_injection::{Plan, Strikes};
 
 use super::{entry, Act, Discovery, Node, Router};
 
@@ -17,7 +17,7 @@
         .join("examples/libpreload.so");
     assert!(
         library.exists(),
-        "cargo build -p ternpick-faults --examples builds {}",
+        "cargo build -p ternpick-fault-injection --examples builds {}",
         library.display()
     );
     library
--- a/router/tests/common/fleets.rs
+++ b/router/tests/common/fleets.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, PoisonError};
 
 use ternpick_history::{Counts, Verdict};
-use ternpick_lab::fleet::{play, Change, FleetPlan, Kind, Outcome, Schedule, Step};
+use ternpick_simulation::fleet::{play, Change, FleetPlan, Kind, Outcome, Schedule, Step};
 
 /// So many fleets at a time: each has processes and clients enough for its cores.
 pub static TURNS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub mod faulty;
 pub mod guarded;
 
-pub use ternpick_lab::standins::{entry, read_head, Act, Discovery, Node};
+pub use ternpick_simulation::standins::{entry, read_head, Act, Discovery, Node};
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/router/tests/drawn.rs
+++ b/router/tests/drawn.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ternpick_faults::{Call, Effect as Does, Plan, Role, Rule, Step};
+use ternpick_fault_injection::{Call, Effect as Does, Plan, Role, Rule, Step};
 use ternpick_history::requests::{check, Effect, Saw, Terms};
 
 use common::faulty::Faulty;
--- a/router/tests/faults.rs
+++ b/router/tests/faults.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ternpick_faults::{Call, Effect, Plan, Role, Rule};
+use ternpick_fault_injection::{Call, Effect, Plan, Role, Rule};
 use test_case::test_case;
 
 use common::cold::{overrun, RAMP};
@@ -267,7 +267,7 @@
     } else {
         listed(0, 0)
     };
-    let steps = vec![ternpick_faults::Step { at_ms: 0, by_ms }];
+    let steps = vec![ternpick_fault_injection::Step { at_ms: 0, by_ms }];
     let of = Faulty::with(
         &settings,
         nodes,
--- a/router/tests/fleet.rs
+++ b/router/tests/fleet.rs
@@ -7,8 +7,8 @@
 use std::sync::PoisonError;
 
 use fleets::{change, judged, judged_of, plan, played, program, step, turn, TURNS};
-use ternpick_faults::{Call, Effect, Plan, Role, Rule, VARIABLE};
-use ternpick_lab::fleet::{Change, FleetPlan, Kind, Schedule, Step};
+use ternpick_fault_injection::{Call, Effect, Plan, Role, Rule, VARIABLE};
+use ternpick_simulation::fleet::{Change, FleetPlan, Kind, Schedule, Step};
 use test_case::test_case;
 
 /// A seed that fails is played again from its schedule.
@@ -19,7 +19,7 @@
     let _turn = turn();
     let plan = FleetPlan::parse(
         "fleet-test.cue",
-        include_str!("../../lab/plans/fleet-test.cue"),
+        include_str!("../../simulation/plans/fleet-test.cue"),
     )
     .expect("a plan");
     let folder = tempfile::tempdir().expect("a folder");
@@ -308,7 +308,7 @@
         .join("examples/libpreload.so");
     assert!(
         preload.exists(),
-        "cargo build -p ternpick-faults --examples builds {}",
+        "cargo build -p ternpick-fault-injection --examples builds {}",
         preload.display()
     );
     let script = folder.path().join("program");
--- a/router/tests/works.rs
+++ b/router/tests/works.rs
@@ -11,7 +11,7 @@
 use fleets::{change, judged, plan, played, program, step, turn};
 use serde_json::Value;
 use ternpick_history::Counts;
-use ternpick_lab::fleet::{Change, FleetPlan, Kind, Outcome, Step};
+use ternpick_simulation::fleet::{Change, FleetPlan, Kind, Outcome, Step};
 use test_case::test_case;
 
 const CREWS: &str = "nodes: 6\nsets: 2\nworks: true\nseconds: 6\nrate: 80";
@@ -30,7 +30,7 @@
     let _turn = turn();
     let plan = FleetPlan::parse(
         "works-test.cue",
-        include_str!("../../lab/plans/works-test.cue"),
+        include_str!("../../simulation/plans/works-test.cue"),
     )
     .expect("a plan");
     let folder = tempfile::tempdir().expect("a folder");
@@ -163,7 +163,7 @@
     fn start(routers: usize, nodes: usize) -> Small {
         let folder = tempfile::tempdir().expect("a folder");
         let at = |name: String| folder.path().join(name);
-        let node = |at: usize| ternpick_lab::standins::entry(&format!("s-{at}"), free(), "Ready");
+        let node = |at: usize| ternpick_simulation::standins::entry(&format!("s-{at}"), free(), "Ready");
         let nodes = (0..nodes).map(node).collect::<Vec<_>>().join(",");
         let member = |at: usize| format!("\t\tn{at}: {{address: \"{}\", vote: true}}\n", free());
         let settings = format!(
--- a/lab/examples/speed.rs
+++ b/simulation/examples/speed.rs
@@ -3,8 +3,8 @@
 
 use std::time::Instant;
 
-use ternpick_lab::plan::{Plan, Who};
-use ternpick_lab::sim::Sim;
+use ternpick_simulation::plan::{Plan, Who};
+use ternpick_simulation::sim::Sim;
 
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
--- a/lab/src/fleet/virt.rs
+++ b/simulation/src/fleet/virt.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use ternpick::types::Micros;
 use ternpick_consensus::Seat;
-use ternpick_policy::{
+use ternpick_fleet_policy::{
     seat_terms, Act, Admission, Command, Council, Effect, FleetId, Found, Heard, Incarnation,
     Keeper, Member, Op, Register, Said, SeatNo, Seated, Terms, Verdict, Version, Wish,
 };
@@ -260,7 +260,7 @@
             .heard
             .iter()
             .find_map(|(of, heard)| match heard {
-                Heard::Did(ternpick_policy::Outcome::Proposed(number)) if *of == Op(op) => {
+                Heard::Did(ternpick_fleet_policy::Outcome::Proposed(number)) if *of == Op(op) => {
                     Some(*number)
                 }
                 _ => None,
--- a/lab/src/fleet/works_size.rs
+++ b/simulation/src/fleet/works_size.rs
@@ -9,8 +9,8 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 use ternpick::types::Micros;
-use ternpick_policy::{Annex, Attended, Index, Member};
-use ternpick_works::{Books, Carrier, Entry, Limits, Node, Request, Stage, Terms, Word, World};
+use ternpick_fleet_policy::{Annex, Attended, Index, Member};
+use ternpick_maintenance::{Books, Carrier, Entry, Limits, Node, Request, Stage, Terms, Word, World};
 
 const STEP: u64 = 1_000_000;
 
@@ -81,7 +81,7 @@
         let _ = carrier.play(Index(at), &postcard::to_stdvec(entry).unwrap_or_default());
     };
     let names: Vec<String> = nodes.iter().map(|node| node.name.clone()).collect();
-    for some in names.chunks(ternpick_works::MOST_MACHINES) {
+    for some in names.chunks(ternpick_maintenance::MOST_MACHINES) {
         let request = Request {
             machines: some.to_vec(),
             why: "kernels".into(),
--- a/lab/src/main.rs
+++ b/simulation/src/main.rs
@@ -1,23 +1,23 @@
-//! `ternpick-lab`: days in virtual time, from a terminal or a script.
+//! `ternpick-sim`: days in virtual time, from a terminal or a script.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 use serde_json::json;
-use ternpick_lab::check::Rule;
-use ternpick_lab::compare::{compare, Row};
-use ternpick_lab::experiment::{self, Run};
-use ternpick_lab::fleet;
-use ternpick_lab::hunt::{hunt, look, shrink, Find};
-use ternpick_lab::load::{self, Load, Outcome};
-use ternpick_lab::plan::{Kind, Plan, Who};
-use ternpick_lab::report;
-use ternpick_lab::sim::Day;
+use ternpick_simulation::check::Rule;
+use ternpick_simulation::compare::{compare, Row};
+use ternpick_simulation::experiment::{self, Run};
+use ternpick_simulation::fleet;
+use ternpick_simulation::hunt::{hunt, look, shrink, Find};
+use ternpick_simulation::load::{self, Load, Outcome};
+use ternpick_simulation::plan::{Kind, Plan, Who};
+use ternpick_simulation::report;
+use ternpick_simulation::sim::Day;
 
 /// Plays plans of worlds in virtual time, with the program's own decisions inside. All figures are simulated.
 #[derive(Parser)]
-#[command(name = "ternpick-lab", version)]
+#[command(name = "ternpick-sim", version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -309,9 +309,9 @@
             storm,
             seed,
         } => {
-            let limits = ternpick_works::Limits {
+            let limits = ternpick_maintenance::Limits {
                 most_out: 0.1,
-                ..ternpick_works::Limits::default()
+                ..ternpick_maintenance::Limits::default()
             };
             let (nodes, routers, holders, work) = (*nodes, *routers, (*holders).max(1), *work);
             let site = fleet::works_size::Site {
@@ -368,14 +368,14 @@
             .num_threads(threads)
             .build_global()
         {
-            eprintln!("ternpick-lab: {error}");
+            eprintln!("ternpick-sim: {error}");
             return ExitCode::FAILURE;
         }
     }
     match run(&cli) {
         Ok(code) => code,
         Err(error) => {
-            eprintln!("ternpick-lab: {error}");
+            eprintln!("ternpick-sim: {error}");
             ExitCode::FAILURE
         }
     }
--- a/lab/tests/days.rs
+++ b/simulation/tests/days.rs
@@ -1,11 +1,11 @@
 //! Whole days: the same from the same seed, changed by each trouble as it says, and plans that tell their mistakes.
 
-use ternpick_lab::compare::compare;
-use ternpick_lab::experiment;
-use ternpick_lab::hunt::{hunt, look, shrink, Find};
-use ternpick_lab::plan::{Kind, Plan, Who, World};
-use ternpick_lab::report;
-use ternpick_lab::sim::{Day, Sim};
+use ternpick_simulation::compare::compare;
+use ternpick_simulation::experiment;
+use ternpick_simulation::hunt::{hunt, look, shrink, Find};
+use ternpick_simulation::plan::{Kind, Plan, Who, World};
+use ternpick_simulation::report;
+use ternpick_simulation::sim::{Day, Sim};
 use test_case::test_case;
 
 const INDEXES: &str = r#"indexes: [
--- a/lab/tests/fleet_plans.rs
+++ b/simulation/tests/fleet_plans.rs
@@ -1,6 +1,6 @@
 //! Plans and schedules of fleets: drawn from a seed, written down, read again; plans that make no sense are refused.
 
-use ternpick_lab::fleet::{FleetPlan, Kind, Schedule};
+use ternpick_simulation::fleet::{FleetPlan, Kind, Schedule};
 use test_case::test_case;
 
 const PLAN: &str = "name: \"t\"\nseconds: 60\nfault_every: 200ms\n";
--- a/lab/tests/load.rs
+++ b/simulation/tests/load.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use ternpick_lab::load::{play, Load, Outcome};
+use ternpick_simulation::load::{play, Load, Outcome};
 use test_case::test_case;
 
 /// The program that `cargo test --workspace` builds beside the tests.
--- a/lab/tests/theory.rs
+++ b/simulation/tests/theory.rs
@@ -4,9 +4,9 @@
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
-use ternpick_lab::node::{CallId, Effect, Job, Node};
-use ternpick_lab::plan::{Plan, Work, World};
-use ternpick_lab::sim::draw_work;
+use ternpick_simulation::node::{CallId, Effect, Job, Node};
+use ternpick_simulation::plan::{Plan, Work, World};
+use ternpick_simulation::sim::draw_work;
 use test_case::test_case;
 
 fn world(cores: usize, work: &str) -> World {
--- a/lab/tests/virtual_fleet.rs
+++ b/simulation/tests/virtual_fleet.rs
@@ -1,8 +1,8 @@
 //! Fleets in virtual time: the rule holds while clocks keep to the drift that the terms state, and a breach is seen where
 //! they do not.
 
-use ternpick_lab::fleet::virt::{size, Fleet, World};
-use ternpick_policy::{Terms, Version};
+use ternpick_simulation::fleet::virt::{size, Fleet, World};
+use ternpick_fleet_policy::{Terms, Version};
 use test_case::test_case;
 
 const MS: u64 = 1000;
--- a/limits/examples/fairness.rs
+++ b/tenant_limits/examples/fairness.rs
@@ -1,10 +1,10 @@
 //! The share that each of 1,000 tenants gets beside one that floods, in virtual time, with limits and without:
-//! `cargo run --release -p ternpick-limits --example fairness`.
+//! `cargo run --release -p ternpick-tenant-limits --example fairness`.
 
 use std::collections::VecDeque;
 
 use ternpick::types::{CustomerNo, Micros};
-use ternpick_limits::{Limits, Terms, Whole};
+use ternpick_tenant_limits::{Limits, Terms, Whole};
 
 const TENANTS: u16 = 1000;
 /// What there is: so many lookups in hand, each for 10 ms, so 10,000 a second.
--- a/limits/src/lib.rs
+++ b/tenant_limits/src/lib.rs
@@ -4,7 +4,7 @@
 //! becoming everyone's.
 //!
 //! ```
-//! use ternpick_limits::{Limits, Terms, Whole};
+//! use ternpick_tenant_limits::{Limits, Terms, Whole};
 //! use ternpick::types::{CustomerNo, Micros};
 //! let terms = Terms { weight: 1.0, in_hand: 1, per_second: 100.0, burst: 10.0, repeats: 0.2 };
 //! let mut limits = Limits::new(vec![terms], Whole { begins: 8, least: 2, most: 100 });
--- a/limits/tests/fairness.rs
+++ b/tenant_limits/tests/fairness.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use ternpick::types::{CustomerNo, Micros};
-use ternpick_limits::{Limits, Refused, Terms, Whole};
+use ternpick_tenant_limits::{Limits, Refused, Terms, Whole};
 use test_case::test_case;
 
 const MS: u64 = 1000;
