--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use ternpick::brain::Brain;
-use ternpick::interface::Actions;
+use ternpick::actions::Actions;
+use ternpick::routing::RoutingEngine;
 use ternpick::types::*;
 use ternpick_platform_config as tariff;
 
@@ -54,31 +54,31 @@
 }
 
 impl Actions for Outlet<'_> {
-    fn part_call(&mut self, part: PartId, node: NodeId, limit: Micros) {
+    fn part_call(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
         self.record(action::ATTEMPT)
             .put(&part.0.to_be_bytes())
             .node(node.0)
             .time(limit.0);
     }
 
-    fn answer(&mut self, lookup: LookupId, whole: bool) {
+    fn answer(&mut self, lookup: QueryId, whole: bool) {
         self.record(action::ASSEMBLE)
             .put(&lookup.0.to_be_bytes())
             .put(&[u8::from(whole)]);
     }
 
-    fn nack(&mut self, lookup: LookupId, come_back: Micros) {
+    fn nack(&mut self, lookup: QueryId, come_back: Micros) {
         self.record(action::SAY_NO)
             .put(&lookup.0.to_be_bytes())
             .time(come_back.0);
     }
 
-    fn abort(&mut self, lookup: LookupId) {
+    fn abort(&mut self, lookup: QueryId) {
         self.record(action::REPORT_FAILURE)
             .put(&lookup.0.to_be_bytes());
     }
 
-    fn cancel(&mut self, part: PartId, call: CallNo) {
+    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo) {
         self.record(action::RETRACT)
             .put(&part.0.to_be_bytes())
             .put(&[call.0]);
@@ -110,8 +110,8 @@
 /// The instances of this process, and the catalogs that belong to it as a whole.
 #[derive(Default)]
 pub struct Host {
-    instances: BTreeMap<u32, Brain>,
-    catalogs: [Option<Vec<Listing>>; CATALOGS],
+    instances: BTreeMap<u32, RoutingEngine>,
+    catalogs: [Option<Vec<Endpoint>>; CATALOGS],
 }
 
 impl Host {
@@ -153,7 +153,7 @@
             let (seed, size) = (f.u64()?, f.u32()? as usize);
             self.instances.insert(
                 instance,
-                Brain::new(tariff::tariff(&tariff::parse(f.bytes(size)?)?)?, seed),
+                RoutingEngine::new(tariff::tariff(&tariff::parse(f.bytes(size)?)?)?, seed),
             );
             return Ok(None);
         }
@@ -189,12 +189,12 @@
                 let hint = (marks & 1 != 0 && hint.0 > 0).then_some(hint);
                 let (amount, index) = (f64::from(f.f32()?), IndexNo(f.u8()?));
                 let left = Micros(f.u32()?.into());
-                let query = QueryNo(u64::from(query.to_bits()));
+                let query = WireQueryNo(u64::from(query.to_bits()));
                 guard(instance, || {
                     if shard < 0.0 {
                         brain.lookup(
                             now,
-                            LookupId(id),
+                            QueryId(id),
                             query,
                             index,
                             customer,
@@ -206,7 +206,7 @@
                     } else {
                         brain.part(
                             now,
-                            PartId(id),
+                            ShardRequestId(id),
                             query,
                             ShardNo(shard as u32),
                             amount,
@@ -217,7 +217,7 @@
                 })
             }
             event::LAPSED => {
-                let id = LookupId(f.u64()?);
+                let id = QueryId(f.u64()?);
                 guard(instance, || brain.lapsed(now, id, out))
             }
             event::DIRECTORY_UPDATE => {
@@ -238,8 +238,8 @@
                 Ok(None)
             }
             event::RETURNED => {
-                let (part, lag) = (PartId(f.u64()?), Micros(f.u32()?.into()));
-                let (node, _finished, call) = (NodeId(f.node()?), f.u8()?, CallNo(f.u8()?));
+                let (part, lag) = (ShardRequestId(f.u64()?), Micros(f.u32()?.into()));
+                let (node, _finished, call) = (NodeId(f.node()?), f.u8()?, AttemptNo(f.u8()?));
                 let (ending, report) = (ending(f.u16()?)?, f.report()?);
                 guard(instance, || {
                     brain.returned(now, part, call, node, lag, ending, &report, out)
@@ -269,17 +269,17 @@
     }
 }
 
-fn listing(f: &mut Fields) -> Result<Listing, BadFrame> {
+fn listing(f: &mut Fields) -> Result<Endpoint, BadFrame> {
     let (node, zone, _kind) = (NodeId(f.node()?), ZoneNo(f.u16()?), f.u8()?);
-    let cell = CellNo(f.u16()?.into());
+    let cell = ShardGroupNo(f.u16()?.into());
     let phase = match f.u8()? {
-        0 => Phase::Gone,
-        1 => Phase::Ready,
-        2 => Phase::Draining,
+        0 => EndpointState::Gone,
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
         other => return Err(format!("unknown node phase {other}")),
     };
     let _units = f.f32()?;
-    Ok(Listing {
+    Ok(Endpoint {
         node,
         zone,
         cell,
@@ -288,14 +288,14 @@
     })
 }
 
-fn ending(how: u16) -> Result<Ending, BadFrame> {
+fn ending(how: u16) -> Result<AttemptOutcome, BadFrame> {
     Ok(match how {
-        100 => Ending::Satisfied,
-        301 | 303 => Ending::MayHaveRun,
-        305 => Ending::Broken,
-        302 | 304 => Ending::NeverRan,
-        306 => Ending::Cancelled,
-        307 => Ending::Unsent,
+        100 => AttemptOutcome::Satisfied,
+        301 | 303 => AttemptOutcome::MayHaveRun,
+        305 => AttemptOutcome::Broken,
+        302 | 304 => AttemptOutcome::NeverRan,
+        306 => AttemptOutcome::Cancelled,
+        307 => AttemptOutcome::Unsent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -4,8 +4,8 @@
 use std::collections::VecDeque;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use ternpick::brain::Brain;
-use ternpick::interface::Actions;
+use ternpick::actions::Actions;
+use ternpick::routing::RoutingEngine;
 use ternpick::types::*;
 
 const PARTS: u64 = 4;
@@ -13,16 +13,16 @@
 
 /// Calls that are out, in order.
 #[derive(Default)]
-struct Out(VecDeque<(PartId, NodeId)>);
+struct Out(VecDeque<(ShardRequestId, NodeId)>);
 
 impl Actions for Out {
-    fn part_call(&mut self, part: PartId, node: NodeId, _: Micros) {
+    fn part_call(&mut self, part: ShardRequestId, node: NodeId, _: Micros) {
         self.0.push_back((part, node));
     }
-    fn answer(&mut self, _: LookupId, _: bool) {}
-    fn nack(&mut self, _: LookupId, _: Micros) {}
-    fn abort(&mut self, _: LookupId) {}
-    fn cancel(&mut self, _: PartId, _: CallNo) {}
+    fn answer(&mut self, _: QueryId, _: bool) {}
+    fn nack(&mut self, _: QueryId, _: Micros) {}
+    fn abort(&mut self, _: QueryId) {}
+    fn cancel(&mut self, _: ShardRequestId, _: AttemptNo) {}
     fn probe(&mut self, _: NodeId) {}
     fn close_idle(&mut self, _: NodeId) {}
     fn watch_roster(&mut self) {}
@@ -31,7 +31,7 @@
 }
 
 struct Router {
-    brain: Brain,
+    brain: RoutingEngine,
     out: Out,
     now: Micros,
     next: u64,
@@ -42,33 +42,36 @@
     fn new(nodes: u64) -> Router {
         let cells = (nodes as u32 / HOLDERS).max(1);
         let soft = Micros(10_000_000);
-        let index = IndexRow {
+        let index = IndexConfig {
             soft,
             gain: 1.0,
             need: 1.0,
             least: 1.0,
-            ..IndexRow::default()
+            ..IndexConfig::default()
         };
-        let tariff = Tariff {
+        let tariff = PlatformConfig {
             indexes: vec![index],
             routers: 1.0,
             cells,
             reach: 1,
-            gauges: vec![Gauge::Queue],
-            reporting: Reporting::InAnswers,
+            gauges: vec![LoadMetric::Queue],
+            reporting: LoadReporting::InAnswers,
             second_copies: true,
             cancels: true,
             tick: Micros(1000),
-            ..Tariff::default()
+            ..PlatformConfig::default()
         };
-        let (mut brain, mut out, now) =
-            (Brain::new(tariff, 1), Out::default(), Micros(1_000_000_000));
-        let listing = |id| Listing {
+        let (mut brain, mut out, now) = (
+            RoutingEngine::new(tariff, 1),
+            Out::default(),
+            Micros(1_000_000_000),
+        );
+        let listing = |id| Endpoint {
             node: NodeId(id),
-            cell: CellNo(id as u32 % cells),
-            ..Listing::default()
+            cell: ShardGroupNo(id as u32 % cells),
+            ..Endpoint::default()
         };
-        let list: Vec<Listing> = (0..nodes).map(listing).collect();
+        let list: Vec<Endpoint> = (0..nodes).map(listing).collect();
         brain.roster(now, &list, true, &mut out);
         Router {
             brain,
@@ -84,10 +87,10 @@
         self.now += Micros(50);
         self.next += 1;
         let (id, left) = (self.next, Micros(20_000_000));
-        let query = QueryNo(id);
+        let query = WireQueryNo(id);
         self.brain.lookup(
             self.now,
-            LookupId(id),
+            QueryId(id),
             query,
             IndexNo(0),
             CustomerNo(0),
@@ -99,7 +102,7 @@
         for at in 0..PARTS {
             // Shards in an order that visits all cells.
             let shard = ShardNo(((id * PARTS + at) * 7919 % u64::from(self.cells)) as u32);
-            let part = PartId(id * PARTS + at);
+            let part = ShardRequestId(id * PARTS + at);
             self.brain.part(
                 self.now,
                 part,
@@ -122,10 +125,10 @@
             self.brain.returned(
                 self.now,
                 part,
-                CallNo(0),
+                AttemptNo(0),
                 node,
                 lag,
-                Ending::Satisfied,
+                AttemptOutcome::Satisfied,
                 &report,
                 &mut self.out,
             );
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -1,29 +1,29 @@
-//! Agreement among few voters on the order of entries, without I/O, clock or chance of its own: [`Seat`] is one voter's
-//! part. It knows no meaning of what it orders. A driver ticks it, hands it what others say, keeps what [`Seat::work`]
-//! gives it, and only then carries out what [`Seat::kept`] says: nothing is answered for that is not kept.
+//! Agreement among few voters on the order of entries, without I/O, clock or chance of its own: [`Replica`] is one voter's
+//! part. It knows no meaning of what it orders. A driver ticks it, hands it what others say, keeps what [`Replica::work`]
+//! gives it, and only then carries out what [`Replica::kept`] says: nothing is answered for that is not kept.
 //!
 //! The core is raft-rs, with pre-vote and quorum checks; `docs/design/policy.md` tells what else was weighed. What is
 //! added here: one image for everything that must last; the refusal of a state that is spoilt, another fleet's, or older
 //! than what was answered for; and words where the core would end the program.
 
-mod seat;
-mod shelf;
-mod witness;
+mod log_storage;
+mod peer_promises;
+mod replica;
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-pub use seat::{Done, Seat, Standing, Status, Work};
+pub use replica::{Advanced, Participation, Ready, Replica, Status};
 
 /// The number of a seat. One that is taken away is never given again.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct SeatNo(pub u64);
+pub struct ReplicaId(pub u64);
 
-impl fmt::Display for SeatNo {
+impl fmt::Display for ReplicaId {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -42,7 +42,7 @@
 
 /// Bounds and spans, in ticks of the driver's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct RaftConfig {
     /// Without a word of the leader for so many ticks, and up to as many more by chance, a seat stands for election.
     pub election_ticks: usize,
     pub heartbeat_ticks: usize,
@@ -55,9 +55,9 @@
     pub message_bytes: u64,
 }
 
-impl Default for Terms {
+impl Default for RaftConfig {
     fn default() -> Self {
-        Terms {
+        RaftConfig {
             election_ticks: 25,
             heartbeat_ticks: 5,
             witness_ticks: 50,
@@ -70,13 +70,13 @@
 
 /// Why a state or an entry is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum ConsensusError {
     #[error("{0}")]
-    Spoilt(String),
+    Corrupt(String),
     #[error("the state is of fleet {found}, this one is {wanted}")]
     OtherFleet { found: FleetId, wanted: FleetId },
     #[error("the state is an older copy: {0}")]
-    Older(String),
+    Outdated(String),
     #[error("this router does not lead")]
     LeadsNot,
     #[error("an entry of {length} bytes is longer than {most}")]
--- a/consensus/src/shelf.rs
+++ b/consensus/src/log_storage.rs
@@ -5,15 +5,15 @@
 use raft::{Error, GetEntriesContext, RaftState, Result as RaftResult, Storage, StorageError};
 use serde::{Deserialize, Serialize};
 
-use crate::witness::Witness;
-use crate::{FleetId, SeatNo};
+use crate::peer_promises::PeerPromises;
+use crate::{FleetId, ReplicaId};
 
 /// The form of the image; another is not read.
 const FORM: u16 = 1;
 
 /// What a seat has on disk.
 #[derive(Clone, Debug, Default)]
-pub struct Shelf {
+pub struct LogStorage {
     pub hard: HardState,
     /// The state up to its index, with who votes there.
     pub snapshot: Snapshot,
@@ -28,25 +28,25 @@
 struct Image {
     form: u16,
     fleet: FleetId,
-    seat: SeatNo,
+    replica: ReplicaId,
     /// How often this seat was started.
     boots: u64,
     hard: Vec<u8>,
     snapshot: Vec<u8>,
     entries: Vec<Vec<u8>>,
-    witness: Witness,
+    peer_promises: PeerPromises,
 }
 
 /// An image as it was read.
-pub struct Opened {
+pub struct PersistedState {
     pub fleet: FleetId,
-    pub seat: SeatNo,
+    pub replica: ReplicaId,
     pub boots: u64,
-    pub shelf: Shelf,
-    pub witness: Witness,
+    pub log_storage: LogStorage,
+    pub peer_promises: PeerPromises,
 }
 
-impl Shelf {
+impl LogStorage {
     pub fn first(&self) -> u64 {
         self.snapshot.get_metadata().index + 1
     }
@@ -102,23 +102,29 @@
     }
 
     /// The image, to be kept whole before anything that rests on it is said.
-    pub fn image(&self, fleet: FleetId, seat: SeatNo, boots: u64, witness: &Witness) -> Vec<u8> {
+    pub fn image(
+        &self,
+        fleet: FleetId,
+        replica: ReplicaId,
+        boots: u64,
+        peer_promises: &PeerPromises,
+    ) -> Vec<u8> {
         let bytes = |of: &dyn protobuf::Message| of.write_to_bytes().unwrap_or_default();
         let image = Image {
             form: FORM,
             fleet,
-            seat,
+            replica,
             boots,
             hard: bytes(&self.hard),
             snapshot: bytes(&self.snapshot),
             entries: self.entries.iter().map(|entry| bytes(entry)).collect(),
-            witness: witness.clone(),
+            peer_promises: peer_promises.clone(),
         };
         postcard::to_stdvec(&image).unwrap_or_default()
     }
 
     /// Reads an image; what it says of itself has to hold together.
-    pub fn open(image: &[u8]) -> Result<Opened, String> {
+    pub fn open(image: &[u8]) -> Result<PersistedState, String> {
         let wrong = |what: &str| format!("the state of the seat is spoilt: {what}");
         let image: Image = postcard::from_bytes(image).map_err(|_| wrong("it cannot be read"))?;
         if image.form != FORM {
@@ -127,12 +133,12 @@
                 image.form
             )));
         }
-        let mut shelf = Shelf::default();
-        shelf
+        let mut log_storage = LogStorage::default();
+        log_storage
             .hard
             .merge_from_bytes(&image.hard)
             .map_err(|_| wrong("its vote cannot be read"))?;
-        shelf
+        log_storage
             .snapshot
             .merge_from_bytes(&image.snapshot)
             .map_err(|_| wrong("its snapshot cannot be read"))?;
@@ -141,37 +147,37 @@
             entry
                 .merge_from_bytes(bytes)
                 .map_err(|_| wrong("an entry cannot be read"))?;
-            if entry.index != shelf.last() + 1 || entry.term > shelf.hard.term {
+            if entry.index != log_storage.last() + 1 || entry.term > log_storage.hard.term {
                 return Err(wrong("its entries do not follow one another"));
             }
-            shelf.entries.push(entry);
+            log_storage.entries.push(entry);
         }
-        let meta = shelf.snapshot.get_metadata();
-        if shelf.hard.commit > shelf.last()
-            || shelf.hard.commit < meta.index
-            || meta.term > shelf.hard.term
+        let meta = log_storage.snapshot.get_metadata();
+        if log_storage.hard.commit > log_storage.last()
+            || log_storage.hard.commit < meta.index
+            || meta.term > log_storage.hard.term
         {
             return Err(wrong("it ends before what it says is agreed"));
         }
-        shelf.conf = meta.get_conf_state().clone();
+        log_storage.conf = meta.get_conf_state().clone();
         let Image {
             fleet,
-            seat,
+            replica,
             boots,
-            witness,
+            peer_promises,
             ..
         } = image;
-        Ok(Opened {
+        Ok(PersistedState {
             fleet,
-            seat,
+            replica,
             boots,
-            shelf,
-            witness,
+            log_storage,
+            peer_promises,
         })
     }
 }
 
-impl Storage for Shelf {
+impl Storage for LogStorage {
     fn initial_state(&self) -> RaftResult<RaftState> {
         Ok(RaftState {
             hard_state: self.hard.clone(),
--- a/consensus/src/witness.rs
+++ b/consensus/src/peer_promises.rs
@@ -6,7 +6,7 @@
 use raft::eraftpb::{Message, MessageType};
 use serde::{Deserialize, Serialize};
 
-use crate::SeatNo;
+use crate::ReplicaId;
 
 /// How far a seat has gone, at least.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -60,31 +60,36 @@
 
 /// One entry a seat; emptied of seats that vote no longer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Witness(BTreeMap<SeatNo, Promise>);
+pub struct PeerPromises(BTreeMap<ReplicaId, Promise>);
 
-impl Witness {
-    pub fn of(&self, seat: SeatNo) -> Promise {
-        self.0.get(&seat).copied().unwrap_or_default()
+impl PeerPromises {
+    pub fn of(&self, replica: ReplicaId) -> Promise {
+        self.0.get(&replica).copied().unwrap_or_default()
     }
 
-    pub fn join(&mut self, seat: SeatNo, promise: Promise) {
-        let known = self.0.entry(seat).or_default();
+    pub fn join(&mut self, replica: ReplicaId, promise: Promise) {
+        let known = self.0.entry(replica).or_default();
         *known = known.join(promise);
     }
 
-    pub fn all(&self) -> Vec<(SeatNo, Promise)> {
+    pub fn all(&self) -> Vec<(ReplicaId, Promise)> {
         self.0
             .iter()
-            .map(|(seat, promise)| (*seat, *promise))
+            .map(|(replica, promise)| (*replica, *promise))
             .collect()
     }
 
-    pub fn keep_only(&mut self, seats: &[SeatNo]) {
-        self.0.retain(|seat, _| seats.contains(seat));
+    pub fn keep_only(&mut self, seats: &[ReplicaId]) {
+        self.0.retain(|replica, _| seats.contains(replica));
     }
 
     /// A message says how far its sender is; `term_at` tells the terms of entries that are here.
-    pub fn heard(&mut self, from: SeatNo, message: &Message, term_at: impl Fn(u64) -> Option<u64>) {
+    pub fn heard(
+        &mut self,
+        from: ReplicaId,
+        message: &Message,
+        term_at: impl Fn(u64) -> Option<u64>,
+    ) {
         // What is only asked whether it would be is no promise.
         let kind = message.get_msg_type();
         if matches!(
--- a/consensus/src/seat.rs
+++ b/consensus/src/replica.rs
@@ -10,29 +10,29 @@
     ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType,
     Snapshot,
 };
-use raft::{Config, RawNode, Ready, SnapshotStatus, StateRole};
+use raft::{Config, RawNode, SnapshotStatus, StateRole};
 use serde::{Deserialize, Serialize};
 
-use crate::shelf::{Opened, Shelf};
-use crate::witness::{Promise, Witness};
-use crate::{FleetId, Refused, SeatNo, Terms};
+use crate::log_storage::{LogStorage, PersistedState};
+use crate::peer_promises::{PeerPromises, Promise};
+use crate::{ConsensusError, FleetId, RaftConfig, ReplicaId};
 
 /// What seats say to each other.
 #[derive(Debug, Serialize, Deserialize)]
-enum Word {
+enum PeerMessage {
     Raft(Vec<u8>),
     /// A seat that has started asks what it has promised.
     Roll(Promise),
     Seen(Promise),
     /// What the one that leads knows of everybody's promises.
-    Promises(Vec<(SeatNo, Promise)>),
+    Promises(Vec<(ReplicaId, Promise)>),
 }
 
 /// Whether the seat takes part.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Participation {
     /// It asks the others what it has promised; so many have answered.
-    Proving(Vec<SeatNo>),
+    Proving(Vec<ReplicaId>),
     TakesPart,
     /// Its state cannot be used. It says nothing more, and has to be replaced.
     Spoilt(String),
@@ -44,24 +44,24 @@
     Heard(Message),
     Put(Vec<u8>),
     Ask(u64),
-    Transfer(SeatNo),
+    Transfer(ReplicaId),
 }
 
-/// Something to keep before [`Seat::kept`] says what follows from it.
-pub struct Work {
+/// Something to keep before [`Replica::kept`] says what follows from it.
+pub struct Ready {
     /// The image to keep; none: nothing has changed in it.
     pub image: Option<Vec<u8>>,
 }
 
 /// What follows once the work is kept.
 #[derive(Debug, Default)]
-pub struct Done {
-    pub messages: Vec<(SeatNo, Vec<u8>)>,
+pub struct Advanced {
+    pub messages: Vec<(ReplicaId, Vec<u8>)>,
     /// The whole state up to a place, in place of all before.
     pub restored: Option<(u64, Vec<u8>)>,
     /// Entries that are agreed, with their places.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// Questions ([`Seat::ask`]) that are answered: this seat led when they were put, and the entries up to the place
+    /// Questions ([`Replica::ask`]) that are answered: this seat led when they were put, and the entries up to the place
     /// are to be played before they count.
     pub answered: Vec<(u64, u64)>,
 }
@@ -69,37 +69,37 @@
 /// How a seat stands; for people and for the driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    pub seat: SeatNo,
+    pub replica: ReplicaId,
     pub term: u64,
     pub leads: bool,
-    pub leader: Option<SeatNo>,
+    pub leader: Option<ReplicaId>,
     pub last: u64,
     pub agreed: u64,
     pub played: u64,
-    pub voters: Vec<SeatNo>,
-    pub learners: Vec<SeatNo>,
+    pub voters: Vec<ReplicaId>,
+    pub learners: Vec<ReplicaId>,
     pub standing: String,
 }
 
-pub struct Seat {
-    raft: RawNode<Shelf>,
+pub struct Replica {
+    raft: RawNode<LogStorage>,
     fleet: FleetId,
-    no: SeatNo,
+    no: ReplicaId,
     boots: u64,
-    terms: Terms,
+    terms: RaftConfig,
     chance: WyRand,
-    standing: Standing,
+    standing: Participation,
     /// What this seat knew of itself when it started.
     opened: Promise,
-    witness: Witness,
+    peer_promises: PeerPromises,
     ticks: u64,
     /// The state of the election that the present time-out was drawn for.
     drawn: (u64, u64, StateRole),
-    ready: Option<Ready>,
+    ready: Option<raft::Ready>,
     /// What came while work was being kept: the core may not hear it before. Bounded; what is too much is lost.
     meanwhile: VecDeque<Input>,
     /// Words beside the log's own, to go out with the next work.
-    aside: Vec<(SeatNo, Word)>,
+    aside: Vec<(ReplicaId, PeerMessage)>,
     changed: bool,
     conf_changed: bool,
     played: u64,
@@ -110,7 +110,7 @@
 /// Messages and ticks that wait while work is being kept.
 const MOST_MEANWHILE: usize = 256;
 
-fn config(no: SeatNo, applied: u64, terms: &Terms) -> Config {
+fn config(no: ReplicaId, applied: u64, terms: &RaftConfig) -> Config {
     Config {
         id: no.0,
         applied,
@@ -129,37 +129,47 @@
     }
 }
 
-impl Seat {
+impl Replica {
     /// The image of a seat at the founding of a fleet: all voters begin from the same.
-    pub fn founds(fleet: FleetId, no: SeatNo, voters: &[SeatNo], state: Vec<u8>) -> Vec<u8> {
+    pub fn founds(fleet: FleetId, no: ReplicaId, voters: &[ReplicaId], state: Vec<u8>) -> Vec<u8> {
         let mut snapshot = Snapshot::default();
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (1, 1);
-        meta.mut_conf_state().voters = voters.iter().map(|seat| seat.0).collect();
+        meta.mut_conf_state().voters = voters.iter().map(|replica| replica.0).collect();
         snapshot.data = state.into();
-        let mut shelf = Shelf::default();
-        shelf.restore(snapshot);
-        shelf.image(fleet, no, 0, &Witness::default())
+        let mut log_storage = LogStorage::default();
+        log_storage.restore(snapshot);
+        log_storage.image(fleet, no, 0, &PeerPromises::default())
     }
 
     /// A seat that was just given to a member: it has promised nothing, and votes only once the others have made it a
     /// voter. To be used only where the agreed state says that the seat is new.
-    pub fn fresh(fleet: FleetId, no: SeatNo, terms: Terms, seed: u64) -> Result<Seat, Refused> {
-        let opened = Opened {
+    pub fn fresh(
+        fleet: FleetId,
+        no: ReplicaId,
+        terms: RaftConfig,
+        seed: u64,
+    ) -> Result<Replica, ConsensusError> {
+        let opened = PersistedState {
             fleet,
-            seat: no,
+            replica: no,
             boots: 0,
-            shelf: Shelf::default(),
-            witness: Witness::default(),
+            log_storage: LogStorage::default(),
+            peer_promises: PeerPromises::default(),
         };
         Self::of(opened, terms, seed)
     }
 
     /// A seat as it was kept. One of another fleet, or another seat, is refused with words.
-    pub fn open(image: &[u8], fleet: FleetId, terms: Terms, seed: u64) -> Result<Seat, Refused> {
-        let opened = Shelf::open(image).map_err(Refused::Spoilt)?;
+    pub fn open(
+        image: &[u8],
+        fleet: FleetId,
+        terms: RaftConfig,
+        seed: u64,
+    ) -> Result<Replica, ConsensusError> {
+        let opened = LogStorage::open(image).map_err(ConsensusError::Corrupt)?;
         if opened.fleet != fleet {
-            return Err(Refused::OtherFleet {
+            return Err(ConsensusError::OtherFleet {
                 found: opened.fleet,
                 wanted: fleet,
             });
@@ -167,37 +177,37 @@
         Self::of(opened, terms, seed)
     }
 
-    fn of(opened: Opened, terms: Terms, seed: u64) -> Result<Seat, Refused> {
-        let Opened {
+    fn of(opened: PersistedState, terms: RaftConfig, seed: u64) -> Result<Replica, ConsensusError> {
+        let PersistedState {
             fleet,
-            seat: no,
+            replica: no,
             boots,
-            shelf,
-            witness,
+            log_storage,
+            peer_promises,
         } = opened;
         if no.0 == 0 {
-            return Err(Refused::Spoilt("seat 0 is none".into()));
+            return Err(ConsensusError::Corrupt("seat 0 is none".into()));
         }
-        let applied = shelf.snapshot.get_metadata().index;
-        let last = shelf.last();
+        let applied = log_storage.snapshot.get_metadata().index;
+        let last = log_storage.last();
         let own = Promise {
-            term: shelf.hard.term,
-            vote: shelf.hard.vote,
-            last: (shelf.term_at(last).unwrap_or_default(), last),
+            term: log_storage.hard.term,
+            vote: log_storage.hard.vote,
+            last: (log_storage.term_at(last).unwrap_or_default(), last),
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raft = RawNode::new(&config(no, applied, &terms), shelf, &logger)
-            .map_err(|error| Refused::Spoilt(error.to_string()))?;
-        let mut seat = Seat {
+        let raft = RawNode::new(&config(no, applied, &terms), log_storage, &logger)
+            .map_err(|error| ConsensusError::Corrupt(error.to_string()))?;
+        let mut replica = Replica {
             raft,
             fleet,
             no,
             boots: boots + 1,
             terms,
             chance: WyRand::new_seed(seed),
-            standing: Standing::Proving(Vec::new()),
+            standing: Participation::Proving(Vec::new()),
             opened: own,
-            witness,
+            peer_promises,
             ticks: 0,
             drawn: (u64::MAX, 0, StateRole::Follower),
             ready: None,
@@ -208,21 +218,21 @@
             played: applied,
             kept_term: own.term,
         };
-        seat.draw();
+        replica.draw();
         // What it knows of itself from others, kept beside its own state, has to agree with that.
-        let own_witness = seat.witness.of(no);
+        let own_witness = replica.peer_promises.of(no);
         if let Some(words) = own_witness.beyond(&own) {
-            return Err(Refused::Older(words));
+            return Err(ConsensusError::Outdated(words));
         }
-        seat.prove();
-        Ok(seat)
+        replica.prove();
+        Ok(replica)
     }
 
-    pub fn no(&self) -> SeatNo {
+    pub fn no(&self) -> ReplicaId {
         self.no
     }
 
-    pub fn standing(&self) -> &Standing {
+    pub fn standing(&self) -> &Participation {
         &self.standing
     }
 
@@ -234,7 +244,7 @@
     }
 
     pub fn leads(&self) -> bool {
-        self.standing == Standing::TakesPart && self.raft.raft.state == StateRole::Leader
+        self.standing == Participation::TakesPart && self.raft.raft.state == StateRole::Leader
     }
 
     /// Whether it leads, and all that was agreed before it did is known to be agreed.
@@ -247,8 +257,8 @@
         self.played
     }
 
-    pub fn leader(&self) -> Option<SeatNo> {
-        Some(SeatNo(self.raft.raft.leader_id)).filter(|seat| seat.0 != 0)
+    pub fn leader(&self) -> Option<ReplicaId> {
+        Some(ReplicaId(self.raft.raft.leader_id)).filter(|replica| replica.0 != 0)
     }
 
     pub fn term(&self) -> u64 {
@@ -261,7 +271,7 @@
     }
 
     /// Those that vote, where who votes does not change just now.
-    pub fn settled_voters(&self) -> Option<Vec<SeatNo>> {
+    pub fn settled_voters(&self) -> Option<Vec<ReplicaId>> {
         self.raft
             .store()
             .conf
@@ -270,21 +280,21 @@
             .then(|| self.voters())
     }
 
-    fn numbers(of: &[u64]) -> Vec<SeatNo> {
-        let mut all: Vec<SeatNo> = of.iter().map(|no| SeatNo(*no)).collect();
+    fn numbers(of: &[u64]) -> Vec<ReplicaId> {
+        let mut all: Vec<ReplicaId> = of.iter().map(|no| ReplicaId(*no)).collect();
         all.sort_unstable();
         all
     }
 
     /// Those whose votes count now, with those whose count is coming or going.
-    pub fn voters(&self) -> Vec<SeatNo> {
+    pub fn voters(&self) -> Vec<ReplicaId> {
         let conf = &self.raft.store().conf;
         let mut all = Self::numbers(&[conf.get_voters(), conf.get_voters_outgoing()].concat());
         all.dedup();
         all
     }
 
-    pub fn learners(&self) -> Vec<SeatNo> {
+    pub fn learners(&self) -> Vec<ReplicaId> {
         let conf = &self.raft.store().conf;
         Self::numbers(&[conf.get_learners(), conf.get_learners_next()].concat())
     }
@@ -292,14 +302,14 @@
     pub fn status(&self) -> Status {
         let store = self.raft.store();
         let standing = match &self.standing {
-            Standing::Proving(heard) => {
+            Participation::Proving(heard) => {
                 format!("asking what it has promised, {} have answered", heard.len())
             }
-            Standing::TakesPart => "takes part".to_owned(),
-            Standing::Spoilt(words) => format!("spoilt: {words}"),
+            Participation::TakesPart => "takes part".to_owned(),
+            Participation::Spoilt(words) => format!("spoilt: {words}"),
         };
         Status {
-            seat: self.no,
+            replica: self.no,
             term: self.term(),
             leads: self.leads(),
             leader: self.leader(),
@@ -325,20 +335,23 @@
 
     /// Enough others have said that it has promised nothing that it does not know.
     fn prove(&mut self) {
-        let Standing::Proving(heard) = &self.standing else {
+        let Participation::Proving(heard) = &self.standing else {
             return;
         };
         let voters = self.voters();
-        let others = heard.iter().filter(|seat| voters.contains(seat)).count();
+        let others = heard
+            .iter()
+            .filter(|replica| voters.contains(replica))
+            .count();
         // One whose vote does not count can promise nothing that matters.
         let votes = voters.contains(&self.no);
         if !votes || others + 1 > voters.len() / 2 {
-            self.standing = Standing::TakesPart;
+            self.standing = Participation::TakesPart;
         }
     }
 
     fn spoil(&mut self, words: String) {
-        self.standing = Standing::Spoilt(words);
+        self.standing = Participation::Spoilt(words);
         self.aside.clear();
     }
 
@@ -346,19 +359,21 @@
     pub fn tick(&mut self) {
         self.ticks += 1;
         match &self.standing {
-            Standing::Spoilt(_) => {}
-            Standing::Proving(heard) => {
+            Participation::Spoilt(_) => {}
+            Participation::Proving(heard) => {
                 if self.ticks % self.terms.heartbeat_ticks as u64 == 1 {
                     let heard = heard.clone();
                     let others = self
                         .voters()
                         .into_iter()
-                        .filter(|seat| *seat != self.no && !heard.contains(seat));
-                    let asks: Vec<_> = others.map(|seat| (seat, Word::Roll(self.opened))).collect();
+                        .filter(|replica| *replica != self.no && !heard.contains(replica));
+                    let asks: Vec<_> = others
+                        .map(|replica| (replica, PeerMessage::Roll(self.opened)))
+                        .collect();
                     self.aside.extend(asks);
                 }
             }
-            Standing::TakesPart => {
+            Participation::TakesPart => {
                 self.step(Input::Tick);
                 if self.leads() && self.ticks.is_multiple_of(self.terms.witness_ticks as u64) {
                     self.spread();
@@ -371,13 +386,14 @@
     /// What is known of everybody's promises goes to every voter: one that asks need not ask the very seat it promised.
     fn spread(&mut self) {
         let (voters, learners) = (self.voters(), self.learners());
-        self.witness.keep_only(&[voters.clone(), learners].concat());
+        self.peer_promises
+            .keep_only(&[voters.clone(), learners].concat());
         let own = self.promise();
-        self.witness.join(self.no, own);
-        let all = self.witness.all();
-        let others = voters.into_iter().filter(|seat| *seat != self.no);
+        self.peer_promises.join(self.no, own);
+        let all = self.peer_promises.all();
+        let others = voters.into_iter().filter(|replica| *replica != self.no);
         self.aside
-            .extend(others.map(|seat| (seat, Word::Promises(all.clone()))));
+            .extend(others.map(|replica| (replica, PeerMessage::Promises(all.clone()))));
     }
 
     fn promise(&self) -> Promise {
@@ -392,7 +408,7 @@
     }
 
     /// Runs the core; what it cannot bear spoils this seat and nothing else.
-    fn guarded(&mut self, run: impl FnOnce(&mut RawNode<Shelf>) -> raft::Result<()>) {
+    fn guarded(&mut self, run: impl FnOnce(&mut RawNode<LogStorage>) -> raft::Result<()>) {
         let raft = &mut self.raft;
         let ran = catch_unwind(AssertUnwindSafe(|| run(raft)));
         if ran.is_err() {
@@ -402,18 +418,18 @@
 
     /// Something has come from another seat. What makes no sense is passed over. The term comes back of one that leads and
     /// whose word is taken.
-    pub fn hear(&mut self, from: SeatNo, bytes: &[u8]) -> Option<u64> {
-        if matches!(self.standing, Standing::Spoilt(_)) {
+    pub fn hear(&mut self, from: ReplicaId, bytes: &[u8]) -> Option<u64> {
+        if matches!(self.standing, Participation::Spoilt(_)) {
             return None;
         }
-        match postcard::from_bytes::<Word>(bytes).ok()? {
-            Word::Roll(promise) => {
-                self.witness.join(from, promise);
-                let known = self.witness.of(from);
-                self.aside.push((from, Word::Seen(known)));
+        match postcard::from_bytes::<PeerMessage>(bytes).ok()? {
+            PeerMessage::Roll(promise) => {
+                self.peer_promises.join(from, promise);
+                let known = self.peer_promises.of(from);
+                self.aside.push((from, PeerMessage::Seen(known)));
             }
-            Word::Seen(promise) => {
-                if let Standing::Proving(heard) = &mut self.standing {
+            PeerMessage::Seen(promise) => {
+                if let Participation::Proving(heard) = &mut self.standing {
                     if let Some(words) = promise.beyond(&self.opened) {
                         self.spoil(format!("it is an older copy: {words}"));
                         return None;
@@ -424,17 +440,18 @@
                     self.prove();
                 }
             }
-            Word::Promises(all) => {
-                for (seat, promise) in all.into_iter().filter(|(seat, _)| *seat != self.no) {
-                    self.witness.join(seat, promise);
+            PeerMessage::Promises(all) => {
+                for (replica, promise) in all.into_iter().filter(|(replica, _)| *replica != self.no)
+                {
+                    self.peer_promises.join(replica, promise);
                 }
             }
-            Word::Raft(bytes) => return self.hear_raft(from, &bytes),
+            PeerMessage::Raft(bytes) => return self.hear_raft(from, &bytes),
         }
         None
     }
 
-    fn hear_raft(&mut self, from: SeatNo, bytes: &[u8]) -> Option<u64> {
+    fn hear_raft(&mut self, from: ReplicaId, bytes: &[u8]) -> Option<u64> {
         let mut message = Message::default();
         if message.merge_from_bytes(bytes).is_err()
             || message.from != from.0
@@ -450,10 +467,10 @@
         // An answer to this very term's leader tells which entry it means; to an earlier one's it may mean another.
         let (store, term) = (self.raft.store(), self.term());
         let leads = self.raft.raft.state == StateRole::Leader && message.term == term;
-        self.witness.heard(from, &message, |index| {
+        self.peer_promises.heard(from, &message, |index| {
             store.term_at(index).filter(|_| leads)
         });
-        if self.standing != Standing::TakesPart {
+        if self.standing != Participation::TakesPart {
             return None;
         }
         // A leader never says that more is agreed here than this seat has answered for.
@@ -502,12 +519,12 @@
     }
 
     /// Puts an entry into the log, if this seat leads. Whether it is agreed is known when it comes out, not before.
-    pub fn put(&mut self, data: Vec<u8>) -> Result<(), Refused> {
+    pub fn put(&mut self, data: Vec<u8>) -> Result<(), ConsensusError> {
         if !self.leads() {
-            return Err(Refused::LeadsNot);
+            return Err(ConsensusError::LeadsNot);
         }
         if data.len() as u64 > self.terms.entry_bytes {
-            return Err(Refused::TooLong {
+            return Err(ConsensusError::TooLong {
                 length: data.len() as u64,
                 most: self.terms.entry_bytes,
             });
@@ -516,7 +533,7 @@
         Ok(())
     }
 
-    /// Asks whether this seat leads still; see [`Done::answered`]. A question may stay without an answer.
+    /// Asks whether this seat leads still; see [`Advanced::answered`]. A question may stay without an answer.
     pub fn ask(&mut self, number: u64) {
         if self.leads() {
             self.step(Input::Ask(number));
@@ -524,7 +541,11 @@
     }
 
     /// Brings voters and learners to what is wanted, jointly; one change at a time. Nothing where nothing differs.
-    pub fn change(&mut self, voters: &[SeatNo], learners: &[SeatNo]) -> Result<bool, Refused> {
+    pub fn change(
+        &mut self,
+        voters: &[ReplicaId],
+        learners: &[ReplicaId],
+    ) -> Result<bool, ConsensusError> {
         let conf = &self.raft.store().conf;
         if !self.leads()
             || self.ready.is_some()
@@ -534,22 +555,28 @@
             return Ok(false);
         }
         let (have_voters, have_learners) = (self.voters(), self.learners());
-        let single = |kind: ConfChangeType, seat: SeatNo| {
+        let single = |kind: ConfChangeType, replica: ReplicaId| {
             let mut single = ConfChangeSingle::default();
             single.set_change_type(kind);
-            single.node_id = seat.0;
+            single.node_id = replica.0;
             single
         };
         let mut changes = Vec::new();
-        for seat in voters.iter().filter(|seat| !have_voters.contains(seat)) {
-            changes.push(single(ConfChangeType::AddNode, *seat));
+        for replica in voters
+            .iter()
+            .filter(|replica| !have_voters.contains(replica))
+        {
+            changes.push(single(ConfChangeType::AddNode, *replica));
         }
-        for seat in learners.iter().filter(|seat| !have_learners.contains(seat)) {
-            changes.push(single(ConfChangeType::AddLearnerNode, *seat));
+        for replica in learners
+            .iter()
+            .filter(|replica| !have_learners.contains(replica))
+        {
+            changes.push(single(ConfChangeType::AddLearnerNode, *replica));
         }
-        for seat in have_voters.iter().chain(&have_learners) {
-            if !voters.contains(seat) && !learners.contains(seat) {
-                changes.push(single(ConfChangeType::RemoveNode, *seat));
+        for replica in have_voters.iter().chain(&have_learners) {
+            if !voters.contains(replica) && !learners.contains(replica) {
+                changes.push(single(ConfChangeType::RemoveNode, *replica));
             }
         }
         if changes.is_empty() {
@@ -559,20 +586,20 @@
         change.set_changes(changes.into());
         self.raft
             .propose_conf_change(vec![], change)
-            .map_err(|error| Refused::NotNow(error.to_string()))?;
+            .map_err(|error| ConsensusError::NotNow(error.to_string()))?;
         Ok(true)
     }
 
     /// Whether a seat that learns has all that is agreed, nearly.
-    pub fn has_learnt(&self, seat: SeatNo) -> bool {
+    pub fn has_learnt(&self, replica: ReplicaId) -> bool {
         let raft = &self.raft.raft;
         raft.prs()
-            .get(seat.0)
+            .get(replica.0)
             .is_some_and(|progress| progress.matched + 4 >= raft.raft_log.committed)
     }
 
     /// Passes the lead on, if it can be.
-    pub fn transfer(&mut self, to: SeatNo) {
+    pub fn transfer(&mut self, to: ReplicaId) {
         if self.leads() {
             self.step(Input::Transfer(to));
         }
@@ -596,12 +623,12 @@
         self.changed = true;
     }
 
-    /// What is to be kept next, if anything waits. Until [`Seat::kept`] is called nothing more comes out.
-    pub fn work(&mut self) -> Option<Work> {
+    /// What is to be kept next, if anything waits. Until [`Replica::kept`] is called nothing more comes out.
+    pub fn work(&mut self) -> Option<Ready> {
         if self.ready.is_some() {
             return None;
         }
-        let takes_part = self.standing == Standing::TakesPart;
+        let takes_part = self.standing == Participation::TakesPart;
         if takes_part && self.raft.has_ready() {
             let mut made = None;
             self.guarded(|raft| {
@@ -632,14 +659,14 @@
         let image = keeps.then(|| {
             self.raft
                 .store()
-                .image(self.fleet, self.no, self.boots, &self.witness)
+                .image(self.fleet, self.no, self.boots, &self.peer_promises)
         });
-        Some(Work { image })
+        Some(Ready { image })
     }
 
     /// The work is kept: this follows.
-    pub fn kept(&mut self) -> Done {
-        let mut done = Done::default();
+    pub fn kept(&mut self) -> Advanced {
+        let mut done = Advanced::default();
         self.kept_term = self.raft.store().hard.term;
         for (to, word) in std::mem::take(&mut self.aside) {
             done.messages
@@ -680,7 +707,7 @@
             Ok(())
         });
         for message in messages {
-            let to = SeatNo(message.to);
+            let to = ReplicaId(message.to);
             if message.get_msg_type() == MessageType::MsgSnapshot {
                 // It may be lost on the way: the core waits for no word of it, and sees by the answers what is missing.
                 self.guarded(|raft| {
@@ -688,7 +715,7 @@
                     Ok(())
                 });
             }
-            let word = Word::Raft(message.write_to_bytes().unwrap_or_default());
+            let word = PeerMessage::Raft(message.write_to_bytes().unwrap_or_default());
             done.messages
                 .push((to, postcard::to_stdvec(&word).unwrap_or_default()));
         }
@@ -699,7 +726,7 @@
         done
     }
 
-    fn play(&mut self, entries: Vec<Entry>, done: &mut Done) {
+    fn play(&mut self, entries: Vec<Entry>, done: &mut Advanced) {
         for entry in entries {
             self.played = entry.index;
             match entry.get_entry_type() {
--- a/consensus/tests/agreement.rs
+++ b/consensus/tests/agreement.rs
@@ -5,7 +5,7 @@
 use common::{World, FLEET};
 use nanorand::Rng;
 use proptest::prelude::*;
-use ternpick_consensus::{FleetId, Refused, Seat, SeatNo, Standing, Terms};
+use ternpick_consensus::{ConsensusError, FleetId, Participation, RaftConfig, Replica, ReplicaId};
 use test_case::test_case;
 
 /// Crashes, restarts, losses, doubles and one-way cuts, all the time.
@@ -20,11 +20,11 @@
         }
         let pick = world.chance.generate_range(1..=voters);
         match world.chance.generate_range(0..400u32) {
-            0..=1 if world.up().len() > 1 => world.crash(SeatNo(pick)),
-            2..=6 if !world.up().contains(&SeatNo(pick)) => world.start(SeatNo(pick)),
+            0..=1 if world.up().len() > 1 => world.crash(ReplicaId(pick)),
+            2..=6 if !world.up().contains(&ReplicaId(pick)) => world.start(ReplicaId(pick)),
             7 => {
                 let other = world.chance.generate_range(1..=voters);
-                world.cut.push((SeatNo(pick), SeatNo(other)));
+                world.cut.push((ReplicaId(pick), ReplicaId(other)));
             }
             8..=9 => world.cut.clear(),
             _ => {}
@@ -43,7 +43,7 @@
         let voters = if five { 5 } else { 3 };
         let mut world = rough_day(voters, seed, 1500);
         (world.loss, world.slow_disk, world.cut) = (0.0, 0.0, Vec::new());
-        for no in (1..=voters).map(SeatNo) {
+        for no in (1..=voters).map(ReplicaId) {
             if !world.up().contains(&no) {
                 world.start(no);
             }
@@ -53,7 +53,7 @@
         // When all is well again all have all.
         prop_assert!(world.put(b"last"));
         world.steps(100);
-        let last = |no: u64| world.places[&SeatNo(no)].played.last().map(|(_, data)| data.clone());
+        let last = |no: u64| world.places[&ReplicaId(no)].played.last().map(|(_, data)| data.clone());
         for no in 1..=voters {
             prop_assert_eq!(last(no), Some(b"last".to_vec()), "seat {} of {:?}", no, world.standings());
         }
@@ -96,8 +96,8 @@
         place.disk.truncate(copies / 2);
         world.start(no);
         world.steps(200);
-        let standing = world.seat(no).standing().clone();
-        let Standing::Spoilt(words) = standing else {
+        let standing = world.replica(no).standing().clone();
+        let Participation::Spoilt(words) = standing else {
             panic!("{no} takes part: {standing:?}")
         };
         assert!(words.starts_with("it is an older copy: it has"), "{words}");
@@ -121,7 +121,7 @@
                 world.put(&[round]);
                 world.steps(10);
             }
-            let others: Vec<SeatNo> = world.up().into_iter().filter(|no| *no != first).collect();
+            let others: Vec<ReplicaId> = world.up().into_iter().filter(|no| *no != first).collect();
             for no in &others {
                 world.crash(*no);
                 let place = world.places.get_mut(no).expect("a place");
@@ -156,30 +156,33 @@
         .find(|no| *no != leader)
         .expect("another");
     world.crash(lost);
-    let (new, rest): (SeatNo, Vec<SeatNo>) = (SeatNo(4), world.up());
-    assert_eq!(world.seat(leader).change(&rest, &[new]), Ok(true));
+    let (new, rest): (ReplicaId, Vec<ReplicaId>) = (ReplicaId(4), world.up());
+    assert_eq!(world.replica(leader).change(&rest, &[new]), Ok(true));
     world.steps(50);
     assert_eq!(
-        (world.seat(leader).voters(), world.seat(leader).learners()),
+        (
+            world.replica(leader).voters(),
+            world.replica(leader).learners()
+        ),
         (rest.clone(), vec![new])
     );
-    let seat = Seat::fresh(FLEET, new, world.terms, 77).expect("a seat");
+    let replica = Replica::fresh(FLEET, new, world.terms, 77).expect("a seat");
     let place = common::Place {
-        seat: Some(seat),
+        replica: Some(replica),
         ..empty()
     };
     world.places.insert(new, place);
     world.steps(200);
-    let (standings, status) = (world.standings(), world.seat(new).status());
+    let (standings, status) = (world.standings(), world.replica(new).status());
     assert!(
-        world.seat(leader).has_learnt(new),
+        world.replica(leader).has_learnt(new),
         "{standings:?} {status:?}"
     );
     let mut all = rest;
     all.push(new);
-    assert_eq!(world.seat(leader).change(&all, &[]), Ok(true));
+    assert_eq!(world.replica(leader).change(&all, &[]), Ok(true));
     world.steps(50);
-    assert_eq!(world.seat(leader).voters(), all);
+    assert_eq!(world.replica(leader).voters(), all);
     // With another one down it takes the new one's vote to agree.
     let other = world
         .up()
@@ -200,9 +203,9 @@
 fn empty() -> common::Place {
     World::new(1, 1)
         .places
-        .remove(&SeatNo(1))
+        .remove(&ReplicaId(1))
         .map(|mut place| {
-            (place.seat, place.disk) = (None, Vec::new());
+            (place.replica, place.disk) = (None, Vec::new());
             place.played.clear();
             place
         })
@@ -221,9 +224,9 @@
         .filter(|no| *no != leader)
         .map(|no| (no, leader))
         .collect();
-    world.seat(leader).ask(1);
+    world.replica(leader).ask(1);
     world.steps(200);
-    assert!(!world.seat(leader).leads());
+    assert!(!world.replica(leader).leads());
     assert!(world.leader().is_some_and(|other| other != leader));
 }
 
@@ -235,14 +238,14 @@
         world.put(&round.to_le_bytes());
         world.steps(10);
     }
-    let before = world.places[&SeatNo(1)].played.clone();
+    let before = world.places[&ReplicaId(1)].played.clone();
     for no in world.up() {
         world.crash(no);
     }
-    (1..=5).for_each(|no| world.start(SeatNo(no)));
+    (1..=5).for_each(|no| world.start(ReplicaId(no)));
     world.led();
     world.steps(50);
-    assert_eq!(world.places[&SeatNo(1)].played, before);
+    assert_eq!(world.places[&ReplicaId(1)].played, before);
 }
 
 fn image() -> Vec<u8> {
@@ -250,7 +253,7 @@
     world.led();
     world.put(b"one");
     world.steps(20);
-    world.places[&SeatNo(1)]
+    world.places[&ReplicaId(1)]
         .disk
         .last()
         .cloned()
@@ -262,16 +265,16 @@
     let image = image();
     for length in 0..image.len() {
         assert!(
-            Seat::open(&image[..length], FLEET, Terms::default(), 1).is_err(),
+            Replica::open(&image[..length], FLEET, RaftConfig::default(), 1).is_err(),
             "cut at {length}"
         );
     }
-    assert!(Seat::open(&image, FLEET, Terms::default(), 1).is_ok());
+    assert!(Replica::open(&image, FLEET, RaftConfig::default(), 1).is_ok());
 }
 
 #[test_case(FleetId(8), "the state is of fleet 0000000000000007, this one is 0000000000000008"; "another fleet")]
 fn a_state_of_another_fleet_is_refused_with_words(fleet: FleetId, words: &str) {
-    let refused = Seat::open(&image(), fleet, Terms::default(), 1)
+    let refused = Replica::open(&image(), fleet, RaftConfig::default(), 1)
         .err()
         .map(|refused| refused.to_string());
     assert_eq!(refused.as_deref(), Some(words));
@@ -283,21 +286,21 @@
     let leader = world.led();
     let long = vec![0; 20_000];
     assert!(matches!(
-        world.seat(leader).put(long),
-        Err(Refused::TooLong { .. })
+        world.replica(leader).put(long),
+        Err(ConsensusError::TooLong { .. })
     ));
     let mut chance = nanorand::WyRand::new_seed(1);
     for _ in 0..20_000 {
         let length = chance.generate_range(0..64usize);
         let bytes: Vec<u8> = (0..length).map(|_| chance.generate()).collect();
         world
-            .seat(leader)
-            .hear(SeatNo(chance.generate_range(0..5)), &bytes);
+            .replica(leader)
+            .hear(ReplicaId(chance.generate_range(0..5)), &bytes);
     }
     world.steps(100);
     assert!(world
         .up()
         .into_iter()
-        .all(|no| world.seat(no).standing() == &Standing::TakesPart));
+        .all(|no| world.replica(no).standing() == &Participation::TakesPart));
     assert!(world.put(b"on"));
 }
--- a/consensus/tests/common/mod.rs
+++ b/consensus/tests/common/mod.rs
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 
 use nanorand::{Rng, WyRand};
-use ternpick_consensus::{FleetId, Seat, SeatNo, Standing, Terms};
+use ternpick_consensus::{FleetId, Participation, RaftConfig, Replica, ReplicaId};
 
 pub const FLEET: FleetId = FleetId(7);
 
 pub struct Place {
-    pub seat: Option<Seat>,
+    pub replica: Option<Replica>,
     /// What is on disk, and all that ever was.
     pub disk: Vec<Vec<u8>>,
     /// What was played, in order, with its place; a snapshot puts its whole content in its place.
@@ -22,17 +22,17 @@
 }
 
 pub struct World {
-    pub places: BTreeMap<SeatNo, Place>,
+    pub places: BTreeMap<ReplicaId, Place>,
     pub chance: WyRand,
     /// Messages on their way: when they come, from, to, bytes.
-    wire: Vec<(u64, SeatNo, SeatNo, Vec<u8>)>,
+    wire: Vec<(u64, ReplicaId, ReplicaId, Vec<u8>)>,
     pub now: u64,
     pub loss: f64,
     pub slow_disk: f64,
     /// Pairs that hear nothing, one way each.
-    pub cut: Vec<(SeatNo, SeatNo)>,
-    pub terms: Terms,
-    pub leaders: BTreeMap<u64, SeatNo>,
+    pub cut: Vec<(ReplicaId, ReplicaId)>,
+    pub terms: RaftConfig,
+    pub leaders: BTreeMap<u64, ReplicaId>,
     pub boots: u64,
 }
 
@@ -42,7 +42,7 @@
 
 impl World {
     pub fn new(count: u64, seed: u64) -> World {
-        let voters: Vec<SeatNo> = (1..=count).map(SeatNo).collect();
+        let voters: Vec<ReplicaId> = (1..=count).map(ReplicaId).collect();
         let mut world = World {
             places: BTreeMap::new(),
             chance: WyRand::new_seed(seed),
@@ -51,17 +51,17 @@
             loss: 0.0,
             slow_disk: 0.0,
             cut: Vec::new(),
-            terms: Terms {
+            terms: RaftConfig {
                 entries_kept: 24,
-                ..Terms::default()
+                ..RaftConfig::default()
             },
             leaders: BTreeMap::new(),
             boots: 0,
         };
         for no in &voters {
-            let image = Seat::founds(FLEET, *no, &voters, state_of(&[]));
+            let image = Replica::founds(FLEET, *no, &voters, state_of(&[]));
             let place = Place {
-                seat: None,
+                replica: None,
                 disk: vec![image],
                 played: Vec::new(),
                 working: false,
@@ -73,36 +73,36 @@
         world
     }
 
-    pub fn start(&mut self, no: SeatNo) {
+    pub fn start(&mut self, no: ReplicaId) {
         self.boots += 1;
         let place = self.places.get_mut(&no).expect("a place");
         let image = place.disk.last().expect("something on disk");
-        let seat =
-            Seat::open(image, FLEET, self.terms, no.0 * 1000 + self.boots).expect("a good state");
-        let (_, state) = seat.begins_from().expect("a state");
+        let replica = Replica::open(image, FLEET, self.terms, no.0 * 1000 + self.boots)
+            .expect("a good state");
+        let (_, state) = replica.begins_from().expect("a state");
         place.played = postcard::from_bytes(&state).expect("a state");
-        (place.seat, place.working, place.writing) = (Some(seat), false, None);
+        (place.replica, place.working, place.writing) = (Some(replica), false, None);
     }
 
-    pub fn crash(&mut self, no: SeatNo) {
-        self.places.get_mut(&no).expect("a place").seat = None;
+    pub fn crash(&mut self, no: ReplicaId) {
+        self.places.get_mut(&no).expect("a place").replica = None;
     }
 
-    pub fn up(&self) -> Vec<SeatNo> {
+    pub fn up(&self) -> Vec<ReplicaId> {
         self.places
             .iter()
-            .filter(|(_, place)| place.seat.is_some())
+            .filter(|(_, place)| place.replica.is_some())
             .map(|(no, _)| *no)
             .collect()
     }
 
-    pub fn leader(&self) -> Option<SeatNo> {
+    pub fn leader(&self) -> Option<ReplicaId> {
         let leads = self
             .places
             .iter()
-            .filter(|(_, place)| place.seat.as_ref().is_some_and(Seat::leads));
+            .filter(|(_, place)| place.replica.as_ref().is_some_and(Replica::leads));
         leads
-            .max_by_key(|(_, place)| place.seat.as_ref().map(Seat::term))
+            .max_by_key(|(_, place)| place.replica.as_ref().map(Replica::term))
             .map(|(no, _)| *no)
     }
 
@@ -110,17 +110,17 @@
         let Some(no) = self.leader() else {
             return false;
         };
-        let seat = self
+        let replica = self
             .places
             .get_mut(&no)
-            .and_then(|place| place.seat.as_mut());
-        seat.is_some_and(|seat| seat.put(data.to_vec()).is_ok())
+            .and_then(|place| place.replica.as_mut());
+        replica.is_some_and(|replica| replica.put(data.to_vec()).is_ok())
     }
 
-    pub fn seat(&mut self, no: SeatNo) -> &mut Seat {
+    pub fn replica(&mut self, no: ReplicaId) -> &mut Replica {
         self.places
             .get_mut(&no)
-            .and_then(|place| place.seat.as_mut())
+            .and_then(|place| place.replica.as_mut())
             .expect("a seat that is up")
     }
 
@@ -133,26 +133,28 @@
             .partition(|(at, ..)| *at <= self.now);
         self.wire = rest;
         for (_, from, to, bytes) in due {
-            if let Some(seat) = self
+            if let Some(replica) = self
                 .places
                 .get_mut(&to)
-                .and_then(|place| place.seat.as_mut())
+                .and_then(|place| place.replica.as_mut())
             {
-                seat.hear(from, &bytes);
+                replica.hear(from, &bytes);
             }
         }
         for no in numbers {
-            self.seat(no).tick();
+            self.replica(no).tick();
             self.work(no);
         }
     }
 
-    fn work(&mut self, no: SeatNo) {
+    fn work(&mut self, no: ReplicaId) {
         for _ in 0..20 {
             let place = self.places.get_mut(&no).expect("a place");
-            let Some(seat) = &mut place.seat else { return };
+            let Some(replica) = &mut place.replica else {
+                return;
+            };
             if !place.working {
-                let Some(work) = seat.work() else { break };
+                let Some(work) = replica.work() else { break };
                 place.writing = work.image;
             }
             // A slow disk: what comes meanwhile finds the work not kept yet.
@@ -161,20 +163,20 @@
                 return;
             }
             place.disk.extend(place.writing.take());
-            let done = seat.kept();
+            let done = replica.kept();
             if let Some((_, state)) = done.restored {
                 place.played = postcard::from_bytes(&state).expect("a state");
             }
             place.played.extend(done.entries);
-            if seat.is_long() {
-                seat.compact(state_of(&place.played));
+            if replica.is_long() {
+                replica.compact(state_of(&place.played));
             }
-            if seat.leads() {
-                let before = self.leaders.insert(seat.term(), no);
+            if replica.leads() {
+                let before = self.leaders.insert(replica.term(), no);
                 assert!(
                     before.is_none_or(|before| before == no),
                     "two lead in term {}",
-                    seat.term()
+                    replica.term()
                 );
             }
             for (to, bytes) in done.messages {
@@ -183,7 +185,7 @@
         }
     }
 
-    fn send(&mut self, from: SeatNo, to: SeatNo, bytes: Vec<u8>) {
+    fn send(&mut self, from: ReplicaId, to: ReplicaId, bytes: Vec<u8>) {
         if self.cut.contains(&(from, to)) || self.chance.generate::<f64>() < self.loss {
             return;
         }
@@ -210,7 +212,7 @@
     }
 
     /// Until somebody leads, at most so long.
-    pub fn led(&mut self) -> SeatNo {
+    pub fn led(&mut self) -> ReplicaId {
         for _ in 0..2000 {
             self.step();
             if let Some(no) = self.leader() {
@@ -220,16 +222,24 @@
         panic!("nobody leads: {:?}", self.standings());
     }
 
-    pub fn standings(&self) -> Vec<(SeatNo, Option<Standing>)> {
+    pub fn standings(&self) -> Vec<(ReplicaId, Option<Participation>)> {
         self.places
             .iter()
-            .map(|(no, place)| (*no, place.seat.as_ref().map(|seat| seat.standing().clone())))
+            .map(|(no, place)| {
+                (
+                    *no,
+                    place
+                        .replica
+                        .as_ref()
+                        .map(|replica| replica.standing().clone()),
+                )
+            })
             .collect()
     }
 
     /// No two have played another entry at the same place. The rule that all else rests on.
     pub fn agree(&self) -> Result<(), String> {
-        let mut all: BTreeMap<u64, (SeatNo, &[u8])> = BTreeMap::new();
+        let mut all: BTreeMap<u64, (ReplicaId, &[u8])> = BTreeMap::new();
         for (no, place) in &self.places {
             for (index, entry) in &place.played {
                 let (first, known) = *all.entry(*index).or_insert((*no, entry));
--- a/fault_injection/examples/preload.rs
+++ b/fault_injection/examples/preload.rs
@@ -453,7 +453,7 @@
 }
 
 macro_rules! waits {
-    ($name:ident, fn($($arg:ident: $ty:ty),*)) => {
+    ($name:ident, fn($($arg:ident: $ty:ty),* $(,)?)) => {
         #[no_mangle]
         pub unsafe extern "C" fn $name(fd: c_int, $($arg: $ty),*) -> c_int {
             if let Fate::Fails(errno) = fate(Call::Wait, fd, 0) {
--- a/fleet_policy/src/figures.rs
+++ b/fleet_policy/src/effective_config.rs
@@ -1,12 +1,12 @@
 //! What a policy makes of a platform's own figures: the table that decisions read, never beyond what the platform says.
 
-use ternpick::types::{Micros, Tariff};
+use ternpick::types::{Micros, PlatformConfig};
 
 use crate::record::{Platform, PlatformIndex, Record};
 
 /// What the platform's own settings allow, by the names that policies use.
-pub fn platform(tariff: &Tariff, indexes: &[String], customers: &[String]) -> Platform {
-    let index = |(name, row): (&String, &ternpick::types::IndexRow)| PlatformIndex {
+pub fn platform(tariff: &PlatformConfig, indexes: &[String], customers: &[String]) -> Platform {
+    let index = |(name, row): (&String, &ternpick::types::IndexConfig)| PlatformIndex {
         name: name.clone(),
         least: row.least,
         need: row.need,
@@ -30,10 +30,10 @@
 /// Puts a policy in force over the platform's own figures, for lookups that are admitted from now on.
 pub fn put_in_force(
     record: &Record,
-    platform: &Tariff,
+    platform: &PlatformConfig,
     indexes: &[String],
     customers: &[String],
-    tariff: &mut Tariff,
+    tariff: &mut PlatformConfig,
 ) {
     let rows = tariff
         .indexes
@@ -65,7 +65,7 @@
 mod tests {
     use super::*;
     use proptest::prelude::*;
-    use ternpick::types::IndexRow;
+    use ternpick::types::IndexConfig;
 
     proptest! {
         #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
@@ -74,14 +74,14 @@
             (own, need) in (0.0f64..=1.0, 0.0f64..=1.0), wanted in 0.0f64..=1.0, calls in 1u64..9, cap in 1usize..5,
             spare in 0.0f64..10.0, own_spare in 0.0f64..10.0, quota in 1.0f64..50.0, own_quota in 1.0f64..50.0
         ) {
-            let row = IndexRow { least: own.min(need), need, soft: Micros(600_000), ..IndexRow::default() };
-            let tariff = Tariff {
+            let row = IndexConfig { least: own.min(need), need, soft: Micros(600_000), ..IndexConfig::default() };
+            let tariff = PlatformConfig {
                 indexes: vec![row],
                 quotas: vec![own_quota],
                 most_calls: Some(cap),
                 extra_spare: own_spare,
                 extra_window: Some(Micros(1)),
-                ..Tariff::default()
+                ..PlatformConfig::default()
             };
             let (names, customers) = (["half".to_owned()], ["north".to_owned()]);
             let text = format!(
--- a/fleet_policy/src/annex.rs
+++ b/fleet_policy/src/extension.rs
@@ -1,17 +1,17 @@
 //! Room for a further matter that the same routers agree on: its entries stand in the same log, its state goes into the same
 //! snapshots, and what every router has to know of it before it may send anything goes with the leases. What it means is
-//! known to the package that implements [`Annex`].
+//! known to the package that implements [`Extension`].
 
 use std::collections::BTreeMap;
 
 use ternpick::types::Micros;
 
 use crate::ids::{Index, Member};
-use crate::register::Seated;
+use crate::state_machine::MemberInfo;
 
 /// What the router that leads knows of another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Attended {
+pub struct MemberContact {
     pub member: Member,
     /// What its newest process said last; not of one that has not been heard since this one leads.
     pub word: Option<Vec<u8>>,
@@ -23,12 +23,12 @@
     pub over: bool,
 }
 
-pub trait Annex {
+pub trait Extension {
     /// Plays an agreed entry: the same entries in the same order give the same state on every router. For who asked:
     /// a number, or why it is refused.
     fn play(&mut self, index: Index, entry: &[u8]) -> Result<u64, String>;
     /// Who belongs to the fleet from this place on.
-    fn members(&mut self, members: &BTreeMap<Member, Seated>);
+    fn members(&mut self, members: &BTreeMap<Member, MemberInfo>);
     /// The whole state, and one read again; an empty one is a new fleet's.
     fn image(&self) -> Vec<u8>;
     fn restore(&mut self, image: &[u8]);
@@ -46,21 +46,21 @@
         now: Micros,
         me: &Member,
         term: u64,
-        attended: &[Attended],
+        attended: &[MemberContact],
     ) -> (Vec<Vec<u8>>, Vec<String>);
     /// The answer to an operator's question, as JSON; none: it is no question of this matter.
     fn look(&self, now: Micros, what: &str) -> Option<String>;
 }
 
 /// No further matter.
-pub struct Nothing;
+pub struct NoExtension;
 
-impl Annex for Nothing {
+impl Extension for NoExtension {
     fn play(&mut self, _: Index, _: &[u8]) -> Result<u64, String> {
         Err("this router's settings have no such matter".into())
     }
 
-    fn members(&mut self, _: &BTreeMap<Member, Seated>) {}
+    fn members(&mut self, _: &BTreeMap<Member, MemberInfo>) {}
 
     fn image(&self) -> Vec<u8> {
         Vec::new()
@@ -89,7 +89,7 @@
         _: Micros,
         _: &Member,
         _: u64,
-        _: &[Attended],
+        _: &[MemberContact],
     ) -> (Vec<Vec<u8>>, Vec<String>) {
         (Vec::new(), Vec::new())
     }
--- a/fleet_policy/src/ids.rs
+++ b/fleet_policy/src/ids.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use ternpick_consensus::SeatNo;
+pub use ternpick_consensus::ReplicaId;
 
 /// Numbers, each a type of its own: whoever uses it has `serde`.
 #[macro_export]
@@ -39,7 +39,7 @@
     /// A request for a lease, counted by its process.
     Seq,
     /// An operator's command, by chance: said again, it is still one.
-    Op,
+    OperationId,
 }
 
 /// A router of the fleet, by its name.
--- a/fleet_policy/src/chair.rs
+++ b/fleet_policy/src/leader.rs
@@ -5,11 +5,11 @@
 
 use ternpick::types::Micros;
 
-use crate::annex::Attended;
-use crate::ids::{Incarnation, Index, Member, Round, SeatNo, Seq, Version};
-use crate::register::{Entry, Pending, Register, Verdict};
-use crate::say::{Grant, Heeded, Renew, Told, View};
-use crate::terms::Terms;
+use crate::extension::MemberContact;
+use crate::ids::{Incarnation, Index, Member, ReplicaId, Round, Seq, Version};
+use crate::lease_config::LeaseConfig;
+use crate::messages::{LastLeaderContact, LeaseGrant, LeaseReply, LeaseRequest, View};
+use crate::state_machine::{Entry, PendingProposal, PolicyState, Verdict};
 
 /// Processes of one member whose leases may run at a time; one more gets none before the oldest is over.
 const MOST_PROCESSES: usize = 8;
@@ -20,13 +20,13 @@
 
 /// What the driver is to do, in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Order {
+pub enum LeaderAction {
     /// Put an entry into the log.
-    Put(Entry),
-    /// Make sure that this router leads still, and tell with [`Chair::confirmed`].
-    Ask(u64),
-    Tell(Member, Box<Told>),
-    Say(String),
+    Propose(Entry),
+    /// Make sure that this router leads still, and tell with [`Leader::confirmed`].
+    ConfirmLeadership(u64),
+    Reply(Member, Box<LeaseReply>),
+    Log(String),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -52,13 +52,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Chair {
-    terms: Terms,
+pub struct Leader {
+    terms: LeaseConfig,
     /// Leases that others gave began before: from when on this router leads, or earlier by its voters' word.
     since: Micros,
     /// The term in which it leads and who voted then; what each has said of when it last took an earlier leader's word.
-    elected: (u64, Vec<SeatNo>),
-    heeded: BTreeMap<SeatNo, Micros>,
+    elected: (u64, Vec<ReplicaId>),
+    heeded: BTreeMap<ReplicaId, Micros>,
     /// Leases are remembered for so long past their end.
     pub remembers: Micros,
     /// One entry a member.
@@ -81,13 +81,13 @@
     /// The state that was last pushed to all.
     pushed: Index,
     #[cfg(any(test, feature = "planted"))]
-    pub planted: Option<Planted>,
+    pub planted: Option<InjectedBug>,
 }
 
 /// Faults that tests must catch.
 #[cfg(any(test, feature = "planted"))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Planted {
+pub enum InjectedBug {
     /// A change takes hold without waiting for leases that may still run.
     NoWait,
     /// Leases are given without asking whether this router leads still.
@@ -98,10 +98,10 @@
     OneVotersWord,
 }
 
-impl Chair {
+impl Leader {
     /// This router leads, and has heard so at `now`.
-    pub fn takes(terms: Terms, now: Micros, register: &Register) -> Chair {
-        Chair {
+    pub fn takes(terms: LeaseConfig, now: Micros, register: &PolicyState) -> Leader {
+        Leader {
             terms,
             since: now,
             elected: (0, Vec::new()),
@@ -123,13 +123,13 @@
     }
 
     /// It leads in this term by the votes of most of these.
-    pub fn elected(&mut self, term: u64, voters: Vec<SeatNo>) {
+    pub fn elected(&mut self, term: u64, voters: Vec<ReplicaId>) {
         self.elected = (term, voters);
     }
 
     /// Whoever led before gave no lease that was asked for after most voters had last taken its word: one of those
     /// would have had to confirm it. Seen: two silent, one of them the leader; a change waited for the election as well.
-    fn dates_back(&mut self, now: Micros, of: Heeded) {
+    fn dates_back(&mut self, now: Micros, of: LastLeaderContact) {
         let (term, voters) = &self.elected;
         if of.term != *term || !voters.contains(&of.seat) {
             return;
@@ -143,7 +143,7 @@
         times.sort_unstable();
         let majority = voters.len() / 2;
         #[cfg(any(test, feature = "planted"))]
-        let majority = if self.has(Planted::OneVotersWord) {
+        let majority = if self.has(InjectedBug::OneVotersWord) {
             0
         } else {
             majority
@@ -154,18 +154,23 @@
     }
 
     #[cfg(any(test, feature = "planted"))]
-    fn has(&self, fault: Planted) -> bool {
+    fn has(&self, fault: InjectedBug) -> bool {
         self.planted == Some(fault)
     }
 
     /// A router asks.
-    pub fn hear(&mut self, now: Micros, register: &Register, of: Renew) -> Vec<Order> {
+    pub fn hear(
+        &mut self,
+        now: Micros,
+        register: &PolicyState,
+        of: LeaseRequest,
+    ) -> Vec<LeaderAction> {
         if !register.members.contains_key(&of.member) {
-            return vec![Order::Tell(
+            return vec![LeaderAction::Reply(
                 of.member,
-                Box::new(Told {
+                Box::new(LeaseReply {
                     stranger: true,
-                    ..Told::default()
+                    ..LeaseReply::default()
                 }),
             )];
         }
@@ -222,15 +227,15 @@
         let mut others_over = now > self.since + span;
         #[cfg(any(test, feature = "planted"))]
         {
-            others_over |= self.has(Planted::ForgetsOthers) || self.has(Planted::NoWait);
-            own_over |= self.has(Planted::NoWait);
+            others_over |= self.has(InjectedBug::ForgetsOthers) || self.has(InjectedBug::NoWait);
+            own_over |= self.has(InjectedBug::NoWait);
         }
         let _ = (&mut own_over, &mut others_over);
         own_over && others_over
     }
 
     /// Whether this member surely admits nothing more in this round.
-    fn has_stopped(&self, now: Micros, member: &Member, next: &Pending) -> bool {
+    fn has_stopped(&self, now: Micros, member: &Member, next: &PendingProposal) -> bool {
         let round = Some((next.paper.number, next.round));
         let Some(heard) = self
             .heard
@@ -252,7 +257,12 @@
     }
 
     /// This router led still when the question with this number was put, and the register is as new as that.
-    pub fn confirmed(&mut self, now: Micros, register: &Register, ask: u64) -> Vec<Order> {
+    pub fn confirmed(
+        &mut self,
+        now: Micros,
+        register: &PolicyState,
+        ask: u64,
+    ) -> Vec<LeaderAction> {
         let Some((_, _, covered)) = self.asked.take_if(|(number, ..)| *number == ask) else {
             return vec![];
         };
@@ -263,15 +273,15 @@
     fn grant(
         &mut self,
         now: Micros,
-        register: &Register,
+        register: &PolicyState,
         to: BTreeMap<Member, Waiting>,
-    ) -> Vec<Order> {
+    ) -> Vec<LeaderAction> {
         let span = self.terms.surely_over() + self.remembers;
         self.leases.retain(|_, came| now <= *came + span);
         let mut orders = Vec::new();
         for (member, waiting) in to {
             let may = !waiting.unfit && self.may_have(register, &member, waiting.incarnation);
-            let grant = may.then_some(Grant {
+            let grant = may.then_some(LeaseGrant {
                 incarnation: waiting.incarnation,
                 seq: waiting.seq,
                 epoch: register.epoch,
@@ -282,13 +292,13 @@
                     .insert((member.clone(), waiting.incarnation), waiting.came);
             }
             let told = self.told(register, &member, grant);
-            orders.push(Order::Tell(member, Box::new(told)));
+            orders.push(LeaderAction::Reply(member, Box::new(told)));
         }
         orders
     }
 
     /// Leases go to members that are through with the proposal on its way, and to nobody while it takes hold.
-    fn may_have(&self, register: &Register, member: &Member, process: Incarnation) -> bool {
+    fn may_have(&self, register: &PolicyState, member: &Member, process: Incarnation) -> bool {
         let known = self.leases.contains_key(&(member.clone(), process));
         let processes = self.leases.keys().filter(|(of, _)| of == member).count();
         if self
@@ -312,14 +322,19 @@
         }
     }
 
-    fn told(&mut self, register: &Register, member: &Member, grant: Option<Grant>) -> Told {
+    fn told(
+        &mut self,
+        register: &PolicyState,
+        member: &Member,
+        grant: Option<LeaseGrant>,
+    ) -> LeaseReply {
         let (known, members) = self
             .heard
             .get(member)
             .map_or((Index(0), Index(0)), |h| (h.index, h.members_at));
         let view = (known < register.changed).then(|| View::of(register));
         let members = (members < register.members_at).then(|| register.members.clone());
-        Told {
+        LeaseReply {
             view,
             members,
             grant,
@@ -328,7 +343,7 @@
     }
 
     /// Looks what is to be done now. To be called after each entry that was played, and every few milliseconds.
-    pub fn beat(&mut self, now: Micros, register: &Register) -> Vec<Order> {
+    pub fn beat(&mut self, now: Micros, register: &PolicyState) -> Vec<LeaderAction> {
         let mut orders = Vec::new();
         self.put
             .take_if(|(index, at)| *index < register.index || now.since(*at) > PUT_AGAIN);
@@ -343,7 +358,7 @@
             if let Some(entry) = step {
                 self.put = Some((register.index, now));
                 self.beginning = matches!(entry, Entry::Begin { .. });
-                orders.push(Order::Put(entry));
+                orders.push(LeaderAction::Propose(entry));
             }
         }
         self.push(now, register, &mut orders);
@@ -351,7 +366,7 @@
         orders
     }
 
-    fn follow_round(&mut self, now: Micros, register: &Register) {
+    fn follow_round(&mut self, now: Micros, register: &PolicyState) {
         let running = register.next.as_ref().filter(|next| next.barrier.is_some());
         match running.map(|next| (next.paper.number, next.round)) {
             None => self.round_seen = None,
@@ -370,7 +385,7 @@
     }
 
     /// What members have said of the proposal and the register does not know yet.
-    fn say_verdicts(&self, next: &Pending) -> Option<Entry> {
+    fn say_verdicts(&self, next: &PendingProposal) -> Option<Entry> {
         let number = next.paper.number;
         let said = self.heard.iter().filter_map(|(member, heard)| {
             let (of, verdict) = heard.verdict.as_ref()?;
@@ -382,7 +397,12 @@
     }
 
     /// Begins to take hold once each member fits and is there, or has surely no lease.
-    fn begin_round(&self, now: Micros, register: &Register, next: &Pending) -> Option<Entry> {
+    fn begin_round(
+        &self,
+        now: Micros,
+        register: &PolicyState,
+        next: &PendingProposal,
+    ) -> Option<Entry> {
         if next.unconfirmed
             || !register
                 .left
@@ -418,9 +438,9 @@
     fn end_round(
         &mut self,
         now: Micros,
-        register: &Register,
-        next: &Pending,
-        orders: &mut Vec<Order>,
+        register: &PolicyState,
+        next: &PendingProposal,
+        orders: &mut Vec<LeaderAction>,
     ) -> Option<Entry> {
         let (number, round, without) = (next.paper.number, next.round, next.barrier.as_ref()?);
         let present = register
@@ -432,7 +452,7 @@
             .cloned()
             .collect();
         #[cfg(any(test, feature = "planted"))]
-        let missing = if self.has(Planted::NoWait) {
+        let missing = if self.has(InjectedBug::NoWait) {
             BTreeSet::new()
         } else {
             missing
@@ -448,7 +468,7 @@
             return None;
         }
         let names: Vec<&str> = missing.iter().map(|member| member.0.as_str()).collect();
-        orders.push(Order::Say(format!(
+        orders.push(LeaderAction::Log(format!(
             "policy: round {round} of proposal {number} ends after {} ms, not stopped: {}",
             now.since(seen).0 / 1000,
             names.join(", ")
@@ -461,7 +481,7 @@
     }
 
     /// News goes to all that were heard of late, so that nobody waits for its own next request.
-    fn push(&mut self, now: Micros, register: &Register, orders: &mut Vec<Order>) {
+    fn push(&mut self, now: Micros, register: &PolicyState, orders: &mut Vec<LeaderAction>) {
         if self.pushed >= register.changed {
             return;
         }
@@ -475,38 +495,43 @@
         for member in there {
             let told = self.told(register, &member, None);
             if told.view.is_some() {
-                orders.push(Order::Tell(member, Box::new(told)));
+                orders.push(LeaderAction::Reply(member, Box::new(told)));
             }
         }
     }
 
     /// One question at a time covers all requests that wait.
-    fn ask(&mut self, now: Micros, register: &Register, orders: &mut Vec<Order>) {
+    fn ask(&mut self, now: Micros, register: &PolicyState, orders: &mut Vec<LeaderAction>) {
         self.asked.take_if(|(_, at, _)| now.since(*at) > PUT_AGAIN);
         if self.asked.is_some() || self.waiting.is_empty() {
             return;
         }
         let covered = std::mem::take(&mut self.waiting);
         #[cfg(any(test, feature = "planted"))]
-        if self.has(Planted::NoAsking) {
+        if self.has(InjectedBug::NoAsking) {
             let told = self.grant(now, register, covered);
             return orders.extend(told);
         }
         let _ = register;
         self.last_ask += 1;
         self.asked = Some((self.last_ask, now, covered));
-        orders.push(Order::Ask(self.last_ask));
+        orders.push(LeaderAction::ConfirmLeadership(self.last_ask));
     }
 
     /// How far each member is with the further matter: those that belong to the fleet, and those that left it.
-    pub fn attended(&self, now: Micros, register: &Register, gone: &[Member]) -> Vec<Attended> {
+    pub fn attended(
+        &self,
+        now: Micros,
+        register: &PolicyState,
+        gone: &[Member],
+    ) -> Vec<MemberContact> {
         let of = |member: &Member| {
             let heard = self
                 .heard
                 .get(member)
                 .filter(|_| register.members.contains_key(member));
             let others = |but| self.over_for(now, member, but, self.remembers);
-            Attended {
+            MemberContact {
                 member: member.clone(),
                 word: heard.map(|heard| heard.word.clone()),
                 fresh: heard.is_some() && self.is_fresh(now, member),
@@ -523,13 +548,13 @@
     }
 
     /// When time alone may change something.
-    pub fn next_due(&self, now: Micros, register: &Register) -> Micros {
+    pub fn next_due(&self, now: Micros, register: &PolicyState) -> Micros {
         let busy = register.next.is_some() || self.asked.is_some() || !self.waiting.is_empty();
         now + Micros(if busy { 10_000 } else { self.terms.renew / 2 })
     }
 
     /// Who has been heard from, how long ago, and who has not stopped or confirmed; for people.
-    pub fn members(&self, now: Micros, register: &Register) -> Vec<Seen> {
+    pub fn members(&self, now: Micros, register: &PolicyState) -> Vec<MemberStatus> {
         let seen = |member: &Member| {
             let heard = self.heard.get(member);
             let over = self.over(now, member, None);
@@ -538,7 +563,7 @@
                 .as_ref()
                 .map(|next| next.fits.contains(member));
             let stopped = register.next.as_ref().filter(|next| next.barrier.is_some());
-            Seen {
+            MemberStatus {
                 member: member.clone(),
                 heard: heard.map(|heard| now.since(heard.at)),
                 knows: heard.map(|heard| heard.index),
@@ -551,7 +576,7 @@
     }
 
     /// How long from now until the lease of every silent member is surely over.
-    pub fn at_the_latest(&self, now: Micros, register: &Register) -> Micros {
+    pub fn at_the_latest(&self, now: Micros, register: &PolicyState) -> Micros {
         let span = self.terms.surely_over();
         let silent = register
             .members
@@ -573,7 +598,7 @@
 
 /// How the router that leads sees a member.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Seen {
+pub struct MemberStatus {
     pub member: Member,
     /// How long ago it was heard, in microseconds.
     #[serde(serialize_with = "micros", deserialize_with = "of_micros")]
@@ -600,9 +625,9 @@
 
     const MS: u64 = 1000;
 
-    fn says(seat: u64, term: u64, ago: u64) -> Heeded {
-        Heeded {
-            seat: SeatNo(seat),
+    fn says(seat: u64, term: u64, ago: u64) -> LastLeaderContact {
+        LastLeaderContact {
+            seat: ReplicaId(seat),
             term,
             ago: ago * MS,
         }
@@ -616,17 +641,17 @@
     #[test_case(&[says(1, 4, 700), says(1, 4, 700)] => 10_000; "one twice")]
     #[test_case(&[says(1, 4, 700), says(2, 3, 600)] => 10_000; "one that may still take the earlier one's word")]
     #[test_case(&[says(1, 4, 700), says(9, 4, 600)] => 10_000; "one without a vote")]
-    fn leases_of_others_began_before(said: &[Heeded]) -> u64 {
-        let terms = Terms {
+    fn leases_of_others_began_before(said: &[LastLeaderContact]) -> u64 {
+        let terms = LeaseConfig {
             drift_ppm: 0,
-            ..Terms::default()
+            ..LeaseConfig::default()
         };
-        let mut chair = Chair::takes(
+        let mut chair = Leader::takes(
             terms,
             Micros(10_000 * MS),
-            &Register::begins(BTreeMap::new()),
+            &PolicyState::begins(BTreeMap::new()),
         );
-        chair.elected(4, vec![SeatNo(1), SeatNo(2), SeatNo(3)]);
+        chair.elected(4, vec![ReplicaId(1), ReplicaId(2), ReplicaId(3)]);
         said.iter()
             .for_each(|of| chair.dates_back(Micros(10_000 * MS), *of));
         chair.since.0 / MS
@@ -634,13 +659,13 @@
 
     #[test]
     fn one_voters_word_that_counts_alone_ends_leases_too_early() {
-        let mut chair = Chair::takes(
-            Terms::default(),
+        let mut chair = Leader::takes(
+            LeaseConfig::default(),
             Micros(10_000 * MS),
-            &Register::begins(BTreeMap::new()),
+            &PolicyState::begins(BTreeMap::new()),
         );
-        chair.planted = Some(Planted::OneVotersWord);
-        chair.elected(4, vec![SeatNo(1), SeatNo(2), SeatNo(3)]);
+        chair.planted = Some(InjectedBug::OneVotersWord);
+        chair.elected(4, vec![ReplicaId(1), ReplicaId(2), ReplicaId(3)]);
         // Cut off from the leader before for three seconds, while the others still confirmed its leases.
         chair.dates_back(Micros(10_000 * MS), says(3, 4, 3000));
         assert!(
--- a/fleet_policy/src/heeds.rs
+++ b/fleet_policy/src/leader_contact.rs
@@ -5,17 +5,17 @@
 use ternpick::types::Micros;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Heeds {
+pub struct LeaderContact {
     term: u64,
     /// In that term; and in any term before it.
     last: Micros,
     before: Micros,
 }
 
-impl Heeds {
+impl LeaderContact {
     /// A process that starts does not know what the one before it has said: it may have been just now.
-    pub fn starts(now: Micros) -> Heeds {
-        Heeds {
+    pub fn starts(now: Micros) -> LeaderContact {
+        LeaderContact {
             term: 0,
             last: now,
             before: now,
@@ -53,7 +53,7 @@
     #[test_case(&[(10, 3), (30, 4), (40, 3)], 4 => 10; "the one before is passed over")]
     #[test_case(&[(10, 3), (30, 4), (40, 6)], 6 => 30; "two elections")]
     fn the_last_word_of_an_earlier_leader(words: &[(u64, u64)], term: u64) -> u64 {
-        let mut heeds = Heeds::starts(Micros(5));
+        let mut heeds = LeaderContact::starts(Micros(5));
         words
             .iter()
             .for_each(|(at, term)| heeds.takes(Micros(*at), *term));
--- a/fleet_policy/src/terms.rs
+++ b/fleet_policy/src/lease_config.rs
@@ -5,7 +5,7 @@
 
 /// All spans by monotonic clocks; no clock is ever compared with another's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// How long a lease lasts at the router that has it, from the moment at which it was asked for.
     pub lease: u64,
     /// How often a router asks for its lease anew.
@@ -22,9 +22,9 @@
     pub confirm: bool,
 }
 
-impl Default for Terms {
+impl Default for LeaseConfig {
     fn default() -> Self {
-        Terms {
+        LeaseConfig {
             lease: 2_000_000,
             renew: 500_000,
             drift_ppm: 10_000,
@@ -36,7 +36,7 @@
     }
 }
 
-impl Terms {
+impl LeaseConfig {
     /// How long after a grant its lease has run out surely, by the granter's clock: its holder's may run slow by the
     /// drift while the granter's runs fast by it.
     pub fn surely_over(&self) -> Micros {
@@ -69,7 +69,7 @@
         fn a_lease_is_over_by_every_pair_of_clocks_within_the_drift(
             lease in 1000u64..100_000_000, drift in 0u64..200_000, slow in 0.0f64..=1.0, fast in 0.0f64..=1.0
         ) {
-            let terms = Terms { lease, drift_ppm: drift, ..Terms::default() };
+            let terms = LeaseConfig { lease, drift_ppm: drift, ..LeaseConfig::default() };
             let d = drift as f64 / 1e6;
             // The holder's clock counts `lease` while this much time really passes; the granter's counts more or less.
             let really = lease as f64 / (1.0 - d * slow);
--- a/fleet_policy/src/keeper.rs
+++ b/fleet_policy/src/lease_holder.rs
@@ -6,9 +6,9 @@
 use ternpick::types::Micros;
 
 use crate::ids::{Epoch, Incarnation, Index, Member, Round, Seq, Version};
-use crate::register::{Paper, Seated, Verdict};
-use crate::say::{Renew, Told, View};
-use crate::terms::Terms;
+use crate::lease_config::LeaseConfig;
+use crate::messages::{LeaseReply, LeaseRequest, View};
+use crate::state_machine::{MemberInfo, PolicyDocument, Verdict};
 
 /// Requests for a lease whose answers still count; the oldest go first.
 const MOST_ASKED: usize = 16;
@@ -18,57 +18,59 @@
 /// Whether a lookup may be admitted at this moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    Under(Version),
+    Leased(Version),
     /// Without a lease, by the installation's own word: answers are marked.
     Unguarded(Version),
     /// A change takes hold; ask again when something has changed, or at this time.
-    Hold(Micros),
-    Refused {
-        why: Why,
+    Wait(Micros),
+    Rejected {
+        why: RejectReason,
         come_back: Micros,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectReason {
     /// It has just started and knows no policy.
-    Learning,
+    PolicyUnknown,
     /// Its lease is over.
     NoLease,
     /// A change has been taking hold for too long.
-    TakingHold,
+    ChangeInProgress,
     /// The policy in force does not fit this router.
-    Unfit,
+    PolicyDoesNotFit,
     /// It does not belong to the fleet.
-    Stranger,
+    NotMember,
 }
 
-impl Why {
+impl RejectReason {
     pub fn words(self) -> &'static str {
         match self {
-            Why::Learning => "this router has yet to learn the policy in force",
-            Why::NoLease => "this router cannot reach the others, and admits nothing without them",
-            Why::TakingHold => "a change of policy takes hold",
-            Why::Unfit => "the policy in force does not fit this router",
-            Why::Stranger => "this router does not belong to the fleet",
+            RejectReason::PolicyUnknown => "this router has yet to learn the policy in force",
+            RejectReason::NoLease => {
+                "this router cannot reach the others, and admits nothing without them"
+            }
+            RejectReason::ChangeInProgress => "a change of policy takes hold",
+            RejectReason::PolicyDoesNotFit => "the policy in force does not fit this router",
+            RejectReason::NotMember => "this router does not belong to the fleet",
         }
     }
 }
 
 /// What a driver is to do, in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Effect {
-    /// Look whether this proposal fits here, and say so with [`Keeper::checked`].
-    Check(Paper),
+pub enum LeaseEffect {
+    /// Look whether this proposal fits here, and say so with [`LeaseHolder::checked`].
+    CheckPolicy(PolicyDocument),
     /// Lookups admitted from now on go by this policy; those in hand stay as they are.
-    Use(Paper),
+    ApplyPolicy(PolicyDocument),
     /// The members as they are now.
-    Members(BTreeMap<Member, Seated>),
+    Members(BTreeMap<Member, MemberInfo>),
     /// What has to be known of the further matter, from this place on; to be gone by at once, and answered with
-    /// [`Keeper::goes_by`].
-    Outs(Index, Vec<u8>),
+    /// [`LeaseHolder::goes_by`].
+    MachinesOut(Index, Vec<u8>),
     /// One line for the people on call.
-    Say(String),
+    Log(String),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -79,8 +81,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Keeper {
-    terms: Terms,
+pub struct LeaseHolder {
+    terms: LeaseConfig,
     me: Member,
     incarnation: Incarnation,
     /// From when on no earlier process of this member can have a lease.
@@ -103,13 +105,13 @@
     /// Of the further matter: what this router goes by, and its word on it.
     goes_by: (Index, Vec<u8>),
     #[cfg(any(test, feature = "planted"))]
-    pub planted: Option<Planted>,
+    pub planted: Option<InjectedBug>,
 }
 
 /// Faults that tests must catch.
 #[cfg(any(test, feature = "planted"))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Planted {
+pub enum InjectedBug {
     /// A lease counts from when it came, not from when it was asked for.
     CountsFromGrant,
     /// A lease that is over is used on.
@@ -118,21 +120,21 @@
     GoesOnInBarrier,
 }
 
-impl Keeper {
+impl LeaseHolder {
     /// One that starts at `now`. `inherits`: it takes the place of a process that may still admit for a while.
     pub fn starts(
-        terms: Terms,
+        terms: LeaseConfig,
         me: Member,
         incarnation: Incarnation,
         inherits: bool,
         now: Micros,
-    ) -> Keeper {
+    ) -> LeaseHolder {
         let alone_from = if inherits {
             now + terms.surely_over()
         } else {
             now
         };
-        Keeper {
+        LeaseHolder {
             terms,
             me,
             incarnation,
@@ -155,7 +157,7 @@
     }
 
     #[cfg(any(test, feature = "planted"))]
-    fn has(&self, fault: Planted) -> bool {
+    fn has(&self, fault: InjectedBug) -> bool {
         self.planted == Some(fault)
     }
 
@@ -185,7 +187,7 @@
     fn holds(&self, lease: &Lease, now: Micros) -> bool {
         let in_time = now < lease.until;
         #[cfg(any(test, feature = "planted"))]
-        let in_time = in_time || self.has(Planted::UsedBeyondEnd);
+        let in_time = in_time || self.has(InjectedBug::UsedBeyondEnd);
         let same = self
             .view
             .as_ref()
@@ -197,48 +199,48 @@
         let next = self.view.as_ref().and_then(|view| view.next.as_ref());
         let barrier = next.is_some_and(|next| next.barrier);
         #[cfg(any(test, feature = "planted"))]
-        let barrier = barrier && !self.has(Planted::GoesOnInBarrier);
+        let barrier = barrier && !self.has(InjectedBug::GoesOnInBarrier);
         barrier
     }
 
     /// To be asked in the turn in which a lookup is admitted, with the clock as it stands then: a process that was
     /// stopped in between finds its lease over.
     pub fn admission(&self, now: Micros) -> Admission {
-        let refused = |why| Admission::Refused {
+        let refused = |why| Admission::Rejected {
             why,
             come_back: Micros(self.terms.renew),
         };
         if self.stranger {
-            return refused(Why::Stranger);
+            return refused(RejectReason::NotMember);
         }
         let Some(version) = self.version() else {
             return match self.paused.map(|since| since + Micros(self.terms.hold)) {
-                Some(until) if now < until => Admission::Hold(until),
-                _ => refused(Why::Learning),
+                Some(until) if now < until => Admission::Wait(until),
+                _ => refused(RejectReason::PolicyUnknown),
             };
         };
         if self.unfit == Some(version) {
-            return refused(Why::Unfit);
+            return refused(RejectReason::PolicyDoesNotFit);
         }
         #[cfg(any(test, feature = "planted"))]
-        if let (true, Some(lease)) = (self.has(Planted::GoesOnInBarrier), self.lease) {
+        if let (true, Some(lease)) = (self.has(InjectedBug::GoesOnInBarrier), self.lease) {
             if now < lease.until {
-                return Admission::Under(lease.version);
+                return Admission::Leased(lease.version);
             }
         }
         if !self.in_barrier() && self.lease.is_some_and(|lease| self.holds(&lease, now)) {
-            return Admission::Under(version);
+            return Admission::Leased(version);
         }
         match self.paused.map(|since| since + Micros(self.terms.hold)) {
-            Some(until) if now < until => Admission::Hold(until),
+            Some(until) if now < until => Admission::Wait(until),
             _ if self.terms.serve_without => Admission::Unguarded(version),
-            _ if self.in_barrier() => refused(Why::TakingHold),
-            _ => refused(Why::NoLease),
+            _ if self.in_barrier() => refused(RejectReason::ChangeInProgress),
+            _ => refused(RejectReason::NoLease),
         }
     }
 
     /// The next request, where one is due; it is on its way from `now`.
-    pub fn renew(&mut self, now: Micros) -> Option<Renew> {
+    pub fn renew(&mut self, now: Micros) -> Option<LeaseRequest> {
         if now < self.due(now) {
             return None;
         }
@@ -250,7 +252,7 @@
             self.asked.pop_front();
         }
         let view = self.view.as_ref();
-        Some(Renew {
+        Some(LeaseRequest {
             member: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.last_seq,
@@ -292,12 +294,12 @@
     }
 
     /// Something was heard from the router that leads.
-    pub fn told(&mut self, now: Micros, told: Told) -> Vec<Effect> {
+    pub fn told(&mut self, now: Micros, told: LeaseReply) -> Vec<LeaseEffect> {
         let mut effects = Vec::new();
         self.answered = true;
         self.stranger = told.stranger;
         if let Some(members) = told.members {
-            effects.push(Effect::Members(members));
+            effects.push(LeaseEffect::Members(members));
         }
         if let Some(view) = told.view {
             self.take(now, view, &mut effects);
@@ -312,7 +314,7 @@
             return effects;
         };
         #[cfg(any(test, feature = "planted"))]
-        let sent = if self.has(Planted::CountsFromGrant) {
+        let sent = if self.has(InjectedBug::CountsFromGrant) {
             &now
         } else {
             sent
@@ -331,7 +333,7 @@
         if longer && now < until {
             if let Some(lost) = self.lost_at.take() {
                 let ms = now.since(lost).0 / 1000;
-                effects.push(Effect::Say(format!(
+                effects.push(LeaseEffect::Log(format!(
                     "lease: back under version {}, {ms} ms without",
                     grant.version
                 )));
@@ -365,7 +367,7 @@
         self.eager = true;
     }
 
-    fn take(&mut self, now: Micros, view: View, effects: &mut Vec<Effect>) {
+    fn take(&mut self, now: Micros, view: View, effects: &mut Vec<LeaseEffect>) {
         // What is older, or came twice, says nothing new: a version never goes back.
         if self
             .view
@@ -385,7 +387,7 @@
                 self.paused = Some(now);
             }
             #[cfg(any(test, feature = "planted"))]
-            let keeps = self.has(Planted::GoesOnInBarrier);
+            let keeps = self.has(InjectedBug::GoesOnInBarrier);
             #[cfg(not(any(test, feature = "planted")))]
             let keeps = false;
             if !keeps {
@@ -395,23 +397,23 @@
         }
         if was != Some(view.in_force.number) {
             let (number, author) = (view.in_force.number, &view.in_force.author);
-            effects.push(Effect::Say(format!(
+            effects.push(LeaseEffect::Log(format!(
                 "policy: version {number} is in force, by '{author}'"
             )));
-            effects.push(Effect::Use(view.in_force.clone()));
+            effects.push(LeaseEffect::ApplyPolicy(view.in_force.clone()));
             self.unfit = None;
         }
         if before
             .as_ref()
             .is_none_or(|before| before.outs_at != view.outs_at)
         {
-            effects.push(Effect::Outs(view.outs_at, view.outs.clone()));
+            effects.push(LeaseEffect::MachinesOut(view.outs_at, view.outs.clone()));
         }
         let next = view.next.as_ref().filter(|next| !next.barrier);
         let said = self.verdict.as_ref().map(|(number, _)| *number);
         match next {
             Some(next) if said != Some(next.paper.number) => {
-                effects.push(Effect::Check(next.paper.clone()));
+                effects.push(LeaseEffect::CheckPolicy(next.paper.clone()));
             }
             Some(_) => {}
             None if view.next.is_none() => self.verdict = None,
@@ -423,7 +425,7 @@
             .filter(|next| next.barrier)
             .map(|next| next.round)
         {
-            effects.push(Effect::Say(format!(
+            effects.push(LeaseEffect::Log(format!(
                 "policy: stopped for round {round}, in epoch {}",
                 view.epoch
             )));
@@ -449,16 +451,16 @@
     }
 
     /// Time has passed; a lease that is over is told of once.
-    pub fn elapsed(&mut self, now: Micros) -> Option<Effect> {
+    pub fn elapsed(&mut self, now: Micros) -> Option<LeaseEffect> {
         #[cfg(any(test, feature = "planted"))]
-        if self.has(Planted::UsedBeyondEnd) {
+        if self.has(InjectedBug::UsedBeyondEnd) {
             return None;
         }
         let lease = self.lease.filter(|lease| now >= lease.until)?;
         self.lease = None;
         self.lost_at = Some(lease.until);
         let late = now.since(lease.until).0 / 1000;
-        Some(Effect::Say(format!(
+        Some(LeaseEffect::Log(format!(
             "lease: over since {late} ms, version {} no longer admits",
             lease.version
         )))
@@ -468,7 +470,7 @@
     pub fn next_due(&self, now: Micros) -> Micros {
         let lease = self.lease.map(|lease| lease.until);
         #[cfg(any(test, feature = "planted"))]
-        let lease = lease.filter(|until| *until > now || !self.has(Planted::UsedBeyondEnd));
+        let lease = lease.filter(|until| *until > now || !self.has(InjectedBug::UsedBeyondEnd));
         let ask = self.due(now);
         lease.into_iter().fold(ask, Micros::min)
     }
--- a/fleet_policy/src/say.rs
+++ b/fleet_policy/src/messages.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Epoch, Incarnation, Index, Member, Op, Round, SeatNo, Seq, Version};
-use crate::register::{Entry, Outcome, Paper, Register, Seated, Verdict};
+use crate::ids::{Epoch, Incarnation, Index, Member, OperationId, ReplicaId, Round, Seq, Version};
+use crate::state_machine::{Entry, MemberInfo, Outcome, PolicyDocument, PolicyState, Verdict};
 
 /// A router asks for its lease, and says where it stands. All that it says is its state, so that a later one makes an
 /// earlier one needless, and one that comes twice says nothing new.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Renew {
+pub struct LeaseRequest {
     pub member: Member,
     pub incarnation: Incarnation,
     pub seq: Seq,
@@ -26,7 +26,7 @@
     /// It cannot use the policy in force: it wants no lease.
     pub unfit: Option<Version>,
     /// Of one that votes.
-    pub heeded: Option<Heeded>,
+    pub heeded: Option<LastLeaderContact>,
     /// Of the further matter: what it goes by, and its word on it.
     pub outs_at: Index,
     pub word: Vec<u8>,
@@ -34,15 +34,15 @@
 
 /// A voter can no longer take the word of a leader of a term before `term`, and has last done so `ago` microseconds back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Heeded {
-    pub seat: SeatNo,
+pub struct LastLeaderContact {
+    pub seat: ReplicaId,
     pub term: u64,
     pub ago: u64,
 }
 
 /// A lease: this process may admit under this version, in this epoch, for the agreed span from when it asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseGrant {
     pub incarnation: Incarnation,
     pub seq: Seq,
     pub epoch: Epoch,
@@ -51,8 +51,8 @@
 
 /// The proposal on its way, as routers need it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct NextView {
-    pub paper: Paper,
+pub struct ProposalView {
+    pub paper: PolicyDocument,
     pub unconfirmed: bool,
     pub round: Round,
     /// It takes hold: nobody admits.
@@ -64,16 +64,16 @@
 pub struct View {
     pub index: Index,
     pub epoch: Epoch,
-    pub in_force: Paper,
-    pub next: Option<NextView>,
+    pub in_force: PolicyDocument,
+    pub next: Option<ProposalView>,
     pub members_at: Index,
     pub outs: Vec<u8>,
     pub outs_at: Index,
 }
 
 impl View {
-    pub fn of(register: &Register) -> View {
-        let next = register.next.as_ref().map(|next| NextView {
+    pub fn of(register: &PolicyState) -> View {
+        let next = register.next.as_ref().map(|next| ProposalView {
             paper: next.paper.clone(),
             unconfirmed: next.unconfirmed,
             round: next.round,
@@ -93,51 +93,51 @@
 
 /// What the router that leads says to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Told {
+pub struct LeaseReply {
     /// Left out where the other knows it.
     pub view: Option<View>,
-    pub members: Option<BTreeMap<Member, Seated>>,
-    pub grant: Option<Grant>,
+    pub members: Option<BTreeMap<Member, MemberInfo>>,
+    pub grant: Option<LeaseGrant>,
     /// Who asked is no member of the fleet.
     pub stranger: bool,
 }
 
 /// What routers of a fleet say to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
+pub enum PeerMessage {
     /// Between seats of the agreement.
-    Seat {
-        from: SeatNo,
-        to: SeatNo,
+    Raft {
+        from: ReplicaId,
+        to: ReplicaId,
         word: Vec<u8>,
     },
-    Renew(Renew),
-    Told(Told),
+    LeaseRequest(LeaseRequest),
+    LeaseReply(LeaseReply),
     /// Whoever is asked does not lead; perhaps this one does.
-    Elsewhere(Option<Member>),
+    NotLeader(Option<Member>),
     /// An operator's command, for whoever leads; said again until its outcome is heard.
-    Do {
-        op: Op,
+    Command {
+        op: OperationId,
         command: Command,
     },
-    Did {
-        op: Op,
+    CommandOutcome {
+        op: OperationId,
         outcome: Outcome,
     },
     /// A part of something that is longer than goes at a time: the driver's matter, no council hears it.
-    Piece {
+    Fragment {
         number: u64,
         at: u16,
         of: u16,
         bytes: Vec<u8>,
     },
     /// A question of an operator's, and its answer (JSON).
-    Look {
-        op: Op,
+    Inspect {
+        op: OperationId,
         what: String,
     },
-    Seen {
-        op: Op,
+    InspectionResult {
+        op: OperationId,
         json: String,
     },
 }
@@ -180,14 +180,14 @@
         to: Member,
     },
     /// Of a further matter.
-    Annex {
+    Extension {
         entry: Vec<u8>,
     },
 }
 
 impl Command {
     /// The entry that it asks for; a transfer needs none.
-    pub fn entry(self, op: Op, confirm: bool) -> Option<Entry> {
+    pub fn entry(self, op: OperationId, confirm: bool) -> Option<Entry> {
         let member = |name: String| Member(name);
         Some(match self {
             Command::Propose {
@@ -196,7 +196,7 @@
                 author,
                 reason,
             } => {
-                let paper = Paper {
+                let paper = PolicyDocument {
                     number: Version(0),
                     text,
                     author,
@@ -242,7 +242,7 @@
                 op,
                 member: member(name),
             },
-            Command::Annex { entry } => Entry::Annex {
+            Command::Extension { entry } => Entry::Extension {
                 op: Some(op),
                 entry,
             },
--- a/fleet_policy/src/model.rs
+++ b/fleet_policy/src/model.rs
@@ -9,16 +9,16 @@
 use ternpick::types::Micros;
 use test_case::test_case;
 
-use crate::chair::Planted as InChair;
-use crate::keeper::Planted as InKeeper;
+use crate::leader::InjectedBug as InLeader;
+use crate::lease_holder::InjectedBug as InLeaseHolder;
 use crate::*;
 
 const STEP: u64 = 100_000;
 /// Requests and answers on their way at a time.
 const MOST_ON_WAY: usize = 2;
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> LeaseConfig {
+    LeaseConfig {
         lease: 2 * STEP,
         renew: STEP,
         drift_ppm: 0,
@@ -31,21 +31,21 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Fault {
-    Chair(InChair),
-    Keeper(InKeeper),
+    Leader(InLeader),
+    LeaseHolder(InLeaseHolder),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Letter {
-    Ask(usize, Renew),
-    Tell(usize, Told),
+    Ask(usize, LeaseRequest),
+    Tell(usize, LeaseReply),
 }
 
 /// One that may lead: it leads really, or believes so still.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Lead {
-    chair: Chair,
-    register: Register,
+    chair: Leader,
+    register: PolicyState,
     /// A question of its own that the others have said yes to, and whose answer is late.
     asked: Option<u64>,
 }
@@ -56,7 +56,7 @@
     log: Vec<Entry>,
     /// The first leads by the others' votes; those behind it only believe so.
     leads: Vec<Lead>,
-    routers: Vec<Keeper>,
+    routers: Vec<LeaseHolder>,
     /// Letters to and from this router are late.
     slow: [bool; 2],
     /// Answers to the questions of the one that leads are late.
@@ -105,15 +105,15 @@
     slows: u8,
 }
 
-fn fleet() -> Register {
-    let seated = |address: &str| Seated {
+fn fleet() -> PolicyState {
+    let seated = |address: &str| MemberInfo {
         address: address.into(),
         zone: String::new(),
         seat: None,
         learns: false,
     };
     let members = BTreeMap::from([("a".into(), seated("1")), ("b".into(), seated("2"))]);
-    Register::begins(members)
+    PolicyState::begins(members)
 }
 
 fn member(at: usize) -> Member {
@@ -121,8 +121,8 @@
 }
 
 impl Change {
-    fn keeper(&self, at: usize, incarnation: u64, now: u64) -> Keeper {
-        let mut keeper = Keeper::starts(
+    fn keeper(&self, at: usize, incarnation: u64, now: u64) -> LeaseHolder {
+        let mut keeper = LeaseHolder::starts(
             terms(),
             member(at),
             Incarnation(incarnation),
@@ -130,16 +130,16 @@
             Micros(now),
         );
         keeper.planted = match self.fault {
-            Some(Fault::Keeper(fault)) => Some(fault),
+            Some(Fault::LeaseHolder(fault)) => Some(fault),
             _ => None,
         };
         keeper
     }
 
-    fn chair(&self, now: u64, register: &Register) -> Chair {
-        let mut chair = Chair::takes(terms(), Micros(now), register);
+    fn chair(&self, now: u64, register: &PolicyState) -> Leader {
+        let mut chair = Leader::takes(terms(), Micros(now), register);
         chair.planted = match self.fault {
-            Some(Fault::Chair(fault)) => Some(fault),
+            Some(Fault::Leader(fault)) => Some(fault),
             _ => None,
         };
         chair
@@ -147,7 +147,11 @@
 }
 
 impl World {
-    fn lead(&mut self, at: usize, then: impl FnOnce(&mut Chair, Micros, &Register) -> Vec<Order>) {
+    fn lead(
+        &mut self,
+        at: usize,
+        then: impl FnOnce(&mut Leader, Micros, &PolicyState) -> Vec<LeaderAction>,
+    ) {
         let now = Micros(self.now);
         let lead = &mut self.leads[at];
         let mut orders = then(&mut lead.chair, now, &lead.register);
@@ -155,20 +159,20 @@
             for order in std::mem::take(&mut orders) {
                 match order {
                     // Only the one that leads gets an entry agreed, and an answer.
-                    Order::Put(entry) if at == 0 => {
+                    LeaderAction::Propose(entry) if at == 0 => {
                         self.log.push(entry.clone());
                         let lead = &mut self.leads[at];
                         lead.register.play(Index(self.log.len() as u64 + 1), entry);
                         orders.extend(lead.chair.beat(now, &lead.register));
                     }
-                    Order::Ask(number) if at == 0 && self.holds => {
+                    LeaderAction::ConfirmLeadership(number) if at == 0 && self.holds => {
                         self.leads[at].asked.get_or_insert(number);
                     }
-                    Order::Ask(number) if at == 0 => {
+                    LeaderAction::ConfirmLeadership(number) if at == 0 => {
                         let lead = &mut self.leads[at];
                         orders.extend(lead.chair.confirmed(now, &lead.register, number));
                     }
-                    Order::Tell(to, told) => {
+                    LeaderAction::Reply(to, told) => {
                         self.post(Letter::Tell(usize::from(to != member(0)), *told))
                     }
                     _ => {}
@@ -198,7 +202,7 @@
             Letter::Tell(to, told) => {
                 let now = Micros(self.now);
                 for effect in self.routers[to].told(now, told) {
-                    if let Effect::Check(paper) = effect {
+                    if let LeaseEffect::CheckPolicy(paper) = effect {
                         self.routers[to].checked(paper.number, Verdict::Fits);
                     }
                 }
@@ -234,7 +238,7 @@
             .routers
             .iter()
             .filter_map(|keeper| match keeper.admission(now) {
-                Admission::Under(version) => Some(version),
+                Admission::Leased(version) => Some(version),
                 _ => None,
             })
             .collect();
@@ -326,12 +330,12 @@
             Action::Passes => {
                 world.now += STEP;
                 if world.log.is_empty() && world.now >= (10 + self.proposed) * STEP {
-                    let paper = Paper {
+                    let paper = PolicyDocument {
                         author: "ann".into(),
-                        ..Paper::default()
+                        ..PolicyDocument::default()
                     };
                     let entry = Entry::Propose {
-                        op: Op(1),
+                        op: OperationId(1),
                         base: None,
                         paper,
                         confirm: false,
@@ -406,7 +410,7 @@
                 world
                     .routers
                     .iter()
-                    .all(|keeper| keeper.admission(now) == Admission::Under(Version(1)))
+                    .all(|keeper| keeper.admission(now) == Admission::Leased(Version(1)))
             }),
             Property::sometimes(
                 "it comes in force without one that is silent",
@@ -467,11 +471,11 @@
     checker.assert_properties();
 }
 
-#[test_case(Fault::Chair(InChair::NoWait); "activation without waiting")]
-#[test_case(Fault::Chair(InChair::NoAsking); "leases given without asking whether one leads still")]
-#[test_case(Fault::Chair(InChair::ForgetsOthers); "leases of the one before not waited out")]
-#[test_case(Fault::Keeper(InKeeper::UsedBeyondEnd); "a lease used beyond its end")]
-#[test_case(Fault::Keeper(InKeeper::GoesOnInBarrier); "one that says it has stopped and goes on")]
+#[test_case(Fault::Leader(InLeader::NoWait); "activation without waiting")]
+#[test_case(Fault::Leader(InLeader::NoAsking); "leases given without asking whether one leads still")]
+#[test_case(Fault::Leader(InLeader::ForgetsOthers); "leases of the one before not waited out")]
+#[test_case(Fault::LeaseHolder(InLeaseHolder::UsedBeyondEnd); "a lease used beyond its end")]
+#[test_case(Fault::LeaseHolder(InLeaseHolder::GoesOnInBarrier); "one that says it has stopped and goes on")]
 fn a_planted_fault_is_found(fault: Fault) {
     finds(fault, world());
 }
@@ -479,7 +483,7 @@
 #[test]
 fn a_lease_that_counts_from_its_coming_is_found() {
     finds(
-        Fault::Keeper(InKeeper::CountsFromGrant),
+        Fault::LeaseHolder(InLeaseHolder::CountsFromGrant),
         Change {
             proposed: 2,
             until: 4,
--- a/fleet_policy/src/council.rs
+++ b/fleet_policy/src/node.rs
@@ -5,16 +5,16 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use ternpick::types::Micros;
-use ternpick_consensus::{Done, Seat, SeatNo, Standing, Status, Terms as SeatTerms};
+use ternpick_consensus::{Advanced, Participation, RaftConfig, Replica, ReplicaId, Status};
 
-use crate::annex::{Annex, Nothing};
-use crate::chair::{Chair, Order};
-use crate::heeds::Heeds;
-use crate::ids::{Index, Member, Op};
-use crate::keeper::{Effect, Keeper};
-use crate::register::{Entry, Outcome, Register, Seated, Verdict};
-use crate::say::{Command, Heeded, Said, Told};
-use crate::{FleetId, Terms, Version};
+use crate::extension::{Extension, NoExtension};
+use crate::ids::{Index, Member, OperationId};
+use crate::leader::{Leader, LeaderAction};
+use crate::leader_contact::LeaderContact;
+use crate::lease_holder::{LeaseEffect, LeaseHolder};
+use crate::messages::{Command, LastLeaderContact, LeaseReply, PeerMessage};
+use crate::state_machine::{Entry, MemberInfo, Outcome, PolicyState, Verdict};
+use crate::{FleetId, LeaseConfig, Version};
 
 /// One tick of the agreement.
 pub const TICK: Micros = Micros(50_000);
@@ -31,82 +31,82 @@
 
 /// What an operator of this router wants of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wish {
-    Do(Command),
-    Look(String),
+pub enum OperatorRequest {
+    Command(Command),
+    Inspect(String),
 }
 
 /// What was heard of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
-    Did(Outcome),
-    Seen(String),
+pub enum OperatorResponse {
+    Outcome(Outcome),
+    Inspection(String),
 }
 
 /// What a driver is to do, in order.
 #[derive(Debug)]
-pub enum Act {
-    Say(Member, Box<Said>),
-    /// Keep this whole, then say so with [`Council::kept`]. One at a time.
-    Keep(Vec<u8>),
+pub enum Effect {
+    Send(Member, Box<PeerMessage>),
+    /// Keep this whole, then say so with [`FleetNode::kept`]. One at a time.
+    Persist(Vec<u8>),
     /// Of this router's lease and policy.
-    Do(Effect),
-    /// Somebody asks what the fleet looks like: answer with [`Said::Seen`].
-    Look(Member, Op, String),
+    Lease(LeaseEffect),
+    /// Somebody asks what the fleet looks like: answer with [`PeerMessage::InspectionResult`].
+    Inspect(Member, OperationId, String),
     /// Something was heard of a wish.
-    Heard(Op, Heard),
-    Log(Level, String),
+    OperatorResponse(OperationId, OperatorResponse),
+    Log(LogLevel, String),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Level {
+pub enum LogLevel {
     Error,
     Info,
     Debug,
 }
 
 /// What a router's folder held at its start.
-pub enum Found {
-    Seat(Box<Seat>),
-    Nothing,
+pub enum LoadedReplica {
+    Replica(Box<Replica>),
+    Missing,
     /// In words; it is left as it is.
     Unusable(String),
 }
 
 struct Own {
-    wish: Wish,
+    wish: OperatorRequest,
     said: Option<Micros>,
     heard: bool,
 }
 
-pub struct Council {
+pub struct FleetNode {
     pub me: Member,
     fleet: FleetId,
-    terms: Terms,
-    seat_terms: SeatTerms,
-    pub keeper: Keeper,
-    pub members: BTreeMap<Member, Seated>,
-    seat: Option<Seat>,
-    heeds: Heeds,
+    terms: LeaseConfig,
+    raft_config: RaftConfig,
+    pub keeper: LeaseHolder,
+    pub members: BTreeMap<Member, MemberInfo>,
+    seat: Option<Replica>,
+    heeds: LeaderContact,
     /// Why there is no seat, where there should be one.
     pub seat_words: Option<String>,
-    register: Option<Register>,
+    register: Option<PolicyState>,
     /// A further matter that is agreed on in the same log.
-    pub annex: Box<dyn Annex>,
+    pub annex: Box<dyn Extension>,
     /// Entries of it that are on their way, and since when: one turn's at a time.
     annexing: Option<(Index, Micros)>,
     /// When the further matter is looked at next: not at each word of each router.
     next_annex: Micros,
-    chair: Option<(u64, Chair)>,
+    chair: Option<(u64, Leader)>,
     /// Who leads, as far as is known, and whom to ask next otherwise.
     leads: Option<Member>,
     next_ask: usize,
     /// Answers to the chair's questions that wait until what they rest on is played.
     reads: Vec<(u64, u64)>,
     /// Commands of others, by whom; taken off when their outcome is told.
-    doing: VecDeque<(Op, Member)>,
+    doing: VecDeque<(OperationId, Member)>,
     /// Wishes of this router's own operators; each is taken off by who asked.
-    own: BTreeMap<Op, Own>,
+    own: BTreeMap<OperationId, Own>,
     next_tick: Micros,
     next_seats: Micros,
     /// Something is being kept.
@@ -115,36 +115,36 @@
     failed: Option<(Micros, Vec<u8>)>,
     image: Vec<u8>,
     /// Said within this router.
-    home: VecDeque<Said>,
-    acts: Vec<Act>,
+    home: VecDeque<PeerMessage>,
+    acts: Vec<Effect>,
     seeds: u64,
     /// A fault in every chair that it takes.
     #[cfg(any(test, feature = "planted"))]
-    pub planted: Option<crate::chair::Planted>,
+    pub planted: Option<crate::leader::InjectedBug>,
 }
 
-impl Council {
+impl FleetNode {
     pub fn new(
         fleet: FleetId,
-        terms: Terms,
-        seat_terms: SeatTerms,
-        keeper: Keeper,
-        members: BTreeMap<Member, Seated>,
+        terms: LeaseConfig,
+        raft_config: RaftConfig,
+        keeper: LeaseHolder,
+        members: BTreeMap<Member, MemberInfo>,
         seed: u64,
         now: Micros,
-    ) -> Council {
-        Council {
+    ) -> FleetNode {
+        FleetNode {
             me: keeper.me().clone(),
             fleet,
             terms,
-            seat_terms,
+            raft_config,
             keeper,
             members,
             seat: None,
-            heeds: Heeds::starts(now),
+            heeds: LeaderContact::starts(now),
             seat_words: None,
             register: None,
-            annex: Box::new(Nothing),
+            annex: Box::new(NoExtension),
             annexing: None,
             next_annex: now,
             chair: None,
@@ -167,37 +167,37 @@
     }
 
     /// Takes the seat that the folder holds.
-    pub fn begins(&mut self, now: Micros, found: Found) {
+    pub fn begins(&mut self, now: Micros, found: LoadedReplica) {
         // Until now another process may have spoken from the same seat.
-        self.heeds = Heeds::starts(now);
+        self.heeds = LeaderContact::starts(now);
         let votes = self
             .members
             .get(&self.me)
             .is_some_and(|seated| seated.seat.is_some());
         match found {
-            Found::Seat(seat) => {
+            LoadedReplica::Replica(seat) => {
                 self.register = seat
                     .begins_from()
                     .and_then(|(_, state)| postcard::from_bytes(&state).ok());
                 self.log(
-                    Level::Info,
+                    LogLevel::Info,
                     format!("fleet: {} has seat {}", self.me, seat.no()),
                 );
                 self.seat = Some(*seat);
             }
-            Found::Nothing if votes => {
+            LoadedReplica::Missing if votes => {
                 let words = "its state is not there: it takes part without a vote until it is replaced (ternpick fleet \
                              replace)";
                 self.log(
-                    Level::Error,
+                    LogLevel::Error,
                     format!("fleet: {} has a vote, and {words}", self.me),
                 );
                 self.seat_words = Some(words.to_owned());
             }
-            Found::Nothing => {}
-            Found::Unusable(words) => {
+            LoadedReplica::Missing => {}
+            LoadedReplica::Unusable(words) => {
                 self.log(
-                    Level::Error,
+                    LogLevel::Error,
                     format!("fleet: {} takes part without its vote, {words}", self.me),
                 );
                 self.seat_words = Some(words);
@@ -224,22 +224,22 @@
     }
 
     pub fn seat_status(&self) -> Option<Status> {
-        self.seat.as_ref().map(Seat::status)
+        self.seat.as_ref().map(Replica::status)
     }
 
     /// While this router leads.
-    pub fn chair(&self) -> Option<(&Chair, &Register)> {
+    pub fn chair(&self) -> Option<(&Leader, &PolicyState)> {
         Some((&self.chair.as_ref()?.1, self.register.as_ref()?))
     }
 
-    fn log(&mut self, level: Level, line: String) {
-        self.acts.push(Act::Log(level, line));
+    fn log(&mut self, level: LogLevel, line: String) {
+        self.acts.push(Effect::Log(level, line));
     }
 
-    fn say(&mut self, to: &Member, said: Said) {
+    fn say(&mut self, to: &Member, said: PeerMessage) {
         match *to == self.me {
             true => self.home.push_back(said),
-            false => self.acts.push(Act::Say(to.clone(), Box::new(said))),
+            false => self.acts.push(Effect::Send(to.clone(), Box::new(said))),
         }
     }
 
@@ -265,9 +265,9 @@
     }
 
     /// Something has come from another router.
-    pub fn hear(&mut self, now: Micros, from: &Member, said: Said) {
+    pub fn hear(&mut self, now: Micros, from: &Member, said: PeerMessage) {
         match said {
-            Said::Seat {
+            PeerMessage::Raft {
                 from: seat,
                 to,
                 word,
@@ -280,7 +280,7 @@
                     }
                 }
             }
-            Said::Renew(renew) => match (&mut self.chair, &self.register) {
+            PeerMessage::LeaseRequest(renew) => match (&mut self.chair, &self.register) {
                 (Some((_, chair)), Some(register)) => {
                     let orders = chair.hear(now, register, renew);
                     self.order(orders);
@@ -290,67 +290,71 @@
                         .leads
                         .clone()
                         .filter(|member| *member != self.me && member != from);
-                    self.say(from, Said::Elsewhere(leads));
+                    self.say(from, PeerMessage::NotLeader(leads));
                 }
             },
-            Said::Told(told) => {
+            PeerMessage::LeaseReply(told) => {
                 if *from != self.me {
                     self.leads = Some(from.clone());
                 }
                 self.told(now, told);
             }
-            Said::Elsewhere(leads) => {
+            PeerMessage::NotLeader(leads) => {
                 let news = leads.is_some() && leads != self.leads;
                 self.leads = leads.filter(|member| member != from && *member != self.me);
                 if news {
                     self.keeper.asks_anew();
                 }
             }
-            Said::Do { op, command } => self.do_for(now, from, op, command),
-            Said::Did { op, outcome } => self.heard(op, Heard::Did(outcome)),
-            Said::Look { op, what } => match self.chair {
-                Some(_) => self.acts.push(Act::Look(from.clone(), op, what)),
+            PeerMessage::Command { op, command } => self.do_for(now, from, op, command),
+            PeerMessage::CommandOutcome { op, outcome } => {
+                self.heard(op, OperatorResponse::Outcome(outcome))
+            }
+            PeerMessage::Inspect { op, what } => match self.chair {
+                Some(_) => self.acts.push(Effect::Inspect(from.clone(), op, what)),
                 None => {
                     let leads = self
                         .leads
                         .clone()
                         .filter(|member| *member != self.me && member != from);
-                    self.say(from, Said::Elsewhere(leads));
+                    self.say(from, PeerMessage::NotLeader(leads));
                 }
             },
-            Said::Seen { op, json } => self.heard(op, Heard::Seen(json)),
-            Said::Piece { .. } => {}
+            PeerMessage::InspectionResult { op, json } => {
+                self.heard(op, OperatorResponse::Inspection(json))
+            }
+            PeerMessage::Fragment { .. } => {}
         }
     }
 
-    /// The answer to [`Act::Look`].
-    pub fn seen(&mut self, to: &Member, op: Op, json: String) {
-        self.say(to, Said::Seen { op, json });
+    /// The answer to [`Effect::Inspect`].
+    pub fn seen(&mut self, to: &Member, op: OperationId, json: String) {
+        self.say(to, PeerMessage::InspectionResult { op, json });
     }
 
-    fn told(&mut self, now: Micros, told: Told) {
+    fn told(&mut self, now: Micros, told: LeaseReply) {
         for effect in self.keeper.told(now, told) {
             match effect {
-                Effect::Members(members) => self.members = members,
-                effect => self.acts.push(Act::Do(effect)),
+                LeaseEffect::Members(members) => self.members = members,
+                effect => self.acts.push(Effect::Lease(effect)),
             }
         }
     }
 
-    /// The answer to [`Effect::Check`].
+    /// The answer to [`LeaseEffect::CheckPolicy`].
     pub fn checked(&mut self, number: Version, verdict: Verdict) {
         self.keeper.checked(number, verdict);
     }
 
-    fn heard(&mut self, op: Op, heard: Heard) {
+    fn heard(&mut self, op: OperationId, heard: OperatorResponse) {
         if let Some(own) = self.own.get_mut(&op) {
             own.heard = true;
-            self.acts.push(Act::Heard(op, heard));
+            self.acts.push(Effect::OperatorResponse(op, heard));
         }
     }
 
     /// An operator of this router wants something; it is said until something is heard of it, or it is given up.
-    pub fn wish(&mut self, op: Op, wish: Wish) {
+    pub fn wish(&mut self, op: OperationId, wish: OperatorRequest) {
         self.own.insert(
             op,
             Own {
@@ -361,19 +365,19 @@
         );
     }
 
-    pub fn give_up(&mut self, op: Op) {
+    pub fn give_up(&mut self, op: OperationId) {
         self.own.remove(&op);
     }
 
     /// A command, put into the log once however often it is said; its outcome is told when it is known.
-    fn do_for(&mut self, now: Micros, from: &Member, op: Op, command: Command) {
+    fn do_for(&mut self, now: Micros, from: &Member, op: OperationId, command: Command) {
         let (Some(_), Some(register), Some(seat)) = (&self.chair, &self.register, &mut self.seat)
         else {
             let leads = self.leads.clone().filter(|member| *member != self.me);
-            return self.say(from, Said::Elsewhere(leads));
+            return self.say(from, PeerMessage::NotLeader(leads));
         };
         if let Some(outcome) = register.outcome(op).cloned() {
-            return self.say(from, Said::Did { op, outcome });
+            return self.say(from, PeerMessage::CommandOutcome { op, outcome });
         }
         if let Command::Transfer { to } = &command {
             let outcome = match register.members.get(to).and_then(|seated| seated.seat) {
@@ -383,16 +387,16 @@
                 }
                 None => Outcome::Refused(format!("{to} has no vote")),
             };
-            return self.say(from, Said::Did { op, outcome });
+            return self.say(from, PeerMessage::CommandOutcome { op, outcome });
         }
         if self.doing.iter().any(|(of, _)| *of == op) {
             return;
         }
-        if let Command::Annex { entry } = &command {
+        if let Command::Extension { entry } = &command {
             if let Err(words) = self.annex.admits(now, entry) {
                 return self.say(
                     from,
-                    Said::Did {
+                    PeerMessage::CommandOutcome {
                         op,
                         outcome: Outcome::Refused(words),
                     },
@@ -411,32 +415,32 @@
             }
             // It may still be put: whoever asks says it again.
             Err(refused) => self.log(
-                Level::Info,
+                LogLevel::Info,
                 format!("fleet: a command is not put into the log, {refused}"),
             ),
         }
     }
 
-    fn order(&mut self, orders: Vec<Order>) {
+    fn order(&mut self, orders: Vec<LeaderAction>) {
         for order in orders {
             match order {
-                Order::Put(entry) => {
+                LeaderAction::Propose(entry) => {
                     let bytes = postcard::to_stdvec(&entry).unwrap_or_default();
                     if let Some(Err(refused)) = self.seat.as_mut().map(|seat| seat.put(bytes)) {
                         self.log(
-                            Level::Debug,
+                            LogLevel::Debug,
                             format!("fleet: an entry is not put, {refused}"),
                         );
                     }
                 }
-                Order::Ask(number) => {
+                LeaderAction::ConfirmLeadership(number) => {
                     let term = self.chair.as_ref().map_or(0, |(term, _)| *term);
                     if let Some(seat) = &mut self.seat {
                         seat.ask(term << 32 | number);
                     }
                 }
-                Order::Tell(to, told) => self.say(&to, Said::Told(*told)),
-                Order::Say(line) => self.log(Level::Info, line),
+                LeaderAction::Reply(to, told) => self.say(&to, PeerMessage::LeaseReply(*told)),
+                LeaderAction::Log(line) => self.log(LogLevel::Info, line),
             }
         }
     }
@@ -453,7 +457,7 @@
         }
         match &self.register {
             Some(register)
-                if seat.leads_surely() && !matches!(seat.standing(), Standing::Spoilt(_)) =>
+                if seat.leads_surely() && !matches!(seat.standing(), Participation::Spoilt(_)) =>
             {
                 if self.chair.as_ref().is_none_or(|(of, _)| *of != term) {
                     // The votes that made it the leader had come by now: leases that others gave began before.
@@ -462,7 +466,7 @@
                         self.me, register.index
                     );
                     #[allow(unused_mut)]
-                    let mut chair = Chair::takes(self.terms, now, register);
+                    let mut chair = Leader::takes(self.terms, now, register);
                     chair.remembers = self.annex.lingers();
                     self.annexing = None;
                     if let Some(voters) = seat.settled_voters() {
@@ -476,14 +480,14 @@
                     self.leads = Some(self.me.clone());
                     self.reads.clear();
                     self.doing.clear();
-                    self.log(Level::Info, line);
+                    self.log(LogLevel::Info, line);
                 }
             }
             _ => {
                 if self.chair.take().is_some() {
                     self.leads = None;
                     self.log(
-                        Level::Info,
+                        LogLevel::Info,
                         format!("fleet: {} leads no longer, term {term}", self.me),
                     );
                 }
@@ -503,16 +507,16 @@
         match kept {
             Ok(()) => {
                 if self.failed.take().is_some() {
-                    self.log(Level::Info, "fleet: the state can be kept again".into());
+                    self.log(LogLevel::Info, "fleet: the state can be kept again".into());
                 }
-                let done = self.seat.as_mut().map(Seat::kept).unwrap_or_default();
+                let done = self.seat.as_mut().map(Replica::kept).unwrap_or_default();
                 self.follow_up(now, done);
             }
             Err(words) => {
                 if self.failed.is_none() {
                     let line =
                         format!("fleet: the state cannot be kept, nothing is answered until it can: {words}");
-                    self.log(Level::Error, line);
+                    self.log(LogLevel::Error, line);
                 }
                 self.failed = Some((now + KEEP_AGAIN, std::mem::take(&mut self.image)));
             }
@@ -529,28 +533,28 @@
                 if now >= *at {
                     self.image.clone_from(image);
                     self.keeping = true;
-                    self.acts.push(Act::Keep(self.image.clone()));
+                    self.acts.push(Effect::Persist(self.image.clone()));
                 }
                 return;
             }
-            let Some(work) = self.seat.as_mut().and_then(Seat::work) else {
+            let Some(work) = self.seat.as_mut().and_then(Replica::work) else {
                 return;
             };
             match work.image {
                 Some(image) => {
                     self.image.clone_from(&image);
                     self.keeping = true;
-                    return self.acts.push(Act::Keep(image));
+                    return self.acts.push(Effect::Persist(image));
                 }
                 None => {
-                    let done = self.seat.as_mut().map(Seat::kept).unwrap_or_default();
+                    let done = self.seat.as_mut().map(Replica::kept).unwrap_or_default();
                     self.follow_up(now, done);
                 }
             }
         }
     }
 
-    fn follow_up(&mut self, now: Micros, done: Done) {
+    fn follow_up(&mut self, now: Micros, done: Advanced) {
         self.play(&done);
         self.reads.extend(&done.answered);
         let Some(seat) = &mut self.seat else { return };
@@ -565,7 +569,7 @@
             if let Some(member) = holder.map(|(member, _)| member.clone()) {
                 self.say(
                     &member,
-                    Said::Seat {
+                    PeerMessage::Raft {
                         from: own,
                         to,
                         word,
@@ -577,7 +581,7 @@
         self.tell_outcomes();
     }
 
-    fn play(&mut self, done: &Done) {
+    fn play(&mut self, done: &Advanced) {
         if let Some((_, state)) = &done.restored {
             match postcard::from_bytes(state) {
                 Ok(register) => {
@@ -585,7 +589,7 @@
                     self.restored();
                 }
                 Err(e) => self.log(
-                    Level::Error,
+                    LogLevel::Error,
                     format!("fleet: the agreed state cannot be read, {e}"),
                 ),
             }
@@ -597,7 +601,7 @@
             match postcard::from_bytes::<Entry>(bytes) {
                 Ok(entry) => self.play_one(&mut register, Index(*index), entry),
                 Err(e) => self.log(
-                    Level::Error,
+                    LogLevel::Error,
                     format!("fleet: entry {index} cannot be read, {e}"),
                 ),
             }
@@ -609,10 +613,10 @@
     }
 
     /// Plays an entry; what it changed is told in one line.
-    fn play_one(&mut self, register: &mut Register, index: Index, entry: Entry) {
-        let of = |register: &Register| register.next.as_ref().map(|next| next.paper.number);
+    fn play_one(&mut self, register: &mut PolicyState, index: Index, entry: Entry) {
+        let of = |register: &PolicyState| register.next.as_ref().map(|next| next.paper.number);
         let (next, force) = (of(register), register.in_force.number);
-        if let Entry::Annex { op, entry } = &entry {
+        if let Entry::Extension { op, entry } = &entry {
             // A command that was played before is done.
             if op.is_none_or(|op| register.outcome(op).is_none()) {
                 let came = self.annex.play(index, entry);
@@ -630,14 +634,14 @@
                 .as_ref()
                 .map_or("", |next| next.paper.author.as_str());
             self.log(
-                Level::Info,
+                LogLevel::Info,
                 format!("policy: proposal {number} by '{author}' is on its way, entry {index}"),
             );
         }
         if register.in_force.number != force {
             let number = register.in_force.number;
             self.log(
-                Level::Info,
+                LogLevel::Info,
                 format!("policy: version {number} is agreed to be in force, entry {index}"),
             );
         } else if let Some(gone) = next.filter(|_| now.is_none()) {
@@ -647,7 +651,7 @@
                 .find(|past| past.number == gone)
                 .map(|past| past.fate.clone());
             self.log(
-                Level::Info,
+                LogLevel::Info,
                 format!("policy: proposal {gone} is nowhere, {fate:?}, entry {index}"),
             );
         }
@@ -663,7 +667,7 @@
                 Some(outcome) => {
                     known.push((
                         member.clone(),
-                        Said::Did {
+                        PeerMessage::CommandOutcome {
                             op: *op,
                             outcome: outcome.clone(),
                         },
@@ -722,10 +726,10 @@
         }
         lines
             .into_iter()
-            .for_each(|line| self.log(Level::Info, line));
+            .for_each(|line| self.log(LogLevel::Info, line));
         let entries = steps
             .into_iter()
-            .map(|entry| Order::Put(Entry::Annex { op: None, entry }));
+            .map(|entry| LeaderAction::Propose(Entry::Extension { op: None, entry }));
         self.order(entries.collect());
     }
 
@@ -743,12 +747,12 @@
         let mut lines = Vec::new();
         match seat.change(&voters, &learners) {
             Ok(true) => lines.push((
-                Level::Info,
+                LogLevel::Info,
                 format!("fleet: who votes changes to {voters:?}, learning {learners:?}"),
             )),
             Ok(false) => {}
             Err(refused) => lines.push((
-                Level::Debug,
+                LogLevel::Debug,
                 format!("fleet: who votes cannot change now, {refused}"),
             )),
         }
@@ -757,7 +761,7 @@
                 let entry = postcard::to_stdvec(&Entry::Learnt { seat: no }).unwrap_or_default();
                 if seat.put(entry).is_ok() {
                     lines.push((
-                        Level::Info,
+                        LogLevel::Info,
                         format!("fleet: seat {no} has learnt what was agreed, and is to vote"),
                     ));
                 }
@@ -778,26 +782,26 @@
             .members
             .get(&self.me)
             .and_then(|of| Some((of.seat?, of.learns)));
-        let own = self.seat.as_ref().map(Seat::no);
+        let own = self.seat.as_ref().map(Replica::no);
         match given {
             Some((no, true)) if own != Some(no) => {
                 self.seeds = self
                     .seeds
                     .wrapping_mul(0x9e37_79b9_7f4a_7c15)
                     .wrapping_add(1);
-                match Seat::fresh(self.fleet, no, self.seat_terms, self.seeds) {
+                match Replica::fresh(self.fleet, no, self.raft_config, self.seeds) {
                     Ok(seat) => {
                         (self.seat, self.seat_words, self.register) = (Some(seat), None, None);
-                        self.heeds = Heeds::starts(now);
+                        self.heeds = LeaderContact::starts(now);
                         (self.chair, self.failed) = (None, None);
                         self.log(
-                            Level::Info,
+                            LogLevel::Info,
                             format!("fleet: {} begins in the new seat {no}, and learns", self.me),
                         );
                     }
                     Err(refused) => {
                         self.log(
-                            Level::Error,
+                            LogLevel::Error,
                             format!("fleet: the new seat {no} cannot be taken, {refused}"),
                         );
                     }
@@ -810,14 +814,14 @@
                     own.unwrap_or_default()
                 );
                 self.log(
-                    Level::Error,
+                    LogLevel::Error,
                     format!("fleet: {} takes part without its vote, {words}", self.me),
                 );
                 (self.seat, self.seat_words, self.chair) = (None, Some(words), None);
             }
             None if own.is_some() => {
                 self.log(
-                    Level::Info,
+                    LogLevel::Info,
                     format!("fleet: {} has no vote any more", self.me),
                 );
                 (self.seat, self.register, self.chair) = (None, None, None);
@@ -829,7 +833,7 @@
     /// This router's lease: what time has brought, and the next request.
     fn keep_lease(&mut self, now: Micros) {
         if let Some(effect) = self.keeper.elapsed(now) {
-            self.acts.push(Act::Do(effect));
+            self.acts.push(Effect::Lease(effect));
         }
         if self.keeper.is_unanswered(now) && self.chair.is_none() {
             self.leads = None;
@@ -837,14 +841,14 @@
         if let Some(mut renew) = self.keeper.renew(now) {
             renew.heeded = self.seat.as_ref().map(|seat| {
                 let term = seat.kept_term();
-                Heeded {
+                LastLeaderContact {
                     seat: seat.no(),
                     term,
                     ago: now.since(self.heeds.before(term)).0,
                 }
             });
             if let Some(to) = self.whom() {
-                self.say(&to, Said::Renew(renew));
+                self.say(&to, PeerMessage::LeaseRequest(renew));
             }
         }
     }
@@ -855,11 +859,11 @@
             if !own.heard && own.said.is_none_or(|at| now >= at + SAY_AGAIN) {
                 own.said = Some(now);
                 due.push(match &own.wish {
-                    Wish::Do(command) => Said::Do {
+                    OperatorRequest::Command(command) => PeerMessage::Command {
                         op: *op,
                         command: command.clone(),
                     },
-                    Wish::Look(what) => Said::Look {
+                    OperatorRequest::Inspect(what) => PeerMessage::Inspect {
                         op: *op,
                         what: what.clone(),
                     },
@@ -874,8 +878,8 @@
     }
 
     /// One turn, after whatever has come: what is due is done. To be called again when anything comes, and when
-    /// [`Council::next_due`] says.
-    pub fn turn(&mut self, now: Micros) -> Vec<Act> {
+    /// [`FleetNode::next_due`] says.
+    pub fn turn(&mut self, now: Micros) -> Vec<Effect> {
         // After a stop of any length time goes on with one tick: nobody is voted out for what was not heard meanwhile.
         if now >= self.next_tick {
             if let Some(seat) = self.seat.as_mut().filter(|_| self.failed.is_none()) {
@@ -911,7 +915,7 @@
         let seen = register
             .map(|register| chair.members(now, register))
             .unwrap_or_default();
-        let heard = |of: &crate::Seen| of.heard.unwrap_or(Micros(u64::MAX));
+        let heard = |of: &crate::MemberStatus| of.heard.unwrap_or(Micros(u64::MAX));
         let others = seen.iter().filter(|of| of.member != self.me);
         let votes = others.filter_map(|of| {
             let seated = register?.members.get(&of.member)?;
@@ -928,11 +932,11 @@
         keeper.shares(now);
         #[cfg(any(test, feature = "planted"))]
         let planted = self.planted;
-        let annex = std::mem::replace(&mut self.annex, Box::new(Nothing));
-        *self = Council::new(
+        let annex = std::mem::replace(&mut self.annex, Box::new(NoExtension));
+        *self = FleetNode::new(
             self.fleet,
             self.terms,
-            self.seat_terms,
+            self.raft_config,
             keeper,
             members,
             seed,
@@ -970,18 +974,18 @@
     }
 
     /// The seat's number, for a driver that keeps what it has promised.
-    pub fn seat_no(&self) -> Option<SeatNo> {
-        self.seat.as_ref().map(Seat::no)
+    pub fn seat_no(&self) -> Option<ReplicaId> {
+        self.seat.as_ref().map(Replica::no)
     }
 }
 
 /// The agreement's spans for an election that begins after `election` microseconds of silence.
-pub fn seat_terms(election: u64) -> SeatTerms {
+pub fn raft_config(election: u64) -> RaftConfig {
     let election_ticks = usize::try_from(election / TICK.0).unwrap_or(10).max(4);
-    SeatTerms {
+    RaftConfig {
         election_ticks,
         heartbeat_ticks: (election_ticks / 5).max(1),
         witness_ticks: election_ticks * 2,
-        ..SeatTerms::default()
+        ..RaftConfig::default()
     }
 }
--- a/fleet_policy/src/register.rs
+++ b/fleet_policy/src/state_machine.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Epoch, Index, Member, Op, Round, SeatNo, Version};
+use crate::ids::{Epoch, Index, Member, OperationId, ReplicaId, Round, Version};
 
 /// Commands whose outcome is known when they are said again; the oldest go first.
 const MOST_DONE: usize = 128;
@@ -28,7 +28,7 @@
 
 /// A policy and who wanted it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Paper {
+pub struct PolicyDocument {
     pub number: Version,
     pub text: String,
     pub author: String,
@@ -40,9 +40,9 @@
 pub enum Entry {
     /// `base`: the version that its author looked at; another in force means that it is refused.
     Propose {
-        op: Op,
+        op: OperationId,
         base: Option<Version>,
-        paper: Paper,
+        paper: PolicyDocument,
         confirm: bool,
     },
     /// What members said, by who heard them.
@@ -52,7 +52,7 @@
     },
     /// A second person wants it too.
     Confirm {
-        op: Op,
+        op: OperationId,
         number: Version,
         by: String,
     },
@@ -73,38 +73,38 @@
         round: Round,
     },
     Withdraw {
-        op: Op,
+        op: OperationId,
         number: Version,
         by: String,
         reason: String,
     },
     Enter {
-        op: Op,
+        op: OperationId,
         member: Member,
         address: String,
         zone: String,
     },
     Leave {
-        op: Op,
+        op: OperationId,
         member: Member,
     },
     /// A member is given a new seat in the agreement; any earlier one of its is void.
     Seat {
-        op: Op,
+        op: OperationId,
         member: Member,
     },
     /// A member has a seat no longer.
     Unseat {
-        op: Op,
+        op: OperationId,
         member: Member,
     },
     /// A new seat has learnt what was agreed, and is to vote: from here on it never begins with nothing again.
     Learnt {
-        seat: SeatNo,
+        seat: ReplicaId,
     },
-    /// Of a further matter ([`crate::Annex`]); some are commands.
-    Annex {
-        op: Option<Op>,
+    /// Of a further matter ([`crate::Extension`]); some are commands.
+    Extension {
+        op: Option<OperationId>,
         entry: Vec<u8>,
     },
 }
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     Proposed(Version),
-    Seated(SeatNo),
+    MemberInfo(ReplicaId),
     Numbered(u64),
     Done,
     Refused(String),
@@ -121,7 +121,7 @@
 
 /// What became of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Fate {
+pub enum ProposalStatus {
     Open,
     InForce,
     /// Who refused it, and why.
@@ -130,31 +130,31 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Past {
+pub struct HistoryEntry {
     pub number: Version,
     pub author: String,
     pub reason: String,
-    pub fate: Fate,
+    pub fate: ProposalStatus,
     /// Where in the log its fate was settled.
     pub at: Index,
 }
 
 /// A router that belongs to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Seated {
+pub struct MemberInfo {
     /// Where other routers reach it.
     pub address: String,
     pub zone: String,
     /// Its seat in the agreement.
-    pub seat: Option<SeatNo>,
+    pub seat: Option<ReplicaId>,
     /// The seat is new: it has never voted, and has yet to learn what was agreed.
     pub learns: bool,
 }
 
 /// A proposal on its way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Pending {
-    pub paper: Paper,
+pub struct PendingProposal {
+    pub paper: PolicyDocument,
     /// Who fits; one that does not ends the proposal.
     pub fits: BTreeSet<Member>,
     /// It waits for a second person.
@@ -166,25 +166,25 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Register {
+pub struct PolicyState {
     /// The place of the last entry that is in it.
     pub index: Index,
     /// Where something last changed that every router needs to know.
     pub changed: Index,
     pub epoch: Epoch,
-    pub in_force: Paper,
-    pub next: Option<Pending>,
+    pub in_force: PolicyDocument,
+    pub next: Option<PendingProposal>,
     /// The number of the newest proposal ever made.
     pub newest: Version,
-    pub members: BTreeMap<Member, Seated>,
+    pub members: BTreeMap<Member, MemberInfo>,
     /// Where the members last changed.
     pub members_at: Index,
     /// Members that left since the last version came in force: their leases still count. Emptied by it.
     pub left: BTreeSet<Member>,
     /// The newest seat ever given.
-    pub last_seat: SeatNo,
-    done: VecDeque<(Op, Outcome)>,
-    pub history: VecDeque<Past>,
+    pub last_seat: ReplicaId,
+    done: VecDeque<(OperationId, Outcome)>,
+    pub history: VecDeque<HistoryEntry>,
     /// What every router has to know of the further matter before it gets a lease, and where that last changed.
     pub outs: Vec<u8>,
     pub outs_at: Index,
@@ -192,20 +192,20 @@
     pub annex: Vec<u8>,
 }
 
-impl Register {
+impl PolicyState {
     /// The register of a new fleet: version 0, the platform's own settings.
-    pub fn begins(members: BTreeMap<Member, Seated>) -> Self {
+    pub fn begins(members: BTreeMap<Member, MemberInfo>) -> Self {
         let last_seat = members
             .values()
             .filter_map(|seated| seated.seat)
             .max()
             .unwrap_or_default();
-        Register {
+        PolicyState {
             // The founding itself is the first place: 0 is for those that know nothing yet.
             index: Index(1),
             changed: Index(1),
             epoch: Epoch(0),
-            in_force: Paper::default(),
+            in_force: PolicyDocument::default(),
             next: None,
             newest: Version(0),
             members,
@@ -222,7 +222,7 @@
     }
 
     /// What became of a command, if it is still remembered.
-    pub fn outcome(&self, op: Op) -> Option<&Outcome> {
+    pub fn outcome(&self, op: OperationId) -> Option<&Outcome> {
         self.done
             .iter()
             .find(|(of, _)| *of == op)
@@ -236,7 +236,7 @@
             .is_some_and(|next| next.barrier.is_some())
     }
 
-    pub fn holder(&self, seat: SeatNo) -> Option<&Member> {
+    pub fn holder(&self, seat: ReplicaId) -> Option<&Member> {
         self.members
             .iter()
             .find(|(_, of)| of.seat == Some(seat))
@@ -247,7 +247,7 @@
     pub fn annexed(
         &mut self,
         index: Index,
-        op: Option<Op>,
+        op: Option<OperationId>,
         came: Result<u64, String>,
         outs: Vec<u8>,
     ) {
@@ -261,17 +261,17 @@
         }
     }
 
-    fn remember(&mut self, op: Op, outcome: Outcome) {
+    fn remember(&mut self, op: OperationId, outcome: Outcome) {
         self.done.push_back((op, outcome));
         while self.done.len() > MOST_DONE {
             self.done.pop_front();
         }
     }
 
-    /// Plays one entry; one of a further matter is [`Register::annexed`]. What it came to is remembered by its command.
+    /// Plays one entry; one of a further matter is [`PolicyState::annexed`]. What it came to is remembered by its command.
     pub fn play(&mut self, index: Index, entry: Entry) {
         self.index = index;
-        if matches!(entry, Entry::Annex { .. }) {
+        if matches!(entry, Entry::Extension { .. }) {
             return;
         }
         let checking = matches!(entry, Entry::Verdicts { .. });
@@ -307,7 +307,7 @@
             Entry::InForce { number, round } => (None, self.come_in_force(number, round)),
             Entry::Learnt { seat } => (None, self.learnt(seat)),
             Entry::Resume { number, round } => (None, self.resume(number, round)),
-            Entry::Annex { .. } => (None, None),
+            Entry::Extension { .. } => (None, None),
         };
         // Who fits is the leader's matter, until somebody does not.
         if !checking || self.next.is_none() {
@@ -319,15 +319,15 @@
     }
 
     /// Nothing where the command was played before: its outcome stands.
-    fn once(&self, op: Op) -> Option<()> {
+    fn once(&self, op: OperationId) -> Option<()> {
         self.outcome(op).is_none().then_some(())
     }
 
     fn propose(
         &mut self,
-        op: Op,
+        op: OperationId,
         base: Option<Version>,
-        mut paper: Paper,
+        mut paper: PolicyDocument,
         confirm: bool,
     ) -> Option<Outcome> {
         self.once(op)?;
@@ -350,11 +350,11 @@
         }
         self.newest = Version(self.newest.0 + 1);
         paper.number = self.newest;
-        let past = Past {
+        let past = HistoryEntry {
             number: paper.number,
             author: paper.author.clone(),
             reason: paper.reason.clone(),
-            fate: Fate::Open,
+            fate: ProposalStatus::Open,
             at: self.index,
         };
         self.history.push_back(past);
@@ -362,7 +362,7 @@
             self.history.pop_front();
         }
         let fits = BTreeSet::new();
-        self.next = Some(Pending {
+        self.next = Some(PendingProposal {
             paper,
             fits,
             unconfirmed: confirm,
@@ -373,13 +373,13 @@
     }
 
     /// The proposal of this number, if it is the one on its way.
-    fn pending(&mut self, number: Version) -> Option<&mut Pending> {
+    fn pending(&mut self, number: Version) -> Option<&mut PendingProposal> {
         self.next
             .as_mut()
             .filter(|next| next.paper.number == number)
     }
 
-    fn settle(&mut self, number: Version, fate: Fate) {
+    fn settle(&mut self, number: Version, fate: ProposalStatus) {
         if let Some(past) = self.history.iter_mut().find(|past| past.number == number) {
             (past.fate, past.at) = (fate, self.index);
         }
@@ -400,7 +400,7 @@
                 Verdict::Refused(mut words) => {
                     truncate(&mut words);
                     self.next = None;
-                    self.settle(number, Fate::Refused(member, words));
+                    self.settle(number, ProposalStatus::Refused(member, words));
                     return None;
                 }
             }
@@ -408,7 +408,7 @@
         None
     }
 
-    fn confirm(&mut self, op: Op, number: Version, by: &str) -> Option<Outcome> {
+    fn confirm(&mut self, op: OperationId, number: Version, by: &str) -> Option<Outcome> {
         self.once(op)?;
         let Some(next) = self.pending(number) else {
             return Some(Outcome::Refused(format!(
@@ -450,7 +450,7 @@
         self.in_force = self.next.take()?.paper;
         self.epoch = Epoch(self.epoch.0 + 1);
         self.left.clear();
-        self.settle(number, Fate::InForce);
+        self.settle(number, ProposalStatus::InForce);
         None
     }
 
@@ -463,7 +463,13 @@
         None
     }
 
-    fn withdraw(&mut self, op: Op, number: Version, by: String, reason: String) -> Option<Outcome> {
+    fn withdraw(
+        &mut self,
+        op: OperationId,
+        number: Version,
+        by: String,
+        reason: String,
+    ) -> Option<Outcome> {
         self.once(op)?;
         if self.pending(number).is_none() {
             let words = match self
@@ -472,11 +478,11 @@
                 .find(|past| past.number == number)
                 .map(|past| &past.fate)
             {
-                Some(Fate::InForce) => {
+                Some(ProposalStatus::InForce) => {
                     "it is in force: to go back, propose the earlier policy anew"
                 }
-                Some(Fate::Refused(..)) => "it was refused",
-                Some(Fate::Withdrawn(..)) => "it was withdrawn before",
+                Some(ProposalStatus::Refused(..)) => "it was refused",
+                Some(ProposalStatus::Withdrawn(..)) => "it was withdrawn before",
                 _ => "there is no such proposal on its way",
             };
             return Some(Outcome::Refused(format!("proposal {number}: {words}")));
@@ -487,7 +493,7 @@
         let (mut by, mut reason) = (by, reason);
         truncate(&mut by);
         truncate(&mut reason);
-        self.settle(number, Fate::Withdrawn(by, reason));
+        self.settle(number, ProposalStatus::Withdrawn(by, reason));
         Some(Outcome::Done)
     }
 
@@ -497,7 +503,13 @@
         self.in_barrier().then(|| Outcome::Refused(words.into()))
     }
 
-    fn enter(&mut self, op: Op, member: Member, address: String, zone: String) -> Option<Outcome> {
+    fn enter(
+        &mut self,
+        op: OperationId,
+        member: Member,
+        address: String,
+        zone: String,
+    ) -> Option<Outcome> {
         self.once(op)?;
         if let Some(refused) = self.fixed() {
             return Some(refused);
@@ -516,7 +528,7 @@
         self.left.remove(&member);
         self.members.insert(
             member,
-            Seated {
+            MemberInfo {
                 address,
                 zone,
                 seat,
@@ -527,14 +539,14 @@
         Some(Outcome::Done)
     }
 
-    fn leave(&mut self, op: Op, member: &Member) -> Option<Outcome> {
+    fn leave(&mut self, op: OperationId, member: &Member) -> Option<Outcome> {
         self.once(op)?;
         if let Some(refused) = self.fixed() {
             return Some(refused);
         }
         match self.members.get(member) {
             None => return Some(Outcome::Refused(format!("{member} is no member"))),
-            Some(Seated { seat: Some(_), .. }) => {
+            Some(MemberInfo { seat: Some(_), .. }) => {
                 return Some(Outcome::Refused(format!(
                     "{member} has a vote: take that first"
                 )));
@@ -550,18 +562,18 @@
         Some(Outcome::Done)
     }
 
-    fn seat(&mut self, op: Op, member: &Member) -> Option<Outcome> {
+    fn seat(&mut self, op: OperationId, member: &Member) -> Option<Outcome> {
         self.once(op)?;
-        let number = SeatNo(self.last_seat.0 + 1);
+        let number = ReplicaId(self.last_seat.0 + 1);
         let Some(seated) = self.members.get_mut(member) else {
             return Some(Outcome::Refused(format!("{member} is no member")));
         };
         (seated.seat, seated.learns) = (Some(number), true);
         (self.last_seat, self.members_at) = (number, self.index);
-        Some(Outcome::Seated(number))
+        Some(Outcome::MemberInfo(number))
     }
 
-    fn learnt(&mut self, seat: SeatNo) -> Option<Outcome> {
+    fn learnt(&mut self, seat: ReplicaId) -> Option<Outcome> {
         let seated = self
             .members
             .values_mut()
@@ -572,20 +584,20 @@
     }
 
     /// Who votes, and who learns to: what the agreement's own list of voters is to become.
-    pub fn seats(&self) -> (Vec<SeatNo>, Vec<SeatNo>) {
+    pub fn seats(&self) -> (Vec<ReplicaId>, Vec<ReplicaId>) {
         let of = |learns: bool| {
             let held = self
                 .members
                 .values()
                 .filter(move |seated| seated.learns == learns);
-            let mut all: Vec<SeatNo> = held.filter_map(|seated| seated.seat).collect();
+            let mut all: Vec<ReplicaId> = held.filter_map(|seated| seated.seat).collect();
             all.sort_unstable();
             all
         };
         (of(false), of(true))
     }
 
-    fn unseat(&mut self, op: Op, member: &Member) -> Option<Outcome> {
+    fn unseat(&mut self, op: OperationId, member: &Member) -> Option<Outcome> {
         self.once(op)?;
         let voters = self.seats().0;
         let Some(seated) = self.members.get_mut(member) else {
--- a/fleet_policy/tests/far_behind.rs
+++ b/fleet_policy/tests/far_behind.rs
@@ -4,43 +4,43 @@
 
 use ternpick::types::Micros;
 use ternpick_fleet_policy::{
-    Entry, Incarnation, Index, Keeper, Op, Paper, Register, Round, Seated, Terms, Told, Verdict,
-    Version, View,
+    Entry, Incarnation, Index, LeaseConfig, LeaseHolder, LeaseReply, MemberInfo, OperationId,
+    PolicyDocument, PolicyState, Round, Verdict, Version, View,
 };
 
 #[test]
 fn ten_thousand_entries_behind_is_one_answer_away() {
-    let seated = Seated {
+    let seated = MemberInfo {
         address: "127.0.0.1:1".into(),
         zone: String::new(),
         seat: None,
         learns: false,
     };
-    let mut register = Register::begins(BTreeMap::from([("a".into(), seated)]));
-    let mut keeper = Keeper::starts(
-        Terms::default(),
+    let mut register = PolicyState::begins(BTreeMap::from([("a".into(), seated)]));
+    let mut keeper = LeaseHolder::starts(
+        LeaseConfig::default(),
         "a".into(),
         Incarnation(1),
         false,
         Micros(0),
     );
-    let told = |register: &Register| Told {
+    let told = |register: &PolicyState| LeaseReply {
         view: Some(View::of(register)),
-        ..Told::default()
+        ..LeaseReply::default()
     };
     keeper.told(Micros(1), told(&register));
     let (mut index, mut changes) = (1, 0);
     while index < 10_000 {
         changes += 1;
         let (number, round) = (Version(changes), Round(1));
-        let paper = Paper {
+        let paper = PolicyDocument {
             text: "x".repeat(2000),
             author: "ann".into(),
-            ..Paper::default()
+            ..PolicyDocument::default()
         };
         for entry in [
             Entry::Propose {
-                op: Op(changes),
+                op: OperationId(changes),
                 base: None,
                 paper,
                 confirm: false,
@@ -73,6 +73,6 @@
     keeper.told(Micros(2), told(&register));
     assert_eq!(keeper.version(), Some(Version(2500)));
     // What it was told before says nothing new: it never goes back.
-    keeper.told(Micros(3), told(&Register::begins(BTreeMap::new())));
+    keeper.told(Micros(3), told(&PolicyState::begins(BTreeMap::new())));
     assert_eq!(keeper.version(), Some(Version(2500)));
 }
--- a/hot_restart/src/lib.rs
+++ b/hot_restart/src/lib.rs
@@ -1,4 +1,4 @@
-//! How an old process hands its work to a new one, without I/O: [`Old`] and [`New`] are the two sides as state
+//! How an old process hands its work to a new one, without I/O: [`OldProcess`] and [`NewProcess`] are the two sides as state
 //! machines. Each is told what was heard, lost, done or how late it is, and answers with effects to carry out in order;
 //! [`encode`] and [`decode`] turn messages into frames. The driver passes bytes, descriptors and time.
 //!
@@ -7,16 +7,16 @@
 
 mod lease;
 mod message;
-mod new;
-mod old;
+mod new_process;
+mod old_process;
 
 #[cfg(test)]
 mod model;
 
 pub use lease::Lease;
-pub use message::{decode, encode, Decoded, Message, Spoilt, FRAME_BOUND, VERSION};
-pub use new::{FromOld, New};
-pub use old::{FromNew, Old};
+pub use message::{decode, encode, DecodeError, Decoded, Message, FRAME_BOUND, VERSION};
+pub use new_process::{NewProcess, OldProcessEvent};
+pub use old_process::{NewProcessEvent, OldProcess};
 
 use ternpick::types::Micros;
 
@@ -41,14 +41,14 @@
     /// Binds the listeners itself and serves from what it was started with: the old one has died before it gave any.
     BindAnew,
     /// Leaves, having nothing left in hand.
-    Leave,
+    Exit,
     /// One line for the people on call.
-    Say(String),
+    Log(String),
 }
 
 /// How long each step may take; a step that takes longer fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Patience {
+pub struct StepTimeouts {
     /// Until the new process says hello: its start.
     pub hello: Micros,
     /// Each step between.
@@ -59,10 +59,10 @@
     pub silence: Micros,
 }
 
-impl Default for Patience {
+impl Default for StepTimeouts {
     fn default() -> Self {
         let s = |seconds: u64| Micros(seconds * 1_000_000);
-        Patience {
+        StepTimeouts {
             hello: s(10),
             step: s(3),
             ready: s(10),
--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -84,7 +84,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Spoilt {
+pub enum DecodeError {
     #[error("a frame longer than any is")]
     TooLong,
     #[error("a frame whose checksum is wrong")]
@@ -103,7 +103,7 @@
     [&length.to_le_bytes()[..], &sum.to_le_bytes(), &body].concat()
 }
 
-pub fn decode(bytes: &[u8]) -> Result<Decoded, Spoilt> {
+pub fn decode(bytes: &[u8]) -> Result<Decoded, DecodeError> {
     let word = |at: usize| {
         bytes
             .get(at..at + 4)
@@ -115,17 +115,17 @@
     };
     let length = length as usize;
     if length > FRAME_BOUND {
-        return Err(Spoilt::TooLong);
+        return Err(DecodeError::TooLong);
     }
     let (Some(sum), Some(body)) = (sum, bytes.get(HEAD..HEAD + length)) else {
         return Ok(None);
     };
     if crc32fast::hash(body) != sum {
-        return Err(Spoilt::Checksum);
+        return Err(DecodeError::Checksum);
     }
     match postcard::take_from_bytes(body) {
         Ok((message, [])) => Ok(Some((message, HEAD + length))),
-        _ => Err(Spoilt::Unknown),
+        _ => Err(DecodeError::Unknown),
     }
 }
 
--- a/hot_restart/src/model.rs
+++ b/hot_restart/src/model.rs
@@ -6,10 +6,12 @@
 use stateright::{Checker, Model, Property};
 use ternpick::types::Micros;
 
-use crate::old::Planted;
-use crate::{Effect, FromNew, FromOld, Lease, Message, New, Old, Patience};
+use crate::old_process::Planted;
+use crate::{
+    Effect, Lease, Message, NewProcess, NewProcessEvent, OldProcess, OldProcessEvent, StepTimeouts,
+};
 
-pub(crate) use crate::old::Planted as Fault;
+pub(crate) use crate::old_process::Planted as Fault;
 
 const SHARE: Lease = Lease {
     held: 8,
@@ -35,8 +37,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    old: Option<Side<Old>>,
-    new: Option<Side<New>>,
+    old: Option<Side<OldProcess>>,
+    new: Option<Side<NewProcess>>,
     to_new: VecDeque<Message>,
     to_old: VecDeque<Message>,
     /// The link stands; once broken, each side is told when it has read what had arrived.
@@ -85,7 +87,8 @@
             let Some(old) = &mut self.old else { return };
             match effect {
                 Effect::Spawn => {
-                    let (machine, hello) = New::begins(Patience::default(), 1, "new", Micros(0));
+                    let (machine, hello) =
+                        NewProcess::begins(StepTimeouts::default(), 1, "new", Micros(0));
                     self.new = Some(Side {
                         machine,
                         accepts: false,
@@ -111,7 +114,7 @@
                         new.ending = true;
                     }
                 }
-                Effect::Leave => self.end_old(),
+                Effect::Exit => self.end_old(),
                 _ => {}
             }
         }
@@ -124,7 +127,7 @@
                 Effect::Send(message) if self.link => self.to_old.push_back(message),
                 Effect::Accept(accepts) => (new.accepts, new.has_listener) = (accepts, true),
                 Effect::BindAnew => (new.accepts, new.has_listener) = (true, true),
-                Effect::Leave => self.end_new(),
+                Effect::Exit => self.end_new(),
                 _ => {}
             }
         }
@@ -160,7 +163,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
-        let mut machine = Old::new(Patience::default(), SHARE, 1);
+        let mut machine = OldProcess::new(StepTimeouts::default(), SHARE, 1);
         machine.fault = self.fault;
         vec![World {
             old: Some(Side {
@@ -249,11 +252,11 @@
             }
             Action::ToOld => {
                 let message = world.to_old.pop_front()?;
-                let effects = world
-                    .old
-                    .as_mut()?
-                    .machine
-                    .heard(now, FromNew::Heard(message), USES);
+                let effects = world.old.as_mut()?.machine.heard(
+                    now,
+                    NewProcessEvent::Received(message),
+                    USES,
+                );
                 world.of_old(effects);
             }
             Action::ToNew => {
@@ -261,19 +264,25 @@
                 let loads = matches!(message, Message::State { left: 0, .. });
                 let new = world.new.as_mut()?;
                 new.has_listener |= matches!(message, Message::Descriptors { .. });
-                let mut effects = new.machine.heard(now, FromOld::Heard(message), SHARE);
+                let mut effects = new
+                    .machine
+                    .heard(now, OldProcessEvent::Received(message), SHARE);
                 if loads {
-                    effects.extend(new.machine.heard(now, FromOld::Loaded(true), SHARE));
+                    effects.extend(new.machine.heard(
+                        now,
+                        OldProcessEvent::SnapshotLoaded(true),
+                        SHARE,
+                    ));
                 }
                 world.of_new(effects);
             }
             // The snapshot turns out to be of no use.
             Action::Loads => {
-                let effects = world
-                    .new
-                    .as_mut()?
-                    .machine
-                    .heard(now, FromOld::Loaded(false), SHARE);
+                let effects = world.new.as_mut()?.machine.heard(
+                    now,
+                    OldProcessEvent::SnapshotLoaded(false),
+                    SHARE,
+                );
                 world.of_new(effects);
             }
             Action::OldCrashes => {
@@ -292,19 +301,22 @@
             Action::OldTold => {
                 let died = world.new.is_none();
                 (world.old_told, world.death_told) = (true, world.death_told || died);
-                let from = if died { FromNew::Died } else { FromNew::Broke };
+                let from = if died {
+                    NewProcessEvent::ProcessDied
+                } else {
+                    NewProcessEvent::LinkBroken
+                };
                 let effects = world.old.as_mut()?.machine.heard(now, from, USES);
                 world.of_old(effects);
             }
             Action::NewTold => {
                 world.new_told = true;
                 let old_lives = world.old.is_some();
-                let effects =
-                    world
-                        .new
-                        .as_mut()?
-                        .machine
-                        .heard(now, FromOld::Lost { old_lives }, SHARE);
+                let effects = world.new.as_mut()?.machine.heard(
+                    now,
+                    OldProcessEvent::LinkLost { old_lives },
+                    SHARE,
+                );
                 world.of_new(effects);
             }
             Action::OldLate => {
--- a/hot_restart/src/new.rs
+++ b/hot_restart/src/new_process.rs
@@ -5,7 +5,7 @@
 
 use crate::lease::Lease;
 use crate::message::{Message, VERSION};
-use crate::{Effect, Patience};
+use crate::{Effect, StepTimeouts};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
@@ -20,29 +20,29 @@
 
 /// What the link brings, or what was done here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum FromOld {
-    Heard(Message),
+pub enum OldProcessEvent {
+    Received(Message),
     /// The link has ended, or what came is no message; does the old process live?
-    Lost {
+    LinkLost {
         old_lives: bool,
     },
     /// The whole snapshot is read in, or cannot be.
-    Loaded(bool),
+    SnapshotLoaded(bool),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct New {
+pub struct NewProcess {
     step: Step,
-    patience: Patience,
+    patience: StepTimeouts,
     settings: u64,
     lease: Lease,
     due: Option<Micros>,
 }
 
-impl New {
+impl NewProcess {
     /// A new process says hello at once.
     pub fn begins(
-        patience: Patience,
+        patience: StepTimeouts,
         settings: u64,
         program: &str,
         now: Micros,
@@ -52,7 +52,7 @@
             version: VERSION,
             program: program.to_owned(),
         };
-        let new = New {
+        let new = NewProcess {
             step: Step::Greets,
             patience,
             settings,
@@ -86,8 +86,8 @@
     fn leave(&mut self, why: &str) -> Vec<Effect> {
         (self.step, self.due, self.lease) = (Step::Over, None, Lease::default());
         vec![
-            Effect::Say(format!("upgrade: not taken over, {why}")),
-            Effect::Leave,
+            Effect::Log(format!("upgrade: not taken over, {why}")),
+            Effect::Exit,
         ]
     }
 
@@ -101,25 +101,25 @@
             Effect::BindAnew
         };
         vec![
-            Effect::Say("upgrade: the old process has died, this one serves".into()),
+            Effect::Log("upgrade: the old process has died, this one serves".into()),
             Effect::Use(share),
             serve,
         ]
     }
 
     /// The link brings something; `share` is all that the router may use.
-    pub fn heard(&mut self, now: Micros, from: FromOld, share: Lease) -> Vec<Effect> {
+    pub fn heard(&mut self, now: Micros, from: OldProcessEvent, share: Lease) -> Vec<Effect> {
         let message = match from {
-            FromOld::Heard(message) => message,
-            FromOld::Loaded(true) if self.step == Step::Loads => {
+            OldProcessEvent::Received(message) => message,
+            OldProcessEvent::SnapshotLoaded(true) if self.step == Step::Loads => {
                 self.go(Step::Ready, now, self.patience.step);
                 return vec![Effect::Send(Message::Ready)];
             }
-            FromOld::Loaded(false) if self.step == Step::Loads => {
+            OldProcessEvent::SnapshotLoaded(false) if self.step == Step::Loads => {
                 return self.leave("the state cannot be used")
             }
-            FromOld::Loaded(_) => return Vec::new(),
-            FromOld::Lost { old_lives } => {
+            OldProcessEvent::SnapshotLoaded(_) => return Vec::new(),
+            OldProcessEvent::LinkLost { old_lives } => {
                 return match (&self.step, old_lives) {
                     (Step::Over, _) => Vec::new(),
                     // With the old one's end what it kept returns.
--- a/hot_restart/src/old.rs
+++ b/hot_restart/src/old_process.rs
@@ -5,7 +5,7 @@
 
 use crate::lease::Lease;
 use crate::message::{Message, VERSION};
-use crate::{Effect, Patience};
+use crate::{Effect, StepTimeouts};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
@@ -26,18 +26,18 @@
 
 /// What the link brings.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum FromNew {
-    Heard(Message),
+pub enum NewProcessEvent {
+    Received(Message),
     /// What came is no message, or the link has ended while the new one lives.
-    Broke,
+    LinkBroken,
     /// The new one has died.
-    Died,
+    ProcessDied,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Old {
+pub struct OldProcess {
     step: Step,
-    patience: Patience,
+    patience: StepTimeouts,
     share: Lease,
     /// What is in use here, and what the new one has.
     kept: Lease,
@@ -51,10 +51,10 @@
     pub(crate) fault: Option<crate::model::Fault>,
 }
 
-impl Old {
+impl OldProcess {
     /// `share`: all that the router may use; `settings`: the digest of what it runs on.
-    pub fn new(patience: Patience, share: Lease, settings: u64) -> Self {
-        Old {
+    pub fn new(patience: StepTimeouts, share: Lease, settings: u64) -> Self {
+        OldProcess {
             step: Step::Serves,
             patience,
             share,
@@ -123,7 +123,7 @@
 
     /// Back to "the old one serves": the new one is ended, and its lease returns once it has.
     fn abandon(&mut self, now: Micros, why: &str) -> Vec<Effect> {
-        let mut effects = vec![Effect::Say(format!(
+        let mut effects = vec![Effect::Log(format!(
             "upgrade: given up, {why}; this process goes on"
         ))];
         if self.step == Step::Drains {
@@ -143,7 +143,7 @@
     fn alone(&mut self, why: &str) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.step != Step::Ends {
-            effects.push(Effect::Say(format!(
+            effects.push(Effect::Log(format!(
                 "upgrade: given up, {why}; this process goes on"
             )));
         }
@@ -166,16 +166,16 @@
     }
 
     /// The link brings something; `uses` is what this process has in use, and what is left of its further calls.
-    pub fn heard(&mut self, now: Micros, from: FromNew, uses: Lease) -> Vec<Effect> {
+    pub fn heard(&mut self, now: Micros, from: NewProcessEvent, uses: Lease) -> Vec<Effect> {
         let message = match from {
-            FromNew::Heard(message) => message,
-            FromNew::Died => {
+            NewProcessEvent::Received(message) => message,
+            NewProcessEvent::ProcessDied => {
                 return match self.step {
                     Step::Serves | Step::Over => Vec::new(),
                     _ => self.alone("the new process has ended"),
                 }
             }
-            FromNew::Broke => {
+            NewProcessEvent::LinkBroken => {
                 return match self.step {
                     // It accepts, and nothing more is wanted of it.
                     Step::Serves | Step::Ends | Step::Over => Vec::new(),
@@ -197,7 +197,7 @@
             ) => {
                 self.go(Step::Checks, now, self.patience.step);
                 vec![
-                    Effect::Say(format!("upgrade: {program} is there")),
+                    Effect::Log(format!("upgrade: {program} is there")),
                     Effect::Send(Message::Offer {
                         version: VERSION,
                         settings: self.settings,
@@ -216,7 +216,7 @@
                     "other settings"
                 };
                 vec![
-                    Effect::Say(format!("upgrade: it runs on {word}")),
+                    Effect::Log(format!("upgrade: it runs on {word}")),
                     Effect::PassListeners,
                 ]
             }
@@ -247,7 +247,7 @@
                 vec![
                     Effect::Send(Message::Ping),
                     Effect::Accept(false),
-                    Effect::Say(
+                    Effect::Log(
                         "upgrade: the new process serves, this one finishes what it has taken"
                             .into(),
                     ),
@@ -297,7 +297,7 @@
         (self.step, self.due) = (Step::Over, None);
         vec![
             Effect::Send(Message::Done { lease: self.kept }),
-            Effect::Leave,
+            Effect::Exit,
         ]
     }
 }
@@ -328,7 +328,7 @@
     #[test_case(SHARE, true; "all of the share")]
     #[test_case(Lease { held: 6, ..SHARE }, false; "less, while another drains")]
     fn an_upgrade_begins_with_the_whole_share_alone(has: Lease, begins: bool) {
-        let mut old = Old::new(Patience::default(), SHARE, 1);
+        let mut old = OldProcess::new(StepTimeouts::default(), SHARE, 1);
         assert_eq!(old.begin(Micros(0), has).is_ok(), begins);
         assert_eq!(old.serves(), !begins);
     }
--- a/identity/benches/cost.rs
+++ b/identity/benches/cost.rs
@@ -4,12 +4,12 @@
 use ring::rand::SystemRandom;
 use serde_json::json;
 use ternpick::types::Micros;
-use ternpick_identity::workshop::{Claims, Workshop};
+use ternpick_identity::key_manager::{Claims, KeyManager};
 use ternpick_identity::{Algorithm, Ask, Certificate, Identity, KeySet, Page, Terms};
 
 const T0: u64 = 1_800_000_000;
 
-fn identity(known: usize, shop: &Workshop) -> Identity {
+fn identity(known: usize, shop: &KeyManager) -> Identity {
     let source = json!({"file": "k", "path": "/", "every": 1, "apart": 1, "patience": 1});
     let terms: Terms = serde_json::from_value(json!({
         "issuer": "i", "audience": "a", "skew": 0, "longest": 3_600_000_000u64, "known": known,
@@ -38,7 +38,7 @@
     Micros((T0 + 1) * 1_000_000)
 }
 
-fn tokens(shop: &Workshop, count: usize) -> Vec<String> {
+fn tokens(shop: &KeyManager, count: usize) -> Vec<String> {
     let claims = |n| Claims {
         iss: "i".into(),
         aud: "a".into(),
@@ -57,7 +57,7 @@
 
 fn cost(bench: &mut Criterion) {
     for algorithm in [Algorithm::EdDsa, Algorithm::Es256] {
-        let mut shop = Workshop::default();
+        let mut shop = KeyManager::default();
         shop.new_key("k", algorithm, T0, 0, &SystemRandom::new())
             .expect("a key");
         let tokens = tokens(&shop, 64);
@@ -80,7 +80,7 @@
             |run| run.iter(|| warm.judge(at(), &ask(&tokens[0])).expect("let in")),
         );
     }
-    let mut shop = Workshop::default();
+    let mut shop = KeyManager::default();
     shop.new_key("k", Algorithm::EdDsa, T0, 0, &SystemRandom::new())
         .expect("a key");
     let mut identity = identity(1, &shop);
--- a/identity/src/workshop.rs
+++ b/identity/src/key_manager.rs
@@ -15,7 +15,7 @@
 use crate::names::KeyId;
 
 #[derive(Debug, thiserror::Error)]
-pub enum WorkshopFault {
+pub enum KeyManagerError {
     #[error("no key signs now: make one with 'keys new', or wait until it begins")]
     NoSigner,
     #[error("no key is named '{0}'")]
@@ -59,7 +59,7 @@
 }
 
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub struct Workshop {
+pub struct KeyManager {
     pub serial: u64,
     pub keys: Vec<OwnKey>,
 }
@@ -88,18 +88,18 @@
         }
     }
 
-    fn document(&self) -> Result<Vec<u8>, WorkshopFault> {
+    fn document(&self) -> Result<Vec<u8>, KeyManagerError> {
         STANDARD
             .decode(&self.secret)
-            .map_err(|error| WorkshopFault::Spoilt(error.to_string()))
+            .map_err(|error| KeyManagerError::Spoilt(error.to_string()))
     }
 
     /// As it is published (JWK).
-    fn public(&self) -> Result<Value, WorkshopFault> {
+    fn public(&self) -> Result<Value, KeyManagerError> {
         let (document, encode) = (self.document()?, |bytes: &[u8]| {
             URL_SAFE_NO_PAD.encode(bytes)
         });
-        let spoilt = |error: ring::error::KeyRejected| WorkshopFault::Spoilt(error.to_string());
+        let spoilt = |error: ring::error::KeyRejected| KeyManagerError::Spoilt(error.to_string());
         let mut key = match Algorithm::named(&self.algorithm) {
             Some(Algorithm::EdDsa) => {
                 let pair = Ed25519KeyPair::from_pkcs8(&document).map_err(spoilt)?;
@@ -114,7 +114,7 @@
                 json!({"kty": "EC", "crv": "P-256", "x": encode(&point[1..33]), "y": encode(&point[33..])})
             }
             None => {
-                return Err(WorkshopFault::Spoilt(format!(
+                return Err(KeyManagerError::Spoilt(format!(
                     "algorithm {:?}",
                     self.algorithm
                 )))
@@ -130,7 +130,7 @@
     }
 }
 
-impl Workshop {
+impl KeyManager {
     /// Makes a key that signs after `lead` seconds, in which every router hears of it. The first signs at once.
     pub fn new_key(
         &mut self,
@@ -139,15 +139,15 @@
         now: u64,
         lead: u64,
         random: &dyn SecureRandom,
-    ) -> Result<&OwnKey, WorkshopFault> {
+    ) -> Result<&OwnKey, KeyManagerError> {
         if self.keys.iter().any(|key| key.id == id) {
-            return Err(WorkshopFault::Doubled(id.to_owned()));
+            return Err(KeyManagerError::Doubled(id.to_owned()));
         }
         self.elapsed(now);
         if self.keys.len() >= MOST_KEYS {
-            return Err(WorkshopFault::TooMany);
+            return Err(KeyManagerError::TooMany);
         }
-        let no_chance = |_| WorkshopFault::NoChance;
+        let no_chance = |_| KeyManagerError::NoChance;
         let document = match algorithm {
             Algorithm::EdDsa => Ed25519KeyPair::generate_pkcs8(random).map_err(no_chance)?,
             Algorithm::Es256 => {
@@ -175,15 +175,15 @@
     }
 
     /// A key signs no more from now on, and is published for `overlap` seconds: as long as what it signed may last.
-    pub fn retire(&mut self, id: &str, now: u64, overlap: u64) -> Result<(), WorkshopFault> {
+    pub fn retire(&mut self, id: &str, now: u64, overlap: u64) -> Result<(), KeyManagerError> {
         let others = self
             .keys
             .iter()
             .any(|key| key.id != id && key.stage(now) == Stage::Signing);
         let key = self.keys.iter_mut().find(|key| key.id == id);
-        let key = key.ok_or_else(|| WorkshopFault::Unknown(id.to_owned()))?;
+        let key = key.ok_or_else(|| KeyManagerError::Unknown(id.to_owned()))?;
         if key.stage(now) == Stage::Signing && !others {
-            return Err(WorkshopFault::Last(id.to_owned()));
+            return Err(KeyManagerError::Last(id.to_owned()));
         }
         key.retired = Some(key.retired.unwrap_or(now).min(now));
         key.until = Some(key.until.unwrap_or(u64::MAX).min(now + overlap));
@@ -200,7 +200,7 @@
         lead: u64,
         overlap: u64,
         random: &dyn SecureRandom,
-    ) -> Result<&OwnKey, WorkshopFault> {
+    ) -> Result<&OwnKey, KeyManagerError> {
         let signs = self.new_key(id, algorithm, now, lead, random)?.signs;
         for key in self
             .keys
@@ -221,34 +221,34 @@
     }
 
     /// The key that signs now: of several the one that began last.
-    pub fn signer(&self, now: u64) -> Result<&OwnKey, WorkshopFault> {
+    pub fn signer(&self, now: u64) -> Result<&OwnKey, KeyManagerError> {
         let signing = self
             .keys
             .iter()
             .filter(|key| key.stage(now) == Stage::Signing);
         signing
             .max_by_key(|key| key.signs)
-            .ok_or(WorkshopFault::NoSigner)
+            .ok_or(KeyManagerError::NoSigner)
     }
 
     /// The set that key services serve (JWKS).
-    pub fn public(&self, now: u64) -> Result<Value, WorkshopFault> {
+    pub fn public(&self, now: u64) -> Result<Value, KeyManagerError> {
         let live = self.keys.iter().filter(|key| key.stage(now) != Stage::Gone);
         let keys: Vec<Value> = live.map(OwnKey::public).collect::<Result<_, _>>()?;
         Ok(json!({"ternpick_serial": self.serial, "keys": keys}))
     }
 
     /// Signs a token by the key that signs at `now`.
-    pub fn mint(&self, claims: &Claims, now: u64) -> Result<String, WorkshopFault> {
+    pub fn mint(&self, claims: &Claims, now: u64) -> Result<String, KeyManagerError> {
         sign(self.signer(now)?, claims)
     }
 }
 
 /// Signs by a key whatever its stage; tests make bad tokens so.
-pub fn sign(key: &OwnKey, claims: &impl Serialize) -> Result<String, WorkshopFault> {
+pub fn sign(key: &OwnKey, claims: &impl Serialize) -> Result<String, KeyManagerError> {
     let algorithm = Algorithm::named(&key.algorithm);
-    let algorithm =
-        algorithm.ok_or_else(|| WorkshopFault::Spoilt(format!("algorithm {:?}", key.algorithm)))?;
+    let algorithm = algorithm
+        .ok_or_else(|| KeyManagerError::Spoilt(format!("algorithm {:?}", key.algorithm)))?;
     let mut header = jsonwebtoken::Header::new(algorithm.of_crate());
     header.kid = Some(key.id.clone());
     let document = key.document()?;
@@ -256,7 +256,7 @@
         Algorithm::EdDsa => EncodingKey::from_ed_der(&document),
         Algorithm::Es256 => EncodingKey::from_ec_der(&document),
     };
-    let spoilt = |error: jsonwebtoken::errors::Error| WorkshopFault::Spoilt(error.to_string());
+    let spoilt = |error: jsonwebtoken::errors::Error| KeyManagerError::Spoilt(error.to_string());
     jsonwebtoken::encode(&header, claims, &secret).map_err(spoilt)
 }
 
@@ -272,8 +272,8 @@
 }
 
 /// Takes a token apart without believing it.
-pub fn inspect(token: &str) -> Result<Seen, WorkshopFault> {
-    let spoilt = || WorkshopFault::Spoilt("this is no token".into());
+pub fn inspect(token: &str) -> Result<Seen, KeyManagerError> {
+    let spoilt = || KeyManagerError::Spoilt("this is no token".into());
     let parts: Vec<&str> = token.split('.').collect();
     let [header, claims, _] = parts.as_slice() else {
         return Err(spoilt());
@@ -289,9 +289,9 @@
 }
 
 /// Whether a token's signature is right by a published set; its issuer, audience and times are not looked at.
-pub fn verify(token: &str, set: &[u8], now: Micros) -> Result<bool, WorkshopFault> {
+pub fn verify(token: &str, set: &[u8], now: Micros) -> Result<bool, KeyManagerError> {
     let seen = inspect(token)?;
-    let set = KeySet::parse(set).map_err(|fault| WorkshopFault::Spoilt(fault.to_string()))?;
+    let set = KeySet::parse(set).map_err(|fault| KeyManagerError::Spoilt(fault.to_string()))?;
     let mut ring = KeyRing::new(Micros(0));
     let _ = ring.told_of(now, &set);
     let id = KeyId::from(seen.header["kid"].as_str().unwrap_or_default());
--- a/identity/src/lib.rs
+++ b/identity/src/lib.rs
@@ -6,6 +6,7 @@
 
 mod calendar;
 mod certificate;
+pub mod key_manager;
 mod keys;
 mod known;
 mod names;
@@ -14,7 +15,6 @@
 mod rights;
 mod terms;
 mod token;
-pub mod workshop;
 
 use std::rc::Rc;
 
--- a/identity/tests/any_order.rs
+++ b/identity/tests/any_order.rs
@@ -7,7 +7,7 @@
 use ring::rand::SystemRandom;
 use serde_json::json;
 use ternpick::types::Micros;
-use ternpick_identity::workshop::{Claims, Workshop};
+use ternpick_identity::key_manager::{Claims, KeyManager};
 use ternpick_identity::{Algorithm, Ask, Identity, KeySet, Page, Terms};
 
 const T0: u64 = 1_800_000_000;
@@ -77,7 +77,7 @@
 
     #[test]
     fn no_revoked_caller_is_admitted_and_no_valid_one_refused(steps in proptest::collection::vec(step(), 1..120)) {
-        let (mut now, mut shop, random) = (0u64, Workshop::default(), SystemRandom::new());
+        let (mut now, mut shop, random) = (0u64, KeyManager::default(), SystemRandom::new());
         shop.new_key("k0", Algorithm::EdDsa, T0, 0, &random).expect("a key");
         let mut identity = Identity::new(terms()).expect("good terms");
         let mut sets = vec![shop.public(T0).expect("a set").to_string()];
