--- a/identity/tests/hard_cases.rs
+++ b/identity/tests/hard_cases.rs
@@ -5,7 +5,7 @@
 use ring::rand::SystemRandom;
 use serde_json::{json, Value};
 use ternpick::types::Micros;
-use ternpick_identity::workshop::{sign, Claims, Workshop, WorkshopFault};
+use ternpick_identity::key_manager::{sign, Claims, KeyManager, KeyManagerError};
 use ternpick_identity::{
     Act, Algorithm, Ask, Certificate, Identity, KeySet, ListFault, Page, Refusal, Refused,
     SetFault, Terms, DEFINITIONS,
@@ -68,7 +68,7 @@
 }
 
 /// An identity that has heard of the workshop's keys and that nothing is revoked.
-fn identity(shop: &Workshop) -> Identity {
+fn identity(shop: &KeyManager) -> Identity {
     let mut identity = Identity::new(terms(str::to_owned)).expect("good terms");
     hear(&mut identity, shop, 0);
     let page = Page {
@@ -81,14 +81,14 @@
     identity
 }
 
-fn hear(identity: &mut Identity, shop: &Workshop, now: u64) {
+fn hear(identity: &mut Identity, shop: &KeyManager, now: u64) {
     let set = shop.public(T0 + now).expect("a set").to_string();
     let set = KeySet::parse(set.as_bytes()).expect("a good set");
     let _ = identity.told_of_keys(at(now), &set);
 }
 
-fn shop(algorithm: Algorithm) -> Workshop {
-    let mut shop = Workshop::default();
+fn shop(algorithm: Algorithm) -> KeyManager {
+    let mut shop = KeyManager::default();
     shop.new_key("k1", algorithm, T0, 60, &SystemRandom::new())
         .expect("a key");
     shop
@@ -195,7 +195,7 @@
 }
 
 thread_local! {
-    static SHOP: Workshop = shop(Algorithm::EdDsa);
+    static SHOP: KeyManager = shop(Algorithm::EdDsa);
 }
 
 #[test_case(|c| c["iss"] = json!("https://other"), 1, "the token is of another issuer"; "issuer")]
@@ -307,13 +307,13 @@
 
 #[test]
 fn two_sets_by_turns_refuse_nobody_and_a_lasting_one_retires_a_key() {
-    let (mut one, mut other) = (shop(Algorithm::EdDsa), Workshop::default());
+    let (mut one, mut other) = (shop(Algorithm::EdDsa), KeyManager::default());
     other
         .new_key("k2", Algorithm::Es256, T0, 60, &SystemRandom::new())
         .expect("a key");
     let mut identity = identity(&one);
     // Two services that do not count their sets.
-    let public = |shop: &Workshop| {
+    let public = |shop: &KeyManager| {
         let mut set = shop.public(T0).expect("a set");
         set.as_object_mut().unwrap().remove("ternpick_serial");
         KeySet::parse(set.to_string().as_bytes()).expect("good")
@@ -743,15 +743,15 @@
     let (mut shop, random) = (shop(Algorithm::EdDsa), SystemRandom::new());
     assert!(matches!(
         shop.retire("k1", T0, 60),
-        Err(WorkshopFault::Last(_))
+        Err(KeyManagerError::Last(_))
     ));
     assert!(matches!(
         shop.retire("k9", T0, 60),
-        Err(WorkshopFault::Unknown(_))
+        Err(KeyManagerError::Unknown(_))
     ));
     assert!(matches!(
         shop.new_key("k1", Algorithm::EdDsa, T0, 60, &random),
-        Err(WorkshopFault::Doubled(_))
+        Err(KeyManagerError::Doubled(_))
     ));
     let mut signers = Vec::new();
     for round in 1..20 {
--- a/maintenance/src/carrier.rs
+++ b/maintenance/src/coordinator.rs
@@ -7,18 +7,18 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use ternpick::types::Micros;
-use ternpick_fleet_policy::{Annex, Attended, Index, Member, Seated};
+use ternpick_fleet_policy::{Extension, Index, Member, MemberContact, MemberInfo};
 
-use crate::books::{Books, Entry, Job, Request, Stage};
+use crate::disruption_budget::{ClusterView, DisruptionBudget, Limits, Violation};
 use crate::ids::RequestNo;
-use crate::order::{plan, Item, Plan};
-use crate::room::{Binds, Limits, Room, World};
-use crate::routers::{router_of, Routers, Stays};
-use crate::word::Word;
+use crate::router_removal::{router_of, RouterViolation, Routers};
+use crate::router_report::RouterReport;
+use crate::schedule::{schedule, Schedule, WorkItem};
+use crate::state::{Entry, MaintenanceState, Operation, Phase, Request};
 
 /// Spans in microseconds, shares from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct MaintenanceConfig {
     #[serde(flatten)]
     pub limits: Limits,
     /// For how long past the end of its lease a router may still act on a lookup: the longest deadline there is.
@@ -31,9 +31,9 @@
     pub late_over: f64,
 }
 
-impl Default for Terms {
+impl Default for MaintenanceConfig {
     fn default() -> Self {
-        Terms {
+        MaintenanceConfig {
             limits: Limits::default(),
             lingers: 10_000_000,
             back_within: 600_000_000,
@@ -58,7 +58,7 @@
 /// Faults that tests must catch.
 #[cfg(any(test, feature = "planted"))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Planted {
+pub enum InjectedBug {
     /// A permit is given as soon as the machine is out.
     NoWaiting,
     /// A router that is silent counts as quiet at once.
@@ -70,17 +70,17 @@
 /// A member, as it was heard at the last look.
 struct Heard {
     member: Member,
-    word: Option<Word>,
+    word: Option<RouterReport>,
     fresh: bool,
     alone: bool,
     over: bool,
 }
 
-pub struct Carrier {
-    pub terms: Terms,
-    pub books: Books,
+pub struct Coordinator {
+    pub terms: MaintenanceConfig,
+    pub books: MaintenanceState,
     /// As this router sees it, and its wall clock in milliseconds.
-    world: World,
+    world: ClusterView,
     wall: u64,
     /// Machines that fail without having been taken out, and since when nothing has been wrong that holds the work.
     failing: BTreeSet<String>,
@@ -90,20 +90,20 @@
     /// When this one first saw a machine on its way back.
     returning: BTreeMap<(RequestNo, String), Micros>,
     /// The routers of the fleet.
-    members: BTreeMap<Member, Seated>,
+    members: BTreeMap<Member, MemberInfo>,
     /// Words of the last look, for people: who waits for whom.
     attended: Vec<Heard>,
     led_term: u64,
     #[cfg(any(test, feature = "planted"))]
-    pub planted: Option<Planted>,
+    pub planted: Option<InjectedBug>,
 }
 
-impl Carrier {
-    pub fn new(terms: Terms) -> Carrier {
-        Carrier {
+impl Coordinator {
+    pub fn new(terms: MaintenanceConfig) -> Coordinator {
+        Coordinator {
             terms,
-            books: Books::default(),
-            world: World::default(),
+            books: MaintenanceState::default(),
+            world: ClusterView::default(),
             wall: 0,
             failing: BTreeSet::new(),
             well_since: None,
@@ -118,12 +118,12 @@
     }
 
     /// The fleet as this router sees it now; soundness is what all say of it.
-    pub fn sees(&mut self, world: World, wall: u64) {
+    pub fn sees(&mut self, world: ClusterView, wall: u64) {
         (self.world, self.wall) = (world, wall);
     }
 
     /// The world with everything that is in work, or that routers call so, as unsound.
-    fn standing(&self, words: &[&Word]) -> World {
+    fn standing(&self, words: &[&RouterReport]) -> ClusterView {
         let mut world = self.world.clone();
         let (unsound, working) = (unsound(words), self.books.active());
         for node in &mut world.nodes {
@@ -135,7 +135,7 @@
     }
 
     /// Words of all that have been heard.
-    fn words(&self) -> Vec<&Word> {
+    fn words(&self) -> Vec<&RouterReport> {
         self.attended
             .iter()
             .filter_map(|of| of.word.as_ref())
@@ -145,10 +145,11 @@
     /// Whom a machine that went out at a place still waits for.
     fn waits_for(&self, machine: &str, at: Index) -> Vec<&Member> {
         let waits = |of: &&Heard| {
-            let knows = |word: &Word| word.goes_by >= at;
+            let knows = |word: &RouterReport| word.goes_by >= at;
             #[cfg(any(test, feature = "planted"))]
-            let knows = |word: &Word| knows(word) || self.planted == Some(Planted::AnyWord);
-            let free = |word: &Word| !word.busy.iter().any(|name| name == machine);
+            let knows =
+                |word: &RouterReport| knows(word) || self.planted == Some(InjectedBug::AnyWord);
+            let free = |word: &RouterReport| !word.busy.iter().any(|name| name == machine);
             let quiet = of.alone
                 && of
                     .word
@@ -157,8 +158,8 @@
                 || of.over;
             #[cfg(any(test, feature = "planted"))]
             let quiet = match self.planted {
-                Some(Planted::NoWaiting) => true,
-                Some(Planted::SilentIsQuiet) => quiet || of.word.is_none(),
+                Some(InjectedBug::NoWaiting) => true,
+                Some(InjectedBug::SilentIsQuiet) => quiet || of.word.is_none(),
                 _ => quiet,
             };
             !quiet
@@ -183,7 +184,7 @@
     }
 
     /// What waits, as items for a plan.
-    fn items(&self, world: &World) -> Vec<Item> {
+    fn items(&self, world: &ClusterView) -> Vec<WorkItem> {
         let numbers: BTreeMap<&str, usize> = world
             .nodes
             .iter()
@@ -196,14 +197,14 @@
                 self.books
                     .jobs
                     .get(&(no, (*machine).clone()))
-                    .is_some_and(|job| job.stage == Stage::Waits)
+                    .is_some_and(|job| job.stage == Phase::Waiting)
             });
             let urgency = (
                 request.by_when.unwrap_or(u64::MAX),
                 u8::MAX - request.priority,
             );
             let mut item = |nodes: Vec<usize>| {
-                items.push(Item {
+                items.push(WorkItem {
                     request: no,
                     nodes,
                     urgency,
@@ -222,7 +223,7 @@
         items
     }
 
-    fn planned(&self, more: Option<&Request>) -> (Plan, Vec<Item>, World) {
+    fn planned(&self, more: Option<&Request>) -> (Schedule, Vec<WorkItem>, ClusterView) {
         // What is out or fails now will be there again: what can never be is another matter than what cannot be now.
         // Seen: a request was refused for good as a machine was doubted for a moment.
         let mut world = self.world.clone();
@@ -235,7 +236,7 @@
                 .filter_map(|name| world.number(name))
                 .collect();
             let urgency = (of.by_when.unwrap_or(u64::MAX), u8::MAX - of.priority);
-            let item = |nodes| Item {
+            let item = |nodes| WorkItem {
                 request: RequestNo(u64::MAX),
                 nodes,
                 urgency,
@@ -246,8 +247,8 @@
                 false => items.extend(nodes.into_iter().map(|node| item(vec![node]))),
             }
         }
-        let room = Room::of(&world, &self.terms.limits, 0);
-        (plan(&items, &room), items, world)
+        let room = DisruptionBudget::of(&world, &self.terms.limits, 0);
+        (schedule(&items, &room), items, world)
     }
 
     /// Steps for what is out or on its way back.
@@ -258,14 +259,14 @@
             .jobs
             .iter()
             .filter(|(_, job)| job.stage.is_active());
-        let jobs: Vec<((RequestNo, String), Job)> = active
+        let jobs: Vec<((RequestNo, String), Operation)> = active
             .map(|(key, job)| (key.clone(), job.clone()))
             .collect();
         self.returning.retain(|key, _| {
             self.books
                 .jobs
                 .get(key)
-                .is_some_and(|job| matches!(job.stage, Stage::Returns { .. }))
+                .is_some_and(|job| matches!(job.stage, Phase::Returning { .. }))
         });
         let fresh = self.words();
         let bad = unsound(&fresh);
@@ -273,7 +274,7 @@
         for (key, job) in jobs {
             match job.stage {
                 // A router is quiet when its operator has drained it: the permit is the fleet's word that it may.
-                Stage::Out
+                Phase::Out
                     if router_of(&key.1).is_some() || self.waits_for(&key.1, job.at).is_empty() =>
                 {
                     steps.push(Entry::Permit {
@@ -282,7 +283,7 @@
                         now: wall,
                     });
                 }
-                Stage::Returns { .. } => {
+                Phase::Returning { .. } => {
                     let began = self.returning.get(&key).copied();
                     // Nobody has anything for it: after a while discovery's word is all there is.
                     let idle =
@@ -399,7 +400,7 @@
             return;
         }
         let (world, active) = (self.standing(&words), self.books.active());
-        let mut room = Room::of(&world, &self.terms.limits, active.len());
+        let mut room = DisruptionBudget::of(&world, &self.terms.limits, active.len());
         let mut items = self.items(&world);
         items.retain(|item| {
             let free = item
@@ -414,7 +415,7 @@
             free && due.is_none_or(|due| due <= self.wall)
         });
         // The plan's order: its first round is what fits best beside each other now.
-        let order = plan(&items, &room);
+        let order = schedule(&items, &room);
         let mut jobs = Vec::new();
         for at in order.rounds.iter().flat_map(|round| &round.items) {
             let item = &items[*at];
@@ -471,7 +472,7 @@
             self.books
                 .jobs
                 .get(key)
-                .is_some_and(|job| job.stage == Stage::Waits)
+                .is_some_and(|job| job.stage == Phase::Waiting)
         };
         let routers = all
             .filter(waits)
@@ -501,9 +502,14 @@
         })
     }
 
-    fn row(&self, key: &(RequestNo, String), job: &Job, binds: &BTreeMap<String, String>) -> Value {
+    fn row(
+        &self,
+        key: &(RequestNo, String),
+        job: &Operation,
+        binds: &BTreeMap<String, String>,
+    ) -> Value {
         let waits: Vec<String> = match job.stage {
-            Stage::Out => {
+            Phase::Out => {
                 let members = self.waits_for(&key.1, job.at);
                 members.iter().map(|member| member.0.clone()).collect()
             }
@@ -511,12 +517,12 @@
         };
         let request = self.books.requests.get(&key.0);
         let (begun, failed) = match &job.stage {
-            Stage::Permitted { begun, failed, .. } => (begun.clone(), failed.clone()),
+            Phase::Permitted { begun, failed, .. } => (begun.clone(), failed.clone()),
             _ => (None, None),
         };
-        let overdue = matches!(job.stage, Stage::Permitted { .. })
+        let overdue = matches!(job.stage, Phase::Permitted { .. })
             && request.is_some_and(|of| self.wall > job.since + of.lasts / 1000);
-        let binds = binds.get(&key.1).filter(|_| job.stage == Stage::Waits);
+        let binds = binds.get(&key.1).filter(|_| job.stage == Phase::Waiting);
         json!({"request": key.0, "machine": key.1, "state": job.stage.word(), "permit": job.stage.permit(),
             "since_ms": job.since, "for_ms": self.wall.saturating_sub(job.since), "waits_for": waits, "begun": begun,
             "failed": failed, "overdue": overdue, "binds": binds, "why": request.map(|of| &of.why),
@@ -527,13 +533,13 @@
     fn table(&self) -> Value {
         let words = self.words();
         let world = self.standing(&words);
-        let room = Room::of(&world, &self.terms.limits, self.books.active().len());
+        let room = DisruptionBudget::of(&world, &self.terms.limits, self.books.active().len());
         let (mut binds, waiting) = (BTreeMap::new(), self.waiting_routers());
         for (_, machine) in self
             .books
             .jobs
             .iter()
-            .filter(|(_, job)| job.stage == Stage::Waits)
+            .filter(|(_, job)| job.stage == Phase::Waiting)
             .map(|(key, _)| key)
         {
             let said = match (router_of(machine), world.number(machine)) {
@@ -544,7 +550,7 @@
                     may.and_then(Result::err).map(|stays| stays.to_string())
                 }
                 (None, Some(at)) => room.may(at).err().map(|binds| binds.to_string()),
-                (None, None) => Some(Binds::Unknown(machine.clone()).to_string()),
+                (None, None) => Some(Violation::Unknown(machine.clone()).to_string()),
             };
             if let Some(said) = said {
                 binds.insert(machine.clone(), said);
@@ -566,7 +572,7 @@
     }
 
     fn plan_told(&self, more: Option<&Request>) -> Value {
-        let (plan, items, world) = self.planned(more);
+        let (schedule, items, world) = self.planned(more);
         let names = |at: &usize| -> Vec<&str> {
             items[*at]
                 .nodes
@@ -574,22 +580,22 @@
                 .map(|node| world.nodes[*node].name.as_str())
                 .collect()
         };
-        let rounds = plan.rounds.iter().map(|round| {
+        let rounds = schedule.rounds.iter().map(|round| {
             let machines: Vec<&str> = round.items.iter().flat_map(names).collect();
             json!({"machines": machines, "lasts_ms": round.lasts / 1000})
         });
-        let cannot = plan
+        let cannot = schedule
             .cannot
             .iter()
             .map(|(at, binds)| json!({"machines": names(at), "binds": binds.to_string()}));
-        let lasts: u64 = plan.rounds.iter().map(|round| round.lasts / 1000).sum();
+        let lasts: u64 = schedule.rounds.iter().map(|round| round.lasts / 1000).sum();
         json!({"rounds": rounds.collect::<Vec<_>>(), "cannot": cannot.collect::<Vec<_>>(),
-            "bound": plan.bound, "lasts_ms": lasts})
+            "bound": schedule.bound, "lasts_ms": lasts})
     }
 }
 
 /// Machines that enough routers call unsound.
-fn unsound<'a>(words: &[&'a Word]) -> BTreeSet<&'a str> {
+fn unsound<'a>(words: &[&'a RouterReport]) -> BTreeSet<&'a str> {
     let mut counts = BTreeMap::<&str, usize>::new();
     for name in words.iter().flat_map(|word| &word.unsound) {
         *counts.entry(name).or_default() += 1;
@@ -602,13 +608,13 @@
         .collect()
 }
 
-impl Annex for Carrier {
+impl Extension for Coordinator {
     fn play(&mut self, index: Index, entry: &[u8]) -> Result<u64, String> {
         let entry = postcard::from_bytes(entry).map_err(|e| format!("it cannot be read: {e}"))?;
         self.books.play(index, entry)
     }
 
-    fn members(&mut self, members: &BTreeMap<Member, Seated>) {
+    fn members(&mut self, members: &BTreeMap<Member, MemberInfo>) {
         self.books.belong(members.keys().cloned().collect());
         self.members.clone_from(members);
     }
@@ -627,7 +633,7 @@
             .books
             .jobs
             .iter()
-            .filter(|(_, job)| matches!(job.stage, Stage::Returns { .. }));
+            .filter(|(_, job)| matches!(job.stage, Phase::Returning { .. }));
         let returning: BTreeSet<&String> = returning.map(|((_, machine), _)| machine).collect();
         postcard::to_stdvec(&(self.books.out(), returning)).unwrap_or_default()
     }
@@ -646,7 +652,7 @@
             Ok(
                 Entry::Change { .. }
                 | Entry::Cancel { .. }
-                | Entry::Hold { .. }
+                | Entry::Pause { .. }
                 | Entry::Resume { .. }
                 | Entry::Begin { .. }
                 | Entry::Done { .. },
@@ -658,7 +664,7 @@
         for name in &request.machines {
             match router_of(name) {
                 Some(router) if !self.members.contains_key(&router) => {
-                    return Err(Stays::Unknown.to_string())
+                    return Err(RouterViolation::Unknown.to_string())
                 }
                 Some(_) if request.together => {
                     return Err(
@@ -666,14 +672,14 @@
                     );
                 }
                 None if self.world.number(name).is_none() => {
-                    return Err(Binds::Unknown(name.clone()).to_string());
+                    return Err(Violation::Unknown(name.clone()).to_string());
                 }
                 _ => {}
             }
         }
-        let (plan, items, world) = self.planned(Some(&request));
+        let (schedule, items, world) = self.planned(Some(&request));
         let own = |at: &usize| items[*at].request == RequestNo(u64::MAX);
-        if let Some((at, binds)) = plan.cannot.iter().find(|(at, _)| own(at)) {
+        if let Some((at, binds)) = schedule.cannot.iter().find(|(at, _)| own(at)) {
             let names: Vec<&str> = items[*at]
                 .nodes
                 .iter()
@@ -682,12 +688,12 @@
             return Err(format!("{} can never go out: {binds}", names.join(", ")));
         }
         if let Some(by_when) = request.by_when {
-            let last = plan
+            let last = schedule
                 .rounds
                 .iter()
                 .rposition(|round| round.items.iter().any(own))
                 .map_or(0, |at| at + 1);
-            let lasts: u64 = plan.rounds[..last]
+            let lasts: u64 = schedule.rounds[..last]
                 .iter()
                 .map(|round| round.lasts / 1000)
                 .sum();
@@ -709,15 +715,15 @@
         now: Micros,
         me: &Member,
         term: u64,
-        attended: &[Attended],
+        attended: &[MemberContact],
     ) -> (Vec<Vec<u8>>, Vec<String>) {
         if self.led_term != term {
             // What an earlier time in the chair has seen says nothing.
             (self.led_term, self.well_since, self.told_load) = (term, None, None);
             (self.failing, self.returning) = (BTreeSet::new(), BTreeMap::new());
         }
-        let read = |of: &Attended| {
-            let word = of.word.as_ref().and_then(|word| Word::read(word));
+        let read = |of: &MemberContact| {
+            let word = of.word.as_ref().and_then(|word| RouterReport::read(word));
             Heard {
                 member: of.member.clone(),
                 word,
@@ -805,8 +811,8 @@
     }
 }
 
-/// The machines that a router has to go by, as [`Annex::outs`] tells them: those that are out, and those coming back.
-impl Carrier {
+/// The machines that a router has to go by, as [`Extension::outs`] tells them: those that are out, and those coming back.
+impl Coordinator {
     pub fn told(outs: &[u8]) -> (Vec<String>, Vec<String>) {
         postcard::from_bytes(outs).unwrap_or_default()
     }
@@ -815,23 +821,23 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::disruption_budget::Node;
     use crate::ids::PermitNo;
-    use crate::room::Node;
     use test_case::test_case;
 
     const S: u64 = 1_000_000;
 
     /// Six machines in two sets of three.
-    fn carrier() -> Carrier {
-        let terms = Terms {
+    fn carrier() -> Coordinator {
+        let terms = MaintenanceConfig {
             limits: Limits {
                 zone_share: 0.0,
                 most_out: 1.0,
                 ..Limits::default()
             },
-            ..Terms::default()
+            ..MaintenanceConfig::default()
         };
-        let mut carrier = Carrier::new(terms);
+        let mut carrier = Coordinator::new(terms);
         let node = |at: u32| Node {
             name: format!("s{at}"),
             zone: 0,
@@ -840,7 +846,7 @@
             out: false,
         };
         carrier.sees(
-            World {
+            ClusterView {
                 nodes: (0..6).map(node).collect(),
                 load: 0.0,
             },
@@ -859,7 +865,7 @@
         }
     }
 
-    impl Carrier {
+    impl Coordinator {
         fn permit_of(&self, machine: &str) -> Option<PermitNo> {
             let found = self
                 .books
@@ -870,8 +876,8 @@
         }
     }
 
-    fn says(member: &str, word: &Word) -> Attended {
-        Attended {
+    fn says(member: &str, word: &RouterReport) -> MemberContact {
+        MemberContact {
             member: member.into(),
             word: Some(word.bytes()),
             fresh: true,
@@ -881,7 +887,7 @@
     }
 
     struct Fleet {
-        carrier: Carrier,
+        carrier: Coordinator,
         at: u64,
         now: u64,
     }
@@ -907,7 +913,7 @@
         }
 
         /// A second passes; what was put comes back.
-        fn step(&mut self, attended: &[Attended]) -> Vec<Entry> {
+        fn step(&mut self, attended: &[MemberContact]) -> Vec<Entry> {
             self.now += S;
             let (steps, _) = self
                 .carrier
@@ -920,7 +926,7 @@
             steps
         }
 
-        fn run(&mut self, seconds: u64, attended: &[Attended]) -> Vec<Entry> {
+        fn run(&mut self, seconds: u64, attended: &[MemberContact]) -> Vec<Entry> {
             (0..seconds).flat_map(|_| self.step(attended)).collect()
         }
 
@@ -929,10 +935,10 @@
         }
     }
 
-    fn knows(goes_by: u64) -> Word {
-        Word {
+    fn knows(goes_by: u64) -> RouterReport {
+        RouterReport {
             goes_by: Index(goes_by),
-            ..Word::default()
+            ..RouterReport::default()
         }
     }
 
@@ -950,7 +956,7 @@
         });
         fleet.run(10, &quiet);
         assert_eq!(fleet.out(), ["s3"], "it has yet to show that it bears load");
-        let bears = Word {
+        let bears = RouterReport {
             bear: vec!["s0".into()],
             ..knows(100)
         };
@@ -959,13 +965,13 @@
     }
 
     #[test_case(knows(2), true, false, false; "a word from before it was out")]
-    #[test_case(Word { busy: vec!["s0".into()], ..knows(100) }, true, false, false; "something is out there")]
+    #[test_case(RouterReport { busy: vec!["s0".into()], ..knows(100) }, true, false, false; "something is out there")]
     #[test_case(knows(100), false, false, false; "another process of it may still act")]
     #[test_case(knows(2), true, true, true; "silent for longer than it can act")]
     #[test_case(knows(100), true, false, true; "quiet")]
-    fn a_permit_waits_for_every_router(word: Word, alone: bool, over: bool, given: bool) {
+    fn a_permit_waits_for_every_router(word: RouterReport, alone: bool, over: bool, given: bool) {
         let mut fleet = Fleet::asked(&["s0"]);
-        let slow = Attended {
+        let slow = MemberContact {
             alone,
             over,
             ..says("n1", &word)
@@ -980,11 +986,11 @@
     #[test]
     fn one_that_has_not_been_heard_keeps_a_permit_away() {
         let mut fleet = Fleet::asked(&["s0"]);
-        let unheard = Attended {
+        let unheard = MemberContact {
             word: None,
             alone: false,
             fresh: false,
-            ..says("n1", &Word::default())
+            ..says("n1", &RouterReport::default())
         };
         fleet.run(12, &[says("n0", &knows(100)), unheard.clone()]);
         assert_eq!(fleet.carrier.permit_of("s0"), None);
@@ -992,7 +998,7 @@
             1,
             &[
                 says("n0", &knows(100)),
-                Attended {
+                MemberContact {
                     over: true,
                     ..unheard
                 },
@@ -1004,7 +1010,7 @@
     #[test]
     fn a_failure_without_work_holds_it_and_calm_lets_it_go_on() {
         let mut fleet = Fleet::asked(&["s0", "s3"]);
-        let dead = Word {
+        let dead = RouterReport {
             unsound: vec!["s1".into()],
             ..knows(100)
         };
@@ -1026,7 +1032,7 @@
         let share = |late| {
             [says(
                 "n0",
-                &Word {
+                &RouterReport {
                     answered: 1000,
                     late,
                     ..knows(100)
@@ -1070,7 +1076,7 @@
             1,
             &[says(
                 "n0",
-                &Word {
+                &RouterReport {
                     bear: vec!["s0".into()],
                     ..knows(1000)
                 },
@@ -1111,7 +1117,7 @@
             out: false,
         };
         carrier.sees(
-            World {
+            ClusterView {
                 nodes: (0..2).map(node).collect(),
                 load: 0.0,
             },
@@ -1131,7 +1137,7 @@
         fleet.run(8, &[says("n0", &knows(100))]);
         assert_eq!(fleet.out(), ["s0", "s3"]);
         let permit = fleet.carrier.permit_of("s3").expect("a permit");
-        let dead = Word {
+        let dead = RouterReport {
             unsound: vec!["s1".into()],
             ..knows(100)
         };
@@ -1143,7 +1149,7 @@
             failed: None,
         });
         // Its own set is whole again, and it waits all the same until the failure is known for long enough.
-        let bears = Word {
+        let bears = RouterReport {
             bear: vec!["s3".into()],
             ..dead
         };
@@ -1189,7 +1195,7 @@
         let load = |calls| {
             [says(
                 "n0",
-                &Word {
+                &RouterReport {
                     calls,
                     ..knows(100)
                 },
@@ -1213,7 +1219,7 @@
     fn a_release_by_discovery_leaves_no_room_where_it_is_at_work() {
         let mut fleet = Fleet::asked(&["s0", "s3"]);
         // Known for long: one of the first set is listed as terminating all the time.
-        let released = Word {
+        let released = RouterReport {
             unsound: vec!["s2".into()],
             ..knows(100)
         };
@@ -1241,10 +1247,10 @@
             at: 0,
             now: 0,
         };
-        let seated = |seat: u64| Seated {
+        let seated = |seat: u64| MemberInfo {
             address: String::new(),
             zone: String::new(),
-            seat: Some(ternpick_fleet_policy::SeatNo(seat)),
+            seat: Some(ternpick_fleet_policy::ReplicaId(seat)),
             learns: false,
         };
         let members = (0..3)
@@ -1254,7 +1260,7 @@
         fleet.put(Entry::Ask {
             request: ask(&["router:n0", "router:n1", "router:n2"]),
         });
-        let all: Vec<Attended> = (0..3)
+        let all: Vec<MemberContact> = (0..3)
             .map(|at| says(&format!("n{at}"), &knows(100)))
             .collect();
         let mut order = Vec::new();
@@ -1278,7 +1284,7 @@
     #[test]
     fn a_machine_that_fails_for_a_moment_refuses_no_request() {
         let mut fleet = Fleet::asked(&["s3"]);
-        let dead = Word {
+        let dead = RouterReport {
             unsound: vec!["s1".into()],
             ..knows(100)
         };
@@ -1300,7 +1306,7 @@
             by: "ann".into(),
             failed: None,
         });
-        let listed = Word {
+        let listed = RouterReport {
             unsound: vec!["s0".into()],
             bear: vec!["s0".into()],
             ..knows(100)
@@ -1314,7 +1320,7 @@
             1,
             &[says(
                 "n0",
-                &Word {
+                &RouterReport {
                     bear: vec!["s0".into()],
                     ..knows(100)
                 },
@@ -1336,12 +1342,12 @@
 
     #[test]
     fn what_one_router_alone_of_many_calls_unsound_is_sound() {
-        let one = Word {
+        let one = RouterReport {
             unsound: vec!["s1".into()],
-            ..Word::default()
+            ..RouterReport::default()
         };
-        let others = vec![Word::default(); 6];
-        let words: Vec<&Word> = others.iter().chain([&one]).collect();
+        let others = vec![RouterReport::default(); 6];
+        let words: Vec<&RouterReport> = others.iter().chain([&one]).collect();
         assert!(unsound(&words).is_empty());
         assert_eq!(unsound(&[&one, &others[0], &others[1]]).len(), 1);
     }
--- a/maintenance/src/room.rs
+++ b/maintenance/src/disruption_budget.rs
@@ -59,13 +59,13 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct World {
+pub struct ClusterView {
     pub nodes: Vec<Node>,
     /// Part calls a second of all routers together.
     pub load: f64,
 }
 
-impl World {
+impl ClusterView {
     pub fn number(&self, name: &str) -> Option<usize> {
         self.nodes.iter().position(|node| node.name == name)
     }
@@ -73,7 +73,7 @@
 
 /// What keeps a machine from going out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Binds {
+pub enum Violation {
     Unknown(String),
     /// Nobody else holds this set of shards.
     LastHolder(u32),
@@ -94,32 +94,34 @@
     MostOut(usize),
 }
 
-impl fmt::Display for Binds {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Binds::Unknown(name) => write!(f, "discovery lists no {name}"),
-            Binds::LastHolder(set) => {
+            Violation::Unknown(name) => write!(f, "discovery lists no {name}"),
+            Violation::LastHolder(set) => {
                 write!(
                     f,
                     "it is the only sound holder of set {set}: give that another first"
                 )
             }
-            Binds::Holders { set, sound, floor } => {
+            Violation::Holders { set, sound, floor } => {
                 write!(f, "set {set} has {sound} sound holders and keeps {floor}")
             }
-            Binds::Zone { zone, sound, floor } => {
+            Violation::Zone { zone, sound, floor } => {
                 write!(
                     f,
                     "zone {zone} has {sound} sound machines and keeps {floor}"
                 )
             }
-            Binds::Load { sound, floor } => {
+            Violation::Load { sound, floor } => {
                 write!(
                     f,
                     "{sound} machines are sound, the load with its reserve needs {floor}"
                 )
             }
-            Binds::MostOut(most) => write!(f, "{most} machines are out, no more may be at a time"),
+            Violation::MostOut(most) => {
+                write!(f, "{most} machines are out, no more may be at a time")
+            }
         }
     }
 }
@@ -139,7 +141,7 @@
 
 /// What is free of every limit. Its size is the fleet's.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct DisruptionBudget {
     /// Sets first, then zones, then the load, then how many may be out at all.
     limits: Vec<Limit>,
     names: Vec<Name>,
@@ -156,9 +158,9 @@
     MostOut,
 }
 
-impl Room {
+impl DisruptionBudget {
     /// `out`: machines that are out now, which count against how many may be at a time.
-    pub fn of(world: &World, limits: &Limits, out: usize) -> Room {
+    pub fn of(world: &ClusterView, limits: &Limits, out: usize) -> DisruptionBudget {
         let (mut all, mut names, mut at) = (Vec::<Limit>::new(), Vec::new(), HashMap::new());
         let mut of = vec![Vec::new(); world.nodes.len()];
         let mut totals = Vec::<usize>::new();
@@ -228,7 +230,7 @@
                 .filter(|(_, node)| takes(node));
             of.for_each(|(of, _)| of.push(all.len() - 1));
         }
-        Room {
+        DisruptionBudget {
             limits: all,
             names,
             of,
@@ -237,7 +239,7 @@
     }
 
     /// What a machine's going out would break, if anything.
-    pub fn may(&self, node: usize) -> Result<(), Binds> {
+    pub fn may(&self, node: usize) -> Result<(), Violation> {
         match self.of[node]
             .iter()
             .find(|limit| self.limits[**limit].free() == 0)
@@ -247,14 +249,14 @@
         }
     }
 
-    fn binds(&self, limit: usize) -> Binds {
+    fn binds(&self, limit: usize) -> Violation {
         let Limit { sound, floor } = self.limits[limit];
         match self.names[limit] {
-            Name::Set(set) if sound <= 1 => Binds::LastHolder(set),
-            Name::Set(set) => Binds::Holders { set, sound, floor },
-            Name::Zone(zone) => Binds::Zone { zone, sound, floor },
-            Name::Load => Binds::Load { sound, floor },
-            Name::MostOut => Binds::MostOut(self.most_out),
+            Name::Set(set) if sound <= 1 => Violation::LastHolder(set),
+            Name::Set(set) => Violation::Holders { set, sound, floor },
+            Name::Zone(zone) => Violation::Zone { zone, sound, floor },
+            Name::Load => Violation::Load { sound, floor },
+            Name::MostOut => Violation::MostOut(self.most_out),
         }
     }
 
@@ -265,7 +267,7 @@
     }
 
     /// Whether all of them may go out together; then they are taken.
-    pub fn take_all(&mut self, nodes: &[usize]) -> Result<(), Binds> {
+    pub fn take_all(&mut self, nodes: &[usize]) -> Result<(), Violation> {
         let before = self.limits.clone();
         for node in nodes {
             if let Err(binds) = self.may(*node) {
@@ -295,7 +297,7 @@
     use test_case::test_case;
 
     /// Sets of holders by their numbers, as a ring of so many machines.
-    fn world(nodes: usize, sets: &[&[usize]], dead: &[usize]) -> World {
+    fn world(nodes: usize, sets: &[&[usize]], dead: &[usize]) -> ClusterView {
         let node = |at: usize| Node {
             name: format!("s{at}"),
             zone: (at % 2) as u16,
@@ -305,7 +307,7 @@
             sound: !dead.contains(&at),
             out: false,
         };
-        World {
+        ClusterView {
             nodes: (0..nodes).map(node).collect(),
             load: 0.0,
         }
@@ -321,25 +323,28 @@
 
     #[test_case(&[&[0, 1, 2]], &[], Ok(()); "three holders, two stay")]
     #[test_case(&[&[0, 1]], &[], Ok(()); "of two one may go")]
-    #[test_case(&[&[0]], &[], Err(Binds::LastHolder(0)); "the last holder")]
-    #[test_case(&[&[0, 1, 2]], &[1], Err(Binds::Holders { set: 0, sound: 2, floor: 2 }); "short before anything began")]
-    #[test_case(&[&[0, 1]], &[1], Err(Binds::LastHolder(0)); "its neighbour has died")]
+    #[test_case(&[&[0]], &[], Err(Violation::LastHolder(0)); "the last holder")]
+    #[test_case(&[&[0, 1, 2]], &[1], Err(Violation::Holders { set: 0, sound: 2, floor: 2 }); "short before anything began")]
+    #[test_case(&[&[0, 1]], &[1], Err(Violation::LastHolder(0)); "its neighbour has died")]
     #[test_case(&[&[0, 1, 2]], &[0, 1], Ok(()); "one that bears nothing takes nothing with it")]
-    fn holders_are_kept(sets: &[&[usize]], dead: &[usize], said: Result<(), Binds>) {
-        assert_eq!(Room::of(&world(6, sets, dead), &open(), 0).may(0), said);
+    fn holders_are_kept(sets: &[&[usize]], dead: &[usize], said: Result<(), Violation>) {
+        assert_eq!(
+            DisruptionBudget::of(&world(6, sets, dead), &open(), 0).may(0),
+            said
+        );
     }
 
-    #[test_case(Limits { zone_share: 0.7, ..open() }, 0, Err(Binds::Zone { zone: 0, sound: 3, floor: 3 }); "its zone")]
-    #[test_case(Limits { most_out: 0.2, ..open() }, 1, Err(Binds::MostOut(1)); "one is out already")]
+    #[test_case(Limits { zone_share: 0.7, ..open() }, 0, Err(Violation::Zone { zone: 0, sound: 3, floor: 3 }); "its zone")]
+    #[test_case(Limits { most_out: 0.2, ..open() }, 1, Err(Violation::MostOut(1)); "one is out already")]
     #[test_case(Limits { most_out: 0.0, ..open() }, 0, Ok(()); "one always may")]
-    #[test_case(Limits { per_node: Some(10.0), ..open() }, 0, Err(Binds::Load { sound: 6, floor: 6 }); "the load")]
+    #[test_case(Limits { per_node: Some(10.0), ..open() }, 0, Err(Violation::Load { sound: 6, floor: 6 }); "the load")]
     #[test_case(Limits { per_node: Some(13.0), ..open() }, 0, Ok(()); "room for the load and one failure")]
-    fn what_else_binds(limits: Limits, out: usize, said: Result<(), Binds>) {
-        let world = World {
+    fn what_else_binds(limits: Limits, out: usize, said: Result<(), Violation>) {
+        let world = ClusterView {
             load: 40.0,
             ..world(6, &[&[0, 1, 2]], &[])
         };
-        assert_eq!(Room::of(&world, &limits, out).may(0), said);
+        assert_eq!(DisruptionBudget::of(&world, &limits, out).may(0), said);
     }
 
     #[test_case(true; "it fails just now")]
@@ -348,8 +353,8 @@
         let mut world = world(6, &[&[0, 1, 2]], if fails { &[0] } else { &[] });
         (world.nodes[1].sound, world.nodes[1].out) = (false, true);
         assert_eq!(
-            Room::of(&world, &open(), 1).may(0),
-            Err(Binds::Holders {
+            DisruptionBudget::of(&world, &open(), 1).may(0),
+            Err(Violation::Holders {
                 set: 0,
                 sound: 2,
                 floor: 2
@@ -360,10 +365,10 @@
     #[test]
     fn together_means_all_or_none() {
         let world = world(6, &[&[0, 1, 2], &[3, 4, 5]], &[]);
-        let mut room = Room::of(&world, &open(), 0);
+        let mut room = DisruptionBudget::of(&world, &open(), 0);
         assert_eq!(
             room.take_all(&[0, 1]),
-            Err(Binds::Holders {
+            Err(Violation::Holders {
                 set: 0,
                 sound: 2,
                 floor: 2
--- a/maintenance/src/model.rs
+++ b/maintenance/src/model.rs
@@ -4,10 +4,10 @@
 
 use stateright::{Checker, Model, Property};
 use ternpick::types::Micros;
-use ternpick_fleet_policy::{Annex, Attended, Index};
+use ternpick_fleet_policy::{Extension, Index, MemberContact};
 use test_case::test_case;
 
-use crate::room::{Limits, Node, World as Fleet};
+use crate::disruption_budget::{ClusterView as Fleet, Limits, Node};
 use crate::*;
 
 const LEASE: u8 = 2;
@@ -28,11 +28,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct ClusterView {
     now: u8,
     at: u64,
     term: u64,
-    books: Books,
+    books: MaintenanceState,
     /// Where the machine's being out was agreed.
     outs_at: u64,
     routers: [Router; 2],
@@ -65,10 +65,10 @@
 }
 
 struct Out {
-    planted: Option<Planted>,
+    planted: Option<InjectedBug>,
 }
 
-impl World {
+impl ClusterView {
     fn out(&self) -> bool {
         !self.books.out().is_empty()
     }
@@ -77,7 +77,7 @@
         self.books
             .jobs
             .values()
-            .any(|job| matches!(job.stage, Stage::Permitted { .. }))
+            .any(|job| matches!(job.stage, Phase::Permitted { .. }))
     }
 
     fn play(&mut self, entry: Entry) {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn attended(&self) -> Vec<Attended> {
+    fn attended(&self) -> Vec<MemberContact> {
         let of = |at: usize| {
             let word = self.words[at].map(|(goes_by, busy)| {
                 let busy = if busy {
@@ -99,10 +99,10 @@
                 } else {
                     Vec::new()
                 };
-                Word {
+                RouterReport {
                     goes_by: Index(goes_by),
                     busy,
-                    ..Word::default()
+                    ..RouterReport::default()
                 }
                 .bytes()
             });
@@ -110,7 +110,7 @@
             let over = self.now > self.since + span
                 && self.granted[at].is_none_or(|at| self.now > at + span);
             let member = if at == 0 { "a" } else { "b" }.into();
-            Attended {
+            MemberContact {
                 member,
                 fresh: word.is_some(),
                 word,
@@ -121,16 +121,16 @@
         vec![of(0), of(1)]
     }
 
-    fn steps(&self, planted: Option<Planted>) -> Vec<Entry> {
+    fn steps(&self, planted: Option<InjectedBug>) -> Vec<Entry> {
         let limits = Limits {
             zone_share: 0.0,
             most_out: 1.0,
             ..Limits::default()
         };
-        let mut carrier = Carrier::new(Terms {
+        let mut carrier = Coordinator::new(MaintenanceConfig {
             limits,
             calm: 0,
-            ..Terms::default()
+            ..MaintenanceConfig::default()
         });
         (carrier.books, carrier.planted) = (self.books.clone(), planted);
         let node = |at: u32| Node {
@@ -162,19 +162,19 @@
 }
 
 impl Model for Out {
-    type State = World;
+    type State = ClusterView;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ClusterView> {
         let router = Router {
             lease: LEASE,
             ..Router::default()
         };
-        let mut world = World {
+        let mut world = ClusterView {
             now: 0,
             at: 0,
             term: 1,
-            books: Books::default(),
+            books: MaintenanceState::default(),
             outs_at: 0,
             routers: [router.clone(), router],
             since: 0,
@@ -196,7 +196,7 @@
         vec![world]
     }
 
-    fn actions(&self, of: &World, actions: &mut Vec<Action>) {
+    fn actions(&self, of: &ClusterView, actions: &mut Vec<Action>) {
         if of.now < UNTIL {
             actions.push(Action::Passes);
         }
@@ -229,7 +229,7 @@
         }
     }
 
-    fn next_state(&self, before: &World, action: Action) -> Option<World> {
+    fn next_state(&self, before: &ClusterView, action: Action) -> Option<ClusterView> {
         let mut of = before.clone();
         match action {
             Action::Passes => {
@@ -297,24 +297,24 @@
         vec![
             Property::always(
                 "nothing is at a machine under its permit",
-                |_, of: &World| !of.broken,
+                |_, of: &ClusterView| !of.broken,
             ),
-            Property::sometimes("a permit is given", |_, of: &World| of.permitted()),
+            Property::sometimes("a permit is given", |_, of: &ClusterView| of.permitted()),
             Property::sometimes(
                 "a permit is given without a word of one router",
-                |_, of: &World| of.permitted() && of.words.contains(&None),
+                |_, of: &ClusterView| of.permitted() && of.words.contains(&None),
             ),
         ]
     }
 
     /// A permit that has been given back ends the story.
-    fn within_boundary(&self, of: &World) -> bool {
+    fn within_boundary(&self, of: &ClusterView) -> bool {
         of.at < 9
             && of
                 .books
                 .jobs
                 .values()
-                .all(|job| !matches!(job.stage, Stage::Returns { .. }))
+                .all(|job| !matches!(job.stage, Phase::Returning { .. }))
     }
 }
 
@@ -340,10 +340,10 @@
     eprintln!("{} states", checker.unique_state_count());
 }
 
-#[test_case(Planted::NoWaiting)]
-#[test_case(Planted::SilentIsQuiet)]
-#[test_case(Planted::AnyWord)]
-fn a_planted_fault_is_found(planted: Planted) {
+#[test_case(InjectedBug::NoWaiting)]
+#[test_case(InjectedBug::SilentIsQuiet)]
+#[test_case(InjectedBug::AnyWord)]
+fn a_planted_fault_is_found(planted: InjectedBug) {
     let checker = Out {
         planted: Some(planted),
     }
--- a/maintenance/src/routers.rs
+++ b/maintenance/src/router_removal.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use ternpick_fleet_policy::{Member, Seated};
+use ternpick_fleet_policy::{Member, MemberInfo};
 
 /// A router is asked for by this and its name.
 const PREFIX: &str = "router:";
@@ -15,7 +15,7 @@
 
 /// Why a router stays.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stays {
+pub enum RouterViolation {
     Unknown,
     /// One at a time: this one is out, or not there.
     Another(Member),
@@ -32,33 +32,33 @@
     CarriesOn,
 }
 
-impl fmt::Display for Stays {
+impl fmt::Display for RouterViolation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Stays::Unknown => f.write_str("no such router belongs to the fleet"),
-            Stays::Another(other) => {
+            RouterViolation::Unknown => f.write_str("no such router belongs to the fleet"),
+            RouterViolation::Another(other) => {
                 write!(f, "{other} is out or not there: one router goes at a time")
             }
-            Stays::Zone { zone, there, floor } => {
+            RouterViolation::Zone { zone, there, floor } => {
                 write!(
                     f,
                     "zone '{zone}' has {there} routers there and keeps {floor}"
                 )
             }
-            Stays::Quorum { there, floor } => {
+            RouterViolation::Quorum { there, floor } => {
                 write!(
                     f,
                     "{there} routers that vote are there, the fleet needs {floor}"
                 )
             }
-            Stays::CarriesOn => f.write_str("it carries the work on, and goes last"),
+            RouterViolation::CarriesOn => f.write_str("it carries the work on, and goes last"),
         }
     }
 }
 
 /// The routers as the one that carries the work on sees them.
 pub struct Routers<'a> {
-    pub members: &'a BTreeMap<Member, Seated>,
+    pub members: &'a BTreeMap<Member, MemberInfo>,
     /// Heard of late, and not out.
     pub there: BTreeSet<Member>,
     pub carrier: &'a Member,
@@ -68,18 +68,18 @@
 
 impl Routers<'_> {
     /// Whether a router may go now. `others`: more wait to go.
-    pub fn may_go(&self, whom: &Member, others: bool) -> Result<(), Stays> {
+    pub fn may_go(&self, whom: &Member, others: bool) -> Result<(), RouterViolation> {
         let Some(own) = self.members.get(whom) else {
-            return Err(Stays::Unknown);
+            return Err(RouterViolation::Unknown);
         };
         if let Some(other) = self
             .members
             .keys()
             .find(|member| *member != whom && !self.there.contains(*member))
         {
-            return Err(Stays::Another(other.clone()));
+            return Err(RouterViolation::Another(other.clone()));
         }
-        let left = |of: &dyn Fn(&Seated) -> bool| {
+        let left = |of: &dyn Fn(&MemberInfo) -> bool| {
             let all = self.members.iter().filter(|(_, seated)| of(seated));
             let (mut total, mut there) = (0, 0);
             for (member, _) in all {
@@ -96,7 +96,7 @@
             0
         };
         if there < floor {
-            return Err(Stays::Zone {
+            return Err(RouterViolation::Zone {
                 zone: own.zone.clone(),
                 there: there + 1,
                 floor,
@@ -105,13 +105,13 @@
         let (voters, there) = left(&|of| of.seat.is_some() && !of.learns);
         let floor = voters / 2 + 1;
         if own.seat.is_some() && there < floor {
-            return Err(Stays::Quorum {
+            return Err(RouterViolation::Quorum {
                 there: there + 1,
                 floor,
             });
         }
         if whom == self.carrier && others {
-            return Err(Stays::CarriesOn);
+            return Err(RouterViolation::CarriesOn);
         }
         Ok(())
     }
@@ -120,15 +120,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use ternpick_fleet_policy::SeatNo;
+    use ternpick_fleet_policy::ReplicaId;
     use test_case::test_case;
 
     /// n0 to n4; the first `voters` vote, two zones by turns.
-    fn fleet(voters: usize) -> BTreeMap<Member, Seated> {
-        let seated = |at: usize| Seated {
+    fn fleet(voters: usize) -> BTreeMap<Member, MemberInfo> {
+        let seated = |at: usize| MemberInfo {
             address: String::new(),
             zone: format!("z{}", at % 2),
-            seat: (at < voters).then_some(SeatNo(at as u64 + 1)),
+            seat: (at < voters).then_some(ReplicaId(at as u64 + 1)),
             learns: false,
         };
         (0..5)
@@ -138,18 +138,18 @@
 
     #[test_case(3, &[], "n4", false, Ok(()); "one without a vote")]
     #[test_case(3, &[], "n1", false, Ok(()); "one of three that vote")]
-    #[test_case(2, &[], "n1", false, Err(Stays::Quorum { there: 2, floor: 2 }); "one of two that vote")]
-    #[test_case(3, &["n3"], "n1", false, Err(Stays::Another("n3".into())); "another is not there")]
+    #[test_case(2, &[], "n1", false, Err(RouterViolation::Quorum { there: 2, floor: 2 }); "one of two that vote")]
+    #[test_case(3, &["n3"], "n1", false, Err(RouterViolation::Another("n3".into())); "another is not there")]
     #[test_case(3, &["n1"], "n1", false, Ok(()); "it is not there itself")]
-    #[test_case(3, &[], "n0", true, Err(Stays::CarriesOn); "the carrier, and others wait")]
+    #[test_case(3, &[], "n0", true, Err(RouterViolation::CarriesOn); "the carrier, and others wait")]
     #[test_case(3, &[], "n0", false, Ok(()); "the carrier last")]
-    #[test_case(3, &[], "n9", false, Err(Stays::Unknown); "a stranger")]
+    #[test_case(3, &[], "n9", false, Err(RouterViolation::Unknown); "a stranger")]
     fn a_router_may_go(
         voters: usize,
         missing: &[&str],
         whom: &str,
         others: bool,
-        said: Result<(), Stays>,
+        said: Result<(), RouterViolation>,
     ) {
         let members = fleet(voters);
         let there = members
--- a/maintenance/src/word.rs
+++ b/maintenance/src/router_report.rs
@@ -5,7 +5,7 @@
 
 /// A router's word. All that it says is its state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word {
+pub struct RouterReport {
     /// It goes by the machines' being out that was agreed up to this place.
     pub goes_by: Index,
     /// Of those, where it still has something out.
@@ -24,12 +24,12 @@
     pub late: u32,
 }
 
-impl Word {
+impl RouterReport {
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    pub fn read(bytes: &[u8]) -> Option<Word> {
+    pub fn read(bytes: &[u8]) -> Option<RouterReport> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/maintenance/src/order.rs
+++ b/maintenance/src/schedule.rs
@@ -6,12 +6,12 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::disruption_budget::{DisruptionBudget, Violation};
 use crate::ids::RequestNo;
-use crate::room::{Binds, Room};
 
 /// Machines that go out as one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Item {
+pub struct WorkItem {
     pub request: RequestNo,
     pub nodes: Vec<usize>,
     /// Earlier goes first: the deadline, then the priority turned round.
@@ -28,17 +28,17 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Plan {
+pub struct Schedule {
     pub rounds: Vec<Round>,
     /// Items that no round can take, and what binds.
-    pub cannot: Vec<(usize, Binds)>,
+    pub cannot: Vec<(usize, Violation)>,
     /// No plan has fewer rounds.
     pub bound: usize,
 }
 
 /// How scarce the scarcest limit is that an item takes of, by its demand and what is free; and the limit of which a round
 /// bears the fewest.
-fn tightest(demand: &[usize], room: &Room, item: &Item) -> (f64, Option<usize>) {
+fn tightest(demand: &[usize], room: &DisruptionBudget, item: &WorkItem) -> (f64, Option<usize>) {
     let uses = || item.nodes.iter().flat_map(|node| room.uses(*node));
     let scarce = uses()
         .map(|(limit, free)| demand[limit] as f64 / free.max(1) as f64)
@@ -49,7 +49,7 @@
     )
 }
 
-fn demand(items: &[Item], room: &Room) -> Vec<usize> {
+fn demand(items: &[WorkItem], room: &DisruptionBudget) -> Vec<usize> {
     let mut demand = vec![0; room.free().len()];
     for node in items.iter().flat_map(|item| &item.nodes) {
         room.uses(*node).for_each(|(limit, _)| demand[limit] += 1);
@@ -58,7 +58,7 @@
 }
 
 /// Rounds that no plan can do without: of each limit, what is wanted by what is free.
-pub fn lower_bound(items: &[Item], room: &Room) -> usize {
+pub fn lower_bound(items: &[WorkItem], room: &DisruptionBudget) -> usize {
     let pairs = demand(items, room).into_iter().zip(room.free());
     pairs
         .filter(|(_, free)| *free > 0)
@@ -71,7 +71,7 @@
 struct Taken(Vec<usize>);
 
 impl Taken {
-    fn fits(&self, room: &Room, item: &Item) -> bool {
+    fn fits(&self, room: &DisruptionBudget, item: &WorkItem) -> bool {
         let mut more = Vec::<(usize, usize)>::new();
         for (limit, free) in item.nodes.iter().flat_map(|node| room.uses(*node)) {
             let at = match more.iter().position(|(of, _)| *of == limit) {
@@ -89,7 +89,7 @@
         true
     }
 
-    fn add(&mut self, room: &Room, item: &Item, sign: bool) {
+    fn add(&mut self, room: &DisruptionBudget, item: &WorkItem, sign: bool) {
         for (limit, _) in item.nodes.iter().flat_map(|node| room.uses(*node)) {
             self.0[limit] = if sign {
                 self.0[limit] + 1
@@ -101,7 +101,7 @@
 }
 
 /// Puts all items into rounds. `room`: with nothing out.
-pub fn plan(items: &[Item], room: &Room) -> Plan {
+pub fn schedule(items: &[WorkItem], room: &DisruptionBudget) -> Schedule {
     let demand = demand(items, room);
     let mut cannot = Vec::new();
     let limits = room.free().len();
@@ -142,14 +142,14 @@
         rounds[round].items.push(at);
         rounds[round].lasts = rounds[round].lasts.max(item.lasts);
     }
-    let fits: Vec<Item> = items
+    let fits: Vec<WorkItem> = items
         .iter()
         .enumerate()
         .filter(|(at, _)| cannot.iter().all(|(of, _)| of != at))
         .map(|(_, item)| item.clone())
         .collect();
     let bound = lower_bound(&fits, room).max(usize::from(!rounds.is_empty()));
-    Plan {
+    Schedule {
         rounds,
         cannot,
         bound,
@@ -157,7 +157,11 @@
 }
 
 /// The least rounds there are, by search; none: some item fits nowhere, or it takes more than so many tries.
-pub fn exact_rounds(items: &[Item], room: &Room, most_tries: usize) -> Option<usize> {
+pub fn exact_rounds(
+    items: &[WorkItem],
+    room: &DisruptionBudget,
+    most_tries: usize,
+) -> Option<usize> {
     if items
         .iter()
         .any(|item| room.clone().take_all(&item.nodes).is_err())
@@ -179,8 +183,8 @@
 }
 
 fn fill(
-    items: &[Item],
-    room: &Room,
+    items: &[WorkItem],
+    room: &DisruptionBudget,
     taken: &mut [Taken],
     used: usize,
     tries: &mut usize,
--- a/maintenance/src/books.rs
+++ b/maintenance/src/state.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use ternpick_fleet_policy::{Index, Member};
 
+use crate::disruption_budget::MOST_OUT;
 use crate::ids::{Fence, PermitNo, RequestNo};
-use crate::room::MOST_OUT;
 
 /// Requests that are open at a time, and machines of one request.
 pub const MOST_REQUESTS: usize = 64;
@@ -36,8 +36,8 @@
 
 /// How far a machine is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Stage {
-    Waits,
+pub enum Phase {
+    Waiting,
     /// Out by agreement: it gets no new work, and is not proven quiet yet.
     Out,
     /// Quiet, and handed over. `begun`: by whom, once somebody has taken it. `failed`: it was given back unfit.
@@ -47,52 +47,52 @@
         failed: Option<String>,
     },
     /// Given back; it has yet to show that it bears load.
-    Returns {
+    Returning {
         permit: PermitNo,
     },
     /// It did not come back in time, and is kept out.
-    Kept {
+    KeptOut {
         permit: PermitNo,
     },
-    Back,
+    InService,
     Cancelled,
 }
 
-impl Stage {
+impl Phase {
     /// Nothing new goes there.
     pub fn is_out(&self) -> bool {
         matches!(
             self,
-            Stage::Out | Stage::Permitted { .. } | Stage::Kept { .. }
+            Phase::Out | Phase::Permitted { .. } | Phase::KeptOut { .. }
         )
     }
 
     /// Somebody is at it, or it has yet to be there again.
     pub fn is_active(&self) -> bool {
-        self.is_out() || matches!(self, Stage::Returns { .. })
+        self.is_out() || matches!(self, Phase::Returning { .. })
     }
 
     pub fn word(&self) -> &'static str {
         match self {
-            Stage::Waits => "waits",
-            Stage::Out => "being emptied",
-            Stage::Permitted {
+            Phase::Waiting => "waits",
+            Phase::Out => "being emptied",
+            Phase::Permitted {
                 failed: Some(_), ..
             } => "given back unfit",
-            Stage::Permitted { begun: Some(_), .. } => "in work",
-            Stage::Permitted { .. } => "permitted",
-            Stage::Returns { .. } => "coming back",
-            Stage::Kept { .. } => "kept out",
-            Stage::Back => "back",
-            Stage::Cancelled => "cancelled",
+            Phase::Permitted { begun: Some(_), .. } => "in work",
+            Phase::Permitted { .. } => "permitted",
+            Phase::Returning { .. } => "coming back",
+            Phase::KeptOut { .. } => "kept out",
+            Phase::InService => "back",
+            Phase::Cancelled => "cancelled",
         }
     }
 
     pub fn permit(&self) -> Option<PermitNo> {
         match self {
-            Stage::Permitted { permit, .. }
-            | Stage::Returns { permit }
-            | Stage::Kept { permit } => Some(*permit),
+            Phase::Permitted { permit, .. }
+            | Phase::Returning { permit }
+            | Phase::KeptOut { permit } => Some(*permit),
             _ => None,
         }
     }
@@ -100,8 +100,8 @@
 
 /// One machine of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Job {
-    pub stage: Stage,
+pub struct Operation {
+    pub stage: Phase,
     /// Where in the log it came to this stage, and when by the wall clock of who carried it on; milliseconds.
     pub at: Index,
     pub since: u64,
@@ -109,7 +109,7 @@
 
 /// Why nothing more goes out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Hold {
+pub struct Pause {
     pub by: String,
     pub why: String,
     /// The fleet's own, which ends by itself.
@@ -117,7 +117,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Past {
+pub struct HistoryEntry {
     pub at: Index,
     pub words: String,
 }
@@ -140,7 +140,7 @@
         request: RequestNo,
         by: String,
     },
-    Hold {
+    Pause {
         by: String,
         why: String,
     },
@@ -202,20 +202,20 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Books {
+pub struct MaintenanceState {
     pub fence: Fence,
     /// Who carries the work on, and in which term it led.
     pub carrier: Option<(Member, u64)>,
     /// Open ones; one is taken off once all its machines are back or cancelled.
     pub requests: BTreeMap<RequestNo, Request>,
-    pub jobs: BTreeMap<(RequestNo, String), Job>,
-    pub hold: Option<Hold>,
+    pub jobs: BTreeMap<(RequestNo, String), Operation>,
+    pub hold: Option<Pause>,
     /// Part calls a second of all routers together, as last agreed.
     pub load: u64,
     pub members: BTreeSet<Member>,
     /// Left, and may still act on what they admitted; emptied by [`Entry::Forget`].
     pub gone: BTreeSet<Member>,
-    pub past: VecDeque<Past>,
+    pub past: VecDeque<HistoryEntry>,
 }
 
 type Played = Result<u64, String>;
@@ -224,7 +224,7 @@
     Err(words.into())
 }
 
-impl Books {
+impl MaintenanceState {
     /// Machines that get nothing new, in order.
     pub fn out(&self) -> Vec<String> {
         let out = self.jobs.iter().filter(|(_, job)| job.stage.is_out());
@@ -247,16 +247,16 @@
     }
 
     fn note(&mut self, at: Index, words: String) {
-        self.past.push_back(Past { at, words });
+        self.past.push_back(HistoryEntry { at, words });
         while self.past.len() > MOST_PAST {
             self.past.pop_front();
         }
     }
 
-    fn set(&mut self, key: &(RequestNo, String), stage: Stage, at: Index, since: u64) {
+    fn set(&mut self, key: &(RequestNo, String), stage: Phase, at: Index, since: u64) {
         let words = format!("{} of request {}: {}", key.1, key.0, stage.word());
         if let Some(job) = self.jobs.get_mut(key) {
-            *job = Job { stage, at, since };
+            *job = Operation { stage, at, since };
             self.note(at, words);
         }
         self.close(key.0, at);
@@ -265,7 +265,7 @@
     /// A request of which nothing is left to do is closed.
     fn close(&mut self, request: RequestNo, at: Index) {
         let mut own = self.jobs.iter().filter(|((of, _), _)| *of == request);
-        let over = |job: &Job| matches!(job.stage, Stage::Back | Stage::Cancelled);
+        let over = |job: &Operation| matches!(job.stage, Phase::InService | Phase::Cancelled);
         if self.requests.contains_key(&request) && own.all(|(_, job)| over(job)) {
             self.requests.remove(&request);
             self.jobs.retain(|(of, _), _| *of != request);
@@ -298,9 +298,9 @@
                 Ok(request.0)
             }
             Entry::Cancel { request, by } => self.cancel(at, request, &by),
-            Entry::Hold { by, why } => {
+            Entry::Pause { by, why } => {
                 self.note(at, format!("held by {by}: {why}"));
-                self.hold = Some(Hold {
+                self.hold = Some(Pause {
                     by,
                     why,
                     own: false,
@@ -346,8 +346,8 @@
             }
             Entry::TakeOut { jobs, now, .. } => self.take_out(at, jobs, now),
             Entry::Permit { job, now, .. } => match self.jobs.get(&job).map(|of| &of.stage) {
-                Some(Stage::Out) => {
-                    let stage = Stage::Permitted {
+                Some(Phase::Out) => {
+                    let stage = Phase::Permitted {
                         permit: PermitNo(at.0),
                         begun: None,
                         failed: None,
@@ -358,16 +358,16 @@
                 _ => refused("it is not being emptied"),
             },
             Entry::Back { job, now, .. } => match self.jobs.get(&job).map(|of| &of.stage) {
-                Some(Stage::Returns { .. }) => {
-                    self.set(&job, Stage::Back, at, now);
+                Some(Phase::Returning { .. }) => {
+                    self.set(&job, Phase::InService, at, now);
                     Ok(at.0)
                 }
                 _ => refused("it is not coming back"),
             },
             Entry::Keep { job, now, .. } => match self.jobs.get(&job).map(|of| &of.stage) {
-                Some(Stage::Returns { permit }) => {
+                Some(Phase::Returning { permit }) => {
                     let permit = *permit;
-                    self.set(&job, Stage::Kept { permit }, at, now);
+                    self.set(&job, Phase::KeptOut { permit }, at, now);
                     Ok(at.0)
                 }
                 _ => refused("it is not coming back"),
@@ -375,7 +375,7 @@
             Entry::OwnHold { why, .. } => {
                 if self.hold.is_none() {
                     self.note(at, format!("held by itself: {why}"));
-                    self.hold = Some(Hold {
+                    self.hold = Some(Pause {
                         by: "the fleet".into(),
                         why,
                         own: true,
@@ -423,8 +423,8 @@
             ));
         }
         for machine in &request.machines {
-            let job = Job {
-                stage: Stage::Waits,
+            let job = Operation {
+                stage: Phase::Waiting,
                 at,
                 since: 0,
             };
@@ -449,7 +449,7 @@
         }
         let own = self.jobs.iter().filter(|((of, _), _)| *of == request);
         // What somebody may be working on stays out until it is given back.
-        let free = own.filter(|(_, job)| matches!(job.stage, Stage::Waits | Stage::Out));
+        let free = own.filter(|(_, job)| matches!(job.stage, Phase::Waiting | Phase::Out));
         let free: Vec<(RequestNo, String)> = free.map(|(key, _)| key.clone()).collect();
         self.note(
             at,
@@ -461,7 +461,7 @@
         let count = free.len() as u64;
         for key in free {
             let since = self.jobs.get(&key).map_or(0, |job| job.since);
-            self.set(&key, Stage::Cancelled, at, since);
+            self.set(&key, Phase::Cancelled, at, since);
         }
         Ok(count)
     }
@@ -471,14 +471,14 @@
         let waits = |key: &(RequestNo, String)| {
             self.jobs
                 .get(key)
-                .is_some_and(|job| job.stage == Stage::Waits)
+                .is_some_and(|job| job.stage == Phase::Waiting)
                 && !active.contains(&key.1)
         };
         if self.hold.is_some() || !jobs.iter().all(waits) || active.len() + jobs.len() > MOST_OUT {
             return refused("it was held, cancelled or taken out meanwhile");
         }
         for key in jobs {
-            self.set(&key, Stage::Out, at, now);
+            self.set(&key, Phase::Out, at, now);
         }
         Ok(at.0)
     }
@@ -490,10 +490,10 @@
             .and_then(|key| self.jobs.get_mut(key))
             .map(|job| &mut job.stage);
         match stage {
-            Some(Stage::Permitted {
+            Some(Phase::Permitted {
                 begun: Some(other), ..
             }) if *other != by => refused(format!("{other} has taken permit {permit}")),
-            Some(Stage::Permitted { begun, failed, .. }) => {
+            Some(Phase::Permitted { begun, failed, .. }) => {
                 (*begun, *failed) = (Some(by.clone()), None);
                 let machine = found.map(|(_, machine)| machine).unwrap_or_default();
                 self.note(at, format!("{by} works on {machine} under permit {permit}"));
@@ -509,10 +509,10 @@
         };
         let since = self.jobs.get(&key).map_or(0, |job| job.since);
         match (self.jobs.get_mut(&key).map(|job| &mut job.stage), failed) {
-            (Some(Stage::Returns { .. }), _) => {
+            (Some(Phase::Returning { .. }), _) => {
                 refused(format!("permit {permit} was given back before"))
             }
-            (Some(Stage::Permitted { failed, .. }), Some(words)) => {
+            (Some(Phase::Permitted { failed, .. }), Some(words)) => {
                 *failed = Some(words.chars().take(LONGEST).collect());
                 self.note(
                     at,
@@ -520,8 +520,8 @@
                 );
                 Ok(permit.0)
             }
-            (Some(Stage::Permitted { .. } | Stage::Kept { .. }), None) => {
-                self.set(&key, Stage::Returns { permit }, at, since);
+            (Some(Phase::Permitted { .. } | Phase::KeptOut { .. }), None) => {
+                self.set(&key, Phase::Returning { permit }, at, since);
                 Ok(permit.0)
             }
             _ => refused(format!("permit {permit} cannot be given back now")),
@@ -550,8 +550,8 @@
     }
 
     /// Request 1 for a and b; n0 carries the work on under 2, and a is out at 3.
-    fn begun() -> Books {
-        let mut books = Books::default();
+    fn begun() -> MaintenanceState {
+        let mut books = MaintenanceState::default();
         for (at, entry) in [
             ask(&["a", "b"]),
             Entry::Carry {
@@ -704,7 +704,7 @@
                 request: RequestNo(no),
                 by: "ann".into()
             }),
-            Just(Entry::Hold {
+            Just(Entry::Pause {
                 by: "ann".into(),
                 why: "wait".into()
             }),
@@ -745,7 +745,7 @@
         fn whatever_comes_no_machine_is_out_twice_and_nothing_grows(
             entries in proptest::collection::vec(entry(), 1..300)
         ) {
-            let mut books = Books::default();
+            let mut books = MaintenanceState::default();
             let mut permits = BTreeSet::new();
             for (at, entry) in entries.into_iter().enumerate() {
                 let before = books.clone();
@@ -757,7 +757,7 @@
                 prop_assert_eq!(active, books.active().len(), "a machine is active for one request at most");
                 // A machine in somebody's hands stays out until it is given back.
                 for (key, job) in &before.jobs {
-                    if let Stage::Permitted { permit, .. } = job.stage {
+                    if let Phase::Permitted { permit, .. } = job.stage {
                         let now = books.jobs.get(key).map(|job| job.stage.permit());
                         prop_assert_eq!(now, Some(Some(permit)));
                     }
--- a/maintenance/tests/rounds.rs
+++ b/maintenance/tests/rounds.rs
@@ -1,10 +1,13 @@
 //! Rounds on drawn fleets: never against the limits, nothing left out that could go, close to the least there is.
 
 use nanorand::{Rng, WyRand};
-use ternpick_maintenance::{exact_rounds, lower_bound, plan, Item, Limits, Node, RequestNo, Room, World};
+use ternpick_maintenance::{
+    exact_rounds, lower_bound, schedule, ClusterView, DisruptionBudget, Limits, Node, RequestNo,
+    WorkItem,
+};
 
 /// A drawn fleet: a ring of sets or blocks of holders, some machines dead, and some of them wanted.
-fn drawn(seed: u64) -> (World, Limits, Vec<Item>) {
+fn drawn(seed: u64) -> (ClusterView, Limits, Vec<WorkItem>) {
     let mut chance = WyRand::new_seed(seed);
     let nodes = chance.generate_range(3usize..13);
     let (reach, ring) = (
@@ -38,8 +41,8 @@
         most_out: [0.2, 0.5, 1.0][chance.generate_range(0usize..3)],
         ..Limits::default()
     };
-    let world = World { nodes, load: 0.0 };
-    let room = Room::of(&world, &limits, 0);
+    let world = ClusterView { nodes, load: 0.0 };
+    let room = DisruptionBudget::of(&world, &limits, 0);
     let mut items = Vec::new();
     let mut at = 0;
     while at < world.nodes.len() {
@@ -47,7 +50,7 @@
         let nodes: Vec<usize> = if together { vec![at, at + 1] } else { vec![at] };
         at += nodes.len();
         if chance.generate_range(0u32..5) > 0 && room.clone().take_all(&nodes).is_ok() {
-            items.push(Item {
+            items.push(WorkItem {
                 request: RequestNo(1),
                 nodes,
                 urgency: (u64::MAX, 0),
@@ -63,8 +66,8 @@
     let (mut same, mut one_more, mut worse, mut bound_met) = (0, 0, 0, 0);
     for seed in 0..1000 {
         let (world, limits, items) = drawn(seed);
-        let room = Room::of(&world, &limits, 0);
-        let of = plan(&items, &room);
+        let room = DisruptionBudget::of(&world, &limits, 0);
+        let of = schedule(&items, &room);
         assert_eq!(of.cannot, [], "seed {seed}: each alone may go");
         let mut placed: Vec<usize> = of
             .rounds
@@ -115,7 +118,7 @@
         sound,
         out: false,
     };
-    let world = World {
+    let world = ClusterView {
         nodes: (0..5).map(|at| node(at, at != 4)).collect(),
         load: 0.0,
     };
@@ -125,14 +128,14 @@
         most_out: 1.0,
         ..Limits::default()
     };
-    let item = |node: usize, by_when| Item {
+    let item = |node: usize, by_when| WorkItem {
         request: RequestNo(node as u64),
         nodes: vec![node],
         urgency: (by_when, 0),
         lasts: 1,
     };
     let items = [item(0, 30), item(1, 10), item(2, 20), item(4, 40)];
-    let of = plan(&items, &Room::of(&world, &limits, 0));
+    let of = schedule(&items, &DisruptionBudget::of(&world, &limits, 0));
     let rounds: Vec<Vec<usize>> = of.rounds.iter().map(|round| round.items.clone()).collect();
     assert_eq!(rounds, [vec![1, 3], vec![2], vec![0]]);
 }
@@ -146,7 +149,7 @@
         sound: true,
         out: false,
     };
-    let world = World {
+    let world = ClusterView {
         nodes: (0..12_000).map(node).collect(),
         load: 0.0,
     };
@@ -154,9 +157,9 @@
         most_out: 0.1,
         ..Limits::default()
     };
-    let room = Room::of(&world, &limits, 0);
-    let items: Vec<Item> = (0..12_000)
-        .map(|at| Item {
+    let room = DisruptionBudget::of(&world, &limits, 0);
+    let items: Vec<WorkItem> = (0..12_000)
+        .map(|at| WorkItem {
             request: RequestNo(1),
             nodes: vec![at],
             urgency: (0, 0),
@@ -164,7 +167,7 @@
         })
         .collect();
     let began = std::time::Instant::now();
-    let of = plan(&items, &room);
+    let of = schedule(&items, &room);
     eprintln!(
         "{} rounds, at least {}, {:?}",
         of.rounds.len(),
--- a/platform_config/src/lib.rs
+++ b/platform_config/src/lib.rs
@@ -1,10 +1,12 @@
 //! Reads the settings that come with a router's start, for every front. Keys that it does not know are skipped.
 
 use serde_json::Value;
-use ternpick::types::{Gauge, IndexRow, Micros, Repeat, Reporting, Tariff, ZoneNo};
+use ternpick::types::{
+    IndexConfig, LoadMetric, LoadReporting, Micros, PlatformConfig, RetrySemantics, ZoneNo,
+};
 
 /// What is wrong with the settings, in plain words.
-pub type BadTariff = String;
+pub type PlatformConfigError = String;
 
 /// What a front itself keeps to: names as peers word them, and the limits of its lookups and connections.
 /// A `None` is a limit that is not set.
@@ -52,7 +54,7 @@
 }
 
 /// Reads settings as they come on a wire, as text.
-pub fn parse(text: &[u8]) -> Result<Value, BadTariff> {
+pub fn parse(text: &[u8]) -> Result<Value, PlatformConfigError> {
     serde_json::from_slice(text).map_err(|e| format!("settings that are not JSON: {e}"))
 }
 
@@ -78,7 +80,7 @@
     }
 }
 
-pub fn tariff(all: &Value) -> Result<Tariff, BadTariff> {
+pub fn tariff(all: &Value) -> Result<PlatformConfig, PlatformConfigError> {
     if !all.is_object() {
         return Err("settings that are not a JSON object".into());
     }
@@ -89,7 +91,7 @@
         .enumerate()
         .map(|(at, row)| index(at, row, extra))
         .collect();
-    Ok(Tariff {
+    Ok(PlatformConfig {
         indexes,
         quotas: rows(all, "projects")
             .iter()
@@ -107,9 +109,9 @@
         call_cost: time(extra, "callCost").unwrap_or_default(),
         gauges: rows(&all["report"], "columns").iter().map(gauge).collect(),
         reporting: match all["report"]["via"].as_str() {
-            Some("inline") => Reporting::InAnswers,
-            Some("on_probe") => Reporting::OnProbe,
-            _ => Reporting::Off,
+            Some("inline") => LoadReporting::InAnswers,
+            Some("on_probe") => LoadReporting::OnProbe,
+            _ => LoadReporting::Off,
         },
         probing: flag(limits, "probing"),
         roster_on_request: all["discovery"] == "on_request",
@@ -131,7 +133,7 @@
 }
 
 /// A figure that the decisions rest on is absent or a number in its range; what else it may be is a mistake.
-fn check(all: &Value) -> Result<(), BadTariff> {
+fn check(all: &Value) -> Result<(), PlatformConfigError> {
     let share = |at: &str, value: &Value| figure(at, value, 1.0);
     let some = |at: &str, value: &Value| figure(at, value, f64::MAX);
     for (at, row) in rows(all, "classes").iter().enumerate() {
@@ -165,7 +167,7 @@
     share("rules.coldFrom", &all["rules"]["coldFrom"])
 }
 
-fn figure(at: &str, value: &Value, most: f64) -> Result<(), BadTariff> {
+fn figure(at: &str, value: &Value, most: f64) -> Result<(), PlatformConfigError> {
     let within = value.as_f64().is_some_and(|n| (0.0..=most).contains(&n));
     let upper = if most == 1.0 {
         "from 0 to 1"
@@ -177,34 +179,36 @@
         .ok_or_else(|| format!("settings: {at} is {value}, wanted a number {upper}"))
 }
 
-fn index(at: usize, row: &Value, extra: &Value) -> IndexRow {
+fn index(at: usize, row: &Value, extra: &Value) -> IndexConfig {
     let of_extra = |key: &str| extra[key].get(at).and_then(Value::as_f64);
     let need = of_extra("classNeed").unwrap_or(1.0);
-    IndexRow {
+    IndexConfig {
         soft: time(row, "onTime")
             .or(time(row, "deadline"))
             .unwrap_or(Micros(u64::MAX)),
         gain: num(row, "worth").unwrap_or(1.0),
         repeat: match row["semantics"].as_str() {
-            Some("idempotent") => Repeat::Idempotent,
-            Some("deduplicated") => Repeat::Fingerprinted(time(row, "window").unwrap_or_default()),
+            Some("idempotent") => RetrySemantics::Idempotent,
+            Some("deduplicated") => {
+                RetrySemantics::Fingerprinted(time(row, "window").unwrap_or_default())
+            }
             // What is not said to bear a repeat is never repeated.
-            _ => Repeat::OnceOnly,
+            _ => RetrySemantics::OnceOnly,
         },
         need,
         least: of_extra("minShare").unwrap_or(need),
         seen: false,
         second_step: of_extra("secondStep").map_or(0, |n| n as usize),
-        ..IndexRow::default()
+        ..IndexConfig::default()
     }
 }
 
-fn gauge(name: &Value) -> Gauge {
+fn gauge(name: &Value) -> LoadMetric {
     match name.as_str() {
-        Some("mean_ms") => Gauge::LatencyMs,
-        Some("depth") => Gauge::Queue,
-        Some("tps") => Gauge::Rate,
-        _ => Gauge::Unread,
+        Some("mean_ms") => LoadMetric::LatencyMs,
+        Some("depth") => LoadMetric::Queue,
+        Some("tps") => LoadMetric::Rate,
+        _ => LoadMetric::Unread,
     }
 }
 
--- a/router/src/fleet/cli.rs
+++ b/router/src/fleet/cli.rs
@@ -8,10 +8,10 @@
 
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
-use ternpick_consensus::Seat;
-use ternpick_fleet_policy::{Member, Record, Register};
+use ternpick_consensus::Replica;
+use ternpick_fleet_policy::{Member, PolicyState, Record};
 
-use crate::fleet::{chance, disk, founders, number_of};
+use crate::fleet::{chance, founders, number_of, replica_file};
 use crate::lifecycle::control::{ask_within, Socket};
 use crate::lifecycle::{config, settings};
 
@@ -588,20 +588,21 @@
         println!("{me} has no vote and needs no state");
         return Ok(ExitCode::SUCCESS);
     };
-    let Some(_held) = ternpick_store::hold(&folder).map_err(|fault| fault.to_string())? else {
+    let Some(_held) = ternpick_store::lock_directory(&folder).map_err(|fault| fault.to_string())?
+    else {
         return Err(format!("a router uses {} just now", folder.display()));
     };
-    if disk::path(&folder).exists() {
+    if replica_file::path(&folder).exists() {
         return Err(format!(
             "{} is there already: a fleet is founded once. A router that has lost its state gets a new seat by \
              'ternpick fleet replace {me}'",
-            disk::path(&folder).display()
+            replica_file::path(&folder).display()
         ));
     }
     let voters: Vec<_> = members.values().filter_map(|of| of.seat).collect();
-    let state = postcard::to_stdvec(&Register::begins(members)).map_err(|e| e.to_string())?;
-    let image = Seat::founds(number_of(&terms.name), seat, &voters, state);
-    disk::keep(&folder, &mut None, 0, &image)?;
+    let state = postcard::to_stdvec(&PolicyState::begins(members)).map_err(|e| e.to_string())?;
+    let image = Replica::founds(number_of(&terms.name), seat, &voters, state);
+    replica_file::keep(&folder, &mut None, 0, &image)?;
     println!(
         "{me} has seat {seat} of {} in fleet {}, kept in {}",
         voters.len(),
--- a/router/src/fleet/commands.rs
+++ b/router/src/fleet/commands.rs
@@ -2,7 +2,10 @@
 
 use serde_json::{json, Value};
 use ternpick::types::Micros;
-use ternpick_fleet_policy::{Command, Council, Fate, Heard, Op, Outcome, Paper, Record, Register, Wish};
+use ternpick_fleet_policy::{
+    Command, FleetNode, OperationId, OperatorRequest, OperatorResponse, Outcome, PolicyDocument,
+    PolicyState, ProposalStatus, Record,
+};
 
 use crate::fleet::Fleet;
 use crate::stages::Router;
@@ -12,21 +15,25 @@
 /// The longest that a command waits here for its outcome.
 const LONGEST_WAIT: Micros = Micros(60_000_000);
 
-fn fate(of: &Fate) -> Value {
+fn fate(of: &ProposalStatus) -> Value {
     match of {
-        Fate::Open => json!({"fate": "open"}),
-        Fate::InForce => json!({"fate": "in_force"}),
-        Fate::Refused(member, words) => json!({"fate": "refused", "by": member, "why": words}),
-        Fate::Withdrawn(by, reason) => json!({"fate": "withdrawn", "by": by, "why": reason}),
+        ProposalStatus::Open => json!({"fate": "open"}),
+        ProposalStatus::InForce => json!({"fate": "in_force"}),
+        ProposalStatus::Refused(member, words) => {
+            json!({"fate": "refused", "by": member, "why": words})
+        }
+        ProposalStatus::Withdrawn(by, reason) => {
+            json!({"fate": "withdrawn", "by": by, "why": reason})
+        }
     }
 }
 
-fn paper(of: &Paper) -> Value {
+fn paper(of: &PolicyDocument) -> Value {
     json!({"number": of.number, "author": of.author, "reason": of.reason, "text": of.text})
 }
 
-fn policy(register: &Register) -> Value {
-    let past = |past: &ternpick_fleet_policy::Past| {
+fn policy(register: &PolicyState) -> Value {
+    let past = |past: &ternpick_fleet_policy::HistoryEntry| {
         let mut row = json!({"number": past.number, "author": past.author, "reason": past.reason, "at": past.at});
         if let (Value::Object(row), Value::Object(more)) = (&mut row, fate(&past.fate)) {
             row.extend(more);
@@ -47,16 +54,18 @@
 }
 
 /// What the one that leads says to a question; none: this one does not lead.
-pub fn look(council: &Council, what: &str, now: Micros) -> Option<String> {
+pub fn look(council: &FleetNode, what: &str, now: Micros) -> Option<String> {
     let (chair, register) = council.chair()?;
     if let Some(answer) = council.annex.look(now, what) {
         return Some(answer);
     }
     let mut answer = policy(register);
     let mut seen = chair.members(now, register);
-    let is_silent = |of: &ternpick_fleet_policy::Seen| of.heard.is_none_or(|ago| ago.0 > 1_000_000);
-    let waits_for =
-        |of: &ternpick_fleet_policy::Seen| of.fits == Some(false) || of.stopped == Some(false);
+    let is_silent =
+        |of: &ternpick_fleet_policy::MemberStatus| of.heard.is_none_or(|ago| ago.0 > 1_000_000);
+    let waits_for = |of: &ternpick_fleet_policy::MemberStatus| {
+        of.fits == Some(false) || of.stopped == Some(false)
+    };
     answer["silent"] = seen.iter().filter(|of| is_silent(of)).count().into();
     answer["latest_ms"] = (chair.at_the_latest(now, register).0 / 1000).into();
     answer["leader"] = json!(council.leader());
@@ -84,7 +93,7 @@
             .saturating_mul(1000),
     )
     .min(LONGEST_WAIT);
-    let op = Op(asked["op"].as_u64().unwrap_or_else(crate::fleet::chance));
+    let op = OperationId(asked["op"].as_u64().unwrap_or_else(crate::fleet::chance));
     match asked["ask"].as_str() {
         Some("status") => {
             let (now, desk) = (router.clock.now(), router.desk.borrow());
@@ -118,8 +127,11 @@
         }
         Some("look") => {
             let what = asked["what"].as_str().unwrap_or("policy").to_owned();
-            match fleet.ask(router, op, Wish::Look(what), wait).await {
-                Some(Heard::Seen(json)) => {
+            match fleet
+                .ask(router, op, OperatorRequest::Inspect(what), wait)
+                .await
+            {
+                Some(OperatorResponse::Inspection(json)) => {
                     json!({"done": true, "ok": true, "look": serde_json::from_str::<Value>(&json).ok()})
                 }
                 _ => unknown("nobody that leads is reached"),
@@ -129,16 +141,16 @@
             let Ok(command) = serde_json::from_value::<Command>(asked["command"].clone()) else {
                 return json!({"done": true, "ok": false, "line": "this is no command of a fleet"});
             };
-            match fleet.ask(router, op, Wish::Do(command), wait).await {
-                Some(Heard::Did(Outcome::Proposed(number))) => {
+            match fleet.ask(router, op, OperatorRequest::Command(command), wait).await {
+                Some(OperatorResponse::Outcome(Outcome::Proposed(number))) => {
                     json!({"done": true, "ok": true, "number": number})
                 }
-                Some(Heard::Did(Outcome::Seated(seat))) => json!({"done": true, "ok": true, "seat": seat}),
-                Some(Heard::Did(Outcome::Numbered(number))) => {
+                Some(OperatorResponse::Outcome(Outcome::MemberInfo(seat))) => json!({"done": true, "ok": true, "seat": seat}),
+                Some(OperatorResponse::Outcome(Outcome::Numbered(number))) => {
                     json!({"done": true, "ok": true, "number": number})
                 }
-                Some(Heard::Did(Outcome::Done)) => json!({"done": true, "ok": true}),
-                Some(Heard::Did(Outcome::Refused(words))) => {
+                Some(OperatorResponse::Outcome(Outcome::Done)) => json!({"done": true, "ok": true}),
+                Some(OperatorResponse::Outcome(Outcome::Refused(words))) => {
                     json!({"done": true, "ok": false, "line": words})
                 }
                 _ => unknown(
@@ -147,7 +159,7 @@
                 ),
             }
         }
-        Some("works") => crate::fleet::works::answer(router, fleet, asked, op, wait).await,
+        Some("works") => crate::fleet::maintenance::answer(router, fleet, asked, op, wait).await,
         _ => {
             json!({"done": true, "ok": false, "line": "ask for status, show, check, look, do or works"})
         }
--- a/router/src/fleet/drive.rs
+++ b/router/src/fleet/event_loop.rs
@@ -1,4 +1,4 @@
-//! Drives this router's [`Council`]: hands it what has come and what time it is, keeps files, and carries out what comes
+//! Drives this router's [`FleetNode`]: hands it what has come and what time it is, keeps files, and carries out what comes
 //! back. In turns, on one task.
 
 use std::collections::BTreeMap;
@@ -9,10 +9,13 @@
 use event_listener::Event;
 use futures_lite::future;
 use ternpick::types::Micros;
-use ternpick_fleet_policy::{Act, Effect, Heard, Level, Member, Op, Said, Verdict, Wish};
+use ternpick_fleet_policy::{
+    Effect, LeaseEffect, LogLevel, Member, OperationId, OperatorRequest, OperatorResponse,
+    PeerMessage, Verdict,
+};
 
-use crate::fleet::post::{self, Post};
-use crate::fleet::{chance, commands, disk, Fleet};
+use crate::fleet::peer_transport::{self, PeerTransport};
+use crate::fleet::{chance, commands, replica_file, Fleet};
 use crate::stages::Router;
 
 /// A router that waits for its folder, or its listener, looks again so often.
@@ -22,10 +25,10 @@
 
 /// What an operator of this router waits for; taken off by who asked.
 #[derive(Default)]
-pub struct Waits(BTreeMap<Op, (Option<Heard>, Rc<Event>)>);
+pub struct Waits(BTreeMap<OperationId, (Option<OperatorResponse>, Rc<Event>)>);
 
 impl Fleet {
-    fn say(&self, router: &Rc<Router>, me: &Rc<Fleet>, to: &Member, said: Said) {
+    fn say(&self, router: &Rc<Router>, me: &Rc<Fleet>, to: &Member, said: PeerMessage) {
         let address = self
             .council
             .borrow()
@@ -36,7 +39,7 @@
         let mut posts = self.posts.borrow_mut();
         let post = posts
             .entry(to.clone())
-            .or_insert_with(|| Post::open(router, me, to.clone(), address));
+            .or_insert_with(|| PeerTransport::open(router, me, to.clone(), address));
         post.address.set(address);
         post.say(said);
     }
@@ -53,33 +56,33 @@
         });
     }
 
-    fn carry_out(&self, router: &Rc<Router>, me: &Rc<Fleet>, act: Act, now: Micros) {
+    fn carry_out(&self, router: &Rc<Router>, me: &Rc<Fleet>, act: Effect, now: Micros) {
         match act {
-            Act::Say(to, said) => self.say(router, me, &to, *said),
-            Act::Keep(image) => self.keep(router, me, image),
-            Act::Do(effect) => self.obey(router, effect),
-            Act::Look(to, op, what) => {
+            Effect::Send(to, said) => self.say(router, me, &to, *said),
+            Effect::Persist(image) => self.keep(router, me, image),
+            Effect::Lease(effect) => self.obey(router, effect),
+            Effect::Inspect(to, op, what) => {
                 let json = commands::look(&self.council.borrow(), &what, now);
                 if let Some(json) = json {
                     self.council.borrow_mut().seen(&to, op, json);
                 }
             }
-            Act::Heard(op, heard) => {
+            Effect::OperatorResponse(op, heard) => {
                 if let Some((outcome, told)) = self.waits.borrow_mut().0.get_mut(&op) {
                     *outcome = Some(heard);
                     told.notify(usize::MAX);
                 }
             }
-            Act::Log(Level::Error, line) => tracing::error!("{line}"),
-            Act::Log(Level::Info, line) => tracing::info!("{line}"),
-            Act::Log(Level::Debug, line) => tracing::debug!("{line}"),
+            Effect::Log(LogLevel::Error, line) => tracing::error!("{line}"),
+            Effect::Log(LogLevel::Info, line) => tracing::info!("{line}"),
+            Effect::Log(LogLevel::Debug, line) => tracing::debug!("{line}"),
         }
     }
 
     /// What the lease and the policy ask of this router.
-    fn obey(&self, router: &Router, effect: Effect) {
+    fn obey(&self, router: &Router, effect: LeaseEffect) {
         match effect {
-            Effect::Check(paper) => {
+            LeaseEffect::CheckPolicy(paper) => {
                 let verdict = self.check(&paper);
                 let word = match &verdict {
                     Verdict::Fits => "it fits".to_owned(),
@@ -92,10 +95,10 @@
                 );
                 self.council.borrow_mut().checked(paper.number, verdict);
             }
-            Effect::Use(paper) => self.put_in_force(router, &paper),
-            Effect::Members(_) => {}
-            Effect::Outs(index, outs) => self.goes_by(router, index, &outs),
-            Effect::Say(line) => tracing::info!("{line}"),
+            LeaseEffect::ApplyPolicy(paper) => self.put_in_force(router, &paper),
+            LeaseEffect::Members(_) => {}
+            LeaseEffect::MachinesOut(index, outs) => self.goes_by(router, index, &outs),
+            LeaseEffect::Log(line) => tracing::info!("{line}"),
         }
     }
 
@@ -107,7 +110,7 @@
         let task = async move {
             let write = move || {
                 (
-                    disk::keep(Path::new(&folder), &mut journal, version, &image),
+                    replica_file::keep(Path::new(&folder), &mut journal, version, &image),
                     journal,
                 )
             };
@@ -147,7 +150,13 @@
     }
 
     /// An operator's wish, until something is heard of it or its time is up.
-    pub async fn ask(&self, router: &Router, op: Op, wish: Wish, wait: Micros) -> Option<Heard> {
+    pub async fn ask(
+        &self,
+        router: &Router,
+        op: OperationId,
+        wish: OperatorRequest,
+        wait: Micros,
+    ) -> Option<OperatorResponse> {
         let told = Rc::new(Event::new());
         let until = router.clock.now() + wait;
         self.waits
@@ -198,16 +207,17 @@
             );
             return;
         };
-        let (found, journal) = disk::find(&fleet.folder, fleet.id, fleet.seat_terms(), chance());
+        let (found, journal) =
+            replica_file::find(&fleet.folder, fleet.id, fleet.raft_config(), chance());
         *fleet.journal.borrow_mut() = journal;
         fleet.council.borrow_mut().begins(router.clock.now(), found);
-        let listener = post::bind(&router, address).await;
+        let listener = peer_transport::bind(&router, address).await;
         tracing::info!(
             "fleet: {} speaks on {address} in fleet {}",
             fleet.me,
             fleet.settings.name
         );
-        let listening = router.executor.spawn(post::listen(
+        let listening = router.executor.spawn(peer_transport::listen(
             Rc::clone(&router),
             Rc::clone(&fleet),
             listener,
@@ -235,10 +245,10 @@
 }
 
 /// Waits for the folder; none: this process no longer accepts.
-async fn hold(router: &Router, fleet: &Fleet) -> Option<ternpick_store::Held> {
+async fn hold(router: &Router, fleet: &Fleet) -> Option<ternpick_store::DirectoryLock> {
     let mut said = false;
     while router.accepts.get() {
-        match ternpick_store::hold(&fleet.folder) {
+        match ternpick_store::lock_directory(&fleet.folder) {
             Ok(Some(held)) => return Some(held),
             Ok(None) if said => {}
             Ok(None) => {
--- a/router/src/fleet/parcel.rs
+++ b/router/src/fleet/fragments.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use ternpick_consensus::FleetId;
-use ternpick_fleet_policy::{Member, Said};
+use ternpick_fleet_policy::{Member, PeerMessage};
 
 /// The path that fleets speak on, and the form of what is said there.
 pub const PATH: &str = "/_fleet/1";
@@ -12,21 +12,21 @@
 pub const PARCEL_BYTES: usize = 60 * 1024;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Parcel {
+pub struct PeerBatch {
     pub fleet: FleetId,
     pub from: Member,
     pub to: Member,
-    pub said: Vec<Said>,
+    pub said: Vec<PeerMessage>,
 }
 
-impl Parcel {
+impl PeerBatch {
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// Reads what has come for `me`; what is wrong with it, in words.
-    pub fn parse(bytes: &[u8], fleet: FleetId, me: &Member) -> Result<Parcel, String> {
-        let parcel: Parcel =
+    pub fn parse(bytes: &[u8], fleet: FleetId, me: &Member) -> Result<PeerBatch, String> {
+        let parcel: PeerBatch =
             postcard::from_bytes(bytes).map_err(|_| "it cannot be read".to_owned())?;
         if parcel.fleet != fleet {
             return Err(format!(
@@ -47,12 +47,12 @@
 
 /// Something longer than a parcel, in pieces; none: it is longer than anything that is ever sent. Seen on reading over: the
 /// state of many machines in work was dropped on its way to a voter that had to learn it, time and again.
-pub fn in_pieces(said: &Said, number: u64) -> Option<Vec<Said>> {
+pub fn in_pieces(said: &PeerMessage, number: u64) -> Option<Vec<PeerMessage>> {
     let whole = postcard::to_stdvec(said).ok()?;
     let of = u16::try_from(whole.len().div_ceil(PIECE_BYTES))
         .ok()
         .filter(|of| *of <= MOST_PIECES)?;
-    let piece = |(at, bytes): (usize, &[u8])| Said::Piece {
+    let piece = |(at, bytes): (usize, &[u8])| PeerMessage::Fragment {
         number,
         at: at as u16,
         of,
@@ -63,7 +63,7 @@
 
 /// Pieces that have come: of each router, those of the newest thing; emptied as that is whole, or a newer one begins.
 #[derive(Default)]
-pub struct Pieces(BTreeMap<Member, Coming>);
+pub struct FragmentBuffer(BTreeMap<Member, Coming>);
 
 #[derive(Default)]
 struct Coming {
@@ -71,10 +71,10 @@
     parts: Vec<Option<Vec<u8>>>,
 }
 
-impl Pieces {
+impl FragmentBuffer {
     /// A piece, and the whole once it is there; what is no piece is whole.
-    pub fn take(&mut self, from: &Member, said: Said) -> Option<Said> {
-        let Said::Piece {
+    pub fn take(&mut self, from: &Member, said: PeerMessage) -> Option<PeerMessage> {
+        let PeerMessage::Fragment {
             number,
             at,
             of,
@@ -114,10 +114,10 @@
     use super::*;
     use test_case::test_case;
 
-    fn long(bytes: usize) -> Said {
-        Said::Seat {
-            from: ternpick_fleet_policy::SeatNo(1),
-            to: ternpick_fleet_policy::SeatNo(2),
+    fn long(bytes: usize) -> PeerMessage {
+        PeerMessage::Raft {
+            from: ternpick_fleet_policy::ReplicaId(1),
+            to: ternpick_fleet_policy::ReplicaId(2),
             word: vec![7; bytes],
         }
     }
@@ -127,13 +127,15 @@
     #[test_case(&[2, 0, 0, 1], true; "in any order, one twice")]
     #[test_case(&[0, 2], false; "one is lost")]
     fn what_is_long_comes_in_pieces(order: &[usize], whole: bool) {
-        let (said, mut pieces, from) = (long(130_000), Pieces::default(), Member::from("n1"));
+        let (said, mut pieces, from) =
+            (long(130_000), FragmentBuffer::default(), Member::from("n1"));
         let sent = in_pieces(&said, 4).expect("it may be sent");
         assert_eq!(sent.len(), 3);
-        let fits =
-            |of: &Said| postcard::to_stdvec(of).is_ok_and(|bytes| bytes.len() <= PARCEL_BYTES);
+        let fits = |of: &PeerMessage| {
+            postcard::to_stdvec(of).is_ok_and(|bytes| bytes.len() <= PARCEL_BYTES)
+        };
         assert!(sent.iter().all(fits));
-        let come: Vec<Said> = order
+        let come: Vec<PeerMessage> = order
             .iter()
             .filter_map(|at| pieces.take(&from, sent[*at].clone()))
             .collect();
@@ -147,10 +149,10 @@
 
     #[test]
     fn a_newer_thing_takes_the_place_of_one_that_never_came_whole() {
-        let (mut pieces, from) = (Pieces::default(), Member::from("n1"));
+        let (mut pieces, from) = (FragmentBuffer::default(), Member::from("n1"));
         let (old, new) = (in_pieces(&long(100_000), 1), in_pieces(&long(70_000), 2));
         assert_eq!(pieces.take(&from, old.expect("sent")[0].clone()), None);
-        let come: Vec<Said> = new
+        let come: Vec<PeerMessage> = new
             .expect("sent")
             .into_iter()
             .filter_map(|of| pieces.take(&from, of))
@@ -161,8 +163,8 @@
     #[test]
     fn nothing_endless_is_sent_or_kept() {
         assert_eq!(in_pieces(&long(3 << 20), 1), None);
-        let (mut pieces, from) = (Pieces::default(), Member::from("n1"));
-        let mad = Said::Piece {
+        let (mut pieces, from) = (FragmentBuffer::default(), Member::from("n1"));
+        let mad = PeerMessage::Fragment {
             number: 1,
             at: 9,
             of: u16::MAX,
--- a/router/src/fleet/works.rs
+++ b/router/src/fleet/maintenance.rs
@@ -6,14 +6,19 @@
 use std::rc::Rc;
 
 use serde_json::{json, Value};
-use ternpick::brain::Brain;
-use ternpick::types::{Listing, Micros, Node as Seen, Phase, Tariff};
-use ternpick_fleet_policy::{Annex, Attended, Command, Heard, Index, Member, Op, Outcome, Seated, Wish};
-use ternpick_maintenance::{Carrier, Entry, Node, Request, Terms, Word, World, MOST_MACHINES};
+use ternpick::routing::RoutingEngine;
+use ternpick::types::{Endpoint, EndpointState, Micros, Node as Seen, PlatformConfig};
+use ternpick_fleet_policy::{
+    Command, Extension, Index, Member, MemberContact, MemberInfo, OperationId, OperatorRequest,
+    OperatorResponse, Outcome,
+};
+use ternpick_maintenance::{
+    ClusterView, Coordinator, Entry, MaintenanceConfig, Node, Request, RouterReport, MOST_MACHINES,
+};
 
 use crate::fleet::commands::unknown;
 use crate::fleet::Fleet;
-use crate::stages::book::{Counts, Office};
+use crate::stages::completion::{Counts, EffectQueue};
 use crate::stages::Router;
 
 /// How often this router looks at what it sees.
@@ -27,14 +32,14 @@
 
 /// The carrier, shared with the council that plays the log into it.
 #[derive(Clone)]
-pub struct Shared(Rc<RefCell<Carrier>>);
+pub struct Shared(Rc<RefCell<Coordinator>>);
 
-impl Annex for Shared {
+impl Extension for Shared {
     fn play(&mut self, index: Index, entry: &[u8]) -> Result<u64, String> {
         self.0.borrow_mut().play(index, entry)
     }
 
-    fn members(&mut self, members: &BTreeMap<Member, Seated>) {
+    fn members(&mut self, members: &BTreeMap<Member, MemberInfo>) {
         self.0.borrow_mut().members(members);
     }
 
@@ -67,7 +72,7 @@
         now: Micros,
         me: &Member,
         term: u64,
-        attended: &[Attended],
+        attended: &[MemberContact],
     ) -> (Vec<Vec<u8>>, Vec<String>) {
         self.0.borrow_mut().steps(now, me, term, attended)
     }
@@ -89,11 +94,11 @@
     /// Counts at the last looks, the oldest first.
     looks: RefCell<Vec<(Micros, u64, u64, u64)>>,
     next_look: Cell<Micros>,
-    said: RefCell<Word>,
+    said: RefCell<RouterReport>,
 }
 
 /// The sets of shards that a machine of this cell holds.
-fn sets(listing: &Listing, tariff: &Tariff) -> Vec<u32> {
+fn sets(listing: &Endpoint, tariff: &PlatformConfig) -> Vec<u32> {
     let (cells, reach) = (tariff.cells.max(1), tariff.reach.min(tariff.cells).max(1));
     (0..reach)
         .map(|back| (listing.cell.0 % cells + cells - back) % cells)
@@ -110,9 +115,9 @@
 }
 
 impl Works {
-    pub fn new(terms: Terms) -> Works {
+    pub fn new(terms: MaintenanceConfig) -> Works {
         Works {
-            carrier: Shared(Rc::new(RefCell::new(Carrier::new(terms)))),
+            carrier: Shared(Rc::new(RefCell::new(Coordinator::new(terms)))),
             goes_by: Cell::default(),
             out: RefCell::default(),
             returning: RefCell::default(),
@@ -126,14 +131,14 @@
     /// Plants the fault that the environment names.
     #[cfg(feature = "planted")]
     pub fn plant(&self) {
-        use ternpick_maintenance::Planted;
+        use ternpick_maintenance::InjectedBug;
         self.carrier.0.borrow_mut().planted = match std::env::var("TERNPICK_PLANTED")
             .unwrap_or_default()
             .as_str()
         {
-            "no-waiting" => Some(Planted::NoWaiting),
-            "silent-is-quiet" => Some(Planted::SilentIsQuiet),
-            "any-word" => Some(Planted::AnyWord),
+            "no-waiting" => Some(InjectedBug::NoWaiting),
+            "silent-is-quiet" => Some(InjectedBug::SilentIsQuiet),
+            "any-word" => Some(InjectedBug::AnyWord),
             _ => None,
         };
     }
@@ -144,7 +149,7 @@
 
     /// What is out from here on; the names whose standing changes come back.
     pub fn told(&self, now: Micros, index: Index, outs: &[u8]) -> Vec<String> {
-        let (out, returning) = Carrier::told(outs);
+        let (out, returning) = Coordinator::told(outs);
         let out: BTreeSet<String> = out.into_iter().collect();
         let before = self.out.replace(out);
         let changed = before
@@ -163,11 +168,11 @@
 
     fn word(
         &self,
-        brain: &Brain,
-        office: &Office,
-        listed: &BTreeMap<String, Listing>,
+        brain: &RoutingEngine,
+        office: &EffectQueue,
+        listed: &BTreeMap<String, Endpoint>,
         now: Micros,
-    ) -> Word {
+    ) -> RouterReport {
         let node = |name: &str| {
             office
                 .nodes
@@ -180,7 +185,9 @@
         let cold =
             |of: &Seen| of.started.at.0 != 0 && now.since(of.started.at) < brain.tariff.warm_within;
         let sound = |name: &str, seen: Option<&Seen>| {
-            let of = listed.get(name).filter(|of| of.phase == Phase::Ready);
+            let of = listed
+                .get(name)
+                .filter(|of| of.phase == EndpointState::Ready);
             of.is_some() && seen.is_none_or(|seen| seen.doubted.is_none() && !cold(seen))
         };
         let known = self.known.borrow();
@@ -206,7 +213,7 @@
         looks.drain(..most);
         let (began, first, first_late, first_calls) = looks[0];
         let seconds = (now.since(began).0 as f64 / 1e6).max(0.1);
-        Word {
+        RouterReport {
             goes_by: self.goes_by.get(),
             busy: out.iter().filter(busy).cloned().collect(),
             unsound: named,
@@ -220,7 +227,12 @@
     }
 
     /// The fleet of machines as discovery lists it, with those that it listed of late.
-    fn world(&self, brain: &Brain, listed: &BTreeMap<String, Listing>, now: Micros) -> World {
+    fn world(
+        &self,
+        brain: &RoutingEngine,
+        listed: &BTreeMap<String, Endpoint>,
+        now: Micros,
+    ) -> ClusterView {
         let mut known = self.known.borrow_mut();
         for (name, listing) in listed {
             let sets = sets(listing, &brain.tariff);
@@ -234,7 +246,7 @@
             known.insert(name.clone(), (node, now));
         }
         known.retain(|name, (_, last)| now.since(*last) < FORGETS || self.is_out(name));
-        World {
+        ClusterView {
             nodes: known.values().map(|(node, _)| node.clone()).collect(),
             load: 0.0,
         }
@@ -262,7 +274,7 @@
             .sees(world, u64::try_from(since.as_millis()).unwrap_or(u64::MAX));
         let word = works.word(&desk.brain, &desk.office, &listed, now);
         let before = works.said.replace(word.clone());
-        let state = |of: &Word| {
+        let state = |of: &RouterReport| {
             (
                 of.goes_by,
                 of.busy.clone(),
@@ -360,7 +372,13 @@
 }
 
 /// Answers the control socket: what an operator asks of the works.
-pub async fn answer(router: &Router, fleet: &Fleet, asked: &Value, op: Op, wait: Micros) -> Value {
+pub async fn answer(
+    router: &Router,
+    fleet: &Fleet,
+    asked: &Value,
+    op: OperationId,
+    wait: Micros,
+) -> Value {
     let refused = |words: String| json!({"done": true, "ok": false, "line": words});
     if fleet.works.is_none() {
         return refused("there is no 'fleet.works' in this router's settings".into());
@@ -378,8 +396,11 @@
             },
             _ => "works".to_owned(),
         };
-        return match fleet.ask(router, op, Wish::Look(question), wait).await {
-            Some(Heard::Seen(json)) => {
+        return match fleet
+            .ask(router, op, OperatorRequest::Inspect(question), wait)
+            .await
+        {
+            Some(OperatorResponse::Inspection(json)) => {
                 json!({"done": true, "ok": true, "look": serde_json::from_str::<Value>(&json).ok()})
             }
             _ => unknown("nobody that leads is reached"),
@@ -396,9 +417,9 @@
         Ok(entry) => entry,
         Err(words) => return refused(words),
     };
-    match fleet.ask(router, op, Wish::Do(Command::Annex { entry }), wait).await {
-        Some(Heard::Did(Outcome::Numbered(number))) => json!({"done": true, "ok": true, "number": number}),
-        Some(Heard::Did(Outcome::Refused(words))) => refused(words),
+    match fleet.ask(router, op, OperatorRequest::Command(Command::Extension { entry }), wait).await {
+        Some(OperatorResponse::Outcome(Outcome::Numbered(number))) => json!({"done": true, "ok": true, "number": number}),
+        Some(OperatorResponse::Outcome(Outcome::Refused(words))) => refused(words),
         _ => unknown(
             "no outcome was heard: it may be done yet, or have been done. Said again with the same --op it is done once",
         ),
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -1,17 +1,17 @@
 //! Talk between the routers of one fleet, where the settings ask for it: moves bytes, keeps files, passes time in. What is
 //! agreed, who may admit and which step comes next are decided by `ternpick-consensus` and `ternpick-fleet-policy`.
 //!
-//! One task ([`drive::run`]) drives this router's council; the keeper of its lease is asked by
+//! One task ([`event_loop::run`]) drives this router's council; the keeper of its lease is asked by
 //! the stage `admit` in the turn in which a lookup is taken.
 
 pub mod cli;
 pub mod commands;
-pub mod disk;
-pub mod drive;
-pub mod parcel;
-pub mod post;
-pub mod works;
-pub mod works_cli;
+pub mod event_loop;
+pub mod fragments;
+pub mod maintenance;
+pub mod maintenance_cli;
+pub mod peer_transport;
+pub mod replica_file;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -22,21 +22,21 @@
 use event_listener::Event;
 use futures_lite::future;
 use ring::rand::{SecureRandom, SystemRandom};
-use ternpick::brain::Brain;
-use ternpick::types::{Listing, Micros, Phase, Tariff};
+use ternpick::routing::RoutingEngine;
+use ternpick::types::{Endpoint, EndpointState, Micros, PlatformConfig};
 use ternpick_consensus::FleetId;
 use ternpick_fleet_policy::{
-    Admission, Council, Incarnation, Keeper, Member, Paper, Platform, Record, SeatNo, Seated,
-    Terms, Verdict, Version,
+    Admission, FleetNode, Incarnation, LeaseConfig, LeaseHolder, Member, MemberInfo, Platform,
+    PolicyDocument, Record, ReplicaId, Verdict, Version,
 };
 use ternpick_store::Journal;
 
 use crate::lifecycle::settings::FleetTerms;
 use crate::memory::clients::Answer;
-use crate::stages::book::{retry_after, Office};
-use crate::stages::{admit, Router};
-use drive::Waits;
-use parcel::{Parcel, Pieces};
+use crate::stages::completion::{retry_after, EffectQueue};
+use crate::stages::{admission, Router};
+use event_loop::Waits;
+use fragments::{FragmentBuffer, PeerBatch};
 
 /// Parcels that have come and wait for the next turn; the oldest go first, as on any network.
 const MOST_IN: usize = 1024;
@@ -68,29 +68,29 @@
     pub folder: PathBuf,
     /// Told when the keeper may say something else: lookups that wait at admission look again.
     pub changed: Event,
-    pub council: RefCell<Council>,
+    pub council: RefCell<FleetNode>,
     waits: RefCell<Waits>,
     /// Where the seat's state is kept; with who writes while something is being kept.
     journal: RefCell<Option<Journal>>,
     images: Cell<u64>,
-    inbox: RefCell<VecDeque<Parcel>>,
-    pieces: RefCell<Pieces>,
+    inbox: RefCell<VecDeque<PeerBatch>>,
+    pieces: RefCell<FragmentBuffer>,
     pub wake: Event,
     /// Told when this process speaks for its member no more.
     pub leaves: Event,
     /// The platform's own figures and names.
-    own: Tariff,
+    own: PlatformConfig,
     indexes: Vec<String>,
     customers: Vec<String>,
     /// What discovery last said of each node, by name; emptied by it.
-    listed: RefCell<BTreeMap<String, Listing>>,
+    listed: RefCell<BTreeMap<String, Endpoint>>,
     drained: RefCell<BTreeSet<String>>,
     /// Work on machines, where the settings have it.
-    pub works: Option<works::Works>,
+    pub works: Option<maintenance::Works>,
     /// Bytes and parcels that went out and came in.
     pub traffic: Cell<(u64, u64, u64, u64)>,
     /// This router's ways to the others, by name; one ends when its member is no longer one.
-    pub posts: RefCell<BTreeMap<Member, Rc<post::Post>>>,
+    pub posts: RefCell<BTreeMap<Member, Rc<peer_transport::PeerTransport>>>,
 }
 
 /// A number by chance, for what has to differ between processes.
@@ -108,17 +108,17 @@
 
 /// Plants the fault that the environment names.
 #[cfg(feature = "planted")]
-fn plant(council: &mut Council) {
-    use ternpick_fleet_policy::planted::{InChair, InKeeper};
+fn plant(council: &mut FleetNode) {
+    use ternpick_fleet_policy::planted::{InLeader, InLeaseHolder};
     let word = std::env::var("TERNPICK_PLANTED").unwrap_or_default();
     match word.as_str() {
-        "no-wait" => council.planted = Some(InChair::NoWait),
-        "no-asking" => council.planted = Some(InChair::NoAsking),
-        "forgets-others" => council.planted = Some(InChair::ForgetsOthers),
-        "one-voters-word" => council.planted = Some(InChair::OneVotersWord),
-        "counts-from-grant" => council.keeper.planted = Some(InKeeper::CountsFromGrant),
-        "used-beyond-end" => council.keeper.planted = Some(InKeeper::UsedBeyondEnd),
-        "goes-on-in-barrier" => council.keeper.planted = Some(InKeeper::GoesOnInBarrier),
+        "no-wait" => council.planted = Some(InLeader::NoWait),
+        "no-asking" => council.planted = Some(InLeader::NoAsking),
+        "forgets-others" => council.planted = Some(InLeader::ForgetsOthers),
+        "one-voters-word" => council.planted = Some(InLeader::OneVotersWord),
+        "counts-from-grant" => council.keeper.planted = Some(InLeaseHolder::CountsFromGrant),
+        "used-beyond-end" => council.keeper.planted = Some(InLeaseHolder::UsedBeyondEnd),
+        "goes-on-in-barrier" => council.keeper.planted = Some(InLeaseHolder::GoesOnInBarrier),
         _ => {}
     }
 }
@@ -134,8 +134,8 @@
     FleetId(u64::from_le_bytes(first))
 }
 
-pub fn spans(of: &FleetTerms) -> Terms {
-    Terms {
+pub fn spans(of: &FleetTerms) -> LeaseConfig {
+    LeaseConfig {
         lease: of.lease,
         renew: of.renew,
         drift_ppm: of.drift_ppm,
@@ -147,12 +147,12 @@
 }
 
 /// The members at the founding, each that votes with its seat.
-pub fn founders(of: &FleetTerms) -> BTreeMap<Member, Seated> {
+pub fn founders(of: &FleetTerms) -> BTreeMap<Member, MemberInfo> {
     let mut next = 0;
     let member = |(name, terms): (&String, &crate::lifecycle::settings::MemberTerms)| {
         next += u64::from(terms.vote);
-        let seat = terms.vote.then_some(SeatNo(next));
-        let seated = Seated {
+        let seat = terms.vote.then_some(ReplicaId(next));
+        let seated = MemberInfo {
             address: terms.address.clone(),
             zone: terms.zone.clone(),
             seat,
@@ -167,21 +167,21 @@
     pub fn new(
         settings: FleetTerms,
         name: &str,
-        tariff: &Tariff,
+        tariff: &PlatformConfig,
         indexes: &[String],
         customers: Vec<String>,
         inherits: bool,
         now: Micros,
     ) -> Rc<Fleet> {
         let (terms, me) = (spans(&settings), Member::from(name));
-        let keeper = Keeper::starts(terms, me.clone(), Incarnation(chance()), inherits, now);
-        let seat_terms = ternpick_fleet_policy::seat_terms(settings.election);
+        let keeper = LeaseHolder::starts(terms, me.clone(), Incarnation(chance()), inherits, now);
+        let raft_config = ternpick_fleet_policy::raft_config(settings.election);
         let id = number_of(&settings.name);
         #[allow(unused_mut)]
-        let mut council = Council::new(
+        let mut council = FleetNode::new(
             id,
             terms,
-            seat_terms,
+            raft_config,
             keeper,
             founders(&settings),
             chance(),
@@ -189,7 +189,7 @@
         );
         #[cfg(feature = "planted")]
         plant(&mut council);
-        let works = settings.works.map(works::Works::new);
+        let works = settings.works.map(maintenance::Works::new);
         if let Some(works) = &works {
             council.annex = Box::new(works.carrier.clone());
             #[cfg(feature = "planted")]
@@ -241,8 +241,8 @@
             .and_then(|address| address.parse().ok())
     }
 
-    fn seat_terms(&self) -> ternpick_consensus::Terms {
-        ternpick_fleet_policy::seat_terms(self.settings.election)
+    fn raft_config(&self) -> ternpick_consensus::RaftConfig {
+        ternpick_fleet_policy::raft_config(self.settings.election)
     }
 
     pub fn platform(&self) -> Platform {
@@ -258,7 +258,7 @@
     pub async fn settled(&self, router: &Router) {
         loop {
             let changed = self.changed.listen();
-            let Admission::Hold(until) = self.council.borrow().keeper.admission(router.clock.now())
+            let Admission::Wait(until) = self.council.borrow().keeper.admission(router.clock.now())
             else {
                 return;
             };
@@ -279,7 +279,7 @@
     /// Whether a lookup may be taken now, and under what; else its answer.
     pub fn admit(&self, now: Micros) -> Result<Mark, Answer> {
         match self.council.borrow().keeper.admission(now) {
-            Admission::Under(version) => Ok(Mark {
+            Admission::Leased(version) => Ok(Mark {
                 version,
                 unguarded: false,
             }),
@@ -287,21 +287,21 @@
                 version,
                 unguarded: true,
             }),
-            Admission::Hold(until) => Err(Self::refusal(
+            Admission::Wait(until) => Err(Self::refusal(
                 "a change of policy takes hold",
                 until.since(now),
             )),
-            Admission::Refused { why, come_back } => Err(Self::refusal(why.words(), come_back)),
+            Admission::Rejected { why, come_back } => Err(Self::refusal(why.words(), come_back)),
         }
     }
 
     fn refusal(words: &str, come_back: Micros) -> Answer {
-        let (status, _, body) = admit::line(503, &format!("refused: {words}"));
+        let (status, _, body) = admission::line(503, &format!("refused: {words}"));
         (status, retry_after(come_back), body)
     }
 
     /// Something has come from another router.
-    pub fn has_come(&self, parcel: Parcel) {
+    pub fn has_come(&self, parcel: PeerBatch) {
         let mut inbox = self.inbox.borrow_mut();
         if inbox.len() >= MOST_IN {
             inbox.pop_front();
@@ -310,7 +310,7 @@
         self.wake.notify(1);
     }
 
-    pub fn next_parcel(&self) -> Option<Parcel> {
+    pub fn next_parcel(&self) -> Option<PeerBatch> {
         self.inbox.borrow_mut().pop_front()
     }
 
@@ -321,7 +321,7 @@
     }
 
     /// Whether a proposal fits this router's own settings.
-    pub fn check(&self, paper: &Paper) -> Verdict {
+    pub fn check(&self, paper: &PolicyDocument) -> Verdict {
         let name = format!("proposal {}", paper.number);
         match Record::read_within(&name, &paper.text, &self.platform()) {
             Ok(_) => Verdict::Fits,
@@ -329,7 +329,7 @@
         }
     }
 
-    fn put_in_force(&self, router: &Router, paper: &Paper) {
+    fn put_in_force(&self, router: &Router, paper: &PolicyDocument) {
         let name = format!("version {}", paper.number);
         let record = match Record::read_within(&name, &paper.text, &self.platform()) {
             Ok(record) => record,
@@ -341,7 +341,13 @@
         };
         let mut desk = router.desk.borrow_mut();
         let tariff = &mut desk.brain.tariff;
-        ternpick_fleet_policy::put_in_force(&record, &self.own, &self.indexes, &self.customers, tariff);
+        ternpick_fleet_policy::put_in_force(
+            &record,
+            &self.own,
+            &self.indexes,
+            &self.customers,
+            tariff,
+        );
         drop(desk);
         let drained: BTreeSet<String> = record.drained.iter().cloned().collect();
         let before = self.drained.replace(drained);
@@ -355,7 +361,7 @@
     /// Nodes that operators drain, or take out, reach the module as the roster's word does.
     fn drains(&self, router: &Router, changed: &[String]) {
         router.play(|brain, now, out| {
-            let rows: Vec<Listing> = changed
+            let rows: Vec<Endpoint> = changed
                 .iter()
                 .filter_map(|name| self.listing(name, out))
                 .collect();
@@ -363,10 +369,10 @@
         });
     }
 
-    fn listing(&self, name: &str, out: &Office) -> Option<Listing> {
+    fn listing(&self, name: &str, out: &EffectQueue) -> Option<Endpoint> {
         let listing = *self.listed.borrow().get(name)?;
         let node = out.nodes.number(name)?;
-        Some(Listing {
+        Some(Endpoint {
             node,
             phase: self.stricter(name, listing.phase),
             ..listing
@@ -374,22 +380,24 @@
     }
 
     /// How discovery itself last listed a node.
-    pub fn discovery_says(&self, name: &str) -> Option<Phase> {
+    pub fn discovery_says(&self, name: &str) -> Option<EndpointState> {
         self.listed.borrow().get(name).map(|listing| listing.phase)
     }
 
-    fn stricter(&self, name: &str, phase: Phase) -> Phase {
+    fn stricter(&self, name: &str, phase: EndpointState) -> EndpointState {
         let out = self.works.as_ref().is_some_and(|works| works.is_out(name));
         match phase {
-            Phase::Ready if out || self.drained.borrow().contains(name) => Phase::Draining,
+            EndpointState::Ready if out || self.drained.borrow().contains(name) => {
+                EndpointState::Draining
+            }
             phase => phase,
         }
     }
 
     /// Discovery lists a node: of its word and the policy's, the stricter counts.
-    pub fn lists(&self, name: &str, listing: &mut Listing) {
+    pub fn lists(&self, name: &str, listing: &mut Endpoint) {
         match listing.phase {
-            Phase::Gone => self.listed.borrow_mut().remove(name),
+            EndpointState::Gone => self.listed.borrow_mut().remove(name),
             _ => self.listed.borrow_mut().insert(name.to_owned(), *listing),
         };
         listing.phase = self.stricter(name, listing.phase);
@@ -403,24 +411,24 @@
     }
 
     /// How the fleet looks from here; for people.
-    pub fn status(&self, brain: &Brain, now: Micros) -> serde_json::Value {
+    pub fn status(&self, brain: &RoutingEngine, now: Micros) -> serde_json::Value {
         let council = self.council.borrow();
         let keeper = &council.keeper;
         let view = keeper.view();
         let next = view.and_then(|view| view.next.as_ref());
         let (out, out_bytes, come, come_bytes) = self.traffic.get();
         let admission = match keeper.admission(now) {
-            Admission::Under(_) => "admits".to_owned(),
+            Admission::Leased(_) => "admits".to_owned(),
             Admission::Unguarded(_) => {
                 "admits without a lease, and marks it: the rule is given up".to_owned()
             }
-            Admission::Hold(_) => "waits while a change takes hold".to_owned(),
-            Admission::Refused { why, .. } => format!("refuses: {}", why.words()),
+            Admission::Wait(_) => "waits while a change takes hold".to_owned(),
+            Admission::Rejected { why, .. } => format!("refuses: {}", why.words()),
         };
         let drained = brain
             .nodes
             .values()
-            .filter(|node| node.listing.phase == Phase::Draining)
+            .filter(|node| node.listing.phase == EndpointState::Draining)
             .count();
         serde_json::json!({
             "fleet": self.settings.name, "member": self.me, "version": keeper.version(),
--- a/router/src/fleet/post.rs
+++ b/router/src/fleet/peer_transport.rs
@@ -10,15 +10,15 @@
 use event_listener::Event;
 use futures_lite::future;
 use ternpick::types::Micros;
-use ternpick_fleet_policy::{Member, Said};
+use ternpick_fleet_policy::{Member, PeerMessage};
 use ternpick_wire::http::{self, Reader, HEAD_BOUND};
 use ternpick_wire::ring::Ring;
 
-use crate::fleet::parcel::{in_pieces, Parcel, PARCEL_BYTES, PATH};
+use crate::fleet::fragments::{in_pieces, PeerBatch, PARCEL_BYTES, PATH};
 use crate::fleet::{chance, Fleet};
-use crate::lifecycle::fetch;
+use crate::lifecycle::http_client;
 use crate::memory::descriptors::Peer;
-use crate::stages::{send, Router};
+use crate::stages::{upstream_writer, Router};
 
 /// What waits for one router; the oldest goes first.
 const MOST_WAITING: usize = 64;
@@ -32,23 +32,23 @@
 const MOST_CONNECTIONS: usize = 1200;
 
 /// The way to one other router.
-pub struct Post {
+pub struct PeerTransport {
     to: Member,
     pub address: Cell<SocketAddr>,
-    waiting: RefCell<VecDeque<Said>>,
+    waiting: RefCell<VecDeque<PeerMessage>>,
     more: Event,
     pub ends: Cell<bool>,
 }
 
-impl Post {
+impl PeerTransport {
     pub fn open(
         router: &Rc<Router>,
         fleet: &Rc<Fleet>,
         to: Member,
         address: SocketAddr,
-    ) -> Rc<Post> {
+    ) -> Rc<PeerTransport> {
         let (waiting, more, ends) = (RefCell::default(), Event::new(), Cell::new(false));
-        let post = Rc::new(Post {
+        let post = Rc::new(PeerTransport {
             to,
             address: Cell::new(address),
             waiting,
@@ -60,7 +60,7 @@
         post
     }
 
-    pub fn say(&self, said: Said) {
+    pub fn say(&self, said: PeerMessage) {
         let mut waiting = self.waiting.borrow_mut();
         if waiting.len() >= MOST_WAITING {
             waiting.pop_front();
@@ -100,7 +100,7 @@
             size += length;
             said.extend(waiting.pop_front());
         }
-        let parcel = Parcel {
+        let parcel = PeerBatch {
             fleet: fleet.id,
             from: fleet.me.clone(),
             to: self.to.clone(),
@@ -110,7 +110,7 @@
     }
 }
 
-async fn carry(router: Rc<Router>, fleet: Rc<Fleet>, post: Rc<Post>) {
+async fn carry(router: Rc<Router>, fleet: Rc<Fleet>, post: Rc<PeerTransport>) {
     let mut kept: Option<(Async<TcpStream>, SocketAddr)> = None;
     loop {
         let more = post.more.listen();
@@ -157,7 +157,7 @@
     let stream = match kept.take() {
         Some((stream, _)) => stream,
         None => {
-            let stream = send::dial(router, address)
+            let stream = upstream_writer::dial(router, address)
                 .await
                 .map_err(|_| "the connection could not be made")?;
             stream
@@ -171,7 +171,8 @@
     let head = format!(
         "POST {PATH} HTTP/1.1\r\nHost: {address}\r\nFleet-From: {from}\r\nContent-Length: {length}\r\n\r\n"
     );
-    let answer = fetch::exchange(&stream, &[head.as_bytes(), body].concat(), HEAD_BOUND).await?;
+    let answer =
+        http_client::exchange(&stream, &[head.as_bytes(), body].concat(), HEAD_BOUND).await?;
     if !answer.closes() {
         *kept = Some((stream, address));
     }
@@ -221,7 +222,7 @@
         let Some(Ok(())) = read else { return };
         let length = request.body().len() as u64;
         let (status, words) = match (request.method(), request.path()) {
-            ("POST", PATH) => match Parcel::parse(request.body(), fleet.id, &fleet.me) {
+            ("POST", PATH) => match PeerBatch::parse(request.body(), fleet.id, &fleet.me) {
                 Ok(parcel) => {
                     fleet.counts((0, 0), (1, length));
                     fleet.has_come(parcel);
--- a/router/src/fleet/disk.rs
+++ b/router/src/fleet/replica_file.rs
@@ -2,8 +2,8 @@
 
 use std::path::{Path, PathBuf};
 
-use ternpick_consensus::{FleetId, Seat, Terms};
-use ternpick_fleet_policy::Found;
+use ternpick_consensus::{FleetId, RaftConfig, Replica};
+use ternpick_fleet_policy::LoadedReplica;
 use ternpick_store::Journal;
 
 /// The name of the file, and the kind of what is in it.
@@ -14,16 +14,21 @@
     folder.join(FILE)
 }
 
-pub fn find(folder: &Path, fleet: FleetId, terms: Terms, seed: u64) -> (Found, Option<Journal>) {
+pub fn find(
+    folder: &Path,
+    fleet: FleetId,
+    terms: RaftConfig,
+    seed: u64,
+) -> (LoadedReplica, Option<Journal>) {
     let (journal, kept) = match Journal::open(&path(folder), KIND) {
         Ok((journal, Some(kept))) => (journal, kept),
-        Ok((journal, None)) => return (Found::Nothing, Some(journal)),
-        Err(fault) => return (Found::Unusable(fault.to_string()), None),
+        Ok((journal, None)) => return (LoadedReplica::Missing, Some(journal)),
+        Err(fault) => return (LoadedReplica::Unusable(fault.to_string()), None),
     };
-    match Seat::open(&kept.bytes, fleet, terms, seed) {
-        Ok(seat) => (Found::Seat(Box::new(seat)), Some(journal)),
+    match Replica::open(&kept.bytes, fleet, terms, seed) {
+        Ok(seat) => (LoadedReplica::Replica(Box::new(seat)), Some(journal)),
         Err(refused) => (
-            Found::Unusable(format!("{}: {refused}", path(folder).display())),
+            LoadedReplica::Unusable(format!("{}: {refused}", path(folder).display())),
             None,
         ),
     }
--- a/router/src/lifecycle/cli.rs
+++ b/router/src/lifecycle/cli.rs
@@ -7,10 +7,10 @@
 use ternpick::types::Micros;
 
 use crate::fleet::cli as fleet;
-use crate::fleet::works_cli;
+use crate::fleet::maintenance_cli;
 use crate::lifecycle::reload::Source;
 use crate::lifecycle::tls::Tls;
-use crate::lifecycle::{config, control, settings, start, takeover, tools};
+use crate::lifecycle::{config, control, key_commands, settings, start, takeover};
 
 /// The root node (query router) of a sharded search service.
 #[derive(Parser)]
@@ -45,14 +45,14 @@
     },
     /// Makes, lists and ends the keys that sign tokens
     #[command(subcommand)]
-    Keys(tools::Keys),
+    Keys(key_commands::Keys),
     /// Signs tokens and tells what they say
     #[command(subcommand)]
-    Token(tools::Token),
+    Token(key_commands::Token),
     /// Revokes a token, a subject, a key or a certificate
-    Revoke(tools::Revoke),
+    Revoke(key_commands::Revoke),
     #[command(flatten)]
-    Control(control::Commands),
+    Control(control::ControlCommand),
     /// Shows, proposes and withdraws the fleet's policy
     #[command(subcommand)]
     Policy(fleet::Policy),
@@ -61,10 +61,10 @@
     Fleet(fleet::FleetCommand),
     /// Takes machines out for work, in an order that the routers settle, and back again
     #[command(subcommand)]
-    Works(works_cli::Works),
+    Works(maintenance_cli::Works),
     /// Tells what callers may do
     #[command(subcommand)]
-    Rights(tools::RightsCommand),
+    Rights(key_commands::RightsCommand),
     /// Prints the version
     Version,
 }
@@ -114,10 +114,10 @@
             take_over,
         } => serve(config, settings, take_over),
         Command::Check { config, settings } => check(config, settings),
-        Command::Keys(command) => tools::keys(command),
-        Command::Token(command) => tools::token(command),
-        Command::Revoke(of) => tools::revoke(of),
-        Command::Rights(command) => tools::rights(command),
+        Command::Keys(command) => key_commands::keys(command),
+        Command::Token(command) => key_commands::token(command),
+        Command::Revoke(of) => key_commands::revoke(of),
+        Command::Rights(command) => key_commands::rights(command),
         Command::Control(command) => match control::run(command) {
             Ok(code) => return code,
             Err(what) => Err(what),
@@ -130,7 +130,7 @@
             Ok(code) => return code,
             Err(what) => Err(what),
         },
-        Command::Works(command) => match works_cli::works(command) {
+        Command::Works(command) => match maintenance_cli::works(command) {
             Ok(code) => return code,
             Err(what) => Err(what),
         },
@@ -148,7 +148,7 @@
     }
 }
 
-fn print(of: &config::Opening) {
+fn print(of: &config::RouterConfig) {
     let (bounds, tariff) = (&of.bounds, &of.tariff);
     let millis =
         |time: Option<Micros>| time.map_or("none".into(), |t| format!("{} ms", t.0 / 1000));
--- a/router/src/lifecycle/config.rs
+++ b/router/src/lifecycle/config.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use serde_json::Value;
-use ternpick::types::Tariff;
+use ternpick::types::PlatformConfig;
 use ternpick_platform_config::Bounds;
 
 /// Descriptors, where the configuration does not say.
@@ -12,7 +12,7 @@
 /// Megabytes, where the configuration does not say.
 const MEMORY_MB: u64 = 192;
 
-pub struct Opening {
+pub struct RouterConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -22,7 +22,7 @@
     pub memory: usize,
     /// The nodes as this router last had the list, in discovery's form.
     pub known: Value,
-    pub tariff: Tariff,
+    pub tariff: PlatformConfig,
     pub bounds: Bounds,
     /// What a reload compares, in the order of [`FIXED`].
     pub fixed: [Value; FIXED.len()],
@@ -33,12 +33,12 @@
 pub const FIXED: [&str; 4] = ["name", "listen", "limits", "settings"];
 
 /// Reads the file; what is wrong with it comes back as one plain line.
-pub fn read(path: &Path) -> Result<Opening, String> {
+pub fn read(path: &Path) -> Result<RouterConfig, String> {
     let text = std::fs::read(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     parse(&text).map_err(|what| format!("{}: {what}", path.display()))
 }
 
-pub fn parse(text: &[u8]) -> Result<Opening, String> {
+pub fn parse(text: &[u8]) -> Result<RouterConfig, String> {
     let all: Value = serde_json::from_slice(text).map_err(|e| format!("not JSON: {e}"))?;
     let word = |key: &str| {
         all[key]
@@ -53,7 +53,8 @@
     let seed =
         u64::from_str_radix(word("seed")?, 16).map_err(|_| "'seed' is not a hexadecimal number")?;
     let settings = &all["settings"];
-    let tariff = ternpick_platform_config::tariff(settings).map_err(|what| format!("'settings': {what}"))?;
+    let tariff =
+        ternpick_platform_config::tariff(settings).map_err(|what| format!("'settings': {what}"))?;
     let bounds = ternpick_platform_config::bounds(settings);
     if tariff.indexes.is_empty() || bounds.index_names.iter().any(String::is_empty) {
         return Err("'settings': no classes, or one without a name".into());
@@ -71,7 +72,7 @@
     let memory = usize::try_from(memory_mb)
         .unwrap_or(usize::MAX)
         .saturating_mul(1024 * 1024);
-    Ok(Opening {
+    Ok(RouterConfig {
         name: word("name")?.to_owned(),
         listen: address("listen")?,
         discovery: address("discovery")?,
--- a/router/src/lifecycle/control.rs
+++ b/router/src/lifecycle/control.rs
@@ -263,7 +263,7 @@
 }
 
 #[derive(Subcommand)]
-pub enum Commands {
+pub enum ControlCommand {
     /// Tells what a router has in hand, what it believes of its nodes, and its versions
     Status {
         #[command(flatten)]
@@ -389,9 +389,9 @@
         .transpose()
 }
 
-pub fn run(command: Commands) -> Result<ExitCode, String> {
+pub fn run(command: ControlCommand) -> Result<ExitCode, String> {
     match command {
-        Commands::Status { socket, watch } => loop {
+        ControlCommand::Status { socket, watch } => loop {
             let said = ask(&socket.socket, &json!({"do": "status"}), &mut |_| ())?;
             match socket.json {
                 true => println!("{}", said["status"]),
@@ -402,11 +402,11 @@
                 None => return Ok(ExitCode::SUCCESS),
             }
         },
-        Commands::Drain { socket } => finish(
+        ControlCommand::Drain { socket } => finish(
             &socket,
             ask(&socket.socket, &json!({"do": "drain"}), &mut |_| ())?,
         ),
-        Commands::Upgrade {
+        ControlCommand::Upgrade {
             socket,
             program,
             config,
--- a/router/src/lifecycle/fetch.rs
+++ b/router/src/lifecycle/http_client.rs
@@ -6,7 +6,7 @@
 use async_io::Async;
 use ternpick::types::Micros;
 
-use crate::stages::{send, Router};
+use crate::stages::{upstream_writer, Router};
 use ternpick_wire::http::Reader;
 use ternpick_wire::ring::Ring;
 
@@ -57,7 +57,7 @@
     patience: Micros,
 ) -> Result<Vec<u8>, String> {
     let call = async {
-        let stream = send::dial(router, address)
+        let stream = upstream_writer::dial(router, address)
             .await
             .map_err(|_| "the connection could not be made")?;
         let request = format!(
--- a/router/src/lifecycle/tools.rs
+++ b/router/src/lifecycle/key_commands.rs
@@ -8,7 +8,7 @@
 use ring::rand::SystemRandom;
 use serde_json::{json, Value};
 use ternpick::types::Micros;
-use ternpick_identity::workshop::{Claims, Stage, Workshop};
+use ternpick_identity::key_manager::{Claims, KeyManager, Stage};
 use ternpick_identity::{Algorithm, Caller, KeyId, Proof, Rights, Role, Subject, Tenant};
 
 use crate::lifecycle::settings;
@@ -194,27 +194,27 @@
 
 impl Folder {
     /// An empty workshop where there is none yet; one that is spoilt is never written over.
-    fn open(&self) -> Result<Workshop, String> {
-        match ternpick_store::get(&self.keys.join(PRIVATE), KEPT_KEYS) {
+    fn open(&self) -> Result<KeyManager, String> {
+        match ternpick_store::load(&self.keys.join(PRIVATE), KEPT_KEYS) {
             Ok(kept) => serde_json::from_slice(&kept.bytes).map_err(words),
-            Err(fault) if fault.is_missing() => Ok(Workshop::default()),
+            Err(fault) if fault.is_missing() => Ok(KeyManager::default()),
             Err(fault) => Err(words(fault)),
         }
     }
 
     /// The private table first: what is published can be made from it again.
-    fn save(&self, shop: &Workshop, now: u64) -> Result<(), String> {
+    fn save(&self, shop: &KeyManager, now: u64) -> Result<(), String> {
         std::fs::create_dir_all(&self.keys).map_err(|e| format!("{}: {e}", self.keys.display()))?;
         let text = serde_json::to_vec(shop).map_err(words)?;
         let path = self.keys.join(PRIVATE);
-        ternpick_store::put(&path, KEPT_KEYS, shop.serial, now * 1_000_000, &text)
+        ternpick_store::save(&path, KEPT_KEYS, shop.serial, now * 1_000_000, &text)
             .map_err(words)?;
         let public = serde_json::to_vec_pretty(&shop.public(now).map_err(words)?).map_err(words)?;
-        ternpick_store::replace(&self.keys.join(PUBLIC), &public).map_err(words)
+        ternpick_store::replace_file(&self.keys.join(PUBLIC), &public).map_err(words)
     }
 
-    fn list(&self, shop: &Workshop, now: u64) {
-        let row = |key: &ternpick_identity::workshop::OwnKey| {
+    fn list(&self, shop: &KeyManager, now: u64) {
+        let row = |key: &ternpick_identity::key_manager::OwnKey| {
             json!({"id": key.id, "algorithm": key.algorithm, "stage": key.stage(now), "made": key.made,
                 "signs": key.signs, "retired": key.retired, "until": key.until})
         };
@@ -239,7 +239,7 @@
 
 pub fn keys(command: Keys) -> Result<(), String> {
     let (now, random) = (now(), SystemRandom::new());
-    let named = |id: Option<String>, shop: &Workshop| {
+    let named = |id: Option<String>, shop: &KeyManager| {
         id.unwrap_or_else(|| format!("k{now}-{}", shop.serial + 1))
     };
     let folder = match command {
@@ -340,13 +340,13 @@
 fn inspect(jwks: Option<&Path>, json: bool) -> Result<(), String> {
     let mut text = String::new();
     std::io::Read::read_to_string(&mut std::io::stdin(), &mut text).map_err(words)?;
-    let seen = ternpick_identity::workshop::inspect(text.trim()).map_err(words)?;
+    let seen = ternpick_identity::key_manager::inspect(text.trim()).map_err(words)?;
     let verified = match jwks {
         None => Value::Null,
         Some(path) => {
             let set = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
             let now = Micros(now() * 1_000_000);
-            ternpick_identity::workshop::verify(text.trim(), &set, now)
+            ternpick_identity::key_manager::verify(text.trim(), &set, now)
                 .map_err(words)?
                 .into()
         }
@@ -426,7 +426,7 @@
     let text = serde_json::to_vec_pretty(&feed).map_err(words)?;
     // What a router would refuse is not written.
     ternpick_identity::Page::parse(&text).map_err(words)?;
-    ternpick_store::replace(&of.feed, &text).map_err(words)?;
+    ternpick_store::replace_file(&of.feed, &text).map_err(words)?;
     match of.json {
         true => println!("{entry}"),
         false => {
--- a/router/src/lifecycle/sources.rs
+++ b/router/src/lifecycle/key_sources.rs
@@ -9,8 +9,8 @@
 use ternpick::types::Micros;
 use ternpick_identity::{Source, PAGE_BOUND, SET_BOUND};
 
-use crate::lifecycle::fetch;
-use crate::stages::gate::{Gate, Watched};
+use crate::lifecycle::http_client;
+use crate::stages::auth_filter::{AuthFilter, Watched};
 use crate::stages::Router;
 
 /// How often it is looked whether time alone has changed something.
@@ -30,7 +30,7 @@
         }
     }
 
-    fn tell(self, gate: &Gate, then: Micros, text: &[u8]) -> Result<(), String> {
+    fn tell(self, gate: &AuthFilter, then: Micros, text: &[u8]) -> Result<(), String> {
         match self {
             Kind::Keys => gate.told_of_keys(then, text),
             Kind::Revocations => gate.told_of_revocations(then, text),
@@ -54,10 +54,10 @@
     router.executor.spawn(elapse(Rc::clone(router))).detach();
 }
 
-fn restore(router: &Router, gate: &Gate, kind: Kind, path: &Path) {
+fn restore(router: &Router, gate: &AuthFilter, kind: Kind, path: &Path) {
     let now = gate.now(router);
     let word = kind.word();
-    match ternpick_store::get(path, word) {
+    match ternpick_store::load(path, word) {
         Ok(kept) => {
             // Never newer than now: a clock that ran ahead makes nothing last longer.
             let then = Micros(kept.saved.min(now.0));
@@ -85,7 +85,7 @@
     }
 }
 
-fn watched(router: &Router, kind: Kind) -> Option<(&Gate, &Watched)> {
+fn watched(router: &Router, kind: Kind) -> Option<(&AuthFilter, &Watched)> {
     let gate = router.gate.as_ref()?;
     let watched = match kind {
         Kind::Keys => gate.keys.as_ref(),
@@ -150,7 +150,7 @@
 
 async fn get(
     router: &Router,
-    gate: &Gate,
+    gate: &AuthFilter,
     of: &Watched,
     kind: Kind,
     whole: bool,
@@ -175,7 +175,7 @@
         (Kind::Revocations, false) => format!("{path}?after={}", gate.revocations_known()),
         _ => path.clone(),
     };
-    fetch::get(router, address, &path, bound, Micros(*patience)).await
+    http_client::get(router, address, &path, bound, Micros(*patience)).await
 }
 
 fn read(path: &Path, bound: usize) -> Result<Vec<u8>, String> {
@@ -192,7 +192,7 @@
 
 async fn keep(kind: Kind, path: PathBuf, now: Micros, text: Vec<u8>) {
     let kept =
-        blocking::unblock(move || ternpick_store::put(&path, kind.word(), 1, now.0, &text)).await;
+        blocking::unblock(move || ternpick_store::save(&path, kind.word(), 1, now.0, &text)).await;
     if let Err(fault) = kept {
         tracing::warn!("identity: {} could not be kept, {fault}", kind.word());
     }
--- a/router/src/lifecycle/reload.rs
+++ b/router/src/lifecycle/reload.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 
-use crate::lifecycle::config::{self, Opening, FIXED};
+use crate::lifecycle::config::{self, RouterConfig, FIXED};
 use crate::lifecycle::settings;
 use crate::stages::Router;
 
@@ -52,7 +52,7 @@
         }
     }
 
-    fn changed(&self, opening: &Opening) -> Vec<&'static str> {
+    fn changed(&self, opening: &RouterConfig) -> Vec<&'static str> {
         let pairs = self.fixed.iter().zip(&opening.fixed);
         FIXED
             .into_iter()
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -6,8 +6,8 @@
 use serde::Deserialize;
 use serde_json::Value;
 use ternpick_identity::Terms;
-use ternpick_tenant_limits::{Terms as LimitTerms, Whole};
 use ternpick_settings::{Read, Schema};
+use ternpick_tenant_limits::{Terms as LimitTerms, Whole};
 
 const SCHEMA: Schema = Schema::new(
     &[
@@ -67,7 +67,7 @@
     pub without_lease: String,
     pub confirm: bool,
     pub election: u64,
-    pub works: Option<ternpick_maintenance::Terms>,
+    pub works: Option<ternpick_maintenance::MaintenanceConfig>,
 }
 
 impl FleetTerms {
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use ternpick::brain::Beliefs;
-use ternpick::types::{Micros, NodeId, Phase};
+use ternpick::routing::EngineSnapshot;
+use ternpick::types::{EndpointState, Micros, NodeId};
 use ternpick_tenant_limits::Counted;
 
 use crate::lifecycle::watch;
@@ -22,7 +22,7 @@
     pub roster: String,
     /// The numbers that beliefs name nodes by, and the nodes' names.
     pub names: Vec<(u64, String)>,
-    pub beliefs: Beliefs,
+    pub beliefs: EngineSnapshot,
     /// Limits of tenants. Without it: full bursts.
     pub limits: Option<Counted>,
     /// The set of keys as it was served, and its age in microseconds. Without it: none until the source is heard.
@@ -46,9 +46,9 @@
             .as_ref()
             .and_then(|fleet| fleet.discovery_says(name));
         let status = match own.unwrap_or(listing.phase) {
-            Phase::Ready => "Ready",
-            Phase::Draining => "Terminating",
-            Phase::Gone => continue,
+            EndpointState::Ready => "Ready",
+            EndpointState::Draining => "Terminating",
+            EndpointState::Gone => continue,
         };
         // How long it has been up by this process's clock: the next one's may read another wall clock.
         let age = Some(node.started.at)
@@ -140,7 +140,7 @@
         let now = router.clock.now();
         let (nodes, taken) = {
             let mut desk = router.desk.borrow_mut();
-            let crate::stages::Desk { brain, office } = &mut *desk;
+            let crate::stages::Decisions { brain, office } = &mut *desk;
             for entry in roster["endpoints"].as_array().into_iter().flatten() {
                 let of = entry["name"]
                     .as_str()
--- a/router/src/lifecycle/snapshot/tests.rs
+++ b/router/src/lifecycle/snapshot/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use ternpick::brain::NodeBelief;
+use ternpick::routing::NodeSnapshot;
 use test_case::test_case;
 
 fn snapshot(nodes: u64) -> Snapshot {
@@ -10,7 +10,7 @@
         })
         .collect();
     let roster = json!({"index": 7, "snapshot": true, "endpoints": entries}).to_string();
-    let belief = NodeBelief {
+    let belief = NodeSnapshot {
         started: 1_790_000_000_000_000,
         report: Some(3.25),
         best_rate: 41.5,
@@ -22,9 +22,9 @@
         sends: Vec::new(),
         out: vec![(1, 40_000, 1.0, 2.0)],
     };
-    let beliefs = Beliefs {
+    let beliefs = EngineSnapshot {
         nodes: (0..nodes).map(|at| (at, belief.clone())).collect(),
-        ..Beliefs::default()
+        ..EngineSnapshot::default()
     };
     let names = (0..nodes).map(|at| (at, format!("s-{at:08x}"))).collect();
     Snapshot {
--- a/router/src/lifecycle/start.rs
+++ b/router/src/lifecycle/start.rs
@@ -11,24 +11,24 @@
 use futures_lite::future;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use serde_json::Value;
-use ternpick::brain::Brain;
-use ternpick::cadence::Cadence;
+use ternpick::routing::RoutingEngine;
+use ternpick::watch_schedule::WatchSchedule;
 
-use crate::fleet::{drive, Fleet};
+use crate::fleet::{event_loop, Fleet};
 use crate::lifecycle::clock::Clock;
-use crate::lifecycle::config::Opening;
+use crate::lifecycle::config::RouterConfig;
 use crate::lifecycle::control::{self, Control};
-use crate::lifecycle::link::Link;
+use crate::lifecycle::hot_restart_link::Link;
 use crate::lifecycle::reload::Source;
 use crate::lifecycle::settings::{ControlTerms, Settings};
 use crate::lifecycle::tls::{self, Tls};
 use crate::lifecycle::upgrade::{self, Share, Start};
-use crate::lifecycle::{logging, signals, sources, stop, takeover, watch};
+use crate::lifecycle::{key_sources, logging, signals, stop, takeover, watch};
 use crate::memory::budget::Budget;
 use crate::memory::descriptors::Descriptors;
-use crate::stages::book::Office;
-use crate::stages::gate::Gate;
-use crate::stages::{route, take_in, Desk, Router};
+use crate::stages::auth_filter::AuthFilter;
+use crate::stages::completion::EffectQueue;
+use crate::stages::{dispatch, listener, Decisions, Router};
 
 /// The descriptors that the process may really hold; its own limit is raised as far as wanted and allowed.
 fn descriptors(wanted: usize) -> usize {
@@ -87,7 +87,7 @@
 
 /// Serves until told to stop and nothing taken is left unanswered.
 pub fn serve(
-    opening: Opening,
+    opening: RouterConfig,
     settings: Settings,
     source: Source,
     from: From,
@@ -96,7 +96,7 @@
     let settings = settings.for_router(&opening.name);
     let signals = signals::listen()?;
     let digest = digest(&source);
-    let Opening {
+    let RouterConfig {
         name,
         listen,
         discovery,
@@ -117,7 +117,7 @@
     let gate = settings
         .identity
         .as_ref()
-        .map(|of| Gate::new(of, seed).map(|(gate, limits)| (gate, limits, of)));
+        .map(|of| AuthFilter::new(of, seed).map(|(gate, limits)| (gate, limits, of)));
     let (gate, limits) = match gate
         .transpose()
         .map_err(|fault| format!("identity: {fault}"))?
@@ -160,12 +160,12 @@
             clock.now(),
         )
     });
-    let cadence = Cadence::new(bounds.ask_within, !seed);
+    let cadence = WatchSchedule::new(bounds.ask_within, !seed);
     let (bounds, asked) = (Rc::new(bounds), tariff.roster_on_request);
-    let office = Office {
+    let office = EffectQueue {
         bounds: Rc::clone(&bounds),
         limits,
-        ..Office::default()
+        ..EffectQueue::default()
     };
     let router = Rc::new(Router {
         clock,
@@ -174,8 +174,8 @@
         budget: Budget::new(memory),
         clients: Rc::default(),
         executor: Rc::new(LocalExecutor::new()),
-        desk: RefCell::new(Desk {
-            brain: Brain::new(tariff, seed),
+        desk: RefCell::new(Decisions {
+            brain: RoutingEngine::new(tariff, seed),
             office,
         }),
         gate,
@@ -204,7 +204,7 @@
         executor
             .spawn(watch::watch(Rc::clone(&router), cadence))
             .detach();
-        executor.spawn(route::turns(Rc::clone(&router))).detach();
+        executor.spawn(dispatch::turns(Rc::clone(&router))).detach();
         // The tasks are to listen before they are called upon: taking a list in may ask for the watch at once.
         future::yield_now().await;
         let take_known = || {
@@ -255,10 +255,10 @@
             "{name} serves on {listen}, {} nodes known",
             router.desk.borrow().office.nodes.count()
         );
-        sources::start(&router);
+        key_sources::start(&router);
         if let Some(fleet) = &router.fleet {
             executor
-                .spawn(drive::run(Rc::clone(&router), Rc::clone(fleet)))
+                .spawn(event_loop::run(Rc::clone(&router), Rc::clone(fleet)))
                 .detach();
         }
         let control = match control {
@@ -278,7 +278,7 @@
                     .spawn(tls::watch(Rc::clone(&router), Rc::clone(tls)))
                     .detach();
             }
-            accepting.push(executor.spawn(take_in::accept(Rc::clone(&router), listener, tls)));
+            accepting.push(executor.spawn(listener::accept(Rc::clone(&router), listener, tls)));
         }
         let accepting = executor.spawn(async {
             for task in accepting {
@@ -312,7 +312,7 @@
         .map_err(|e| format!("a listener is spoilt: {e}"))?;
     if let Some(path) = &terms.pid_file {
         let text = format!("{}\n", std::process::id());
-        ternpick_store::replace(path.as_ref(), text.as_bytes())
+        ternpick_store::replace_file(path.as_ref(), text.as_bytes())
             .map_err(|fault| fault.to_string())?;
     }
     let socket = control::bind(terms.socket.as_ref())?;
--- a/router/src/lifecycle/takeover.rs
+++ b/router/src/lifecycle/takeover.rs
@@ -10,12 +10,12 @@
 use async_io::Timer;
 use rustix::process::{getppid, Pid};
 use ternpick::types::Micros;
-use ternpick_hot_restart::{Effect, FromOld, Message, New, Patience};
+use ternpick_hot_restart::{Effect, Message, NewProcess, OldProcessEvent, StepTimeouts};
 
-use crate::lifecycle::link::Link;
+use crate::lifecycle::hot_restart_link::Link;
 use crate::lifecycle::snapshot::Snapshot;
 use crate::lifecycle::upgrade::Share;
-use crate::stages::{take_in, Router};
+use crate::stages::{listener, Router};
 
 /// How long the end of the old process may take to show after its link has ended.
 const SEEN_DEAD: u32 = 20;
@@ -33,7 +33,7 @@
 
 struct Follow {
     link: Link,
-    machine: New,
+    machine: NewProcess,
     parent: Option<Pid>,
 }
 
@@ -66,7 +66,7 @@
     router: &Rc<Router>,
     share: &Share,
     (mut link, old): (Link, u32),
-    patience: Patience,
+    patience: StepTimeouts,
     digest: u64,
 ) -> Result<Taken, String> {
     // It may have died before this process began.
@@ -76,7 +76,8 @@
         env!("CARGO_PKG_VERSION"),
         std::process::id()
     );
-    let (mut machine, mut effects) = New::begins(patience, digest, &program, router.clock.now());
+    let (mut machine, mut effects) =
+        NewProcess::begins(patience, digest, &program, router.clock.now());
     let (mut listeners, mut state, mut version) = (None::<Vec<TcpListener>>, Vec::new(), None);
     loop {
         for effect in std::mem::take(&mut effects) {
@@ -89,8 +90,8 @@
                     }
                 }
                 Effect::Use(lease) => share.put_to_use(router, lease, true),
-                Effect::Say(line) => tracing::info!("{line}"),
-                Effect::Leave => return Err("not taken over".into()),
+                Effect::Log(line) => tracing::info!("{line}"),
+                Effect::Exit => return Err("not taken over".into()),
                 Effect::BindAnew => listeners = None,
                 _ => {}
             }
@@ -114,7 +115,7 @@
                 let old_lives = old_lives(router, parent).await;
                 machine.heard(
                     router.clock.now(),
-                    FromOld::Lost { old_lives },
+                    OldProcessEvent::LinkLost { old_lives },
                     share.whole(),
                 )
             }
@@ -134,7 +135,8 @@
                     }
                     _ => {}
                 }
-                let mut effects = machine.heard(now, FromOld::Heard(message), share.whole());
+                let mut effects =
+                    machine.heard(now, OldProcessEvent::Received(message), share.whole());
                 if last {
                     let applied =
                         Snapshot::parse(&state).and_then(|snapshot| snapshot.apply(router));
@@ -145,7 +147,7 @@
                     version = applied.as_ref().ok().copied();
                     effects.extend(machine.heard(
                         now,
-                        FromOld::Loaded(applied.is_ok()),
+                        OldProcessEvent::SnapshotLoaded(applied.is_ok()),
                         share.whole(),
                     ));
                 }
@@ -170,7 +172,7 @@
         let effects = match heard {
             Ok(Message::Client { unread }) => {
                 match link.fd().map(std::net::TcpStream::from) {
-                    Some(socket) => match take_in::adopt(&router, socket, &unread) {
+                    Some(socket) => match listener::adopt(&router, socket, &unread) {
                         Ok(()) => adopted.set(adopted.get() + 1),
                         Err(what) => tracing::warn!("upgrade: a connection is closed, {what}"),
                     },
@@ -178,7 +180,7 @@
                 }
                 continue;
             }
-            Ok(message) => machine.heard(now, FromOld::Heard(message), share.whole()),
+            Ok(message) => machine.heard(now, OldProcessEvent::Received(message), share.whole()),
             Err(_) => {
                 // What it kept is its own until it has left, link or none.
                 while !machine.is_over()
@@ -189,7 +191,7 @@
                 }
                 machine.heard(
                     router.clock.now(),
-                    FromOld::Lost { old_lives: false },
+                    OldProcessEvent::LinkLost { old_lives: false },
                     share.whole(),
                 )
             }
@@ -205,8 +207,8 @@
                     router.accepts.set(accepts);
                     router.accepts_changed.notify(usize::MAX);
                 }
-                Effect::Say(line) => tracing::warn!("{line}"),
-                Effect::Leave => {
+                Effect::Log(line) => tracing::warn!("{line}"),
+                Effect::Exit => {
                     router.told_to_stop.notify(1);
                 }
                 _ => {}
--- a/router/src/lifecycle/upgrade.rs
+++ b/router/src/lifecycle/upgrade.rs
@@ -1,4 +1,4 @@
-//! The old side of an upgrade, driven: starts the new process, carries out what [`ternpick_hot_restart::Old`] says, and
+//! The old side of an upgrade, driven: starts the new process, carries out what [`ternpick_hot_restart::OldProcess`] says, and
 //! passes clients' connections on. Also how a lease is put to use, on both sides.
 
 use std::cell::{Cell, RefCell};
@@ -12,9 +12,9 @@
 use futures_lite::future;
 use rustix::process::{kill_process, Pid, Signal};
 use ternpick::types::Micros;
-use ternpick_hot_restart::{Effect, FromNew, Lease, Message, Old, Patience};
+use ternpick_hot_restart::{Effect, Lease, Message, NewProcessEvent, OldProcess, StepTimeouts};
 
-use crate::lifecycle::link::Link;
+use crate::lifecycle::hot_restart_link::Link;
 use crate::lifecycle::settings::ControlTerms;
 use crate::lifecycle::snapshot::Snapshot;
 use crate::memory::descriptors::OWN;
@@ -112,9 +112,9 @@
     pub settings: PathBuf,
 }
 
-pub fn patience(of: &ControlTerms) -> Patience {
+pub fn patience(of: &ControlTerms) -> StepTimeouts {
     let (hello, step) = (Micros(of.hello), Micros(of.step));
-    Patience {
+    StepTimeouts {
         hello,
         step,
         ready: Micros(of.ready),
@@ -123,7 +123,7 @@
 }
 
 pub struct Upgrades {
-    pub machine: RefCell<Old>,
+    pub machine: RefCell<OldProcess>,
     pub share: Rc<Share>,
     pub listeners: Vec<OwnedFd>,
     /// The process that has taken over, for who stays as its parent.
@@ -249,8 +249,8 @@
                     self.of.share.put_to_use(router, lease, goes_on);
                 }
                 Effect::EndPeer => self.end_peer(),
-                Effect::Leave => self.left = true,
-                Effect::Say(line) => {
+                Effect::Exit => self.left = true,
+                Effect::Log(line) => {
                     tracing::info!("{line}");
                     say(&line);
                     if let Some((_, why)) = line.split_once("given up, ") {
@@ -313,10 +313,10 @@
     }
 
     /// What the last wait means to the machine.
-    fn event(&mut self, came: Came) -> Option<FromNew> {
+    fn event(&mut self, came: Came) -> Option<NewProcessEvent> {
         let now = self.router.clock.now();
         if let Came::Message(message) = came {
-            return Some(FromNew::Heard(message));
+            return Some(NewProcessEvent::Received(message));
         }
         if matches!(came, Came::Broke) {
             self.broke = self.broke.or(Some(now));
@@ -326,10 +326,10 @@
             None => true,
         };
         if dead {
-            return Some(FromNew::Died);
+            return Some(NewProcessEvent::ProcessDied);
         }
         let broke = self.broke.is_some_and(|at| now.since(at) >= SEEN_DEAD);
-        broke.then_some(FromNew::Broke)
+        broke.then_some(NewProcessEvent::LinkBroken)
     }
 }
 
@@ -371,7 +371,9 @@
         }
         let (now, uses) = (router.clock.now(), of.share.uses(router));
         let effects = match run.event(came) {
-            Some(FromNew::Broke) if std::mem::replace(&mut told_broke, true) => Vec::new(),
+            Some(NewProcessEvent::LinkBroken) if std::mem::replace(&mut told_broke, true) => {
+                Vec::new()
+            }
             Some(event) => of.machine.borrow_mut().heard(now, event, uses),
             None => Vec::new(),
         };
@@ -381,7 +383,7 @@
         if of.machine.borrow().serves() {
             // Connections that were on their way over stay here.
             for (socket, unread) in router.handed.borrow_mut().drain(..) {
-                if let Err(what) = crate::stages::take_in::adopt(router, socket, &unread) {
+                if let Err(what) = crate::stages::listener::adopt(router, socket, &unread) {
                     tracing::warn!("upgrade: a connection is closed, {what}");
                 }
             }
@@ -407,7 +409,7 @@
     digest: u64,
     listeners: Vec<OwnedFd>,
 ) -> Upgrades {
-    let machine = RefCell::new(Old::new(patience(terms), share.whole(), digest));
+    let machine = RefCell::new(OldProcess::new(patience(terms), share.whole(), digest));
     Upgrades {
         machine,
         share: Rc::clone(share),
--- a/router/src/lifecycle/watch.rs
+++ b/router/src/lifecycle/watch.rs
@@ -7,11 +7,11 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use serde_json::Value;
-use ternpick::cadence::Cadence;
-use ternpick::types::{Micros, Phase};
+use ternpick::types::{EndpointState, Micros};
+use ternpick::watch_schedule::WatchSchedule;
 
-use crate::lifecycle::fetch;
-use crate::stages::{send, Router};
+use crate::lifecycle::http_client;
+use crate::stages::{upstream_writer, Router};
 use ternpick_wire::discovery;
 
 /// Between an answer without news that came before its time and the next call: a watch goes on for 200 ms.
@@ -64,7 +64,7 @@
         }
         let gone = listings
             .iter()
-            .filter(|listing| listing.phase == Phase::Gone)
+            .filter(|listing| listing.phase == EndpointState::Gone)
             .count();
         tracing::debug!(
             "roster: version {version}, {} entries, {gone} gone",
@@ -79,7 +79,7 @@
 /// Watches whenever the module wants it, from the version that the router started with. Where discovery has
 /// moved, the call that is out at the old address is left at once, and the new one is asked for its whole list:
 /// its versions need not go on from the old one's, and what it does not list is gone.
-pub async fn watch(router: Rc<Router>, mut cadence: Cadence) {
+pub async fn watch(router: Rc<Router>, mut cadence: WatchSchedule) {
     let (mut kept, mut failing, mut after) = (None::<Async<TcpStream>>, false, None);
     let mut first = true;
     let (mut at, mut watching, mut wanted) = (router.discovery.get(), false, router.watch.listen());
@@ -156,12 +156,12 @@
     let stream = match kept.take() {
         Some(stream) => stream,
         // A machine that has vanished is found out by the dial, not by the call's far longer wait.
-        None => send::dial(router, discovery)
+        None => upstream_writer::dial(router, discovery)
             .await
             .map_err(|_| "the connection could not be made")?,
     };
     let request = discovery::call(&discovery.to_string(), after, wait);
-    let answer = fetch::exchange(&stream, &request, discovery::LIST_BOUND).await?;
+    let answer = http_client::exchange(&stream, &request, discovery::LIST_BOUND).await?;
     if !answer.closes() {
         *kept = Some(stream);
     }
--- a/router/src/memory/ledger.rs
+++ b/router/src/memory/in_flight.rs
@@ -5,14 +5,14 @@
 use std::rc::Rc;
 
 use crate::fleet::Mark;
-use ternpick::types::{CallNo, CustomerNo, LookupId, Micros, NodeId, PartId, ShardNo};
+use ternpick::types::{AttemptNo, CustomerNo, Micros, NodeId, QueryId, ShardNo, ShardRequestId};
 
 use crate::memory::clients::Reply;
 use crate::memory::nodes::ConnectionId;
 
 /// A part of a lookup, and its value once it is in.
 pub struct HeldPart {
-    pub id: PartId,
+    pub id: ShardRequestId,
     pub shard: ShardNo,
     pub calls: u8,
     /// Connections that have carried a call of it: an answer is known by its connection and the part's id.
@@ -66,7 +66,7 @@
 }
 
 pub struct CallOut {
-    pub lookup: LookupId,
+    pub lookup: QueryId,
     pub at: usize,
     pub node: NodeId,
     /// The part's id as nodes are told it.
@@ -79,22 +79,22 @@
     pub place: Place,
 }
 
-pub type CallKey = (PartId, CallNo);
+pub type CallKey = (ShardRequestId, AttemptNo);
 
 #[derive(Default)]
-pub struct Ledger {
+pub struct InFlightTable {
     next: u64,
-    lookups: HashMap<LookupId, Held>,
+    lookups: HashMap<QueryId, Held>,
     names: HashSet<Rc<str>>,
     /// Which lookup a part belongs to; goes with the lookup.
-    parts: HashMap<PartId, (LookupId, usize)>,
+    parts: HashMap<ShardRequestId, (QueryId, usize)>,
     /// How many of them have their value.
     answered: usize,
     calls: BTreeMap<CallKey, CallOut>,
     due: BTreeSet<(Micros, CallKey)>,
 }
 
-impl Ledger {
+impl InFlightTable {
     /// Lookups and parts in hand; a part that is in is over.
     pub fn held(&self) -> usize {
         self.lookups.len() + self.parts.len() - self.answered
@@ -132,11 +132,11 @@
         shards: impl Iterator<Item = ShardNo>,
         reply: Rc<Reply>,
         taken: Taken,
-    ) -> (LookupId, Vec<PartId>) {
-        let (lookup, name) = (LookupId(self.number()), Rc::<str>::from(name));
+    ) -> (QueryId, Vec<ShardRequestId>) {
+        let (lookup, name) = (QueryId(self.number()), Rc::<str>::from(name));
         let mut parts = Vec::new();
         for (at, shard) in shards.enumerate() {
-            let id = PartId(self.number());
+            let id = ShardRequestId(self.number());
             self.parts.insert(id, (lookup, at));
             parts.push(HeldPart {
                 id,
@@ -160,12 +160,12 @@
         (lookup, ids)
     }
 
-    pub fn lookup(&self, id: LookupId) -> Option<&Held> {
+    pub fn lookup(&self, id: QueryId) -> Option<&Held> {
         self.lookups.get(&id)
     }
 
     /// The one place where a lookup is taken off.
-    pub fn close(&mut self, id: LookupId) -> Option<Held> {
+    pub fn close(&mut self, id: QueryId) -> Option<Held> {
         let held = self.lookups.remove(&id)?;
         self.names.remove(&held.name);
         for part in &held.parts {
@@ -178,7 +178,7 @@
     /// Writes a call in that the module wants made; none if the part is not in hand.
     pub fn order(
         &mut self,
-        part: PartId,
+        part: ShardRequestId,
         node: NodeId,
         now: Micros,
         limit: Micros,
@@ -187,7 +187,7 @@
         let (lookup, at) = *self.parts.get(&part)?;
         let held = self.lookups.get_mut(&lookup)?;
         let of = &mut held.parts[at];
-        let key = (part, CallNo(of.calls));
+        let key = (part, AttemptNo(of.calls));
         of.calls = of.calls.checked_add(1)?;
         let (id, due) = (format!("{}.{}", held.name, of.shard.0).into(), now + limit);
         let look = dial.map_or(due, |dial| due.min(now + dial));
@@ -279,9 +279,9 @@
     }
 
     /// Calls of a part that are still out.
-    pub fn out_of(&self, part: PartId) -> impl Iterator<Item = (CallKey, &CallOut)> {
+    pub fn out_of(&self, part: ShardRequestId) -> impl Iterator<Item = (CallKey, &CallOut)> {
         self.calls
-            .range((part, CallNo(0))..=(part, CallNo(u8::MAX)))
+            .range((part, AttemptNo(0))..=(part, AttemptNo(u8::MAX)))
             .map(|(key, call)| (*key, call))
     }
 }
--- a/router/src/memory/mod.rs
+++ b/router/src/memory/mod.rs
@@ -3,5 +3,5 @@
 pub mod budget;
 pub mod clients;
 pub mod descriptors;
-pub mod ledger;
+pub mod in_flight;
 pub mod nodes;
--- a/router/src/memory/nodes.rs
+++ b/router/src/memory/nodes.rs
@@ -8,10 +8,10 @@
 use async_io::Async;
 use event_listener::Event;
 use ternpick::io_errors::Owner;
-use ternpick::types::{Micros, NodeId, Phase};
+use ternpick::types::{EndpointState, Micros, NodeId};
 
 use crate::memory::descriptors::Permit;
-use crate::memory::ledger::CallKey;
+use crate::memory::in_flight::CallKey;
 use ternpick_wire::ring::Ring;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -98,7 +98,7 @@
 pub struct Node {
     pub name: String,
     pub address: SocketAddr,
-    pub phase: Phase,
+    pub phase: EndpointState,
     connections: Vec<ConnectionId>,
 }
 
@@ -117,7 +117,12 @@
 impl Nodes {
     /// Takes one line of the roster in: the same name is the same node, wherever it listens. Tells its id, and
     /// whether it was not known there.
-    pub fn list(&mut self, name: &str, address: SocketAddr, phase: Phase) -> (NodeId, bool) {
+    pub fn list(
+        &mut self,
+        name: &str,
+        address: SocketAddr,
+        phase: EndpointState,
+    ) -> (NodeId, bool) {
         let known = self.ids.get(name).copied();
         let id = known.unwrap_or_else(|| {
             self.next += 1;
@@ -132,7 +137,7 @@
         });
         let moved = std::mem::replace(&mut node.address, address) != address;
         node.phase = phase;
-        if moved || phase == Phase::Gone {
+        if moved || phase == EndpointState::Gone {
             self.retire(id);
         }
         (id, moved || known.is_none())
@@ -161,7 +166,7 @@
         for id in left {
             self.nodes
                 .entry(id)
-                .and_modify(|node| node.phase = Phase::Gone);
+                .and_modify(|node| node.phase = EndpointState::Gone);
             self.retire(id);
         }
     }
@@ -195,7 +200,7 @@
     pub fn forget_gone(&mut self) {
         let Nodes { nodes, ids, .. } = self;
         nodes.retain(|_, node| {
-            let kept = node.phase != Phase::Gone || !node.connections.is_empty();
+            let kept = node.phase != EndpointState::Gone || !node.connections.is_empty();
             if !kept {
                 ids.remove(&node.name);
             }
@@ -336,7 +341,7 @@
 
     fn connected() -> (Nodes, NodeId, ConnectionId) {
         let mut nodes = Nodes::default();
-        let (node, _) = nodes.list("a", at(1), Phase::Ready);
+        let (node, _) = nodes.list("a", at(1), EndpointState::Ready);
         let permit = Descriptors::new(100)
             .take(Peer::Node)
             .expect("a descriptor");
@@ -346,11 +351,15 @@
         (nodes, node, id)
     }
 
-    #[test_case(at(1), Phase::Ready, 1; "as it was")]
-    #[test_case(at(1), Phase::Draining, 1; "draining: it finishes what it has")]
-    #[test_case(at(2), Phase::Ready, 0; "listening elsewhere")]
-    #[test_case(at(1), Phase::Gone, 0; "gone")]
-    fn a_name_is_one_node_wherever_it_listens(address: SocketAddr, phase: Phase, usable: usize) {
+    #[test_case(at(1), EndpointState::Ready, 1; "as it was")]
+    #[test_case(at(1), EndpointState::Draining, 1; "draining: it finishes what it has")]
+    #[test_case(at(2), EndpointState::Ready, 0; "listening elsewhere")]
+    #[test_case(at(1), EndpointState::Gone, 0; "gone")]
+    fn a_name_is_one_node_wherever_it_listens(
+        address: SocketAddr,
+        phase: EndpointState,
+        usable: usize,
+    ) {
         let (mut nodes, node, _) = connected();
         assert_eq!(nodes.list("a", address, phase), (node, address != at(1)));
         assert_eq!(nodes.usable(node).count(), usable);
@@ -365,7 +374,7 @@
         nodes.disconnect(id);
         assert_eq!(nodes.count(), 0);
         assert_ne!(
-            nodes.list("a", at(1), Phase::Ready).0,
+            nodes.list("a", at(1), EndpointState::Ready).0,
             node,
             "a name forgotten comes back as another node"
         );
@@ -375,14 +384,14 @@
     fn nothing_stays_of_nodes_that_come_and_go() {
         let (mut nodes, _, first) = connected();
         for number in 0..1000 {
-            let (node, _) = nodes.list(&format!("n{number}"), at(number), Phase::Ready);
+            let (node, _) = nodes.list(&format!("n{number}"), at(number), EndpointState::Ready);
             let permit = Descriptors::new(100)
                 .take(Peer::Node)
                 .expect("a descriptor");
             let id = nodes
                 .connect(node, Micros(5), 100, permit)
                 .expect("a connection");
-            nodes.list(&format!("n{number}"), at(number), Phase::Gone);
+            nodes.list(&format!("n{number}"), at(number), EndpointState::Gone);
             nodes.disconnect(id);
         }
         nodes.forget_gone();
@@ -464,7 +473,12 @@
     fn what_came_spoilt_is_told_from_the_others(named: Option<&str>, call: u64) {
         let (mut nodes, _, id) = connected();
         let connection = nodes.connection_mut(id).expect("a connection");
-        let key = |part| (ternpick::types::PartId(part), ternpick::types::CallNo(0));
+        let key = |part| {
+            (
+                ternpick::types::ShardRequestId(part),
+                ternpick::types::AttemptNo(0),
+            )
+        };
         connection.carries.extend([
             ("x.2".into(), key(2)),
             ("x.1".into(), key(1)),
--- a/router/src/stages/admit.rs
+++ b/router/src/stages/admission.rs
@@ -3,19 +3,19 @@
 use std::rc::Rc;
 
 use serde_json::Value;
-use ternpick::types::{CustomerNo, IndexNo, LookupId, Micros, Repeat};
+use ternpick::types::{CustomerNo, IndexNo, Micros, QueryId, RetrySemantics};
 use ternpick_identity::Certificate;
 
 use crate::memory::clients::{Answer, Reply};
-use crate::memory::ledger::Taken;
-use crate::stages::{gate, route, Router};
+use crate::memory::in_flight::Taken;
+use crate::stages::{auth_filter, dispatch, Router};
 use ternpick_wire::http::Reader;
 use ternpick_wire::query;
 
 /// What becomes of a request: an answer at once, or a lookup in hand.
 pub enum Admitted {
     Answer(Answer),
-    Held(LookupId, Rc<Reply>),
+    Held(QueryId, Rc<Reply>),
 }
 
 /// An answer of one line.
@@ -59,15 +59,15 @@
     let Some(gate) = &router.gate else {
         return Ok(None);
     };
-    let token = gate::token(request)?;
+    let token = auth_filter::token(request)?;
     let repeat = |index: IndexNo| router.desk.borrow().brain.tariff.indexes[index.at()].repeat;
     let idempotent = index
         .map(repeat)
-        .is_none_or(|repeat| repeat == Repeat::Idempotent);
+        .is_none_or(|repeat| repeat == RetrySemantics::Idempotent);
     let statement = fields
         .and_then(|fields| query::statement(fields).ok())
         .unwrap_or_default();
-    let ask = gate::ask(token, certificate, request, segment, idempotent, statement);
+    let ask = auth_filter::ask(token, certificate, request, segment, idempotent, statement);
     gate.check(router, request, &ask)
         .map(|pass| Some(pass.tenant))
 }
@@ -120,7 +120,10 @@
     let statement = query::statement(&fields).map_err(bad)?;
     let mut desk = router.desk.borrow_mut();
     let row = &desk.brain.tariff.indexes[index.at()];
-    let (fingerprinted, soft) = (matches!(row.repeat, Repeat::Fingerprinted(_)), row.soft);
+    let (fingerprinted, soft) = (
+        matches!(row.repeat, RetrySemantics::Fingerprinted(_)),
+        row.soft,
+    );
     let key = fingerprinted
         .then(|| word("idempotency-key").ok_or_else(|| bad("Idempotency-Key is missing")));
     let key = key.transpose()?;
@@ -138,7 +141,7 @@
         .transpose()?;
     // From here on the place is the lookup's, and is given back where it closes.
     if let (Some(limits), Some(tenant)) = (&mut desk.office.limits, tenant) {
-        gate::place(limits, now, tenant, repeat)?;
+        auth_filter::place(limits, now, tenant, repeat)?;
     }
     let span = tracing::debug_span!("lookup", id = name, index = segment);
     let taken = Taken {
@@ -159,7 +162,7 @@
         .into_iter()
         .zip(parts)
         .map(|(id, (shard, weight, hint))| (id, shard, weight, hint));
-    route::take(
+    dispatch::take(
         router,
         id,
         index,
--- a/router/src/stages/gate.rs
+++ b/router/src/stages/auth_filter.rs
@@ -17,8 +17,8 @@
 
 use crate::lifecycle::settings::IdentityTerms;
 use crate::memory::clients::Answer;
-use crate::stages::admit::line;
-use crate::stages::book::retry_after;
+use crate::stages::admission::line;
+use crate::stages::completion::retry_after;
 use crate::stages::Router;
 use ternpick_wire::http::Reader;
 
@@ -58,7 +58,7 @@
     said: Micros,
 }
 
-pub struct Gate {
+pub struct AuthFilter {
     identity: RefCell<Identity>,
     calendar: RefCell<Calendar>,
     pub keys: Option<Watched>,
@@ -96,8 +96,8 @@
     all
 }
 
-impl Gate {
-    pub fn new(of: &IdentityTerms, seed: u64) -> Result<(Gate, Limits), TermsFault> {
+impl AuthFilter {
+    pub fn new(of: &IdentityTerms, seed: u64) -> Result<(AuthFilter, Limits), TermsFault> {
         let identity = Identity::new(of.terms.clone())?;
         let limits = Limits::new(limits(&identity, of), of.whole);
         let keys = of
@@ -113,7 +113,7 @@
         let (identity, calendar) = (RefCell::new(identity), RefCell::default());
         let (counts, overdue, served) = (RefCell::default(), Cell::new(false), RefCell::default());
         Ok((
-            Gate {
+            AuthFilter {
                 identity,
                 calendar,
                 keys,
--- a/router/src/stages/book.rs
+++ b/router/src/stages/completion.rs
@@ -1,18 +1,20 @@
 //! Book: carries out what the module says of lookups and calls in the books, and closes them. A lookup's slot,
-//! its parts and its reply are given back in [`Office::close`], a call's record in [`Ledger::finish`].
+//! its parts and its reply are given back in [`EffectQueue::close`], a call's record in [`InFlightTable::finish`].
 
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
-use ternpick::interface::Actions;
-use ternpick::types::{CallNo, Ending, LookupId, Micros, NodeId, PartId, Reason, TimerId};
-use ternpick_tenant_limits::Limits;
+use ternpick::actions::Actions;
+use ternpick::types::{
+    AttemptNo, AttemptOutcome, DecisionReason, Micros, NodeId, QueryId, ShardRequestId, TimerId,
+};
 use ternpick_platform_config::Bounds;
+use ternpick_tenant_limits::Limits;
 
 use crate::fleet::Mark;
-use crate::memory::ledger::{CallKey, CallOut, Ledger, Place};
+use crate::memory::in_flight::{CallKey, CallOut, InFlightTable, Place};
 use crate::memory::nodes::{ConnectionId, Nodes};
-use crate::stages::send;
+use crate::stages::upstream_writer;
 use ternpick_wire::{frames, query};
 
 /// How many lookups were taken and how they ended.
@@ -40,14 +42,14 @@
 pub struct Return {
     pub key: CallKey,
     pub call: CallOut,
-    pub ending: Ending,
+    pub ending: AttemptOutcome,
 }
 
 #[derive(Default)]
-pub struct Office {
+pub struct EffectQueue {
     pub now: Micros,
     pub bounds: Rc<Bounds>,
-    pub ledger: Ledger,
+    pub ledger: InFlightTable,
     pub nodes: Nodes,
     pub counts: Counts,
     /// Calls wanted since the last turn, in order; emptied by the send stage.
@@ -65,7 +67,7 @@
     pub full: bool,
 }
 
-impl Office {
+impl EffectQueue {
     /// Whether as many lookups and parts are in hand as may be; one is then turned away.
     pub fn is_full(&mut self) -> bool {
         let held = self.ledger.held();
@@ -100,7 +102,7 @@
     }
 
     /// Ends a call: the one way in which it leaves the books. The module hears of it in the next turn.
-    pub fn end_call(&mut self, key: CallKey, ending: Ending) {
+    pub fn end_call(&mut self, key: CallKey, ending: AttemptOutcome) {
         let Some(call) = self.ledger.finish(key) else {
             return;
         };
@@ -121,11 +123,11 @@
     }
 
     /// Gives a call up: at the node too, if it may have heard of it.
-    pub fn give_up(&mut self, key: CallKey, ending: Ending, cancels: bool) {
+    pub fn give_up(&mut self, key: CallKey, ending: AttemptOutcome, cancels: bool) {
         let Some(call) = self.ledger.call(key) else {
             return;
         };
-        let written = send::is_written(&self.nodes, call);
+        let written = upstream_writer::is_written(&self.nodes, call);
         if let (Place::Queued(id, _), true) = (call.place, cancels && written) {
             let frame = frames::give_up(&call.id);
             if let Some(connection) = self.nodes.connection_mut(id) {
@@ -137,7 +139,7 @@
     }
 
     /// The one place where a lookup is closed. Nothing of it is sent from here on.
-    fn close(&mut self, id: LookupId, status: u16, headers: String, body: String) {
+    fn close(&mut self, id: QueryId, status: u16, headers: String, body: String) {
         let Some(held) = self.ledger.close(id) else {
             return;
         };
@@ -153,25 +155,25 @@
             let out = self
                 .ledger
                 .out_of(part.id)
-                .filter(|(_, call)| !send::is_written(&self.nodes, call));
+                .filter(|(_, call)| !upstream_writer::is_written(&self.nodes, call));
             let unsent: Vec<CallKey> = out.map(|(key, _)| key).collect();
             unsent
                 .into_iter()
-                .for_each(|key| self.end_call(key, Ending::Unsent));
+                .for_each(|key| self.end_call(key, AttemptOutcome::Unsent));
         }
         let mark = held.taken.mark.map(Mark::headers).unwrap_or_default();
         held.reply.set(status, headers + &mark, body);
     }
 
     /// Its client has left: no answer is due.
-    pub fn lapse(&mut self, id: LookupId) {
+    pub fn lapse(&mut self, id: QueryId) {
         self.counts.lapsed += 1;
         self.close(id, 503, String::new(), String::new());
     }
 }
 
-impl Actions for Office {
-    fn part_call(&mut self, part: PartId, node: NodeId, limit: Micros) {
+impl Actions for EffectQueue {
+    fn part_call(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
         if let Some(key) = self
             .ledger
             .order(part, node, self.now, limit, self.bounds.dial_timeout)
@@ -181,7 +183,7 @@
         }
     }
 
-    fn answer(&mut self, lookup: LookupId, whole: bool) {
+    fn answer(&mut self, lookup: QueryId, whole: bool) {
         let Some(held) = self.ledger.lookup(lookup) else {
             return;
         };
@@ -194,7 +196,7 @@
         self.close(lookup, 200, String::new(), body);
     }
 
-    fn nack(&mut self, lookup: LookupId, come_back: Micros) {
+    fn nack(&mut self, lookup: QueryId, come_back: Micros) {
         self.counts.nacked += 1;
         self.close(
             lookup,
@@ -204,7 +206,7 @@
         );
     }
 
-    fn abort(&mut self, lookup: LookupId) {
+    fn abort(&mut self, lookup: QueryId) {
         self.counts.aborted += 1;
         self.close(
             lookup,
@@ -214,8 +216,8 @@
         );
     }
 
-    fn cancel(&mut self, part: PartId, call: CallNo) {
-        self.give_up((part, call), Ending::Cancelled, true);
+    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo) {
+        self.give_up((part, call), AttemptOutcome::Cancelled, true);
     }
 
     fn close_idle(&mut self, node: NodeId) {
@@ -234,7 +236,7 @@
         self.timers.insert((self.now + delay, timer));
     }
 
-    fn reason(&mut self, lookup: LookupId, why: Reason) {
+    fn reason(&mut self, lookup: QueryId, why: DecisionReason) {
         if let Some(held) = self.ledger.lookup(lookup) {
             held.taken
                 .span
@@ -264,26 +266,26 @@
     use super::*;
     use crate::memory::clients::Reply;
     use crate::memory::descriptors::{Descriptors, Peer};
-    use crate::memory::ledger::Taken;
-    use ternpick::types::{Phase, ShardNo};
+    use crate::memory::in_flight::Taken;
+    use ternpick::types::{EndpointState, ShardNo};
     use test_case::test_case;
 
     const MS: u64 = 1000;
 
     /// A lookup of two parts with a call out for the first, on a connection where it has come as far as told:
     /// ordered, waiting, in the buffer, half written, written.
-    fn office(far: u8) -> (Office, LookupId, CallKey, ConnectionId, Rc<Reply>) {
+    fn office(far: u8) -> (EffectQueue, QueryId, CallKey, ConnectionId, Rc<Reply>) {
         let bounds = Bounds {
             dial_timeout: Some(Micros(250 * MS)),
             ..Bounds::default()
         };
-        let mut office = Office {
+        let mut office = EffectQueue {
             bounds: Rc::new(bounds),
-            ..Office::default()
+            ..EffectQueue::default()
         };
         let (node, _) = office
             .nodes
-            .list("n", ([127, 0, 0, 1], 9).into(), Phase::Ready);
+            .list("n", ([127, 0, 0, 1], 9).into(), EndpointState::Ready);
         let permit = Descriptors::new(100)
             .take(Peer::Node)
             .expect("a descriptor");
@@ -301,7 +303,7 @@
             Taken::default(),
         );
         office.part_call(parts[0], node, Micros(900 * MS));
-        let key = (parts[0], CallNo(0));
+        let key = (parts[0], AttemptNo(0));
         if far > 0 {
             office.orders.clear();
             office.ledger.place(key, Place::Waiting(id));
@@ -318,7 +320,7 @@
         (office, lookup, key, id, reply)
     }
 
-    fn nothing_is_out(office: &Office, id: ConnectionId) -> bool {
+    fn nothing_is_out(office: &EffectQueue, id: ConnectionId) -> bool {
         let connection = office.nodes.connection(id).expect("a connection");
         let carries = !connection.carries.is_empty() || !connection.waiting.is_empty();
         office.ledger.next_due().is_none() && office.orders.is_empty() && !carries
@@ -331,11 +333,11 @@
     #[test_case(4; "written")]
     fn a_call_that_ends_gives_all_back_once(far: u8) {
         let (mut office, _, key, id, _) = office(far);
-        office.end_call(key, Ending::Cancelled);
-        office.end_call(key, Ending::Broken);
+        office.end_call(key, AttemptOutcome::Cancelled);
+        office.end_call(key, AttemptOutcome::Broken);
         assert!(nothing_is_out(&office, id));
-        let endings: Vec<Ending> = office.returns.iter().map(|back| back.ending).collect();
-        assert_eq!(endings, [Ending::Cancelled]);
+        let endings: Vec<AttemptOutcome> = office.returns.iter().map(|back| back.ending).collect();
+        assert_eq!(endings, [AttemptOutcome::Cancelled]);
         // A frame that is not to be finished ends its connection.
         let connection = office.nodes.connection(id).expect("a connection");
         assert_eq!(connection.abandoned, matches!(far, 2 | 3));
--- a/router/src/stages/route.rs
+++ b/router/src/stages/dispatch.rs
@@ -5,23 +5,25 @@
 use async_io::Timer;
 use futures_lite::future;
 use ternpick::io_errors::Owner;
-use ternpick::types::{CustomerNo, Ending, IndexNo, LookupId, Micros, PartId, QueryNo, ShardNo};
+use ternpick::types::{
+    AttemptOutcome, CustomerNo, IndexNo, Micros, QueryId, ShardNo, ShardRequestId, WireQueryNo,
+};
 
-use crate::memory::ledger::{CallKey, Place};
-use crate::stages::book::{Office, Return};
-use crate::stages::{send, Router};
+use crate::memory::in_flight::{CallKey, Place};
+use crate::stages::completion::{EffectQueue, Return};
+use crate::stages::{upstream_writer, Router};
 
 /// Plays a lookup and all its parts.
 pub fn take(
     router: &Router,
-    id: LookupId,
+    id: QueryId,
     index: IndexNo,
     customer: CustomerNo,
     left: Micros,
     repeat: bool,
-    parts: Vec<(PartId, ShardNo, f64, Option<Micros>)>,
+    parts: Vec<(ShardRequestId, ShardNo, f64, Option<Micros>)>,
 ) {
-    let query = QueryNo(id.0);
+    let query = WireQueryNo(id.0);
     router.play(|brain, now, out| {
         out.counts.taken += 1;
         if let Some(held) = out.ledger.lookup(id) {
@@ -47,7 +49,7 @@
 }
 
 /// A client has left before its answer.
-pub fn lapse(router: &Router, id: LookupId) {
+pub fn lapse(router: &Router, id: QueryId) {
     router.play(|brain, now, out| {
         if out.ledger.lookup(id).is_some() {
             out.lapse(id);
@@ -104,11 +106,15 @@
 /// A call whose frame has not gone out in the time of a dial was not made; one that has waits out its limit.
 /// A connection that has brought nothing since is not trusted with more: its peer may have vanished, and on
 /// its return would reset what is written to it.
-fn call_is_late(office: &mut Office, key: CallKey, cancels: bool) {
+fn call_is_late(office: &mut EffectQueue, key: CallKey, cancels: bool) {
     let Some(call) = office.ledger.call(key) else {
         return;
     };
-    let (written, sent, place) = (send::is_written(&office.nodes, call), call.sent, call.place);
+    let (written, sent, place) = (
+        upstream_writer::is_written(&office.nodes, call),
+        call.sent,
+        call.place,
+    );
     if written && call.due > office.now {
         return office.ledger.look_when_due(key);
     }
@@ -124,9 +130,9 @@
     };
     let ours = matches!(place, Place::Waiting(id) if dials(id) == Some(Owner::Machine));
     let ending = match (written, ours) {
-        (true, _) => Ending::MayHaveRun,
-        (false, true) => Ending::Unsent,
-        (false, false) => Ending::NeverRan,
+        (true, _) => AttemptOutcome::MayHaveRun,
+        (false, true) => AttemptOutcome::Unsent,
+        (false, false) => AttemptOutcome::NeverRan,
     };
     office.give_up(key, ending, cancels);
 }
@@ -144,7 +150,7 @@
         let turn = router.turn.listen();
         future::yield_now().await;
         play_due(&router);
-        send::carry_out(&router);
+        upstream_writer::carry_out(&router);
         match next_due(&router) {
             Some(at) => {
                 let timer = Timer::at(router.clock.instant(at));
--- a/router/src/stages/take_in.rs
+++ b/router/src/stages/listener.rs
@@ -14,9 +14,9 @@
 use crate::memory::budget::Share;
 use crate::memory::clients::{Answer, Reply, State};
 use crate::memory::descriptors::{Peer, Permit};
-use crate::stages::admit::{self, Admitted};
+use crate::stages::admission::{self, Admitted};
 use crate::stages::stream::Stream;
-use crate::stages::{route, Router};
+use crate::stages::{dispatch, Router};
 use ternpick_wire::http::{self, Fault, Reader, BODY_BOUND, HEAD_BOUND};
 use ternpick_wire::ring::Ring;
 
@@ -302,7 +302,7 @@
         Err(Stop::Fault(fault)) => {
             let (status, what) = fault.status();
             line.ends = what;
-            (admit::line(status, what), true)
+            (admission::line(status, what), true)
         }
         Ok(()) => {
             if let Some(fleet) = &router.fleet {
@@ -325,13 +325,13 @@
             if !line.input.is_empty() {
                 line.ahead = line.ahead.or(Some(now));
             }
-            if !there && !admit::is_health(request) {
+            if !there && !admission::is_health(request) {
                 line.ends = "the client left before its request was begun";
                 return false;
             }
             let (closes, admitted) = (
                 request.closes(),
-                admit::admit(router, request, began, line.stream.certificate()),
+                admission::admit(router, request, began, line.stream.certificate()),
             );
             line.holds(request.body().len());
             request.forget_body();
@@ -340,7 +340,7 @@
                 Admitted::Held(id, reply) => match wait(router, line, &reply).await {
                     Some(answer) => answer,
                     None => {
-                        route::lapse(router, id);
+                        dispatch::lapse(router, id);
                         line.ends = "the client left before its answer";
                         return false;
                     }
--- a/router/src/stages/mod.rs
+++ b/router/src/stages/mod.rs
@@ -1,13 +1,13 @@
 //! The stages that a request passes: take_in, admit, route, send, relay, book.
 
-pub mod admit;
-pub mod book;
-pub mod gate;
-pub mod relay;
-pub mod route;
-pub mod send;
+pub mod admission;
+pub mod auth_filter;
+pub mod completion;
+pub mod dispatch;
+pub mod listener;
 pub mod stream;
-pub mod take_in;
+pub mod upstream_reader;
+pub mod upstream_writer;
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -19,7 +19,7 @@
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future;
-use ternpick::brain::Brain;
+use ternpick::routing::RoutingEngine;
 use ternpick::shutdown::Shutdown;
 use ternpick::types::Micros;
 use ternpick_platform_config::Bounds;
@@ -29,13 +29,13 @@
 use crate::memory::budget::Budget;
 use crate::memory::clients::Clients;
 use crate::memory::descriptors::Descriptors;
-use crate::stages::book::Office;
-use crate::stages::gate::Gate;
+use crate::stages::auth_filter::AuthFilter;
+use crate::stages::completion::EffectQueue;
 
 /// The decisions and the books that they act on.
-pub struct Desk {
-    pub brain: Brain,
-    pub office: Office,
+pub struct Decisions {
+    pub brain: RoutingEngine,
+    pub office: EffectQueue,
 }
 
 /// One router: what its tasks share. No borrow of the desk is held while a task waits.
@@ -46,9 +46,9 @@
     pub budget: Rc<Budget>,
     pub clients: Rc<Clients>,
     pub executor: Rc<LocalExecutor<'static>>,
-    pub desk: RefCell<Desk>,
+    pub desk: RefCell<Decisions>,
     /// Who may ask; none: everybody.
-    pub gate: Option<Gate>,
+    pub gate: Option<AuthFilter>,
     /// The fleet that this router agrees with on its policy; none: it goes by its own settings alone.
     pub fleet: Option<Rc<Fleet>>,
     /// An input has been played, so orders may wait to be carried out.
@@ -84,9 +84,12 @@
 impl Router {
     /// Plays one input. What the module wants done is noted, and carried out when all inputs that are ready
     /// have been played.
-    pub fn play<R>(&self, input: impl FnOnce(&mut Brain, Micros, &mut Office) -> R) -> R {
+    pub fn play<R>(
+        &self,
+        input: impl FnOnce(&mut RoutingEngine, Micros, &mut EffectQueue) -> R,
+    ) -> R {
         let mut desk = self.desk.borrow_mut();
-        let Desk { brain, office } = &mut *desk;
+        let Decisions { brain, office } = &mut *desk;
         let now = self.clock.now();
         office.now = now;
         let result = input(brain, now, office);
--- a/router/src/stages/relay.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -4,11 +4,11 @@
 use std::net::TcpStream;
 
 use async_io::Async;
-use ternpick::types::{Ending, Micros};
+use ternpick::types::{AttemptOutcome, Micros};
 
 use crate::memory::nodes::ConnectionId;
-use crate::stages::book::Return;
-use crate::stages::{route, Router};
+use crate::stages::completion::Return;
+use crate::stages::{dispatch, Router};
 use ternpick_wire::frames::{self, End};
 use ternpick_wire::ring::Ring;
 
@@ -103,9 +103,9 @@
 fn answer(router: &Router, id: ConnectionId, rest: &[u8]) -> Result<(), frames::BadFrame> {
     let (name, end, report, value) = frames::answer(rest)?;
     let ending = match end {
-        End::Served => Ending::Satisfied,
-        End::Broke => Ending::MayHaveRun,
-        End::Skipped => Ending::NeverRan,
+        End::Served => AttemptOutcome::Satisfied,
+        End::Broke => AttemptOutcome::MayHaveRun,
+        End::Skipped => AttemptOutcome::NeverRan,
     };
     let back = {
         let (now, mut desk) = (router.clock.now(), router.desk.borrow_mut());
@@ -131,13 +131,13 @@
                 .span
                 .in_scope(|| tracing::debug!("relay: part {} {ending:?}", call.id));
         }
-        if ending == Ending::Satisfied {
+        if ending == AttemptOutcome::Satisfied {
             office.ledger.keep(&call, value);
         }
         office.nodes.stir_retired(id);
         Return { key, call, ending }
     };
-    route::returned(
+    dispatch::returned(
         router,
         back,
         &frames::report(report, &router.bounds.columns),
