--- a/router/src/stages/send.rs
+++ b/router/src/stages/upstream_writer.rs
@@ -9,13 +9,13 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use ternpick::io_errors::{self, Owner};
-use ternpick::types::{Ending, Micros, NodeId};
+use ternpick::types::{AttemptOutcome, Micros, NodeId};
 
 use crate::memory::descriptors::Peer;
-use crate::memory::ledger::{CallKey, CallOut, Place};
+use crate::memory::in_flight::{CallKey, CallOut, Place};
 use crate::memory::nodes::{Connection, ConnectionId, Nodes};
-use crate::stages::book::Office;
-use crate::stages::{relay, Router};
+use crate::stages::completion::EffectQueue;
+use crate::stages::{upstream_reader, Router};
 use ternpick_wire::frames::{self, LINE_BOUND};
 use ternpick_wire::http::BODY_BOUND;
 
@@ -61,7 +61,7 @@
 }
 
 /// The next frame for a node, and the orders left over.
-fn split(office: &Office, orders: Vec<CallKey>, node: NodeId) -> (Vec<CallKey>, Vec<CallKey>) {
+fn split(office: &EffectQueue, orders: Vec<CallKey>, node: NodeId) -> (Vec<CallKey>, Vec<CallKey>) {
     let mut room = office
         .bounds
         .parts_a_call
@@ -78,7 +78,7 @@
 }
 
 /// Gives a frame's calls to the first connection with room for them, or to a new one.
-fn send_frame(router: &Rc<Router>, office: &mut Office, node: NodeId, frame: Vec<CallKey>) {
+fn send_frame(router: &Rc<Router>, office: &mut EffectQueue, node: NodeId, frame: Vec<CallKey>) {
     let most = office.bounds.parts_a_connection;
     let fits = |id: ConnectionId, carried: usize| {
         carried + frame.len() <= most && frame.iter().all(|key| !office.ledger.carried(*key, id))
@@ -94,7 +94,7 @@
         // A shortage of the router's own: it says nothing of the node.
         frame
             .into_iter()
-            .for_each(|key| office.end_call(key, Ending::Unsent));
+            .for_each(|key| office.end_call(key, AttemptOutcome::Unsent));
         return;
     };
     frame
@@ -108,7 +108,7 @@
     let _ = write_out(office, id);
 }
 
-fn open(router: &Rc<Router>, office: &mut Office, node: NodeId) -> Option<ConnectionId> {
+fn open(router: &Rc<Router>, office: &mut EffectQueue, node: NodeId) -> Option<ConnectionId> {
     office.nodes.node(node)?;
     let Some(permit) = router.descriptors.take(Peer::Node) else {
         office.nodes.retire_longest_idle();
@@ -125,8 +125,8 @@
 }
 
 /// Moves frames that wait into the connection's buffer while it is up and has room.
-fn fill(office: &mut Office, id: ConnectionId) {
-    let Office {
+fn fill(office: &mut EffectQueue, id: ConnectionId) {
+    let EffectQueue {
         nodes, ledger, now, ..
     } = office;
     let Some(connection) = nodes.connection_mut(id).filter(|of| of.stream.is_some()) else {
@@ -186,7 +186,7 @@
         }
         let talk = future::or(
             write(&router, id, &stream),
-            relay::read(&router, id, &stream),
+            upstream_reader::read(&router, id, &stream),
         );
         let what = future::or(talk, idle(&router, id)).await;
         tracing::debug!("connection to {address}: {what}");
@@ -271,13 +271,13 @@
             .is_some_and(|call| is_written(&office.nodes, call))
     };
     let ending = |key| match (written(key), connection.abandoned) {
-        (true, true) if connection.spoilt == Some(key) => Ending::MayHaveRun,
-        (true, true) => Ending::Cancelled,
-        (true, false) => Ending::Broken,
-        (false, true) => Ending::Unsent,
-        (false, false) => Ending::NeverRan,
+        (true, true) if connection.spoilt == Some(key) => AttemptOutcome::MayHaveRun,
+        (true, true) => AttemptOutcome::Cancelled,
+        (true, false) => AttemptOutcome::Broken,
+        (false, true) => AttemptOutcome::Unsent,
+        (false, false) => AttemptOutcome::NeverRan,
     };
-    let ends: Vec<(CallKey, Ending)> = all.map(|key| (key, ending(key))).collect();
+    let ends: Vec<(CallKey, AttemptOutcome)> = all.map(|key| (key, ending(key))).collect();
     office.nodes.disconnect(id);
     ends.into_iter()
         .for_each(|(key, ending)| office.end_call(key, ending));
@@ -320,7 +320,7 @@
 
 /// Writes until the buffer is empty (true) or the socket full. An error is the connection's end: also that of
 /// a retired one that carries nothing, and of one with a frame that is not to be finished.
-fn write_out(office: &mut Office, id: ConnectionId) -> Result<bool, &'static str> {
+fn write_out(office: &mut EffectQueue, id: ConnectionId) -> Result<bool, &'static str> {
     loop {
         fill(office, id);
         let Some(connection) = office.nodes.connection_mut(id) else {
--- a/router/tests/common/guarded.rs
+++ b/router/tests/common/guarded.rs
@@ -14,7 +14,7 @@
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use serde_json::{json, Value};
-use ternpick_identity::workshop::{Claims, Workshop};
+use ternpick_identity::key_manager::{Claims, KeyManager};
 use ternpick_identity::Algorithm;
 
 use super::{answer, entry, free, read_head, request, Act, Discovery, Node, Router, BOUND};
@@ -48,7 +48,7 @@
 /// A folder with keys, a feed and settings; its files are what the router watches.
 pub struct World {
     pub folder: tempfile::TempDir,
-    pub shop: Mutex<Workshop>,
+    pub shop: Mutex<KeyManager>,
     feed: Mutex<Vec<Value>>,
     tokens: AtomicU64,
     authority: Authority,
@@ -107,7 +107,7 @@
 
 impl World {
     pub fn new() -> World {
-        let mut shop = Workshop::default();
+        let mut shop = KeyManager::default();
         shop.new_key("k1", Algorithm::EdDsa, now(), 0, &SystemRandom::new())
             .expect("a key");
         let world = World {
@@ -132,7 +132,7 @@
     }
 
     pub fn write(&self, name: &str, text: &str) {
-        ternpick_store::replace(&self.path(name), text.as_bytes()).expect("written");
+        ternpick_store::replace_file(&self.path(name), text.as_bytes()).expect("written");
     }
 
     pub fn public(&self) -> String {
--- a/router/tests/identity.rs
+++ b/router/tests/identity.rs
@@ -141,7 +141,7 @@
     guarded.log_has("1 keys, new: k1");
     let token = world.token(&["crew"]);
     let other = {
-        let mut other = ternpick_identity::workshop::Workshop::default();
+        let mut other = ternpick_identity::key_manager::KeyManager::default();
         other
             .new_key(
                 "z",
--- a/router/tests/works.rs
+++ b/router/tests/works.rs
@@ -163,7 +163,8 @@
     fn start(routers: usize, nodes: usize) -> Small {
         let folder = tempfile::tempdir().expect("a folder");
         let at = |name: String| folder.path().join(name);
-        let node = |at: usize| ternpick_simulation::standins::entry(&format!("s-{at}"), free(), "Ready");
+        let node =
+            |at: usize| ternpick_simulation::standins::entry(&format!("s-{at}"), free(), "Ready");
         let nodes = (0..nodes).map(node).collect::<Vec<_>>().join(",");
         let member = |at: usize| format!("\t\tn{at}: {{address: \"{}\", vote: true}}\n", free());
         let settings = format!(
--- a/simulation/src/experiment.rs
+++ b/simulation/src/experiment.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Failed {
     #[error("{0}")]
-    Kept(#[from] ternpick_store::Fault),
+    Kept(#[from] ternpick_store::StoreError),
     #[error("{path}: {error}")]
     Folder { path: String, error: std::io::Error },
     #[error("{path} is no folder of results: run a plan with --out first")]
@@ -141,7 +141,7 @@
                             day: day.clone(),
                         })
                         .unwrap_or_default();
-                        ternpick_store::replace(path, &text)?;
+                        ternpick_store::replace_file(path, &text)?;
                     }
                     day
                 }
@@ -154,7 +154,7 @@
     let result = result?;
     if let Some(out) = out {
         let text = serde_json::to_vec_pretty(&(plan, &result)).unwrap_or_default();
-        ternpick_store::replace(&out.join("results.json"), &text)?;
+        ternpick_store::replace_file(&out.join("results.json"), &text)?;
     }
     Ok((result, played.into_inner()))
 }
--- a/simulation/src/fleet/crew.rs
+++ b/simulation/src/fleet/crew.rs
@@ -22,7 +22,7 @@
 
 /// How a machine comes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum ProposalStatus {
     Well,
     /// Given back before it answers again.
     Late,
@@ -39,19 +39,19 @@
 /// A machine that is late answers so long after it was given back.
 const LATE: Duration = Duration::from_millis(1500);
 
-fn fate(plan: &FleetPlan, machine: usize) -> Fate {
+fn fate(plan: &FleetPlan, machine: usize) -> ProposalStatus {
     let all = [
-        Fate::Well,
-        Fate::Late,
-        Fate::Broken,
-        Fate::Cold,
-        Fate::Moved,
-        Fate::Never,
+        ProposalStatus::Well,
+        ProposalStatus::Late,
+        ProposalStatus::Broken,
+        ProposalStatus::Cold,
+        ProposalStatus::Moved,
+        ProposalStatus::Never,
     ];
     if plan.fates {
         all[machine % all.len()]
     } else {
-        Fate::Well
+        ProposalStatus::Well
     }
 }
 
@@ -267,7 +267,7 @@
                 self.work
             });
             let fate = fate(plan, machine);
-            if fate == Fate::Broken {
+            if fate == ProposalStatus::Broken {
                 let op = format!("{op}1");
                 let failed = [
                     "done",
@@ -285,15 +285,17 @@
                 std::thread::sleep(self.work);
             }
             match fate {
-                Fate::Late | Fate::Never => self.listings.change(&[machine], |of| of.ready = false),
-                Fate::Cold => self.listings.change(&[machine], |of| of.starts()),
-                Fate::Moved => self.listings.change(&[machine], |of| {
+                ProposalStatus::Late | ProposalStatus::Never => {
+                    self.listings.change(&[machine], |of| of.ready = false)
+                }
+                ProposalStatus::Cold => self.listings.change(&[machine], |of| of.starts()),
+                ProposalStatus::Moved => self.listings.change(&[machine], |of| {
                     // Where there is no other address it stays where it was.
                     let _ = of.moves(self.nodes[machine].address);
                 }),
-                Fate::Well | Fate::Broken => {}
+                ProposalStatus::Well | ProposalStatus::Broken => {}
             }
-            if !matches!(fate, Fate::Late | Fate::Never) {
+            if !matches!(fate, ProposalStatus::Late | ProposalStatus::Never) {
                 self.nodes[machine].recovers();
             }
             // From here on it may get work again.
@@ -302,7 +304,7 @@
                 permit,
             });
             self.gives_back(number, permit, &name, &format!("{op}0"));
-            if fate == Fate::Late {
+            if fate == ProposalStatus::Late {
                 std::thread::sleep(LATE);
                 self.mends(machine);
             }
--- a/simulation/src/fleet/virt.rs
+++ b/simulation/src/fleet/virt.rs
@@ -8,10 +8,11 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 use ternpick::types::Micros;
-use ternpick_consensus::Seat;
+use ternpick_consensus::Replica;
 use ternpick_fleet_policy::{
-    seat_terms, Act, Admission, Command, Council, Effect, FleetId, Found, Heard, Incarnation,
-    Keeper, Member, Op, Register, Said, SeatNo, Seated, Terms, Verdict, Version, Wish,
+    raft_config, Admission, Command, Effect, FleetId, FleetNode, Incarnation, LeaseConfig,
+    LeaseEffect, LeaseHolder, LoadedReplica, Member, MemberInfo, OperationId, OperatorRequest,
+    OperatorResponse, PeerMessage, PolicyState, ReplicaId, Verdict, Version,
 };
 
 const FLEET: FleetId = FleetId(1);
@@ -23,7 +24,7 @@
 pub struct World {
     pub routers: usize,
     pub voters: usize,
-    pub terms: Terms,
+    pub terms: LeaseConfig,
     /// A message takes this at least, and at most; microseconds.
     pub late: (u64, u64),
     /// Keeping something takes so long; microseconds.
@@ -37,7 +38,7 @@
         World {
             routers: 7,
             voters: 5,
-            terms: Terms::default(),
+            terms: LeaseConfig::default(),
             late: (200, 1500),
             disk: 1000,
             drift_ppm: 0,
@@ -47,7 +48,7 @@
 
 enum What {
     Turn,
-    Comes(usize, Box<Said>),
+    Comes(usize, Box<PeerMessage>),
     Kept,
 }
 
@@ -55,7 +56,7 @@
 type Key = (u64, u64, usize);
 
 struct Router {
-    council: Council,
+    council: FleetNode,
     /// Its clock: millionths that it runs fast by, and what it showed at the beginning.
     fast_ppm: i64,
     began: u64,
@@ -63,7 +64,7 @@
     silent: bool,
     side: usize,
     next_turn: u64,
-    heard: Vec<(Op, Heard)>,
+    heard: Vec<(OperationId, OperatorResponse)>,
     policies: Vec<Version>,
 }
 
@@ -97,12 +98,12 @@
     pub fn new(world: World, seed: u64) -> Fleet {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let member = |at: usize| Member(format!("n{at:04}"));
-        let members: BTreeMap<Member, Seated> = (0..world.routers)
+        let members: BTreeMap<Member, MemberInfo> = (0..world.routers)
             .map(|at| {
-                let seat = (at < world.voters).then_some(SeatNo(at as u64 + 1));
+                let seat = (at < world.voters).then_some(ReplicaId(at as u64 + 1));
                 (
                     member(at),
-                    Seated {
+                    MemberInfo {
                         address: String::new(),
                         zone: String::new(),
                         seat,
@@ -111,8 +112,8 @@
                 )
             })
             .collect();
-        let voters: Vec<SeatNo> = (1..=world.voters as u64).map(SeatNo).collect();
-        let state = postcard::to_stdvec(&Register::begins(members.clone())).unwrap_or_default();
+        let voters: Vec<ReplicaId> = (1..=world.voters as u64).map(ReplicaId).collect();
+        let state = postcard::to_stdvec(&PolicyState::begins(members.clone())).unwrap_or_default();
         let mut routers = Vec::new();
         for at in 0..world.routers {
             let began = chance.random_range(1_000_000..1_000_000_000);
@@ -124,10 +125,10 @@
                 _ => chance.random_range(-drift..=drift),
             };
             let disk = match at < world.voters {
-                true => Seat::founds(FLEET, SeatNo(at as u64 + 1), &voters, state.clone()),
+                true => Replica::founds(FLEET, ReplicaId(at as u64 + 1), &voters, state.clone()),
                 false => Vec::new(),
             };
-            let keeper = Keeper::starts(
+            let keeper = LeaseHolder::starts(
                 world.terms,
                 member(at),
                 Incarnation(chance.random()),
@@ -135,10 +136,10 @@
                 Micros(began),
             );
             let seeds = chance.random();
-            let council = Council::new(
+            let council = FleetNode::new(
                 FLEET,
                 world.terms,
-                seat_terms(ELECTION),
+                raft_config(ELECTION),
                 keeper,
                 members.clone(),
                 seeds,
@@ -182,10 +183,10 @@
         let (seed, now) = (self.chance.random(), self.clock(at));
         let router = &mut self.routers[at];
         let found = match router.disk.is_empty() {
-            true => Found::Nothing,
-            false => match Seat::open(&router.disk, FLEET, seat_terms(ELECTION), seed) {
-                Ok(seat) => Found::Seat(Box::new(seat)),
-                Err(refused) => Found::Unusable(refused.to_string()),
+            true => LoadedReplica::Missing,
+            false => match Replica::open(&router.disk, FLEET, raft_config(ELECTION), seed) {
+                Ok(seat) => LoadedReplica::Replica(Box::new(seat)),
+                Err(refused) => LoadedReplica::Unusable(refused.to_string()),
             },
         };
         router.council.begins(now, found);
@@ -250,7 +251,9 @@
             author: "ann".into(),
             reason: format!("try {op}"),
         };
-        self.routers[at].council.wish(Op(op), Wish::Do(command));
+        self.routers[at]
+            .council
+            .wish(OperationId(op), OperatorRequest::Command(command));
         self.at(self.now, at, What::Turn);
     }
 
@@ -260,7 +263,9 @@
             .heard
             .iter()
             .find_map(|(of, heard)| match heard {
-                Heard::Did(ternpick_fleet_policy::Outcome::Proposed(number)) if *of == Op(op) => {
+                OperatorResponse::Outcome(ternpick_fleet_policy::Outcome::Proposed(number))
+                    if *of == OperationId(op) =>
+                {
                     Some(*number)
                 }
                 _ => None,
@@ -325,9 +330,9 @@
         self.at(when, at, What::Turn);
     }
 
-    fn carry_out(&mut self, at: usize, act: Act) {
+    fn carry_out(&mut self, at: usize, act: Effect) {
         match act {
-            Act::Say(to, said) => {
+            Effect::Send(to, said) => {
                 let Some(to) = self.names.get(&to).copied() else {
                     return;
                 };
@@ -339,22 +344,24 @@
                     .random_range(self.world.late.0..=self.world.late.1);
                 self.at(self.now + late, to, What::Comes(at, said));
             }
-            Act::Keep(image) => {
+            Effect::Persist(image) => {
                 self.routers[at].disk = image;
                 self.at(self.now + self.world.disk, at, What::Kept);
             }
-            Act::Do(Effect::Check(paper)) => self.routers[at]
+            Effect::Lease(LeaseEffect::CheckPolicy(paper)) => self.routers[at]
                 .council
                 .checked(paper.number, Verdict::Fits),
-            Act::Do(Effect::Use(paper)) => self.routers[at].policies.push(paper.number),
-            Act::Heard(op, heard) => self.routers[at].heard.push((op, heard)),
+            Effect::Lease(LeaseEffect::ApplyPolicy(paper)) => {
+                self.routers[at].policies.push(paper.number)
+            }
+            Effect::OperatorResponse(op, heard) => self.routers[at].heard.push((op, heard)),
             _ => {}
         }
     }
 
     /// The rule, at this moment: nobody admits under a version that another has left.
     fn look(&mut self, at: usize) {
-        if let Admission::Under(version) = self.admission(at) {
+        if let Admission::Leased(version) = self.admission(at) {
             self.judge(at, version);
         }
     }
@@ -376,9 +383,9 @@
             let admission = self.admission(at);
             if !self.routers[at].silent {
                 self.looked += 1;
-                self.refused += u64::from(matches!(admission, Admission::Refused { .. }));
+                self.refused += u64::from(matches!(admission, Admission::Rejected { .. }));
             }
-            if let Admission::Under(version) = admission {
+            if let Admission::Leased(version) = admission {
                 under.push((at, version));
             }
         }
@@ -403,7 +410,7 @@
             let mut there = there
                 .filter(|at| self.routers[*at].side == 0)
                 .collect::<BTreeSet<_>>();
-            there.retain(|at| self.admission(*at) != Admission::Under(version));
+            there.retain(|at| self.admission(*at) != Admission::Leased(version));
             if there.is_empty() {
                 return Some(self.now);
             }
--- a/simulation/src/fleet/works_size.rs
+++ b/simulation/src/fleet/works_size.rs
@@ -9,8 +9,11 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 use ternpick::types::Micros;
-use ternpick_fleet_policy::{Annex, Attended, Index, Member};
-use ternpick_maintenance::{Books, Carrier, Entry, Limits, Node, Request, Stage, Terms, Word, World};
+use ternpick_fleet_policy::{Extension, Index, Member, MemberContact};
+use ternpick_maintenance::{
+    ClusterView, Coordinator, Entry, Limits, MaintenanceConfig, MaintenanceState, Node, Phase,
+    Request, RouterReport,
+};
 
 const STEP: u64 = 1_000_000;
 
@@ -62,20 +65,20 @@
         out: false,
     };
     let nodes: Vec<Node> = (0..site.nodes).map(node).collect();
-    let terms = Terms {
+    let terms = MaintenanceConfig {
         limits: site.limits,
-        ..Terms::default()
+        ..MaintenanceConfig::default()
     };
-    let mut carrier = Carrier::new(terms);
+    let mut carrier = Coordinator::new(terms);
     carrier.sees(
-        World {
+        ClusterView {
             nodes: nodes.clone(),
             load: 0.0,
         },
         0,
     );
     let mut at = 0;
-    let mut put = |carrier: &mut Carrier, entry: &Entry| {
+    let mut put = |carrier: &mut Coordinator, entry: &Entry| {
         at += 1;
         // One that no longer fits changes nothing.
         let _ = carrier.play(Index(at), &postcard::to_stdvec(entry).unwrap_or_default());
@@ -118,7 +121,7 @@
             .books
             .jobs
             .values()
-            .filter(|job| job.stage != Stage::Back)
+            .filter(|job| job.stage != Phase::InService)
             .count();
         if site.storm > 0.0 && storm_over.is_none() && left * 2 < site.nodes {
             let count = (site.storm * site.nodes as f64) as usize;
@@ -132,25 +135,25 @@
             .books
             .jobs
             .iter()
-            .filter(|(_, job)| matches!(job.stage, Stage::Returns { .. }));
-        let word = Word {
+            .filter(|(_, job)| matches!(job.stage, Phase::Returning { .. }));
+        let word = RouterReport {
             goes_by: Index(u64::MAX),
             bear: returning.map(|((_, machine), _)| machine.clone()).collect(),
             unsound: storm.iter().take(64).cloned().collect(),
             more: storm.len().saturating_sub(64) as u32,
             calls: 100,
             answered: 100,
-            ..Word::default()
+            ..RouterReport::default()
         };
         let bytes = word.bytes();
-        let of = |number: usize| Attended {
+        let of = |number: usize| MemberContact {
             member: Member(format!("r{number}")),
             word: Some(bytes.clone()),
             fresh: true,
             alone: true,
             over: false,
         };
-        let attended: Vec<Attended> = (0..site.routers).map(of).collect();
+        let attended: Vec<MemberContact> = (0..site.routers).map(of).collect();
         let began = Instant::now();
         let (steps, _) = carrier.steps(Micros(now), &me, 1, &attended);
         took.push(began.elapsed().as_secs_f64() * 1e3);
@@ -175,7 +178,7 @@
             .jobs
             .values()
             .filter_map(|job| match job.stage {
-                Stage::Permitted { permit, .. } => Some(permit),
+                Phase::Permitted { permit, .. } => Some(permit),
                 _ => None,
             });
         let permits: Vec<_> = permitted.collect();
@@ -203,7 +206,7 @@
 }
 
 /// What is kept at this moment.
-fn judge(books: &Books, nodes: &[Node], site: Site, went: &mut Went) {
+fn judge(books: &MaintenanceState, nodes: &[Node], site: Site, went: &mut Went) {
     let out: BTreeSet<String> = books.out().into_iter().collect();
     went.most_out = went.most_out.max(out.len());
     went.load_on_rest = went
--- a/simulation/src/main.rs
+++ b/simulation/src/main.rs
@@ -275,7 +275,7 @@
             let least = fleet::shrink(&of, &program, folder.path(), *most, &mut |line| {
                 eprintln!("{line}")
             })?;
-            ternpick_store::replace(to, &serde_json::to_vec_pretty(&least)?)?;
+            ternpick_store::replace_file(to, &serde_json::to_vec_pretty(&least)?)?;
             println!("{} of {} steps are left", least.steps.len(), of.steps.len());
             Ok(ExitCode::SUCCESS)
         }
@@ -685,7 +685,7 @@
 }
 
 fn keep(find: &Find, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    ternpick_store::replace(path, &serde_json::to_vec_pretty(find)?)?;
+    ternpick_store::replace_file(path, &serde_json::to_vec_pretty(find)?)?;
     Ok(())
 }
 
--- a/simulation/src/plan.rs
+++ b/simulation/src/plan.rs
@@ -4,7 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumIter, EnumString};
-use ternpick::types::{Gauge, IndexRow, Micros, Repeat, Reporting, Tariff, ZoneNo};
+use ternpick::types::{
+    IndexConfig, LoadMetric, LoadReporting, Micros, PlatformConfig, RetrySemantics, ZoneNo,
+};
 use ternpick_settings::{Read, Refused, Schema};
 
 const SCHEMA: Schema = Schema::new(&[("plan.cue", include_str!("plan.cue"))], "#Plan");
@@ -282,28 +284,28 @@
     }
 
     /// The terms of service, as a router of this world reads them.
-    pub fn tariff(&self, zone: ZoneNo) -> Tariff {
+    pub fn tariff(&self, zone: ZoneNo) -> PlatformConfig {
         let (n, c) = (&self.nodes, &self.clients);
-        let row = |of: &Index| IndexRow {
+        let row = |of: &Index| IndexConfig {
             soft: Micros(of.soft),
             gain: of.gain,
             repeat: match of.repeat {
-                Repeated::Idempotent => Repeat::Idempotent,
-                Repeated::Fingerprinted => Repeat::Fingerprinted(Micros(of.window)),
-                Repeated::OnceOnly => Repeat::OnceOnly,
+                Repeated::Idempotent => RetrySemantics::Idempotent,
+                Repeated::Fingerprinted => RetrySemantics::Fingerprinted(Micros(of.window)),
+                Repeated::OnceOnly => RetrySemantics::OnceOnly,
             },
             need: 1.0,
             least: of.least,
             second_step: 0,
             seen: false,
-            ..IndexRow::default()
+            ..IndexConfig::default()
         };
         let gauge = |of: &String| match of.as_str() {
-            "latency" => Gauge::LatencyMs,
-            "queue" => Gauge::Queue,
-            _ => Gauge::Rate,
+            "latency" => LoadMetric::LatencyMs,
+            "queue" => LoadMetric::Queue,
+            _ => LoadMetric::Rate,
         };
-        Tariff {
+        PlatformConfig {
             indexes: self.indexes.iter().map(row).collect(),
             quotas: c.quotas.clone(),
             over_share_gain: 0.5,
@@ -316,9 +318,9 @@
             call_cost: Micros(n.dial_work),
             gauges: n.columns.iter().map(gauge).collect(),
             reporting: match n.reports.as_str() {
-                "answers" => Reporting::InAnswers,
-                "probes" => Reporting::OnProbe,
-                _ => Reporting::Off,
+                "answers" => LoadReporting::InAnswers,
+                "probes" => LoadReporting::OnProbe,
+                _ => LoadReporting::Off,
             },
             probing: n.reports == "probes",
             roster_on_request: true,
--- a/simulation/src/policy.rs
+++ b/simulation/src/policy.rs
@@ -7,17 +7,17 @@
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use ternpick::brain::Brain;
-use ternpick::interface::Actions;
+use ternpick::actions::Actions;
+use ternpick::routing::RoutingEngine;
 use ternpick::types::*;
 
-/// What a router sees; each call as in [`Brain`].
+/// What a router sees; each call as in [`RoutingEngine`].
 #[allow(clippy::too_many_arguments)] // a decoded field goes straight into a call
 pub trait Policy {
     fn lookup(
         &mut self,
         now: Micros,
-        id: LookupId,
+        id: QueryId,
         index: IndexNo,
         customer: CustomerNo,
         expected: usize,
@@ -28,8 +28,8 @@
     fn part(
         &mut self,
         now: Micros,
-        id: PartId,
-        lookup: LookupId,
+        id: ShardRequestId,
+        lookup: QueryId,
         shard: ShardNo,
         weight: f64,
         hint: Option<Micros>,
@@ -38,26 +38,26 @@
     fn returned(
         &mut self,
         now: Micros,
-        part: PartId,
-        call: CallNo,
+        part: ShardRequestId,
+        call: AttemptNo,
         node: NodeId,
         lag: Micros,
-        ending: Ending,
+        ending: AttemptOutcome,
         report: &[f64],
         out: &mut dyn Actions,
     );
     fn probed(&mut self, now: Micros, node: NodeId, report: &[f64], out: &mut dyn Actions);
-    fn lapsed(&mut self, now: Micros, id: LookupId, out: &mut dyn Actions);
-    fn roster(&mut self, now: Micros, list: &[Listing], full: bool, out: &mut dyn Actions);
+    fn lapsed(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions);
+    fn roster(&mut self, now: Micros, list: &[Endpoint], full: bool, out: &mut dyn Actions);
     fn roster_failed(&mut self, now: Micros, out: &mut dyn Actions);
     fn elapsed(&mut self, now: Micros, timer: TimerId, out: &mut dyn Actions);
 }
 
-impl Policy for Brain {
+impl Policy for RoutingEngine {
     fn lookup(
         &mut self,
         now: Micros,
-        id: LookupId,
+        id: QueryId,
         index: IndexNo,
         customer: CustomerNo,
         expected: usize,
@@ -65,11 +65,11 @@
         repeat: bool,
         out: &mut dyn Actions,
     ) {
-        Brain::lookup(
+        RoutingEngine::lookup(
             self,
             now,
             id,
-            QueryNo(id.0),
+            WireQueryNo(id.0),
             index,
             customer,
             expected,
@@ -81,42 +81,51 @@
     fn part(
         &mut self,
         now: Micros,
-        id: PartId,
-        lookup: LookupId,
+        id: ShardRequestId,
+        lookup: QueryId,
         shard: ShardNo,
         weight: f64,
         hint: Option<Micros>,
         out: &mut dyn Actions,
     ) {
-        Brain::part(self, now, id, QueryNo(lookup.0), shard, weight, hint, out);
+        RoutingEngine::part(
+            self,
+            now,
+            id,
+            WireQueryNo(lookup.0),
+            shard,
+            weight,
+            hint,
+            out,
+        );
     }
     fn returned(
         &mut self,
         now: Micros,
-        part: PartId,
-        call: CallNo,
+        part: ShardRequestId,
+        call: AttemptNo,
         node: NodeId,
         lag: Micros,
-        ending: Ending,
+        ending: AttemptOutcome,
         report: &[f64],
         out: &mut dyn Actions,
     ) {
-        Brain::returned(self, now, part, call, node, lag, ending, report, out);
+        RoutingEngine::returned(self, now, part, call, node, lag, ending, report, out);
     }
     fn probed(&mut self, now: Micros, node: NodeId, report: &[f64], out: &mut dyn Actions) {
-        Brain::probed(self, now, node, report, out);
+        RoutingEngine::probed(self, now, node, report, out);
     }
-    fn lapsed(&mut self, now: Micros, id: LookupId, out: &mut dyn Actions) {
-        Brain::lapsed(self, now, id, out);
+    fn lapsed(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
+        RoutingEngine::lapsed(self, now, id, out);
     }
-    fn roster(&mut self, now: Micros, list: &[Listing], full: bool, out: &mut dyn Actions) {
-        Brain::roster(self, now, list, full, out);
+    fn roster(&mut self, now: Micros, list: &[Endpoint], full: bool, out: &mut dyn Actions) {
+        RoutingEngine::roster(self, now, list, full, out);
     }
     fn roster_failed(&mut self, now: Micros, out: &mut dyn Actions) {
-        Brain::roster_failed(self, now, out);
+        RoutingEngine::roster_failed(self, now, out);
     }
     fn elapsed(&mut self, now: Micros, timer: TimerId, out: &mut dyn Actions) {
-        Brain::elapsed(self, now, timer, out);
+        RoutingEngine::elapsed(self, now, timer, out);
     }
 }
 
@@ -165,16 +174,16 @@
 
 #[derive(Default)]
 struct Known {
-    listing: Listing,
+    listing: Endpoint,
     out: u32,
     report: Option<f64>,
 }
 
 struct Part {
-    id: PartId,
+    id: ShardRequestId,
     shard: ShardNo,
     weight: f64,
-    calls: Vec<(NodeId, Option<Ending>)>,
+    calls: Vec<(NodeId, Option<AttemptOutcome>)>,
     in_hand: bool,
 }
 
@@ -190,19 +199,19 @@
 /// in at the soft deadline where that is enough, and gives up just before the hard one.
 pub struct Plain {
     choice: Choice,
-    tariff: Tariff,
+    tariff: PlatformConfig,
     chance: Pcg64Mcg,
     nodes: BTreeMap<NodeId, Known>,
-    cells: BTreeMap<CellNo, Vec<NodeId>>,
-    lookups: BTreeMap<LookupId, Held>,
-    parts: BTreeMap<PartId, (LookupId, usize)>,
+    cells: BTreeMap<ShardGroupNo, Vec<NodeId>>,
+    lookups: BTreeMap<QueryId, Held>,
+    parts: BTreeMap<ShardRequestId, (QueryId, usize)>,
     turn: u64,
     ask_at: Option<Micros>,
     beating: bool,
 }
 
 impl Plain {
-    pub fn new(choice: Choice, tariff: Tariff, chance: Pcg64Mcg) -> Plain {
+    pub fn new(choice: Choice, tariff: PlatformConfig, chance: Pcg64Mcg) -> Plain {
         Plain {
             choice,
             tariff,
@@ -217,14 +226,15 @@
         }
     }
 
-    fn row(&self, of: &Held) -> &IndexRow {
+    fn row(&self, of: &Held) -> &IndexConfig {
         &self.tariff.indexes[of.index.at()]
     }
 
     /// Ready holders of a shard that have no call of the part out, untried ones if there are any.
-    fn holders(&self, shard: ShardNo, calls: &[(NodeId, Option<Ending>)]) -> Vec<NodeId> {
+    fn holders(&self, shard: ShardNo, calls: &[(NodeId, Option<AttemptOutcome>)]) -> Vec<NodeId> {
         let t = &self.tariff;
-        let cells = (0..t.reach.min(t.cells)).map(|j| CellNo((shard.0 % t.cells + j) % t.cells));
+        let cells =
+            (0..t.reach.min(t.cells)).map(|j| ShardGroupNo((shard.0 % t.cells + j) % t.cells));
         let all = cells
             .filter_map(|cell| self.cells.get(&cell))
             .flatten()
@@ -232,7 +242,7 @@
         let ready = |id: &NodeId| {
             self.nodes
                 .get(id)
-                .is_some_and(|node| node.listing.phase == Phase::Ready)
+                .is_some_and(|node| node.listing.phase == EndpointState::Ready)
         };
         let free: Vec<NodeId> = all
             .filter(ready)
@@ -305,7 +315,7 @@
     }
 
     /// Whether the oracle sees a lookup done in time; nobody else does.
-    fn foresees(&mut self, now: Micros, id: LookupId) -> bool {
+    fn foresees(&mut self, now: Micros, id: QueryId) -> bool {
         let (Choice::Oracle(sight), Some(of)) = (&self.choice, self.lookups.get(&id)) else {
             return true;
         };
@@ -343,7 +353,7 @@
     fn call(
         &mut self,
         now: Micros,
-        id: LookupId,
+        id: QueryId,
         at: usize,
         planned: &mut BTreeMap<NodeId, f64>,
         out: &mut dyn Actions,
@@ -367,11 +377,13 @@
     }
 
     fn may_repeat(&self, of: &Held, part: &Part) -> bool {
-        let may_have_run = part
-            .calls
-            .iter()
-            .any(|(_, ending)| !matches!(ending, Some(Ending::NeverRan | Ending::Unsent)));
-        let harmless = !may_have_run || self.row(of).repeat == Repeat::Idempotent;
+        let may_have_run = part.calls.iter().any(|(_, ending)| {
+            !matches!(
+                ending,
+                Some(AttemptOutcome::NeverRan | AttemptOutcome::Unsent)
+            )
+        });
+        let harmless = !may_have_run || self.row(of).repeat == RetrySemantics::Idempotent;
         harmless
             && self
                 .tariff
@@ -379,7 +391,7 @@
                 .is_none_or(|most| part.calls.len() < most)
     }
 
-    fn close(&mut self, id: LookupId, out: &mut dyn Actions) {
+    fn close(&mut self, id: QueryId, out: &mut dyn Actions) {
         let Some(of) = self.lookups.remove(&id) else {
             return;
         };
@@ -390,14 +402,14 @@
                     if let Some(seen) = self.nodes.get_mut(node) {
                         seen.out = seen.out.saturating_sub(1);
                     }
-                    out.cancel(part.id, CallNo(at as u8));
+                    out.cancel(part.id, AttemptNo(at as u8));
                 }
             }
         }
     }
 
     /// Answers, gives up, or goes on.
-    fn settle(&mut self, now: Micros, id: LookupId, out: &mut dyn Actions) {
+    fn settle(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
         let Some(of) = self
             .lookups
             .get(&id)
@@ -424,11 +436,14 @@
             return self.close(id, out);
         }
         if !more || over {
-            let repeat = self.row(of).repeat == Repeat::Idempotent;
+            let repeat = self.row(of).repeat == RetrySemantics::Idempotent;
             let ran = of.parts.iter().flat_map(|part| &part.calls);
-            let ran = ran
-                .into_iter()
-                .any(|(_, ending)| !matches!(ending, Some(Ending::NeverRan | Ending::Unsent)));
+            let ran = ran.into_iter().any(|(_, ending)| {
+                !matches!(
+                    ending,
+                    Some(AttemptOutcome::NeverRan | AttemptOutcome::Unsent)
+                )
+            });
             match repeat || !ran {
                 true => out.nack(id, Micros(0)),
                 false => out.abort(id),
@@ -459,7 +474,7 @@
     fn lookup(
         &mut self,
         now: Micros,
-        id: LookupId,
+        id: QueryId,
         index: IndexNo,
         _: CustomerNo,
         expected: usize,
@@ -484,8 +499,8 @@
     fn part(
         &mut self,
         now: Micros,
-        id: PartId,
-        lookup: LookupId,
+        id: ShardRequestId,
+        lookup: QueryId,
         shard: ShardNo,
         weight: f64,
         _: Option<Micros>,
@@ -516,11 +531,11 @@
     fn returned(
         &mut self,
         now: Micros,
-        part: PartId,
-        call: CallNo,
+        part: ShardRequestId,
+        call: AttemptNo,
         node: NodeId,
         _: Micros,
-        ending: Ending,
+        ending: AttemptOutcome,
         report: &[f64],
         out: &mut dyn Actions,
     ) {
@@ -534,7 +549,7 @@
             return;
         };
         let part = &mut of.parts[at];
-        part.in_hand |= ending == Ending::Satisfied;
+        part.in_hand |= ending == AttemptOutcome::Satisfied;
         if let Some(call) = part
             .calls
             .get_mut(usize::from(call.0))
@@ -554,15 +569,15 @@
         }
     }
 
-    fn lapsed(&mut self, _: Micros, id: LookupId, out: &mut dyn Actions) {
+    fn lapsed(&mut self, _: Micros, id: QueryId, out: &mut dyn Actions) {
         self.close(id, out);
     }
 
-    fn roster(&mut self, _: Micros, list: &[Listing], full: bool, out: &mut dyn Actions) {
+    fn roster(&mut self, _: Micros, list: &[Endpoint], full: bool, out: &mut dyn Actions) {
         if full {
             self.nodes
                 .values_mut()
-                .for_each(|node| node.listing.phase = Phase::Gone);
+                .for_each(|node| node.listing.phase = EndpointState::Gone);
         }
         for listing in list {
             self.nodes.entry(listing.node).or_default().listing = *listing;
@@ -588,7 +603,7 @@
             self.ask_at = None;
             out.watch_roster();
         }
-        let due: Vec<LookupId> = self.lookups.keys().copied().collect();
+        let due: Vec<QueryId> = self.lookups.keys().copied().collect();
         for id in due {
             self.settle(now, id, out);
         }
--- a/simulation/src/report.rs
+++ b/simulation/src/report.rs
@@ -19,7 +19,7 @@
     #[error("the table could not be written: {0}")]
     Table(#[from] csv::Error),
     #[error("{0}")]
-    Kept(#[from] ternpick_store::Fault),
+    Kept(#[from] ternpick_store::StoreError),
 }
 
 const SIZE: (u32, u32) = (940, 380);
@@ -548,7 +548,7 @@
             .map(|(name, svg)| (name, svg.into_bytes())),
     );
     for (name, bytes) in &files {
-        ternpick_store::replace(&out.join(name), bytes)?;
+        ternpick_store::replace_file(&out.join(name), bytes)?;
     }
     Ok(files.into_iter().map(|(name, _)| name).collect())
 }
--- a/simulation/src/sim/asks.rs
+++ b/simulation/src/sim/asks.rs
@@ -39,7 +39,7 @@
     /// When this try was sent, and how long its client waits.
     pub asked: u64,
     pub left: u64,
-    pub lookup: Option<ternpick::types::LookupId>,
+    pub lookup: Option<ternpick::types::QueryId>,
     client: Option<u32>,
 }
 
@@ -241,7 +241,7 @@
         self.schedule(end, Event::ClientLeaves(id, step));
     }
 
-    pub(super) fn set_lookup(&mut self, id: AskId, lookup: ternpick::types::LookupId) {
+    pub(super) fn set_lookup(&mut self, id: AskId, lookup: ternpick::types::QueryId) {
         if let Some(ask) = self.asks.open.get_mut(&id) {
             ask.lookup = Some(lookup);
         }
--- a/simulation/src/sim/fleet.rs
+++ b/simulation/src/sim/fleet.rs
@@ -1,7 +1,9 @@
 //! Nodes and troubles: who is hit, what happens to him, and how he comes back.
 
 use rand::Rng;
-use ternpick::types::{CellNo, Ending, Listing, Micros, NodeId, Phase, ZoneNo};
+use ternpick::types::{
+    AttemptOutcome, Endpoint, EndpointState, Micros, NodeId, ShardGroupNo, ZoneNo,
+};
 
 use super::{exponential, Event, Sim, SECOND, ZERO};
 use crate::node::{CallId, Effect, Node};
@@ -14,11 +16,11 @@
 /// Discovery that flaps is away and back by turns of this length.
 const FLAPS: u64 = 2 * SECOND;
 
-pub fn listing(at: u32, node: &Node, phase: Phase) -> Listing {
-    Listing {
+pub fn listing(at: u32, node: &Node, phase: EndpointState) -> Endpoint {
+    Endpoint {
         node: NodeId(u64::from(at)),
         zone: ZoneNo(node.zone),
-        cell: CellNo(node.cell),
+        cell: ShardGroupNo(node.cell),
         phase,
         started: Micros(node.started),
     }
@@ -30,9 +32,13 @@
             let epoch = self.nodes[node as usize].epoch;
             match effect {
                 Effect::Begins(call, ends) => self.schedule(ends, Event::Ends(node, epoch, call)),
-                Effect::Answers(call, true) => self.node_answers(node, call, Ending::Satisfied),
-                Effect::Answers(call, false) => self.node_answers(node, call, Ending::MayHaveRun),
-                Effect::Refuses(call) => self.node_answers(node, call, Ending::NeverRan),
+                Effect::Answers(call, true) => {
+                    self.node_answers(node, call, AttemptOutcome::Satisfied)
+                }
+                Effect::Answers(call, false) => {
+                    self.node_answers(node, call, AttemptOutcome::MayHaveRun)
+                }
+                Effect::Refuses(call) => self.node_answers(node, call, AttemptOutcome::NeverRan),
                 // The first one answers.
                 Effect::Repeats(_) => {}
                 Effect::Falls(call) => {
@@ -64,7 +70,7 @@
     }
 
     /// Discovery learns of a node after its lag, and what is behind it in turn.
-    fn tell_discovery(&mut self, node: u32, phase: Phase, after: u64) {
+    fn tell_discovery(&mut self, node: u32, phase: EndpointState, after: u64) {
         let of = listing(node, &self.nodes[node as usize], phase);
         self.changes.push(of);
         let lag = (self.world.discovery.lag as f64 * self.stale) as u64;
@@ -84,7 +90,7 @@
         }
         self.connections_break(node, !vanishes);
         let after = if vanishes { MISSED_AFTER } else { 0 };
-        self.tell_discovery(node, Phase::Gone, after);
+        self.tell_discovery(node, EndpointState::Gone, after);
         if back_in > 0 {
             self.schedule(self.now + back_in, Event::Starts(node));
         }
@@ -96,7 +102,7 @@
         }
         self.vanished.remove(&node);
         self.nodes[node as usize].starts(self.now);
-        self.tell_discovery(node, Phase::Ready, 0);
+        self.tell_discovery(node, EndpointState::Ready, 0);
     }
 
     pub(super) fn pauses(&mut self, node: u32) {
@@ -243,7 +249,7 @@
 
     fn drains(&mut self, node: u32, number: usize) {
         self.nodes[node as usize].draining = true;
-        self.tell_discovery(node, Phase::Draining, 0);
+        self.tell_discovery(node, EndpointState::Draining, 0);
         // Its planned end.
         let at = self.now + DRAINS_FOR + self.world.discovery.lag;
         self.schedule(at, Event::Releases(number, usize::MAX - node as usize));
--- a/simulation/src/sim/front.rs
+++ b/simulation/src/sim/front.rs
@@ -5,11 +5,11 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use ternpick::brain::Brain;
-use ternpick::interface::Actions;
+use ternpick::actions::Actions;
+use ternpick::routing::RoutingEngine;
 use ternpick::types::{
-    CallNo, CustomerNo, Ending, IndexNo, Listing, LookupId, Micros, NodeId, PartId, Phase, ShardNo,
-    TimerId, ZoneNo,
+    AttemptNo, AttemptOutcome, CustomerNo, Endpoint, EndpointState, IndexNo, Micros, NodeId,
+    QueryId, ShardNo, ShardRequestId, TimerId, ZoneNo,
 };
 
 use super::asks::AskId;
@@ -38,11 +38,11 @@
 /// What a policy wants done, in order.
 #[derive(Clone, Debug)]
 enum Act {
-    Call(PartId, NodeId, Micros),
-    Answer(LookupId, bool),
-    Nack(LookupId, Micros),
-    Abort(LookupId),
-    Cancel(PartId, CallNo),
+    Call(ShardRequestId, NodeId, Micros),
+    Answer(QueryId, bool),
+    Nack(QueryId, Micros),
+    Abort(QueryId),
+    Cancel(ShardRequestId, AttemptNo),
     CloseIdle(NodeId),
     Probe(NodeId),
     Watch,
@@ -53,19 +53,19 @@
 struct Acts(Vec<Act>);
 
 impl Actions for Acts {
-    fn part_call(&mut self, part: PartId, node: NodeId, limit: Micros) {
+    fn part_call(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
         self.0.push(Act::Call(part, node, limit));
     }
-    fn answer(&mut self, lookup: LookupId, whole: bool) {
+    fn answer(&mut self, lookup: QueryId, whole: bool) {
         self.0.push(Act::Answer(lookup, whole));
     }
-    fn nack(&mut self, lookup: LookupId, come_back: Micros) {
+    fn nack(&mut self, lookup: QueryId, come_back: Micros) {
         self.0.push(Act::Nack(lookup, come_back));
     }
-    fn abort(&mut self, lookup: LookupId) {
+    fn abort(&mut self, lookup: QueryId) {
         self.0.push(Act::Abort(lookup));
     }
-    fn cancel(&mut self, part: PartId, call: CallNo) {
+    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo) {
         self.0.push(Act::Cancel(part, call));
     }
     fn close_idle(&mut self, node: NodeId) {
@@ -84,7 +84,7 @@
 }
 
 struct HeldPart {
-    id: PartId,
+    id: ShardRequestId,
     weight: f64,
     in_hand: bool,
     job: Job,
@@ -104,8 +104,8 @@
     /// Microseconds that its clock is ahead.
     pub skew: u64,
     policy: Box<dyn Policy>,
-    lookups: BTreeMap<LookupId, Held>,
-    parts: BTreeMap<PartId, (LookupId, usize)>,
+    lookups: BTreeMap<QueryId, Held>,
+    parts: BTreeMap<ShardRequestId, (QueryId, usize)>,
     /// By node: the start it leads to, and when it was used last.
     connections: BTreeMap<u32, (u32, u64)>,
     pub known: usize,
@@ -126,7 +126,7 @@
     let own =
         seed ^ (u64::from(router) << 32 | u64::from(epoch)).wrapping_mul(0xd134_2543_de82_ef95);
     let choice = match who {
-        Who::Design => return Box::new(Brain::new(tariff, own)),
+        Who::Design => return Box::new(RoutingEngine::new(tariff, own)),
         Who::Random => Choice::Random,
         Who::RoundRobin => Choice::RoundRobin,
         Who::LeastOutstanding => Choice::LeastOutstanding,
@@ -222,7 +222,7 @@
             self.act(router, act, &mut returns);
         }
         for call in returns {
-            self.tell(router, call, Ending::Cancelled, &[]);
+            self.tell(router, call, AttemptOutcome::Cancelled, &[]);
         }
     }
 
@@ -321,7 +321,7 @@
     }
 
     /// The one place where a lookup ends for its router.
-    fn close(&mut self, router: u32, lookup: LookupId, how: Final, word: Word) {
+    fn close(&mut self, router: u32, lookup: QueryId, how: Final, word: Word) {
         self.checker.ended(self.now, router, lookup.0, how);
         let front = &mut self.fronts[router as usize];
         let Some(held) = front.lookups.remove(&lookup) else {
@@ -355,7 +355,7 @@
         }
         let index = &self.world.indexes[usize::from(ask.index)];
         let front = &mut self.fronts[router as usize];
-        let lookup = LookupId(front.number());
+        let lookup = QueryId(front.number());
         let mark = |at: usize| {
             (index.repeat == Repeated::Fingerprinted)
                 .then_some((id.0 << 16 | at as u64, index.window))
@@ -363,7 +363,7 @@
         let end = ask.end();
         let mut parts = Vec::with_capacity(ask.parts.len());
         for (at, part) in ask.parts.iter().enumerate() {
-            let part_id = PartId(front.number());
+            let part_id = ShardRequestId(front.number());
             let job = Job {
                 call: CallId(0),
                 index: ask.index,
@@ -382,7 +382,7 @@
                 calls: 0,
             });
         }
-        let told: Vec<(PartId, u32, f64, u64)> = parts
+        let told: Vec<(ShardRequestId, u32, f64, u64)> = parts
             .iter()
             .zip(&ask.parts)
             .map(|(held, part)| (held.id, part.shard, part.weight, part.hint))
@@ -418,7 +418,7 @@
         });
     }
 
-    pub(super) fn client_left(&mut self, router: u32, lookup: LookupId) {
+    pub(super) fn client_left(&mut self, router: u32, lookup: QueryId) {
         let front = &mut self.fronts[router as usize];
         let Some(held) = front.lookups.remove(&lookup) else {
             return;
@@ -430,7 +430,7 @@
         self.sees(router, |policy, now, out| policy.lapsed(now, lookup, out));
     }
 
-    fn part_call(&mut self, router: u32, part: PartId, node: u32, limit: u64) {
+    fn part_call(&mut self, router: u32, part: ShardRequestId, node: u32, limit: u64) {
         let now = self.now;
         let front = &mut self.fronts[router as usize];
         let Some((lookup, at)) = front.parts.get(&part).copied() else {
@@ -445,7 +445,7 @@
         };
         self.next_call += 1;
         let id = CallId(self.next_call);
-        let (number, mut job) = (CallNo(held.calls), held.job);
+        let (number, mut job) = (AttemptNo(held.calls), held.job);
         held.calls += 1;
         (job.call, job.due) = (id, now + limit);
         let Node { up, epoch, .. } = self.nodes[node as usize];
@@ -504,7 +504,7 @@
             (Some(delay), _) => self.schedule(now + delay, Event::Delivers(id)),
             (None, Some(after)) => self.schedule(
                 now + after,
-                Event::Returns(id, Ending::NeverRan, Vec::new()),
+                Event::Returns(id, AttemptOutcome::NeverRan, Vec::new()),
             ),
             (None, None) => {}
         }
@@ -522,7 +522,7 @@
             if let (true, Some(delay)) = (resets, self.between(router, node, Way::Back)) {
                 self.schedule(
                     self.now + delay,
-                    Event::Returns(id, Ending::Broken, Vec::new()),
+                    Event::Returns(id, AttemptOutcome::Broken, Vec::new()),
                 );
             }
             return;
@@ -533,7 +533,7 @@
     }
 
     /// An answer of a node goes out.
-    pub(super) fn node_answers(&mut self, node: u32, id: CallId, ending: Ending) {
+    pub(super) fn node_answers(&mut self, node: u32, id: CallId, ending: AttemptOutcome) {
         let loses = self.nodes[node as usize].loses;
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -567,7 +567,7 @@
         self.world.nodes.columns.iter().map(column).collect()
     }
 
-    pub(super) fn returns(&mut self, id: CallId, ending: Ending, report: &[f64]) {
+    pub(super) fn returns(&mut self, id: CallId, ending: AttemptOutcome, report: &[f64]) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -579,13 +579,13 @@
     }
 
     /// The one place where a call ends for its router.
-    fn tell(&mut self, router: u32, id: CallId, ending: Ending, report: &[f64]) {
+    fn tell(&mut self, router: u32, id: CallId, ending: AttemptOutcome, report: &[f64]) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
         self.out.remove(&(router, call.part.0, call.number.0));
-        let may = !matches!(ending, Ending::NeverRan | Ending::Unsent);
-        let satisfied = ending == Ending::Satisfied;
+        let may = !matches!(ending, AttemptOutcome::NeverRan | AttemptOutcome::Unsent);
+        let satisfied = ending == AttemptOutcome::Satisfied;
         self.checker.returned(
             router,
             call.lookup.0,
@@ -623,7 +623,7 @@
         };
         let router = call.router;
         self.cancel_at_node(id);
-        self.tell(router, id, Ending::MayHaveRun, &[]);
+        self.tell(router, id, AttemptOutcome::MayHaveRun, &[]);
     }
 
     fn cancel_at_node(&mut self, id: CallId) {
@@ -657,7 +657,7 @@
             if let Some(delay) = self.between(router, node, Way::Back) {
                 self.schedule(
                     self.now + delay,
-                    Event::Returns(id, Ending::Broken, Vec::new()),
+                    Event::Returns(id, AttemptOutcome::Broken, Vec::new()),
                 );
             }
         }
@@ -699,7 +699,7 @@
         let front = &mut self.fronts[router as usize];
         (front.up, front.known) = (true, 0);
         let age = self.world.discovery.known_age;
-        let list: Vec<Listing> = match age {
+        let list: Vec<Endpoint> = match age {
             0 if self.visible > 0 => self.list_at(self.visible),
             _ => self.first_list.clone(),
         };
@@ -709,21 +709,25 @@
     }
 
     /// The whole list as discovery knew it after so many changes.
-    fn list_at(&self, version: usize) -> Vec<Listing> {
-        let mut list: BTreeMap<NodeId, Listing> =
+    fn list_at(&self, version: usize) -> Vec<Endpoint> {
+        let mut list: BTreeMap<NodeId, Endpoint> =
             self.first_list.iter().map(|of| (of.node, *of)).collect();
         for change in &self.changes[..version] {
             list.insert(change.node, *change);
         }
         list.into_values()
-            .filter(|of| of.phase != Phase::Gone)
+            .filter(|of| of.phase != EndpointState::Gone)
             .collect()
     }
 
-    fn tell_list(&mut self, now: u64, router: u32, list: &[Listing], full: bool) {
+    fn tell_list(&mut self, now: u64, router: u32, list: &[Endpoint], full: bool) {
         for of in list {
-            self.checker
-                .told(now, router, of.node.0 as u32, of.phase == Phase::Ready);
+            self.checker.told(
+                now,
+                router,
+                of.node.0 as u32,
+                of.phase == EndpointState::Ready,
+            );
         }
         self.sees(router, |policy, now, out| {
             policy.roster(now, list, full, out)
--- a/simulation/src/sim/mod.rs
+++ b/simulation/src/sim/mod.rs
@@ -14,7 +14,9 @@
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
 use seahash::SeaHasher;
-use ternpick::types::{CallNo, Ending, Listing, LookupId, PartId, Phase, TimerId};
+use ternpick::types::{
+    AttemptNo, AttemptOutcome, Endpoint, EndpointState, QueryId, ShardRequestId, TimerId,
+};
 
 use crate::check::Checker;
 use crate::measure::Measure;
@@ -44,7 +46,7 @@
     ClientHears(AskId, u32, front::Word),
     Delivers(CallId),
     Ends(u32, u32, CallId),
-    Returns(CallId, Ending, Vec<f64>),
+    Returns(CallId, AttemptOutcome, Vec<f64>),
     CallDue(CallId),
     Cancels(u32, u32, CallId),
     Timer(u32, u32, TimerId),
@@ -98,10 +100,10 @@
 /// A part call that is out, as the network and its router know it.
 struct Call {
     router: u32,
-    lookup: LookupId,
-    part: PartId,
+    lookup: QueryId,
+    part: ShardRequestId,
     at: usize,
-    number: CallNo,
+    number: AttemptNo,
     node: u32,
     sent: u64,
     job: crate::node::Job,
@@ -127,11 +129,11 @@
     seed: u64,
     last_visible: u64,
     /// What discovery knows, in order, and how much of it it tells by now.
-    changes: Vec<Listing>,
+    changes: Vec<Endpoint>,
     visible: usize,
     discovery_down: bool,
     stale: f64,
-    first_list: Vec<Listing>,
+    first_list: Vec<Endpoint>,
     blocked: BTreeMap<(u16, u16), u32>,
     /// Shares of lookups that are deadly, by trouble.
     deadly: BTreeMap<usize, (u8, f64)>,
@@ -183,7 +185,7 @@
             .collect();
         let first_list = (0..)
             .zip(&nodes)
-            .map(|(at, node)| fleet::listing(at, node, Phase::Ready))
+            .map(|(at, node)| fleet::listing(at, node, EndpointState::Ready))
             .collect();
         let sight = Sight::new(vec![None; nodes.len()].into());
         let mut sim = Sim {
--- a/simulation/src/sim/planted.rs
+++ b/simulation/src/sim/planted.rs
@@ -1,7 +1,7 @@
 //! Faults planted into a plain router, one for each rule, to see that the checker finds each by itself.
 
 use rand_pcg::Pcg64Mcg;
-use ternpick::interface::Actions;
+use ternpick::actions::Actions;
 use ternpick::types::*;
 use test_case::test_case;
 
@@ -39,7 +39,7 @@
 }
 
 impl Actions for Bent<'_> {
-    fn part_call(&mut self, part: PartId, node: NodeId, limit: Micros) {
+    fn part_call(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
         let times = match self.fault {
             Fault::SendsTwice => 2,
             Fault::Floods => 5,
@@ -47,7 +47,7 @@
         };
         (0..times).for_each(|_| self.out.part_call(part, node, limit));
     }
-    fn answer(&mut self, lookup: LookupId, whole: bool) {
+    fn answer(&mut self, lookup: QueryId, whole: bool) {
         if self.fault == Fault::Forgets && lookup.0.is_multiple_of(10) {
             return;
         }
@@ -57,13 +57,13 @@
             self.out.answer(lookup, whole);
         }
     }
-    fn nack(&mut self, lookup: LookupId, come_back: Micros) {
+    fn nack(&mut self, lookup: QueryId, come_back: Micros) {
         self.out.nack(lookup, come_back);
     }
-    fn abort(&mut self, lookup: LookupId) {
+    fn abort(&mut self, lookup: QueryId) {
         self.out.abort(lookup);
     }
-    fn cancel(&mut self, part: PartId, call: CallNo) {
+    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo) {
         self.out.cancel(part, call);
     }
     fn close_idle(&mut self, node: NodeId) {
@@ -99,7 +99,7 @@
     fn lookup(
         &mut self,
         now: Micros,
-        id: LookupId,
+        id: QueryId,
         index: IndexNo,
         customer: CustomerNo,
         expected: usize,
@@ -117,8 +117,8 @@
     fn part(
         &mut self,
         now: Micros,
-        id: PartId,
-        lookup: LookupId,
+        id: ShardRequestId,
+        lookup: QueryId,
         shard: ShardNo,
         weight: f64,
         hint: Option<Micros>,
@@ -131,11 +131,11 @@
     fn returned(
         &mut self,
         now: Micros,
-        part: PartId,
-        call: CallNo,
+        part: ShardRequestId,
+        call: AttemptNo,
         node: NodeId,
         lag: Micros,
-        ending: Ending,
+        ending: AttemptOutcome,
         report: &[f64],
         out: &mut dyn Actions,
     ) {
@@ -146,14 +146,14 @@
     fn probed(&mut self, now: Micros, node: NodeId, report: &[f64], out: &mut dyn Actions) {
         self.bent(out, |of, out| of.probed(now, node, report, out));
     }
-    fn lapsed(&mut self, now: Micros, id: LookupId, out: &mut dyn Actions) {
+    fn lapsed(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
         self.bent(out, |of, out| of.lapsed(now, id, out));
     }
-    fn roster(&mut self, now: Micros, list: &[Listing], full: bool, out: &mut dyn Actions) {
+    fn roster(&mut self, now: Micros, list: &[Endpoint], full: bool, out: &mut dyn Actions) {
         let deaf = self.fault == Fault::DeafToDrains;
-        let kept: Vec<Listing> = list
+        let kept: Vec<Endpoint> = list
             .iter()
-            .filter(|of| !deaf || of.phase != Phase::Draining)
+            .filter(|of| !deaf || of.phase != EndpointState::Draining)
             .copied()
             .collect();
         self.bent(out, |of, out| of.roster(now, &kept, full, out));
--- a/simulation/tests/virtual_fleet.rs
+++ b/simulation/tests/virtual_fleet.rs
@@ -1,8 +1,8 @@
 //! Fleets in virtual time: the rule holds while clocks keep to the drift that the terms state, and a breach is seen where
 //! they do not.
 
+use ternpick_fleet_policy::{LeaseConfig, Version};
 use ternpick_simulation::fleet::virt::{size, Fleet, World};
-use ternpick_fleet_policy::{Terms, Version};
 use test_case::test_case;
 
 const MS: u64 = 1000;
@@ -10,11 +10,11 @@
 
 /// Days of changes while routers fall silent and speak again, by clocks that drift.
 fn day(drift_ppm: u64, seed: u64) -> Option<String> {
-    let terms = Terms {
+    let terms = LeaseConfig {
         lease: S,
         renew: 250 * MS,
         drift_ppm: 20_000,
-        ..Terms::default()
+        ..LeaseConfig::default()
     };
     let mut fleet = Fleet::new(
         World {
@@ -194,10 +194,10 @@
 /// Seen once on a busy machine: all were late for the round, all were without a lease for it, and nobody could begin anew.
 #[test]
 fn a_fleet_slower_than_its_patience_changes_all_the_same() {
-    let terms = Terms {
+    let terms = LeaseConfig {
         lease: 8 * S,
         renew: S,
-        ..Terms::default()
+        ..LeaseConfig::default()
     };
     let mut fleet = Fleet::new(
         World {
@@ -224,7 +224,7 @@
 #[test_case(15, 900)]
 #[test_case(16, 1500)]
 fn with_the_leader_among_two_that_fall_silent_a_change_waits_one_lease(seed: u64, after: u64) {
-    let terms = Terms::default();
+    let terms = LeaseConfig::default();
     let mut fleet = Fleet::new(
         World {
             drift_ppm: terms.drift_ppm,
--- a/src/interface.rs
+++ b/src/actions.rs
@@ -1,19 +1,19 @@
 //! The one way in which the decision module acts on the world. Every front (sockets, the bench's wire)
 //! implements [`Actions`]; nothing here decides.
 
-use crate::types::{CallNo, LookupId, Micros, NodeId, PartId, Reason, TimerId};
+use crate::types::{AttemptNo, DecisionReason, Micros, NodeId, QueryId, ShardRequestId, TimerId};
 
 pub trait Actions {
     /// Sends a part to a node; the node need not begin it once `limit` has passed.
-    fn part_call(&mut self, part: PartId, node: NodeId, limit: Micros);
+    fn part_call(&mut self, part: ShardRequestId, node: NodeId, limit: Micros);
     /// Answers a lookup from the parts that are in.
-    fn answer(&mut self, lookup: LookupId, whole: bool);
+    fn answer(&mut self, lookup: QueryId, whole: bool);
     /// Turns a lookup away: asking again is harmless, best after `come_back` (zero: no advice).
-    fn nack(&mut self, lookup: LookupId, come_back: Micros);
+    fn nack(&mut self, lookup: QueryId, come_back: Micros);
     /// Gives a lookup up, with no promise about its effect.
-    fn abort(&mut self, lookup: LookupId);
+    fn abort(&mut self, lookup: QueryId);
     /// Stops waiting for a part call.
-    fn cancel(&mut self, part: PartId, call: CallNo);
+    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo);
     /// Closes the connections to a node that carry nothing.
     fn close_idle(&mut self, node: NodeId);
     /// Asks a node for its load report.
@@ -23,7 +23,7 @@
     /// Asks to be woken after `delay`.
     fn timer(&mut self, delay: Micros, timer: TimerId);
     /// Says why a lookup's next call or its end comes, for who follows that lookup; nothing rests on it.
-    fn reason(&mut self, _lookup: LookupId, _why: Reason) {}
+    fn reason(&mut self, _lookup: QueryId, _why: DecisionReason) {}
     /// Writes one line for the people on call.
     fn log(&mut self, line: &str);
 }
--- a/src/brain.rs
+++ b/src/routing.rs
@@ -1,5 +1,5 @@
 //! The decisions of a query router, all of them.
-//! Invoked through the methods of [`Brain`], one for each thing a router sees: a lookup and its parts, a part
+//! Invoked through the methods of [`RoutingEngine`], one for each thing a router sees: a lookup and its parts, a part
 //! call's return, a probe's, the roster, a client that left, a timer. Each ends in `settle`, which goes
 //! through `RULES` until none fires. The module acts through [`Actions`], defined in `src/interface.rs`;
 //! `docs/design.md` gives the reasons.
@@ -19,7 +19,7 @@
 
 use nanorand::Rng;
 
-use crate::interface::Actions;
+use crate::actions::Actions;
 use crate::slow_start;
 use crate::types::*;
 
@@ -27,7 +27,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use snapshot::{Beliefs, NodeBelief};
+pub use snapshot::{EngineSnapshot, NodeSnapshot};
 
 /// m over mean o: nodes do a few parts at a time, so one more costs nearly as much as the call.
 const PART_RATIO: f64 = 0.8;
@@ -92,9 +92,9 @@
 const BEAT: Micros = Micros(10_000);
 
 #[derive(Default)]
-pub struct Brain {
-    pub tariff: Tariff,
-    chance: Chance,
+pub struct RoutingEngine {
+    pub tariff: PlatformConfig,
+    chance: RandomSource,
     now: Micros,
     born: Option<Micros>, // Its first list.
     /// When the roster was last told.
@@ -105,13 +105,13 @@
     /// Emptied by the roster: a node that is gone and owes nothing is dropped.
     pub nodes: BTreeMap<NodeId, Node>,
     /// Nodes by cell, made anew by the roster, and those whose doubt may change.
-    cells: BTreeMap<CellNo, Vec<NodeId>>,
+    cells: BTreeMap<ShardGroupNo, Vec<NodeId>>,
     watched: BTreeSet<NodeId>,
     /// The fleet's figures, taken anew before rules run if what they rest on has changed.
-    survey: Survey,
+    survey: FleetStatistics,
     stale: bool,
     /// Lookups in hand; emptied by their final answers.
-    pub lookups: BTreeMap<LookupId, Lookup>,
+    pub lookups: BTreeMap<QueryId, Query>,
     /// Smoothed hint of a part, in microseconds.
     mean_hint: Option<f64>,
     /// What each customer may still send within its share; one entry a customer of the tariff.
@@ -126,7 +126,7 @@
     /// When a node last fell, as its connections or the roster told.
     alarm_at: Option<Micros>,
     /// Deadly lookups, to know repeats by; bounded, emptied at a later give-up once their clients have left.
-    fatal: VecDeque<(Micros, Print)>,
+    fatal: VecDeque<(Micros, QueryFingerprint)>,
     /// The last nack at admission, while such nacks come.
     shed_at: Option<Micros>,
     /// Smoothed share of calls on rested connections that stayed silent, and since when such are not used.
@@ -135,36 +135,39 @@
 }
 
 type Rule = (
-    fn(&Brain) -> Option<Case>,
-    fn(&mut Brain, Case, &mut dyn Actions),
+    fn(&RoutingEngine) -> Option<RuleMatch>,
+    fn(&mut RoutingEngine, RuleMatch, &mut dyn Actions),
 );
 
 /// Gone through in this order, from the top again after each that fires.
 const RULES: [Rule; 11] = [
-    (Brain::roster_is_due, Brain::ask_roster),
-    (Brain::answer_is_due, Brain::answer),
-    (Brain::hopeless, Brain::give_up),
-    (Brain::rested_is_silent, Brain::count_silent),
-    (Brain::rest_is_trusted, Brain::trust_rest),
-    (Brain::unplaced, Brain::place_or_nack),
-    (Brain::needs_another_try, Brain::call_again),
-    (Brain::needs_a_copy, Brain::call_again),
-    (Brain::shedding_is_over, Brain::end_shedding),
-    (Brain::doubt_has_changed, Brain::change_doubt),
-    (Brain::probe_is_due, Brain::probe),
+    (RoutingEngine::roster_is_due, RoutingEngine::ask_roster),
+    (RoutingEngine::answer_is_due, RoutingEngine::answer),
+    (RoutingEngine::hopeless, RoutingEngine::give_up),
+    (RoutingEngine::rested_is_silent, RoutingEngine::count_silent),
+    (RoutingEngine::rest_is_trusted, RoutingEngine::trust_rest),
+    (RoutingEngine::unplaced, RoutingEngine::place_or_nack),
+    (RoutingEngine::needs_another_try, RoutingEngine::call_again),
+    (RoutingEngine::needs_a_copy, RoutingEngine::call_again),
+    (RoutingEngine::shedding_is_over, RoutingEngine::end_shedding),
+    (
+        RoutingEngine::doubt_has_changed,
+        RoutingEngine::change_doubt,
+    ),
+    (RoutingEngine::probe_is_due, RoutingEngine::probe),
 ];
 
-impl Brain {
-    pub fn new(tariff: Tariff, seed: u64) -> Self {
+impl RoutingEngine {
+    pub fn new(tariff: PlatformConfig, seed: u64) -> Self {
         let quota_left = vec![(0.0, Micros(0)); tariff.quotas.len()];
         let ask_at = tariff.roster_on_request.then_some(Micros(0));
-        Brain {
-            chance: Chance::new(seed),
+        RoutingEngine {
+            chance: RandomSource::new(seed),
             stale: true,
             quota_left,
             ask_at,
             tariff,
-            ..Brain::default()
+            ..RoutingEngine::default()
         }
     }
 
@@ -221,8 +224,8 @@
     pub fn lookup(
         &mut self,
         now: Micros,
-        id: LookupId,
-        query: QueryNo,
+        id: QueryId,
+        query: WireQueryNo,
         index: IndexNo,
         customer: CustomerNo,
         expected: usize,
@@ -238,7 +241,7 @@
         let left = self.answers_by.map_or(left, |by| left.min(by.since(now)));
         let (soft, end, row) = (now + row.soft.min(left), now + left, row.clone());
         let partly = row.partly_at.map_or(soft, |at| soft.min(now + at));
-        let of = Lookup {
+        let of = Query {
             id,
             query,
             repeat,
@@ -246,11 +249,11 @@
             row,
             customer,
             expected,
-            ..Lookup::default()
+            ..Query::default()
         };
         self.lookups.insert(
             id,
-            Lookup {
+            Query {
                 soft,
                 partly,
                 end,
@@ -264,8 +267,8 @@
     pub fn part(
         &mut self,
         now: Micros,
-        id: PartId,
-        query: QueryNo,
+        id: ShardRequestId,
+        query: WireQueryNo,
         shard: ShardNo,
         weight: f64,
         hint: Option<Micros>,
@@ -279,12 +282,12 @@
             .or(self.mean_hint);
         // Parts come for the newest, and may still for a lookup that has ended in the same batch.
         if let Some(lookup) = self.lookups.values_mut().rev().find(|lk| lk.query == query) {
-            lookup.parts.push(Part {
+            lookup.parts.push(ShardRequest {
                 id,
                 shard,
                 weight,
                 hint,
-                ..Part::default()
+                ..ShardRequest::default()
             });
         }
         self.settle(out);
@@ -293,11 +296,11 @@
     pub fn returned(
         &mut self,
         now: Micros,
-        part: PartId,
-        call: CallNo,
+        part: ShardRequestId,
+        call: AttemptNo,
         node: NodeId,
         lag: Micros,
-        ending: Ending,
+        ending: AttemptOutcome,
         report: &[f64],
         out: &mut dyn Actions,
     ) {
@@ -308,7 +311,7 @@
             .and_then(|n| Some((n.owed.remove(&(part, call))?, n)));
         if let Some((owed, n)) = owed {
             let rested = n.rested_call.take_if(|of| *of == (part, call)).is_some();
-            if ending == Ending::Satisfied {
+            if ending == AttemptOutcome::Satisfied {
                 let heard = rested.then(|| blend(Some(self.silent), 0.0, STEADY));
                 self.silent = heard.unwrap_or(self.silent);
                 n.pace = Some(blend(
@@ -324,8 +327,8 @@
                 .and_then(|parts| parts.get_mut(owed.at))
                 .filter(|p| p.id == part)
             {
-                p.satisfied |= ending == Ending::Satisfied;
-                if ending == Ending::Unsent {
+                p.satisfied |= ending == AttemptOutcome::Satisfied;
+                if ending == AttemptOutcome::Unsent {
                     p.rests_until = now + UNSENT_PAUSE;
                 }
                 if let Some(call) = p.calls.get_mut(usize::from(call.0)) {
@@ -358,13 +361,13 @@
         self.settle(out);
     }
 
-    pub fn lapsed(&mut self, now: Micros, id: LookupId, out: &mut dyn Actions) {
+    pub fn lapsed(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
         self.now = now;
         self.close(id, out);
         self.settle(out);
     }
 
-    pub fn roster(&mut self, now: Micros, list: &[Listing], full: bool, out: &mut dyn Actions) {
+    pub fn roster(&mut self, now: Micros, list: &[Endpoint], full: bool, out: &mut dyn Actions) {
         self.now = now;
         self.born = self.born.or(Some(now));
         let heard = self.heard.replace(now);
@@ -376,7 +379,7 @@
         if full {
             self.nodes
                 .values_mut()
-                .for_each(|n| n.listing.phase = Phase::Gone);
+                .for_each(|n| n.listing.phase = EndpointState::Gone);
         }
         for listing in list {
             let (lot, known) = (
@@ -390,8 +393,8 @@
             // Gone without a drain, or back before it was missed: it fell. A new process is not known.
             let not_before = slow_start::not_before(heard, now, listing.started, newest);
             let anew = node.started.told(listing.started, now, not_before);
-            let fell = known && node.listing.phase == Phase::Ready;
-            self.alarm_at = (fell && (anew || listing.phase == Phase::Gone))
+            let fell = known && node.listing.phase == EndpointState::Ready;
+            self.alarm_at = (fell && (anew || listing.phase == EndpointState::Gone))
                 .then_some(now)
                 .or(self.alarm_at);
             if anew || !known {
@@ -413,7 +416,7 @@
             node.listing = *listing;
         }
         self.nodes
-            .retain(|_, n| n.listing.phase != Phase::Gone || !n.owed.is_empty());
+            .retain(|_, n| n.listing.phase != EndpointState::Gone || !n.owed.is_empty());
         self.index_nodes();
         if std::mem::take(&mut self.roster_lost) {
             out.log(&format!("roster: back, {} nodes known", self.nodes.len()));
@@ -422,7 +425,7 @@
     }
 
     /// Operators drain nodes, or no longer: of theirs and discovery's word the stricter is listed.
-    pub fn drains(&mut self, now: Micros, list: &[Listing], out: &mut dyn Actions) {
+    pub fn drains(&mut self, now: Micros, list: &[Endpoint], out: &mut dyn Actions) {
         self.now = now;
         for listing in list {
             self.nodes
@@ -453,7 +456,7 @@
 
     /// What of another's beliefs means the same here. Under other indexes, customers, gauges or shards what
     /// was learnt by them starts afresh; how nodes answer, what they were sent, and what was spent go on.
-    fn carried(&self, of: &Beliefs) -> Beliefs {
+    fn carried(&self, of: &EngineSnapshot) -> EngineSnapshot {
         let mut of = of.clone();
         if of.terms.as_ref().is_none_or(|terms| *terms == self.terms()) {
             return of;
@@ -462,19 +465,19 @@
             (node.report, node.best_rate, node.doubted) = (None, 0.0, None);
             node.standings.clear();
         }
-        let Beliefs {
+        let EngineSnapshot {
             nodes,
             taken,
             extras,
             alarm,
             ..
         } = of;
-        Beliefs {
+        EngineSnapshot {
             nodes,
             taken,
             extras,
             alarm,
-            ..Beliefs::default()
+            ..EngineSnapshot::default()
         }
     }
 
@@ -543,47 +546,50 @@
         self.watched.iter().filter_map(|id| self.nodes.get(id))
     }
 
-    fn roster_is_due(&self) -> Option<Case> {
+    fn roster_is_due(&self) -> Option<RuleMatch> {
         self.ask_at
             .filter(|&at| at <= self.now)
-            .map(|_| Case::default())
+            .map(|_| RuleMatch::default())
     }
 
-    fn ask_roster(&mut self, _: Case, out: &mut dyn Actions) {
+    fn ask_roster(&mut self, _: RuleMatch, out: &mut dyn Actions) {
         self.ask_at = None;
         out.watch_roster();
     }
 
-    fn probe_is_due(&self) -> Option<Case> {
-        if self.tariff.reporting != Reporting::OnProbe || !self.tariff.probing {
+    fn probe_is_due(&self) -> Option<RuleMatch> {
+        if self.tariff.reporting != LoadReporting::OnProbe || !self.tariff.probing {
             return None;
         }
         let recent = |at: Micros| self.now.since(at) < PROBE_EVERY;
         let used =
             |n: &Node| !n.owed.is_empty() || n.sends.back().is_some_and(|(at, _)| recent(*at));
         let due = |n: &&Node| used(n) && n.probed.is_none_or(|at| !recent(at));
-        self.watched_nodes().find(due).map(|n| Case {
+        self.watched_nodes().find(due).map(|n| RuleMatch {
             node: n.listing.node,
-            ..Case::default()
+            ..RuleMatch::default()
         })
     }
 
-    fn probe(&mut self, case: Case, out: &mut dyn Actions) {
+    fn probe(&mut self, case: RuleMatch, out: &mut dyn Actions) {
         self.nodes
             .entry(case.node)
             .and_modify(|n| n.probed = Some(self.now));
         out.probe(case.node);
     }
 
-    fn find(&self, wanted: impl Fn(&Lookup) -> bool) -> Option<Case> {
-        self.lookups.values().find(|lk| wanted(lk)).map(|lk| Case {
-            lookup: lk.id,
-            ..Case::default()
-        })
+    fn find(&self, wanted: impl Fn(&Query) -> bool) -> Option<RuleMatch> {
+        self.lookups
+            .values()
+            .find(|lk| wanted(lk))
+            .map(|lk| RuleMatch {
+                lookup: lk.id,
+                ..RuleMatch::default()
+            })
     }
 
     /// The weight that makes the present step whole, and the least that may be answered.
-    fn bars(&self, lookup: &Lookup) -> (f64, f64) {
+    fn bars(&self, lookup: &Query) -> (f64, f64) {
         let row = &lookup.row;
         let least = row.least.min(row.need);
         match lookup.second {
@@ -592,7 +598,7 @@
         }
     }
 
-    fn whole(&self, lookup: &Lookup) -> bool {
+    fn whole(&self, lookup: &Query) -> bool {
         let all_in = lookup.parts.iter().all(|p| p.satisfied);
         let enough = if lookup.second {
             all_in
@@ -604,7 +610,7 @@
 
     /// When a step is answered with what is in: its gain is about to fall. A first step leaves the second
     /// its time.
-    fn cut_at(&self, lookup: &Lookup) -> Micros {
+    fn cut_at(&self, lookup: &Query) -> Micros {
         let second = !lookup.second && lookup.row.second_step > 0;
         let needed = self
             .survey
@@ -615,7 +621,7 @@
     }
 
     /// An answer is due when it is whole; one in part when its gain is about to fall, or no more can come.
-    fn answer_is_due(&self) -> Option<Case> {
+    fn answer_is_due(&self) -> Option<RuleMatch> {
         self.find(|lk| {
             // To the letter, but for sums: weights that are off are no leave to answer from too little.
             let enough =
@@ -625,7 +631,7 @@
         })
     }
 
-    fn answer(&mut self, case: Case, out: &mut dyn Actions) {
+    fn answer(&mut self, case: RuleMatch, out: &mut dyn Actions) {
         let id = case.lookup;
         let whole = self
             .lookups
@@ -634,9 +640,9 @@
         out.reason(
             id,
             if whole {
-                Reason::Whole
+                DecisionReason::Whole
             } else {
-                Reason::Partial
+                DecisionReason::Partial
             },
         );
         out.answer(id, whole);
@@ -655,12 +661,12 @@
     }
 
     /// No call is out, and none may follow.
-    fn spent(&self, lookup: &Lookup, part: &Part) -> bool {
+    fn spent(&self, lookup: &Query, part: &ShardRequest) -> bool {
         !part.satisfied && part.calls_out() == 0 && !self.may_call(lookup, part)
     }
 
     /// Given up as soon as what is in and may still come is too little, and just before the client's end.
-    fn hopeless(&self) -> Option<Case> {
+    fn hopeless(&self) -> Option<RuleMatch> {
         self.find(|lk| {
             let spent = || {
                 lk.parts
@@ -674,7 +680,7 @@
         })
     }
 
-    fn give_up(&mut self, case: Case, out: &mut dyn Actions) {
+    fn give_up(&mut self, case: RuleMatch, out: &mut dyn Actions) {
         let deadly = self.lookups.get(&case.lookup).filter(|lk| self.deadly(lk));
         let (now, fatal) = (self.now, deadly.map(|lk| (lk.end, lk.print())));
         let come_back = fatal.as_ref().map_or(Micros(0), |_| Micros(u64::MAX));
@@ -689,13 +695,17 @@
             .get(&case.lookup)
             .is_some_and(|lk| self.soon(lk.end));
         let why = if over {
-            Reason::Deadline
+            DecisionReason::Deadline
         } else {
-            Reason::Exhausted
+            DecisionReason::Exhausted
         };
         out.reason(
             case.lookup,
-            if come_back.0 > 0 { Reason::Deadly } else { why },
+            if come_back.0 > 0 {
+                DecisionReason::Deadly
+            } else {
+                why
+            },
         );
         self.refuse(case.lookup, come_back, out);
     }
@@ -703,7 +713,7 @@
     /// Some lookups bring down each node that begins a part of them: connections break at one node after the
     /// other and nothing is ever answered; a node's own fall other lookups outlive by other parts. One that
     /// broke its scout's, or a repeat of such, needs no second proof. Hurts one that falling nodes meet.
-    fn deadly(&self, lookup: &Lookup) -> bool {
+    fn deadly(&self, lookup: &Query) -> bool {
         let print = lookup.repeat.then(|| lookup.print());
         let known = || {
             self.fatal
@@ -715,7 +725,7 @@
     }
 
     /// While nodes fall, and for a client's repeat, one node is tried before the others see the lookup.
-    fn wary(&self, lookup: &Lookup) -> bool {
+    fn wary(&self, lookup: &Query) -> bool {
         let alarmed = self
             .alarm_at
             .is_some_and(|at| self.now.since(at) < self.tariff.warm_within);
@@ -723,23 +733,23 @@
     }
 
     /// A scout is out, and less than a quarter of the time is gone.
-    fn scouting(&self, lookup: &Lookup) -> bool {
+    fn scouting(&self, lookup: &Query) -> bool {
         let first = lookup.sent_out().min();
         first.is_some_and(|at| self.now.since(at).times(3.0) < lookup.soft.since(self.now))
             && self.wary(lookup)
     }
 
     /// A nack where a repeat is harmless, else an abort.
-    fn refuse(&mut self, id: LookupId, come_back: Micros, out: &mut dyn Actions) {
+    fn refuse(&mut self, id: QueryId, come_back: Micros, out: &mut dyn Actions) {
         let Some(lookup) = self.lookups.get(&id) else {
             return;
         };
-        let harmless = lookup.row.repeat == Repeat::Idempotent
+        let harmless = lookup.row.repeat == RetrySemantics::Idempotent
             || !lookup.second
                 && lookup
                     .parts
                     .iter()
-                    .all(|p| !p.calls.iter().any(Call::may_have_run));
+                    .all(|p| !p.calls.iter().any(Attempt::may_have_run));
         if harmless {
             out.nack(
                 id,
@@ -753,14 +763,14 @@
         self.close(id, out);
     }
 
-    fn close(&mut self, id: LookupId, out: &mut dyn Actions) {
+    fn close(&mut self, id: QueryId, out: &mut dyn Actions) {
         let Some(lookup) = self.lookups.remove(&id) else {
             return;
         };
         self.drop_parts(&lookup.parts, out);
     }
 
-    fn drop_parts(&mut self, parts: &[Part], out: &mut dyn Actions) {
+    fn drop_parts(&mut self, parts: &[ShardRequest], out: &mut dyn Actions) {
         for part in parts {
             let still_out = part
                 .calls
@@ -768,16 +778,16 @@
                 .enumerate()
                 .filter(|(_, call)| call.ending.is_none());
             for (at, _) in still_out.filter(|_| self.tariff.cancels) {
-                out.cancel(part.id, CallNo(at as u8));
+                out.cancel(part.id, AttemptNo(at as u8));
             }
         }
     }
 
-    fn unplaced(&self) -> Option<Case> {
+    fn unplaced(&self) -> Option<RuleMatch> {
         self.find(|lk| !lk.placed && lk.complete() && !self.scouting(lk))
     }
 
-    fn place_or_nack(&mut self, case: Case, out: &mut dyn Actions) {
+    fn place_or_nack(&mut self, case: RuleMatch, out: &mut dyn Actions) {
         let id = case.lookup;
         let Some(lookup) = self.lookups.get(&id) else {
             return;
@@ -797,7 +807,7 @@
                     "shedding: {placed} parts in {slowest:.0} ms, allowed {left:.0}"
                 ));
             }
-            out.reason(id, Reason::Shed);
+            out.reason(id, DecisionReason::Shed);
             let excess = Micros((plan.slowest - left).max(BEAT.0 as f64) as u64);
             return self.refuse(id, excess, out);
         }
@@ -818,13 +828,13 @@
         }
     }
 
-    fn shedding_is_over(&self) -> Option<Case> {
+    fn shedding_is_over(&self) -> Option<RuleMatch> {
         self.shed_at
             .filter(|at| self.now.since(*at).0 as f64 > self.memory())
-            .map(|_| Case::default())
+            .map(|_| RuleMatch::default())
     }
 
-    fn end_shedding(&mut self, _: Case, out: &mut dyn Actions) {
+    fn end_shedding(&mut self, _: RuleMatch, out: &mut dyn Actions) {
         self.shed_at = None;
         out.log(&format!(
             "shedding: over, {} lookups in hand",
@@ -835,7 +845,7 @@
     /// The share of its time that a lookup may be predicted to take: all of it where the gain is the best
     /// there is, less for others, so that they give way first when nodes are busy. Not by parts: where one
     /// index needs all shards and another needs one, the middle one would have no room on a quiet day.
-    fn time_allowed(&self, lookup: &Lookup, within_share: bool) -> f64 {
+    fn time_allowed(&self, lookup: &Query, within_share: bool) -> f64 {
         let seen = self.tariff.indexes.iter().filter(|row| row.seen);
         let best = seen.map(|row| row.gain).fold(0.0, f64::max);
         let share = if within_share {
@@ -877,14 +887,14 @@
         within
     }
 
-    fn take_survey(&self) -> Survey {
+    fn take_survey(&self) -> FleetStatistics {
         // One walk: at thousands of nodes it is what deciding costs.
-        let reported = self.tariff.gauges.contains(&Gauge::LatencyMs);
+        let reported = self.tariff.gauges.contains(&LoadMetric::LatencyMs);
         let [mut read, mut paces, mut latencies, mut works, mut rates] = [const { Vec::new() }; 5];
         for n in self
             .nodes
             .values()
-            .filter(|n| n.listing.phase == Phase::Ready)
+            .filter(|n| n.listing.phase == EndpointState::Ready)
         {
             read.extend(self.reading(n));
             paces.extend(n.pace);
@@ -908,7 +918,7 @@
             .unwrap_or(self.memory());
         let rate = median(rates).unwrap_or(0.0).max(1e6 / work);
         let (pace, middle) = (median(paces).unwrap_or(0.0), median(latencies));
-        Survey {
+        FleetStatistics {
             mean_o,
             m: mean_o * PART_RATIO,
             middle,
@@ -920,16 +930,16 @@
     /// A node's o as reported, or from its answers where it is not.
     fn reading(&self, node: &Node) -> Option<f64> {
         let t = &self.tariff;
-        let silent =
-            t.reporting == Reporting::Off || t.reporting == Reporting::OnProbe && !t.probing;
+        let silent = t.reporting == LoadReporting::Off
+            || t.reporting == LoadReporting::OnProbe && !t.probing;
         if silent
             || t.gauges
                 .iter()
-                .all(|g| matches!(g, Gauge::Rate | Gauge::Unread))
+                .all(|g| matches!(g, LoadMetric::Rate | LoadMetric::Unread))
         {
             return node.latency;
         }
-        if t.gauges.contains(&Gauge::LatencyMs) {
+        if t.gauges.contains(&LoadMetric::LatencyMs) {
             return node.report.or(node.latency.map(|micros| micros / 1e3));
         }
         // A queue of none is no free ride: a call costs a node work of its own, told in mean parts.
@@ -964,7 +974,12 @@
         node.standing(index).toll * self.fade(node.standing(index).at, lasting)
     }
 
-    fn overdue(&self, node: &Node, (owed, until): (&Owed, Micros), index: IndexNo) -> f64 {
+    fn overdue(
+        &self,
+        node: &Node,
+        (owed, until): (&InFlightAttempt, Micros),
+        index: IndexNo,
+    ) -> f64 {
         until.since(owed.sent.max(node.standing(index).answered)).0 as f64
     }
 
@@ -972,8 +987,9 @@
     /// answers no sooner than what it owes is old.
     fn predicted(&self, node: &Node, index: IndexNo, more: f64) -> f64 {
         let depth = node.owed_z() + more;
-        let owing =
-            |out: (&Owed, Micros)| self.overdue(node, out, index) / (out.0.depth + FREE_DEPTH);
+        let owing = |out: (&InFlightAttempt, Micros)| {
+            self.overdue(node, out, index) / (out.0.depth + FREE_DEPTH)
+        };
         // A node not heard from yet is no better than the middle, and one that warms up is slower.
         let known = node
             .pace
@@ -1005,7 +1021,7 @@
         o + survey.m * node.owed_z()
     }
 
-    fn z(&self, part: &Part) -> f64 {
+    fn z(&self, part: &ShardRequest) -> f64 {
         match (part.hint, self.mean_hint) {
             (Some(hint), Some(mean)) if mean > 0.0 => hint.0 as f64 / mean,
             _ => 1.0,
@@ -1015,7 +1031,7 @@
     /// All nodes that hold a shard, from its cells in a row.
     fn held_by(&self, shard: ShardNo) -> impl Iterator<Item = &Node> {
         let (cells, reach) = (self.tariff.cells, self.tariff.reach.min(self.tariff.cells));
-        let cell = move |j| CellNo((shard.0 % cells + j) % cells);
+        let cell = move |j| ShardGroupNo((shard.0 % cells + j) % cells);
         let ids = (0..reach)
             .filter_map(move |j| self.cells.get(&cell(j)))
             .flatten();
@@ -1023,7 +1039,7 @@
     }
 
     /// The nodes that a part may go to: holders that are ready and have room, untried ones first.
-    fn holders(&self, part: &Part, planned: &BTreeMap<NodeId, f64>) -> Vec<&Node> {
+    fn holders(&self, part: &ShardRequest, planned: &BTreeMap<NodeId, f64>) -> Vec<&Node> {
         let z = self.z(part);
         let fit = |n: &&Node| {
             let more = planned.get(&n.listing.node).copied().unwrap_or(0.0);
@@ -1031,21 +1047,23 @@
                 .calls
                 .iter()
                 .all(|c| c.ending.is_some() || c.node != n.listing.node);
-            n.listing.phase == Phase::Ready && free && self.has_room(n, more + z.max(1.0))
+            n.listing.phase == EndpointState::Ready && free && self.has_room(n, more + z.max(1.0))
         };
         let fit: Vec<&Node> = self.held_by(part.shard).filter(fit).collect();
         let untried = |n: &&Node| part.calls.iter().all(|c| c.node != n.listing.node);
         prefer(fit, untried)
     }
 
-    fn plan(&self, lookup: &Lookup, left: f64) -> Plan {
+    fn plan(&self, lookup: &Query, left: f64) -> Placement {
         let mut planned: BTreeMap<NodeId, f64> = BTreeMap::new();
-        let (mut plan, mut sum) = (Plan::default(), 0.0);
+        let (mut plan, mut sum) = (Placement::default(), 0.0);
         // Visited in order of choice: parts with few holders first, the heavier first among equals.
-        let choice =
-            |(at, part): (usize, &Part)| (self.held_by(part.shard).count(), self.z(part), at);
-        let open =
-            |(_, part): &(usize, &Part)| part.calls_out() == 0 && self.may_call(lookup, part);
+        let choice = |(at, part): (usize, &ShardRequest)| {
+            (self.held_by(part.shard).count(), self.z(part), at)
+        };
+        let open = |(_, part): &(usize, &ShardRequest)| {
+            part.calls_out() == 0 && self.may_call(lookup, part)
+        };
         let mut order: Vec<_> = lookup
             .parts
             .iter()
@@ -1099,7 +1117,7 @@
             .min_by(|a, b| cost(a).total_cmp(&cost(b)).then(away(a).cmp(&away(b))))
     }
 
-    fn call(&mut self, id: LookupId, at: usize, to: NodeId, out: &mut dyn Actions) {
+    fn call(&mut self, id: QueryId, at: usize, to: NodeId, out: &mut dyn Actions) {
         // A plan may hold further calls of many parts: each may use up the budget that the next was planned
         // on.
         let lookup = self
@@ -1108,7 +1126,7 @@
             .filter(|lk| self.may_call(lk, &lk.parts[at]));
         let Some(lookup) = lookup else { return };
         let part = &lookup.parts[at];
-        let (part_id, z, number) = (part.id, self.z(part), CallNo(part.calls.len() as u8));
+        let (part_id, z, number) = (part.id, self.z(part), AttemptNo(part.calls.len() as u8));
         let index = lookup.index;
         let due = if self.soon(lookup.soft) {
             lookup.end
@@ -1128,7 +1146,7 @@
         node.rested_call = rested.then_some((part_id, number)).or(node.rested_call);
         node.owed.insert(
             (part_id, number),
-            Owed {
+            InFlightAttempt {
                 lookup: id,
                 at,
                 index,
@@ -1145,7 +1163,7 @@
             self.extras.push_back(self.now);
         }
         if let Some(lookup) = self.lookups.get_mut(&id) {
-            lookup.parts[at].calls.push(Call {
+            lookup.parts[at].calls.push(Attempt {
                 node: to,
                 sent: self.now,
                 ending: None,
@@ -1155,19 +1173,19 @@
     }
 
     /// Whether the rules let a part have a call, first or further, now.
-    fn may_call(&self, lookup: &Lookup, part: &Part) -> bool {
+    fn may_call(&self, lookup: &Query, part: &ShardRequest) -> bool {
         let calls = &part.calls;
         let (dial, first_run) = (
             self.tariff.dial,
             calls.iter().find(|c| c.may_have_run()).map(|c| c.sent),
         );
         let harmless = match lookup.row.repeat {
-            Repeat::Idempotent => true,
+            RetrySemantics::Idempotent => true,
             // A dial and two beats are kept back: the window is the nodes', the call has yet to reach one.
-            Repeat::Fingerprinted(window) => {
+            RetrySemantics::Fingerprinted(window) => {
                 first_run.is_none_or(|s| !self.soon(s + window.since(dial)))
             }
-            Repeat::OnceOnly => first_run.is_none(),
+            RetrySemantics::OnceOnly => first_run.is_none(),
         };
         let most = lookup
             .row
@@ -1184,7 +1202,7 @@
         !part.satisfied && harmless && tries_left && alone && budget && !self.soon(lookup.end)
     }
 
-    fn within_budget(&self, lookup: &Lookup) -> bool {
+    fn within_budget(&self, lookup: &Query) -> bool {
         let Some(window) = self.tariff.extra_window else {
             return true;
         };
@@ -1206,18 +1224,18 @@
 
     /// Connections that rest may be dropped on the way, and neither end is told: what is sent on one is lost.
     /// Seen as calls that are late, at many nodes, after nothing had gone there for a soft deadline.
-    fn rested_is_silent(&self) -> Option<Case> {
+    fn rested_is_silent(&self) -> Option<RuleMatch> {
         let middle = self.survey.middle?;
         let late = |n: &Node| Micros(n.latency.unwrap_or(middle).max(middle) as u64).times(LATE);
         let sent = |n: &Node| Some(n.owed.get(n.rested_call.as_ref()?)?.sent);
         let lost = |n: &&Node| sent(n).is_some_and(|sent| self.now.since(sent) > late(n));
-        self.watched_nodes().find(lost).map(|n| Case {
+        self.watched_nodes().find(lost).map(|n| RuleMatch {
             node: n.listing.node,
-            ..Case::default()
+            ..RuleMatch::default()
         })
     }
 
-    fn count_silent(&mut self, case: Case, out: &mut dyn Actions) {
+    fn count_silent(&mut self, case: RuleMatch, out: &mut dyn Actions) {
         let Some(node) = self.nodes.get_mut(&case.node) else {
             return;
         };
@@ -1232,18 +1250,18 @@
         }
     }
 
-    fn rest_is_trusted(&self) -> Option<Case> {
+    fn rest_is_trusted(&self) -> Option<RuleMatch> {
         let over = |at: &Micros| self.now.since(*at).0 as f64 > self.memory() * KEPT;
-        self.distrusted.filter(over).map(|_| Case::default())
+        self.distrusted.filter(over).map(|_| RuleMatch::default())
     }
 
-    fn trust_rest(&mut self, _: Case, out: &mut dyn Actions) {
+    fn trust_rest(&mut self, _: RuleMatch, out: &mut dyn Actions) {
         (self.distrusted, self.silent) = (None, SILENT / 2.0);
         out.log("connections: used again after a rest");
     }
 
     /// A part without a call out gets one, elsewhere if it can.
-    fn needs_another_try(&self) -> Option<Case> {
+    fn needs_another_try(&self) -> Option<RuleMatch> {
         self.find_call(|lk, part| {
             let waits = part.calls_out() == 0 && part.rests_until <= self.now;
             waits && (lk.outlived() || lk.sent_out().next().is_none())
@@ -1252,7 +1270,7 @@
 
     /// A late part holds back its lookup: it gets a copy while that may still be in time. Copies are a small
     /// share of what is out: when everything is late, more would only add to it.
-    fn needs_a_copy(&self) -> Option<Case> {
+    fn needs_a_copy(&self) -> Option<RuleMatch> {
         let middle = Micros(self.survey.middle? as u64);
         // One at a time where no budget bounds them: more cost an overloaded fleet a fifth of its gain.
         let share = self.tariff.extra_window.map_or(0.0, |_| COPIES);
@@ -1260,18 +1278,18 @@
             .lookups
             .values()
             .flat_map(|lk| &lk.parts)
-            .map(Part::calls_out);
+            .map(ShardRequest::calls_out);
         let (copies, out) = out.fold((0, 0), |(c, o), n| (c + n.saturating_sub(1), o + n));
         if copies as f64 >= (out as f64 * share).max(1.0) {
             return None;
         }
-        let late = |c: &Call| c.ending.is_none() && self.now.since(c.sent) > middle.times(LATE);
+        let late = |c: &Attempt| c.ending.is_none() && self.now.since(c.sent) > middle.times(LATE);
         self.find_call(|lk, part| {
             part.calls.iter().any(late) && self.now + middle < lk.soft && lk.outlived()
         })
     }
 
-    fn find_call(&self, wanted: impl Fn(&Lookup, &Part) -> bool) -> Option<Case> {
+    fn find_call(&self, wanted: impl Fn(&Query, &ShardRequest) -> bool) -> Option<RuleMatch> {
         self.lookups.values().filter(|lk| lk.placed).find_map(|lk| {
             lk.parts.iter().enumerate().find_map(|(at, part)| {
                 if part.satisfied || !wanted(lk, part) || !self.may_call(lk, part) {
@@ -1279,17 +1297,17 @@
                 }
                 let holders = self.holders(part, &BTreeMap::new());
                 let node = self.cheapest(&holders, |n| self.o(n, lk.index))?;
-                Some(Case {
+                Some(RuleMatch {
                     lookup: lk.id,
                     at,
                     node: node.listing.node,
-                    ..Case::default()
+                    ..RuleMatch::default()
                 })
             })
         })
     }
 
-    fn call_again(&mut self, case: Case, out: &mut dyn Actions) {
+    fn call_again(&mut self, case: RuleMatch, out: &mut dyn Actions) {
         let part = self
             .lookups
             .get(&case.lookup)
@@ -1297,7 +1315,11 @@
         let hedges = part.is_some_and(|part| part.calls_out() > 0);
         out.reason(
             case.lookup,
-            if hedges { Reason::Hedge } else { Reason::Retry },
+            if hedges {
+                DecisionReason::Hedge
+            } else {
+                DecisionReason::Retry
+            },
         );
         self.call(case.lookup, case.at, case.node, out);
     }
@@ -1306,14 +1328,14 @@
         let gauges = &self.tariff.gauges;
         // A figure that is none, or below nothing, says nothing.
         let sane = |figure: &f64| figure.is_finite() && *figure >= 0.0;
-        let at = |wanted: Gauge| gauges.iter().position(|g| *g == wanted);
-        let read = |wanted: Gauge| report.get(at(wanted)?).copied().filter(sane);
+        let at = |wanted: LoadMetric| gauges.iter().position(|g| *g == wanted);
+        let read = |wanted: LoadMetric| report.get(at(wanted)?).copied().filter(sane);
         let (o, rate) = (
-            read(Gauge::LatencyMs).or(read(Gauge::Queue)),
-            read(Gauge::Rate),
+            read(LoadMetric::LatencyMs).or(read(LoadMetric::Queue)),
+            read(LoadMetric::Rate),
         );
         // Work that takes no time is no report at all, and what came before it is not to be believed either.
-        let untrue = read(Gauge::LatencyMs) == Some(0.0);
+        let untrue = read(LoadMetric::LatencyMs) == Some(0.0);
         if let Some(node) = self.nodes.get_mut(&id) {
             node.report = o
                 .map(|o| blend(node.report, o, FRESH))
@@ -1327,28 +1349,30 @@
     /// Refusals, lost connections, errors are one symptom, as bad as an answer as late as the shortest aim.
     /// What shows the process down counts for every index, an error only for its own, and where it may be
     /// repeated for the time it took and another try's: a node that fails briskly does a part of its work.
-    fn learn(&mut self, id: NodeId, index: IndexNo, lag: Micros, ending: Ending) {
+    fn learn(&mut self, id: NodeId, index: IndexNo, lag: Micros, ending: AttemptOutcome) {
         self.alarm_at = Some(self.now)
-            .filter(|_| ending == Ending::Broken)
+            .filter(|_| ending == AttemptOutcome::Broken)
             .or(self.alarm_at);
         let (longest, middle) = (self.memory(), self.survey.middle.unwrap_or(f64::MAX));
-        let once = self.tariff.indexes[index.at()].repeat == Repeat::OnceOnly;
+        let once = self.tariff.indexes[index.at()].repeat == RetrySemantics::OnceOnly;
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
         let (fear, toll) = match ending {
-            Ending::Satisfied => (0.0, 0.0),
-            Ending::Cancelled | Ending::Unsent => return,
-            Ending::MayHaveRun if !once => (1.0, longest.min(lag.0 as f64 + middle)),
+            AttemptOutcome::Satisfied => (0.0, 0.0),
+            AttemptOutcome::Cancelled | AttemptOutcome::Unsent => return,
+            AttemptOutcome::MayHaveRun if !once => (1.0, longest.min(lag.0 as f64 + middle)),
             _ => (1.0, longest),
         };
-        if ending == Ending::Satisfied {
+        if ending == AttemptOutcome::Satisfied {
             (node.latency, node.seen) = (Some(blend(node.latency, lag.0 as f64, FRESH)), self.now);
         }
         node.standings
-            .resize(self.tariff.indexes.len(), Standing::default());
+            .resize(self.tariff.indexes.len(), IndexHealth::default());
         for (at, standing) in node.standings.iter_mut().enumerate() {
-            if at == index.at() || matches!(ending, Ending::NeverRan | Ending::Broken) {
+            if at == index.at()
+                || matches!(ending, AttemptOutcome::NeverRan | AttemptOutcome::Broken)
+            {
                 standing.fear = blend(Some(standing.fear), fear, FRESH);
                 standing.toll = blend(Some(standing.toll), toll, FRESH);
                 standing.at = self.now;
@@ -1369,19 +1393,19 @@
         (belief > (DOUBT * middle).max(self.memory() * BRIEF)).then_some(belief / middle)
     }
 
-    fn doubt_has_changed(&self) -> Option<Case> {
+    fn doubt_has_changed(&self) -> Option<RuleMatch> {
         let indexes = || (0..self.tariff.indexes.len() as u8).map(IndexNo);
         let doubted = |n: &Node| indexes().find(|index| self.doubt(n, *index).is_some());
         let mut now = self.watched_nodes().map(|n| (n, doubted(n)));
         let (n, index) = now.find(|(n, index)| index.is_some() != n.doubted.is_some())?;
-        Some(Case {
+        Some(RuleMatch {
             index: index.or(n.doubted)?,
             node: n.listing.node,
-            ..Case::default()
+            ..RuleMatch::default()
         })
     }
 
-    fn change_doubt(&mut self, case: Case, out: &mut dyn Actions) {
+    fn change_doubt(&mut self, case: RuleMatch, out: &mut dyn Actions) {
         let Some(node) = self.nodes.get(&case.node) else {
             return;
         };
--- a/src/brain/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -3,12 +3,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::brain::Brain;
-use crate::types::{CustomerNo, IndexNo, Micros, Node, NodeId, Owed, ShardNo, Standing};
+use crate::routing::RoutingEngine;
+use crate::types::{
+    CustomerNo, InFlightAttempt, IndexHealth, IndexNo, Micros, Node, NodeId, ShardNo,
+};
 
 /// Beliefs about one node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct NodeBelief {
+pub struct NodeSnapshot {
     /// Its last start by the roster, microseconds of Unix time. Another start: nothing else here holds.
     pub started: u64,
     /// Smoothed report (milliseconds or parts). Without it: the mean.
@@ -33,8 +35,8 @@
 
 /// All that is believed, nodes by whatever number the writer gave them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Beliefs {
-    pub nodes: Vec<(u64, NodeBelief)>,
+pub struct EngineSnapshot {
+    pub nodes: Vec<(u64, NodeSnapshot)>,
     /// Smoothed hint of a part, microseconds.
     pub mean_hint: Option<f64>,
     /// By customer: lookups left within its share, and the age of that count. Without it: a share anew.
@@ -54,10 +56,10 @@
 }
 
 impl Node {
-    fn belief(&self, now: Micros) -> NodeBelief {
+    fn belief(&self, now: Micros) -> NodeSnapshot {
         let age = |at: Micros| now.since(at).0;
-        let standing = |of: &Standing| (of.fear, of.toll, age(of.at), age(of.answered));
-        NodeBelief {
+        let standing = |of: &IndexHealth| (of.fear, of.toll, age(of.at), age(of.answered));
+        NodeSnapshot {
             started: self.listing.started.0,
             report: self.report,
             best_rate: self.best_rate,
@@ -75,11 +77,11 @@
     }
 
     /// Takes on what was believed of the same start of the same node.
-    fn believe(&mut self, now: Micros, of: &NodeBelief) {
+    fn believe(&mut self, now: Micros, of: &NodeSnapshot) {
         let at = |age: u64| now.since(Micros(age));
         let sound =
             |figure: Option<f64>| figure.filter(|figure| figure.is_finite() && *figure >= 0.0);
-        let standing = |(fear, toll, changed, answered): &(f64, f64, u64, u64)| Standing {
+        let standing = |(fear, toll, changed, answered): &(f64, f64, u64, u64)| IndexHealth {
             fear: sound(Some(*fear)).unwrap_or(0.0).min(1.0),
             toll: sound(Some(*toll)).unwrap_or(0.0),
             at: at(*changed),
@@ -97,19 +99,19 @@
             .out
             .iter()
             .filter(|(_, _, z, depth)| (0.0..1e9).contains(z) && *depth >= 0.0);
-        let out = out.map(|(index, age, z, depth)| Owed {
+        let out = out.map(|(index, age, z, depth)| InFlightAttempt {
             index: IndexNo(*index),
             sent: at(*age),
             z: *z,
             depth: *depth,
-            ..Owed::default()
+            ..InFlightAttempt::default()
         });
         self.abroad = (now, out.collect());
     }
 }
 
-impl Brain {
-    pub fn beliefs(&self, now: Micros) -> Beliefs {
+impl RoutingEngine {
+    pub fn beliefs(&self, now: Micros) -> EngineSnapshot {
         let age = |at: &Micros| now.since(*at).0;
         let ages = |times: &std::collections::VecDeque<Micros>| times.iter().map(age).collect();
         let print =
@@ -121,7 +123,7 @@
                     shards.iter().map(|shard| shard.0).collect(),
                 )
             };
-        Beliefs {
+        EngineSnapshot {
             nodes: self
                 .nodes
                 .iter()
@@ -144,7 +146,7 @@
 
     /// Takes on another's beliefs about the nodes that the roster has told of, by this module's numbers. What is said of
     /// others, or of another start of a node, is passed over; tells how many nodes were taken.
-    pub fn believe(&mut self, now: Micros, of: &Beliefs) -> usize {
+    pub fn believe(&mut self, now: Micros, of: &EngineSnapshot) -> usize {
         self.now = now;
         // What was sent to nodes that warm up is known from here on, as if this process had been there.
         self.born = Some(Micros(0));
@@ -188,23 +190,23 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::types::{CallNo, Listing, PartId, Tariff};
+    use crate::types::{AttemptNo, Endpoint, PlatformConfig, ShardRequestId};
     use test_case::test_case;
 
-    fn brain(now: Micros) -> Brain {
-        let mut brain = Brain::new(
-            Tariff {
+    fn brain(now: Micros) -> RoutingEngine {
+        let mut brain = RoutingEngine::new(
+            PlatformConfig {
                 quotas: vec![5.0],
-                ..Tariff::default()
+                ..PlatformConfig::default()
             },
             1,
         );
         brain.now = now;
         for id in 1..4u64 {
-            let listing = Listing {
+            let listing = Endpoint {
                 node: NodeId(id),
                 started: Micros(id),
-                ..Listing::default()
+                ..Endpoint::default()
             };
             brain.nodes.insert(
                 NodeId(id),
@@ -224,19 +226,19 @@
         let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
         (node.latency, node.pace, node.seen) = (Some(4000.0), Some(1000.0), Micros(here.0 - 7_000));
         node.sends.push_back((Micros(here.0 - 50_000), 2.0));
-        node.standings = vec![Standing {
+        node.standings = vec![IndexHealth {
             fear: 0.5,
             toll: 10.0,
             at: Micros(here.0 - 3),
             answered: Micros(here.0 - 9),
         }];
-        let owed = Owed {
+        let owed = InFlightAttempt {
             sent: Micros(here.0 - 80),
             z: 1.5,
             depth: 3.0,
-            ..Owed::default()
+            ..InFlightAttempt::default()
         };
-        node.owed.insert((PartId(1), CallNo(0)), owed);
+        node.owed.insert((ShardRequestId(1), AttemptNo(0)), owed);
         old.tariff.indexes = vec![Default::default()];
         old.extras.push_back(Micros(here.0 - 1000));
         old.fatal.push_back((
@@ -263,22 +265,22 @@
         let out = vec![(0, 300_000, 2.0, 1.0), (0, 1, f64::NAN, 1.0)];
         let nodes = vec![(
             2,
-            NodeBelief {
+            NodeSnapshot {
                 started: 2,
                 out,
-                ..NodeBelief::default()
+                ..NodeSnapshot::default()
             },
         )];
         new.believe(
             now,
-            &Beliefs {
+            &EngineSnapshot {
                 nodes,
-                ..Beliefs::default()
+                ..EngineSnapshot::default()
             },
         );
         new.serve_part(1.0, true);
         new.now = now + Micros(later);
-        let seen = |new: &Brain| {
+        let seen = |new: &RoutingEngine| {
             let node = &new.nodes[&NodeId(2)];
             (node.owed_z(), new.belief(node, IndexNo(0)))
         };
@@ -300,7 +302,7 @@
             brain.tariff.cold_share,
         ) = (8.0, 0.1, 0.2);
         brain.extras.push_back(Micros(990_000));
-        let seen = |brain: &Brain| {
+        let seen = |brain: &RoutingEngine| {
             let of = &brain.tariff;
             (
                 of.extra_spare,
@@ -331,10 +333,10 @@
         old.tariff.indexes = vec![Default::default()];
         let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
         (node.latency, node.report) = (Some(4000.0), Some(90.0));
-        node.standings = vec![Standing {
+        node.standings = vec![IndexHealth {
             fear: 1.0,
             toll: 1e6,
-            ..Standing::default()
+            ..IndexHealth::default()
         }];
         node.sends.push_back((now, 2.0));
         old.extras.push_back(now);
@@ -369,10 +371,10 @@
     #[test]
     fn another_start_of_a_node_another_node_and_nonsense_are_passed_over() {
         let mut new = brain(Micros(1_000_000));
-        let belief = |started, latency| NodeBelief {
+        let belief = |started, latency| NodeSnapshot {
             started,
             latency: Some(latency),
-            ..NodeBelief::default()
+            ..NodeSnapshot::default()
         };
         let nodes = vec![
             (1, belief(9, 1.0)),
@@ -383,9 +385,9 @@
         assert_eq!(
             new.believe(
                 Micros(1_000_000),
-                &Beliefs {
+                &EngineSnapshot {
                     nodes,
-                    ..Beliefs::default()
+                    ..EngineSnapshot::default()
                 }
             ),
             2
--- a/src/brain/tests.rs
+++ b/src/routing/tests.rs
@@ -5,19 +5,19 @@
 mod helpers;
 use helpers::*;
 
-const OUT: Option<Ending> = None;
-const OK: Option<Ending> = Some(Ending::Satisfied);
-const RAN: Option<Ending> = Some(Ending::MayHaveRun);
-const NEVER: Option<Ending> = Some(Ending::NeverRan);
+const OUT: Option<AttemptOutcome> = None;
+const OK: Option<AttemptOutcome> = Some(AttemptOutcome::Satisfied);
+const RAN: Option<AttemptOutcome> = Some(AttemptOutcome::MayHaveRun);
+const NEVER: Option<AttemptOutcome> = Some(AttemptOutcome::NeverRan);
 
-fn node(brain: &mut Brain, id: u64) -> &mut Node {
+fn node(brain: &mut RoutingEngine, id: u64) -> &mut Node {
     brain
         .nodes
         .get_mut(&NodeId(id))
         .expect("a node of the router")
 }
 
-fn places(brain: Brain, parts: usize) -> Vec<u64> {
+fn places(brain: RoutingEngine, parts: usize) -> Vec<u64> {
     let brain = fresh(brain);
     let lookup = lookup(&brain, &vec![1.0 / parts as f64; parts], &[]);
     brain
@@ -33,14 +33,14 @@
 #[test]
 fn a_chosen_node_draws_the_other_parts() {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             cells: 3,
             reach: 2,
             ..tariff()
         },
         2,
     );
-    (node(&mut brain, 2).listing.cell, node(&mut brain, 2).report) = (CellNo(1), Some(90.0));
+    (node(&mut brain, 2).listing.cell, node(&mut brain, 2).report) = (ShardGroupNo(1), Some(90.0));
     let mut both = lookup(&brain, &[0.5, 0.5], &[]);
     // Only node 1 holds this one; the other part is held by both.
     both.parts[1].shard = ShardNo(2);
@@ -78,8 +78,8 @@
 #[test]
 fn empty_queues_still_tell_a_busy_node_from_an_idle_one() {
     let mut brain = router(
-        Tariff {
-            gauges: vec![Gauge::Queue],
+        PlatformConfig {
+            gauges: vec![LoadMetric::Queue],
             ..tariff()
         },
         2,
@@ -92,7 +92,7 @@
 #[test]
 fn a_priced_crossing_tips_the_balance() {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             crossing: 0.04,
             ..tariff()
         },
@@ -108,14 +108,14 @@
 #[test_case(3, 1, 5, false; "not a holder")]
 fn a_shard_is_held_by_reach_cells(cells: u32, cell: u32, shard: u32, held: bool) {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             cells,
             reach: 2,
             ..tariff()
         },
         1,
     );
-    node(&mut brain, 1).listing.cell = CellNo(cell);
+    node(&mut brain, 1).listing.cell = ShardGroupNo(cell);
     assert_eq!(fresh(brain).held_by(ShardNo(shard)).count() == 1, held);
 }
 
@@ -131,7 +131,10 @@
     brain.settle(&mut tape);
     assert_eq!(
         tape.0,
-        [Did::Nack(Micros(0)), Did::Cancel(PartId(1), CallNo(0))]
+        [
+            Did::Nack(Micros(0)),
+            Did::Cancel(ShardRequestId(1), AttemptNo(0))
+        ]
     );
     assert!(brain.lookups.is_empty());
 }
@@ -140,36 +143,41 @@
 fn late_returns_and_unknown_lapses_are_passed_over() {
     let (mut brain, mut tape) = (router(tariff(), 1), Tape::default());
     owe(&mut brain, 1, 1, ms(5));
-    let (now, part, node) = (brain.now, PartId(1000), NodeId(1));
+    let (now, part, node) = (brain.now, ShardRequestId(1000), NodeId(1));
     brain.returned(
         now,
         part,
-        CallNo(0),
+        AttemptNo(0),
         node,
         ms(5),
-        Ending::Satisfied,
+        AttemptOutcome::Satisfied,
         &[80.0],
         &mut tape,
     );
-    brain.lapsed(now, LookupId(9), &mut tape);
+    brain.lapsed(now, QueryId(9), &mut tape);
     assert!(tape.0.is_empty() && brain.nodes[&node].owed.is_empty());
 }
 
 // Rule 2: no effect twice.
 
-#[test_case(Repeat::OnceOnly, &[RAN], 0, false; "once only, may have run")]
-#[test_case(Repeat::OnceOnly, &[OUT], 0, false; "once only, still out")]
-#[test_case(Repeat::OnceOnly, &[NEVER], 0, true; "once only, never ran")]
-#[test_case(Repeat::Fingerprinted(ms(500)), &[RAN], 400, true; "fingerprinted, inside the window")]
-#[test_case(Repeat::Fingerprinted(ms(500)), &[RAN], 490, false; "fingerprinted, too near its end")]
-#[test_case(Repeat::Fingerprinted(ms(500)), &[NEVER], 900, true; "fingerprinted, never ran")]
-#[test_case(Repeat::Idempotent, &[RAN], 900, true; "idempotent")]
-#[test_case(Repeat::Idempotent, &[OK], 0, false; "satisfied")]
-#[test_case(Repeat::Idempotent, &[RAN, RAN, RAN], 0, false; "no calls left")]
-#[test_case(Repeat::Idempotent, &[RAN], 2985, false; "no time left")]
-fn further_calls_keep_the_rules(repeat: Repeat, calls: &[Option<Ending>], later: u64, may: bool) {
+#[test_case(RetrySemantics::OnceOnly, &[RAN], 0, false; "once only, may have run")]
+#[test_case(RetrySemantics::OnceOnly, &[OUT], 0, false; "once only, still out")]
+#[test_case(RetrySemantics::OnceOnly, &[NEVER], 0, true; "once only, never ran")]
+#[test_case(RetrySemantics::Fingerprinted(ms(500)), &[RAN], 400, true; "fingerprinted, inside the window")]
+#[test_case(RetrySemantics::Fingerprinted(ms(500)), &[RAN], 490, false; "fingerprinted, too near its end")]
+#[test_case(RetrySemantics::Fingerprinted(ms(500)), &[NEVER], 900, true; "fingerprinted, never ran")]
+#[test_case(RetrySemantics::Idempotent, &[RAN], 900, true; "idempotent")]
+#[test_case(RetrySemantics::Idempotent, &[OK], 0, false; "satisfied")]
+#[test_case(RetrySemantics::Idempotent, &[RAN, RAN, RAN], 0, false; "no calls left")]
+#[test_case(RetrySemantics::Idempotent, &[RAN], 2985, false; "no time left")]
+fn further_calls_keep_the_rules(
+    repeat: RetrySemantics,
+    calls: &[Option<AttemptOutcome>],
+    later: u64,
+    may: bool,
+) {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             most_calls: Some(3),
             ..tariff()
         },
@@ -187,13 +195,13 @@
 #[test_case(600, 0, false; "no dial fits the window")]
 fn a_fingerprinted_repeat_leaves_time_to_dial(dial: u64, later: u64, may: bool) {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             dial: ms(dial),
             ..tariff()
         },
         2,
     );
-    brain.tariff.indexes[0].repeat = Repeat::Fingerprinted(ms(500));
+    brain.tariff.indexes[0].repeat = RetrySemantics::Fingerprinted(ms(500));
     let lookup = lookup(&brain, &[1.0], &[RAN]);
     brain.now += ms(later);
     assert_eq!(brain.may_call(&lookup, &lookup.parts[0]), may);
@@ -202,7 +210,7 @@
 #[test]
 fn no_second_copy_where_none_is_allowed() {
     let brain = router(
-        Tariff {
+        PlatformConfig {
             second_copies: false,
             ..tariff()
         },
@@ -212,14 +220,19 @@
     assert!(!brain.may_call(&lookup, &lookup.parts[0]));
 }
 
-#[test_case(Repeat::Idempotent, RAN, false, Did::Nack(Micros(0)); "idempotent")]
-#[test_case(Repeat::OnceOnly, NEVER, false, Did::Nack(Micros(0)); "once only, never ran")]
-#[test_case(Repeat::OnceOnly, RAN, false, Did::Abort; "once only, may have run")]
-#[test_case(Repeat::OnceOnly, NEVER, true, Did::Abort; "once only, its first step ran")]
-#[test_case(Repeat::Fingerprinted(ms(500)), OUT, false, Did::Abort; "fingerprinted, still out")]
-fn a_nack_promises_that_nothing_ran(repeat: Repeat, call: Option<Ending>, second: bool, did: Did) {
+#[test_case(RetrySemantics::Idempotent, RAN, false, Did::Nack(Micros(0)); "idempotent")]
+#[test_case(RetrySemantics::OnceOnly, NEVER, false, Did::Nack(Micros(0)); "once only, never ran")]
+#[test_case(RetrySemantics::OnceOnly, RAN, false, Did::Abort; "once only, may have run")]
+#[test_case(RetrySemantics::OnceOnly, NEVER, true, Did::Abort; "once only, its first step ran")]
+#[test_case(RetrySemantics::Fingerprinted(ms(500)), OUT, false, Did::Abort; "fingerprinted, still out")]
+fn a_nack_promises_that_nothing_ran(
+    repeat: RetrySemantics,
+    call: Option<AttemptOutcome>,
+    second: bool,
+    did: Did,
+) {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             cancels: false,
             ..tariff()
         },
@@ -227,16 +240,16 @@
     );
     brain.tariff.indexes[0].repeat = repeat;
     let held = lookup(&brain, &[1.0], &[call]);
-    hold(&mut brain, Lookup { second, ..held });
+    hold(&mut brain, Query { second, ..held });
     let mut tape = Tape::default();
-    brain.refuse(LookupId(1), ms(50), &mut tape);
+    brain.refuse(QueryId(1), ms(50), &mut tape);
     assert_eq!(tape.0, [did]);
 }
 
 #[test]
 fn a_nack_advises_no_longer_than_clients_heed() {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             longest_advice: Some(ms(300)),
             ..tariff()
         },
@@ -245,15 +258,15 @@
     let held = lookup(&brain, &[1.0], &[]);
     hold(&mut brain, held);
     let mut tape = Tape::default();
-    brain.refuse(LookupId(1), ms(800), &mut tape);
+    brain.refuse(QueryId(1), ms(800), &mut tape);
     assert_eq!(tape.0, [Did::Nack(ms(300))]);
 }
 
 // Rule 3: drains.
 
-#[test_case(Phase::Draining)]
-#[test_case(Phase::Gone)]
-fn nothing_goes_to_a_node_that_leaves(phase: Phase) {
+#[test_case(EndpointState::Draining)]
+#[test_case(EndpointState::Gone)]
+fn nothing_goes_to_a_node_that_leaves(phase: EndpointState) {
     let mut brain = router(tariff(), 2);
     node(&mut brain, 1).listing.phase = phase;
     assert_eq!(places(brain, 2), [2, 2]);
@@ -266,14 +279,14 @@
     let now = brain.now;
     brain.roster(
         now,
-        &[Listing {
+        &[Endpoint {
             node: NodeId(2),
-            ..Listing::default()
+            ..Endpoint::default()
         }],
         true,
         &mut Tape::default(),
     );
-    assert_eq!(brain.nodes[&NodeId(1)].listing.phase, Phase::Gone);
+    assert_eq!(brain.nodes[&NodeId(1)].listing.phase, EndpointState::Gone);
 }
 
 #[test]
@@ -292,7 +305,7 @@
 #[test_case(2, 3, false; "beyond one router's share of it")]
 fn a_cold_node_gets_its_allowance(routers: u32, parts: u32, room: bool) {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             routers: routers.into(),
             ..tariff()
         },
@@ -339,7 +352,7 @@
     whole: Option<bool>,
 ) {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             second_copies: false,
             ..tariff()
         },
@@ -350,8 +363,8 @@
     let rest = 1.0 - weights.iter().sum::<f64>();
     if rest > 0.001 {
         let out = lookup(&brain, &[rest], &[OUT]).parts.remove(0);
-        held.parts.push(Part {
-            id: PartId(99),
+        held.parts.push(ShardRequest {
+            id: ShardRequestId(99),
             ..out
         });
         held.expected += 1;
@@ -370,7 +383,7 @@
     let held = lookup(&brain, &[1.0], &[OK]);
     hold(
         &mut brain,
-        Lookup {
+        Query {
             second: true,
             first_whole,
             ..held
@@ -406,8 +419,8 @@
     brain.settle(&mut Tape::default());
     assert_eq!(
         (
-            brain.lookups[&LookupId(1)].expected,
-            brain.lookups[&LookupId(1)].second
+            brain.lookups[&QueryId(1)].expected,
+            brain.lookups[&QueryId(1)].second
         ),
         (2, true)
     );
@@ -440,8 +453,8 @@
 fn the_table_of_deadly_lookups_is_bounded() {
     let mut brain = router(tariff(), 3);
     for id in 0..2 * MOST_FATAL as u64 {
-        let mut held = lookup(&brain, &[1.0], &[Some(Ending::Broken); 2]);
-        (held.id, held.placed, held.parts[0].calls[1].node) = (LookupId(id), true, NodeId(2));
+        let mut held = lookup(&brain, &[1.0], &[Some(AttemptOutcome::Broken); 2]);
+        (held.id, held.placed, held.parts[0].calls[1].node) = (QueryId(id), true, NodeId(2));
         hold(&mut brain, held);
     }
     brain.settle(&mut Tape::default());
@@ -460,7 +473,7 @@
     made: usize,
     may: bool,
 ) {
-    let budget = Tariff {
+    let budget = PlatformConfig {
         extra_spare,
         extra_ratio,
         extra_window: Some(ms(1000)),
@@ -476,7 +489,7 @@
 fn further_calls_that_are_planned_together_stay_within_the_budget() {
     let (spare, window) = (2.0, Some(ms(5000)));
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             extra_spare: spare,
             extra_window: window,
             ..tariff()
@@ -491,7 +504,7 @@
     assert_eq!(
         tape.0
             .iter()
-            .filter(|did| matches!(did, Did::Call(..)))
+            .filter(|did| matches!(did, Did::Attempt(..)))
             .count(),
         2
     );
@@ -500,7 +513,7 @@
 #[test]
 fn a_first_call_needs_no_budget() {
     let brain = router(
-        Tariff {
+        PlatformConfig {
             extra_window: Some(ms(1000)),
             ..tariff()
         },
@@ -513,7 +526,7 @@
 #[test]
 fn the_budget_tables_are_emptied_by_age() {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             extra_window: Some(ms(1000)),
             ..tariff()
         },
@@ -539,11 +552,11 @@
 #[test_case(300, false; "late, but not by the clock of a lookup")]
 #[test_case(400, true; "late")]
 fn doubt_comes_late(latency: u64, doubted: bool) {
-    let mut brain = router(Tariff::default(), 0);
+    let mut brain = router(PlatformConfig::default(), 0);
     brain.survey.middle = Some(100_000.0);
-    brain.tariff.indexes = vec![IndexRow {
+    brain.tariff.indexes = vec![IndexConfig {
         soft: ms(1400),
-        ..IndexRow::default()
+        ..IndexConfig::default()
     }];
     let late = Node {
         latency: Some(latency as f64 * 1e3),
@@ -554,10 +567,10 @@
 }
 
 // A node that fails one index and serves the others, against one that is down.
-#[test_case(Ending::NeverRan, true; "no connection")]
-#[test_case(Ending::Broken, true; "connection broke")]
-#[test_case(Ending::MayHaveRun, false; "error")]
-fn a_failure_counts_for_what_it_shows(ending: Ending, others_too: bool) {
+#[test_case(AttemptOutcome::NeverRan, true; "no connection")]
+#[test_case(AttemptOutcome::Broken, true; "connection broke")]
+#[test_case(AttemptOutcome::MayHaveRun, false; "error")]
+fn a_failure_counts_for_what_it_shows(ending: AttemptOutcome, others_too: bool) {
     let mut brain = router(tariff(), 1);
     brain.tariff.indexes.push(brain.tariff.indexes[0].clone());
     brain.learn(NodeId(1), IndexNo(1), ms(2), ending);
@@ -566,14 +579,14 @@
 }
 
 // Brisk errors against errors and time-outs that take as long as the soft deadline, and what must not run twice.
-#[test_case(Ending::MayHaveRun, 2, Repeat::Idempotent, false; "a brisk error")]
-#[test_case(Ending::MayHaveRun, 1000, Repeat::Idempotent, true; "a time-out")]
-#[test_case(Ending::MayHaveRun, 2, Repeat::OnceOnly, true; "an error that cannot be repeated")]
-#[test_case(Ending::NeverRan, 2, Repeat::Idempotent, true; "turned away briskly")]
+#[test_case(AttemptOutcome::MayHaveRun, 2, RetrySemantics::Idempotent, false; "a brisk error")]
+#[test_case(AttemptOutcome::MayHaveRun, 1000, RetrySemantics::Idempotent, true; "a time-out")]
+#[test_case(AttemptOutcome::MayHaveRun, 2, RetrySemantics::OnceOnly, true; "an error that cannot be repeated")]
+#[test_case(AttemptOutcome::NeverRan, 2, RetrySemantics::Idempotent, true; "turned away briskly")]
 fn a_node_that_fails_briskly_still_takes_its_part(
-    ending: Ending,
+    ending: AttemptOutcome,
     lag: u64,
-    repeat: Repeat,
+    repeat: RetrySemantics,
     doubted: bool,
 ) {
     let mut brain = router(tariff(), 2);
@@ -595,9 +608,9 @@
         owe(&mut brain, id - 1, 1, ms(0));
         brain.roster(
             now,
-            &[Listing {
+            &[Endpoint {
                 node: NodeId(id),
-                ..Listing::default()
+                ..Endpoint::default()
             }],
             true,
             &mut tape,
@@ -605,11 +618,11 @@
         let lag = ms(50);
         brain.returned(
             now,
-            PartId(1000),
-            CallNo(0),
+            ShardRequestId(1000),
+            AttemptNo(0),
             NodeId(id - 1),
             lag,
-            Ending::Broken,
+            AttemptOutcome::Broken,
             &[],
             &mut tape,
         );
@@ -617,9 +630,9 @@
     let now = brain.now + ms(60_000);
     brain.roster(
         now,
-        &[Listing {
+        &[Endpoint {
             node: NodeId(500),
-            ..Listing::default()
+            ..Endpoint::default()
         }],
         true,
         &mut tape,
@@ -635,7 +648,7 @@
 fn a_lost_answer_is_not_a_hung_node() {
     let mut brain = router(tariff(), 1);
     owe(&mut brain, 1, 1, ms(900));
-    brain.learn(NodeId(1), IndexNo(0), ms(100), Ending::Satisfied);
+    brain.learn(NodeId(1), IndexNo(0), ms(100), AttemptOutcome::Satisfied);
     assert!(brain.belief(&brain.nodes[&NodeId(1)], IndexNo(0)) < 110_000.0);
 }
 
@@ -646,13 +659,13 @@
 #[test_case(&[1, 2], false, true, false; "a node outlived it")]
 fn a_deadly_lookup_is_nacked(fell: &[u64], repeat: bool, outlived: bool, nacked: bool) {
     let mut brain = router(tariff(), 3);
-    let mut held = lookup(&brain, &[0.5, 0.5], &[Some(Ending::Broken)]);
+    let mut held = lookup(&brain, &[0.5, 0.5], &[Some(AttemptOutcome::Broken)]);
     held.parts
         .iter_mut()
         .zip(fell)
         .for_each(|(part, node)| part.calls[0].node = NodeId(*node));
     held.parts[1].satisfied = outlived;
-    hold(&mut brain, Lookup { repeat, ..held });
+    hold(&mut brain, Query { repeat, ..held });
     brain.settle(&mut Tape::default());
     assert_eq!(brain.lookups.is_empty(), nacked);
 }
@@ -661,7 +674,7 @@
 #[test_case(false, false; "a like one that is no repeat")]
 fn a_repeat_of_a_deadly_lookup_is_known(repeat: bool, nacked: bool) {
     let mut brain = router(tariff(), 3);
-    let fresh = Lookup {
+    let fresh = Query {
         repeat,
         ..lookup(&brain, &[1.0], &[])
     };
@@ -677,7 +690,7 @@
 fn while_nodes_fall_one_tries_a_lookup_first(alarmed: bool, calls: usize) {
     let (mut brain, mut tape) = (
         router(
-            Tariff {
+            PlatformConfig {
                 cells: 2,
                 reach: 1,
                 ..tariff()
@@ -686,7 +699,7 @@
         ),
         Tape::default(),
     );
-    node(&mut brain, 2).listing.cell = CellNo(1);
+    node(&mut brain, 2).listing.cell = ShardGroupNo(1);
     brain = fresh(brain);
     brain.alarm_at = alarmed.then_some(brain.now);
     let mut held = lookup(&brain, &[0.5, 0.5], &[]);
@@ -700,7 +713,7 @@
 #[test_case(2, true; "its turn")]
 fn many_routers_take_turns_at_a_cold_node(seconds: u64, room: bool) {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             routers: 10.0,
             ..tariff()
         },
@@ -715,21 +728,21 @@
 /// Taken into account only with the next answer or list, it made the share of a cold node leap at all routers together.
 #[test]
 fn the_first_hint_of_work_counts_at_once() {
-    let mut brain = Brain::new(tariff(), 1);
+    let mut brain = RoutingEngine::new(tariff(), 1);
     let (now, mut tape) = (ms(1), Tape::default());
     brain.roster(
         now,
-        &[Listing {
+        &[Endpoint {
             node: NodeId(1),
-            ..Listing::default()
+            ..Endpoint::default()
         }],
         true,
         &mut tape,
     );
     brain.lookup(
         now,
-        LookupId(1),
-        QueryNo(1),
+        QueryId(1),
+        WireQueryNo(1),
         IndexNo(0),
         CustomerNo(0),
         1,
@@ -743,8 +756,8 @@
     );
     brain.part(
         now,
-        PartId(1),
-        QueryNo(1),
+        ShardRequestId(1),
+        WireQueryNo(1),
         ShardNo(0),
         1.0,
         Some(ms(100)),
@@ -765,10 +778,10 @@
 fn a_cold_node_bears_the_sum_of_what_all_routers_send(routers: usize, late: f64, restart: bool) {
     let mut all = 0;
     for seed in 0..40 {
-        let mut chance = Chance::new(seed);
+        let mut chance = RandomSource::new(seed);
         let mut of = || {
             let mut brain = fresh(router(
-                Tariff {
+                PlatformConfig {
                     routers: routers as f64,
                     ..tariff()
                 },
@@ -777,13 +790,13 @@
             node(&mut brain, 1).lot = chance.0.generate();
             brain
         };
-        let mut brains: Vec<Brain> = (0..routers).map(|_| of()).collect();
+        let mut brains: Vec<RoutingEngine> = (0..routers).map(|_| of()).collect();
         let began = brains[0].now;
         let told = began + ms((late * 1000.0) as u64);
-        let listing = Listing {
+        let listing = Endpoint {
             node: NodeId(1),
             started: began,
-            ..Listing::default()
+            ..Endpoint::default()
         };
         let mut sent: Vec<u64> = Vec::new();
         for step in 0..400u64 {
@@ -846,7 +859,7 @@
     hold(&mut brain, held);
     let mut tape = Tape::default();
     brain.settle(&mut tape);
-    assert_eq!(tape.0, [Did::Call(PartId(1), NodeId(2))]);
+    assert_eq!(tape.0, [Did::Attempt(ShardRequestId(1), NodeId(2))]);
 }
 
 #[test_case(200, false; "not late")]
@@ -863,7 +876,7 @@
 fn copies_do_not_feed_a_jam() {
     let mut brain = router(tariff(), 3);
     let mut held = lookup(&brain, &[0.5, 0.5], &[OUT]);
-    held.parts[0].calls.push(Call {
+    held.parts[0].calls.push(Attempt {
         node: NodeId(2),
         sent: brain.now,
         ending: OUT,
@@ -889,10 +902,10 @@
 #[test_case(1500, false; "a while ago")]
 fn a_router_that_saw_all_fail_tries_again(later: u64, nacked: bool) {
     let (mut brain, mut tape) = (router(tariff(), 2), Tape::default());
-    let standing = Standing {
+    let standing = IndexHealth {
         toll: brain.memory(),
         at: brain.now,
-        ..Standing::default()
+        ..IndexHealth::default()
     };
     brain
         .nodes
@@ -929,23 +942,23 @@
 #[test_case(5.0, None, false, 0.6; "beyond the customer's share")]
 fn time_allowed_follows_gain(gain: f64, vain: Option<f64>, within_share: bool, allowed: f64) {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             over_share_gain: 0.0,
             vain,
             ..tariff()
         },
         0,
     );
-    let row = IndexRow {
+    let row = IndexConfig {
         seen: true,
         ..brain.tariff.indexes[0].clone()
     };
     brain.tariff.indexes = vec![
-        IndexRow {
+        IndexConfig {
             gain,
             ..row.clone()
         },
-        IndexRow { gain: 5.0, ..row },
+        IndexConfig { gain: 5.0, ..row },
     ];
     let lookup = lookup(&brain, &[1.0], &[]);
     assert!((brain.time_allowed(&lookup, within_share) - allowed).abs() < 1e-9);
@@ -954,7 +967,7 @@
 #[test]
 fn a_share_is_used_up_and_comes_back() {
     let mut brain = router(
-        Tariff {
+        PlatformConfig {
             quotas: vec![1.0],
             ..tariff()
         },
@@ -972,8 +985,8 @@
 #[test]
 fn used_nodes_are_probed_once_a_second_where_only_probes_report() {
     let mut brain = router(
-        Tariff {
-            reporting: Reporting::OnProbe,
+        PlatformConfig {
+            reporting: LoadReporting::OnProbe,
             probing: true,
             ..tariff()
         },
@@ -1008,7 +1021,7 @@
 #[test_case(Some(ms(5000)), 3; "under a budget, a tenth of what is out")]
 #[test_case(None, 1; "one at a time")]
 fn copies_are_few(extra_window: Option<Micros>, copies: usize) {
-    let budget = Tariff {
+    let budget = PlatformConfig {
         extra_spare: 9.0,
         extra_window,
         ..tariff()
@@ -1020,11 +1033,11 @@
         .for_each(|part| part.calls[0].sent = Micros(brain.now.0 - 450_000));
     hold(&mut brain, late);
     brain.settle(&mut tape);
-    let calls: Vec<PartId> = tape
+    let calls: Vec<ShardRequestId> = tape
         .0
         .iter()
         .filter_map(|did| match did {
-            Did::Call(part, _) => Some(*part),
+            Did::Attempt(part, _) => Some(*part),
             _ => None,
         })
         .collect();
@@ -1039,18 +1052,23 @@
     assert_eq!(brain.nodes[&NodeId(1)].standing(IndexNo(0)).fear, 0.0);
 }
 
-#[test_case(Phase::Ready, Phase::Gone, 0, true; "gone without a drain")]
-#[test_case(Phase::Draining, Phase::Gone, 0, false; "gone after a drain")]
-#[test_case(Phase::Ready, Phase::Ready, 9, true; "back before it was missed")]
-fn the_roster_tells_of_nodes_that_fell(was: Phase, phase: Phase, started: u64, alarmed: bool) {
+#[test_case(EndpointState::Ready, EndpointState::Gone, 0, true; "gone without a drain")]
+#[test_case(EndpointState::Draining, EndpointState::Gone, 0, false; "gone after a drain")]
+#[test_case(EndpointState::Ready, EndpointState::Ready, 9, true; "back before it was missed")]
+fn the_roster_tells_of_nodes_that_fell(
+    was: EndpointState,
+    phase: EndpointState,
+    started: u64,
+    alarmed: bool,
+) {
     let mut brain = router(tariff(), 1);
     (node(&mut brain, 1).listing.phase, brain.alarm_at) = (was, None);
     let now = brain.now;
-    let listing = Listing {
+    let listing = Endpoint {
         node: NodeId(1),
         phase,
         started: Micros(started),
-        ..Listing::default()
+        ..Endpoint::default()
     };
     brain.roster(now, &[listing], false, &mut Tape::default());
     assert_eq!(brain.alarm_at.is_some(), alarmed);
@@ -1065,7 +1083,7 @@
 fn odd_lookups_get_one_final_answer(expected: usize, shard: u32, left: u64, nodes: u64) {
     let (mut brain, mut tape) = (
         router(
-            Tariff {
+            PlatformConfig {
                 cells: 7,
                 reach: 9,
                 ..tariff()
@@ -1074,7 +1092,7 @@
         ),
         Tape::default(),
     );
-    let (now, id, query, out) = (brain.now, LookupId(1), QueryNo(1), &mut tape);
+    let (now, id, query, out) = (brain.now, QueryId(1), WireQueryNo(1), &mut tape);
     brain.lookup(
         now,
         id,
@@ -1086,7 +1104,15 @@
         false,
         out,
     );
-    brain.part(now, PartId(1), query, ShardNo(shard), 1.0, None, out);
+    brain.part(
+        now,
+        ShardRequestId(1),
+        query,
+        ShardNo(shard),
+        1.0,
+        None,
+        out,
+    );
     brain.elapsed(now + ms(left.saturating_sub(15)), TimerId(0), out);
     let ends = tape
         .0
@@ -1101,7 +1127,7 @@
 fn a_lookup_is_as_late_as_the_latest_of_its_parts(parts: usize, left: u64, nacked: bool) {
     let (mut brain, mut tape) = (
         router(
-            Tariff {
+            PlatformConfig {
                 cells: 64,
                 reach: 1,
                 ..tariff()
@@ -1111,10 +1137,10 @@
         Tape::default(),
     );
     for (cell, node) in brain.nodes.values_mut().enumerate() {
-        (node.listing.cell, node.pace) = (CellNo(cell as u32), Some(130_000.0));
+        (node.listing.cell, node.pace) = (ShardGroupNo(cell as u32), Some(130_000.0));
     }
     brain = fresh(brain);
-    let mut held = Lookup {
+    let mut held = Query {
         left: ms(left),
         ..lookup(&brain, &vec![1.0 / parts as f64; parts], &[])
     };
@@ -1135,15 +1161,15 @@
     brain.settle(&mut tape);
     brain.returned(
         brain.now,
-        PartId(2),
-        CallNo(0),
+        ShardRequestId(2),
+        AttemptNo(0),
         NodeId(1),
         ms(5),
-        Ending::Satisfied,
+        AttemptOutcome::Satisfied,
         &[],
         &mut tape,
     );
-    let came: Vec<bool> = brain.lookups[&LookupId(1)]
+    let came: Vec<bool> = brain.lookups[&QueryId(1)]
         .parts
         .iter()
         .map(|p| p.satisfied)
@@ -1186,17 +1212,17 @@
     brain.settle(&mut tape);
     node(&mut brain, 2).owed.clear();
     (brain.now, node(&mut brain, 1).seen) = (brain.now + ms(later), ms(1000));
-    let held = Lookup {
-        parts: vec![Part {
-            id: PartId(1),
+    let held = Query {
+        parts: vec![ShardRequest {
+            id: ShardRequestId(1),
             weight: 1.0,
-            ..Part::default()
+            ..ShardRequest::default()
         }],
         ..lookup(&brain, &[1.0], &[])
     };
     hold(&mut brain, held);
     brain.settle(&mut tape);
-    brain.call(LookupId(1), 0, NodeId(1), &mut tape);
+    brain.call(QueryId(1), 0, NodeId(1), &mut tape);
     let close = tape
         .0
         .iter()
@@ -1210,24 +1236,24 @@
 }
 
 // A policy of the fleet: stricter than the platform, never looser, and for lookups that are admitted under it.
-#[test_case(IndexRow { calls: Some(1), ..IndexRow::default() }, false; "no call beyond the first")]
-#[test_case(IndexRow { further: Some((0.0, 0.0)), ..IndexRow::default() }, false; "no further calls at all")]
-#[test_case(IndexRow { further: Some((1.0, 0.0)), ..IndexRow::default() }, true; "a spare one")]
-#[test_case(IndexRow::default(), true; "says nothing")]
-fn a_policy_binds_further_calls(row: IndexRow, may: bool) {
-    let budget = Tariff {
+#[test_case(IndexConfig { calls: Some(1), ..IndexConfig::default() }, false; "no call beyond the first")]
+#[test_case(IndexConfig { further: Some((0.0, 0.0)), ..IndexConfig::default() }, false; "no further calls at all")]
+#[test_case(IndexConfig { further: Some((1.0, 0.0)), ..IndexConfig::default() }, true; "a spare one")]
+#[test_case(IndexConfig::default(), true; "says nothing")]
+fn a_policy_binds_further_calls(row: IndexConfig, may: bool) {
+    let budget = PlatformConfig {
         extra_spare: 5.0,
         extra_window: Some(ms(1000)),
         ..tariff()
     };
     let brain = router(budget, 2);
-    let row = IndexRow {
+    let row = IndexConfig {
         soft: ms(1000),
         need: 1.0,
         least: 1.0,
         ..row
     };
-    let held = Lookup {
+    let held = Query {
         row,
         ..lookup(&brain, &[1.0], &[NEVER])
     };
@@ -1257,8 +1283,8 @@
     let (now, mut tape) = (brain.now, Tape::default());
     brain.lookup(
         now,
-        LookupId(1),
-        QueryNo(1),
+        QueryId(1),
+        WireQueryNo(1),
         IndexNo(0),
         CustomerNo(0),
         2,
@@ -1269,7 +1295,7 @@
     // Whatever is in force by now, it keeps what it was admitted under.
     brain.tariff.indexes[0].partly_at = Some(ms(1));
     let held = lookup(&brain, &[0.5, 0.5], &[OUT]);
-    let own = brain.lookups.get_mut(&LookupId(1)).expect("in hand");
+    let own = brain.lookups.get_mut(&QueryId(1)).expect("in hand");
     (own.parts, own.placed) = (held.parts, true);
     own.parts[0].satisfied = true;
     brain.now = now + ms(later);
--- a/src/brain/tests/helpers.rs
+++ b/src/routing/tests/helpers.rs
@@ -4,11 +4,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Did {
-    Call(PartId, NodeId),
+    Attempt(ShardRequestId, NodeId),
     Answer(bool),
     Nack(Micros),
     Abort,
-    Cancel(PartId, CallNo),
+    Cancel(ShardRequestId, AttemptNo),
     CloseIdle(NodeId),
     Probe(NodeId),
     Watch,
@@ -19,19 +19,19 @@
 pub struct Tape(pub Vec<Did>);
 
 impl Actions for Tape {
-    fn part_call(&mut self, part: PartId, node: NodeId, _limit: Micros) {
-        self.0.push(Did::Call(part, node));
+    fn part_call(&mut self, part: ShardRequestId, node: NodeId, _limit: Micros) {
+        self.0.push(Did::Attempt(part, node));
     }
-    fn answer(&mut self, _lookup: LookupId, whole: bool) {
+    fn answer(&mut self, _lookup: QueryId, whole: bool) {
         self.0.push(Did::Answer(whole));
     }
-    fn nack(&mut self, _lookup: LookupId, come_back: Micros) {
+    fn nack(&mut self, _lookup: QueryId, come_back: Micros) {
         self.0.push(Did::Nack(come_back));
     }
-    fn abort(&mut self, _lookup: LookupId) {
+    fn abort(&mut self, _lookup: QueryId) {
         self.0.push(Did::Abort);
     }
-    fn cancel(&mut self, part: PartId, call: CallNo) {
+    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo) {
         self.0.push(Did::Cancel(part, call));
     }
     fn close_idle(&mut self, node: NodeId) {
@@ -54,39 +54,39 @@
 }
 
 /// One cell, one index: soft deadline 1 s, whole answers only, reports of latency.
-pub fn tariff() -> Tariff {
-    let index = IndexRow {
+pub fn tariff() -> PlatformConfig {
+    let index = IndexConfig {
         soft: ms(1000),
         gain: 1.0,
         need: 1.0,
         least: 1.0,
-        ..IndexRow::default()
+        ..IndexConfig::default()
     };
-    Tariff {
+    PlatformConfig {
         indexes: vec![index],
         routers: 1.0,
         cells: 1,
         reach: 1,
-        gauges: vec![Gauge::LatencyMs],
-        reporting: Reporting::InAnswers,
+        gauges: vec![LoadMetric::LatencyMs],
+        reporting: LoadReporting::InAnswers,
         second_copies: true,
         cancels: true,
         cold_share: 0.25,
         warm_within: ms(10_000),
         fall_multiple: 2.0,
         fall_window: ms(1000),
-        ..Tariff::default()
+        ..PlatformConfig::default()
     }
 }
 
 /// A router at 10 s, with nodes 1 to `nodes` that all report 100 ms and answer in 100 ms.
-pub fn router(tariff: Tariff, nodes: u64) -> Brain {
-    let mut brain = Brain::new(tariff, 1);
+pub fn router(tariff: PlatformConfig, nodes: u64) -> RoutingEngine {
+    let mut brain = RoutingEngine::new(tariff, 1);
     brain.now = ms(10_000);
     for id in 1..=nodes {
-        let listing = Listing {
+        let listing = Endpoint {
             node: NodeId(id),
-            ..Listing::default()
+            ..Endpoint::default()
         };
         let known = (Some(100.0), Some(100_000.0));
         let node = Node {
@@ -102,28 +102,28 @@
 }
 
 /// The router with its figures taken anew.
-pub fn fresh(mut brain: Brain) -> Brain {
+pub fn fresh(mut brain: RoutingEngine) -> RoutingEngine {
     brain.index_nodes();
     (brain.survey, brain.stale) = (brain.take_survey(), false);
     brain
 }
 
 /// Lookup 1 with parts 1 to n of the weights given; each has had the calls given, all to node 1 a moment ago.
-pub fn lookup(brain: &Brain, weights: &[f64], calls: &[Option<Ending>]) -> Lookup {
-    let call = |ending: &Option<Ending>| Call {
+pub fn lookup(brain: &RoutingEngine, weights: &[f64], calls: &[Option<AttemptOutcome>]) -> Query {
+    let call = |ending: &Option<AttemptOutcome>| Attempt {
         node: NodeId(1),
         sent: brain.now,
         ending: *ending,
     };
-    let part = |(at, weight): (usize, &f64)| Part {
-        id: PartId(at as u64 + 1),
+    let part = |(at, weight): (usize, &f64)| ShardRequest {
+        id: ShardRequestId(at as u64 + 1),
         weight: *weight,
-        satisfied: calls.contains(&Some(Ending::Satisfied)),
+        satisfied: calls.contains(&Some(AttemptOutcome::Satisfied)),
         calls: calls.iter().map(call).collect(),
-        ..Part::default()
+        ..ShardRequest::default()
     };
-    Lookup {
-        id: LookupId(1),
+    Query {
+        id: QueryId(1),
         row: brain.tariff.indexes[0].clone(),
         partly: brain.now + ms(1000),
         soft: brain.now + ms(1000),
@@ -132,26 +132,26 @@
         expected: weights.len(),
         parts: weights.iter().enumerate().map(part).collect(),
         placed: !calls.is_empty(),
-        ..Lookup::default()
+        ..Query::default()
     }
 }
 
-pub fn hold(brain: &mut Brain, lookup: Lookup) {
+pub fn hold(brain: &mut RoutingEngine, lookup: Query) {
     brain.lookups.insert(lookup.id, lookup);
 }
 
 /// Parts out at a node for so long.
-pub fn owe(brain: &mut Brain, node: u64, parts: u64, age: Micros) {
+pub fn owe(brain: &mut RoutingEngine, node: u64, parts: u64, age: Micros) {
     brain.watched.insert(NodeId(node));
     let sent = Micros(brain.now.0 - age.0);
     let owed = (0..parts).map(|n| {
         (
-            (PartId(1000 + n), CallNo(0)),
-            Owed {
+            (ShardRequestId(1000 + n), AttemptNo(0)),
+            InFlightAttempt {
                 sent,
                 z: 1.0,
                 depth: 1.0,
-                ..Owed::default()
+                ..InFlightAttempt::default()
             },
         )
     });
--- a/src/types.rs
+++ b/src/types.rs
@@ -17,19 +17,19 @@
 id! {
     /// A time, or a span of time, in whole microseconds.
     Micros(u64),
-    LookupId(u64),
+    QueryId(u64),
     /// The number that a lookup's parts name their lookup by.
-    QueryNo(u64),
-    PartId(u64),
+    WireQueryNo(u64),
+    ShardRequestId(u64),
     /// A node's address and port, as one opaque number.
     NodeId(u64),
     ShardNo(u32),
-    CellNo(u32),
+    ShardGroupNo(u32),
     IndexNo(u8),
     CustomerNo(u16),
     ZoneNo(u16),
     /// The number of a part call among those of its part, from 0.
-    CallNo(u8),
+    AttemptNo(u8),
     TimerId(u64),
 }
 
@@ -70,7 +70,7 @@
 
 /// What a repeat of a part does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySemantics {
     #[default]
     Idempotent,
     /// Dropped within the window that starts at the first part call that may have run.
@@ -80,7 +80,7 @@
 
 /// A figure of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gauge {
+pub enum LoadMetric {
     LatencyMs,
     Queue,
     /// Parts served a second.
@@ -90,7 +90,7 @@
 
 /// How nodes report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reporting {
+pub enum LoadReporting {
     InAnswers,
     OnProbe,
     #[default]
@@ -99,7 +99,7 @@
 
 /// How a part call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     Satisfied,
     /// Failed; it may have run.
     MayHaveRun,
@@ -115,7 +115,7 @@
 
 /// Why the module calls again or ends a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum DecisionReason {
     /// A part without a call out is called again.
     Retry,
     /// A late part is called at a second node.
@@ -136,7 +136,7 @@
 
 /// A node's standing in the roster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Phase {
+pub enum EndpointState {
     #[default]
     Ready,
     Draining,
@@ -145,21 +145,21 @@
 
 /// One row of the roster.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listing {
+pub struct Endpoint {
     pub node: NodeId,
     pub zone: ZoneNo,
-    pub cell: CellNo,
-    pub phase: Phase,
+    pub cell: ShardGroupNo,
+    pub phase: EndpointState,
     /// Its last start; zero: long ago.
     pub started: Micros,
 }
 
 /// A row of the table of what differs by index.
 #[derive(Clone, Debug, Default)]
-pub struct IndexRow {
+pub struct IndexConfig {
     pub soft: Micros,
     pub gain: f64,
-    pub repeat: Repeat,
+    pub repeat: RetrySemantics,
     pub need: f64,
     pub least: f64,
     pub second_step: usize,
@@ -178,8 +178,8 @@
 
 /// The terms of service that a router reads at its start. A `None` is a limit that is not set.
 #[derive(Clone, Debug, Default)]
-pub struct Tariff {
-    pub indexes: Vec<IndexRow>,
+pub struct PlatformConfig {
+    pub indexes: Vec<IndexConfig>,
     /// Lookups a second within each customer's share, over all routers.
     pub quotas: Vec<f64>,
     pub over_share_gain: f64,
@@ -192,8 +192,8 @@
     pub cells: u32,
     pub reach: u32,
     pub call_cost: Micros,
-    pub gauges: Vec<Gauge>,
-    pub reporting: Reporting,
+    pub gauges: Vec<LoadMetric>,
+    pub reporting: LoadReporting,
     pub probing: bool,
     pub roster_on_request: bool,
     pub most_calls: Option<usize>,
@@ -214,9 +214,9 @@
 
 /// A part call that is still out.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Owed {
+pub struct InFlightAttempt {
     /// The lookup and the place of the part among its parts.
-    pub lookup: LookupId,
+    pub lookup: QueryId,
     pub at: usize,
     pub index: IndexNo,
     pub sent: Micros,
@@ -227,7 +227,7 @@
 
 /// How a node serves one index, as this router has seen it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Standing {
+pub struct IndexHealth {
     /// Smoothed share of calls that failed, and when that last changed.
     pub fear: f64,
     /// Smoothed time that a call loses to failures, in microseconds.
@@ -239,7 +239,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Node {
-    pub listing: Listing,
+    pub listing: Endpoint,
     /// Its start as claimed, and by this router's clock.
     pub started: Started,
     /// When this router heard of its last start.
@@ -254,26 +254,26 @@
     pub latency: Option<f64>,
     pub seen: Micros,
     /// How it stands by index; filled at its first return.
-    pub standings: Vec<Standing>,
+    pub standings: Vec<IndexHealth>,
     /// Smoothed answer latency for each part of this router's that was out, in microseconds.
     pub pace: Option<f64>,
     /// The index for which it is doubted.
     pub doubted: Option<IndexNo>,
     pub probed: Option<Micros>,
     /// Part calls out; each is taken off when it returns.
-    pub owed: BTreeMap<(PartId, CallNo), Owed>,
+    pub owed: BTreeMap<(ShardRequestId, AttemptNo), InFlightAttempt>,
     /// What another process of this router had out here, and when that was told; emptied when that one is
     /// done.
-    pub abroad: (Micros, Vec<Owed>),
+    pub abroad: (Micros, Vec<InFlightAttempt>),
     /// The call that went on a rested connection, while nothing is known of it.
-    pub rested_call: Option<(PartId, CallNo)>,
+    pub rested_call: Option<(ShardRequestId, AttemptNo)>,
     /// Parts sent of late; emptied by age.
     pub sends: VecDeque<(Micros, f64)>,
 }
 
 impl Node {
     /// What is out here, and up to when that is known.
-    pub fn out(&self, now: Micros) -> impl Iterator<Item = (&Owed, Micros)> {
+    pub fn out(&self, now: Micros) -> impl Iterator<Item = (&InFlightAttempt, Micros)> {
         let abroad = self.abroad.1.iter().map(|owed| (owed, self.abroad.0));
         self.owed
             .values()
@@ -293,41 +293,41 @@
         self.out(Micros(0)).map(|(owed, _)| owed.z).sum()
     }
 
-    pub fn standing(&self, index: IndexNo) -> Standing {
+    pub fn standing(&self, index: IndexNo) -> IndexHealth {
         self.standings.get(index.at()).copied().unwrap_or_default()
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
+pub struct Attempt {
     pub node: NodeId,
     pub sent: Micros,
     /// `None` while it is out.
-    pub ending: Option<Ending>,
+    pub ending: Option<AttemptOutcome>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Part {
-    pub id: PartId,
+pub struct ShardRequest {
+    pub id: ShardRequestId,
     pub shard: ShardNo,
     pub weight: f64,
     pub hint: Option<Micros>,
-    pub calls: Vec<Call>,
+    pub calls: Vec<Attempt>,
     pub satisfied: bool,
     /// Not called again before: the last call never left, for want of something here.
     pub rests_until: Micros,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Lookup {
-    pub id: LookupId,
-    pub query: QueryNo,
+pub struct Query {
+    pub id: QueryId,
+    pub query: WireQueryNo,
     /// A client's repeat of an earlier lookup, as far as clients say so.
     pub repeat: bool,
     pub index: IndexNo,
     /// Its index's row as it was when it was admitted: a change of policy finds it under the old one to its
     /// end.
-    pub row: IndexRow,
+    pub row: IndexConfig,
     /// When it is answered with what is in.
     pub partly: Micros,
     pub customer: CustomerNo,
@@ -338,25 +338,28 @@
     pub left: Micros,
     /// Parts of the present step that are to come in all.
     pub expected: usize,
-    pub parts: Vec<Part>,
+    pub parts: Vec<ShardRequest>,
     pub placed: bool,
     pub second: bool,
     pub first_whole: bool,
 }
 
-impl Call {
+impl Attempt {
     pub fn may_have_run(&self) -> bool {
-        !matches!(self.ending, Some(Ending::NeverRan | Ending::Unsent))
+        !matches!(
+            self.ending,
+            Some(AttemptOutcome::NeverRan | AttemptOutcome::Unsent)
+        )
     }
 }
 
-impl Part {
+impl ShardRequest {
     /// Calls that left, or may yet, and those that never did.
     pub fn made(&self) -> (usize, usize) {
         let unsent = self
             .calls
             .iter()
-            .filter(|c| c.ending == Some(Ending::Unsent))
+            .filter(|c| c.ending == Some(AttemptOutcome::Unsent))
             .count();
         (self.calls.len() - unsent, unsent)
     }
@@ -366,7 +369,7 @@
     }
 }
 
-impl Lookup {
+impl Query {
     /// All parts of its step have come.
     pub fn complete(&self) -> bool {
         self.parts.len() >= self.expected && self.expected > 0
@@ -388,13 +391,13 @@
 
     /// Nodes at which connections broke under it.
     pub fn broken_at(&self) -> usize {
-        let broken = |c: &&Call| c.ending == Some(Ending::Broken);
+        let broken = |c: &&Attempt| c.ending == Some(AttemptOutcome::Broken);
         let calls = self.parts.iter().flat_map(|p| &p.calls).filter(broken);
         calls.map(|c| c.node).collect::<BTreeSet<_>>().len()
     }
 
     /// What it has in common with its repeats.
-    pub fn print(&self) -> Print {
+    pub fn print(&self) -> QueryFingerprint {
         (
             self.index,
             self.customer,
@@ -414,11 +417,11 @@
 }
 
 /// Index, customer and shards of a lookup.
-pub type Print = (IndexNo, CustomerNo, Vec<ShardNo>);
+pub type QueryFingerprint = (IndexNo, CustomerNo, Vec<ShardNo>);
 
 /// The cost model's figures at one moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Survey {
+pub struct FleetStatistics {
     pub mean_o: f64,
     pub m: f64,
     /// The middle node's answer latency, in microseconds, and its pace.
@@ -430,7 +433,7 @@
 
 /// Where the parts of a lookup go, and which of their weight is predicted in time.
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
+pub struct Placement {
     pub places: Vec<(usize, NodeId)>,
     pub in_time: f64,
     pub slowest: f64,
@@ -438,24 +441,24 @@
 
 /// What a rule has found to act on; a rule reads what it fills in.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Case {
-    pub lookup: LookupId,
+pub struct RuleMatch {
+    pub lookup: QueryId,
     pub at: usize,
     pub node: NodeId,
     pub index: IndexNo,
 }
 
 /// A router's own source of chance.
-pub struct Chance(pub WyRand);
+pub struct RandomSource(pub WyRand);
 
-impl Chance {
+impl RandomSource {
     pub fn new(seed: u64) -> Self {
-        Chance(WyRand::new_seed(seed))
+        RandomSource(WyRand::new_seed(seed))
     }
 }
 
-impl Default for Chance {
+impl Default for RandomSource {
     fn default() -> Self {
-        Chance::new(0)
+        RandomSource::new(0)
     }
 }
--- a/src/cadence.rs
+++ b/src/watch_schedule.rs
@@ -15,7 +15,7 @@
 
 use nanorand::Rng;
 
-use crate::types::{Chance, Micros};
+use crate::types::{Micros, RandomSource};
 
 /// What is new counts as told so long after discovery had it, by the platform's protocol.
 pub const TOLD: Micros = Micros(6_000_000);
@@ -27,34 +27,34 @@
 
 /// How the next call is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct Poll {
     /// How long discovery may wait for news.
     pub wait: Micros,
     /// When it is given up, from its beginning.
     pub patience: Micros,
 }
 
-pub struct Cadence {
+pub struct WatchSchedule {
     longest: Micros,
-    chance: Chance,
+    chance: RandomSource,
     /// A call fell silent and none was answered since: the next looks what is new and waits for nothing.
     looks: bool,
 }
 
-impl Cadence {
+impl WatchSchedule {
     /// Under settings by which a router asks within `ask_within`, with chance of its own.
     pub fn new(ask_within: Option<Micros>, seed: u64) -> Self {
-        Cadence {
+        WatchSchedule {
             longest: ask_within.unwrap_or(WAITS).min(WAITS),
-            chance: Chance::new(seed),
+            chance: RandomSource::new(seed),
             looks: false,
         }
     }
 
     /// The next call, for what is newer than a version if `after` is known, else for the whole list.
-    pub fn next(&mut self, after: bool) -> Call {
+    pub fn next(&mut self, after: bool) -> Poll {
         if self.looks || !after {
-            return Call {
+            return Poll {
                 wait: Micros(0),
                 patience: OVERDUE.times(2.0),
             };
@@ -64,7 +64,7 @@
                 .0
                 .generate_range(self.longest.0 * 2 / 3..=self.longest.0),
         );
-        Call {
+        Poll {
             wait,
             patience: wait + OVERDUE,
         }
--- a/src/cadence/tests.rs
+++ b/src/watch_schedule/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn all_that_follows_a_silence_adds_up_to_less_than_the_time_by_which_news_counts_as_told() {
     for seed in 0..1000 {
-        let mut cadence = Cadence::new(Some(Micros(10_000_000)), seed);
+        let mut cadence = WatchSchedule::new(Some(Micros(10_000_000)), seed);
         let call = cadence.next(true);
         assert!(call.wait <= WAITS && call.wait >= WAITS.times(0.66));
         assert!(cadence.failed(true), "a look follows at once");
@@ -18,7 +18,7 @@
 
 #[test]
 fn only_one_look_follows_at_once_and_none_a_refusal() {
-    let mut cadence = Cadence::new(None, 7);
+    let mut cadence = WatchSchedule::new(None, 7);
     assert!(!cadence.failed(false));
     assert!(cadence.failed(true) && !cadence.failed(true) && !cadence.failed(false));
     assert_eq!(
@@ -32,7 +32,7 @@
 
 #[test]
 fn nobody_asks_less_often_than_the_settings_say_and_a_whole_list_is_not_waited_for() {
-    let mut cadence = Cadence::new(Some(Micros(900_000)), 7);
+    let mut cadence = WatchSchedule::new(Some(Micros(900_000)), 7);
     assert!((0..100).all(|_| cadence.next(true).wait <= Micros(900_000)));
     assert_eq!(cadence.next(false).wait, Micros(0));
 }
@@ -40,7 +40,7 @@
 #[test]
 fn watches_that_were_answered_together_come_apart() {
     let waits: Vec<u64> = (0..300)
-        .map(|seed| Cadence::new(None, seed).next(true).wait.0)
+        .map(|seed| WatchSchedule::new(None, seed).next(true).wait.0)
         .collect();
     let (least, most) = (waits.iter().min().copied(), waits.iter().max().copied());
     assert!(most
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -19,13 +19,13 @@
 /// The first word of every file; the number changes with the form of the line.
 const MARK: &str = "ternpick-kept-1";
 /// The longest file that is read, in bytes.
-pub const LONGEST: u64 = 64 << 20;
+pub const MAX_FILE_BYTES: u64 = 64 << 20;
 /// The longest first line, in bytes.
 const HEAD_BOUND: usize = 256;
 
 /// Why nothing could be read, or written.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum StoreError {
     #[error("cannot {what} {path}: {error}")]
     Io {
         what: &'static str,
@@ -33,44 +33,44 @@
         error: std::io::Error,
     },
     #[error("{path} is not kept by this program, or its first line is spoilt")]
-    Foreign { path: String },
+    NotOurs { path: String },
     #[error("{path} holds '{found}', not '{wanted}'")]
-    Other {
+    WrongKind {
         path: String,
         found: String,
         wanted: String,
     },
     #[error("{path} is spoilt: its length or checksum is not what its first line says")]
-    Spoilt { path: String },
-    #[error("{path} is longer than {LONGEST} bytes")]
+    Corrupt { path: String },
+    #[error("{path} is longer than {MAX_FILE_BYTES} bytes")]
     TooLong { path: String },
 }
 
-impl Fault {
+impl StoreError {
     /// Whether there simply is no such file.
     pub fn is_missing(&self) -> bool {
-        matches!(self, Fault::Io { error, .. } if error.kind() == std::io::ErrorKind::NotFound)
+        matches!(self, StoreError::Io { error, .. } if error.kind() == std::io::ErrorKind::NotFound)
     }
 }
 
 /// What a file held.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct StoredFile {
     pub version: u64,
     /// When it was saved, in microseconds of Unix time, by the clock of who saved it.
     pub saved: u64,
     pub bytes: Vec<u8>,
 }
 
-impl Kept {
+impl StoredFile {
     /// Its age in microseconds; a file from the future, saved before a clock stepped back, counts as new.
     pub fn age(&self, now: u64) -> u64 {
         now.saturating_sub(self.saved)
     }
 }
 
-fn fault<'a>(what: &'static str, path: &'a Path) -> impl Fn(std::io::Error) -> Fault + 'a {
-    move |error| Fault::Io {
+fn fault<'a>(what: &'static str, path: &'a Path) -> impl Fn(std::io::Error) -> StoreError + 'a {
+    move |error| StoreError::Io {
         what,
         path: path.display().to_string(),
         error,
@@ -78,7 +78,7 @@
 }
 
 /// Replaces the file at `path` whole, in the mode 0600: whoever reads it sees the old one or the new one.
-pub fn replace(path: &Path, bytes: &[u8]) -> Result<(), Fault> {
+pub fn replace_file(path: &Path, bytes: &[u8]) -> Result<(), StoreError> {
     let folder = path
         .parent()
         .filter(|of| !of.as_os_str().is_empty())
@@ -101,8 +101,14 @@
 }
 
 /// Keeps `bytes` as `kind` in its `version`, saved at `now` (microseconds of Unix time).
-pub fn put(path: &Path, kind: &str, version: u64, now: u64, bytes: &[u8]) -> Result<(), Fault> {
-    replace(path, &record(kind, version, now, bytes))
+pub fn save(
+    path: &Path,
+    kind: &str,
+    version: u64,
+    now: u64,
+    bytes: &[u8],
+) -> Result<(), StoreError> {
+    replace_file(path, &record(kind, version, now, bytes))
 }
 
 fn record(kind: &str, version: u64, now: u64, bytes: &[u8]) -> Vec<u8> {
@@ -124,35 +130,35 @@
 
 /// A folder that is one process's own while this lives: another that wants it is told so.
 #[derive(Debug)]
-pub struct Held(#[allow(dead_code)] fs::File);
+pub struct DirectoryLock(#[allow(dead_code)] fs::File);
 
 /// Takes a folder for this process, or says that another one has it (`None`). The folder is made if it is missing; one
 /// that cannot be written can still be held.
-pub fn hold(folder: &Path) -> Result<Option<Held>, Fault> {
+pub fn lock_directory(folder: &Path) -> Result<Option<DirectoryLock>, StoreError> {
     if !folder.exists() {
         fs::create_dir_all(folder).map_err(fault("make", folder))?;
     }
     let file = fs::File::open(folder).map_err(fault("open", folder))?;
     match file.try_lock() {
-        Ok(()) => Ok(Some(Held(file))),
+        Ok(()) => Ok(Some(DirectoryLock(file))),
         Err(fs::TryLockError::WouldBlock) => Ok(None),
         Err(fs::TryLockError::Error(error)) => Err(fault("hold", folder)(error)),
     }
 }
 
 /// Reads what is kept as `kind`.
-pub fn get(path: &Path, kind: &str) -> Result<Kept, Fault> {
+pub fn load(path: &Path, kind: &str) -> Result<StoredFile, StoreError> {
     parse(&read(path)?, kind).map_err(|wrong| wrong.at(path, kind))
 }
 
-fn read(path: &Path) -> Result<Vec<u8>, Fault> {
+fn read(path: &Path) -> Result<Vec<u8>, StoreError> {
     let file = fs::File::open(path).map_err(fault("read", path))?;
     let mut whole = Vec::new();
-    file.take(LONGEST + 1)
+    file.take(MAX_FILE_BYTES + 1)
         .read_to_end(&mut whole)
         .map_err(fault("read", path))?;
-    if whole.len() as u64 > LONGEST {
-        return Err(Fault::TooLong {
+    if whole.len() as u64 > MAX_FILE_BYTES {
+        return Err(StoreError::TooLong {
             path: path.display().to_string(),
         });
     }
@@ -187,7 +193,7 @@
 
 impl Journal {
     /// What was kept last, and the journal to go on with.
-    pub fn open(path: &Path, kind: &str) -> Result<(Journal, Option<Kept>), Fault> {
+    pub fn open(path: &Path, kind: &str) -> Result<(Journal, Option<StoredFile>), StoreError> {
         let mut journal = Journal::anew(path, kind);
         let whole = match read(path) {
             Ok(whole) => whole,
@@ -229,7 +235,7 @@
     }
 
     /// Keeps `bytes`: they last once this returns.
-    pub fn keep(&mut self, version: u64, now: u64, bytes: &[u8]) -> Result<(), Fault> {
+    pub fn keep(&mut self, version: u64, now: u64, bytes: &[u8]) -> Result<(), StoreError> {
         let whole = record(&self.kind, version, now, bytes);
         let grown = self.size + whole.len() as u64;
         if let Some(mut file) = self.file.take().filter(|_| grown <= REPLACED_FROM) {
@@ -242,7 +248,7 @@
             (self.file, self.size) = (Some(file), grown);
             return Ok(());
         }
-        replace(&self.path, &whole)?;
+        replace_file(&self.path, &whole)?;
         let file = fs::OpenOptions::new()
             .append(true)
             .open(&self.path)
@@ -257,58 +263,58 @@
 }
 
 #[derive(Debug, PartialEq)]
-enum Wrong {
+enum ParseError {
     Foreign,
     Other(String),
     Spoilt,
 }
 
-impl Wrong {
-    fn at(self, path: &Path, kind: &str) -> Fault {
+impl ParseError {
+    fn at(self, path: &Path, kind: &str) -> StoreError {
         let path = path.display().to_string();
         match self {
-            Wrong::Foreign => Fault::Foreign { path },
-            Wrong::Other(found) => Fault::Other {
+            ParseError::Foreign => StoreError::NotOurs { path },
+            ParseError::Other(found) => StoreError::WrongKind {
                 path,
                 found,
                 wanted: kind.into(),
             },
-            Wrong::Spoilt => Fault::Spoilt { path },
+            ParseError::Spoilt => StoreError::Corrupt { path },
         }
     }
 }
 
-fn parse(whole: &[u8], kind: &str) -> Result<Kept, Wrong> {
+fn parse(whole: &[u8], kind: &str) -> Result<StoredFile, ParseError> {
     match parse_one(whole, kind)? {
         (kept, length) if length == whole.len() => Ok(kept),
-        _ => Err(Wrong::Spoilt),
+        _ => Err(ParseError::Spoilt),
     }
 }
 
 /// What stands first, and how long it is.
-fn parse_one(whole: &[u8], kind: &str) -> Result<(Kept, usize), Wrong> {
+fn parse_one(whole: &[u8], kind: &str) -> Result<(StoredFile, usize), ParseError> {
     let end = whole
         .iter()
         .take(HEAD_BOUND)
         .position(|byte| *byte == b'\n')
-        .ok_or(Wrong::Foreign)?;
+        .ok_or(ParseError::Foreign)?;
     let (head, rest) = (&whole[..end], &whole[end + 1..]);
-    let head = std::str::from_utf8(head).map_err(|_| Wrong::Foreign)?;
+    let head = std::str::from_utf8(head).map_err(|_| ParseError::Foreign)?;
     let words: Vec<&str> = head.split(' ').collect();
     let [MARK, found, version, saved, length, sum] = words.as_slice() else {
-        return Err(Wrong::Foreign);
+        return Err(ParseError::Foreign);
     };
     let line = head.len() - sum.len() - 1;
-    let length: usize = length.parse().map_err(|_| Wrong::Foreign)?;
-    let bytes = rest.get(..length).ok_or(Wrong::Spoilt)?;
+    let length: usize = length.parse().map_err(|_| ParseError::Foreign)?;
+    let bytes = rest.get(..length).ok_or(ParseError::Spoilt)?;
     if checksum(&head[..line], bytes) != *sum {
-        return Err(Wrong::Spoilt);
+        return Err(ParseError::Spoilt);
     }
     if *found != kind {
-        return Err(Wrong::Other((*found).to_owned()));
+        return Err(ParseError::Other((*found).to_owned()));
     }
-    let number = |word: &str| word.parse::<u64>().map_err(|_| Wrong::Foreign);
-    let kept = Kept {
+    let number = |word: &str| word.parse::<u64>().map_err(|_| ParseError::Foreign);
+    let kept = StoredFile {
         version: number(version)?,
         saved: number(saved)?,
         bytes: bytes.to_vec(),
@@ -324,7 +330,7 @@
     fn kept(bytes: &[u8]) -> (tempfile::TempDir, std::path::PathBuf) {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("kept");
-        put(&path, "list", 7, 1000, bytes).expect("written");
+        save(&path, "list", 7, 1000, bytes).expect("written");
         (folder, path)
     }
 
@@ -385,11 +391,11 @@
         fs::write(&path, &whole).expect("spoilt");
         assert!(matches!(
             Journal::open(&path, "list"),
-            Err(Fault::Spoilt { .. })
+            Err(StoreError::Corrupt { .. })
         ));
         assert!(matches!(
             Journal::open(&path, "keys"),
-            Err(Fault::Spoilt { .. } | Fault::Other { .. })
+            Err(StoreError::Corrupt { .. } | StoreError::WrongKind { .. })
         ));
     }
 
@@ -397,16 +403,16 @@
     fn a_folder_is_held_by_one_at_a_time() {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("new");
-        let held = hold(&path).expect("made").expect("free");
-        assert!(hold(&path).expect("there").is_none());
+        let held = lock_directory(&path).expect("made").expect("free");
+        assert!(lock_directory(&path).expect("there").is_none());
         drop(held);
-        assert!(hold(&path).expect("there").is_some());
+        assert!(lock_directory(&path).expect("there").is_some());
     }
 
     #[test]
     fn only_its_owner_may_read_it_and_nothing_is_left_beside_it() {
         let (folder, path) = kept(b"x");
-        put(&path, "list", 8, 2000, b"y").expect("written again");
+        save(&path, "list", 8, 2000, b"y").expect("written again");
         let mode = fs::metadata(&path).expect("there").permissions().mode();
         assert_eq!(
             (
@@ -416,8 +422,8 @@
             (0o600, 1)
         );
         assert_eq!(
-            get(&path, "list").expect("whole"),
-            Kept {
+            load(&path, "list").expect("whole"),
+            StoredFile {
                 version: 8,
                 saved: 2000,
                 bytes: b"y".to_vec()
@@ -428,10 +434,16 @@
     #[test]
     fn another_kind_a_foreign_file_and_none_are_told_apart() {
         let (folder, path) = kept(b"x");
-        assert!(matches!(get(&path, "keys"), Err(Fault::Other { .. })));
+        assert!(matches!(
+            load(&path, "keys"),
+            Err(StoreError::WrongKind { .. })
+        ));
         fs::write(&path, "{}\n").expect("written");
-        assert!(matches!(get(&path, "list"), Err(Fault::Foreign { .. })));
-        assert!(get(&folder.path().join("none"), "list").is_err_and(|fault| fault.is_missing()));
+        assert!(matches!(
+            load(&path, "list"),
+            Err(StoreError::NotOurs { .. })
+        ));
+        assert!(load(&folder.path().join("none"), "list").is_err_and(|fault| fault.is_missing()));
     }
 
     proptest! {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
-use ternpick::brain::Brain;
-use ternpick::interface::Actions;
+use ternpick::actions::Actions;
+use ternpick::routing::RoutingEngine;
 use ternpick::types::*;
 
 const WINDOW: Micros = Micros(1_000_000);
@@ -14,28 +14,28 @@
 const LEAST: f64 = 0.6;
 
 /// A part: its lookup, whether it is once-only, its weight, and its calls with what became of them.
-type Sent = (LookupId, bool, f64, Vec<Option<Ending>>);
+type Sent = (QueryId, bool, f64, Vec<Option<AttemptOutcome>>);
 
 #[derive(Default)]
 struct Tape {
-    calls: Vec<(PartId, NodeId)>,
-    finals: Vec<(LookupId, Option<bool>)>,
+    calls: Vec<(ShardRequestId, NodeId)>,
+    finals: Vec<(QueryId, Option<bool>)>,
 }
 
 impl Actions for Tape {
-    fn part_call(&mut self, part: PartId, node: NodeId, _: Micros) {
+    fn part_call(&mut self, part: ShardRequestId, node: NodeId, _: Micros) {
         self.calls.push((part, node));
     }
-    fn answer(&mut self, lookup: LookupId, whole: bool) {
+    fn answer(&mut self, lookup: QueryId, whole: bool) {
         self.finals.push((lookup, Some(whole)));
     }
-    fn nack(&mut self, lookup: LookupId, _: Micros) {
+    fn nack(&mut self, lookup: QueryId, _: Micros) {
         self.finals.push((lookup, None));
     }
-    fn abort(&mut self, lookup: LookupId) {
+    fn abort(&mut self, lookup: QueryId) {
         self.finals.push((lookup, None));
     }
-    fn cancel(&mut self, _: PartId, _: CallNo) {}
+    fn cancel(&mut self, _: ShardRequestId, _: AttemptNo) {}
     fn probe(&mut self, _: NodeId) {}
     fn close_idle(&mut self, _: NodeId) {}
     fn watch_roster(&mut self) {}
@@ -46,37 +46,46 @@
 /// What happens next: a lookup of so many parts, the return of some call that is out, time that passes.
 #[derive(Clone, Debug)]
 enum Step {
-    Lookup { once: bool, parts: u64 },
-    Return { which: usize, ending: Ending },
+    Query {
+        once: bool,
+        parts: u64,
+    },
+    Return {
+        which: usize,
+        ending: AttemptOutcome,
+    },
     Wait(u64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let endings = prop_oneof![
-        4 => Just(Ending::Satisfied),
-        2 => Just(Ending::MayHaveRun),
-        1 => Just(Ending::Broken),
-        3 => Just(Ending::NeverRan),
+        4 => Just(AttemptOutcome::Satisfied),
+        2 => Just(AttemptOutcome::MayHaveRun),
+        1 => Just(AttemptOutcome::Broken),
+        3 => Just(AttemptOutcome::NeverRan),
     ];
     let step = prop_oneof![
-        1 => (any::<bool>(), 1u64..30).prop_map(|(once, parts)| Step::Lookup { once, parts }),
+        1 => (any::<bool>(), 1u64..30).prop_map(|(once, parts)| Step::Query { once, parts }),
         6 => (0usize..64, endings).prop_map(|(which, ending)| Step::Return { which, ending }),
         3 => (1u64..400_000).prop_map(Step::Wait),
     ];
     prop::collection::vec(step, 1..120)
 }
 
-fn router() -> Brain {
-    let row = |repeat, least| IndexRow {
+fn router() -> RoutingEngine {
+    let row = |repeat, least| IndexConfig {
         soft: Micros(1_000_000),
         gain: 1.0,
         repeat,
         need: 1.0,
         least,
-        ..IndexRow::default()
+        ..IndexConfig::default()
     };
-    let tariff = Tariff {
-        indexes: vec![row(Repeat::Idempotent, LEAST), row(Repeat::OnceOnly, 1.0)],
+    let tariff = PlatformConfig {
+        indexes: vec![
+            row(RetrySemantics::Idempotent, LEAST),
+            row(RetrySemantics::OnceOnly, 1.0),
+        ],
         routers: 1.0,
         cells: 1,
         reach: 1,
@@ -85,12 +94,12 @@
         extra_spare: SPARE,
         extra_ratio: RATIO,
         extra_window: Some(WINDOW),
-        ..Tariff::default()
+        ..PlatformConfig::default()
     };
-    let mut brain = Brain::new(tariff, 7);
-    let listing = |id| Listing {
+    let mut brain = RoutingEngine::new(tariff, 7);
+    let listing = |id| Endpoint {
         node: NodeId(id),
-        ..Listing::default()
+        ..Endpoint::default()
     };
     brain.roster(
         Micros(1),
@@ -107,26 +116,26 @@
     fn the_rules_hold_in_any_order(steps in steps()) {
         let (mut brain, mut tape, mut now) = (router(), Tape::default(), Micros(1_000_000));
         let (mut next, mut taken, mut further) = (0u64, Vec::new(), Vec::new());
-        let mut parts: BTreeMap<PartId, Sent> = BTreeMap::new();
-        let mut out: Vec<(PartId, CallNo, NodeId, Micros)> = Vec::new();
-        let mut final_of: BTreeMap<LookupId, usize> = BTreeMap::new();
+        let mut parts: BTreeMap<ShardRequestId, Sent> = BTreeMap::new();
+        let mut out: Vec<(ShardRequestId, AttemptNo, NodeId, Micros)> = Vec::new();
+        let mut final_of: BTreeMap<QueryId, usize> = BTreeMap::new();
         for step in steps {
             match step {
-                Step::Lookup { once, parts: count } => {
+                Step::Query { once, parts: count } => {
                     next += 1;
-                    let id = LookupId(next * 1000);
+                    let id = QueryId(next * 1000);
                     final_of.insert(id, 0);
                     let (index, left) = (IndexNo(u8::from(once)), Micros(3_000_000));
                     taken.extend((0..=count).map(|_| now));
                     let whole: f64 = (1..=count).map(|rank| 1.0 / rank as f64).sum();
                     for rank in 1..=count {
                         let weight = 1.0 / rank as f64 / whole;
-                        parts.insert(PartId(id.0 + rank), (id, once, weight, Vec::new()));
+                        parts.insert(ShardRequestId(id.0 + rank), (id, once, weight, Vec::new()));
                     }
-                    brain.lookup(now, id, QueryNo(next), index, CustomerNo(0), count as usize, left, false, &mut tape);
+                    brain.lookup(now, id, WireQueryNo(next), index, CustomerNo(0), count as usize, left, false, &mut tape);
                     for rank in 1..=count {
-                        let part = PartId(id.0 + rank);
-                        brain.part(now, part, QueryNo(next), ShardNo(0), parts[&part].2, None, &mut tape);
+                        let part = ShardRequestId(id.0 + rank);
+                        brain.part(now, part, WireQueryNo(next), ShardNo(0), parts[&part].2, None, &mut tape);
                     }
                 }
                 Step::Return { which, ending } if !out.is_empty() => {
@@ -142,7 +151,7 @@
             }
             for (part, node) in tape.calls.drain(..) {
                 let (_, once, _, calls) = parts.get_mut(&part).expect("a part");
-                let may_have_run = |call: &Option<Ending>| !matches!(call, Some(Ending::NeverRan | Ending::Unsent));
+                let may_have_run = |call: &Option<AttemptOutcome>| !matches!(call, Some(AttemptOutcome::NeverRan | AttemptOutcome::Unsent));
                 prop_assert!(!*once || !calls.iter().any(may_have_run), "a once-only part is sent again");
                 if !calls.is_empty() {
                     further.push(now);
@@ -150,7 +159,7 @@
                     let of = taken.iter().filter(|at| now.since(**at) < WINDOW).count() as f64;
                     prop_assert!(made <= SPARE + RATIO * of, "{made} further calls for {of} taken");
                 }
-                out.push((part, CallNo(calls.len() as u8), node, now));
+                out.push((part, AttemptNo(calls.len() as u8), node, now));
                 calls.push(None);
             }
             for (id, answer) in tape.finals.drain(..) {
@@ -158,7 +167,7 @@
                 *ends += 1;
                 prop_assert!(*ends == 1, "two final answers");
                 let of = parts.values().filter(|part| part.0 == id);
-                let is_in = |part: &&Sent| part.3.contains(&Some(Ending::Satisfied));
+                let is_in = |part: &&Sent| part.3.contains(&Some(AttemptOutcome::Satisfied));
                 let (weight, all) = (of.clone().filter(is_in).map(|part| part.2).sum::<f64>(), of.clone().all(|p| is_in(&p)));
                 let least = if id_is_once(&parts, id) { 1.0 } else { LEAST };
                 prop_assert!(answer.is_none() || weight + 1e-6 >= least, "an answer from {weight}");
@@ -174,6 +183,6 @@
     }
 }
 
-fn id_is_once(parts: &BTreeMap<PartId, Sent>, id: LookupId) -> bool {
+fn id_is_once(parts: &BTreeMap<ShardRequestId, Sent>, id: QueryId) -> bool {
     parts.values().any(|part| part.0 == id && part.1)
 }
--- a/wire/src/discovery.rs
+++ b/wire/src/discovery.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde_json::Value;
-use ternpick::types::{CellNo, Listing, Micros, NodeId, Phase, ZoneNo};
+use ternpick::types::{Endpoint, EndpointState, Micros, NodeId, ShardGroupNo, ZoneNo};
 
 /// The longest answer that is read: discovery is the one peer whose answers grow with the fleet.
 pub const LIST_BOUND: usize = 1024 * 1024;
@@ -35,7 +35,7 @@
 }
 
 /// One entry: its name, where it listens, and what the module is to know of it but for its id.
-pub fn entry(of: &Value, zones: &[String]) -> Result<(String, SocketAddr, Listing), &'static str> {
+pub fn entry(of: &Value, zones: &[String]) -> Result<(String, SocketAddr, Endpoint), &'static str> {
     let name = of["name"]
         .as_str()
         .filter(|name| !name.is_empty())
@@ -55,9 +55,9 @@
         .and_then(|cell| u32::try_from(cell).ok())
         .ok_or("no group")?;
     let phase = match of["status"].as_str() {
-        Some("Ready") => Phase::Ready,
-        Some("Terminating") => Phase::Draining,
-        Some("Gone") => Phase::Gone,
+        Some("Ready") => EndpointState::Ready,
+        Some("Terminating") => EndpointState::Draining,
+        Some("Gone") => EndpointState::Gone,
         _ => return Err("no known status"),
     };
     let started = Micros(
@@ -65,10 +65,10 @@
             .as_f64()
             .map_or(0, |ms| (ms.max(0.0) * 1e3) as u64),
     );
-    let listing = Listing {
+    let listing = Endpoint {
         node: NodeId(0),
         zone: ZoneNo(zone),
-        cell: CellNo(cell),
+        cell: ShardGroupNo(cell),
         phase,
         started,
     };
@@ -82,15 +82,15 @@
 
     const GOOD: &str = r#"{"name":"s-1","address":"127.0.0.1:9000","zone":"b","group":3,"status":"Terminating","since_ms":1500}"#;
 
-    #[test_case("", "", Some((1, Phase::Draining)); "as it stands")]
-    #[test_case("\"b\"", "\"far\"", Some((u16::MAX, Phase::Draining)); "a zone of nobody's")]
-    #[test_case("Terminating", "Ready", Some((1, Phase::Ready)); "ready")]
-    #[test_case("Terminating", "Gone", Some((1, Phase::Gone)); "gone")]
+    #[test_case("", "", Some((1, EndpointState::Draining)); "as it stands")]
+    #[test_case("\"b\"", "\"far\"", Some((u16::MAX, EndpointState::Draining)); "a zone of nobody's")]
+    #[test_case("Terminating", "Ready", Some((1, EndpointState::Ready)); "ready")]
+    #[test_case("Terminating", "Gone", Some((1, EndpointState::Gone)); "gone")]
     #[test_case("Terminating", "Asleep", None; "an unknown status")]
     #[test_case("127.0.0.1:9000", "nowhere", None; "no address")]
     #[test_case("s-1", "", None; "no name")]
     #[test_case("\"group\":3", "\"group\":-3", None; "no group")]
-    fn reads_entries(from: &str, to: &str, read: Option<(u16, Phase)>) {
+    fn reads_entries(from: &str, to: &str, read: Option<(u16, EndpointState)>) {
         let of = parse(GOOD.replacen(from, to, 1).as_bytes()).expect("JSON");
         let entry = entry(&of, &["a".to_owned(), "b".to_owned()]).ok();
         assert_eq!(
