--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -54,7 +54,7 @@
 }
 
 impl Actions for Outlet<'_> {
-    fn part_call(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
+    fn send_attempt(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
         self.record(action::ATTEMPT)
             .put(&part.0.to_be_bytes())
             .node(node.0)
@@ -67,36 +67,36 @@
             .put(&[u8::from(whole)]);
     }
 
-    fn nack(&mut self, lookup: QueryId, come_back: Micros) {
+    fn reject(&mut self, lookup: QueryId, come_back: Micros) {
         self.record(action::SAY_NO)
             .put(&lookup.0.to_be_bytes())
             .time(come_back.0);
     }
 
-    fn abort(&mut self, lookup: QueryId) {
+    fn fail(&mut self, lookup: QueryId) {
         self.record(action::REPORT_FAILURE)
             .put(&lookup.0.to_be_bytes());
     }
 
-    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo) {
+    fn cancel_attempt(&mut self, part: ShardRequestId, call: AttemptNo) {
         self.record(action::RETRACT)
             .put(&part.0.to_be_bytes())
             .put(&[call.0]);
     }
 
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.record(action::LET_GO).node(node.0);
     }
 
-    fn probe(&mut self, node: NodeId) {
+    fn check_health(&mut self, node: NodeId) {
         self.record(action::HEALTH_CHECK).node(node.0);
     }
 
-    fn watch_roster(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.record(action::TRACK).put(&[1]);
     }
 
-    fn timer(&mut self, delay: Micros, timer: TimerId) {
+    fn set_timer(&mut self, delay: Micros, timer: TimerId) {
         self.record(action::DEFER)
             .time(delay.0)
             .put(&timer.0.to_be_bytes());
@@ -172,7 +172,9 @@
                 let (_lag, how, node) = (f.u32()?, f.u16()?, NodeId(f.node()?));
                 ending(how)?;
                 let report = f.report()?;
-                guard(instance, || brain.probed(now, node, &report, out))
+                guard(instance, || {
+                    brain.health_check_finished(now, node, &report, out)
+                })
             }
             event::HEARD => {
                 f.u32()?;
@@ -192,7 +194,7 @@
                 let query = WireQueryNo(u64::from(query.to_bits()));
                 guard(instance, || {
                     if shard < 0.0 {
-                        brain.lookup(
+                        brain.query_received(
                             now,
                             QueryId(id),
                             query,
@@ -204,7 +206,7 @@
                             out,
                         );
                     } else {
-                        brain.part(
+                        brain.shard_request_received(
                             now,
                             ShardRequestId(id),
                             query,
@@ -218,12 +220,12 @@
             }
             event::LAPSED => {
                 let id = QueryId(f.u64()?);
-                guard(instance, || brain.lapsed(now, id, out))
+                guard(instance, || brain.client_left(now, id, out))
             }
             event::DIRECTORY_UPDATE => {
                 let (number, _version, how) = (f.u32()?, f.u64()?, f.u8()?);
                 if how == 3 {
-                    return guard(instance, || brain.roster_failed(now, out));
+                    return guard(instance, || brain.endpoint_watch_failed(now, out));
                 }
                 if how > 2 {
                     return Err(format!("a roster update of unknown kind {how}"));
@@ -231,7 +233,9 @@
                 let list = self.catalogs.get(number as usize).and_then(Option::as_ref);
                 let list =
                     list.ok_or_else(|| format!("catalog {number} is named but was never sent"))?;
-                guard(instance, || brain.roster(now, list, how != 0, out))
+                guard(instance, || {
+                    brain.endpoints_changed(now, list, how != 0, out)
+                })
             }
             event::UNDER_WAY => {
                 f.bytes(8 + 1 + 6 + 4)?; // streamed indexes are not used here
@@ -242,12 +246,12 @@
                 let (node, _finished, call) = (NodeId(f.node()?), f.u8()?, AttemptNo(f.u8()?));
                 let (ending, report) = (ending(f.u16()?)?, f.report()?);
                 guard(instance, || {
-                    brain.returned(now, part, call, node, lag, ending, &report, out)
+                    brain.attempt_finished(now, part, call, node, lag, ending, &report, out)
                 })
             }
             event::ELAPSED => {
                 let timer = TimerId(f.u64()?);
-                guard(instance, || brain.elapsed(now, timer, out))
+                guard(instance, || brain.timer_fired(now, timer, out))
             }
             _ => Err(format!("unknown event code {code}")),
         }
@@ -282,9 +286,9 @@
     Ok(Endpoint {
         node,
         zone,
-        cell,
-        phase,
-        started: Micros(f.u64()?),
+        shard_group: cell,
+        state: phase,
+        started_at: Micros(f.u64()?),
     })
 }
 
--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -16,17 +16,17 @@
 struct Out(VecDeque<(ShardRequestId, NodeId)>);
 
 impl Actions for Out {
-    fn part_call(&mut self, part: ShardRequestId, node: NodeId, _: Micros) {
+    fn send_attempt(&mut self, part: ShardRequestId, node: NodeId, _: Micros) {
         self.0.push_back((part, node));
     }
     fn answer(&mut self, _: QueryId, _: bool) {}
-    fn nack(&mut self, _: QueryId, _: Micros) {}
-    fn abort(&mut self, _: QueryId) {}
-    fn cancel(&mut self, _: ShardRequestId, _: AttemptNo) {}
-    fn probe(&mut self, _: NodeId) {}
-    fn close_idle(&mut self, _: NodeId) {}
-    fn watch_roster(&mut self) {}
-    fn timer(&mut self, _: Micros, _: TimerId) {}
+    fn reject(&mut self, _: QueryId, _: Micros) {}
+    fn fail(&mut self, _: QueryId) {}
+    fn cancel_attempt(&mut self, _: ShardRequestId, _: AttemptNo) {}
+    fn check_health(&mut self, _: NodeId) {}
+    fn close_idle_connections(&mut self, _: NodeId) {}
+    fn watch_endpoints(&mut self) {}
+    fn set_timer(&mut self, _: Micros, _: TimerId) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -43,21 +43,21 @@
         let cells = (nodes as u32 / HOLDERS).max(1);
         let soft = Micros(10_000_000);
         let index = IndexConfig {
-            soft,
-            gain: 1.0,
-            need: 1.0,
-            least: 1.0,
+            latency_objective: soft,
+            priority_weight: 1.0,
+            required_weight: 1.0,
+            min_weight: 1.0,
             ..IndexConfig::default()
         };
         let tariff = PlatformConfig {
             indexes: vec![index],
-            routers: 1.0,
-            cells,
-            reach: 1,
-            gauges: vec![LoadMetric::Queue],
-            reporting: LoadReporting::InAnswers,
-            second_copies: true,
-            cancels: true,
+            router_count: 1.0,
+            shard_group_count: cells,
+            groups_per_shard: 1,
+            load_metrics: vec![LoadMetric::Queue],
+            load_reporting: LoadReporting::InAnswers,
+            hedging: true,
+            cancellation: true,
             tick: Micros(1000),
             ..PlatformConfig::default()
         };
@@ -68,11 +68,11 @@
         );
         let listing = |id| Endpoint {
             node: NodeId(id),
-            cell: ShardGroupNo(id as u32 % cells),
+            shard_group: ShardGroupNo(id as u32 % cells),
             ..Endpoint::default()
         };
         let list: Vec<Endpoint> = (0..nodes).map(listing).collect();
-        brain.roster(now, &list, true, &mut out);
+        brain.endpoints_changed(now, &list, true, &mut out);
         Router {
             brain,
             out,
@@ -88,7 +88,7 @@
         self.next += 1;
         let (id, left) = (self.next, Micros(20_000_000));
         let query = WireQueryNo(id);
-        self.brain.lookup(
+        self.brain.query_received(
             self.now,
             QueryId(id),
             query,
@@ -103,7 +103,7 @@
             // Shards in an order that visits all cells.
             let shard = ShardNo(((id * PARTS + at) * 7919 % u64::from(self.cells)) as u32);
             let part = ShardRequestId(id * PARTS + at);
-            self.brain.part(
+            self.brain.shard_request_received(
                 self.now,
                 part,
                 query,
@@ -122,7 +122,7 @@
                 return;
             };
             let (lag, report) = (Micros(900), [2.0]);
-            self.brain.returned(
+            self.brain.attempt_finished(
                 self.now,
                 part,
                 AttemptNo(0),
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -47,12 +47,12 @@
     pub election_ticks: usize,
     pub heartbeat_ticks: usize,
     /// How often the leader tells everybody what everybody has promised.
-    pub witness_ticks: usize,
+    pub promise_broadcast_ticks: usize,
     /// Entries kept before the state goes in their place.
-    pub entries_kept: u64,
+    pub max_log_entries: u64,
     /// The longest entry, and about the longest message, in bytes.
-    pub entry_bytes: u64,
-    pub message_bytes: u64,
+    pub max_entry_bytes: u64,
+    pub max_message_bytes: u64,
 }
 
 impl Default for RaftConfig {
@@ -60,10 +60,10 @@
         RaftConfig {
             election_ticks: 25,
             heartbeat_ticks: 5,
-            witness_ticks: 50,
-            entries_kept: 256,
-            entry_bytes: 12 * 1024,
-            message_bytes: 16 * 1024,
+            promise_broadcast_ticks: 50,
+            max_log_entries: 256,
+            max_entry_bytes: 12 * 1024,
+            max_message_bytes: 16 * 1024,
         }
     }
 }
--- a/consensus/src/replica.rs
+++ b/consensus/src/replica.rs
@@ -63,22 +63,22 @@
     pub entries: Vec<(u64, Vec<u8>)>,
     /// Questions ([`Replica::ask`]) that are answered: this seat led when they were put, and the entries up to the place
     /// are to be played before they count.
-    pub answered: Vec<(u64, u64)>,
+    pub confirmed_reads: Vec<(u64, u64)>,
 }
 
 /// How a seat stands; for people and for the driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    pub replica: ReplicaId,
+    pub replica_id: ReplicaId,
     pub term: u64,
-    pub leads: bool,
+    pub is_leader: bool,
     pub leader: Option<ReplicaId>,
-    pub last: u64,
-    pub agreed: u64,
-    pub played: u64,
+    pub last_index: u64,
+    pub committed_index: u64,
+    pub applied_index: u64,
     pub voters: Vec<ReplicaId>,
     pub learners: Vec<ReplicaId>,
-    pub standing: String,
+    pub participation: String,
 }
 
 pub struct Replica {
@@ -118,10 +118,10 @@
         min_election_tick: terms.election_ticks,
         max_election_tick: terms.election_ticks * 2,
         heartbeat_tick: terms.heartbeat_ticks,
-        max_size_per_msg: terms.message_bytes,
+        max_size_per_msg: terms.max_message_bytes,
         max_inflight_msgs: 16,
-        max_uncommitted_size: terms.message_bytes * 8,
-        max_committed_size_per_ready: terms.message_bytes * 4,
+        max_uncommitted_size: terms.max_message_bytes * 8,
+        max_committed_size_per_ready: terms.max_message_bytes * 4,
         // A leader that hears no majority steps down, and one that was cut off does not disturb the others on its return.
         check_quorum: true,
         pre_vote: true,
@@ -131,7 +131,12 @@
 
 impl Replica {
     /// The image of a seat at the founding of a fleet: all voters begin from the same.
-    pub fn founds(fleet: FleetId, no: ReplicaId, voters: &[ReplicaId], state: Vec<u8>) -> Vec<u8> {
+    pub fn bootstrap(
+        fleet: FleetId,
+        no: ReplicaId,
+        voters: &[ReplicaId],
+        state: Vec<u8>,
+    ) -> Vec<u8> {
         let mut snapshot = Snapshot::default();
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (1, 1);
@@ -144,7 +149,7 @@
 
     /// A seat that was just given to a member: it has promised nothing, and votes only once the others have made it a
     /// voter. To be used only where the agreed state says that the seat is new.
-    pub fn fresh(
+    pub fn join(
         fleet: FleetId,
         no: ReplicaId,
         terms: RaftConfig,
@@ -228,32 +233,32 @@
         Ok(replica)
     }
 
-    pub fn no(&self) -> ReplicaId {
+    pub fn id(&self) -> ReplicaId {
         self.no
     }
 
-    pub fn standing(&self) -> &Participation {
+    pub fn participation(&self) -> &Participation {
         &self.standing
     }
 
     /// The state that the log began from, and its place; to be played first.
-    pub fn begins_from(&self) -> Option<(u64, Vec<u8>)> {
+    pub fn initial_snapshot(&self) -> Option<(u64, Vec<u8>)> {
         let snapshot = &self.raft.store().snapshot;
         let index = snapshot.get_metadata().index;
         (index > 0).then(|| (index, snapshot.data.to_vec()))
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.standing == Participation::TakesPart && self.raft.raft.state == StateRole::Leader
     }
 
     /// Whether it leads, and all that was agreed before it did is known to be agreed.
-    pub fn leads_surely(&self) -> bool {
-        self.leads() && self.raft.raft.commit_to_current_term()
+    pub fn is_confirmed_leader(&self) -> bool {
+        self.is_leader() && self.raft.raft.commit_to_current_term()
     }
 
     /// How far the entries that came out have gone.
-    pub fn played(&self) -> u64 {
+    pub fn applied_index(&self) -> u64 {
         self.played
     }
 
@@ -266,12 +271,12 @@
     }
 
     /// The term in which it is for good, whatever happens to this process.
-    pub fn kept_term(&self) -> u64 {
+    pub fn persisted_term(&self) -> u64 {
         self.kept_term
     }
 
     /// Those that vote, where who votes does not change just now.
-    pub fn settled_voters(&self) -> Option<Vec<ReplicaId>> {
+    pub fn committed_voters(&self) -> Option<Vec<ReplicaId>> {
         self.raft
             .store()
             .conf
@@ -309,16 +314,16 @@
             Participation::Spoilt(words) => format!("spoilt: {words}"),
         };
         Status {
-            replica: self.no,
+            replica_id: self.no,
             term: self.term(),
-            leads: self.leads(),
+            is_leader: self.is_leader(),
             leader: self.leader(),
-            last: store.last(),
-            agreed: self.raft.raft.raft_log.committed,
-            played: self.played,
+            last_index: store.last(),
+            committed_index: self.raft.raft.raft_log.committed,
+            applied_index: self.played,
             voters: self.voters(),
             learners: self.learners(),
-            standing,
+            participation: standing,
         }
     }
 
@@ -374,8 +379,12 @@
                 }
             }
             Participation::TakesPart => {
-                self.step(Input::Tick);
-                if self.leads() && self.ticks.is_multiple_of(self.terms.witness_ticks as u64) {
+                self.apply_input(Input::Tick);
+                if self.is_leader()
+                    && self
+                        .ticks
+                        .is_multiple_of(self.terms.promise_broadcast_ticks as u64)
+                {
                     self.spread();
                 }
             }
@@ -418,7 +427,7 @@
 
     /// Something has come from another seat. What makes no sense is passed over. The term comes back of one that leads and
     /// whose word is taken.
-    pub fn hear(&mut self, from: ReplicaId, bytes: &[u8]) -> Option<u64> {
+    pub fn step(&mut self, from: ReplicaId, bytes: &[u8]) -> Option<u64> {
         if matches!(self.standing, Participation::Spoilt(_)) {
             return None;
         }
@@ -491,12 +500,12 @@
         ]
         .contains(&kind);
         let heeded = (leads && message.term >= self.term()).then_some(message.term);
-        self.step(Input::Heard(message));
+        self.apply_input(Input::Heard(message));
         heeded
     }
 
     /// Something for the core; at once, or once the work that is being kept is: it bears nothing in between.
-    fn step(&mut self, input: Input) {
+    fn apply_input(&mut self, input: Input) {
         if self.ready.is_some() {
             if self.meanwhile.len() < MOST_MEANWHILE {
                 self.meanwhile.push_back(input);
@@ -519,35 +528,35 @@
     }
 
     /// Puts an entry into the log, if this seat leads. Whether it is agreed is known when it comes out, not before.
-    pub fn put(&mut self, data: Vec<u8>) -> Result<(), ConsensusError> {
-        if !self.leads() {
+    pub fn propose(&mut self, data: Vec<u8>) -> Result<(), ConsensusError> {
+        if !self.is_leader() {
             return Err(ConsensusError::LeadsNot);
         }
-        if data.len() as u64 > self.terms.entry_bytes {
+        if data.len() as u64 > self.terms.max_entry_bytes {
             return Err(ConsensusError::TooLong {
                 length: data.len() as u64,
-                most: self.terms.entry_bytes,
+                most: self.terms.max_entry_bytes,
             });
         }
-        self.step(Input::Put(data));
+        self.apply_input(Input::Put(data));
         Ok(())
     }
 
     /// Asks whether this seat leads still; see [`Advanced::answered`]. A question may stay without an answer.
-    pub fn ask(&mut self, number: u64) {
-        if self.leads() {
-            self.step(Input::Ask(number));
+    pub fn read_index(&mut self, number: u64) {
+        if self.is_leader() {
+            self.apply_input(Input::Ask(number));
         }
     }
 
     /// Brings voters and learners to what is wanted, jointly; one change at a time. Nothing where nothing differs.
-    pub fn change(
+    pub fn propose_membership(
         &mut self,
         voters: &[ReplicaId],
         learners: &[ReplicaId],
     ) -> Result<bool, ConsensusError> {
         let conf = &self.raft.store().conf;
-        if !self.leads()
+        if !self.is_leader()
             || self.ready.is_some()
             || !conf.get_voters_outgoing().is_empty()
             || voters.is_empty()
@@ -591,7 +600,7 @@
     }
 
     /// Whether a seat that learns has all that is agreed, nearly.
-    pub fn has_learnt(&self, replica: ReplicaId) -> bool {
+    pub fn is_caught_up(&self, replica: ReplicaId) -> bool {
         let raft = &self.raft.raft;
         raft.prs()
             .get(replica.0)
@@ -599,20 +608,20 @@
     }
 
     /// Passes the lead on, if it can be.
-    pub fn transfer(&mut self, to: ReplicaId) {
-        if self.leads() {
-            self.step(Input::Transfer(to));
+    pub fn transfer_leadership(&mut self, to: ReplicaId) {
+        if self.is_leader() {
+            self.apply_input(Input::Transfer(to));
         }
     }
 
     /// Whether the entries kept are many, or who votes has changed: then the state up to what was played goes in their
     /// place. A seat that is new learns nothing from a state in which it has no place.
-    pub fn is_long(&self) -> bool {
+    pub fn needs_compaction(&self) -> bool {
         if self.conf_changed {
             return true;
         }
         let store = self.raft.store();
-        self.played.saturating_sub(store.first()) >= self.terms.entries_kept
+        self.played.saturating_sub(store.first()) >= self.terms.max_log_entries
     }
 
     /// The state after all that was played.
@@ -624,7 +633,7 @@
     }
 
     /// What is to be kept next, if anything waits. Until [`Replica::kept`] is called nothing more comes out.
-    pub fn work(&mut self) -> Option<Ready> {
+    pub fn ready(&mut self) -> Option<Ready> {
         if self.ready.is_some() {
             return None;
         }
@@ -665,7 +674,7 @@
     }
 
     /// The work is kept: this follows.
-    pub fn kept(&mut self) -> Advanced {
+    pub fn advance(&mut self) -> Advanced {
         let mut done = Advanced::default();
         self.kept_term = self.raft.store().hard.term;
         for (to, word) in std::mem::take(&mut self.aside) {
@@ -686,7 +695,8 @@
         let mut entries = ready.take_committed_entries();
         for read in ready.take_read_states() {
             if let Ok(number) = <[u8; 8]>::try_from(read.request_ctx.as_slice()) {
-                done.answered.push((u64::from_le_bytes(number), read.index));
+                done.confirmed_reads
+                    .push((u64::from_le_bytes(number), read.index));
             }
         }
         let mut light = None;
@@ -721,7 +731,7 @@
         }
         self.draw();
         for input in std::mem::take(&mut self.meanwhile) {
-            self.step(input);
+            self.apply_input(input);
         }
         done
     }
--- a/consensus/tests/agreement.rs
+++ b/consensus/tests/agreement.rs
@@ -96,7 +96,7 @@
         place.disk.truncate(copies / 2);
         world.start(no);
         world.steps(200);
-        let standing = world.replica(no).standing().clone();
+        let standing = world.replica(no).participation().clone();
         let Participation::Spoilt(words) = standing else {
             panic!("{no} takes part: {standing:?}")
         };
@@ -157,7 +157,10 @@
         .expect("another");
     world.crash(lost);
     let (new, rest): (ReplicaId, Vec<ReplicaId>) = (ReplicaId(4), world.up());
-    assert_eq!(world.replica(leader).change(&rest, &[new]), Ok(true));
+    assert_eq!(
+        world.replica(leader).propose_membership(&rest, &[new]),
+        Ok(true)
+    );
     world.steps(50);
     assert_eq!(
         (
@@ -166,7 +169,7 @@
         ),
         (rest.clone(), vec![new])
     );
-    let replica = Replica::fresh(FLEET, new, world.terms, 77).expect("a seat");
+    let replica = Replica::join(FLEET, new, world.terms, 77).expect("a seat");
     let place = common::Place {
         replica: Some(replica),
         ..empty()
@@ -175,12 +178,15 @@
     world.steps(200);
     let (standings, status) = (world.standings(), world.replica(new).status());
     assert!(
-        world.replica(leader).has_learnt(new),
+        world.replica(leader).is_caught_up(new),
         "{standings:?} {status:?}"
     );
     let mut all = rest;
     all.push(new);
-    assert_eq!(world.replica(leader).change(&all, &[]), Ok(true));
+    assert_eq!(
+        world.replica(leader).propose_membership(&all, &[]),
+        Ok(true)
+    );
     world.steps(50);
     assert_eq!(world.replica(leader).voters(), all);
     // With another one down it takes the new one's vote to agree.
@@ -224,9 +230,9 @@
         .filter(|no| *no != leader)
         .map(|no| (no, leader))
         .collect();
-    world.replica(leader).ask(1);
+    world.replica(leader).read_index(1);
     world.steps(200);
-    assert!(!world.replica(leader).leads());
+    assert!(!world.replica(leader).is_leader());
     assert!(world.leader().is_some_and(|other| other != leader));
 }
 
@@ -286,7 +292,7 @@
     let leader = world.led();
     let long = vec![0; 20_000];
     assert!(matches!(
-        world.replica(leader).put(long),
+        world.replica(leader).propose(long),
         Err(ConsensusError::TooLong { .. })
     ));
     let mut chance = nanorand::WyRand::new_seed(1);
@@ -295,12 +301,12 @@
         let bytes: Vec<u8> = (0..length).map(|_| chance.generate()).collect();
         world
             .replica(leader)
-            .hear(ReplicaId(chance.generate_range(0..5)), &bytes);
+            .step(ReplicaId(chance.generate_range(0..5)), &bytes);
     }
     world.steps(100);
     assert!(world
         .up()
         .into_iter()
-        .all(|no| world.replica(no).standing() == &Participation::TakesPart));
+        .all(|no| world.replica(no).participation() == &Participation::TakesPart));
     assert!(world.put(b"on"));
 }
--- a/consensus/tests/common/mod.rs
+++ b/consensus/tests/common/mod.rs
@@ -52,14 +52,14 @@
             slow_disk: 0.0,
             cut: Vec::new(),
             terms: RaftConfig {
-                entries_kept: 24,
+                max_log_entries: 24,
                 ..RaftConfig::default()
             },
             leaders: BTreeMap::new(),
             boots: 0,
         };
         for no in &voters {
-            let image = Replica::founds(FLEET, *no, &voters, state_of(&[]));
+            let image = Replica::bootstrap(FLEET, *no, &voters, state_of(&[]));
             let place = Place {
                 replica: None,
                 disk: vec![image],
@@ -79,7 +79,7 @@
         let image = place.disk.last().expect("something on disk");
         let replica = Replica::open(image, FLEET, self.terms, no.0 * 1000 + self.boots)
             .expect("a good state");
-        let (_, state) = replica.begins_from().expect("a state");
+        let (_, state) = replica.initial_snapshot().expect("a state");
         place.played = postcard::from_bytes(&state).expect("a state");
         (place.replica, place.working, place.writing) = (Some(replica), false, None);
     }
@@ -100,7 +100,7 @@
         let leads = self
             .places
             .iter()
-            .filter(|(_, place)| place.replica.as_ref().is_some_and(Replica::leads));
+            .filter(|(_, place)| place.replica.as_ref().is_some_and(Replica::is_leader));
         leads
             .max_by_key(|(_, place)| place.replica.as_ref().map(Replica::term))
             .map(|(no, _)| *no)
@@ -114,7 +114,7 @@
             .places
             .get_mut(&no)
             .and_then(|place| place.replica.as_mut());
-        replica.is_some_and(|replica| replica.put(data.to_vec()).is_ok())
+        replica.is_some_and(|replica| replica.propose(data.to_vec()).is_ok())
     }
 
     pub fn replica(&mut self, no: ReplicaId) -> &mut Replica {
@@ -138,7 +138,7 @@
                 .get_mut(&to)
                 .and_then(|place| place.replica.as_mut())
             {
-                replica.hear(from, &bytes);
+                replica.step(from, &bytes);
             }
         }
         for no in numbers {
@@ -154,7 +154,7 @@
                 return;
             };
             if !place.working {
-                let Some(work) = replica.work() else { break };
+                let Some(work) = replica.ready() else { break };
                 place.writing = work.image;
             }
             // A slow disk: what comes meanwhile finds the work not kept yet.
@@ -163,15 +163,15 @@
                 return;
             }
             place.disk.extend(place.writing.take());
-            let done = replica.kept();
+            let done = replica.advance();
             if let Some((_, state)) = done.restored {
                 place.played = postcard::from_bytes(&state).expect("a state");
             }
             place.played.extend(done.entries);
-            if replica.is_long() {
+            if replica.needs_compaction() {
                 replica.compact(state_of(&place.played));
             }
-            if replica.leads() {
+            if replica.is_leader() {
                 let before = self.leaders.insert(replica.term(), no);
                 assert!(
                     before.is_none_or(|before| before == no),
@@ -231,7 +231,7 @@
                     place
                         .replica
                         .as_ref()
-                        .map(|replica| replica.standing().clone()),
+                        .map(|replica| replica.participation().clone()),
                 )
             })
             .collect()
--- a/fleet_policy/src/effective_config.rs
+++ b/fleet_policy/src/effective_config.rs
@@ -8,22 +8,22 @@
 pub fn platform(tariff: &PlatformConfig, indexes: &[String], customers: &[String]) -> Platform {
     let index = |(name, row): (&String, &ternpick::types::IndexConfig)| PlatformIndex {
         name: name.clone(),
-        least: row.least,
-        need: row.need,
-        soft: row.soft,
+        least: row.min_weight,
+        need: row.required_weight,
+        soft: row.latency_objective,
     };
     Platform {
         indexes: indexes.iter().zip(&tariff.indexes).map(index).collect(),
-        calls: tariff.most_calls,
-        copies: tariff.second_copies,
+        calls: tariff.max_attempts,
+        copies: tariff.hedging,
         customers: customers
             .iter()
             .cloned()
             .zip(tariff.quotas.iter().copied())
             .collect(),
         further: tariff
-            .extra_window
-            .map(|_| (tariff.extra_spare, tariff.extra_ratio)),
+            .retry_budget_window
+            .map(|_| (tariff.retry_budget_min, tariff.retry_budget_ratio)),
     }
 }
 
@@ -42,11 +42,11 @@
         .zip(indexes);
     for ((row, own), name) in rows {
         let terms = record.indexes.get(name).cloned().unwrap_or_default();
-        row.least = terms.least.unwrap_or(own.least);
-        row.partly_at = terms.partly_at.map(Micros);
-        row.calls = terms.calls.and_then(|calls| usize::try_from(calls).ok());
-        row.no_copies = terms.copies == Some(false);
-        row.further = record.further.map(|further| (further.spare, further.share));
+        row.min_weight = terms.least.unwrap_or(own.min_weight);
+        row.partial_response_after = terms.partly_at.map(Micros);
+        row.max_attempts = terms.calls.and_then(|calls| usize::try_from(calls).ok());
+        row.hedging_disabled = terms.copies == Some(false);
+        row.retry_budget = record.further.map(|further| (further.spare, further.share));
     }
     for ((quota, own), name) in tariff
         .quotas
@@ -74,13 +74,13 @@
             (own, need) in (0.0f64..=1.0, 0.0f64..=1.0), wanted in 0.0f64..=1.0, calls in 1u64..9, cap in 1usize..5,
             spare in 0.0f64..10.0, own_spare in 0.0f64..10.0, quota in 1.0f64..50.0, own_quota in 1.0f64..50.0
         ) {
-            let row = IndexConfig { least: own.min(need), need, soft: Micros(600_000), ..IndexConfig::default() };
+            let row = IndexConfig { min_weight: own.min(need), required_weight: need, latency_objective: Micros(600_000), ..IndexConfig::default() };
             let tariff = PlatformConfig {
                 indexes: vec![row],
                 quotas: vec![own_quota],
-                most_calls: Some(cap),
-                extra_spare: own_spare,
-                extra_window: Some(Micros(1)),
+                max_attempts: Some(cap),
+                retry_budget_min: own_spare,
+                retry_budget_window: Some(Micros(1)),
                 ..PlatformConfig::default()
             };
             let (names, customers) = (["half".to_owned()], ["north".to_owned()]);
@@ -93,9 +93,9 @@
             if let Ok(record) = Record::read_within("p", &text, &of) {
                 put_in_force(&record, &tariff, &names, &customers, &mut under);
                 let row = &under.indexes[0];
-                prop_assert!(row.least >= own.min(need) && row.least <= need);
-                prop_assert!(row.calls.is_none_or(|calls| calls <= cap));
-                prop_assert!(row.further.is_none_or(|(spare, _)| spare <= own_spare));
+                prop_assert!(row.min_weight >= own.min(need) && row.min_weight <= need);
+                prop_assert!(row.max_attempts.is_none_or(|calls| calls <= cap));
+                prop_assert!(row.retry_budget.is_none_or(|(spare, _)| spare <= own_spare));
                 prop_assert!(under.quotas[0] <= own_quota);
             }
             // Back to the platform's own, nothing is left of it.
--- a/fleet_policy/src/extension.rs
+++ b/fleet_policy/src/extension.rs
@@ -14,34 +14,34 @@
 pub struct MemberContact {
     pub member: Member,
     /// What its newest process said last; not of one that has not been heard since this one leads.
-    pub word: Option<Vec<u8>>,
+    pub report: Option<Vec<u8>>,
     /// It has been heard so lately that it is there.
-    pub fresh: bool,
+    pub is_recent: bool,
     /// No process of it but that one can have a lease, nor had one for as long as was asked.
-    pub alone: bool,
+    pub only_one_process: bool,
     /// None of its processes can have a lease, nor had one for as long as was asked.
-    pub over: bool,
+    pub all_leases_expired: bool,
 }
 
 pub trait Extension {
     /// Plays an agreed entry: the same entries in the same order give the same state on every router. For who asked:
     /// a number, or why it is refused.
-    fn play(&mut self, index: Index, entry: &[u8]) -> Result<u64, String>;
+    fn apply(&mut self, index: Index, entry: &[u8]) -> Result<u64, String>;
     /// Who belongs to the fleet from this place on.
-    fn members(&mut self, members: &BTreeMap<Member, MemberInfo>);
+    fn members_changed(&mut self, members: &BTreeMap<Member, MemberInfo>);
     /// The whole state, and one read again; an empty one is a new fleet's.
-    fn image(&self) -> Vec<u8>;
+    fn snapshot(&self) -> Vec<u8>;
     fn restore(&mut self, image: &[u8]);
     /// What every router has to know before it gets a lease.
-    fn outs(&self) -> Vec<u8>;
+    fn machines_out(&self) -> Vec<u8>;
     /// For how long past its lease a router that is silent may still act on what it admitted.
-    fn lingers(&self) -> Micros;
+    fn in_flight_grace(&self) -> Micros;
     /// Members that left, and whose processes may still act.
-    fn gone(&self) -> Vec<Member>;
+    fn departed_members(&self) -> Vec<Member>;
     /// This router leads: whether a command is worth an entry.
-    fn admits(&self, now: Micros, entry: &[u8]) -> Result<(), String>;
+    fn check_command(&self, now: Micros, entry: &[u8]) -> Result<(), String>;
     /// This router leads in this term: entries to be put next, and lines for the people on call.
-    fn steps(
+    fn next_entries(
         &mut self,
         now: Micros,
         me: &Member,
@@ -49,42 +49,42 @@
         attended: &[MemberContact],
     ) -> (Vec<Vec<u8>>, Vec<String>);
     /// The answer to an operator's question, as JSON; none: it is no question of this matter.
-    fn look(&self, now: Micros, what: &str) -> Option<String>;
+    fn inspect(&self, now: Micros, what: &str) -> Option<String>;
 }
 
 /// No further matter.
 pub struct NoExtension;
 
 impl Extension for NoExtension {
-    fn play(&mut self, _: Index, _: &[u8]) -> Result<u64, String> {
+    fn apply(&mut self, _: Index, _: &[u8]) -> Result<u64, String> {
         Err("this router's settings have no such matter".into())
     }
 
-    fn members(&mut self, _: &BTreeMap<Member, MemberInfo>) {}
+    fn members_changed(&mut self, _: &BTreeMap<Member, MemberInfo>) {}
 
-    fn image(&self) -> Vec<u8> {
+    fn snapshot(&self) -> Vec<u8> {
         Vec::new()
     }
 
     fn restore(&mut self, _: &[u8]) {}
 
-    fn outs(&self) -> Vec<u8> {
+    fn machines_out(&self) -> Vec<u8> {
         Vec::new()
     }
 
-    fn lingers(&self) -> Micros {
+    fn in_flight_grace(&self) -> Micros {
         Micros(0)
     }
 
-    fn gone(&self) -> Vec<Member> {
+    fn departed_members(&self) -> Vec<Member> {
         Vec::new()
     }
 
-    fn admits(&self, _: Micros, _: &[u8]) -> Result<(), String> {
+    fn check_command(&self, _: Micros, _: &[u8]) -> Result<(), String> {
         Err("this router's settings have no such matter".into())
     }
 
-    fn steps(
+    fn next_entries(
         &mut self,
         _: Micros,
         _: &Member,
@@ -94,7 +94,7 @@
         (Vec::new(), Vec::new())
     }
 
-    fn look(&self, _: Micros, _: &str) -> Option<String> {
+    fn inspect(&self, _: Micros, _: &str) -> Option<String> {
         None
     }
 }
--- a/fleet_policy/src/leader.rs
+++ b/fleet_policy/src/leader.rs
@@ -60,7 +60,7 @@
     elected: (u64, Vec<ReplicaId>),
     heeded: BTreeMap<ReplicaId, Micros>,
     /// Leases are remembered for so long past their end.
-    pub remembers: Micros,
+    pub lease_retention: Micros,
     /// One entry a member.
     heard: BTreeMap<Member, Heard>,
     /// When the last request that got a lease had come, by process; emptied as leases run out.
@@ -81,7 +81,7 @@
     /// The state that was last pushed to all.
     pushed: Index,
     #[cfg(any(test, feature = "planted"))]
-    pub planted: Option<InjectedBug>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
 /// Faults that tests must catch.
@@ -100,13 +100,13 @@
 
 impl Leader {
     /// This router leads, and has heard so at `now`.
-    pub fn takes(terms: LeaseConfig, now: Micros, register: &PolicyState) -> Leader {
+    pub fn new(terms: LeaseConfig, now: Micros, register: &PolicyState) -> Leader {
         Leader {
             terms,
             since: now,
             elected: (0, Vec::new()),
             heeded: BTreeMap::new(),
-            remembers: Micros(0),
+            lease_retention: Micros(0),
             heard: BTreeMap::new(),
             leases: BTreeMap::new(),
             waiting: BTreeMap::new(),
@@ -118,7 +118,7 @@
             late: BTreeSet::new(),
             pushed: register.changed,
             #[cfg(any(test, feature = "planted"))]
-            planted: None,
+            injected_bug: None,
         }
     }
 
@@ -131,12 +131,12 @@
     /// would have had to confirm it. Seen: two silent, one of them the leader; a change waited for the election as well.
     fn dates_back(&mut self, now: Micros, of: LastLeaderContact) {
         let (term, voters) = &self.elected;
-        if of.term != *term || !voters.contains(&of.seat) {
+        if of.term != *term || !voters.contains(&of.replica) {
             return;
         }
-        let last = Micros(now.0.saturating_sub(self.terms.at_least(of.ago).0));
+        let last = Micros(now.0.saturating_sub(self.terms.by_slowest_clock(of.ago).0));
         self.heeded
-            .entry(of.seat)
+            .entry(of.replica)
             .and_modify(|known| *known = last.min(*known))
             .or_insert(last);
         let mut times: Vec<Micros> = self.heeded.values().copied().collect();
@@ -155,11 +155,11 @@
 
     #[cfg(any(test, feature = "planted"))]
     fn has(&self, fault: InjectedBug) -> bool {
-        self.planted == Some(fault)
+        self.injected_bug == Some(fault)
     }
 
     /// A router asks.
-    pub fn hear(
+    pub fn handle_request(
         &mut self,
         now: Micros,
         register: &PolicyState,
@@ -169,7 +169,7 @@
             return vec![LeaderAction::Reply(
                 of.member,
                 Box::new(LeaseReply {
-                    stranger: true,
+                    not_a_member: true,
                     ..LeaseReply::default()
                 }),
             )];
@@ -184,12 +184,12 @@
             seq: of.seq,
             at: now,
             verdict: of.verdict,
-            stopped: of.stopped,
-            alone: of.alone,
+            stopped: of.paused_for,
+            alone: of.is_only_process,
             index: of.index,
             members_at: of.members_at,
-            outs_at: of.outs_at,
-            word: of.word,
+            outs_at: of.machines_out_at,
+            word: of.extension_report,
         };
         let waiting = Waiting {
             incarnation: of.incarnation,
@@ -197,12 +197,12 @@
             came: now,
             unfit: of.unfit.is_some(),
         };
-        if let Some(heeded) = of.heeded {
+        if let Some(heeded) = of.last_leader_contact {
             self.dates_back(now, heeded);
         }
         self.heard.insert(of.member.clone(), heard);
         self.waiting.insert(of.member, waiting);
-        self.beat(now, register)
+        self.tick(now, register)
     }
 
     /// Whether no lease of this member, given by whomever, can still run; `but`: apart from this process's own.
@@ -218,7 +218,7 @@
         but: Option<Incarnation>,
         longer: Micros,
     ) -> bool {
-        let span = self.terms.surely_over() + longer;
+        let span = self.terms.certainly_expired_after() + longer;
         let own = self
             .leases
             .iter()
@@ -236,7 +236,7 @@
 
     /// Whether this member surely admits nothing more in this round.
     fn has_stopped(&self, now: Micros, member: &Member, next: &PendingProposal) -> bool {
-        let round = Some((next.paper.number, next.round));
+        let round = Some((next.document.number, next.round));
         let Some(heard) = self
             .heard
             .get(member)
@@ -248,7 +248,7 @@
     }
 
     fn is_fresh(&self, now: Micros, member: &Member) -> bool {
-        let span = self.terms.fresh();
+        let span = self.terms.contact_is_recent_for();
         !self.late.contains(member)
             && self
                 .heard
@@ -257,7 +257,7 @@
     }
 
     /// This router led still when the question with this number was put, and the register is as new as that.
-    pub fn confirmed(
+    pub fn leadership_confirmed(
         &mut self,
         now: Micros,
         register: &PolicyState,
@@ -267,7 +267,7 @@
             return vec![];
         };
         let orders = self.grant(now, register, covered);
-        orders.into_iter().chain(self.beat(now, register)).collect()
+        orders.into_iter().chain(self.tick(now, register)).collect()
     }
 
     fn grant(
@@ -276,7 +276,7 @@
         register: &PolicyState,
         to: BTreeMap<Member, Waiting>,
     ) -> Vec<LeaderAction> {
-        let span = self.terms.surely_over() + self.remembers;
+        let span = self.terms.certainly_expired_after() + self.lease_retention;
         self.leases.retain(|_, came| now <= *came + span);
         let mut orders = Vec::new();
         for (member, waiting) in to {
@@ -304,7 +304,7 @@
         if self
             .heard
             .get(member)
-            .is_none_or(|heard| heard.outs_at < register.outs_at)
+            .is_none_or(|heard| heard.outs_at < register.machines_out_at)
         {
             return false;
         }
@@ -314,10 +314,12 @@
         {
             return false;
         }
-        match &register.next {
+        match &register.proposal {
             None => true,
             Some(next) => {
-                next.barrier.is_none() && next.fits.contains(member) && !self.late.contains(member)
+                next.barrier.is_none()
+                    && next.accepted_by.contains(member)
+                    && !self.late.contains(member)
             }
         }
     }
@@ -338,17 +340,17 @@
             view,
             members,
             grant,
-            stranger: false,
+            not_a_member: false,
         }
     }
 
     /// Looks what is to be done now. To be called after each entry that was played, and every few milliseconds.
-    pub fn beat(&mut self, now: Micros, register: &PolicyState) -> Vec<LeaderAction> {
+    pub fn tick(&mut self, now: Micros, register: &PolicyState) -> Vec<LeaderAction> {
         let mut orders = Vec::new();
         self.put
             .take_if(|(index, at)| *index < register.index || now.since(*at) > PUT_AGAIN);
         self.follow_round(now, register);
-        if let (None, Some(next)) = (self.put, &register.next) {
+        if let (None, Some(next)) = (self.put, &register.proposal) {
             let step = if next.barrier.is_some() {
                 self.end_round(now, register, next, &mut orders)
             } else {
@@ -367,8 +369,11 @@
     }
 
     fn follow_round(&mut self, now: Micros, register: &PolicyState) {
-        let running = register.next.as_ref().filter(|next| next.barrier.is_some());
-        match running.map(|next| (next.paper.number, next.round)) {
+        let running = register
+            .proposal
+            .as_ref()
+            .filter(|next| next.barrier.is_some());
+        match running.map(|next| (next.document.number, next.round)) {
             None => self.round_seen = None,
             Some((number, round)) => {
                 let same = self
@@ -379,17 +384,17 @@
                 }
             }
         }
-        if register.next.is_none() {
+        if register.proposal.is_none() {
             self.late.clear();
         }
     }
 
     /// What members have said of the proposal and the register does not know yet.
     fn say_verdicts(&self, next: &PendingProposal) -> Option<Entry> {
-        let number = next.paper.number;
+        let number = next.document.number;
         let said = self.heard.iter().filter_map(|(member, heard)| {
             let (of, verdict) = heard.verdict.as_ref()?;
-            let new = *of == number && !next.fits.contains(member);
+            let new = *of == number && !next.accepted_by.contains(member);
             new.then(|| (member.clone(), verdict.clone()))
         });
         let said: Vec<_> = said.collect();
@@ -413,7 +418,7 @@
         }
         let mut without = BTreeSet::new();
         for member in register.members.keys() {
-            if next.fits.contains(member) && self.is_fresh(now, member) {
+            if next.accepted_by.contains(member) && self.is_fresh(now, member) {
                 // Beside one that was taken over from, its word is not the whole member's yet.
                 let heard = self.heard.get(member).filter(|heard| !heard.alone);
                 match heard.is_none_or(|heard| self.over(now, member, Some(heard.incarnation))) {
@@ -426,7 +431,7 @@
             }
             without.insert(member.clone());
         }
-        let (number, round) = (next.paper.number, Round(next.round.0 + 1));
+        let (number, round) = (next.document.number, Round(next.round.0 + 1));
         (without.len() < register.members.len()).then_some(Entry::Begin {
             number,
             round,
@@ -442,7 +447,7 @@
         next: &PendingProposal,
         orders: &mut Vec<LeaderAction>,
     ) -> Option<Entry> {
-        let (number, round, without) = (next.paper.number, next.round, next.barrier.as_ref()?);
+        let (number, round, without) = (next.document.number, next.round, next.barrier.as_ref()?);
         let present = register
             .members
             .keys()
@@ -519,7 +524,7 @@
     }
 
     /// How far each member is with the further matter: those that belong to the fleet, and those that left it.
-    pub fn attended(
+    pub fn member_contacts(
         &self,
         now: Micros,
         register: &PolicyState,
@@ -530,13 +535,14 @@
                 .heard
                 .get(member)
                 .filter(|_| register.members.contains_key(member));
-            let others = |but| self.over_for(now, member, but, self.remembers);
+            let others = |but| self.over_for(now, member, but, self.lease_retention);
             MemberContact {
                 member: member.clone(),
-                word: heard.map(|heard| heard.word.clone()),
-                fresh: heard.is_some() && self.is_fresh(now, member),
-                alone: heard.is_some_and(|heard| heard.alone || others(Some(heard.incarnation))),
-                over: !self.terms.serve_without && others(None),
+                report: heard.map(|heard| heard.word.clone()),
+                is_recent: heard.is_some() && self.is_fresh(now, member),
+                only_one_process: heard
+                    .is_some_and(|heard| heard.alone || others(Some(heard.incarnation))),
+                all_leases_expired: !self.terms.serve_without && others(None),
             }
         };
         register
@@ -548,25 +554,28 @@
     }
 
     /// When time alone may change something.
-    pub fn next_due(&self, now: Micros, register: &PolicyState) -> Micros {
-        let busy = register.next.is_some() || self.asked.is_some() || !self.waiting.is_empty();
+    pub fn next_deadline(&self, now: Micros, register: &PolicyState) -> Micros {
+        let busy = register.proposal.is_some() || self.asked.is_some() || !self.waiting.is_empty();
         now + Micros(if busy { 10_000 } else { self.terms.renew / 2 })
     }
 
     /// Who has been heard from, how long ago, and who has not stopped or confirmed; for people.
-    pub fn members(&self, now: Micros, register: &PolicyState) -> Vec<MemberStatus> {
+    pub fn member_status(&self, now: Micros, register: &PolicyState) -> Vec<MemberStatus> {
         let seen = |member: &Member| {
             let heard = self.heard.get(member);
             let over = self.over(now, member, None);
             let fits = register
-                .next
+                .proposal
                 .as_ref()
-                .map(|next| next.fits.contains(member));
-            let stopped = register.next.as_ref().filter(|next| next.barrier.is_some());
+                .map(|next| next.accepted_by.contains(member));
+            let stopped = register
+                .proposal
+                .as_ref()
+                .filter(|next| next.barrier.is_some());
             MemberStatus {
                 member: member.clone(),
-                heard: heard.map(|heard| now.since(heard.at)),
-                knows: heard.map(|heard| heard.index),
+                since_last_contact: heard.map(|heard| now.since(heard.at)),
+                known_index: heard.map(|heard| heard.index),
                 lease_over: over,
                 fits,
                 stopped: stopped.map(|next| self.has_stopped(now, member, next)),
@@ -576,8 +585,8 @@
     }
 
     /// How long from now until the lease of every silent member is surely over.
-    pub fn at_the_latest(&self, now: Micros, register: &PolicyState) -> Micros {
-        let span = self.terms.surely_over();
+    pub fn remaining_lease_bound(&self, now: Micros, register: &PolicyState) -> Micros {
+        let span = self.terms.certainly_expired_after();
         let silent = register
             .members
             .keys()
@@ -602,8 +611,8 @@
     pub member: Member,
     /// How long ago it was heard, in microseconds.
     #[serde(serialize_with = "micros", deserialize_with = "of_micros")]
-    pub heard: Option<Micros>,
-    pub knows: Option<Index>,
+    pub since_last_contact: Option<Micros>,
+    pub known_index: Option<Index>,
     pub lease_over: bool,
     pub fits: Option<bool>,
     pub stopped: Option<bool>,
@@ -627,7 +636,7 @@
 
     fn says(seat: u64, term: u64, ago: u64) -> LastLeaderContact {
         LastLeaderContact {
-            seat: ReplicaId(seat),
+            replica: ReplicaId(seat),
             term,
             ago: ago * MS,
         }
@@ -646,10 +655,10 @@
             drift_ppm: 0,
             ..LeaseConfig::default()
         };
-        let mut chair = Leader::takes(
+        let mut chair = Leader::new(
             terms,
             Micros(10_000 * MS),
-            &PolicyState::begins(BTreeMap::new()),
+            &PolicyState::bootstrap(BTreeMap::new()),
         );
         chair.elected(4, vec![ReplicaId(1), ReplicaId(2), ReplicaId(3)]);
         said.iter()
@@ -659,12 +668,12 @@
 
     #[test]
     fn one_voters_word_that_counts_alone_ends_leases_too_early() {
-        let mut chair = Leader::takes(
+        let mut chair = Leader::new(
             LeaseConfig::default(),
             Micros(10_000 * MS),
-            &PolicyState::begins(BTreeMap::new()),
+            &PolicyState::bootstrap(BTreeMap::new()),
         );
-        chair.planted = Some(InjectedBug::OneVotersWord);
+        chair.injected_bug = Some(InjectedBug::OneVotersWord);
         chair.elected(4, vec![ReplicaId(1), ReplicaId(2), ReplicaId(3)]);
         // Cut off from the leader before for three seconds, while the others still confirmed its leases.
         chair.dates_back(Micros(10_000 * MS), says(3, 4, 3000));
--- a/fleet_policy/src/lease_config.rs
+++ b/fleet_policy/src/lease_config.rs
@@ -39,13 +39,13 @@
 impl LeaseConfig {
     /// How long after a grant its lease has run out surely, by the granter's clock: its holder's may run slow by the
     /// drift while the granter's runs fast by it.
-    pub fn surely_over(&self) -> Micros {
+    pub fn certainly_expired_after(&self) -> Micros {
         let (million, drift) = (1_000_000, self.drift_ppm.min(500_000));
         Micros((self.lease * (million + drift)).div_ceil(million - drift) + 1)
     }
 
     /// The least that this clock has counted while another, within the drift, counted so much.
-    pub fn at_least(&self, other: u64) -> Micros {
+    pub fn by_slowest_clock(&self, other: u64) -> Micros {
         let (million, drift) = (1_000_000, self.drift_ppm.min(500_000));
         Micros(
             (u128::from(other) * u128::from(million - drift) / u128::from(million + drift)) as u64,
@@ -53,7 +53,7 @@
     }
 
     /// A router that has been heard from so lately is there.
-    pub fn fresh(&self) -> Micros {
+    pub fn contact_is_recent_for(&self) -> Micros {
         Micros((self.renew * 2).min(self.lease))
     }
 }
@@ -73,7 +73,7 @@
             let d = drift as f64 / 1e6;
             // The holder's clock counts `lease` while this much time really passes; the granter's counts more or less.
             let really = lease as f64 / (1.0 - d * slow);
-            let counted = terms.surely_over().0 as f64 / (1.0 + d * fast);
+            let counted = terms.certainly_expired_after().0 as f64 / (1.0 + d * fast);
             prop_assert!(counted >= really - 0.001, "{counted} < {really}");
         }
     }
--- a/fleet_policy/src/lease_holder.rs
+++ b/fleet_policy/src/lease_holder.rs
@@ -44,7 +44,7 @@
 }
 
 impl RejectReason {
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             RejectReason::PolicyUnknown => "this router has yet to learn the policy in force",
             RejectReason::NoLease => {
@@ -105,7 +105,7 @@
     /// Of the further matter: what this router goes by, and its word on it.
     goes_by: (Index, Vec<u8>),
     #[cfg(any(test, feature = "planted"))]
-    pub planted: Option<InjectedBug>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
 /// Faults that tests must catch.
@@ -122,7 +122,7 @@
 
 impl LeaseHolder {
     /// One that starts at `now`. `inherits`: it takes the place of a process that may still admit for a while.
-    pub fn starts(
+    pub fn new(
         terms: LeaseConfig,
         me: Member,
         incarnation: Incarnation,
@@ -130,7 +130,7 @@
         now: Micros,
     ) -> LeaseHolder {
         let alone_from = if inherits {
-            now + terms.surely_over()
+            now + terms.certainly_expired_after()
         } else {
             now
         };
@@ -152,13 +152,13 @@
             answered: true,
             goes_by: (Index(0), Vec::new()),
             #[cfg(any(test, feature = "planted"))]
-            planted: None,
+            injected_bug: None,
         }
     }
 
     #[cfg(any(test, feature = "planted"))]
     fn has(&self, fault: InjectedBug) -> bool {
-        self.planted == Some(fault)
+        self.injected_bug == Some(fault)
     }
 
     pub fn me(&self) -> &Member {
@@ -196,7 +196,7 @@
     }
 
     fn in_barrier(&self) -> bool {
-        let next = self.view.as_ref().and_then(|view| view.next.as_ref());
+        let next = self.view.as_ref().and_then(|view| view.proposal.as_ref());
         let barrier = next.is_some_and(|next| next.barrier);
         #[cfg(any(test, feature = "planted"))]
         let barrier = barrier && !self.has(InjectedBug::GoesOnInBarrier);
@@ -240,8 +240,8 @@
     }
 
     /// The next request, where one is due; it is on its way from `now`.
-    pub fn renew(&mut self, now: Micros) -> Option<LeaseRequest> {
-        if now < self.due(now) {
+    pub fn next_request(&mut self, now: Micros) -> Option<LeaseRequest> {
+        if now < self.next_request_at(now) {
             return None;
         }
         self.eager = false;
@@ -259,12 +259,12 @@
             index: view.map_or(Index(0), |view| view.index),
             members_at: view.map_or(Index(0), |view| view.members_at),
             verdict: self.verdict.clone(),
-            stopped: self.stopped(),
-            alone: now >= self.alone_from,
+            paused_for: self.stopped(),
+            is_only_process: now >= self.alone_from,
             unfit: self.unfit.filter(|unfit| Some(*unfit) == self.version()),
-            heeded: None,
-            outs_at: self.goes_by.0,
-            word: self.goes_by.1.clone(),
+            last_leader_contact: None,
+            machines_out_at: self.goes_by.0,
+            extension_report: self.goes_by.1.clone(),
         })
     }
 
@@ -272,14 +272,14 @@
         let next = self
             .view
             .as_ref()?
-            .next
+            .proposal
             .as_ref()
             .filter(|next| next.barrier)?;
-        Some((next.paper.number, next.round))
+        Some((next.document.number, next.round))
     }
 
     /// When the next request is due.
-    pub fn due(&self, now: Micros) -> Micros {
+    pub fn next_request_at(&self, now: Micros) -> Micros {
         let Some((_, last)) = self.asked.back() else {
             return now;
         };
@@ -294,10 +294,10 @@
     }
 
     /// Something was heard from the router that leads.
-    pub fn told(&mut self, now: Micros, told: LeaseReply) -> Vec<LeaseEffect> {
+    pub fn handle_reply(&mut self, now: Micros, told: LeaseReply) -> Vec<LeaseEffect> {
         let mut effects = Vec::new();
         self.answered = true;
-        self.stranger = told.stranger;
+        self.stranger = told.not_a_member;
         if let Some(members) = told.members {
             effects.push(LeaseEffect::Members(members));
         }
@@ -349,7 +349,7 @@
     }
 
     /// Whether the last request has been without an answer for so long that whoever was asked may not lead.
-    pub fn is_unanswered(&self, now: Micros) -> bool {
+    pub fn is_awaiting_reply(&self, now: Micros) -> bool {
         !self.answered
             && self
                 .asked
@@ -359,11 +359,11 @@
 
     /// Another process of this member may have a lease from now on, or have had one until now.
     pub fn shares(&mut self, now: Micros) {
-        self.alone_from = now + self.terms.surely_over();
+        self.alone_from = now + self.terms.certainly_expired_after();
     }
 
     /// Another router is to be asked, and at once.
-    pub fn asks_anew(&mut self) {
+    pub fn request_at_once(&mut self) {
         self.eager = true;
     }
 
@@ -405,22 +405,25 @@
         }
         if before
             .as_ref()
-            .is_none_or(|before| before.outs_at != view.outs_at)
+            .is_none_or(|before| before.machines_out_at != view.machines_out_at)
         {
-            effects.push(LeaseEffect::MachinesOut(view.outs_at, view.outs.clone()));
+            effects.push(LeaseEffect::MachinesOut(
+                view.machines_out_at,
+                view.machines_out.clone(),
+            ));
         }
-        let next = view.next.as_ref().filter(|next| !next.barrier);
+        let next = view.proposal.as_ref().filter(|next| !next.barrier);
         let said = self.verdict.as_ref().map(|(number, _)| *number);
         match next {
-            Some(next) if said != Some(next.paper.number) => {
-                effects.push(LeaseEffect::CheckPolicy(next.paper.clone()));
+            Some(next) if said != Some(next.document.number) => {
+                effects.push(LeaseEffect::CheckPolicy(next.document.clone()));
             }
             Some(_) => {}
-            None if view.next.is_none() => self.verdict = None,
+            None if view.proposal.is_none() => self.verdict = None,
             None => {}
         }
         if let Some(round) = view
-            .next
+            .proposal
             .as_ref()
             .filter(|next| next.barrier)
             .map(|next| next.round)
@@ -440,13 +443,13 @@
     }
 
     /// Whether a proposal fits here.
-    pub fn checked(&mut self, number: Version, verdict: Verdict) {
+    pub fn policy_checked(&mut self, number: Version, verdict: Verdict) {
         self.verdict = Some((number, verdict));
         self.eager = true;
     }
 
     /// The policy in force cannot be used here: without it this router admits nothing.
-    pub fn does_not_fit(&mut self, number: Version) {
+    pub fn policy_does_not_fit(&mut self, number: Version) {
         self.unfit = Some(number);
     }
 
@@ -467,11 +470,11 @@
     }
 
     /// When time alone changes something: the lease's end, the end of holding, the next request.
-    pub fn next_due(&self, now: Micros) -> Micros {
+    pub fn next_deadline(&self, now: Micros) -> Micros {
         let lease = self.lease.map(|lease| lease.until);
         #[cfg(any(test, feature = "planted"))]
         let lease = lease.filter(|until| *until > now || !self.has(InjectedBug::UsedBeyondEnd));
-        let ask = self.due(now);
+        let ask = self.next_request_at(now);
         lease.into_iter().fold(ask, Micros::min)
     }
 }
--- a/fleet_policy/src/messages.rs
+++ b/fleet_policy/src/messages.rs
@@ -20,22 +20,22 @@
     /// What it says of the proposal on its way.
     pub verdict: Option<(Version, Verdict)>,
     /// It has stopped admitting for this round, and will not admit before it hears of the round's end.
-    pub stopped: Option<(Version, Round)>,
+    pub paused_for: Option<(Version, Round)>,
     /// No other process of this member may still have a lease.
-    pub alone: bool,
+    pub is_only_process: bool,
     /// It cannot use the policy in force: it wants no lease.
     pub unfit: Option<Version>,
     /// Of one that votes.
-    pub heeded: Option<LastLeaderContact>,
+    pub last_leader_contact: Option<LastLeaderContact>,
     /// Of the further matter: what it goes by, and its word on it.
-    pub outs_at: Index,
-    pub word: Vec<u8>,
+    pub machines_out_at: Index,
+    pub extension_report: Vec<u8>,
 }
 
 /// A voter can no longer take the word of a leader of a term before `term`, and has last done so `ago` microseconds back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LastLeaderContact {
-    pub seat: ReplicaId,
+    pub replica: ReplicaId,
     pub term: u64,
     pub ago: u64,
 }
@@ -52,7 +52,7 @@
 /// The proposal on its way, as routers need it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ProposalView {
-    pub paper: PolicyDocument,
+    pub document: PolicyDocument,
     pub unconfirmed: bool,
     pub round: Round,
     /// It takes hold: nobody admits.
@@ -65,16 +65,16 @@
     pub index: Index,
     pub epoch: Epoch,
     pub in_force: PolicyDocument,
-    pub next: Option<ProposalView>,
+    pub proposal: Option<ProposalView>,
     pub members_at: Index,
-    pub outs: Vec<u8>,
-    pub outs_at: Index,
+    pub machines_out: Vec<u8>,
+    pub machines_out_at: Index,
 }
 
 impl View {
     pub fn of(register: &PolicyState) -> View {
-        let next = register.next.as_ref().map(|next| ProposalView {
-            paper: next.paper.clone(),
+        let next = register.proposal.as_ref().map(|next| ProposalView {
+            document: next.document.clone(),
             unconfirmed: next.unconfirmed,
             round: next.round,
             barrier: next.barrier.is_some(),
@@ -83,10 +83,10 @@
             index: register.changed,
             epoch: register.epoch,
             in_force: register.in_force.clone(),
-            next,
+            proposal: next,
             members_at: register.members_at,
-            outs: register.outs.clone(),
-            outs_at: register.outs_at,
+            machines_out: register.machines_out.clone(),
+            machines_out_at: register.machines_out_at,
         }
     }
 }
@@ -99,7 +99,7 @@
     pub members: Option<BTreeMap<Member, MemberInfo>>,
     pub grant: Option<LeaseGrant>,
     /// Who asked is no member of the fleet.
-    pub stranger: bool,
+    pub not_a_member: bool,
 }
 
 /// What routers of a fleet say to each other.
--- a/fleet_policy/src/model.rs
+++ b/fleet_policy/src/model.rs
@@ -109,11 +109,11 @@
     let seated = |address: &str| MemberInfo {
         address: address.into(),
         zone: String::new(),
-        seat: None,
-        learns: false,
+        replica: None,
+        is_learner: false,
     };
     let members = BTreeMap::from([("a".into(), seated("1")), ("b".into(), seated("2"))]);
-    PolicyState::begins(members)
+    PolicyState::bootstrap(members)
 }
 
 fn member(at: usize) -> Member {
@@ -122,14 +122,14 @@
 
 impl Change {
     fn keeper(&self, at: usize, incarnation: u64, now: u64) -> LeaseHolder {
-        let mut keeper = LeaseHolder::starts(
+        let mut keeper = LeaseHolder::new(
             terms(),
             member(at),
             Incarnation(incarnation),
             false,
             Micros(now),
         );
-        keeper.planted = match self.fault {
+        keeper.injected_bug = match self.fault {
             Some(Fault::LeaseHolder(fault)) => Some(fault),
             _ => None,
         };
@@ -137,8 +137,8 @@
     }
 
     fn chair(&self, now: u64, register: &PolicyState) -> Leader {
-        let mut chair = Leader::takes(terms(), Micros(now), register);
-        chair.planted = match self.fault {
+        let mut chair = Leader::new(terms(), Micros(now), register);
+        chair.injected_bug = match self.fault {
             Some(Fault::Leader(fault)) => Some(fault),
             _ => None,
         };
@@ -162,15 +162,15 @@
                     LeaderAction::Propose(entry) if at == 0 => {
                         self.log.push(entry.clone());
                         let lead = &mut self.leads[at];
-                        lead.register.play(Index(self.log.len() as u64 + 1), entry);
-                        orders.extend(lead.chair.beat(now, &lead.register));
+                        lead.register.apply(Index(self.log.len() as u64 + 1), entry);
+                        orders.extend(lead.chair.tick(now, &lead.register));
                     }
                     LeaderAction::ConfirmLeadership(number) if at == 0 && self.holds => {
                         self.leads[at].asked.get_or_insert(number);
                     }
                     LeaderAction::ConfirmLeadership(number) if at == 0 => {
                         let lead = &mut self.leads[at];
-                        orders.extend(lead.chair.confirmed(now, &lead.register, number));
+                        orders.extend(lead.chair.leadership_confirmed(now, &lead.register, number));
                     }
                     LeaderAction::Reply(to, told) => {
                         self.post(Letter::Tell(usize::from(to != member(0)), *told))
@@ -196,14 +196,16 @@
                 // Whoever believes that it leads is asked.
                 for at in 0..self.leads.len() {
                     let renew = renew.clone();
-                    self.lead(at, |chair, now, register| chair.hear(now, register, renew));
+                    self.lead(at, |chair, now, register| {
+                        chair.handle_request(now, register, renew)
+                    });
                 }
             }
             Letter::Tell(to, told) => {
                 let now = Micros(self.now);
-                for effect in self.routers[to].told(now, told) {
+                for effect in self.routers[to].handle_reply(now, told) {
                     if let LeaseEffect::CheckPolicy(paper) = effect {
-                        self.routers[to].checked(paper.number, Verdict::Fits);
+                        self.routers[to].policy_checked(paper.number, Verdict::Fits);
                     }
                 }
                 self.admit();
@@ -217,13 +219,13 @@
         for _ in 0..20 {
             let mut any = false;
             for at in 0..self.routers.len() {
-                if let Some(renew) = self.routers[at].renew(now) {
+                if let Some(renew) = self.routers[at].next_request(now) {
                     any = true;
                     self.post(Letter::Ask(at, renew));
                 }
             }
             for at in 0..self.leads.len() {
-                self.lead(at, |chair, now, register| chair.beat(now, register));
+                self.lead(at, |chair, now, register| chair.tick(now, register));
             }
             if !any {
                 break;
@@ -341,7 +343,7 @@
                         confirm: false,
                     };
                     world.log.push(entry.clone());
-                    world.leads[0].register.play(Index(2), entry);
+                    world.leads[0].register.apply(Index(2), entry);
                 }
             }
             Action::Slows(at) => {
@@ -368,7 +370,7 @@
             Action::Hears(at) => {
                 let number = world.leads[at].asked.take()?;
                 world.lead(at, |chair, now, register| {
-                    chair.confirmed(now, register, number)
+                    chair.leadership_confirmed(now, register, number)
                 });
             }
             Action::Changes => {
@@ -376,7 +378,7 @@
                 world.holds = false;
                 let mut register = fleet();
                 for (at, entry) in world.log.iter().enumerate() {
-                    register.play(Index(at as u64 + 2), entry.clone());
+                    register.apply(Index(at as u64 + 2), entry.clone());
                 }
                 let chair = self.chair(world.now, &register);
                 world.leads.insert(
--- a/fleet_policy/src/node.rs
+++ b/fleet_policy/src/node.rs
@@ -84,15 +84,15 @@
     fleet: FleetId,
     terms: LeaseConfig,
     raft_config: RaftConfig,
-    pub keeper: LeaseHolder,
+    pub lease_holder: LeaseHolder,
     pub members: BTreeMap<Member, MemberInfo>,
     seat: Option<Replica>,
     heeds: LeaderContact,
     /// Why there is no seat, where there should be one.
-    pub seat_words: Option<String>,
+    pub replica_error: Option<String>,
     register: Option<PolicyState>,
     /// A further matter that is agreed on in the same log.
-    pub annex: Box<dyn Extension>,
+    pub extension: Box<dyn Extension>,
     /// Entries of it that are on their way, and since when: one turn's at a time.
     annexing: Option<(Index, Micros)>,
     /// When the further matter is looked at next: not at each word of each router.
@@ -120,7 +120,7 @@
     seeds: u64,
     /// A fault in every chair that it takes.
     #[cfg(any(test, feature = "planted"))]
-    pub planted: Option<crate::leader::InjectedBug>,
+    pub injected_bug: Option<crate::leader::InjectedBug>,
 }
 
 impl FleetNode {
@@ -138,13 +138,13 @@
             fleet,
             terms,
             raft_config,
-            keeper,
+            lease_holder: keeper,
             members,
             seat: None,
             heeds: LeaderContact::starts(now),
-            seat_words: None,
+            replica_error: None,
             register: None,
-            annex: Box::new(NoExtension),
+            extension: Box::new(NoExtension),
             annexing: None,
             next_annex: now,
             chair: None,
@@ -162,26 +162,26 @@
             acts: Vec::new(),
             seeds: seed,
             #[cfg(any(test, feature = "planted"))]
-            planted: None,
+            injected_bug: None,
         }
     }
 
     /// Takes the seat that the folder holds.
-    pub fn begins(&mut self, now: Micros, found: LoadedReplica) {
+    pub fn start(&mut self, now: Micros, found: LoadedReplica) {
         // Until now another process may have spoken from the same seat.
         self.heeds = LeaderContact::starts(now);
         let votes = self
             .members
             .get(&self.me)
-            .is_some_and(|seated| seated.seat.is_some());
+            .is_some_and(|seated| seated.replica.is_some());
         match found {
             LoadedReplica::Replica(seat) => {
                 self.register = seat
-                    .begins_from()
+                    .initial_snapshot()
                     .and_then(|(_, state)| postcard::from_bytes(&state).ok());
                 self.log(
                     LogLevel::Info,
-                    format!("fleet: {} has seat {}", self.me, seat.no()),
+                    format!("fleet: {} has seat {}", self.me, seat.id()),
                 );
                 self.seat = Some(*seat);
             }
@@ -192,7 +192,7 @@
                     LogLevel::Error,
                     format!("fleet: {} has a vote, and {words}", self.me),
                 );
-                self.seat_words = Some(words.to_owned());
+                self.replica_error = Some(words.to_owned());
             }
             LoadedReplica::Missing => {}
             LoadedReplica::Unusable(words) => {
@@ -200,7 +200,7 @@
                     LogLevel::Error,
                     format!("fleet: {} takes part without its vote, {words}", self.me),
                 );
-                self.seat_words = Some(words);
+                self.replica_error = Some(words);
             }
         }
         self.restored();
@@ -210,8 +210,8 @@
     fn restored(&mut self) {
         if let Some(register) = &self.register {
             self.members.clone_from(&register.members);
-            self.annex.restore(&register.annex);
-            self.annex.members(&register.members);
+            self.extension.restore(&register.extension);
+            self.extension.members_changed(&register.members);
         }
     }
 
@@ -219,16 +219,16 @@
         self.leads.as_ref()
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.chair.is_some()
     }
 
-    pub fn seat_status(&self) -> Option<Status> {
+    pub fn replica_status(&self) -> Option<Status> {
         self.seat.as_ref().map(Replica::status)
     }
 
     /// While this router leads.
-    pub fn chair(&self) -> Option<(&Leader, &PolicyState)> {
+    pub fn leader_state(&self) -> Option<(&Leader, &PolicyState)> {
         Some((&self.chair.as_ref()?.1, self.register.as_ref()?))
     }
 
@@ -255,7 +255,7 @@
         let voters: Vec<&Member> = self
             .members
             .iter()
-            .filter(|(_, of)| of.seat.is_some())
+            .filter(|(_, of)| of.replica.is_some())
             .map(|(member, _)| member)
             .collect();
         self.next_ask += 1;
@@ -265,7 +265,7 @@
     }
 
     /// Something has come from another router.
-    pub fn hear(&mut self, now: Micros, from: &Member, said: PeerMessage) {
+    pub fn step(&mut self, now: Micros, from: &Member, said: PeerMessage) {
         match said {
             PeerMessage::Raft {
                 from: seat,
@@ -274,15 +274,15 @@
             } => {
                 // While something cannot be kept, nothing is heard: it could not be answered for.
                 if self.failed.is_none() {
-                    let own = self.seat.as_mut().filter(|own| own.no() == to);
-                    if let Some(term) = own.and_then(|own| own.hear(seat, &word)) {
+                    let own = self.seat.as_mut().filter(|own| own.id() == to);
+                    if let Some(term) = own.and_then(|own| own.step(seat, &word)) {
                         self.heeds.takes(now, term);
                     }
                 }
             }
             PeerMessage::LeaseRequest(renew) => match (&mut self.chair, &self.register) {
                 (Some((_, chair)), Some(register)) => {
-                    let orders = chair.hear(now, register, renew);
+                    let orders = chair.handle_request(now, register, renew);
                     self.order(orders);
                 }
                 _ => {
@@ -303,7 +303,7 @@
                 let news = leads.is_some() && leads != self.leads;
                 self.leads = leads.filter(|member| member != from && *member != self.me);
                 if news {
-                    self.keeper.asks_anew();
+                    self.lease_holder.request_at_once();
                 }
             }
             PeerMessage::Command { op, command } => self.do_for(now, from, op, command),
@@ -328,12 +328,12 @@
     }
 
     /// The answer to [`Effect::Inspect`].
-    pub fn seen(&mut self, to: &Member, op: OperationId, json: String) {
+    pub fn inspection_answered(&mut self, to: &Member, op: OperationId, json: String) {
         self.say(to, PeerMessage::InspectionResult { op, json });
     }
 
     fn told(&mut self, now: Micros, told: LeaseReply) {
-        for effect in self.keeper.told(now, told) {
+        for effect in self.lease_holder.handle_reply(now, told) {
             match effect {
                 LeaseEffect::Members(members) => self.members = members,
                 effect => self.acts.push(Effect::Lease(effect)),
@@ -342,8 +342,8 @@
     }
 
     /// The answer to [`LeaseEffect::CheckPolicy`].
-    pub fn checked(&mut self, number: Version, verdict: Verdict) {
-        self.keeper.checked(number, verdict);
+    pub fn policy_checked(&mut self, number: Version, verdict: Verdict) {
+        self.lease_holder.policy_checked(number, verdict);
     }
 
     fn heard(&mut self, op: OperationId, heard: OperatorResponse) {
@@ -354,7 +354,7 @@
     }
 
     /// An operator of this router wants something; it is said until something is heard of it, or it is given up.
-    pub fn wish(&mut self, op: OperationId, wish: OperatorRequest) {
+    pub fn submit(&mut self, op: OperationId, wish: OperatorRequest) {
         self.own.insert(
             op,
             Own {
@@ -365,7 +365,7 @@
         );
     }
 
-    pub fn give_up(&mut self, op: OperationId) {
+    pub fn cancel(&mut self, op: OperationId) {
         self.own.remove(&op);
     }
 
@@ -380,9 +380,9 @@
             return self.say(from, PeerMessage::CommandOutcome { op, outcome });
         }
         if let Command::Transfer { to } = &command {
-            let outcome = match register.members.get(to).and_then(|seated| seated.seat) {
+            let outcome = match register.members.get(to).and_then(|seated| seated.replica) {
                 Some(no) => {
-                    seat.transfer(no);
+                    seat.transfer_leadership(no);
                     Outcome::Done
                 }
                 None => Outcome::Refused(format!("{to} has no vote")),
@@ -393,7 +393,7 @@
             return;
         }
         if let Command::Extension { entry } = &command {
-            if let Err(words) = self.annex.admits(now, entry) {
+            if let Err(words) = self.extension.check_command(now, entry) {
                 return self.say(
                     from,
                     PeerMessage::CommandOutcome {
@@ -406,7 +406,7 @@
         let Some(entry) = command.entry(op, self.terms.confirm) else {
             return;
         };
-        match seat.put(postcard::to_stdvec(&entry).unwrap_or_default()) {
+        match seat.propose(postcard::to_stdvec(&entry).unwrap_or_default()) {
             Ok(()) => {
                 self.doing.push_back((op, from.clone()));
                 while self.doing.len() > MOST_DOING {
@@ -426,7 +426,7 @@
             match order {
                 LeaderAction::Propose(entry) => {
                     let bytes = postcard::to_stdvec(&entry).unwrap_or_default();
-                    if let Some(Err(refused)) = self.seat.as_mut().map(|seat| seat.put(bytes)) {
+                    if let Some(Err(refused)) = self.seat.as_mut().map(|seat| seat.propose(bytes)) {
                         self.log(
                             LogLevel::Debug,
                             format!("fleet: an entry is not put, {refused}"),
@@ -436,7 +436,7 @@
                 LeaderAction::ConfirmLeadership(number) => {
                     let term = self.chair.as_ref().map_or(0, |(term, _)| *term);
                     if let Some(seat) = &mut self.seat {
-                        seat.ask(term << 32 | number);
+                        seat.read_index(term << 32 | number);
                     }
                 }
                 LeaderAction::Reply(to, told) => self.say(&to, PeerMessage::LeaseReply(*told)),
@@ -451,13 +451,14 @@
             self.chair = None;
             return;
         };
-        let (term, leader, no) = (seat.term(), seat.leader(), seat.no());
-        if seat.leads() {
+        let (term, leader, no) = (seat.term(), seat.leader(), seat.id());
+        if seat.is_leader() {
             self.heeds.takes(now, term);
         }
         match &self.register {
             Some(register)
-                if seat.leads_surely() && !matches!(seat.standing(), Participation::Spoilt(_)) =>
+                if seat.is_confirmed_leader()
+                    && !matches!(seat.participation(), Participation::Spoilt(_)) =>
             {
                 if self.chair.as_ref().is_none_or(|(of, _)| *of != term) {
                     // The votes that made it the leader had come by now: leases that others gave began before.
@@ -466,15 +467,15 @@
                         self.me, register.index
                     );
                     #[allow(unused_mut)]
-                    let mut chair = Leader::takes(self.terms, now, register);
-                    chair.remembers = self.annex.lingers();
+                    let mut chair = Leader::new(self.terms, now, register);
+                    chair.lease_retention = self.extension.in_flight_grace();
                     self.annexing = None;
-                    if let Some(voters) = seat.settled_voters() {
+                    if let Some(voters) = seat.committed_voters() {
                         chair.elected(term, voters);
                     }
                     #[cfg(any(test, feature = "planted"))]
                     {
-                        chair.planted = self.planted;
+                        chair.injected_bug = self.injected_bug;
                     }
                     self.chair = Some((term, chair));
                     self.leads = Some(self.me.clone());
@@ -492,7 +493,10 @@
                     );
                 }
                 if let Some(leader) = leader.filter(|leader| *leader != no) {
-                    let holder = self.members.iter().find(|(_, of)| of.seat == Some(leader));
+                    let holder = self
+                        .members
+                        .iter()
+                        .find(|(_, of)| of.replica == Some(leader));
                     if let Some((member, _)) = holder {
                         self.leads = Some(member.clone());
                     }
@@ -502,14 +506,14 @@
     }
 
     /// What was to be kept is kept, or could not be.
-    pub fn kept(&mut self, now: Micros, kept: Result<(), String>) {
+    pub fn persisted(&mut self, now: Micros, kept: Result<(), String>) {
         self.keeping = false;
         match kept {
             Ok(()) => {
                 if self.failed.take().is_some() {
                     self.log(LogLevel::Info, "fleet: the state can be kept again".into());
                 }
-                let done = self.seat.as_mut().map(Replica::kept).unwrap_or_default();
+                let done = self.seat.as_mut().map(Replica::advance).unwrap_or_default();
                 self.follow_up(now, done);
             }
             Err(words) => {
@@ -537,7 +541,7 @@
                 }
                 return;
             }
-            let Some(work) = self.seat.as_mut().and_then(Replica::work) else {
+            let Some(work) = self.seat.as_mut().and_then(Replica::ready) else {
                 return;
             };
             match work.image {
@@ -547,7 +551,7 @@
                     return self.acts.push(Effect::Persist(image));
                 }
                 None => {
-                    let done = self.seat.as_mut().map(Replica::kept).unwrap_or_default();
+                    let done = self.seat.as_mut().map(Replica::advance).unwrap_or_default();
                     self.follow_up(now, done);
                 }
             }
@@ -556,16 +560,16 @@
 
     fn follow_up(&mut self, now: Micros, done: Advanced) {
         self.play(&done);
-        self.reads.extend(&done.answered);
+        self.reads.extend(&done.confirmed_reads);
         let Some(seat) = &mut self.seat else { return };
-        let own = seat.no();
-        if let Some(register) = self.register.as_ref().filter(|_| seat.is_long()) {
+        let own = seat.id();
+        if let Some(register) = self.register.as_ref().filter(|_| seat.needs_compaction()) {
             let mut of = register.clone();
-            of.annex = self.annex.image();
+            of.extension = self.extension.snapshot();
             seat.compact(postcard::to_stdvec(&of).unwrap_or_default());
         }
         for (to, word) in done.messages {
-            let holder = self.members.iter().find(|(_, of)| of.seat == Some(to));
+            let holder = self.members.iter().find(|(_, of)| of.replica == Some(to));
             if let Some(member) = holder.map(|(member, _)| member.clone()) {
                 self.say(
                     &member,
@@ -614,25 +618,26 @@
 
     /// Plays an entry; what it changed is told in one line.
     fn play_one(&mut self, register: &mut PolicyState, index: Index, entry: Entry) {
-        let of = |register: &PolicyState| register.next.as_ref().map(|next| next.paper.number);
+        let of =
+            |register: &PolicyState| register.proposal.as_ref().map(|next| next.document.number);
         let (next, force) = (of(register), register.in_force.number);
         if let Entry::Extension { op, entry } = &entry {
             // A command that was played before is done.
             if op.is_none_or(|op| register.outcome(op).is_none()) {
-                let came = self.annex.play(index, entry);
-                register.annexed(index, *op, came, self.annex.outs());
+                let came = self.extension.apply(index, entry);
+                register.annexed(index, *op, came, self.extension.machines_out());
             }
         }
-        register.play(index, entry);
+        register.apply(index, entry);
         if register.members_at == index {
-            self.annex.members(&register.members);
+            self.extension.members_changed(&register.members);
         }
         let now = of(register);
         if let Some(number) = now.filter(|_| now != next) {
             let author = register
-                .next
+                .proposal
                 .as_ref()
-                .map_or("", |next| next.paper.author.as_str());
+                .map_or("", |next| next.document.author.as_str());
             self.log(
                 LogLevel::Info,
                 format!("policy: proposal {number} by '{author}' is on its way, entry {index}"),
@@ -649,7 +654,7 @@
                 .history
                 .iter()
                 .find(|past| past.number == gone)
-                .map(|past| past.fate.clone());
+                .map(|past| past.status.clone());
             self.log(
                 LogLevel::Info,
                 format!("policy: proposal {gone} is nowhere, {fate:?}, entry {index}"),
@@ -688,7 +693,7 @@
         else {
             return;
         };
-        let played = seat.played();
+        let played = seat.applied_index();
         let (ready, rest): (Vec<_>, Vec<_>) = self
             .reads
             .drain(..)
@@ -697,10 +702,10 @@
         let mut orders = Vec::new();
         for (number, _) in ready {
             if number >> 32 == *term & 0xffff_ffff {
-                orders.extend(chair.confirmed(now, register, number & 0xffff_ffff));
+                orders.extend(chair.leadership_confirmed(now, register, number & 0xffff_ffff));
             }
         }
-        orders.extend(chair.beat(now, register));
+        orders.extend(chair.tick(now, register));
         self.order(orders);
         self.annex_steps(now);
     }
@@ -719,8 +724,8 @@
             return;
         }
         self.next_annex = now + TICK;
-        let attended = chair.attended(now, register, &self.annex.gone());
-        let (steps, lines) = self.annex.steps(now, &self.me, *term, &attended);
+        let attended = chair.member_contacts(now, register, &self.extension.departed_members());
+        let (steps, lines) = self.extension.next_entries(now, &self.me, *term, &attended);
         if !steps.is_empty() {
             self.annexing = Some((register.index, now));
         }
@@ -743,9 +748,9 @@
         else {
             return;
         };
-        let (voters, learners) = register.seats();
+        let (voters, learners) = register.replica_ids();
         let mut lines = Vec::new();
-        match seat.change(&voters, &learners) {
+        match seat.propose_membership(&voters, &learners) {
             Ok(true) => lines.push((
                 LogLevel::Info,
                 format!("fleet: who votes changes to {voters:?}, learning {learners:?}"),
@@ -757,9 +762,9 @@
             )),
         }
         for no in learners {
-            if seat.learners().contains(&no) && seat.has_learnt(no) {
+            if seat.learners().contains(&no) && seat.is_caught_up(no) {
                 let entry = postcard::to_stdvec(&Entry::Learnt { seat: no }).unwrap_or_default();
-                if seat.put(entry).is_ok() {
+                if seat.propose(entry).is_ok() {
                     lines.push((
                         LogLevel::Info,
                         format!("fleet: seat {no} has learnt what was agreed, and is to vote"),
@@ -775,23 +780,23 @@
     /// A seat that was just given to this router begins with nothing, as it has promised nothing. Only on the word of one
     /// that surely leads, which a lease in this member's hands shows.
     fn take_new_seat(&mut self, now: Micros) {
-        if self.keeping || self.keeper.lease_left(now).is_none() {
+        if self.keeping || self.lease_holder.lease_left(now).is_none() {
             return;
         }
         let given = self
             .members
             .get(&self.me)
-            .and_then(|of| Some((of.seat?, of.learns)));
-        let own = self.seat.as_ref().map(Replica::no);
+            .and_then(|of| Some((of.replica?, of.is_learner)));
+        let own = self.seat.as_ref().map(Replica::id);
         match given {
             Some((no, true)) if own != Some(no) => {
                 self.seeds = self
                     .seeds
                     .wrapping_mul(0x9e37_79b9_7f4a_7c15)
                     .wrapping_add(1);
-                match Replica::fresh(self.fleet, no, self.raft_config, self.seeds) {
+                match Replica::join(self.fleet, no, self.raft_config, self.seeds) {
                     Ok(seat) => {
-                        (self.seat, self.seat_words, self.register) = (Some(seat), None, None);
+                        (self.seat, self.replica_error, self.register) = (Some(seat), None, None);
                         self.heeds = LeaderContact::starts(now);
                         (self.chair, self.failed) = (None, None);
                         self.log(
@@ -817,7 +822,7 @@
                     LogLevel::Error,
                     format!("fleet: {} takes part without its vote, {words}", self.me),
                 );
-                (self.seat, self.seat_words, self.chair) = (None, Some(words), None);
+                (self.seat, self.replica_error, self.chair) = (None, Some(words), None);
             }
             None if own.is_some() => {
                 self.log(
@@ -832,17 +837,17 @@
 
     /// This router's lease: what time has brought, and the next request.
     fn keep_lease(&mut self, now: Micros) {
-        if let Some(effect) = self.keeper.elapsed(now) {
+        if let Some(effect) = self.lease_holder.elapsed(now) {
             self.acts.push(Effect::Lease(effect));
         }
-        if self.keeper.is_unanswered(now) && self.chair.is_none() {
+        if self.lease_holder.is_awaiting_reply(now) && self.chair.is_none() {
             self.leads = None;
         }
-        if let Some(mut renew) = self.keeper.renew(now) {
-            renew.heeded = self.seat.as_ref().map(|seat| {
-                let term = seat.kept_term();
+        if let Some(mut renew) = self.lease_holder.next_request(now) {
+            renew.last_leader_contact = self.seat.as_ref().map(|seat| {
+                let term = seat.persisted_term();
                 LastLeaderContact {
-                    seat: seat.no(),
+                    replica: seat.id(),
                     term,
                     ago: now.since(self.heeds.before(term)).0,
                 }
@@ -879,7 +884,7 @@
 
     /// One turn, after whatever has come: what is due is done. To be called again when anything comes, and when
     /// [`FleetNode::next_due`] says.
-    pub fn turn(&mut self, now: Micros) -> Vec<Effect> {
+    pub fn tick(&mut self, now: Micros) -> Vec<Effect> {
         // After a stop of any length time goes on with one tick: nobody is voted out for what was not heard meanwhile.
         if now >= self.next_tick {
             if let Some(seat) = self.seat.as_mut().filter(|_| self.failed.is_none()) {
@@ -900,39 +905,39 @@
             }
             let me = self.me.clone();
             for said in std::mem::take(&mut self.home) {
-                self.hear(now, &me, said);
+                self.step(now, &me, said);
             }
         }
         std::mem::take(&mut self.acts)
     }
 
     /// This process is to leave: another voter that is there is to lead.
-    pub fn passes_lead(&mut self, now: Micros) {
+    pub fn transfer_leadership(&mut self, now: Micros) {
         let Some((_, chair)) = &self.chair else {
             return;
         };
         let register = self.register.as_ref();
         let seen = register
-            .map(|register| chair.members(now, register))
+            .map(|register| chair.member_status(now, register))
             .unwrap_or_default();
-        let heard = |of: &crate::MemberStatus| of.heard.unwrap_or(Micros(u64::MAX));
+        let heard = |of: &crate::MemberStatus| of.since_last_contact.unwrap_or(Micros(u64::MAX));
         let others = seen.iter().filter(|of| of.member != self.me);
         let votes = others.filter_map(|of| {
             let seated = register?.members.get(&of.member)?;
-            Some((heard(of), seated.seat.filter(|_| !seated.learns)?))
+            Some((heard(of), seated.replica.filter(|_| !seated.is_learner)?))
         });
         if let (Some((_, to)), Some(seat)) = (votes.min(), &mut self.seat) {
-            seat.transfer(to);
+            seat.transfer_leadership(to);
         }
     }
 
     /// It speaks for its member no more, in this process. What it has of a lease runs on; of the rest nothing stays.
-    pub fn rests(&mut self, now: Micros, seed: u64) {
-        let (mut keeper, members) = (self.keeper.clone(), self.members.clone());
+    pub fn suspend(&mut self, now: Micros, seed: u64) {
+        let (mut keeper, members) = (self.lease_holder.clone(), self.members.clone());
         keeper.shares(now);
         #[cfg(any(test, feature = "planted"))]
-        let planted = self.planted;
-        let annex = std::mem::replace(&mut self.annex, Box::new(NoExtension));
+        let planted = self.injected_bug;
+        let annex = std::mem::replace(&mut self.extension, Box::new(NoExtension));
         *self = FleetNode::new(
             self.fleet,
             self.terms,
@@ -942,27 +947,27 @@
             seed,
             now,
         );
-        self.annex = annex;
-        self.annex.restore(&[]);
+        self.extension = annex;
+        self.extension.restore(&[]);
         #[cfg(any(test, feature = "planted"))]
         {
-            self.planted = planted;
+            self.injected_bug = planted;
         }
     }
 
     /// Something is being kept just now.
-    pub fn is_keeping(&self) -> bool {
+    pub fn is_persisting(&self) -> bool {
         self.keeping
     }
 
     /// When time alone brings something.
-    pub fn next_due(&self, now: Micros) -> Micros {
-        let mut due = self.keeper.next_due(now);
+    pub fn next_deadline(&self, now: Micros) -> Micros {
+        let mut due = self.lease_holder.next_deadline(now);
         if self.seat.is_some() {
             due = due.min(self.next_tick.max(now));
         }
-        if let Some((chair, register)) = self.chair() {
-            due = due.min(chair.next_due(now, register));
+        if let Some((chair, register)) = self.leader_state() {
+            due = due.min(chair.next_deadline(now, register));
         }
         if let Some((at, _)) = self.failed.as_ref().filter(|_| !self.keeping) {
             due = due.min(*at);
@@ -974,8 +979,8 @@
     }
 
     /// The seat's number, for a driver that keeps what it has promised.
-    pub fn seat_no(&self) -> Option<ReplicaId> {
-        self.seat.as_ref().map(Replica::no)
+    pub fn replica_id(&self) -> Option<ReplicaId> {
+        self.seat.as_ref().map(Replica::id)
     }
 }
 
@@ -985,7 +990,7 @@
     RaftConfig {
         election_ticks,
         heartbeat_ticks: (election_ticks / 5).max(1),
-        witness_ticks: election_ticks * 2,
+        promise_broadcast_ticks: election_ticks * 2,
         ..RaftConfig::default()
     }
 }
--- a/fleet_policy/src/state_machine.rs
+++ b/fleet_policy/src/state_machine.rs
@@ -134,7 +134,7 @@
     pub number: Version,
     pub author: String,
     pub reason: String,
-    pub fate: ProposalStatus,
+    pub status: ProposalStatus,
     /// Where in the log its fate was settled.
     pub at: Index,
 }
@@ -146,17 +146,17 @@
     pub address: String,
     pub zone: String,
     /// Its seat in the agreement.
-    pub seat: Option<ReplicaId>,
+    pub replica: Option<ReplicaId>,
     /// The seat is new: it has never voted, and has yet to learn what was agreed.
-    pub learns: bool,
+    pub is_learner: bool,
 }
 
 /// A proposal on its way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PendingProposal {
-    pub paper: PolicyDocument,
+    pub document: PolicyDocument,
     /// Who fits; one that does not ends the proposal.
-    pub fits: BTreeSet<Member>,
+    pub accepted_by: BTreeSet<Member>,
     /// It waits for a second person.
     pub unconfirmed: bool,
     /// The last try to take hold.
@@ -173,31 +173,31 @@
     pub changed: Index,
     pub epoch: Epoch,
     pub in_force: PolicyDocument,
-    pub next: Option<PendingProposal>,
+    pub proposal: Option<PendingProposal>,
     /// The number of the newest proposal ever made.
-    pub newest: Version,
+    pub newest_version: Version,
     pub members: BTreeMap<Member, MemberInfo>,
     /// Where the members last changed.
     pub members_at: Index,
     /// Members that left since the last version came in force: their leases still count. Emptied by it.
     pub left: BTreeSet<Member>,
     /// The newest seat ever given.
-    pub last_seat: ReplicaId,
+    pub last_replica_id: ReplicaId,
     done: VecDeque<(OperationId, Outcome)>,
     pub history: VecDeque<HistoryEntry>,
     /// What every router has to know of the further matter before it gets a lease, and where that last changed.
-    pub outs: Vec<u8>,
-    pub outs_at: Index,
+    pub machines_out: Vec<u8>,
+    pub machines_out_at: Index,
     /// The whole of the further matter; only in snapshots.
-    pub annex: Vec<u8>,
+    pub extension: Vec<u8>,
 }
 
 impl PolicyState {
     /// The register of a new fleet: version 0, the platform's own settings.
-    pub fn begins(members: BTreeMap<Member, MemberInfo>) -> Self {
+    pub fn bootstrap(members: BTreeMap<Member, MemberInfo>) -> Self {
         let last_seat = members
             .values()
-            .filter_map(|seated| seated.seat)
+            .filter_map(|seated| seated.replica)
             .max()
             .unwrap_or_default();
         PolicyState {
@@ -206,18 +206,18 @@
             changed: Index(1),
             epoch: Epoch(0),
             in_force: PolicyDocument::default(),
-            next: None,
-            newest: Version(0),
+            proposal: None,
+            newest_version: Version(0),
             members,
             members_at: Index(1),
             left: BTreeSet::new(),
-            last_seat,
+            last_replica_id: last_seat,
             done: VecDeque::new(),
             history: VecDeque::new(),
-            outs: Vec::new(),
+            machines_out: Vec::new(),
             // Nothing has to be known of it yet: a fleet without a further matter goes on without a word of one.
-            outs_at: Index(0),
-            annex: Vec::new(),
+            machines_out_at: Index(0),
+            extension: Vec::new(),
         }
     }
 
@@ -231,15 +231,15 @@
 
     /// Whether a change takes hold just now: nobody admits.
     pub fn in_barrier(&self) -> bool {
-        self.next
+        self.proposal
             .as_ref()
             .is_some_and(|next| next.barrier.is_some())
     }
 
-    pub fn holder(&self, seat: ReplicaId) -> Option<&Member> {
+    pub fn member_with_replica(&self, seat: ReplicaId) -> Option<&Member> {
         self.members
             .iter()
-            .find(|(_, of)| of.seat == Some(seat))
+            .find(|(_, of)| of.replica == Some(seat))
             .map(|(member, _)| member)
     }
 
@@ -256,8 +256,8 @@
             let outcome = came.map_or_else(Outcome::Refused, Outcome::Numbered);
             self.remember(op, outcome);
         }
-        if outs != self.outs {
-            (self.outs, self.outs_at, self.changed) = (outs, index, index);
+        if outs != self.machines_out {
+            (self.machines_out, self.machines_out_at, self.changed) = (outs, index, index);
         }
     }
 
@@ -269,7 +269,7 @@
     }
 
     /// Plays one entry; one of a further matter is [`PolicyState::annexed`]. What it came to is remembered by its command.
-    pub fn play(&mut self, index: Index, entry: Entry) {
+    pub fn apply(&mut self, index: Index, entry: Entry) {
         self.index = index;
         if matches!(entry, Entry::Extension { .. }) {
             return;
@@ -310,7 +310,7 @@
             Entry::Extension { .. } => (None, None),
         };
         // Who fits is the leader's matter, until somebody does not.
-        if !checking || self.next.is_none() {
+        if !checking || self.proposal.is_none() {
             self.changed = index;
         }
         if let (Some(op), Some(outcome)) = (op, outcome) {
@@ -331,8 +331,8 @@
         confirm: bool,
     ) -> Option<Outcome> {
         self.once(op)?;
-        if let Some(next) = &self.next {
-            let (number, author) = (next.paper.number, &next.paper.author);
+        if let Some(next) = &self.proposal {
+            let (number, author) = (next.document.number, &next.document.author);
             return Some(Outcome::Refused(format!(
                 "proposal {number} by {author} is on its way"
             )));
@@ -348,13 +348,13 @@
         if long || paper.reason.len() + paper.author.len() > LONGEST_WORDS {
             return Some(Outcome::Refused("it is longer than any policy is".into()));
         }
-        self.newest = Version(self.newest.0 + 1);
-        paper.number = self.newest;
+        self.newest_version = Version(self.newest_version.0 + 1);
+        paper.number = self.newest_version;
         let past = HistoryEntry {
             number: paper.number,
             author: paper.author.clone(),
             reason: paper.reason.clone(),
-            fate: ProposalStatus::Open,
+            status: ProposalStatus::Open,
             at: self.index,
         };
         self.history.push_back(past);
@@ -362,26 +362,26 @@
             self.history.pop_front();
         }
         let fits = BTreeSet::new();
-        self.next = Some(PendingProposal {
-            paper,
-            fits,
+        self.proposal = Some(PendingProposal {
+            document: paper,
+            accepted_by: fits,
             unconfirmed: confirm,
             round: Round(0),
             barrier: None,
         });
-        Some(Outcome::Proposed(self.newest))
+        Some(Outcome::Proposed(self.newest_version))
     }
 
     /// The proposal of this number, if it is the one on its way.
     fn pending(&mut self, number: Version) -> Option<&mut PendingProposal> {
-        self.next
+        self.proposal
             .as_mut()
-            .filter(|next| next.paper.number == number)
+            .filter(|next| next.document.number == number)
     }
 
     fn settle(&mut self, number: Version, fate: ProposalStatus) {
         if let Some(past) = self.history.iter_mut().find(|past| past.number == number) {
-            (past.fate, past.at) = (fate, self.index);
+            (past.status, past.at) = (fate, self.index);
         }
     }
 
@@ -395,11 +395,11 @@
         {
             match verdict {
                 Verdict::Fits => {
-                    next.fits.insert(member);
+                    next.accepted_by.insert(member);
                 }
                 Verdict::Refused(mut words) => {
                     truncate(&mut words);
-                    self.next = None;
+                    self.proposal = None;
                     self.settle(number, ProposalStatus::Refused(member, words));
                     return None;
                 }
@@ -415,7 +415,7 @@
                 "proposal {number} is not on its way"
             )));
         };
-        if next.paper.author == by {
+        if next.document.author == by {
             return Some(Outcome::Refused(format!(
                 "{by} made it: somebody else has to confirm it"
             )));
@@ -436,7 +436,7 @@
             .filter(|next| next.barrier.is_none() && !next.unconfirmed)?;
         let all = members
             .iter()
-            .all(|member| next.fits.contains(member) || without.contains(member));
+            .all(|member| next.accepted_by.contains(member) || without.contains(member));
         if all && round.0 == next.round.0 + 1 {
             (next.round, next.barrier) = (round, Some(without));
             self.epoch = Epoch(self.epoch.0 + 1);
@@ -447,7 +447,7 @@
     fn come_in_force(&mut self, number: Version, round: Round) -> Option<Outcome> {
         self.pending(number)
             .filter(|next| next.barrier.is_some() && next.round == round)?;
-        self.in_force = self.next.take()?.paper;
+        self.in_force = self.proposal.take()?.document;
         self.epoch = Epoch(self.epoch.0 + 1);
         self.left.clear();
         self.settle(number, ProposalStatus::InForce);
@@ -476,7 +476,7 @@
                 .history
                 .iter()
                 .find(|past| past.number == number)
-                .map(|past| &past.fate)
+                .map(|past| &past.status)
             {
                 Some(ProposalStatus::InForce) => {
                     "it is in force: to go back, propose the earlier policy anew"
@@ -487,7 +487,11 @@
             };
             return Some(Outcome::Refused(format!("proposal {number}: {words}")));
         }
-        if self.next.take().is_some_and(|next| next.barrier.is_some()) {
+        if self
+            .proposal
+            .take()
+            .is_some_and(|next| next.barrier.is_some())
+        {
             self.epoch = Epoch(self.epoch.0 + 1);
         }
         let (mut by, mut reason) = (by, reason);
@@ -524,15 +528,16 @@
             )));
         }
         let known = self.members.get(&member);
-        let (seat, learns) = known.map_or((None, false), |seated| (seated.seat, seated.learns));
+        let (seat, learns) =
+            known.map_or((None, false), |seated| (seated.replica, seated.is_learner));
         self.left.remove(&member);
         self.members.insert(
             member,
             MemberInfo {
                 address,
                 zone,
-                seat,
-                learns,
+                replica: seat,
+                is_learner: learns,
             },
         );
         self.members_at = self.index;
@@ -546,7 +551,9 @@
         }
         match self.members.get(member) {
             None => return Some(Outcome::Refused(format!("{member} is no member"))),
-            Some(MemberInfo { seat: Some(_), .. }) => {
+            Some(MemberInfo {
+                replica: Some(_), ..
+            }) => {
                 return Some(Outcome::Refused(format!(
                     "{member} has a vote: take that first"
                 )));
@@ -555,8 +562,8 @@
         }
         self.members.remove(member);
         self.left.insert(member.clone());
-        if let Some(next) = &mut self.next {
-            next.fits.remove(member);
+        if let Some(next) = &mut self.proposal {
+            next.accepted_by.remove(member);
         }
         self.members_at = self.index;
         Some(Outcome::Done)
@@ -564,12 +571,12 @@
 
     fn seat(&mut self, op: OperationId, member: &Member) -> Option<Outcome> {
         self.once(op)?;
-        let number = ReplicaId(self.last_seat.0 + 1);
+        let number = ReplicaId(self.last_replica_id.0 + 1);
         let Some(seated) = self.members.get_mut(member) else {
             return Some(Outcome::Refused(format!("{member} is no member")));
         };
-        (seated.seat, seated.learns) = (Some(number), true);
-        (self.last_seat, self.members_at) = (number, self.index);
+        (seated.replica, seated.is_learner) = (Some(number), true);
+        (self.last_replica_id, self.members_at) = (number, self.index);
         Some(Outcome::MemberInfo(number))
     }
 
@@ -577,20 +584,20 @@
         let seated = self
             .members
             .values_mut()
-            .find(|seated| seated.seat == Some(seat) && seated.learns)?;
-        seated.learns = false;
+            .find(|seated| seated.replica == Some(seat) && seated.is_learner)?;
+        seated.is_learner = false;
         self.members_at = self.index;
         None
     }
 
     /// Who votes, and who learns to: what the agreement's own list of voters is to become.
-    pub fn seats(&self) -> (Vec<ReplicaId>, Vec<ReplicaId>) {
+    pub fn replica_ids(&self) -> (Vec<ReplicaId>, Vec<ReplicaId>) {
         let of = |learns: bool| {
             let held = self
                 .members
                 .values()
-                .filter(move |seated| seated.learns == learns);
-            let mut all: Vec<ReplicaId> = held.filter_map(|seated| seated.seat).collect();
+                .filter(move |seated| seated.is_learner == learns);
+            let mut all: Vec<ReplicaId> = held.filter_map(|seated| seated.replica).collect();
             all.sort_unstable();
             all
         };
@@ -599,14 +606,14 @@
 
     fn unseat(&mut self, op: OperationId, member: &Member) -> Option<Outcome> {
         self.once(op)?;
-        let voters = self.seats().0;
+        let voters = self.replica_ids().0;
         let Some(seated) = self.members.get_mut(member) else {
             return Some(Outcome::Refused(format!("{member} is no member")));
         };
-        if voters.len() == 1 && seated.seat == Some(voters[0]) {
+        if voters.len() == 1 && seated.replica == Some(voters[0]) {
             return Some(Outcome::Refused(format!("{member} is the last that votes")));
         }
-        (seated.seat, seated.learns) = (None, false);
+        (seated.replica, seated.is_learner) = (None, false);
         self.members_at = self.index;
         Some(Outcome::Done)
     }
--- a/fleet_policy/tests/far_behind.rs
+++ b/fleet_policy/tests/far_behind.rs
@@ -13,11 +13,11 @@
     let seated = MemberInfo {
         address: "127.0.0.1:1".into(),
         zone: String::new(),
-        seat: None,
-        learns: false,
+        replica: None,
+        is_learner: false,
     };
-    let mut register = PolicyState::begins(BTreeMap::from([("a".into(), seated)]));
-    let mut keeper = LeaseHolder::starts(
+    let mut register = PolicyState::bootstrap(BTreeMap::from([("a".into(), seated)]));
+    let mut keeper = LeaseHolder::new(
         LeaseConfig::default(),
         "a".into(),
         Incarnation(1),
@@ -28,7 +28,7 @@
         view: Some(View::of(register)),
         ..LeaseReply::default()
     };
-    keeper.told(Micros(1), told(&register));
+    keeper.handle_reply(Micros(1), told(&register));
     let (mut index, mut changes) = (1, 0);
     while index < 10_000 {
         changes += 1;
@@ -57,7 +57,7 @@
             Entry::InForce { number, round },
         ] {
             index += 1;
-            register.play(Index(index), entry);
+            register.apply(Index(index), entry);
         }
     }
     let size = |of: &[u8]| of.len();
@@ -70,9 +70,9 @@
         size(&whole)
     );
     assert_eq!(keeper.version(), Some(Version(0)));
-    keeper.told(Micros(2), told(&register));
+    keeper.handle_reply(Micros(2), told(&register));
     assert_eq!(keeper.version(), Some(Version(2500)));
     // What it was told before says nothing new: it never goes back.
-    keeper.told(Micros(3), told(&PolicyState::begins(BTreeMap::new())));
+    keeper.handle_reply(Micros(3), told(&PolicyState::bootstrap(BTreeMap::new())));
     assert_eq!(keeper.version(), Some(Version(2500)));
 }
--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -63,7 +63,7 @@
 
 impl Message {
     /// Its name, for people.
-    pub fn word(&self) -> &'static str {
+    pub fn name(&self) -> &'static str {
         match self {
             Message::Hello { .. } => "hello",
             Message::Offer { .. } => "an offer",
--- a/hot_restart/src/model.rs
+++ b/hot_restart/src/model.rs
@@ -88,7 +88,7 @@
             match effect {
                 Effect::Spawn => {
                     let (machine, hello) =
-                        NewProcess::begins(StepTimeouts::default(), 1, "new", Micros(0));
+                        NewProcess::start(StepTimeouts::default(), 1, "new", Micros(0));
                     self.new = Some(Side {
                         machine,
                         accepts: false,
@@ -152,7 +152,10 @@
         let death = self.new.is_none()
             && self.old.is_some()
             && !self.death_told
-            && !self.old.as_ref().is_some_and(|old| old.machine.serves());
+            && !self
+                .old
+                .as_ref()
+                .is_some_and(|old| old.machine.is_serving());
         let ends = self.new.as_ref().is_some_and(|new| new.ending);
         !old_hears && !new_hears && !untold && !death && !ends
     }
@@ -190,9 +193,9 @@
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
         let (old, new) = (world.old.as_ref(), world.new.as_ref());
         if let Some(old) = old {
-            if world.upgrades > 0 && old.machine.serves() && new.is_none() {
+            if world.upgrades > 0 && old.machine.is_serving() && new.is_none() {
                 actions.push(Action::Ask);
-            } else if world.upgrades > 0 && !old.machine.serves() {
+            } else if world.upgrades > 0 && !old.machine.is_serving() {
                 actions.push(Action::AskAgain);
             }
             if !world.to_old.is_empty() {
@@ -200,12 +203,12 @@
             } else if !world.old_told && !world.link || new.is_none() && !world.death_told {
                 actions.push(Action::OldTold);
             }
-            if world.lates > 0 && old.machine.due().is_some() {
+            if world.lates > 0 && old.machine.next_timeout().is_some() {
                 actions.push(Action::OldLate);
             }
             if world.in_hand > 0 {
                 actions.push(Action::Answers);
-            } else if old.machine.drains() {
+            } else if old.machine.is_draining() {
                 actions.push(Action::Drained);
             }
             if world.crashes > 0 {
@@ -218,7 +221,7 @@
             } else if !world.new_told && !world.link {
                 actions.push(Action::NewTold);
             }
-            if world.lates > 0 && new.machine.due().is_some() {
+            if world.lates > 0 && new.machine.next_timeout().is_some() {
                 actions.push(Action::NewLate);
             }
             if new.ending {
@@ -240,19 +243,19 @@
         match action {
             Action::Ask => {
                 world.upgrades -= 1;
-                let effects = world.old.as_mut()?.machine.begin(now, SHARE).ok()?;
+                let effects = world.old.as_mut()?.machine.start(now, SHARE).ok()?;
                 world.of_old(effects);
             }
             Action::AskAgain => {
                 world.upgrades -= 1;
                 // Refused with a word, whatever the step.
-                if world.old.as_mut()?.machine.begin(now, SHARE).is_ok() {
+                if world.old.as_mut()?.machine.start(now, SHARE).is_ok() {
                     return None;
                 }
             }
             Action::ToOld => {
                 let message = world.to_old.pop_front()?;
-                let effects = world.old.as_mut()?.machine.heard(
+                let effects = world.old.as_mut()?.machine.handle_event(
                     now,
                     NewProcessEvent::Received(message),
                     USES,
@@ -264,11 +267,11 @@
                 let loads = matches!(message, Message::State { left: 0, .. });
                 let new = world.new.as_mut()?;
                 new.has_listener |= matches!(message, Message::Descriptors { .. });
-                let mut effects = new
-                    .machine
-                    .heard(now, OldProcessEvent::Received(message), SHARE);
+                let mut effects =
+                    new.machine
+                        .handle_event(now, OldProcessEvent::Received(message), SHARE);
                 if loads {
-                    effects.extend(new.machine.heard(
+                    effects.extend(new.machine.handle_event(
                         now,
                         OldProcessEvent::SnapshotLoaded(true),
                         SHARE,
@@ -278,7 +281,7 @@
             }
             // The snapshot turns out to be of no use.
             Action::Loads => {
-                let effects = world.new.as_mut()?.machine.heard(
+                let effects = world.new.as_mut()?.machine.handle_event(
                     now,
                     OldProcessEvent::SnapshotLoaded(false),
                     SHARE,
@@ -306,13 +309,13 @@
                 } else {
                     NewProcessEvent::LinkBroken
                 };
-                let effects = world.old.as_mut()?.machine.heard(now, from, USES);
+                let effects = world.old.as_mut()?.machine.handle_event(now, from, USES);
                 world.of_old(effects);
             }
             Action::NewTold => {
                 world.new_told = true;
                 let old_lives = world.old.is_some();
-                let effects = world.new.as_mut()?.machine.heard(
+                let effects = world.new.as_mut()?.machine.handle_event(
                     now,
                     OldProcessEvent::LinkLost { old_lives },
                     SHARE,
@@ -321,12 +324,20 @@
             }
             Action::OldLate => {
                 world.lates -= 1;
-                let effects = world.old.as_mut()?.machine.elapsed(Micros(u64::MAX / 2));
+                let effects = world
+                    .old
+                    .as_mut()?
+                    .machine
+                    .handle_timeout(Micros(u64::MAX / 2));
                 world.of_old(effects);
             }
             Action::NewLate => {
                 world.lates -= 1;
-                let effects = world.new.as_mut()?.machine.elapsed(Micros(u64::MAX / 2));
+                let effects = world
+                    .new
+                    .as_mut()?
+                    .machine
+                    .handle_timeout(Micros(u64::MAX / 2));
                 world.of_new(effects);
             }
             Action::NewEnds => world.end_new(),
@@ -334,7 +345,7 @@
                 world.in_hand -= 1;
             }
             Action::Drained => {
-                let effects = world.old.as_mut()?.machine.drained();
+                let effects = world.old.as_mut()?.machine.drain_finished();
                 world.of_old(effects);
             }
         }
@@ -356,7 +367,7 @@
                         || world
                             .new
                             .as_ref()
-                            .is_none_or(|new| new.has_listener || !new.machine.serves());
+                            .is_none_or(|new| new.has_listener || !new.machine.is_serving());
                     open
                 },
             ),
@@ -367,7 +378,7 @@
                         return true;
                     };
                     !(old.accepts && new.accepts && world.quiet())
-                        || old.machine.word() == "commits"
+                        || old.machine.step_name() == "commits"
                 },
             ),
             Property::always("the leases never exceed the share", |_, world: &World| {
@@ -389,7 +400,7 @@
                     let alone = world
                         .new
                         .as_ref()
-                        .filter(|new| world.old.is_none() && new.machine.serves());
+                        .filter(|new| world.old.is_none() && new.machine.is_serving());
                     alone.is_none_or(|new| new.machine.lease() == SHARE || !world.quiet())
                 },
             ),
@@ -411,10 +422,9 @@
                     world.upgrades == 0
                         && world.new.is_none()
                         && world.quiet()
-                        && world
-                            .old
-                            .as_ref()
-                            .is_some_and(|old| old.machine.serves() && old.machine.lease() == SHARE)
+                        && world.old.as_ref().is_some_and(|old| {
+                            old.machine.is_serving() && old.machine.lease() == SHARE
+                        })
                 },
             ),
         ]
--- a/hot_restart/src/new_process.rs
+++ b/hot_restart/src/new_process.rs
@@ -41,7 +41,7 @@
 
 impl NewProcess {
     /// A new process says hello at once.
-    pub fn begins(
+    pub fn start(
         patience: StepTimeouts,
         settings: u64,
         program: &str,
@@ -62,11 +62,11 @@
         (new, vec![Effect::Send(hello)])
     }
 
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_timeout(&self) -> Option<Micros> {
         self.due
     }
 
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.step == Step::Serves
     }
 
@@ -108,7 +108,12 @@
     }
 
     /// The link brings something; `share` is all that the router may use.
-    pub fn heard(&mut self, now: Micros, from: OldProcessEvent, share: Lease) -> Vec<Effect> {
+    pub fn handle_event(
+        &mut self,
+        now: Micros,
+        from: OldProcessEvent,
+        share: Lease,
+    ) -> Vec<Effect> {
         let message = match from {
             OldProcessEvent::Received(message) => message,
             OldProcessEvent::SnapshotLoaded(true) if self.step == Step::Loads => {
@@ -177,14 +182,14 @@
                 ]
             }
             (_, message) => {
-                let what = format!("{} was not expected", message.word());
+                let what = format!("{} was not expected", message.name());
                 self.leave(&what)
             }
         }
     }
 
     /// The time of a step is over.
-    pub fn elapsed(&mut self, now: Micros) -> Vec<Effect> {
+    pub fn handle_timeout(&mut self, now: Micros) -> Vec<Effect> {
         match self.due {
             Some(due) if due <= now => self.leave("nothing came from the old process in time"),
             _ => Vec::new(),
--- a/hot_restart/src/old_process.rs
+++ b/hot_restart/src/old_process.rs
@@ -70,7 +70,7 @@
 
     /// An upgrade is asked for, of one who may use `has` now; a second one during one is refused with a word. So is one
     /// while the process before this one drains: three would use more than the share.
-    pub fn begin(&mut self, now: Micros, has: Lease) -> Result<Vec<Effect>, &'static str> {
+    pub fn start(&mut self, now: Micros, has: Lease) -> Result<Vec<Effect>, &'static str> {
         match self.step {
             Step::Serves if has != self.share => {
                 Err("the process before this one still has a part of the share, ask again when it has left")
@@ -85,15 +85,15 @@
     }
 
     /// When it is to be told of the time; none: no step is under way.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_timeout(&self) -> Option<Micros> {
         self.due
     }
 
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.step == Step::Serves
     }
 
-    pub fn drains(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.step == Step::Drains
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// The step, in a word.
-    pub fn word(&self) -> &'static str {
+    pub fn step_name(&self) -> &'static str {
         match self.step {
             Step::Serves => "serves",
             Step::Greets => "waits for hello",
@@ -166,7 +166,7 @@
     }
 
     /// The link brings something; `uses` is what this process has in use, and what is left of its further calls.
-    pub fn heard(&mut self, now: Micros, from: NewProcessEvent, uses: Lease) -> Vec<Effect> {
+    pub fn handle_event(&mut self, now: Micros, from: NewProcessEvent, uses: Lease) -> Vec<Effect> {
         let message = match from {
             NewProcessEvent::Received(message) => message,
             NewProcessEvent::ProcessDied => {
@@ -261,12 +261,12 @@
             }
             // What was on its way when it was given up.
             (Step::Ends | Step::Serves | Step::Over | Step::Drains, _) => Vec::new(),
-            (_, message) => self.abandon(now, &format!("{} was not expected", message.word())),
+            (_, message) => self.abandon(now, &format!("{} was not expected", message.name())),
         }
     }
 
     /// The time of a step is over.
-    pub fn elapsed(&mut self, now: Micros) -> Vec<Effect> {
+    pub fn handle_timeout(&mut self, now: Micros) -> Vec<Effect> {
         if self.due.is_none_or(|due| due > now) {
             return Vec::new();
         }
@@ -285,12 +285,12 @@
                 self.pinged = true;
                 vec![Effect::Send(Message::Ping)]
             }
-            _ => self.abandon(now, &format!("nothing came while it {}", self.word())),
+            _ => self.abandon(now, &format!("nothing came while it {}", self.step_name())),
         }
     }
 
     /// Nothing is left in hand, and no client's connection.
-    pub fn drained(&mut self) -> Vec<Effect> {
+    pub fn drain_finished(&mut self) -> Vec<Effect> {
         if self.step != Step::Drains || !self.answered {
             return Vec::new();
         }
@@ -329,7 +329,7 @@
     #[test_case(Lease { held: 6, ..SHARE }, false; "less, while another drains")]
     fn an_upgrade_begins_with_the_whole_share_alone(has: Lease, begins: bool) {
         let mut old = OldProcess::new(StepTimeouts::default(), SHARE, 1);
-        assert_eq!(old.begin(Micros(0), has).is_ok(), begins);
-        assert_eq!(old.serves(), !begins);
+        assert_eq!(old.start(Micros(0), has).is_ok(), begins);
+        assert_eq!(old.is_serving(), !begins);
     }
 }
--- a/maintenance/src/coordinator.rs
+++ b/maintenance/src/coordinator.rs
@@ -77,8 +77,8 @@
 }
 
 pub struct Coordinator {
-    pub terms: MaintenanceConfig,
-    pub books: MaintenanceState,
+    pub config: MaintenanceConfig,
+    pub state: MaintenanceState,
     /// As this router sees it, and its wall clock in milliseconds.
     world: ClusterView,
     wall: u64,
@@ -95,14 +95,14 @@
     attended: Vec<Heard>,
     led_term: u64,
     #[cfg(any(test, feature = "planted"))]
-    pub planted: Option<InjectedBug>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
 impl Coordinator {
     pub fn new(terms: MaintenanceConfig) -> Coordinator {
         Coordinator {
-            terms,
-            books: MaintenanceState::default(),
+            config: terms,
+            state: MaintenanceState::default(),
             world: ClusterView::default(),
             wall: 0,
             failing: BTreeSet::new(),
@@ -113,24 +113,24 @@
             attended: Vec::new(),
             led_term: 0,
             #[cfg(any(test, feature = "planted"))]
-            planted: None,
+            injected_bug: None,
         }
     }
 
     /// The fleet as this router sees it now; soundness is what all say of it.
-    pub fn sees(&mut self, world: ClusterView, wall: u64) {
+    pub fn observe_cluster(&mut self, world: ClusterView, wall: u64) {
         (self.world, self.wall) = (world, wall);
     }
 
     /// The world with everything that is in work, or that routers call so, as unsound.
     fn standing(&self, words: &[&RouterReport]) -> ClusterView {
         let mut world = self.world.clone();
-        let (unsound, working) = (unsound(words), self.books.active());
+        let (unsound, working) = (unsound(words), self.state.active_machines());
         for node in &mut world.nodes {
-            node.out = working.contains(node.name.as_str());
-            node.sound = !node.out && !unsound.contains(node.name.as_str());
+            node.out_of_service = working.contains(node.name.as_str());
+            node.healthy = !node.out_of_service && !unsound.contains(node.name.as_str());
         }
-        world.load = self.books.load as f64;
+        world.load = self.state.load as f64;
         world
     }
 
@@ -147,8 +147,9 @@
         let waits = |of: &&Heard| {
             let knows = |word: &RouterReport| word.goes_by >= at;
             #[cfg(any(test, feature = "planted"))]
-            let knows =
-                |word: &RouterReport| knows(word) || self.planted == Some(InjectedBug::AnyWord);
+            let knows = |word: &RouterReport| {
+                knows(word) || self.injected_bug == Some(InjectedBug::AnyWord)
+            };
             let free = |word: &RouterReport| !word.busy.iter().any(|name| name == machine);
             let quiet = of.alone
                 && of
@@ -157,7 +158,7 @@
                     .is_some_and(|word| knows(word) && free(word))
                 || of.over;
             #[cfg(any(test, feature = "planted"))]
-            let quiet = match self.planted {
+            let quiet = match self.injected_bug {
                 Some(InjectedBug::NoWaiting) => true,
                 Some(InjectedBug::SilentIsQuiet) => quiet || of.word.is_none(),
                 _ => quiet,
@@ -174,7 +175,7 @@
     /// Requests in their order: by deadline, then by priority.
     fn ordered(&self) -> Vec<(RequestNo, &Request)> {
         let mut all: Vec<(RequestNo, &Request)> = self
-            .books
+            .state
             .requests
             .iter()
             .map(|(no, of)| (*no, of))
@@ -194,10 +195,10 @@
         let mut items = Vec::new();
         for (no, request) in self.ordered() {
             let waits = request.machines.iter().filter(|machine| {
-                self.books
-                    .jobs
+                self.state
+                    .operations
                     .get(&(no, (*machine).clone()))
-                    .is_some_and(|job| job.stage == Phase::Waiting)
+                    .is_some_and(|job| job.phase == Phase::Waiting)
             });
             let urgency = (
                 request.by_when.unwrap_or(u64::MAX),
@@ -227,13 +228,13 @@
         // What is out or fails now will be there again: what can never be is another matter than what cannot be now.
         // Seen: a request was refused for good as a machine was doubted for a moment.
         let mut world = self.world.clone();
-        world.load = self.books.load as f64;
+        world.load = self.state.load as f64;
         let mut items = self.items(&world);
         if let Some(of) = more {
             let nodes: Vec<usize> = of
                 .machines
                 .iter()
-                .filter_map(|name| world.number(name))
+                .filter_map(|name| world.position(name))
                 .collect();
             let urgency = (of.by_when.unwrap_or(u64::MAX), u8::MAX - of.priority);
             let item = |nodes| WorkItem {
@@ -247,32 +248,32 @@
                 false => items.extend(nodes.into_iter().map(|node| item(vec![node]))),
             }
         }
-        let room = DisruptionBudget::of(&world, &self.terms.limits, 0);
+        let room = DisruptionBudget::new(&world, &self.config.limits, 0);
         (schedule(&items, &room), items, world)
     }
 
     /// Steps for what is out or on its way back.
     fn follow(&mut self, now: Micros, steps: &mut Vec<Entry>) {
-        let (fence, wall) = (self.books.fence, self.wall);
+        let (fence, wall) = (self.state.fence, self.wall);
         let active = self
-            .books
-            .jobs
+            .state
+            .operations
             .iter()
-            .filter(|(_, job)| job.stage.is_active());
+            .filter(|(_, job)| job.phase.is_active());
         let jobs: Vec<((RequestNo, String), Operation)> = active
             .map(|(key, job)| (key.clone(), job.clone()))
             .collect();
         self.returning.retain(|key, _| {
-            self.books
-                .jobs
+            self.state
+                .operations
                 .get(key)
-                .is_some_and(|job| matches!(job.stage, Phase::Returning { .. }))
+                .is_some_and(|job| matches!(job.phase, Phase::Returning { .. }))
         });
         let fresh = self.words();
         let bad = unsound(&fresh);
         let mut since = Vec::new();
         for (key, job) in jobs {
-            match job.stage {
+            match job.phase {
                 // A router is quiet when its operator has drained it: the permit is the fleet's word that it may.
                 Phase::Out
                     if router_of(&key.1).is_some() || self.waits_for(&key.1, job.at).is_empty() =>
@@ -288,7 +289,7 @@
                     // Nobody has anything for it: after a while discovery's word is all there is.
                     let idle =
                         !fresh.is_empty() && fresh.iter().all(|word| word.idle.contains(&key.1));
-                    let calm = began.is_some_and(|began| now.since(began).0 >= self.terms.calm);
+                    let calm = began.is_some_and(|began| now.since(began).0 >= self.config.calm);
                     let there =
                         |of: &Heard| of.fresh && Some(&of.member) == router_of(&key.1).as_ref();
                     let there = self.attended.iter().any(there);
@@ -301,7 +302,8 @@
                             job: key,
                             now: wall,
                         });
-                    } else if began.is_some_and(|began| now.since(began).0 > self.terms.back_within)
+                    } else if began
+                        .is_some_and(|began| now.since(began).0 > self.config.back_within)
                     {
                         steps.push(Entry::Keep {
                             fence,
@@ -321,9 +323,9 @@
 
     /// Whether the work is held, or goes on.
     fn hold(&mut self, now: Micros, steps: &mut Vec<Entry>) {
-        let fence = self.books.fence;
+        let fence = self.state.fence;
         let words = self.words();
-        let working = self.books.active();
+        let working = self.state.active_machines();
         let failing: BTreeSet<String> = unsound(&words)
             .into_iter()
             .filter(|name| {
@@ -338,11 +340,11 @@
         let says = answered >= LEAST_ANSWERED;
         let new: Vec<String> = failing.difference(&self.failing).cloned().collect();
         self.failing = failing;
-        let held = self.books.hold.as_ref().map(|hold| hold.own);
+        let held = self.state.pause.as_ref().map(|hold| hold.own);
         let limit = if held == Some(true) {
-            self.terms.late_over / 2.0
+            self.config.late_over / 2.0
         } else {
-            self.terms.late_over
+            self.config.late_over
         };
         let why = if !new.is_empty() {
             Some(format!("{} failing without work", new.join(", ")))
@@ -354,7 +356,7 @@
         } else {
             None
         };
-        let active = !self.books.jobs.is_empty();
+        let active = !self.state.operations.is_empty();
         match (why, held) {
             (Some(why), None) if active => {
                 self.well_since = None;
@@ -363,7 +365,7 @@
             (Some(_), _) => self.well_since = None,
             (None, _) => {
                 let since = *self.well_since.get_or_insert(now);
-                if held == Some(true) && now.since(since).0 >= self.terms.calm {
+                if held == Some(true) && now.since(since).0 >= self.config.calm {
                     steps.push(Entry::GoOn { fence });
                 }
             }
@@ -373,12 +375,12 @@
     /// The load that routers tell, where it has moved from what is agreed: how much may be out rests on it.
     fn tell_load(&mut self, now: Micros, steps: &mut Vec<Entry>) {
         let calls: u64 = self.words().iter().map(|word| u64::from(word.calls)).sum();
-        let (known, told) = (self.books.load, self.told_load);
+        let (known, told) = (self.state.load, self.told_load);
         let moved = calls.abs_diff(known) > known / LOAD_PART + LEAST_LOAD;
         if moved && told.is_none_or(|told| now.since(told) >= LOAD_EVERY) {
             self.told_load = Some(now);
             steps.push(Entry::Load {
-                fence: self.books.fence,
+                fence: self.state.fence,
                 calls,
             });
         }
@@ -388,19 +390,20 @@
     fn take_out(&self, now: Micros, steps: &mut Vec<Entry>) {
         let calm = self
             .well_since
-            .is_some_and(|since| now.since(since).0 >= self.terms.calm);
-        if self.books.hold.is_some() || !calm || self.world.nodes.is_empty() {
+            .is_some_and(|since| now.since(since).0 >= self.config.calm);
+        if self.state.pause.is_some() || !calm || self.world.nodes.is_empty() {
             return;
         }
-        if self.books.active().len() >= self.terms.limits.most_out(self.world.nodes.len()) {
+        if self.state.active_machines().len() >= self.config.limits.most_out(self.world.nodes.len())
+        {
             return;
         }
         let words = self.words();
         if words.iter().filter(|word| word.more > 0).count() * ONE_IN >= words.len().max(1) {
             return;
         }
-        let (world, active) = (self.standing(&words), self.books.active());
-        let mut room = DisruptionBudget::of(&world, &self.terms.limits, active.len());
+        let (world, active) = (self.standing(&words), self.state.active_machines());
+        let mut room = DisruptionBudget::new(&world, &self.config.limits, active.len());
         let mut items = self.items(&world);
         items.retain(|item| {
             let free = item
@@ -408,7 +411,7 @@
                 .iter()
                 .all(|node| !active.contains(world.nodes[*node].name.as_str()));
             let due = self
-                .books
+                .state
                 .requests
                 .get(&item.request)
                 .and_then(|of| of.not_before);
@@ -429,14 +432,14 @@
             };
             if jobs.len() + item.nodes.len() <= MOST_A_STEP.max(item.nodes.len())
                 && !item.nodes.iter().any(twice)
-                && room.take_all(&item.nodes).is_ok()
+                && room.take_out_all(&item.nodes).is_ok()
             {
                 jobs.extend(names);
             }
         }
         if !jobs.is_empty() {
             steps.push(Entry::TakeOut {
-                fence: self.books.fence,
+                fence: self.state.fence,
                 jobs,
                 now: self.wall,
             });
@@ -445,17 +448,17 @@
 
     /// The one router that may go now, if one waits.
     fn take_router(&self, steps: &mut Vec<Entry>) {
-        if self.books.hold.is_some() {
+        if self.state.pause.is_some() {
             return;
         }
         let waiting = self.waiting_routers();
         let may = |(_, router): &&((RequestNo, String), Member)| {
             self.routers()
-                .is_some_and(|routers| routers.may_go(router, waiting.len() > 1).is_ok())
+                .is_some_and(|routers| routers.check(router, waiting.len() > 1).is_ok())
         };
         if let Some((key, _)) = waiting.iter().find(may) {
             steps.push(Entry::TakeOut {
-                fence: self.books.fence,
+                fence: self.state.fence,
                 jobs: vec![key.clone()],
                 now: self.wall,
             });
@@ -469,10 +472,10 @@
         let all = requests
             .flat_map(|(no, of)| of.machines.iter().map(move |machine| (no, machine.clone())));
         let waits = |key: &(RequestNo, String)| {
-            self.books
-                .jobs
+            self.state
+                .operations
                 .get(key)
-                .is_some_and(|job| job.stage == Phase::Waiting)
+                .is_some_and(|job| job.phase == Phase::Waiting)
         };
         let routers = all
             .filter(waits)
@@ -481,7 +484,7 @@
     }
 
     fn routers(&self) -> Option<Routers<'_>> {
-        let active = self.books.active();
+        let active = self.state.active_machines();
         let out = |member: &Member| {
             active
                 .iter()
@@ -492,12 +495,12 @@
             .iter()
             .filter(|of| of.fresh && !out(&of.member))
             .map(|of| of.member.clone());
-        let carrier = &self.books.carrier.as_ref()?.0;
-        let zone_share = self.terms.limits.zone_share;
+        let carrier = &self.state.coordinator.as_ref()?.0;
+        let zone_share = self.config.limits.zone_share;
         Some(Routers {
             members: &self.members,
-            there: there.collect(),
-            carrier,
+            present: there.collect(),
+            coordinator: carrier,
             zone_share,
         })
     }
@@ -508,22 +511,22 @@
         job: &Operation,
         binds: &BTreeMap<String, String>,
     ) -> Value {
-        let waits: Vec<String> = match job.stage {
+        let waits: Vec<String> = match job.phase {
             Phase::Out => {
                 let members = self.waits_for(&key.1, job.at);
                 members.iter().map(|member| member.0.clone()).collect()
             }
             _ => Vec::new(),
         };
-        let request = self.books.requests.get(&key.0);
-        let (begun, failed) = match &job.stage {
+        let request = self.state.requests.get(&key.0);
+        let (begun, failed) = match &job.phase {
             Phase::Permitted { begun, failed, .. } => (begun.clone(), failed.clone()),
             _ => (None, None),
         };
-        let overdue = matches!(job.stage, Phase::Permitted { .. })
+        let overdue = matches!(job.phase, Phase::Permitted { .. })
             && request.is_some_and(|of| self.wall > job.since + of.lasts / 1000);
-        let binds = binds.get(&key.1).filter(|_| job.stage == Phase::Waiting);
-        json!({"request": key.0, "machine": key.1, "state": job.stage.word(), "permit": job.stage.permit(),
+        let binds = binds.get(&key.1).filter(|_| job.phase == Phase::Waiting);
+        json!({"request": key.0, "machine": key.1, "state": job.phase.description(), "permit": job.phase.permit(),
             "since_ms": job.since, "for_ms": self.wall.saturating_sub(job.since), "waits_for": waits, "begun": begun,
             "failed": failed, "overdue": overdue, "binds": binds, "why": request.map(|of| &of.why),
             "by": request.map(|of| &of.by)})
@@ -533,23 +536,27 @@
     fn table(&self) -> Value {
         let words = self.words();
         let world = self.standing(&words);
-        let room = DisruptionBudget::of(&world, &self.terms.limits, self.books.active().len());
+        let room = DisruptionBudget::new(
+            &world,
+            &self.config.limits,
+            self.state.active_machines().len(),
+        );
         let (mut binds, waiting) = (BTreeMap::new(), self.waiting_routers());
         for (_, machine) in self
-            .books
-            .jobs
+            .state
+            .operations
             .iter()
-            .filter(|(_, job)| job.stage == Phase::Waiting)
+            .filter(|(_, job)| job.phase == Phase::Waiting)
             .map(|(key, _)| key)
         {
-            let said = match (router_of(machine), world.number(machine)) {
+            let said = match (router_of(machine), world.position(machine)) {
                 (Some(router), _) => {
                     let may = self
                         .routers()
-                        .map(|routers| routers.may_go(&router, waiting.len() > 1));
+                        .map(|routers| routers.check(&router, waiting.len() > 1));
                     may.and_then(Result::err).map(|stays| stays.to_string())
                 }
-                (None, Some(at)) => room.may(at).err().map(|binds| binds.to_string()),
+                (None, Some(at)) => room.check(at).err().map(|binds| binds.to_string()),
                 (None, None) => Some(Violation::Unknown(machine.clone()).to_string()),
             };
             if let Some(said) = said {
@@ -557,18 +564,18 @@
             }
         }
         let rows = self
-            .books
-            .jobs
+            .state
+            .operations
             .iter()
             .map(|(key, job)| self.row(key, job, &binds));
         let past = self
-            .books
-            .past
+            .state
+            .history
             .iter()
             .map(|past| json!({"at": past.at, "words": past.words}));
-        json!({"carrier": self.books.carrier.as_ref().map(|(member, _)| member), "fence": self.books.fence,
-            "hold": self.books.hold, "rows": rows.collect::<Vec<_>>(), "plan": self.plan_told(None),
-            "out": self.books.out(), "past": past.collect::<Vec<_>>()})
+        json!({"carrier": self.state.coordinator.as_ref().map(|(member, _)| member), "fence": self.state.fence,
+            "hold": self.state.pause, "rows": rows.collect::<Vec<_>>(), "plan": self.plan_told(None),
+            "out": self.state.machines_out(), "past": past.collect::<Vec<_>>()})
     }
 
     fn plan_told(&self, more: Option<&Request>) -> Value {
@@ -609,44 +616,44 @@
 }
 
 impl Extension for Coordinator {
-    fn play(&mut self, index: Index, entry: &[u8]) -> Result<u64, String> {
+    fn apply(&mut self, index: Index, entry: &[u8]) -> Result<u64, String> {
         let entry = postcard::from_bytes(entry).map_err(|e| format!("it cannot be read: {e}"))?;
-        self.books.play(index, entry)
+        self.state.apply(index, entry)
     }
 
-    fn members(&mut self, members: &BTreeMap<Member, MemberInfo>) {
-        self.books.belong(members.keys().cloned().collect());
+    fn members_changed(&mut self, members: &BTreeMap<Member, MemberInfo>) {
+        self.state.set_members(members.keys().cloned().collect());
         self.members.clone_from(members);
     }
 
-    fn image(&self) -> Vec<u8> {
-        postcard::to_stdvec(&self.books).unwrap_or_default()
+    fn snapshot(&self) -> Vec<u8> {
+        postcard::to_stdvec(&self.state).unwrap_or_default()
     }
 
     fn restore(&mut self, image: &[u8]) {
-        self.books = postcard::from_bytes(image).unwrap_or_default();
+        self.state = postcard::from_bytes(image).unwrap_or_default();
     }
 
-    fn outs(&self) -> Vec<u8> {
+    fn machines_out(&self) -> Vec<u8> {
         // Machines on their way back are told too: routers watch how they bear load.
         let returning = self
-            .books
-            .jobs
+            .state
+            .operations
             .iter()
-            .filter(|(_, job)| matches!(job.stage, Phase::Returning { .. }));
+            .filter(|(_, job)| matches!(job.phase, Phase::Returning { .. }));
         let returning: BTreeSet<&String> = returning.map(|((_, machine), _)| machine).collect();
-        postcard::to_stdvec(&(self.books.out(), returning)).unwrap_or_default()
+        postcard::to_stdvec(&(self.state.machines_out(), returning)).unwrap_or_default()
     }
 
-    fn lingers(&self) -> Micros {
-        Micros(self.terms.lingers)
+    fn in_flight_grace(&self) -> Micros {
+        Micros(self.config.lingers)
     }
 
-    fn gone(&self) -> Vec<Member> {
-        self.books.gone.iter().cloned().collect()
+    fn departed_members(&self) -> Vec<Member> {
+        self.state.departed_members.iter().cloned().collect()
     }
 
-    fn admits(&self, _: Micros, entry: &[u8]) -> Result<(), String> {
+    fn check_command(&self, _: Micros, entry: &[u8]) -> Result<(), String> {
         let request = match postcard::from_bytes::<Entry>(entry) {
             Ok(Entry::Ask { request }) => request,
             Ok(
@@ -671,7 +678,7 @@
                         "routers go one at a time: they cannot be asked for together".into(),
                     );
                 }
-                None if self.world.number(name).is_none() => {
+                None if self.world.position(name).is_none() => {
                     return Err(Violation::Unknown(name.clone()).to_string());
                 }
                 _ => {}
@@ -710,7 +717,7 @@
         Ok(())
     }
 
-    fn steps(
+    fn next_entries(
         &mut self,
         now: Micros,
         me: &Member,
@@ -723,24 +730,27 @@
             (self.failing, self.returning) = (BTreeSet::new(), BTreeMap::new());
         }
         let read = |of: &MemberContact| {
-            let word = of.word.as_ref().and_then(|word| RouterReport::read(word));
+            let word = of
+                .report
+                .as_ref()
+                .and_then(|word| RouterReport::decode(word));
             Heard {
                 member: of.member.clone(),
                 word,
-                fresh: of.fresh,
-                alone: of.alone,
-                over: of.over,
+                fresh: of.is_recent,
+                alone: of.only_one_process,
+                over: of.all_leases_expired,
             }
         };
         self.attended = attended.iter().map(read).collect();
-        if self.books.requests.is_empty()
-            && self.books.jobs.is_empty()
-            && self.books.gone.is_empty()
+        if self.state.requests.is_empty()
+            && self.state.operations.is_empty()
+            && self.state.departed_members.is_empty()
         {
             self.well_since.get_or_insert(now);
             return (Vec::new(), Vec::new());
         }
-        if self.books.carrier.as_ref() != Some(&(me.clone(), term)) {
+        if self.state.coordinator.as_ref() != Some(&(me.clone(), term)) {
             let carry = Entry::Carry {
                 member: me.clone(),
                 term,
@@ -751,10 +761,19 @@
             );
         }
         let mut steps = Vec::new();
-        let over = |member: &Member| attended.iter().any(|of| of.member == *member && of.over);
-        if let Some(member) = self.books.gone.iter().find(|member| over(member)) {
+        let over = |member: &Member| {
+            attended
+                .iter()
+                .any(|of| of.member == *member && of.all_leases_expired)
+        };
+        if let Some(member) = self
+            .state
+            .departed_members
+            .iter()
+            .find(|member| over(member))
+        {
             steps.push(Entry::Forget {
-                fence: self.books.fence,
+                fence: self.state.fence,
                 member: member.clone(),
             });
         }
@@ -777,7 +796,7 @@
         )
     }
 
-    fn look(&self, _: Micros, what: &str) -> Option<String> {
+    fn inspect(&self, _: Micros, what: &str) -> Option<String> {
         match what.strip_prefix("works-plan ") {
             Some(text) => {
                 let request: Request = serde_json::from_str(text).unwrap_or_default();
@@ -813,7 +832,7 @@
 
 /// The machines that a router has to go by, as [`Extension::outs`] tells them: those that are out, and those coming back.
 impl Coordinator {
-    pub fn told(outs: &[u8]) -> (Vec<String>, Vec<String>) {
+    pub fn decode_machines_out(outs: &[u8]) -> (Vec<String>, Vec<String>) {
         postcard::from_bytes(outs).unwrap_or_default()
     }
 }
@@ -841,11 +860,11 @@
         let node = |at: u32| Node {
             name: format!("s{at}"),
             zone: 0,
-            sets: vec![at / 3],
-            sound: true,
-            out: false,
+            shard_sets: vec![at / 3],
+            healthy: true,
+            out_of_service: false,
         };
-        carrier.sees(
+        carrier.observe_cluster(
             ClusterView {
                 nodes: (0..6).map(node).collect(),
                 load: 0.0,
@@ -868,21 +887,21 @@
     impl Coordinator {
         fn permit_of(&self, machine: &str) -> Option<PermitNo> {
             let found = self
-                .books
-                .jobs
+                .state
+                .operations
                 .iter()
-                .find(|((_, of), job)| of == machine && job.stage.permit().is_some());
-            found.and_then(|(_, job)| job.stage.permit())
+                .find(|((_, of), job)| of == machine && job.phase.permit().is_some());
+            found.and_then(|(_, job)| job.phase.permit())
         }
     }
 
     fn says(member: &str, word: &RouterReport) -> MemberContact {
         MemberContact {
             member: member.into(),
-            word: Some(word.bytes()),
-            fresh: true,
-            alone: true,
-            over: false,
+            report: Some(word.encode()),
+            is_recent: true,
+            only_one_process: true,
+            all_leases_expired: false,
         }
     }
 
@@ -908,7 +927,7 @@
         fn put(&mut self, entry: Entry) {
             self.at += 1;
             self.carrier
-                .play(Index(self.at), &postcard::to_stdvec(&entry).expect("bytes"))
+                .apply(Index(self.at), &postcard::to_stdvec(&entry).expect("bytes"))
                 .expect("it fits");
         }
 
@@ -917,7 +936,7 @@
             self.now += S;
             let (steps, _) = self
                 .carrier
-                .steps(Micros(self.now), &"n0".into(), 1, attended);
+                .next_entries(Micros(self.now), &"n0".into(), 1, attended);
             let steps: Vec<Entry> = steps
                 .iter()
                 .map(|bytes| postcard::from_bytes(bytes).expect("an entry"))
@@ -931,7 +950,7 @@
         }
 
         fn out(&self) -> Vec<String> {
-            self.carrier.books.out()
+            self.carrier.state.machines_out()
         }
     }
 
@@ -972,8 +991,8 @@
     fn a_permit_waits_for_every_router(word: RouterReport, alone: bool, over: bool, given: bool) {
         let mut fleet = Fleet::asked(&["s0"]);
         let slow = MemberContact {
-            alone,
-            over,
+            only_one_process: alone,
+            all_leases_expired: over,
             ..says("n1", &word)
         };
         fleet.run(12, &[says("n0", &knows(100)), slow]);
@@ -987,9 +1006,9 @@
     fn one_that_has_not_been_heard_keeps_a_permit_away() {
         let mut fleet = Fleet::asked(&["s0"]);
         let unheard = MemberContact {
-            word: None,
-            alone: false,
-            fresh: false,
+            report: None,
+            only_one_process: false,
+            is_recent: false,
             ..says("n1", &RouterReport::default())
         };
         fleet.run(12, &[says("n0", &knows(100)), unheard.clone()]);
@@ -999,7 +1018,7 @@
             &[
                 says("n0", &knows(100)),
                 MemberContact {
-                    over: true,
+                    all_leases_expired: true,
                     ..unheard
                 },
             ],
@@ -1021,7 +1040,7 @@
         assert!(matches!(steps[..], [Entry::OwnHold { .. }]), "{steps:?}");
         fleet.run(10, &[says("n0", &dead)]);
         // It is known by now: the other set's machine may go, its own neighbour may not.
-        assert_eq!(fleet.out(), ["s3"], "{:?}", fleet.carrier.books);
+        assert_eq!(fleet.out(), ["s3"], "{:?}", fleet.carrier.state);
         fleet.run(10, &well);
         assert_eq!(fleet.out(), ["s0", "s3"]);
     }
@@ -1045,7 +1064,7 @@
         for late in [150, 80, 80, 90, 60, 80, 90, 60, 70, 80, 60, 70] {
             holds += fleet.step(&share(late)).len();
         }
-        assert_eq!(holds, 1, "{:?}", fleet.carrier.books.past);
+        assert_eq!(holds, 1, "{:?}", fleet.carrier.state.history);
         let steps = fleet.run(7, &share(10));
         assert!(
             matches!(steps[..], [Entry::GoOn { .. }, Entry::TakeOut { .. }]),
@@ -1056,7 +1075,7 @@
     #[test]
     fn a_machine_that_does_not_come_back_is_kept_out_until_it_is_given_back_anew() {
         let mut fleet = Fleet::asked(&["s0", "s3"]);
-        fleet.carrier.terms.back_within = 5 * S;
+        fleet.carrier.config.back_within = 5 * S;
         let quiet = [says("n0", &knows(1000))];
         fleet.run(10, &quiet);
         let permit = fleet.carrier.permit_of("s0").expect("a permit");
@@ -1098,7 +1117,7 @@
         let mut request = ask(machines);
         more(&mut request);
         let entry = postcard::to_stdvec(&Entry::Ask { request }).expect("bytes");
-        let words = carrier().admits(Micros(0), &entry).err();
+        let words = carrier().check_command(Micros(0), &entry).err();
         assert_eq!(words.is_some(), said.is_some(), "{words:?}");
         assert!(
             said.is_none_or(|said| words.clone().unwrap_or_default().contains(said)),
@@ -1112,11 +1131,11 @@
         let node = |at: u32| Node {
             name: format!("s{at}"),
             zone: 0,
-            sets: vec![at],
-            sound: true,
-            out: false,
+            shard_sets: vec![at],
+            healthy: true,
+            out_of_service: false,
         };
-        carrier.sees(
+        carrier.observe_cluster(
             ClusterView {
                 nodes: (0..2).map(node).collect(),
                 load: 0.0,
@@ -1127,7 +1146,9 @@
             request: ask(&["s0"]),
         })
         .expect("bytes");
-        let words = carrier.admits(Micros(0), &entry).expect_err("refused");
+        let words = carrier
+            .check_command(Micros(0), &entry)
+            .expect_err("refused");
         assert!(words.contains("only sound holder of set 0"), "{words}");
     }
 
@@ -1165,7 +1186,9 @@
     #[test]
     fn a_permit_that_is_never_returned_keeps_its_neighbours_and_nobody_else() {
         let mut fleet = Fleet::asked(&["s0", "s1", "s3"]);
-        fleet.carrier.sees(fleet.carrier.world.clone(), 1000);
+        fleet
+            .carrier
+            .observe_cluster(fleet.carrier.world.clone(), 1000);
         fleet.run(400, &[says("n0", &knows(1000))]);
         fleet.carrier.wall += 400_000;
         let table = fleet.carrier.table();
@@ -1191,7 +1214,7 @@
     #[test]
     fn load_that_doubles_in_the_middle_lets_nothing_more_out() {
         let mut fleet = Fleet::asked(&["s0", "s3"]);
-        fleet.carrier.terms.limits.per_node = Some(10.0);
+        fleet.carrier.config.limits.per_node = Some(10.0);
         let load = |calls| {
             [says(
                 "n0",
@@ -1204,7 +1227,7 @@
         fleet.run(4, &load(30));
         fleet.run(10, &load(45));
         assert_eq!(
-            fleet.carrier.books.load, 45,
+            fleet.carrier.state.load, 45,
             "it is agreed before anything rests on it"
         );
         assert!(
@@ -1236,7 +1259,7 @@
         let told = carrier.plan_told(Some(&request));
         assert_eq!(told["rounds"].as_array().map(Vec::len), Some(3), "{told}");
         let entry = postcard::to_stdvec(&Entry::Ask { request }).expect("bytes");
-        let words = carrier.admits(Micros(0), &entry).err();
+        let words = carrier.check_command(Micros(0), &entry).err();
         assert_eq!(words.is_none(), rounds > 0, "{words:?}");
     }
 
@@ -1250,13 +1273,13 @@
         let seated = |seat: u64| MemberInfo {
             address: String::new(),
             zone: String::new(),
-            seat: Some(ternpick_fleet_policy::ReplicaId(seat)),
-            learns: false,
+            replica: Some(ternpick_fleet_policy::ReplicaId(seat)),
+            is_learner: false,
         };
         let members = (0..3)
             .map(|at| (Member(format!("n{at}")), seated(at + 1)))
             .collect();
-        fleet.carrier.members(&members);
+        fleet.carrier.members_changed(&members);
         fleet.put(Entry::Ask {
             request: ask(&["router:n0", "router:n1", "router:n2"]),
         });
@@ -1293,7 +1316,7 @@
             request: ask(&["s0"]),
         })
         .expect("bytes");
-        assert_eq!(fleet.carrier.admits(Micros(0), &entry), Ok(()));
+        assert_eq!(fleet.carrier.check_command(Micros(0), &entry), Ok(()));
     }
 
     #[test]
@@ -1313,7 +1336,7 @@
         };
         fleet.run(20, &[says("n0", &listed)]);
         assert!(
-            fleet.carrier.books.active().contains("s0"),
+            fleet.carrier.state.active_machines().contains("s0"),
             "it answers one router, and is about to go"
         );
         fleet.run(
@@ -1326,7 +1349,7 @@
                 },
             )],
         );
-        assert!(fleet.carrier.books.jobs.is_empty());
+        assert!(fleet.carrier.state.operations.is_empty());
     }
 
     #[test]
@@ -1336,7 +1359,7 @@
             term: 9,
         };
         assert!(carrier()
-            .admits(Micros(0), &postcard::to_stdvec(&step).expect("bytes"))
+            .check_command(Micros(0), &postcard::to_stdvec(&step).expect("bytes"))
             .is_err());
     }
 
--- a/maintenance/src/disruption_budget.rs
+++ b/maintenance/src/disruption_budget.rs
@@ -52,10 +52,10 @@
     pub name: String,
     pub zone: u16,
     /// The sets of shards that it holds.
-    pub sets: Vec<u32>,
-    pub sound: bool,
+    pub shard_sets: Vec<u32>,
+    pub healthy: bool,
     /// In work: out, or not back yet.
-    pub out: bool,
+    pub out_of_service: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -66,7 +66,7 @@
 }
 
 impl ClusterView {
-    pub fn number(&self, name: &str) -> Option<usize> {
+    pub fn position(&self, name: &str) -> Option<usize> {
         self.nodes.iter().position(|node| node.name == name)
     }
 }
@@ -160,12 +160,12 @@
 
 impl DisruptionBudget {
     /// `out`: machines that are out now, which count against how many may be at a time.
-    pub fn of(world: &ClusterView, limits: &Limits, out: usize) -> DisruptionBudget {
+    pub fn new(world: &ClusterView, limits: &Limits, out: usize) -> DisruptionBudget {
         let (mut all, mut names, mut at) = (Vec::<Limit>::new(), Vec::new(), HashMap::new());
         let mut of = vec![Vec::new(); world.nodes.len()];
         let mut totals = Vec::<usize>::new();
         for (number, node) in world.nodes.iter().enumerate() {
-            let sets = node.sets.iter().map(|set| (0, *set));
+            let sets = node.shard_sets.iter().map(|set| (0, *set));
             // Each limit twice: of those that are sound, and of those that are not in work. One that fails just now
             // takes nothing of the first, and all the same must not go where a neighbour is out: it may be sound in a
             // moment, and under a permit it could not. Seen: two permits in a set of three, one for a doubted machine.
@@ -184,8 +184,12 @@
                     all.len() - 1
                 });
                 totals[limit] += 1;
-                all[limit].sound += usize::from(if in_work { !node.out } else { node.sound });
-                if in_work || node.sound {
+                all[limit].sound += usize::from(if in_work {
+                    !node.out_of_service
+                } else {
+                    node.healthy
+                });
+                if in_work || node.healthy {
                     of[number].push(limit);
                 }
             }
@@ -197,7 +201,7 @@
                 _ => (limits.zone_share * *total as f64).ceil() as usize,
             };
         }
-        let sound = world.nodes.iter().filter(|node| node.sound).count();
+        let sound = world.nodes.iter().filter(|node| node.healthy).count();
         let needed = limits
             .per_node
             .filter(|per_node| *per_node > 0.0)
@@ -223,7 +227,7 @@
         ] {
             names.push(name);
             all.push(limit);
-            let takes = |node: &Node| node.sound || matches!(name, Name::MostOut);
+            let takes = |node: &Node| node.healthy || matches!(name, Name::MostOut);
             let of = of
                 .iter_mut()
                 .zip(&world.nodes)
@@ -239,7 +243,7 @@
     }
 
     /// What a machine's going out would break, if anything.
-    pub fn may(&self, node: usize) -> Result<(), Violation> {
+    pub fn check(&self, node: usize) -> Result<(), Violation> {
         match self.of[node]
             .iter()
             .find(|limit| self.limits[**limit].free() == 0)
@@ -260,21 +264,21 @@
         }
     }
 
-    pub fn take(&mut self, node: usize) {
+    pub fn take_out(&mut self, node: usize) {
         for limit in &self.of[node] {
             self.limits[*limit].sound = self.limits[*limit].sound.saturating_sub(1);
         }
     }
 
     /// Whether all of them may go out together; then they are taken.
-    pub fn take_all(&mut self, nodes: &[usize]) -> Result<(), Violation> {
+    pub fn take_out_all(&mut self, nodes: &[usize]) -> Result<(), Violation> {
         let before = self.limits.clone();
         for node in nodes {
-            if let Err(binds) = self.may(*node) {
+            if let Err(binds) = self.check(*node) {
                 self.limits = before;
                 return Err(binds);
             }
-            self.take(*node);
+            self.take_out(*node);
         }
         Ok(())
     }
@@ -301,11 +305,11 @@
         let node = |at: usize| Node {
             name: format!("s{at}"),
             zone: (at % 2) as u16,
-            sets: (0..sets.len() as u32)
+            shard_sets: (0..sets.len() as u32)
                 .filter(|set| sets[*set as usize].contains(&at))
                 .collect(),
-            sound: !dead.contains(&at),
-            out: false,
+            healthy: !dead.contains(&at),
+            out_of_service: false,
         };
         ClusterView {
             nodes: (0..nodes).map(node).collect(),
@@ -329,7 +333,7 @@
     #[test_case(&[&[0, 1, 2]], &[0, 1], Ok(()); "one that bears nothing takes nothing with it")]
     fn holders_are_kept(sets: &[&[usize]], dead: &[usize], said: Result<(), Violation>) {
         assert_eq!(
-            DisruptionBudget::of(&world(6, sets, dead), &open(), 0).may(0),
+            DisruptionBudget::new(&world(6, sets, dead), &open(), 0).check(0),
             said
         );
     }
@@ -344,16 +348,16 @@
             load: 40.0,
             ..world(6, &[&[0, 1, 2]], &[])
         };
-        assert_eq!(DisruptionBudget::of(&world, &limits, out).may(0), said);
+        assert_eq!(DisruptionBudget::new(&world, &limits, out).check(0), said);
     }
 
     #[test_case(true; "it fails just now")]
     #[test_case(false; "it is sound")]
     fn nobody_goes_where_a_neighbour_is_out(fails: bool) {
         let mut world = world(6, &[&[0, 1, 2]], if fails { &[0] } else { &[] });
-        (world.nodes[1].sound, world.nodes[1].out) = (false, true);
+        (world.nodes[1].healthy, world.nodes[1].out_of_service) = (false, true);
         assert_eq!(
-            DisruptionBudget::of(&world, &open(), 1).may(0),
+            DisruptionBudget::new(&world, &open(), 1).check(0),
             Err(Violation::Holders {
                 set: 0,
                 sound: 2,
@@ -365,9 +369,9 @@
     #[test]
     fn together_means_all_or_none() {
         let world = world(6, &[&[0, 1, 2], &[3, 4, 5]], &[]);
-        let mut room = DisruptionBudget::of(&world, &open(), 0);
+        let mut room = DisruptionBudget::new(&world, &open(), 0);
         assert_eq!(
-            room.take_all(&[0, 1]),
+            room.take_out_all(&[0, 1]),
             Err(Violation::Holders {
                 set: 0,
                 sound: 2,
@@ -375,10 +379,10 @@
             })
         );
         assert_eq!(
-            room.take_all(&[0, 3]),
+            room.take_out_all(&[0, 3]),
             Ok(()),
             "nothing was taken by the try before"
         );
-        assert!(room.may(4).is_err());
+        assert!(room.check(4).is_err());
     }
 }
--- a/maintenance/src/model.rs
+++ b/maintenance/src/model.rs
@@ -70,23 +70,23 @@
 
 impl ClusterView {
     fn out(&self) -> bool {
-        !self.books.out().is_empty()
+        !self.books.machines_out().is_empty()
     }
 
     fn permitted(&self) -> bool {
         self.books
-            .jobs
+            .operations
             .values()
-            .any(|job| matches!(job.stage, Phase::Permitted { .. }))
+            .any(|job| matches!(job.phase, Phase::Permitted { .. }))
     }
 
     fn play(&mut self, entry: Entry) {
         self.at += 1;
-        let before = self.books.out();
+        let before = self.books.machines_out();
         // An entry that no longer fits changes nothing.
-        let _ = self.books.play(Index(self.at), entry);
-        self.books.past.clear();
-        if self.books.out() != before {
+        let _ = self.books.apply(Index(self.at), entry);
+        self.books.history.clear();
+        if self.books.machines_out() != before {
             self.outs_at = self.at;
         }
     }
@@ -104,7 +104,7 @@
                     busy,
                     ..RouterReport::default()
                 }
-                .bytes()
+                .encode()
             });
             let span = LEASE + LINGERS;
             let over = self.now > self.since + span
@@ -112,10 +112,10 @@
             let member = if at == 0 { "a" } else { "b" }.into();
             MemberContact {
                 member,
-                fresh: word.is_some(),
-                word,
-                alone: true,
-                over,
+                is_recent: word.is_some(),
+                report: word,
+                only_one_process: true,
+                all_leases_expired: over,
             }
         };
         vec![of(0), of(1)]
@@ -132,15 +132,15 @@
             calm: 0,
             ..MaintenanceConfig::default()
         });
-        (carrier.books, carrier.planted) = (self.books.clone(), planted);
+        (carrier.state, carrier.injected_bug) = (self.books.clone(), planted);
         let node = |at: u32| Node {
             name: format!("s{at}"),
             zone: 0,
-            sets: vec![0],
-            sound: true,
-            out: false,
+            shard_sets: vec![0],
+            healthy: true,
+            out_of_service: false,
         };
-        carrier.sees(
+        carrier.observe_cluster(
             Fleet {
                 nodes: (0..3).map(node).collect(),
                 load: 0.0,
@@ -153,7 +153,7 @@
             "b"
         };
         let now = Micros(u64::from(self.now) * 1_000_000);
-        let (steps, _) = carrier.steps(now, &me.into(), self.term, &self.attended());
+        let (steps, _) = carrier.next_entries(now, &me.into(), self.term, &self.attended());
         steps
             .iter()
             .filter_map(|bytes| postcard::from_bytes(bytes).ok())
@@ -280,7 +280,11 @@
                 (of.words, of.granted) = ([None, None], [None, None]);
             }
             Action::GivesBack => {
-                let permit = of.books.jobs.values().find_map(|job| job.stage.permit())?;
+                let permit = of
+                    .books
+                    .operations
+                    .values()
+                    .find_map(|job| job.phase.permit())?;
                 of.play(Entry::Done {
                     permit,
                     by: "ann".into(),
@@ -312,9 +316,9 @@
         of.at < 9
             && of
                 .books
-                .jobs
+                .operations
                 .values()
-                .all(|job| !matches!(job.stage, Phase::Returning { .. }))
+                .all(|job| !matches!(job.phase, Phase::Returning { .. }))
     }
 }
 
--- a/maintenance/src/router_removal.rs
+++ b/maintenance/src/router_removal.rs
@@ -60,22 +60,22 @@
 pub struct Routers<'a> {
     pub members: &'a BTreeMap<Member, MemberInfo>,
     /// Heard of late, and not out.
-    pub there: BTreeSet<Member>,
-    pub carrier: &'a Member,
+    pub present: BTreeSet<Member>,
+    pub coordinator: &'a Member,
     /// The share of a zone's routers that stays.
     pub zone_share: f64,
 }
 
 impl Routers<'_> {
     /// Whether a router may go now. `others`: more wait to go.
-    pub fn may_go(&self, whom: &Member, others: bool) -> Result<(), RouterViolation> {
+    pub fn check(&self, whom: &Member, others: bool) -> Result<(), RouterViolation> {
         let Some(own) = self.members.get(whom) else {
             return Err(RouterViolation::Unknown);
         };
         if let Some(other) = self
             .members
             .keys()
-            .find(|member| *member != whom && !self.there.contains(*member))
+            .find(|member| *member != whom && !self.present.contains(*member))
         {
             return Err(RouterViolation::Another(other.clone()));
         }
@@ -84,7 +84,7 @@
             let (mut total, mut there) = (0, 0);
             for (member, _) in all {
                 total += 1;
-                there += usize::from(member != whom && self.there.contains(member));
+                there += usize::from(member != whom && self.present.contains(member));
             }
             (total, there)
         };
@@ -102,15 +102,15 @@
                 floor,
             });
         }
-        let (voters, there) = left(&|of| of.seat.is_some() && !of.learns);
+        let (voters, there) = left(&|of| of.replica.is_some() && !of.is_learner);
         let floor = voters / 2 + 1;
-        if own.seat.is_some() && there < floor {
+        if own.replica.is_some() && there < floor {
             return Err(RouterViolation::Quorum {
                 there: there + 1,
                 floor,
             });
         }
-        if whom == self.carrier && others {
+        if whom == self.coordinator && others {
             return Err(RouterViolation::CarriesOn);
         }
         Ok(())
@@ -128,8 +128,8 @@
         let seated = |at: usize| MemberInfo {
             address: String::new(),
             zone: format!("z{}", at % 2),
-            seat: (at < voters).then_some(ReplicaId(at as u64 + 1)),
-            learns: false,
+            replica: (at < voters).then_some(ReplicaId(at as u64 + 1)),
+            is_learner: false,
         };
         (0..5)
             .map(|at| (format!("n{at}").as_str().into(), seated(at)))
@@ -160,11 +160,11 @@
         let carrier: Member = "n0".into();
         let routers = Routers {
             members: &members,
-            there,
-            carrier: &carrier,
+            present: there,
+            coordinator: &carrier,
             zone_share: 0.5,
         };
-        assert_eq!(routers.may_go(&whom.into(), others), said);
+        assert_eq!(routers.check(&whom.into(), others), said);
     }
 
     #[test]
@@ -174,14 +174,14 @@
         let carrier: Member = "n0".into();
         let routers = Routers {
             members: &members,
-            there,
-            carrier: &carrier,
+            present: there,
+            coordinator: &carrier,
             zone_share: 1.0,
         };
         // Never the last of a zone, and of two one may go whatever the share.
-        assert_eq!(routers.may_go(&"n1".into(), false), Ok(()));
+        assert_eq!(routers.check(&"n1".into(), false), Ok(()));
         assert_eq!(
-            routers.may_go(&"n4".into(), false),
+            routers.check(&"n4".into(), false),
             Ok(()),
             "two of three stay"
         );
--- a/maintenance/src/router_report.rs
+++ b/maintenance/src/router_report.rs
@@ -25,11 +25,11 @@
 }
 
 impl RouterReport {
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    pub fn read(bytes: &[u8]) -> Option<RouterReport> {
+    pub fn decode(bytes: &[u8]) -> Option<RouterReport> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -116,7 +116,7 @@
                 ranks[limit]
             });
             order.push((at, tight, rank));
-        } else if let Err(binds) = room.clone().take_all(&item.nodes) {
+        } else if let Err(binds) = room.clone().take_out_all(&item.nodes) {
             cannot.push((at, binds));
         }
     }
@@ -164,7 +164,7 @@
 ) -> Option<usize> {
     if items
         .iter()
-        .any(|item| room.clone().take_all(&item.nodes).is_err())
+        .any(|item| room.clone().take_out_all(&item.nodes).is_err())
     {
         return None;
     }
--- a/maintenance/src/state.rs
+++ b/maintenance/src/state.rs
@@ -72,7 +72,7 @@
         self.is_out() || matches!(self, Phase::Returning { .. })
     }
 
-    pub fn word(&self) -> &'static str {
+    pub fn description(&self) -> &'static str {
         match self {
             Phase::Waiting => "waits",
             Phase::Out => "being emptied",
@@ -101,7 +101,7 @@
 /// One machine of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Operation {
-    pub stage: Phase,
+    pub phase: Phase,
     /// Where in the log it came to this stage, and when by the wall clock of who carried it on; milliseconds.
     pub at: Index,
     pub since: u64,
@@ -205,17 +205,17 @@
 pub struct MaintenanceState {
     pub fence: Fence,
     /// Who carries the work on, and in which term it led.
-    pub carrier: Option<(Member, u64)>,
+    pub coordinator: Option<(Member, u64)>,
     /// Open ones; one is taken off once all its machines are back or cancelled.
     pub requests: BTreeMap<RequestNo, Request>,
-    pub jobs: BTreeMap<(RequestNo, String), Operation>,
-    pub hold: Option<Pause>,
+    pub operations: BTreeMap<(RequestNo, String), Operation>,
+    pub pause: Option<Pause>,
     /// Part calls a second of all routers together, as last agreed.
     pub load: u64,
     pub members: BTreeSet<Member>,
     /// Left, and may still act on what they admitted; emptied by [`Entry::Forget`].
-    pub gone: BTreeSet<Member>,
-    pub past: VecDeque<HistoryEntry>,
+    pub departed_members: BTreeSet<Member>,
+    pub history: VecDeque<HistoryEntry>,
 }
 
 type Played = Result<u64, String>;
@@ -226,37 +226,44 @@
 
 impl MaintenanceState {
     /// Machines that get nothing new, in order.
-    pub fn out(&self) -> Vec<String> {
-        let out = self.jobs.iter().filter(|(_, job)| job.stage.is_out());
+    pub fn machines_out(&self) -> Vec<String> {
+        let out = self.operations.iter().filter(|(_, job)| job.phase.is_out());
         let names: BTreeSet<&String> = out.map(|((_, machine), _)| machine).collect();
         names.into_iter().cloned().collect()
     }
 
     /// Machines that are out, or have yet to be there again.
-    pub fn active(&self) -> BTreeSet<&str> {
-        let active = self.jobs.iter().filter(|(_, job)| job.stage.is_active());
+    pub fn active_machines(&self) -> BTreeSet<&str> {
+        let active = self
+            .operations
+            .iter()
+            .filter(|(_, job)| job.phase.is_active());
         active.map(|((_, machine), _)| machine.as_str()).collect()
     }
 
     fn permitted(&self, permit: PermitNo) -> Option<(RequestNo, String)> {
         let found = self
-            .jobs
+            .operations
             .iter()
-            .find(|(_, job)| job.stage.permit() == Some(permit));
+            .find(|(_, job)| job.phase.permit() == Some(permit));
         found.map(|(key, _)| key.clone())
     }
 
     fn note(&mut self, at: Index, words: String) {
-        self.past.push_back(HistoryEntry { at, words });
-        while self.past.len() > MOST_PAST {
-            self.past.pop_front();
+        self.history.push_back(HistoryEntry { at, words });
+        while self.history.len() > MOST_PAST {
+            self.history.pop_front();
         }
     }
 
     fn set(&mut self, key: &(RequestNo, String), stage: Phase, at: Index, since: u64) {
-        let words = format!("{} of request {}: {}", key.1, key.0, stage.word());
-        if let Some(job) = self.jobs.get_mut(key) {
-            *job = Operation { stage, at, since };
+        let words = format!("{} of request {}: {}", key.1, key.0, stage.description());
+        if let Some(job) = self.operations.get_mut(key) {
+            *job = Operation {
+                phase: stage,
+                at,
+                since,
+            };
             self.note(at, words);
         }
         self.close(key.0, at);
@@ -264,24 +271,25 @@
 
     /// A request of which nothing is left to do is closed.
     fn close(&mut self, request: RequestNo, at: Index) {
-        let mut own = self.jobs.iter().filter(|((of, _), _)| *of == request);
-        let over = |job: &Operation| matches!(job.stage, Phase::InService | Phase::Cancelled);
+        let mut own = self.operations.iter().filter(|((of, _), _)| *of == request);
+        let over = |job: &Operation| matches!(job.phase, Phase::InService | Phase::Cancelled);
         if self.requests.contains_key(&request) && own.all(|(_, job)| over(job)) {
             self.requests.remove(&request);
-            self.jobs.retain(|(of, _), _| *of != request);
+            self.operations.retain(|(of, _), _| *of != request);
             self.note(at, format!("request {request} is closed"));
         }
     }
 
-    pub fn belong(&mut self, members: BTreeSet<Member>) {
+    pub fn set_members(&mut self, members: BTreeSet<Member>) {
         let left: Vec<Member> = self.members.difference(&members).cloned().collect();
-        self.gone.extend(left);
-        self.gone.retain(|member| !members.contains(member));
+        self.departed_members.extend(left);
+        self.departed_members
+            .retain(|member| !members.contains(member));
         self.members = members;
     }
 
     /// Plays an entry. For who asked: a number, or why it is refused.
-    pub fn play(&mut self, at: Index, entry: Entry) -> Played {
+    pub fn apply(&mut self, at: Index, entry: Entry) -> Played {
         match entry {
             Entry::Ask { request } => self.ask(at, request),
             Entry::Change {
@@ -300,7 +308,7 @@
             Entry::Cancel { request, by } => self.cancel(at, request, &by),
             Entry::Pause { by, why } => {
                 self.note(at, format!("held by {by}: {why}"));
-                self.hold = Some(Pause {
+                self.pause = Some(Pause {
                     by,
                     why,
                     own: false,
@@ -308,7 +316,7 @@
                 Ok(at.0)
             }
             Entry::Resume { by } => {
-                if self.hold.take().is_none() {
+                if self.pause.take().is_none() {
                     return refused("nothing is held");
                 }
                 self.note(at, format!("resumed by {by}"));
@@ -319,14 +327,14 @@
             Entry::Carry { member, term } => {
                 // A term has one that leads; an earlier one's word comes too late.
                 if self
-                    .carrier
+                    .coordinator
                     .as_ref()
                     .is_some_and(|(_, known)| *known >= term)
                 {
                     return refused("another carries the work on by now");
                 }
                 self.note(at, format!("{member} carries the work on"));
-                (self.fence, self.carrier) = (Fence(at.0), Some((member, term)));
+                (self.fence, self.coordinator) = (Fence(at.0), Some((member, term)));
                 Ok(at.0)
             }
             Entry::TakeOut { fence, .. }
@@ -345,7 +353,7 @@
                 ))
             }
             Entry::TakeOut { jobs, now, .. } => self.take_out(at, jobs, now),
-            Entry::Permit { job, now, .. } => match self.jobs.get(&job).map(|of| &of.stage) {
+            Entry::Permit { job, now, .. } => match self.operations.get(&job).map(|of| &of.phase) {
                 Some(Phase::Out) => {
                     let stage = Phase::Permitted {
                         permit: PermitNo(at.0),
@@ -357,14 +365,14 @@
                 }
                 _ => refused("it is not being emptied"),
             },
-            Entry::Back { job, now, .. } => match self.jobs.get(&job).map(|of| &of.stage) {
+            Entry::Back { job, now, .. } => match self.operations.get(&job).map(|of| &of.phase) {
                 Some(Phase::Returning { .. }) => {
                     self.set(&job, Phase::InService, at, now);
                     Ok(at.0)
                 }
                 _ => refused("it is not coming back"),
             },
-            Entry::Keep { job, now, .. } => match self.jobs.get(&job).map(|of| &of.stage) {
+            Entry::Keep { job, now, .. } => match self.operations.get(&job).map(|of| &of.phase) {
                 Some(Phase::Returning { permit }) => {
                     let permit = *permit;
                     self.set(&job, Phase::KeptOut { permit }, at, now);
@@ -373,9 +381,9 @@
                 _ => refused("it is not coming back"),
             },
             Entry::OwnHold { why, .. } => {
-                if self.hold.is_none() {
+                if self.pause.is_none() {
                     self.note(at, format!("held by itself: {why}"));
-                    self.hold = Some(Pause {
+                    self.pause = Some(Pause {
                         by: "the fleet".into(),
                         why,
                         own: true,
@@ -384,7 +392,7 @@
                 Ok(at.0)
             }
             Entry::GoOn { .. } => {
-                if self.hold.take_if(|hold| hold.own).is_some() {
+                if self.pause.take_if(|hold| hold.own).is_some() {
                     self.note(at, "goes on by itself".into());
                 }
                 Ok(at.0)
@@ -394,7 +402,7 @@
                 Ok(at.0)
             }
             Entry::Forget { member, .. } => {
-                self.gone.remove(&member);
+                self.departed_members.remove(&member);
                 Ok(at.0)
             }
         }
@@ -424,11 +432,11 @@
         }
         for machine in &request.machines {
             let job = Operation {
-                stage: Phase::Waiting,
+                phase: Phase::Waiting,
                 at,
                 since: 0,
             };
-            self.jobs.insert((number, machine.clone()), job);
+            self.operations.insert((number, machine.clone()), job);
         }
         self.note(
             at,
@@ -447,9 +455,9 @@
         if !self.requests.contains_key(&request) {
             return refused(format!("there is no open request {request}"));
         }
-        let own = self.jobs.iter().filter(|((of, _), _)| *of == request);
+        let own = self.operations.iter().filter(|((of, _), _)| *of == request);
         // What somebody may be working on stays out until it is given back.
-        let free = own.filter(|(_, job)| matches!(job.stage, Phase::Waiting | Phase::Out));
+        let free = own.filter(|(_, job)| matches!(job.phase, Phase::Waiting | Phase::Out));
         let free: Vec<(RequestNo, String)> = free.map(|(key, _)| key.clone()).collect();
         self.note(
             at,
@@ -460,21 +468,25 @@
         );
         let count = free.len() as u64;
         for key in free {
-            let since = self.jobs.get(&key).map_or(0, |job| job.since);
+            let since = self.operations.get(&key).map_or(0, |job| job.since);
             self.set(&key, Phase::Cancelled, at, since);
         }
         Ok(count)
     }
 
     fn take_out(&mut self, at: Index, jobs: Vec<(RequestNo, String)>, now: u64) -> Played {
-        let active: BTreeSet<String> = self.active().into_iter().map(str::to_owned).collect();
+        let active: BTreeSet<String> = self
+            .active_machines()
+            .into_iter()
+            .map(str::to_owned)
+            .collect();
         let waits = |key: &(RequestNo, String)| {
-            self.jobs
+            self.operations
                 .get(key)
-                .is_some_and(|job| job.stage == Phase::Waiting)
+                .is_some_and(|job| job.phase == Phase::Waiting)
                 && !active.contains(&key.1)
         };
-        if self.hold.is_some() || !jobs.iter().all(waits) || active.len() + jobs.len() > MOST_OUT {
+        if self.pause.is_some() || !jobs.iter().all(waits) || active.len() + jobs.len() > MOST_OUT {
             return refused("it was held, cancelled or taken out meanwhile");
         }
         for key in jobs {
@@ -487,8 +499,8 @@
         let found = self.permitted(permit);
         let stage = found
             .as_ref()
-            .and_then(|key| self.jobs.get_mut(key))
-            .map(|job| &mut job.stage);
+            .and_then(|key| self.operations.get_mut(key))
+            .map(|job| &mut job.phase);
         match stage {
             Some(Phase::Permitted {
                 begun: Some(other), ..
@@ -507,8 +519,11 @@
         let Some(key) = self.permitted(permit) else {
             return refused(format!("there is no permit {permit}"));
         };
-        let since = self.jobs.get(&key).map_or(0, |job| job.since);
-        match (self.jobs.get_mut(&key).map(|job| &mut job.stage), failed) {
+        let since = self.operations.get(&key).map_or(0, |job| job.since);
+        match (
+            self.operations.get_mut(&key).map(|job| &mut job.phase),
+            failed,
+        ) {
             (Some(Phase::Returning { .. }), _) => {
                 refused(format!("permit {permit} was given back before"))
             }
@@ -567,7 +582,7 @@
         .into_iter()
         .enumerate()
         {
-            books.play(Index(at as u64 + 1), entry).expect("it fits");
+            books.apply(Index(at as u64 + 1), entry).expect("it fits");
         }
         books
     }
@@ -576,7 +591,7 @@
     fn an_old_carriers_steps_count_for_nothing() {
         let mut books = begun();
         assert_eq!(
-            books.play(
+            books.apply(
                 Index(4),
                 Entry::Carry {
                     member: "n1".into(),
@@ -590,9 +605,9 @@
             job: key(1, "a"),
             now: 6,
         };
-        assert!(books.play(Index(5), late).is_err());
+        assert!(books.apply(Index(5), late).is_err());
         assert!(books
-            .play(
+            .apply(
                 Index(6),
                 Entry::Carry {
                     member: "n0".into(),
@@ -605,7 +620,7 @@
             job: key(1, "a"),
             now: 6,
         };
-        assert_eq!(books.play(Index(7), step), Ok(7));
+        assert_eq!(books.apply(Index(7), step), Ok(7));
     }
 
     #[test]
@@ -616,31 +631,31 @@
             job: key(1, "a"),
             now: 6,
         };
-        assert_eq!(books.play(Index(4), permit.clone()), Ok(4));
-        assert!(books.play(Index(5), permit).is_err(), "a second permit");
+        assert_eq!(books.apply(Index(4), permit.clone()), Ok(4));
+        assert!(books.apply(Index(5), permit).is_err(), "a second permit");
         let cancel = Entry::Cancel {
             request: RequestNo(1),
             by: "ann".into(),
         };
-        assert_eq!(books.play(Index(6), cancel), Ok(1), "only b, which waits");
-        assert_eq!(books.out(), ["a"]);
+        assert_eq!(books.apply(Index(6), cancel), Ok(1), "only b, which waits");
+        assert_eq!(books.machines_out(), ["a"]);
         let begin = |by: &str| Entry::Begin {
             permit: PermitNo(4),
             by: by.into(),
         };
-        assert_eq!(books.play(Index(7), begin("ann")), Ok(4));
-        assert!(books.play(Index(8), begin("bob")).is_err(), "ann has it");
+        assert_eq!(books.apply(Index(7), begin("ann")), Ok(4));
+        assert!(books.apply(Index(8), begin("bob")).is_err(), "ann has it");
         let done = |failed: Option<&str>| Entry::Done {
             permit: PermitNo(4),
             by: "ann".into(),
             failed: failed.map(str::to_owned),
         };
-        assert_eq!(books.play(Index(9), done(Some("no disk"))), Ok(4));
-        assert_eq!(books.out(), ["a"], "unfit stays out");
-        assert_eq!(books.play(Index(10), done(None)), Ok(4));
-        assert!(books.out().is_empty() && books.active().contains("a"));
+        assert_eq!(books.apply(Index(9), done(Some("no disk"))), Ok(4));
+        assert_eq!(books.machines_out(), ["a"], "unfit stays out");
+        assert_eq!(books.apply(Index(10), done(None)), Ok(4));
+        assert!(books.machines_out().is_empty() && books.active_machines().contains("a"));
         assert!(
-            books.play(Index(11), done(None)).is_err(),
+            books.apply(Index(11), done(None)).is_err(),
             "given back twice"
         );
         let back = Entry::Back {
@@ -648,9 +663,9 @@
             job: key(1, "a"),
             now: 9,
         };
-        assert_eq!(books.play(Index(12), back), Ok(12));
+        assert_eq!(books.apply(Index(12), back), Ok(12));
         assert!(
-            books.requests.is_empty() && books.jobs.is_empty(),
+            books.requests.is_empty() && books.operations.is_empty(),
             "{books:?}"
         );
     }
@@ -658,29 +673,29 @@
     #[test]
     fn the_same_machine_in_two_requests_goes_out_for_one_at_a_time() {
         let mut books = begun();
-        books.play(Index(4), ask(&["a", "c"])).expect("asked");
+        books.apply(Index(4), ask(&["a", "c"])).expect("asked");
         let again = Entry::TakeOut {
             fence: Fence(2),
             jobs: vec![key(4, "a")],
             now: 5,
         };
-        assert!(books.play(Index(5), again).is_err());
+        assert!(books.apply(Index(5), again).is_err());
         let other = Entry::TakeOut {
             fence: Fence(2),
             jobs: vec![key(4, "c")],
             now: 5,
         };
-        assert!(books.play(Index(6), other).is_ok());
+        assert!(books.apply(Index(6), other).is_ok());
     }
 
     #[test]
     fn a_member_that_left_is_remembered_until_it_can_act_no_more() {
         let mut books = begun();
-        books.belong(["n0", "n1"].map(Member::from).into());
-        books.belong(["n0"].map(Member::from).into());
-        assert!(books.gone.contains(&"n1".into()));
+        books.set_members(["n0", "n1"].map(Member::from).into());
+        books.set_members(["n0"].map(Member::from).into());
+        assert!(books.departed_members.contains(&"n1".into()));
         books
-            .play(
+            .apply(
                 Index(9),
                 Entry::Forget {
                     fence: Fence(2),
@@ -688,7 +703,7 @@
                 },
             )
             .expect("forgotten");
-        assert!(books.gone.is_empty());
+        assert!(books.departed_members.is_empty());
     }
 
     fn entry() -> impl Strategy<Value = Entry> {
@@ -750,20 +765,20 @@
             for (at, entry) in entries.into_iter().enumerate() {
                 let before = books.clone();
                 let is_permit = matches!(entry, Entry::Permit { .. });
-                if let (Ok(number), true) = (books.play(Index(at as u64 + 1), entry), is_permit) {
+                if let (Ok(number), true) = (books.apply(Index(at as u64 + 1), entry), is_permit) {
                     prop_assert!(permits.insert(number), "a permit's number comes once");
                 }
-                let active = books.jobs.iter().filter(|(_, job)| job.stage.is_active()).count();
-                prop_assert_eq!(active, books.active().len(), "a machine is active for one request at most");
+                let active = books.operations.iter().filter(|(_, job)| job.phase.is_active()).count();
+                prop_assert_eq!(active, books.active_machines().len(), "a machine is active for one request at most");
                 // A machine in somebody's hands stays out until it is given back.
-                for (key, job) in &before.jobs {
-                    if let Phase::Permitted { permit, .. } = job.stage {
-                        let now = books.jobs.get(key).map(|job| job.stage.permit());
+                for (key, job) in &before.operations {
+                    if let Phase::Permitted { permit, .. } = job.phase {
+                        let now = books.operations.get(key).map(|job| job.phase.permit());
                         prop_assert_eq!(now, Some(Some(permit)));
                     }
                 }
-                prop_assert!(books.past.len() <= MOST_PAST && books.requests.len() <= MOST_REQUESTS);
-                prop_assert!(books.jobs.keys().all(|(request, _)| books.requests.contains_key(request)));
+                prop_assert!(books.history.len() <= MOST_PAST && books.requests.len() <= MOST_REQUESTS);
+                prop_assert!(books.operations.keys().all(|(request, _)| books.requests.contains_key(request)));
             }
         }
     }
