--- a/maintenance/tests/rounds.rs
+++ b/maintenance/tests/rounds.rs
@@ -27,9 +27,9 @@
         Node {
             name: format!("s{at}"),
             zone: (at % 3) as u16,
-            sets,
-            sound: !dead,
-            out: false,
+            shard_sets: sets,
+            healthy: !dead,
+            out_of_service: false,
         }
     };
     let nodes = (0..nodes)
@@ -42,14 +42,14 @@
         ..Limits::default()
     };
     let world = ClusterView { nodes, load: 0.0 };
-    let room = DisruptionBudget::of(&world, &limits, 0);
+    let room = DisruptionBudget::new(&world, &limits, 0);
     let mut items = Vec::new();
     let mut at = 0;
     while at < world.nodes.len() {
         let together = chance.generate_range(0u32..6) == 0 && at + 1 < world.nodes.len();
         let nodes: Vec<usize> = if together { vec![at, at + 1] } else { vec![at] };
         at += nodes.len();
-        if chance.generate_range(0u32..5) > 0 && room.clone().take_all(&nodes).is_ok() {
+        if chance.generate_range(0u32..5) > 0 && room.clone().take_out_all(&nodes).is_ok() {
             items.push(WorkItem {
                 request: RequestNo(1),
                 nodes,
@@ -66,7 +66,7 @@
     let (mut same, mut one_more, mut worse, mut bound_met) = (0, 0, 0, 0);
     for seed in 0..1000 {
         let (world, limits, items) = drawn(seed);
-        let room = DisruptionBudget::of(&world, &limits, 0);
+        let room = DisruptionBudget::new(&world, &limits, 0);
         let of = schedule(&items, &room);
         assert_eq!(of.cannot, [], "seed {seed}: each alone may go");
         let mut placed: Vec<usize> = of
@@ -83,7 +83,7 @@
         for round in &of.rounds {
             let mut room = room.clone();
             for at in &round.items {
-                room.take_all(&items[*at].nodes)
+                room.take_out_all(&items[*at].nodes)
                     .unwrap_or_else(|binds| panic!("seed {seed}: {binds}"));
             }
         }
@@ -114,9 +114,9 @@
     let node = |at: u32, sound| Node {
         name: format!("s{at}"),
         zone: 0,
-        sets: vec![0],
-        sound,
-        out: false,
+        shard_sets: vec![0],
+        healthy: sound,
+        out_of_service: false,
     };
     let world = ClusterView {
         nodes: (0..5).map(|at| node(at, at != 4)).collect(),
@@ -135,7 +135,7 @@
         lasts: 1,
     };
     let items = [item(0, 30), item(1, 10), item(2, 20), item(4, 40)];
-    let of = schedule(&items, &DisruptionBudget::of(&world, &limits, 0));
+    let of = schedule(&items, &DisruptionBudget::new(&world, &limits, 0));
     let rounds: Vec<Vec<usize>> = of.rounds.iter().map(|round| round.items.clone()).collect();
     assert_eq!(rounds, [vec![1, 3], vec![2], vec![0]]);
 }
@@ -145,9 +145,9 @@
     let node = |at: u32| Node {
         name: format!("s{at}"),
         zone: (at % 3) as u16,
-        sets: vec![at / 3],
-        sound: true,
-        out: false,
+        shard_sets: vec![at / 3],
+        healthy: true,
+        out_of_service: false,
     };
     let world = ClusterView {
         nodes: (0..12_000).map(node).collect(),
@@ -157,7 +157,7 @@
         most_out: 0.1,
         ..Limits::default()
     };
-    let room = DisruptionBudget::of(&world, &limits, 0);
+    let room = DisruptionBudget::new(&world, &limits, 0);
     let items: Vec<WorkItem> = (0..12_000)
         .map(|at| WorkItem {
             request: RequestNo(1),
--- a/platform_config/src/lib.rs
+++ b/platform_config/src/lib.rs
@@ -97,38 +97,38 @@
             .iter()
             .map(|row| num(row, "quotaPerS").unwrap_or(f64::INFINITY))
             .collect(),
-        over_share_gain: num(all, "overShareWorth").unwrap_or(1.0),
-        routers: num(all, "balancers").unwrap_or(1.0).max(1.0),
+        over_quota_weight: num(all, "overShareWorth").unwrap_or(1.0),
+        router_count: num(all, "balancers").unwrap_or(1.0).max(1.0),
         zone: ZoneNo(num(all, "zone").unwrap_or(0.0) as u16),
-        crossing: num(&all["charges"], "crossZone").unwrap_or(0.0),
-        vain: num(&all["charges"], "lateFail")
+        cross_zone_cost: num(&all["charges"], "crossZone").unwrap_or(0.0),
+        wasted_work_cost: num(&all["charges"], "lateFail")
             .zip(num(&all["charges"], "waste"))
             .map(|(late, waste)| late + waste),
-        cells: num(extra, "positions").map_or(1, |n| n as u32).max(1),
-        reach: num(extra, "reach").map_or(1, |n| n as u32),
-        call_cost: time(extra, "callCost").unwrap_or_default(),
-        gauges: rows(&all["report"], "columns").iter().map(gauge).collect(),
-        reporting: match all["report"]["via"].as_str() {
+        shard_group_count: num(extra, "positions").map_or(1, |n| n as u32).max(1),
+        groups_per_shard: num(extra, "reach").map_or(1, |n| n as u32),
+        attempt_cost: time(extra, "callCost").unwrap_or_default(),
+        load_metrics: rows(&all["report"], "columns").iter().map(gauge).collect(),
+        load_reporting: match all["report"]["via"].as_str() {
             Some("inline") => LoadReporting::InAnswers,
             Some("on_probe") => LoadReporting::OnProbe,
             _ => LoadReporting::Off,
         },
-        probing: flag(limits, "probing"),
-        roster_on_request: all["discovery"] == "on_request",
-        most_calls: num(limits, "attemptsCap").map(|n| n as usize),
-        second_copies: flag(limits, "secondCopies"),
-        cancels: flag(limits, "cancel"),
-        longest_advice: flag(limits, "retryAfter")
+        health_checks: flag(limits, "probing"),
+        discovery_is_polled: all["discovery"] == "on_request",
+        max_attempts: num(limits, "attemptsCap").map(|n| n as usize),
+        hedging: flag(limits, "secondCopies"),
+        cancellation: flag(limits, "cancel"),
+        max_retry_after: flag(limits, "retryAfter")
             .then(|| time(limits, "maxRetryAfter").unwrap_or_default()),
-        dial: time(limits, "dialTimeout").unwrap_or_default(),
+        connect_timeout: time(limits, "dialTimeout").unwrap_or_default(),
         tick: time(all, "tick").unwrap_or_default(),
-        cold_share: num(rules, "coldFrom").unwrap_or(1.0),
-        warm_within: time(rules, "warmWithin").unwrap_or_default(),
-        fall_multiple: num(rules, "fallMultiple").unwrap_or(f64::INFINITY),
-        fall_window: time(rules, "fall").unwrap_or_default(),
-        extra_spare: num(rules, "spareAttempts").unwrap_or(0.0),
-        extra_ratio: num(rules, "extraRatio").unwrap_or(0.0),
-        extra_window: time(rules, "countedOver"),
+        slow_start_initial_share: num(rules, "coldFrom").unwrap_or(1.0),
+        slow_start_duration: time(rules, "warmWithin").unwrap_or_default(),
+        overload_multiple: num(rules, "fallMultiple").unwrap_or(f64::INFINITY),
+        overload_window: time(rules, "fall").unwrap_or_default(),
+        retry_budget_min: num(rules, "spareAttempts").unwrap_or(0.0),
+        retry_budget_ratio: num(rules, "extraRatio").unwrap_or(0.0),
+        retry_budget_window: time(rules, "countedOver"),
     })
 }
 
@@ -183,11 +183,11 @@
     let of_extra = |key: &str| extra[key].get(at).and_then(Value::as_f64);
     let need = of_extra("classNeed").unwrap_or(1.0);
     IndexConfig {
-        soft: time(row, "onTime")
+        latency_objective: time(row, "onTime")
             .or(time(row, "deadline"))
             .unwrap_or(Micros(u64::MAX)),
-        gain: num(row, "worth").unwrap_or(1.0),
-        repeat: match row["semantics"].as_str() {
+        priority_weight: num(row, "worth").unwrap_or(1.0),
+        retry_semantics: match row["semantics"].as_str() {
             Some("idempotent") => RetrySemantics::Idempotent,
             Some("deduplicated") => {
                 RetrySemantics::Fingerprinted(time(row, "window").unwrap_or_default())
@@ -195,10 +195,10 @@
             // What is not said to bear a repeat is never repeated.
             _ => RetrySemantics::OnceOnly,
         },
-        need,
-        least: of_extra("minShare").unwrap_or(need),
-        seen: false,
-        second_step: of_extra("secondStep").map_or(0, |n| n as usize),
+        required_weight: need,
+        min_weight: of_extra("minShare").unwrap_or(need),
+        has_queries: false,
+        second_phase_size: of_extra("secondStep").map_or(0, |n| n as usize),
         ..IndexConfig::default()
     }
 }
--- a/router/src/fleet/cli.rs
+++ b/router/src/fleet/cli.rs
@@ -583,7 +583,7 @@
             terms.name
         ));
     };
-    let Some(seat) = own.seat else {
+    let Some(seat) = own.replica else {
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         println!("{me} has no vote and needs no state");
         return Ok(ExitCode::SUCCESS);
@@ -599,9 +599,9 @@
             replica_file::path(&folder).display()
         ));
     }
-    let voters: Vec<_> = members.values().filter_map(|of| of.seat).collect();
-    let state = postcard::to_stdvec(&PolicyState::begins(members)).map_err(|e| e.to_string())?;
-    let image = Replica::founds(number_of(&terms.name), seat, &voters, state);
+    let voters: Vec<_> = members.values().filter_map(|of| of.replica).collect();
+    let state = postcard::to_stdvec(&PolicyState::bootstrap(members)).map_err(|e| e.to_string())?;
+    let image = Replica::bootstrap(number_of(&terms.name), seat, &voters, state);
     replica_file::keep(&folder, &mut None, 0, &image)?;
     println!(
         "{me} has seat {seat} of {} in fleet {}, kept in {}",
--- a/router/src/fleet/commands.rs
+++ b/router/src/fleet/commands.rs
@@ -35,48 +35,49 @@
 fn policy(register: &PolicyState) -> Value {
     let past = |past: &ternpick_fleet_policy::HistoryEntry| {
         let mut row = json!({"number": past.number, "author": past.author, "reason": past.reason, "at": past.at});
-        if let (Value::Object(row), Value::Object(more)) = (&mut row, fate(&past.fate)) {
+        if let (Value::Object(row), Value::Object(more)) = (&mut row, fate(&past.status)) {
             row.extend(more);
         }
         row
     };
-    let next = register.next.as_ref().map(|next| {
-        let mut of = paper(&next.paper);
+    let next = register.proposal.as_ref().map(|next| {
+        let mut of = paper(&next.document);
         of["takes_hold"] = next.barrier.is_some().into();
         of["round"] = next.round.0.into();
         of["unconfirmed"] = next.unconfirmed.into();
-        of["fit"] = next.fits.len().into();
+        of["fit"] = next.accepted_by.len().into();
         of
     });
     json!({"index": register.index, "epoch": register.epoch, "in_force": paper(&register.in_force), "next": next,
-        "newest": register.newest, "members": register.members.len(),
+        "newest": register.newest_version, "members": register.members.len(),
         "history": register.history.iter().map(past).collect::<Vec<_>>()})
 }
 
 /// What the one that leads says to a question; none: this one does not lead.
 pub fn look(council: &FleetNode, what: &str, now: Micros) -> Option<String> {
-    let (chair, register) = council.chair()?;
-    if let Some(answer) = council.annex.look(now, what) {
+    let (chair, register) = council.leader_state()?;
+    if let Some(answer) = council.extension.inspect(now, what) {
         return Some(answer);
     }
     let mut answer = policy(register);
-    let mut seen = chair.members(now, register);
-    let is_silent =
-        |of: &ternpick_fleet_policy::MemberStatus| of.heard.is_none_or(|ago| ago.0 > 1_000_000);
+    let mut seen = chair.member_status(now, register);
+    let is_silent = |of: &ternpick_fleet_policy::MemberStatus| {
+        of.since_last_contact.is_none_or(|ago| ago.0 > 1_000_000)
+    };
     let waits_for = |of: &ternpick_fleet_policy::MemberStatus| {
         of.fits == Some(false) || of.stopped == Some(false)
     };
     answer["silent"] = seen.iter().filter(|of| is_silent(of)).count().into();
-    answer["latest_ms"] = (chair.at_the_latest(now, register).0 / 1000).into();
+    answer["latest_ms"] = (chair.remaining_lease_bound(now, register).0 / 1000).into();
     answer["leader"] = json!(council.leader());
     if what == "members" {
         seen.sort_by_key(|of| (!waits_for(of), !is_silent(of)));
         let rows = seen.iter().take(MOST_ROWS).map(|of| {
             let seated = register.members.get(&of.member);
-            json!({"member": of.member, "heard_ms_ago": of.heard.map(|ago| ago.0 / 1000), "knows_up_to": of.knows,
+            json!({"member": of.member, "heard_ms_ago": of.since_last_contact.map(|ago| ago.0 / 1000), "knows_up_to": of.known_index,
                 "lease_over": of.lease_over, "fits": of.fits, "stopped": of.stopped,
                 "address": seated.map(|of| &of.address), "zone": seated.map(|of| &of.zone),
-                "seat": seated.and_then(|of| of.seat), "learns": seated.is_some_and(|of| of.learns)})
+                "seat": seated.and_then(|of| of.replica), "learns": seated.is_some_and(|of| of.is_learner)})
         });
         answer["rows"] = rows.collect();
         answer["in_force"]["text"] = Value::Null;
@@ -96,8 +97,8 @@
     let op = OperationId(asked["op"].as_u64().unwrap_or_else(crate::fleet::chance));
     match asked["ask"].as_str() {
         Some("status") => {
-            let (now, desk) = (router.clock.now(), router.desk.borrow());
-            json!({"done": true, "ok": true, "fleet": fleet.status(&desk.brain, now)})
+            let (now, desk) = (router.clock.now(), router.decisions.borrow());
+            json!({"done": true, "ok": true, "fleet": fleet.status(&desk.engine, now)})
         }
         Some("check") => {
             let (name, text) = (
@@ -111,9 +112,9 @@
         }
         Some("show") => {
             let text = fleet
-                .council
+                .node
                 .borrow()
-                .keeper
+                .lease_holder
                 .view()
                 .map(|view| (view.in_force.clone(), view.epoch));
             match text {
--- a/router/src/fleet/event_loop.rs
+++ b/router/src/fleet/event_loop.rs
@@ -30,7 +30,7 @@
 impl Fleet {
     fn say(&self, router: &Rc<Router>, me: &Rc<Fleet>, to: &Member, said: PeerMessage) {
         let address = self
-            .council
+            .node
             .borrow()
             .members
             .get(to)
@@ -46,7 +46,7 @@
 
     /// Ways to those that are members no longer end.
     fn close_posts(&self) {
-        let council = self.council.borrow();
+        let council = self.node.borrow();
         self.posts.borrow_mut().retain(|member, post| {
             let stays = council.members.contains_key(member);
             if !stays {
@@ -62,9 +62,9 @@
             Effect::Persist(image) => self.keep(router, me, image),
             Effect::Lease(effect) => self.obey(router, effect),
             Effect::Inspect(to, op, what) => {
-                let json = commands::look(&self.council.borrow(), &what, now);
+                let json = commands::look(&self.node.borrow(), &what, now);
                 if let Some(json) = json {
-                    self.council.borrow_mut().seen(&to, op, json);
+                    self.node.borrow_mut().inspection_answered(&to, op, json);
                 }
             }
             Effect::OperatorResponse(op, heard) => {
@@ -93,7 +93,7 @@
                     paper.number,
                     paper.author
                 );
-                self.council.borrow_mut().checked(paper.number, verdict);
+                self.node.borrow_mut().policy_checked(paper.number, verdict);
             }
             LeaseEffect::ApplyPolicy(paper) => self.put_in_force(router, &paper),
             LeaseEffect::Members(_) => {}
@@ -116,7 +116,7 @@
             };
             let (kept, journal) = blocking::unblock(write).await;
             *me.journal.borrow_mut() = journal;
-            me.council.borrow_mut().kept(clock.now(), kept);
+            me.node.borrow_mut().persisted(clock.now(), kept);
             me.wake.notify(1);
         };
         router.executor.spawn(task).detach();
@@ -131,11 +131,11 @@
                 for said in parcel.said {
                     let whole = self.pieces.borrow_mut().take(&parcel.from, said);
                     if let Some(said) = whole {
-                        self.council.borrow_mut().hear(now, &parcel.from, said);
+                        self.node.borrow_mut().step(now, &parcel.from, said);
                     }
                 }
             }
-            let acts = self.council.borrow_mut().turn(now);
+            let acts = self.node.borrow_mut().tick(now);
             if acts.is_empty() {
                 break;
             }
@@ -145,7 +145,7 @@
             self.changed.notify(usize::MAX);
         }
         self.close_posts();
-        let due = self.council.borrow().next_due(router.clock.now());
+        let due = self.node.borrow().next_deadline(router.clock.now());
         look.map_or(due, |look| due.min(look))
     }
 
@@ -163,7 +163,7 @@
             .borrow_mut()
             .0
             .insert(op, (None, Rc::clone(&told)));
-        self.council.borrow_mut().wish(op, wish);
+        self.node.borrow_mut().submit(op, wish);
         self.wake.notify(1);
         let heard = async {
             loop {
@@ -180,9 +180,9 @@
                 more.await;
             }
         };
-        let heard = router.until(Some(until), heard).await;
+        let heard = router.with_deadline(Some(until), heard).await;
         self.waits.borrow_mut().0.remove(&op);
-        self.council.borrow_mut().give_up(op);
+        self.node.borrow_mut().cancel(op);
         heard
     }
 }
@@ -191,9 +191,9 @@
 /// takes the folder, the seat and the listener again if it has to take over.
 pub async fn run(router: Rc<Router>, fleet: Rc<Fleet>) {
     loop {
-        while !router.accepts.get() {
-            let changed = router.accepts_changed.listen();
-            if !router.accepts.get() {
+        while !router.accepting.get() {
+            let changed = router.accepting_changed.listen();
+            if !router.accepting.get() {
                 changed.await;
             }
         }
@@ -210,7 +210,7 @@
         let (found, journal) =
             replica_file::find(&fleet.folder, fleet.id, fleet.raft_config(), chance());
         *fleet.journal.borrow_mut() = journal;
-        fleet.council.borrow_mut().begins(router.clock.now(), found);
+        fleet.node.borrow_mut().start(router.clock.now(), found);
         let listener = peer_transport::bind(&router, address).await;
         tracing::info!(
             "fleet: {} speaks on {address} in fleet {}",
@@ -223,11 +223,14 @@
             listener,
         ));
         let mut passed = false;
-        while router.accepts.get() {
+        while router.accepting.get() {
             if router.is_stopping() && !std::mem::replace(&mut passed, true) {
-                fleet.council.borrow_mut().passes_lead(router.clock.now());
+                fleet
+                    .node
+                    .borrow_mut()
+                    .transfer_leadership(router.clock.now());
             }
-            let (wake, changed) = (fleet.wake.listen(), router.accepts_changed.listen());
+            let (wake, changed) = (fleet.wake.listen(), router.accepting_changed.listen());
             let due = fleet.turn(&router, &fleet);
             let time = async {
                 Timer::at(router.clock.instant(due)).await;
@@ -247,7 +250,7 @@
 /// Waits for the folder; none: this process no longer accepts.
 async fn hold(router: &Router, fleet: &Fleet) -> Option<ternpick_store::DirectoryLock> {
     let mut said = false;
-    while router.accepts.get() {
+    while router.accepting.get() {
         match ternpick_store::lock_directory(&fleet.folder) {
             Ok(Some(held)) => return Some(held),
             Ok(None) if said => {}
@@ -275,8 +278,11 @@
 /// Passes the lead on, if it is here, and waits for that a little: the fleet need not find out by silence.
 async fn pass_lead(router: &Rc<Router>, fleet: &Rc<Fleet>) {
     let until = router.clock.now() + PASSES_WITHIN;
-    fleet.council.borrow_mut().passes_lead(router.clock.now());
-    while fleet.council.borrow().leads() && router.clock.now() < until {
+    fleet
+        .node
+        .borrow_mut()
+        .transfer_leadership(router.clock.now());
+    while fleet.node.borrow().is_leader() && router.clock.now() < until {
         let wake = fleet.wake.listen();
         let due = fleet.turn(router, fleet).min(until);
         let time = async {
@@ -292,11 +298,11 @@
     for (_, post) in std::mem::take(&mut *fleet.posts.borrow_mut()) {
         post.end();
     }
-    while fleet.council.borrow().is_keeping() {
+    while fleet.node.borrow().is_persisting() {
         Timer::at(router.clock.instant(router.clock.now() + LOOK_AGAIN)).await;
     }
     fleet
-        .council
+        .node
         .borrow_mut()
-        .rests(router.clock.now(), chance());
+        .suspend(router.clock.now(), chance());
 }
--- a/router/src/fleet/maintenance.rs
+++ b/router/src/fleet/maintenance.rs
@@ -35,50 +35,50 @@
 pub struct Shared(Rc<RefCell<Coordinator>>);
 
 impl Extension for Shared {
-    fn play(&mut self, index: Index, entry: &[u8]) -> Result<u64, String> {
-        self.0.borrow_mut().play(index, entry)
+    fn apply(&mut self, index: Index, entry: &[u8]) -> Result<u64, String> {
+        self.0.borrow_mut().apply(index, entry)
     }
 
-    fn members(&mut self, members: &BTreeMap<Member, MemberInfo>) {
-        self.0.borrow_mut().members(members);
+    fn members_changed(&mut self, members: &BTreeMap<Member, MemberInfo>) {
+        self.0.borrow_mut().members_changed(members);
     }
 
-    fn image(&self) -> Vec<u8> {
-        self.0.borrow().image()
+    fn snapshot(&self) -> Vec<u8> {
+        self.0.borrow().snapshot()
     }
 
     fn restore(&mut self, image: &[u8]) {
         self.0.borrow_mut().restore(image);
     }
 
-    fn outs(&self) -> Vec<u8> {
-        self.0.borrow().outs()
+    fn machines_out(&self) -> Vec<u8> {
+        self.0.borrow().machines_out()
     }
 
-    fn lingers(&self) -> Micros {
-        self.0.borrow().lingers()
+    fn in_flight_grace(&self) -> Micros {
+        self.0.borrow().in_flight_grace()
     }
 
-    fn gone(&self) -> Vec<Member> {
-        self.0.borrow().gone()
+    fn departed_members(&self) -> Vec<Member> {
+        self.0.borrow().departed_members()
     }
 
-    fn admits(&self, now: Micros, entry: &[u8]) -> Result<(), String> {
-        self.0.borrow().admits(now, entry)
+    fn check_command(&self, now: Micros, entry: &[u8]) -> Result<(), String> {
+        self.0.borrow().check_command(now, entry)
     }
 
-    fn steps(
+    fn next_entries(
         &mut self,
         now: Micros,
         me: &Member,
         term: u64,
         attended: &[MemberContact],
     ) -> (Vec<Vec<u8>>, Vec<String>) {
-        self.0.borrow_mut().steps(now, me, term, attended)
+        self.0.borrow_mut().next_entries(now, me, term, attended)
     }
 
-    fn look(&self, now: Micros, what: &str) -> Option<String> {
-        self.0.borrow().look(now, what)
+    fn inspect(&self, now: Micros, what: &str) -> Option<String> {
+        self.0.borrow().inspect(now, what)
     }
 }
 
@@ -99,9 +99,12 @@
 
 /// The sets of shards that a machine of this cell holds.
 fn sets(listing: &Endpoint, tariff: &PlatformConfig) -> Vec<u32> {
-    let (cells, reach) = (tariff.cells.max(1), tariff.reach.min(tariff.cells).max(1));
+    let (cells, reach) = (
+        tariff.shard_group_count.max(1),
+        tariff.groups_per_shard.min(tariff.shard_group_count).max(1),
+    );
     (0..reach)
-        .map(|back| (listing.cell.0 % cells + cells - back) % cells)
+        .map(|back| (listing.shard_group.0 % cells + cells - back) % cells)
         .collect()
 }
 
@@ -149,7 +152,7 @@
 
     /// What is out from here on; the names whose standing changes come back.
     pub fn told(&self, now: Micros, index: Index, outs: &[u8]) -> Vec<String> {
-        let (out, returning) = Coordinator::told(outs);
+        let (out, returning) = Coordinator::decode_machines_out(outs);
         let out: BTreeSet<String> = out.into_iter().collect();
         let before = self.out.replace(out);
         let changed = before
@@ -180,15 +183,18 @@
                 .and_then(|id| brain.nodes.get(&id))
         };
         let out = self.out.borrow();
-        let busy = |name: &&String| node(name).is_some_and(|node| node.out(now).next().is_some());
+        let busy = |name: &&String| {
+            node(name).is_some_and(|node| node.all_in_flight(now).next().is_some())
+        };
         // By this router's own clock: what discovery claims is another's.
-        let cold =
-            |of: &Seen| of.started.at.0 != 0 && now.since(of.started.at) < brain.tariff.warm_within;
+        let cold = |of: &Seen| {
+            of.started.at.0 != 0 && now.since(of.started.at) < brain.config.slow_start_duration
+        };
         let sound = |name: &str, seen: Option<&Seen>| {
             let of = listed
                 .get(name)
-                .filter(|of| of.phase == EndpointState::Ready);
-            of.is_some() && seen.is_none_or(|seen| seen.doubted.is_none() && !cold(seen))
+                .filter(|of| of.state == EndpointState::Ready);
+            of.is_some() && seen.is_none_or(|seen| seen.suspected_for.is_none() && !cold(seen))
         };
         let known = self.known.borrow();
         let mut unsound = known.keys().filter(|name| !sound(name, node(name)));
@@ -200,9 +206,9 @@
             if !sound(name, seen) {
                 continue;
             }
-            if seen.is_some_and(|seen| seen.seen > *since) {
+            if seen.is_some_and(|seen| seen.latency_updated_at > *since) {
                 bear.push(name.clone());
-            } else if seen.is_none_or(|seen| seen.out(now).next().is_none()) {
+            } else if seen.is_none_or(|seen| seen.all_in_flight(now).next().is_none()) {
                 idle.push(name.clone());
             }
         }
@@ -235,13 +241,13 @@
     ) -> ClusterView {
         let mut known = self.known.borrow_mut();
         for (name, listing) in listed {
-            let sets = sets(listing, &brain.tariff);
+            let sets = sets(listing, &brain.config);
             let node = Node {
                 name: name.clone(),
                 zone: listing.zone.0,
-                sets,
-                sound: true,
-                out: false,
+                shard_sets: sets,
+                healthy: true,
+                out_of_service: false,
             };
             known.insert(name.clone(), (node, now));
         }
@@ -262,8 +268,8 @@
             return Some(works.next_look.get());
         }
         works.next_look.set(now + LOOK);
-        let (desk, listed) = (router.desk.borrow(), self.listed.borrow());
-        let world = works.world(&desk.brain, &listed, now);
+        let (desk, listed) = (router.decisions.borrow(), self.listed.borrow());
+        let world = works.world(&desk.engine, &listed, now);
         let since = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .unwrap_or_default();
@@ -271,8 +277,8 @@
             .carrier
             .0
             .borrow_mut()
-            .sees(world, u64::try_from(since.as_millis()).unwrap_or(u64::MAX));
-        let word = works.word(&desk.brain, &desk.office, &listed, now);
+            .observe_cluster(world, u64::try_from(since.as_millis()).unwrap_or(u64::MAX));
+        let word = works.word(&desk.engine, &desk.effects, &listed, now);
         let before = works.said.replace(word.clone());
         let state = |of: &RouterReport| {
             (
@@ -282,9 +288,9 @@
                 of.bear.clone(),
             )
         };
-        self.council.borrow_mut().keeper.goes_by(
+        self.node.borrow_mut().lease_holder.goes_by(
             word.goes_by,
-            word.bytes(),
+            word.encode(),
             state(&before) != state(&word),
         );
         Some(works.next_look.get())
@@ -320,7 +326,7 @@
         for group in of["groups"].as_array().into_iter().flatten() {
             let own = listed
                 .iter()
-                .filter(|(_, of)| Some(u64::from(of.cell.0)) == group.as_u64());
+                .filter(|(_, of)| Some(u64::from(of.shard_group.0)) == group.as_u64());
             let before = names.len();
             names.extend(own.map(|(name, _)| name.clone()));
             if names.len() == before {
@@ -351,7 +357,7 @@
             names.retain(|name| {
                 listed
                     .get(name)
-                    .is_none_or(|of| now.since(of.started).0 >= up_for)
+                    .is_none_or(|of| now.since(of.started_at).0 >= up_for)
             });
         }
         if names.is_empty() || names.len() > MOST_MACHINES {
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -68,7 +68,7 @@
     pub folder: PathBuf,
     /// Told when the keeper may say something else: lookups that wait at admission look again.
     pub changed: Event,
-    pub council: RefCell<FleetNode>,
+    pub node: RefCell<FleetNode>,
     waits: RefCell<Waits>,
     /// Where the seat's state is kept; with who writes while something is being kept.
     journal: RefCell<Option<Journal>>,
@@ -155,8 +155,8 @@
         let seated = MemberInfo {
             address: terms.address.clone(),
             zone: terms.zone.clone(),
-            seat,
-            learns: false,
+            replica: seat,
+            is_learner: false,
         };
         (Member::from(name.as_str()), seated)
     };
@@ -174,7 +174,7 @@
         now: Micros,
     ) -> Rc<Fleet> {
         let (terms, me) = (spans(&settings), Member::from(name));
-        let keeper = LeaseHolder::starts(terms, me.clone(), Incarnation(chance()), inherits, now);
+        let keeper = LeaseHolder::new(terms, me.clone(), Incarnation(chance()), inherits, now);
         let raft_config = ternpick_fleet_policy::raft_config(settings.election);
         let id = number_of(&settings.name);
         #[allow(unused_mut)]
@@ -191,7 +191,7 @@
         plant(&mut council);
         let works = settings.works.map(maintenance::Works::new);
         if let Some(works) = &works {
-            council.annex = Box::new(works.carrier.clone());
+            council.extension = Box::new(works.carrier.clone());
             #[cfg(feature = "planted")]
             works.plant();
         }
@@ -201,7 +201,7 @@
             settings,
             me,
             changed: Event::new(),
-            council: RefCell::new(council),
+            node: RefCell::new(council),
             waits: RefCell::default(),
             journal: RefCell::default(),
             images: Cell::new(0),
@@ -223,7 +223,7 @@
     /// Where this router listens for the others.
     pub fn address(&self) -> Option<SocketAddr> {
         let known = self
-            .council
+            .node
             .borrow()
             .members
             .get(&self.me)
@@ -258,13 +258,17 @@
     pub async fn settled(&self, router: &Router) {
         loop {
             let changed = self.changed.listen();
-            let Admission::Wait(until) = self.council.borrow().keeper.admission(router.clock.now())
+            let Admission::Wait(until) = self
+                .node
+                .borrow()
+                .lease_holder
+                .admission(router.clock.now())
             else {
                 return;
             };
             // In a stop the refusal that follows is owed in time too.
             let until = router
-                .in_time(Some(until), |of| of.answers_by)
+                .before_shutdown(Some(until), |of| of.answers_by)
                 .unwrap_or(until);
             if until <= router.clock.now() {
                 return;
@@ -278,7 +282,7 @@
 
     /// Whether a lookup may be taken now, and under what; else its answer.
     pub fn admit(&self, now: Micros) -> Result<Mark, Answer> {
-        match self.council.borrow().keeper.admission(now) {
+        match self.node.borrow().lease_holder.admission(now) {
             Admission::Leased(version) => Ok(Mark {
                 version,
                 unguarded: false,
@@ -291,7 +295,9 @@
                 "a change of policy takes hold",
                 until.since(now),
             )),
-            Admission::Rejected { why, come_back } => Err(Self::refusal(why.words(), come_back)),
+            Admission::Rejected { why, come_back } => {
+                Err(Self::refusal(why.description(), come_back))
+            }
         }
     }
 
@@ -335,12 +341,15 @@
             Ok(record) => record,
             Err(words) => {
                 tracing::error!("policy: {name} does not fit here, nothing is admitted: {words}");
-                self.council.borrow_mut().keeper.does_not_fit(paper.number);
+                self.node
+                    .borrow_mut()
+                    .lease_holder
+                    .policy_does_not_fit(paper.number);
                 return;
             }
         };
-        let mut desk = router.desk.borrow_mut();
-        let tariff = &mut desk.brain.tariff;
+        let mut desk = router.decisions.borrow_mut();
+        let tariff = &mut desk.engine.config;
         ternpick_fleet_policy::put_in_force(
             &record,
             &self.own,
@@ -360,12 +369,12 @@
 
     /// Nodes that operators drain, or take out, reach the module as the roster's word does.
     fn drains(&self, router: &Router, changed: &[String]) {
-        router.play(|brain, now, out| {
+        router.apply(|brain, now, out| {
             let rows: Vec<Endpoint> = changed
                 .iter()
                 .filter_map(|name| self.listing(name, out))
                 .collect();
-            brain.drains(now, &rows, out);
+            brain.operator_drains_changed(now, &rows, out);
         });
     }
 
@@ -374,14 +383,14 @@
         let node = out.nodes.number(name)?;
         Some(Endpoint {
             node,
-            phase: self.stricter(name, listing.phase),
+            state: self.stricter(name, listing.state),
             ..listing
         })
     }
 
     /// How discovery itself last listed a node.
     pub fn discovery_says(&self, name: &str) -> Option<EndpointState> {
-        self.listed.borrow().get(name).map(|listing| listing.phase)
+        self.listed.borrow().get(name).map(|listing| listing.state)
     }
 
     fn stricter(&self, name: &str, phase: EndpointState) -> EndpointState {
@@ -396,11 +405,11 @@
 
     /// Discovery lists a node: of its word and the policy's, the stricter counts.
     pub fn lists(&self, name: &str, listing: &mut Endpoint) {
-        match listing.phase {
+        match listing.state {
             EndpointState::Gone => self.listed.borrow_mut().remove(name),
             _ => self.listed.borrow_mut().insert(name.to_owned(), *listing),
         };
-        listing.phase = self.stricter(name, listing.phase);
+        listing.state = self.stricter(name, listing.state);
     }
 
     /// Discovery's whole list is this: others are gone.
@@ -412,10 +421,10 @@
 
     /// How the fleet looks from here; for people.
     pub fn status(&self, brain: &RoutingEngine, now: Micros) -> serde_json::Value {
-        let council = self.council.borrow();
-        let keeper = &council.keeper;
+        let council = self.node.borrow();
+        let keeper = &council.lease_holder;
         let view = keeper.view();
-        let next = view.and_then(|view| view.next.as_ref());
+        let next = view.and_then(|view| view.proposal.as_ref());
         let (out, out_bytes, come, come_bytes) = self.traffic.get();
         let admission = match keeper.admission(now) {
             Admission::Leased(_) => "admits".to_owned(),
@@ -423,12 +432,12 @@
                 "admits without a lease, and marks it: the rule is given up".to_owned()
             }
             Admission::Wait(_) => "waits while a change takes hold".to_owned(),
-            Admission::Rejected { why, .. } => format!("refuses: {}", why.words()),
+            Admission::Rejected { why, .. } => format!("refuses: {}", why.description()),
         };
         let drained = brain
             .nodes
             .values()
-            .filter(|node| node.listing.phase == EndpointState::Draining)
+            .filter(|node| node.endpoint.state == EndpointState::Draining)
             .count();
         serde_json::json!({
             "fleet": self.settings.name, "member": self.me, "version": keeper.version(),
@@ -436,10 +445,10 @@
             "epoch": view.map(|view| view.epoch), "knows_up_to": view.map(|view| view.index),
             "lease_left_ms": keeper.lease_left(now).map(|left| left.0 / 1000), "admission": admission,
             "unfit": keeper.unfit(), "next": next.map(|next| serde_json::json!({
-                "number": next.paper.number, "author": next.paper.author, "takes_hold": next.barrier,
+                "number": next.document.number, "author": next.document.author, "takes_hold": next.barrier,
                 "round": next.round, "unconfirmed": next.unconfirmed})),
-            "leader": council.leader(), "leads": council.leads(), "seat": council.seat_status(),
-            "seat_words": council.seat_words, "draining": drained, "parcels_out": out, "bytes_out": out_bytes,
+            "leader": council.leader(), "leads": council.is_leader(), "seat": council.replica_status(),
+            "seat_words": council.replica_error, "draining": drained, "parcels_out": out, "bytes_out": out_bytes,
             "parcels_in": come, "bytes_in": come_bytes,
         })
     }
--- a/router/src/fleet/peer_transport.rs
+++ b/router/src/fleet/peer_transport.rs
@@ -129,7 +129,7 @@
             Timer::at(router.clock.instant(router.clock.now() + AGAIN)).await;
             continue;
         };
-        let called = router.until(
+        let called = router.with_deadline(
             Some(router.clock.now() + CALL_WITHIN),
             call(&router, &fleet, &mut kept, address, &body),
         );
@@ -214,7 +214,7 @@
     let (mut input, mut request) = (Ring::new(HEAD_BOUND), Reader::of_requests());
     loop {
         let read = router
-            .until(
+            .with_deadline(
                 Some(router.clock.now() + IDLE),
                 read(&stream, &mut input, &mut request),
             )
@@ -238,7 +238,7 @@
         request.forget_body();
         let answer = http::answer(status, "", &words, status != 200);
         let written = router
-            .until(
+            .with_deadline(
                 Some(router.clock.now() + CALL_WITHIN),
                 write(&stream, &answer),
             )
--- a/router/src/fleet/replica_file.rs
+++ b/router/src/fleet/replica_file.rs
@@ -45,7 +45,7 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     let now = u64::try_from(since.as_micros()).unwrap_or(u64::MAX);
-    let of = journal.get_or_insert_with(|| Journal::anew(&path(folder), KIND));
-    of.keep(version, now, image)
+    let of = journal.get_or_insert_with(|| Journal::replacing(&path(folder), KIND));
+    of.append(version, now, image)
         .map_err(|fault| fault.to_string())
 }
--- a/router/src/lifecycle/cli.rs
+++ b/router/src/lifecycle/cli.rs
@@ -168,13 +168,13 @@
     for (name, row) in bounds.index_names.iter().zip(&tariff.indexes) {
         println!(
             "index {name}: soft deadline {}, {:?}",
-            millis(Some(row.soft)),
-            row.repeat
+            millis(Some(row.latency_objective)),
+            row.retry_semantics
         );
     }
     println!(
         "load reports: {:?}, of {}",
-        tariff.reporting,
+        tariff.load_reporting,
         bounds.columns.join(", ")
     );
     println!(
--- a/router/src/lifecycle/config.rs
+++ b/router/src/lifecycle/config.rs
@@ -59,7 +59,11 @@
     if tariff.indexes.is_empty() || bounds.index_names.iter().any(String::is_empty) {
         return Err("'settings': no classes, or one without a name".into());
     }
-    if let Some(at) = tariff.indexes.iter().position(|row| row.second_step > 0) {
+    if let Some(at) = tariff
+        .indexes
+        .iter()
+        .position(|row| row.second_phase_size > 0)
+    {
         let name = &bounds.index_names[at];
         return Err(format!(
             "'settings': class {name} has a second step, which this protocol cannot ask for"
--- a/router/src/lifecycle/control.rs
+++ b/router/src/lifecycle/control.rs
@@ -141,7 +141,11 @@
 
 async fn answer(router: &Rc<Router>, control: &Control, stream: Async<UnixStream>) {
     let late = router.clock.now() + ASK_WITHIN;
-    let Some(asked) = router.until(Some(late), question(&stream)).await.flatten() else {
+    let Some(asked) = router
+        .with_deadline(Some(late), question(&stream))
+        .await
+        .flatten()
+    else {
         return;
     };
     let last = match asked["do"].as_str() {
@@ -153,7 +157,7 @@
             }
         },
         Some("drain") => {
-            router.told_to_stop.notify(1);
+            router.stop_requested.notify(1);
             json!({"done": true, "ok": true, "line": "this process answers what it has taken, and leaves"})
         }
         Some("upgrade") if !control.terms.upgrade => {
@@ -211,13 +215,13 @@
 
 /// Nothing is left here: the process ends, or stays as the parent of its heir.
 fn leave(router: &Router) {
-    router.gone.set(true);
-    router.told_to_stop.notify(1);
+    router.handed_over.set(true);
+    router.stop_requested.notify(1);
 }
 
 fn status(router: &Router, control: &Control) -> Value {
-    let (now, desk) = (router.clock.now(), router.desk.borrow());
-    let (brain, office) = (&desk.brain, &desk.office);
+    let (now, desk) = (router.clock.now(), router.decisions.borrow());
+    let (brain, office) = (&desk.engine, &desk.effects);
     let nodes: Vec<Value> = office
         .nodes
         .all()
@@ -226,10 +230,10 @@
             let latency = node.latency.map(|micros| (micros / 10.0).round() / 100.0);
             Some(
                 json!({"node": snapshot::number(id), "name": name, "address": address.to_string(),
-                "phase": format!("{:?}", node.listing.phase).to_lowercase(), "latency_ms": latency,
-                "report": node.report, "parts_out": node.owed.len(),
-                "doubted": node.doubted.and_then(|index| office.bounds.index_names.get(index.at())),
-                "seen_ms_ago": node.latency.map(|_| now.since(node.seen).0 / 1000)}),
+                "phase": format!("{:?}", node.endpoint.state).to_lowercase(), "latency_ms": latency,
+                "report": node.reported_load, "parts_out": node.in_flight.len(),
+                "doubted": node.suspected_for.and_then(|index| office.bounds.index_names.get(index.at())),
+                "seen_ms_ago": node.latency.map(|_| now.since(node.latency_updated_at).0 / 1000)}),
             )
         })
         .collect();
@@ -237,17 +241,17 @@
     let limits = office
         .limits
         .as_ref()
-        .map(|of| json!({"limit": of.limit(), "in_hand": of.in_hand()}));
+        .map(|of| json!({"limit": of.limit(), "in_hand": of.in_flight()}));
     json!({
         "name": control.name, "version": env!("CARGO_PKG_VERSION"), "process": std::process::id(),
-        "step": machine.word(), "upgrades_begun": control.upgrades.begun.get(),
-        "accepts": router.accepts.get(), "stopping": router.is_stopping(),
-        "lookups": office.ledger.lookups(), "held": office.ledger.held(), "taken": office.counts.taken,
+        "step": machine.step_name(), "upgrades_begun": control.upgrades.begun.get(),
+        "accepts": router.accepting.get(), "stopping": router.is_stopping(),
+        "lookups": office.in_flight.lookups(), "held": office.in_flight.held(), "taken": office.counts.taken,
         "satisfied": office.counts.satisfied, "nacked": office.counts.nacked, "aborted": office.counts.aborted,
         "clients": router.descriptors.clients(), "descriptors": router.descriptors.held(),
         "descriptors_may": router.descriptors.total(), "memory_held": router.budget.used(),
-        "roster_version": router.roster_version.get(), "nodes": nodes,
-        "identity": router.gate.as_ref().map(|gate| gate.status(router)), "limits": limits,
+        "roster_version": router.endpoint_list_version.get(), "nodes": nodes,
+        "identity": router.auth.as_ref().map(|gate| gate.status(router)), "limits": limits,
         "fleet": router.fleet.as_ref().map(|fleet| fleet.status(brain, now)),
     })
 }
--- a/router/src/lifecycle/http_client.rs
+++ b/router/src/lifecycle/http_client.rs
@@ -69,7 +69,7 @@
     };
     let late = router.clock.now() + patience;
     router
-        .until(Some(late), call)
+        .with_deadline(Some(late), call)
         .await
         .unwrap_or_else(|| Err("no answer in time".into()))
 }
--- a/router/src/lifecycle/key_sources.rs
+++ b/router/src/lifecycle/key_sources.rs
@@ -40,7 +40,7 @@
 
 /// Begins all watches: what is kept first, so that a start needs no service.
 pub fn start(router: &Rc<Router>) {
-    let Some(gate) = &router.gate else { return };
+    let Some(gate) = &router.auth else { return };
     for (kind, watched) in [(Kind::Keys, &gate.keys), (Kind::Revocations, &gate.feed)] {
         let Some(watched) = watched else { continue };
         if let Some(path) = &watched.source.kept {
@@ -60,7 +60,7 @@
     match ternpick_store::load(path, word) {
         Ok(kept) => {
             // Never newer than now: a clock that ran ahead makes nothing last longer.
-            let then = Micros(kept.saved.min(now.0));
+            let then = Micros(kept.saved_at.min(now.0));
             let told = kind.tell(gate, then, &kept.bytes);
             let age = now.since(then).0 / 1_000_000;
             match told {
@@ -79,14 +79,14 @@
 async fn elapse(router: Rc<Router>) {
     loop {
         Timer::at(router.clock.instant(router.clock.now() + LOOK)).await;
-        if let Some(gate) = &router.gate {
+        if let Some(gate) = &router.auth {
             gate.elapsed(gate.now(&router));
         }
     }
 }
 
 fn watched(router: &Router, kind: Kind) -> Option<(&AuthFilter, &Watched)> {
-    let gate = router.gate.as_ref()?;
+    let gate = router.auth.as_ref()?;
     let watched = match kind {
         Kind::Keys => gate.keys.as_ref(),
         Kind::Revocations => gate.feed.as_ref(),
--- a/router/src/lifecycle/reload.rs
+++ b/router/src/lifecycle/reload.rs
@@ -34,13 +34,13 @@
 
     /// Rights, tenants and limits are taken from the settings anew; where keys come from and TLS need a restart.
     fn terms(&self, router: &Router) {
-        let (Some(path), Some(gate)) = (&self.settings, &router.gate) else {
+        let (Some(path), Some(gate)) = (&self.settings, &router.auth) else {
             return;
         };
         let told = settings::read(path).and_then(|settings| {
             let terms = settings.identity.ok_or("identity is no longer in it")?;
-            let mut desk = router.desk.borrow_mut();
-            let Some(limits) = &mut desk.office.limits else {
+            let mut desk = router.decisions.borrow_mut();
+            let Some(limits) = &mut desk.effects.limits else {
                 return Ok(());
             };
             gate.told_of_terms(terms, limits)
@@ -69,7 +69,7 @@
         return tracing::info!("reload: done, discovery still at {discovery}");
     }
     tracing::info!("reload: done, discovery at {discovery}, no longer at {old}");
-    router.moved.notify(1);
+    router.discovery_moved.notify(1);
 }
 
 #[cfg(test)]
--- a/router/src/lifecycle/signals.rs
+++ b/router/src/lifecycle/signals.rs
@@ -90,8 +90,8 @@
     accepting: async_executor::Task<()>,
 ) {
     loop {
-        let told = router.told_to_stop.listen();
-        if router.gone.get() {
+        let told = router.stop_requested.listen();
+        if router.handed_over.get() {
             return;
         }
         let told = async {
@@ -100,7 +100,7 @@
         };
         match future::or(async { Some(signals.next().await) }, told).await {
             Some(Told::Reload) => source.reload(router),
-            None if router.gone.get() => return,
+            None if router.handed_over.get() => return,
             _ => break,
         }
     }
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -32,20 +32,20 @@
 }
 
 fn roster(router: &Router) -> (Value, Vec<(u64, String)>) {
-    let (now, desk) = (router.clock.now(), router.desk.borrow());
+    let (now, desk) = (router.clock.now(), router.decisions.borrow());
     let (mut entries, mut names) = (Vec::new(), Vec::new());
-    for (id, name, address) in desk.office.nodes.all() {
-        let Some(node) = desk.brain.nodes.get(&id) else {
+    for (id, name, address) in desk.effects.nodes.all() {
+        let Some(node) = desk.engine.nodes.get(&id) else {
             continue;
         };
-        let listing = &node.listing;
+        let listing = &node.endpoint;
         // Discovery's own word: what operators take out is the fleet's, and the new process hears it from there.
         // Seen: a machine that was out at an upgrade never came back, the new process had it from discovery.
         let own = router
             .fleet
             .as_ref()
             .and_then(|fleet| fleet.discovery_says(name));
-        let status = match own.unwrap_or(listing.phase) {
+        let status = match own.unwrap_or(listing.state) {
             EndpointState::Ready => "Ready",
             EndpointState::Draining => "Terminating",
             EndpointState::Gone => continue,
@@ -55,23 +55,23 @@
             .filter(|at| at.0 > 0)
             .map(|at| now.since(at).0 / 1000);
         let zone = desk
-            .office
+            .effects
             .bounds
             .zone_names
             .get(usize::from(listing.zone.0));
         entries.push(json!({"name": name, "address": address.to_string(), "zone": zone,
-            "group": listing.cell.0, "status": status, "since_ms": listing.started.0 / 1000, "age_ms": age}));
+            "group": listing.shard_group.0, "status": status, "since_ms": listing.started_at.0 / 1000, "age_ms": age}));
         names.push((id.0, name.to_owned()));
     }
     (
-        json!({"index": router.roster_version.get(), "snapshot": true, "endpoints": entries}),
+        json!({"index": router.endpoint_list_version.get(), "snapshot": true, "endpoints": entries}),
         names,
     )
 }
 
 /// Whose beliefs these are: the names that numbers of indexes and tenants stand for.
 fn owners(router: &Router) -> String {
-    let tenants = router.gate.as_ref().map_or_else(
+    let tenants = router.auth.as_ref().map_or_else(
         || router.bounds.customer_names.clone(),
         |gate| gate.customers(),
     );
@@ -92,16 +92,16 @@
         let (roster, names) = roster(router);
         let now = router.clock.now();
         let [keys, revocations] = router
-            .gate
+            .auth
             .as_ref()
             .map_or([None, None], |gate| gate.kept(router));
-        let mut desk = router.desk.borrow_mut();
+        let mut desk = router.decisions.borrow_mut();
         let limits = desk
-            .office
+            .effects
             .limits
             .as_mut()
             .map(|limits| limits.counted(now));
-        let mut beliefs = desk.brain.beliefs(now);
+        let mut beliefs = desk.engine.snapshot(now);
         beliefs.terms = beliefs.terms.map(|terms| terms + &owners(router));
         Snapshot {
             form: FORM,
@@ -131,16 +131,19 @@
         let roster: Value = serde_json::from_str(&self.roster).map_err(|e| e.to_string())?;
         // The watch goes on from this version, and is asked for as the list is taken in.
         let version = roster["index"].as_u64().unwrap_or(0);
-        let before = router.roster_version.replace(version);
+        let before = router.endpoint_list_version.replace(version);
         watch::take_list(router, &roster).map_err(|what| {
-            router.roster_version.set(before);
+            router.endpoint_list_version.set(before);
             what.to_owned()
         })?;
         let names: HashMap<u64, String> = self.names.into_iter().collect();
         let now = router.clock.now();
         let (nodes, taken) = {
-            let mut desk = router.desk.borrow_mut();
-            let crate::stages::Decisions { brain, office } = &mut *desk;
+            let mut desk = router.decisions.borrow_mut();
+            let crate::stages::Decisions {
+                engine: brain,
+                effects: office,
+            } = &mut *desk;
             for entry in roster["endpoints"].as_array().into_iter().flatten() {
                 let of = entry["name"]
                     .as_str()
@@ -165,7 +168,7 @@
             }
             (count, taken)
         };
-        if let Some(gate) = &router.gate {
+        if let Some(gate) = &router.auth {
             let now = gate.now(router);
             let then = |age: u64| now.since(Micros(age));
             if let Some((age, text)) = &self.keys {
--- a/router/src/lifecycle/start.rs
+++ b/router/src/lifecycle/start.rs
@@ -161,7 +161,7 @@
         )
     });
     let cadence = WatchSchedule::new(bounds.ask_within, !seed);
-    let (bounds, asked) = (Rc::new(bounds), tariff.roster_on_request);
+    let (bounds, asked) = (Rc::new(bounds), tariff.discovery_is_polled);
     let office = EffectQueue {
         bounds: Rc::clone(&bounds),
         limits,
@@ -174,28 +174,28 @@
         budget: Budget::new(memory),
         clients: Rc::default(),
         executor: Rc::new(LocalExecutor::new()),
-        desk: RefCell::new(Decisions {
-            brain: RoutingEngine::new(tariff, seed),
-            office,
+        decisions: RefCell::new(Decisions {
+            engine: RoutingEngine::new(tariff, seed),
+            effects: office,
         }),
-        gate,
+        auth: gate,
         fleet,
-        turn: Event::new(),
-        watch: Event::new(),
+        input_applied: Event::new(),
+        watch_requested: Event::new(),
         discovery: Cell::new(discovery),
-        moved: Event::new(),
-        stopping: Cell::new(None),
-        accepts: Cell::new(true),
-        accepts_changed: Event::new(),
-        handing: Cell::new(false),
-        handed: RefCell::default(),
-        handed_more: Event::new(),
-        handing_changed: Event::new(),
-        roster_version: Cell::new(known["index"].as_u64().unwrap_or(0)),
-        gone: Cell::new(false),
-        told_to_stop: Event::new(),
-        closing: Event::new(),
-        accepts_no_more: Cell::new(false),
+        discovery_moved: Event::new(),
+        shutdown: Cell::new(None),
+        accepting: Cell::new(true),
+        accepting_changed: Event::new(),
+        passing_clients: Cell::new(false),
+        passed_clients: RefCell::default(),
+        client_passed: Event::new(),
+        passing_clients_changed: Event::new(),
+        endpoint_list_version: Cell::new(known["index"].as_u64().unwrap_or(0)),
+        handed_over: Cell::new(false),
+        stop_requested: Event::new(),
+        listener_closing: Event::new(),
+        listener_closed: Cell::new(false),
     });
     let share = Rc::new(Share::of(&router));
     let control = settings.control;
@@ -249,11 +249,11 @@
             }
         };
         if !asked {
-            router.watch.notify(1);
+            router.watch_requested.notify(1);
         }
         tracing::info!(
             "{name} serves on {listen}, {} nodes known",
-            router.desk.borrow().office.nodes.count()
+            router.decisions.borrow().effects.nodes.count()
         );
         key_sources::start(&router);
         if let Some(fleet) = &router.fleet {
@@ -286,7 +286,7 @@
             }
         });
         signals::obey(&router, signals, &source, accepting).await;
-        let stays = control.filter(|control| control.terms.stays && router.gone.get());
+        let stays = control.filter(|control| control.terms.stays && router.handed_over.get());
         Ok::<_, String>(stays.and_then(|control| control.upgrades.heir.take()))
     }))?;
     drop(router);
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -23,14 +23,14 @@
 /// From the signal on: accepts for as long as connections still come, then answers what is in hand.
 pub async fn stop(router: &Router, accepting: Task<()>) {
     let of = Shutdown::new(router.clock.now(), router.bounds.longest_deadline);
-    router.stopping.set(Some(of));
-    router.play(|brain, now, out| brain.stops(now, of.answers_by, out));
+    router.shutdown.set(Some(of));
+    router.apply(|brain, now, out| brain.shutdown_started(now, of.answers_by, out));
     if let Some(fleet) = &router.fleet {
         fleet.look_again();
     }
     tracing::info!("stopping: {}", what_is_out(router));
     Timer::at(router.clock.instant(of.accepts_until)).await;
-    router.closing.notify(usize::MAX);
+    router.listener_closing.notify(usize::MAX);
     accepting.await;
     tracing::info!("stopping: the listener is gone, {}", what_is_out(router));
     when_done(router, of).await;
@@ -44,8 +44,8 @@
         format!("{count} {what}{}", age.unwrap_or_default())
     };
     let of = |state| router.clients.count(state);
-    let desk = router.desk.borrow();
-    let ledger = &desk.office.ledger;
+    let desk = router.decisions.borrow();
+    let ledger = &desk.effects.in_flight;
     let lookups = aged((ledger.lookups(), ledger.oldest()), "lookups in hand");
     let clients = [
         aged(of(State::New), "without a request yet"),
@@ -63,15 +63,15 @@
 
 /// Closes connections without a request and waits until nothing is owed, or until the process may be killed.
 async fn when_done(router: &Router, of: Shutdown) {
-    router.accepts_no_more.set(true);
+    router.listener_closed.set(true);
     // Only those that rest: who is closing in order has an answer on its way.
     router.clients.end(State::Resting, |_| true);
     loop {
         let now = router.clock.now();
         let (clients, waiting) = (router.descriptors.clients(), router.clients.waiting());
         // One that hands over leaves when that is done: whoever asked for it is owed the word.
-        let hands = usize::from(router.handing.get() && !router.gone.get());
-        if of.leaves(now, clients + hands, clients.saturating_sub(waiting)) {
+        let hands = usize::from(router.passing_clients.get() && !router.handed_over.get());
+        if of.may_exit(now, clients + hands, clients.saturating_sub(waiting)) {
             break;
         }
         // Connections that had brought no request yet were left open, and got first requests up to the kill.
@@ -82,8 +82,8 @@
         Timer::at(router.clock.instant(now + LOOK_AGAIN)).await;
     }
     tracing::info!("stopping: leaves, {}", what_is_out(router));
-    let desk = router.desk.borrow();
-    let (office, counts) = (&desk.office, &desk.office.counts);
+    let desk = router.decisions.borrow();
+    let (office, counts) = (&desk.effects, &desk.effects.counts);
     tracing::info!(
         "stopped: {} lookups taken, {} satisfied, {} nacked, {} aborted, {} lapsed, {} turned away; \
          {} part calls, {} connections to nodes, {} peers at the highest",
--- a/router/src/lifecycle/takeover.rs
+++ b/router/src/lifecycle/takeover.rs
@@ -77,16 +77,16 @@
         std::process::id()
     );
     let (mut machine, mut effects) =
-        NewProcess::begins(patience, digest, &program, router.clock.now());
+        NewProcess::start(patience, digest, &program, router.clock.now());
     let (mut listeners, mut state, mut version) = (None::<Vec<TcpListener>>, Vec::new(), None);
     loop {
         for effect in std::mem::take(&mut effects) {
             match effect {
                 Effect::Send(message) => {
-                    let due = machine.due();
-                    let sent = router.until(due, link.send(&message, &[])).await;
+                    let due = machine.next_timeout();
+                    let sent = router.with_deadline(due, link.send(&message, &[])).await;
                     if !matches!(sent, Some(Ok(()))) {
-                        tracing::debug!("upgrade: {} could not be said", message.word());
+                        tracing::debug!("upgrade: {} could not be said", message.name());
                     }
                 }
                 Effect::Use(lease) => share.put_to_use(router, lease, true),
@@ -96,7 +96,7 @@
                 _ => {}
             }
         }
-        if machine.serves() {
+        if machine.is_serving() {
             return Ok(Taken {
                 listeners,
                 version,
@@ -107,13 +107,15 @@
                 },
             });
         }
-        let heard = router.until(machine.due(), link.receive()).await;
+        let heard = router
+            .with_deadline(machine.next_timeout(), link.receive())
+            .await;
         let now = router.clock.now();
         effects = match heard {
-            None => machine.elapsed(now),
+            None => machine.handle_timeout(now),
             Some(Err(_)) => {
                 let old_lives = old_lives(router, parent).await;
-                machine.heard(
+                machine.handle_event(
                     router.clock.now(),
                     OldProcessEvent::LinkLost { old_lives },
                     share.whole(),
@@ -136,7 +138,7 @@
                     _ => {}
                 }
                 let mut effects =
-                    machine.heard(now, OldProcessEvent::Received(message), share.whole());
+                    machine.handle_event(now, OldProcessEvent::Received(message), share.whole());
                 if last {
                     let applied =
                         Snapshot::parse(&state).and_then(|snapshot| snapshot.apply(router));
@@ -145,7 +147,7 @@
                         tracing::warn!("upgrade: the state cannot be used, {what}");
                     }
                     version = applied.as_ref().ok().copied();
-                    effects.extend(machine.heard(
+                    effects.extend(machine.handle_event(
                         now,
                         OldProcessEvent::SnapshotLoaded(applied.is_ok()),
                         share.whole(),
@@ -180,7 +182,9 @@
                 }
                 continue;
             }
-            Ok(message) => machine.heard(now, OldProcessEvent::Received(message), share.whole()),
+            Ok(message) => {
+                machine.handle_event(now, OldProcessEvent::Received(message), share.whole())
+            }
             Err(_) => {
                 // What it kept is its own until it has left, link or none.
                 while !machine.is_over()
@@ -189,7 +193,7 @@
                 {
                     Timer::at(router.clock.instant(router.clock.now() + LOOK_ON)).await;
                 }
-                machine.heard(
+                machine.handle_event(
                     router.clock.now(),
                     OldProcessEvent::LinkLost { old_lives: false },
                     share.whole(),
@@ -200,16 +204,16 @@
             match effect {
                 Effect::Send(message) => {
                     let said = link.send(&message, &[]).await;
-                    tracing::debug!("upgrade: {} is said, {said:?}", message.word());
+                    tracing::debug!("upgrade: {} is said, {said:?}", message.name());
                 }
                 Effect::Use(lease) => share.put_to_use(&router, lease, true),
                 Effect::Accept(accepts) => {
-                    router.accepts.set(accepts);
-                    router.accepts_changed.notify(usize::MAX);
+                    router.accepting.set(accepts);
+                    router.accepting_changed.notify(usize::MAX);
                 }
                 Effect::Log(line) => tracing::warn!("{line}"),
                 Effect::Exit => {
-                    router.told_to_stop.notify(1);
+                    router.stop_requested.notify(1);
                 }
                 _ => {}
             }
--- a/router/src/lifecycle/tls.rs
+++ b/router/src/lifecycle/tls.rs
@@ -167,7 +167,7 @@
 
     /// Tells identity of the lists of revoked certificates.
     pub fn tell_lists(&self, router: &Router) {
-        let Some(gate) = &router.gate else { return };
+        let Some(gate) = &router.auth else { return };
         for path in &self.terms.lists {
             let told = read(path).and_then(|text| {
                 let all: Result<Vec<_>, _> = rustls_pemfile::crls(&mut &text[..]).collect();
--- a/router/src/lifecycle/upgrade.rs
+++ b/router/src/lifecycle/upgrade.rs
@@ -43,12 +43,12 @@
 
 impl Share {
     pub fn of(router: &Router) -> Share {
-        let desk = router.desk.borrow();
+        let desk = router.decisions.borrow();
         let number = |of: usize| u32::try_from(of).unwrap_or(u32::MAX);
         let (total, memory) = (router.descriptors.total(), router.budget.limit());
         let whole = Lease {
-            held: desk.office.bounds.most_held.map_or(u32::MAX, number),
-            extra: desk.brain.tariff.extra_spare.clamp(0.0, 1e9) as u32,
+            held: desk.effects.bounds.most_held.map_or(u32::MAX, number),
+            extra: desk.engine.config.retry_budget_min.clamp(0.0, 1e9) as u32,
             // The new process has descriptors of its own beside its peers', out of the same number.
             sockets: number(total.saturating_sub(OWN)),
             memory: memory as u64,
@@ -69,7 +69,7 @@
     fn uses(&self, router: &Router) -> Lease {
         // Requests that are half read here are taken here.
         let half_read = HELD_A_CLIENT * router.descriptors.clients();
-        let held = router.desk.borrow().office.ledger.held() + half_read;
+        let held = router.decisions.borrow().effects.in_flight.held() + half_read;
         let sockets = router.descriptors.held() + SPARE_SOCKETS;
         let number = |of: usize| u32::try_from(of).unwrap_or(u32::MAX);
         Lease {
@@ -84,19 +84,20 @@
     pub fn put_to_use(&self, router: &Router, lease: Lease, goes_on: bool) {
         let whole = lease == self.whole;
         self.has.set(lease);
-        let mut desk = router.desk.borrow_mut();
+        let mut desk = router.decisions.borrow_mut();
         let desk = &mut *desk;
-        desk.office.lent = (!whole && lease.held < u32::MAX).then_some(lease.held as usize);
+        desk.effects.shared_limit =
+            (!whole && lease.held < u32::MAX).then_some(lease.held as usize);
         if whole {
-            desk.brain.serve_whole();
-            if let Some(limits) = &mut desk.office.limits {
+            desk.engine.serve_whole();
+            if let Some(limits) = &mut desk.effects.limits {
                 limits.other_done();
             }
             router.descriptors.set_total(self.total);
             router.budget.set_limit(self.memory);
             return;
         }
-        desk.brain.serve_part(f64::from(lease.extra), goes_on);
+        desk.engine.serve_share(f64::from(lease.extra), goes_on);
         router.descriptors.set_total(lease.sockets as usize);
         router
             .budget
@@ -184,8 +185,11 @@
         };
         let Some(link) = &self.link else { return };
         // A new process that reads nothing is found out by the time of the step.
-        let due = self.of.machine.borrow().due();
-        let sent = self.router.until(due, link.send(message, &fds)).await;
+        let due = self.of.machine.borrow().next_timeout();
+        let sent = self
+            .router
+            .with_deadline(due, link.send(message, &fds))
+            .await;
         if !matches!(sent, Some(Ok(()))) {
             self.broke = self.broke.or(Some(self.router.clock.now()));
         }
@@ -237,15 +241,15 @@
                     }
                 }
                 Effect::Accept(accepts) => {
-                    router.accepts.set(accepts);
-                    router.accepts_changed.notify(usize::MAX);
+                    router.accepting.set(accepts);
+                    router.accepting_changed.notify(usize::MAX);
                 }
                 Effect::PassClients(hands) => {
-                    router.handing.set(hands);
-                    router.handing_changed.notify(usize::MAX);
+                    router.passing_clients.set(hands);
+                    router.passing_clients_changed.notify(usize::MAX);
                 }
                 Effect::Use(lease) => {
-                    let goes_on = self.of.machine.borrow().serves();
+                    let goes_on = self.of.machine.borrow().is_serving();
                     self.of.share.put_to_use(router, lease, goes_on);
                 }
                 Effect::EndPeer => self.end_peer(),
@@ -266,7 +270,7 @@
     /// Clients' connections that have become idle go over.
     async fn pass_clients(&mut self) {
         loop {
-            let next = self.router.handed.borrow_mut().pop_front();
+            let next = self.router.passed_clients.borrow_mut().pop_front();
             let Some((socket, unread)) = next else { return };
             let Some(link) = &self.link else { return };
             let message = Message::Client { unread };
@@ -274,14 +278,17 @@
             let late = self.router.clock.now() + LOOK.times(100.0);
             let sent = self
                 .router
-                .until(Some(late), link.send(&message, &fds))
+                .with_deadline(Some(late), link.send(&message, &fds))
                 .await;
             if matches!(sent, Some(Ok(()))) {
                 continue;
             }
             // Where nothing of it can have gone over, it stays here: its client has lost nothing.
             if let (Some(Err(_)), Message::Client { unread }) = (sent, message) {
-                self.router.handed.borrow_mut().push_front((socket, unread));
+                self.router
+                    .passed_clients
+                    .borrow_mut()
+                    .push_front((socket, unread));
             }
             self.broke = self.broke.or(Some(self.router.clock.now()));
             return;
@@ -294,7 +301,7 @@
             Timer::at(router.clock.instant(router.clock.now() + LOOK)).await;
             Came::Nothing
         };
-        let more = router.handed_more.listen();
+        let more = router.client_passed.listen();
         let handed = async {
             more.await;
             Came::Nothing
@@ -344,7 +351,7 @@
     let effects = of
         .machine
         .borrow_mut()
-        .begin(router.clock.now(), of.share.has.get())
+        .start(router.clock.now(), of.share.has.get())
         .map_err(str::to_owned)?;
     of.begun.set(of.begun.get() + 1);
     let mut run = Run {
@@ -362,7 +369,7 @@
     let mut told_broke = false;
     loop {
         let came = run.wait().await;
-        if router.is_stopping() && !of.machine.borrow().drains() {
+        if router.is_stopping() && !of.machine.borrow().is_draining() {
             // Told to stop: there is to be no heir that nobody has asked for.
             if let Some(child) = &mut run.child {
                 let _ = child.kill();
@@ -374,15 +381,15 @@
             Some(NewProcessEvent::LinkBroken) if std::mem::replace(&mut told_broke, true) => {
                 Vec::new()
             }
-            Some(event) => of.machine.borrow_mut().heard(now, event, uses),
+            Some(event) => of.machine.borrow_mut().handle_event(now, event, uses),
             None => Vec::new(),
         };
         run.carry_out(effects, say).await;
-        let effects = of.machine.borrow_mut().elapsed(now);
+        let effects = of.machine.borrow_mut().handle_timeout(now);
         run.carry_out(effects, say).await;
-        if of.machine.borrow().serves() {
+        if of.machine.borrow().is_serving() {
             // Connections that were on their way over stay here.
-            for (socket, unread) in router.handed.borrow_mut().drain(..) {
+            for (socket, unread) in router.passed_clients.borrow_mut().drain(..) {
                 if let Err(what) = crate::stages::listener::adopt(router, socket, &unread) {
                     tracing::warn!("upgrade: a connection is closed, {what}");
                 }
@@ -390,9 +397,10 @@
             return Err(run.why);
         }
         run.pass_clients().await;
-        let nothing = router.descriptors.clients() == 0 && router.handed.borrow().is_empty();
-        if nothing && router.desk.borrow().office.ledger.lookups() == 0 {
-            let effects = of.machine.borrow_mut().drained();
+        let nothing =
+            router.descriptors.clients() == 0 && router.passed_clients.borrow().is_empty();
+        if nothing && router.decisions.borrow().effects.in_flight.lookups() == 0 {
+            let effects = of.machine.borrow_mut().drain_finished();
             run.carry_out(effects, say).await;
         }
         if run.left {
--- a/router/src/lifecycle/watch.rs
+++ b/router/src/lifecycle/watch.rs
@@ -21,7 +21,7 @@
 pub fn take_list(router: &Router, list: &Value) -> Result<u64, &'static str> {
     let (version, full) = discovery::version(list)?;
     let entries = list["endpoints"].as_array().map_or(&[][..], Vec::as_slice);
-    router.play(|brain, now, out| {
+    router.apply(|brain, now, out| {
         let mut listings = Vec::with_capacity(entries.len());
         for entry in entries {
             match discovery::entry(entry, &out.bounds.zone_names) {
@@ -29,7 +29,7 @@
                     if let Some(fleet) = &router.fleet {
                         fleet.lists(&name, &mut listing);
                     }
-                    let (node, news) = out.nodes.list(&name, address, listing.phase);
+                    let (node, news) = out.nodes.list(&name, address, listing.state);
                     listing.node = node;
                     // The module's lines name nodes by these numbers.
                     if news {
@@ -46,7 +46,7 @@
                     let known = known
                         .filter(|_| full)
                         .and_then(|node| brain.nodes.get(&node));
-                    listings.extend(known.map(|node| node.listing));
+                    listings.extend(known.map(|node| node.endpoint));
                 }
             }
         }
@@ -64,13 +64,13 @@
         }
         let gone = listings
             .iter()
-            .filter(|listing| listing.phase == EndpointState::Gone)
+            .filter(|listing| listing.state == EndpointState::Gone)
             .count();
         tracing::debug!(
             "roster: version {version}, {} entries, {gone} gone",
             listings.len()
         );
-        brain.roster(now, &listings, full, out);
+        brain.endpoints_changed(now, &listings, full, out);
         out.nodes.forget_gone();
     });
     Ok(version)
@@ -82,9 +82,13 @@
 pub async fn watch(router: Rc<Router>, mut cadence: WatchSchedule) {
     let (mut kept, mut failing, mut after) = (None::<Async<TcpStream>>, false, None);
     let mut first = true;
-    let (mut at, mut watching, mut wanted) = (router.discovery.get(), false, router.watch.listen());
+    let (mut at, mut watching, mut wanted) = (
+        router.discovery.get(),
+        false,
+        router.watch_requested.listen(),
+    );
     loop {
-        let moved = router.moved.listen();
+        let moved = router.discovery_moved.listen();
         let discovery = router.discovery.get();
         if discovery != at {
             (at, watching) = (discovery, true);
@@ -92,9 +96,9 @@
         }
         if !watching {
             future::or(wanted, moved).await;
-            (wanted, watching) = (router.watch.listen(), true);
+            (wanted, watching) = (router.watch_requested.listen(), true);
             if std::mem::replace(&mut first, false) {
-                after = Some(router.roster_version.get());
+                after = Some(router.endpoint_list_version.get());
             }
             continue;
         }
@@ -102,7 +106,11 @@
         let terms = cadence.next(after.is_some());
         let called = async {
             let call = call(&router, &mut kept, discovery, after, terms.wait);
-            Some(router.until(Some(began + terms.patience), call).await)
+            Some(
+                router
+                    .with_deadline(Some(began + terms.timeout), call)
+                    .await,
+            )
         };
         let leaves = async {
             moved.await;
@@ -116,7 +124,7 @@
         match answered.and_then(|list| take_list(&router, &list).map_err(str::to_owned)) {
             Ok(newer) => {
                 cadence.answered();
-                router.roster_version.set(newer);
+                router.endpoint_list_version.set(newer);
                 let early = after == Some(newer) && router.clock.now().since(began) < terms.wait;
                 (after, failing) = (Some(newer), false);
                 if early {
@@ -138,8 +146,8 @@
                 }
                 watching = false;
                 // What the module wanted before it hears of this is out of date.
-                wanted = router.watch.listen();
-                router.play(|brain, now, out| brain.roster_failed(now, out));
+                wanted = router.watch_requested.listen();
+                router.apply(|brain, now, out| brain.endpoint_watch_failed(now, out));
             }
         }
     }
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -56,11 +56,13 @@
     index: Option<IndexNo>,
     fields: Option<&Value>,
 ) -> Result<Option<CustomerNo>, Answer> {
-    let Some(gate) = &router.gate else {
+    let Some(gate) = &router.auth else {
         return Ok(None);
     };
     let token = auth_filter::token(request)?;
-    let repeat = |index: IndexNo| router.desk.borrow().brain.tariff.indexes[index.at()].repeat;
+    let repeat = |index: IndexNo| {
+        router.decisions.borrow().engine.config.indexes[index.at()].retry_semantics
+    };
     let idempotent = index
         .map(repeat)
         .is_none_or(|repeat| repeat == RetrySemantics::Idempotent);
@@ -118,19 +120,19 @@
     let fields = fields.map_err(bad)?;
     let parts = query::parts(&fields, bounds.shards).map_err(bad)?;
     let statement = query::statement(&fields).map_err(bad)?;
-    let mut desk = router.desk.borrow_mut();
-    let row = &desk.brain.tariff.indexes[index.at()];
+    let mut desk = router.decisions.borrow_mut();
+    let row = &desk.engine.config.indexes[index.at()];
     let (fingerprinted, soft) = (
-        matches!(row.repeat, RetrySemantics::Fingerprinted(_)),
-        row.soft,
+        matches!(row.retry_semantics, RetrySemantics::Fingerprinted(_)),
+        row.latency_objective,
     );
     let key = fingerprinted
         .then(|| word("idempotency-key").ok_or_else(|| bad("Idempotency-Key is missing")));
     let key = key.transpose()?;
-    if desk.office.ledger.knows(name) {
+    if desk.effects.in_flight.knows(name) {
         return Err(bad("Req-Id is in hand already"));
     }
-    if desk.office.is_full() {
+    if desk.effects.is_full() {
         return Err(line(503, "too many lookups in hand"));
     }
     // By the clock as it stands in this very turn: a process that was stopped finds its lease over.
@@ -140,7 +142,7 @@
         .map(|fleet| fleet.admit(router.clock.now()))
         .transpose()?;
     // From here on the place is the lookup's, and is given back where it closes.
-    if let (Some(limits), Some(tenant)) = (&mut desk.office.limits, tenant) {
+    if let (Some(limits), Some(tenant)) = (&mut desk.effects.limits, tenant) {
         auth_filter::place(limits, now, tenant, repeat)?;
     }
     let span = tracing::debug_span!("lookup", id = name, index = segment);
@@ -153,10 +155,10 @@
     };
     let reply = Rc::new(Reply::default());
     let shards = parts.iter().map(|(shard, _, _)| *shard);
-    let (id, ids) = desk
-        .office
-        .ledger
-        .open(name, statement, key, shards, Rc::clone(&reply), taken);
+    let (id, ids) =
+        desk.effects
+            .in_flight
+            .open(name, statement, key, shards, Rc::clone(&reply), taken);
     drop(desk);
     let parts = ids
         .into_iter()
--- a/router/src/stages/auth_filter.rs
+++ b/router/src/stages/auth_filter.rs
@@ -265,7 +265,7 @@
     pub fn told_of_terms(&self, of: IdentityTerms, told: &mut Limits) -> Result<(), TermsFault> {
         let mut identity = self.identity.borrow_mut();
         identity.told_of_terms(of.terms.clone())?;
-        told.told_of(limits(&identity, &of), of.whole);
+        told.update(limits(&identity, &of), of.whole);
         Ok(())
     }
 
@@ -440,9 +440,9 @@
     tenant: CustomerNo,
     repeat: bool,
 ) -> Result<(), Answer> {
-    limits.take(now, tenant, repeat).map_err(|refused| {
+    limits.admit(now, tenant, repeat).map_err(|refused| {
         let (_, _, body) = line(429, &refused.to_string());
-        (429, retry_after(refused.come_back()), body)
+        (429, retry_after(refused.retry_after()), body)
     })
 }
 
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -49,18 +49,18 @@
 pub struct EffectQueue {
     pub now: Micros,
     pub bounds: Rc<Bounds>,
-    pub ledger: InFlightTable,
+    pub in_flight: InFlightTable,
     pub nodes: Nodes,
     pub counts: Counts,
     /// Calls wanted since the last turn, in order; emptied by the send stage.
-    pub orders: Vec<CallKey>,
-    pub probes: Vec<NodeId>,
+    pub ordered_attempts: Vec<CallKey>,
+    pub health_checks: Vec<NodeId>,
     /// Emptied by the next turn.
-    pub returns: VecDeque<Return>,
+    pub finished_attempts: VecDeque<Return>,
     pub timers: BTreeSet<(Micros, TimerId)>,
     pub watch_wanted: bool,
     /// The most that this process may hold while two share a router's; none: as the settings say.
-    pub lent: Option<usize>,
+    pub shared_limit: Option<usize>,
     /// What tenants have in hand; none where they are not told apart.
     pub limits: Option<Limits>,
     /// The last lookup found no room.
@@ -70,8 +70,13 @@
 impl EffectQueue {
     /// Whether as many lookups and parts are in hand as may be; one is then turned away.
     pub fn is_full(&mut self) -> bool {
-        let held = self.ledger.held();
-        let most = self.bounds.most_held.into_iter().chain(self.lent).min();
+        let held = self.in_flight.held();
+        let most = self
+            .bounds
+            .most_held
+            .into_iter()
+            .chain(self.shared_limit)
+            .min();
         let full = most.is_some_and(|most| held >= most);
         self.counts.turned_away += u64::from(full);
         if std::mem::replace(&mut self.full, full) != full {
@@ -103,11 +108,11 @@
 
     /// Ends a call: the one way in which it leaves the books. The module hears of it in the next turn.
     pub fn end_call(&mut self, key: CallKey, ending: AttemptOutcome) {
-        let Some(call) = self.ledger.finish(key) else {
+        let Some(call) = self.in_flight.finish(key) else {
             return;
         };
         match call.place {
-            Place::Ordered => self.orders.retain(|order| *order != key),
+            Place::Ordered => self.ordered_attempts.retain(|order| *order != key),
             Place::Waiting(id) => {
                 if let Some(connection) = self.nodes.connection_mut(id) {
                     connection
@@ -119,12 +124,13 @@
             }
             Place::Queued(id, end) => self.nodes.unload(id, &call.id, end, self.now),
         }
-        self.returns.push_back(Return { key, call, ending });
+        self.finished_attempts
+            .push_back(Return { key, call, ending });
     }
 
     /// Gives a call up: at the node too, if it may have heard of it.
     pub fn give_up(&mut self, key: CallKey, ending: AttemptOutcome, cancels: bool) {
-        let Some(call) = self.ledger.call(key) else {
+        let Some(call) = self.in_flight.call(key) else {
             return;
         };
         let written = upstream_writer::is_written(&self.nodes, call);
@@ -140,7 +146,7 @@
 
     /// The one place where a lookup is closed. Nothing of it is sent from here on.
     fn close(&mut self, id: QueryId, status: u16, headers: String, body: String) {
-        let Some(held) = self.ledger.close(id) else {
+        let Some(held) = self.in_flight.close(id) else {
             return;
         };
         let took = self.now.since(held.taken.at);
@@ -149,11 +155,11 @@
             .in_scope(|| tracing::debug!("book: {status} after {} us", took.0));
         self.counts.late += u64::from(status == 200 && took > held.taken.soft);
         if let (Some(limits), Some(tenant)) = (&mut self.limits, held.taken.tenant) {
-            limits.given_back(self.now, tenant, took, took > held.taken.soft);
+            limits.release(self.now, tenant, took, took > held.taken.soft);
         }
         for part in &held.parts {
             let out = self
-                .ledger
+                .in_flight
                 .out_of(part.id)
                 .filter(|(_, call)| !upstream_writer::is_written(&self.nodes, call));
             let unsent: Vec<CallKey> = out.map(|(key, _)| key).collect();
@@ -166,25 +172,25 @@
     }
 
     /// Its client has left: no answer is due.
-    pub fn lapse(&mut self, id: QueryId) {
+    pub fn client_left(&mut self, id: QueryId) {
         self.counts.lapsed += 1;
         self.close(id, 503, String::new(), String::new());
     }
 }
 
 impl Actions for EffectQueue {
-    fn part_call(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
-        if let Some(key) = self
-            .ledger
-            .order(part, node, self.now, limit, self.bounds.dial_timeout)
+    fn send_attempt(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
+        if let Some(key) =
+            self.in_flight
+                .order(part, node, self.now, limit, self.bounds.dial_timeout)
         {
             self.counts.calls += 1;
-            self.orders.push(key);
+            self.ordered_attempts.push(key);
         }
     }
 
     fn answer(&mut self, lookup: QueryId, whole: bool) {
-        let Some(held) = self.ledger.lookup(lookup) else {
+        let Some(held) = self.in_flight.lookup(lookup) else {
             return;
         };
         let values = held
@@ -196,7 +202,7 @@
         self.close(lookup, 200, String::new(), body);
     }
 
-    fn nack(&mut self, lookup: QueryId, come_back: Micros) {
+    fn reject(&mut self, lookup: QueryId, come_back: Micros) {
         self.counts.nacked += 1;
         self.close(
             lookup,
@@ -206,7 +212,7 @@
         );
     }
 
-    fn abort(&mut self, lookup: QueryId) {
+    fn fail(&mut self, lookup: QueryId) {
         self.counts.aborted += 1;
         self.close(
             lookup,
@@ -216,28 +222,28 @@
         );
     }
 
-    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo) {
+    fn cancel_attempt(&mut self, part: ShardRequestId, call: AttemptNo) {
         self.give_up((part, call), AttemptOutcome::Cancelled, true);
     }
 
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.nodes.retire_idle(node);
     }
 
-    fn probe(&mut self, node: NodeId) {
-        self.probes.push(node);
+    fn check_health(&mut self, node: NodeId) {
+        self.health_checks.push(node);
     }
 
-    fn watch_roster(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.watch_wanted = true;
     }
 
-    fn timer(&mut self, delay: Micros, timer: TimerId) {
+    fn set_timer(&mut self, delay: Micros, timer: TimerId) {
         self.timers.insert((self.now + delay, timer));
     }
 
-    fn reason(&mut self, lookup: QueryId, why: DecisionReason) {
-        if let Some(held) = self.ledger.lookup(lookup) {
+    fn record_reason(&mut self, lookup: QueryId, why: DecisionReason) {
+        if let Some(held) = self.in_flight.lookup(lookup) {
             held.taken
                 .span
                 .in_scope(|| tracing::debug!("decided: {why:?}"));
@@ -294,7 +300,7 @@
             .connect(node, Micros(0), 1 << 10, permit)
             .expect("a connection");
         let (shards, reply) = ([ShardNo(0), ShardNo(1)], Rc::new(Reply::default()));
-        let (lookup, parts) = office.ledger.open(
+        let (lookup, parts) = office.in_flight.open(
             "r",
             "text",
             None,
@@ -302,11 +308,11 @@
             Rc::clone(&reply),
             Taken::default(),
         );
-        office.part_call(parts[0], node, Micros(900 * MS));
+        office.send_attempt(parts[0], node, Micros(900 * MS));
         let key = (parts[0], AttemptNo(0));
         if far > 0 {
-            office.orders.clear();
-            office.ledger.place(key, Place::Waiting(id));
+            office.ordered_attempts.clear();
+            office.in_flight.place(key, Place::Waiting(id));
         }
         let connection = office.nodes.connection_mut(id).expect("a connection");
         if far == 1 {
@@ -315,7 +321,7 @@
         if far > 1 {
             connection.carries.insert("r.0".into(), key);
             (connection.queued, connection.written) = (10, [0, 5, 10][usize::from(far) - 2]);
-            office.ledger.place(key, Place::Queued(id, 10));
+            office.in_flight.place(key, Place::Queued(id, 10));
         }
         (office, lookup, key, id, reply)
     }
@@ -323,7 +329,7 @@
     fn nothing_is_out(office: &EffectQueue, id: ConnectionId) -> bool {
         let connection = office.nodes.connection(id).expect("a connection");
         let carries = !connection.carries.is_empty() || !connection.waiting.is_empty();
-        office.ledger.next_due().is_none() && office.orders.is_empty() && !carries
+        office.in_flight.next_due().is_none() && office.ordered_attempts.is_empty() && !carries
     }
 
     #[test_case(0; "ordered")]
@@ -336,7 +342,11 @@
         office.end_call(key, AttemptOutcome::Cancelled);
         office.end_call(key, AttemptOutcome::Broken);
         assert!(nothing_is_out(&office, id));
-        let endings: Vec<AttemptOutcome> = office.returns.iter().map(|back| back.ending).collect();
+        let endings: Vec<AttemptOutcome> = office
+            .finished_attempts
+            .iter()
+            .map(|back| back.ending)
+            .collect();
         assert_eq!(endings, [AttemptOutcome::Cancelled]);
         // A frame that is not to be finished ends its connection.
         let connection = office.nodes.connection(id).expect("a connection");
@@ -349,17 +359,17 @@
     #[test_case(4, false; "written: it returns in its own time")]
     fn nothing_leaves_after_the_final_answer(far: u8, taken_off: bool) {
         let (mut office, lookup, _, id, reply) = office(far);
-        office.nack(lookup, Micros(1500 * MS));
+        office.reject(lookup, Micros(1500 * MS));
         let answer = reply.answer.borrow().clone().expect("an answer");
         assert_eq!(
             (answer.0, answer.1.as_str()),
             (503, "Retry-After: 1.500\r\n")
         );
-        assert_eq!(office.ledger.held(), 0);
-        assert!(!office.ledger.knows("r"));
+        assert_eq!(office.in_flight.held(), 0);
+        assert!(!office.in_flight.knows("r"));
         assert_eq!(nothing_is_out(&office, id), taken_off);
         // A second word on a lookup that is over changes nothing.
-        office.abort(lookup);
+        office.fail(lookup);
         assert_eq!(
             reply.answer.borrow().as_ref().map(|answer| answer.0),
             Some(503)
@@ -370,7 +380,7 @@
     #[test_case(4, true; "gone out")]
     fn a_part_given_up_is_named_to_a_node_that_knows_it(far: u8, named: bool) {
         let (mut office, _, key, id, _) = office(far);
-        office.cancel(key.0, key.1);
+        office.cancel_attempt(key.0, key.1);
         let connection = office.nodes.connection(id).expect("a connection");
         assert_eq!(
             connection.out.filled(),
@@ -385,11 +395,11 @@
     #[test]
     fn an_answer_holds_the_first_value_of_each_part_that_is_in() {
         let (mut office, lookup, key, _, reply) = office(4);
-        let call = office.ledger.finish(key).expect("a call");
-        office.ledger.keep(&call, "first");
-        office.ledger.keep(&call, "second");
+        let call = office.in_flight.finish(key).expect("a call");
+        office.in_flight.keep(&call, "first");
+        office.in_flight.keep(&call, "second");
         assert_eq!(
-            office.ledger.held(),
+            office.in_flight.held(),
             2,
             "the lookup, and the part that is not in"
         );
@@ -404,9 +414,9 @@
     #[test]
     fn a_call_is_looked_at_after_a_dial_and_when_its_time_is_up() {
         let (mut office, _, key, _, _) = office(4);
-        assert_eq!(office.ledger.next_due(), Some(Micros(250 * MS)));
-        office.ledger.look_when_due(key);
-        assert_eq!(office.ledger.next_due(), Some(Micros(900 * MS)));
-        assert_eq!(office.ledger.overdue(Micros(900 * MS)), Some(key));
+        assert_eq!(office.in_flight.next_due(), Some(Micros(250 * MS)));
+        office.in_flight.look_when_due(key);
+        assert_eq!(office.in_flight.next_due(), Some(Micros(900 * MS)));
+        assert_eq!(office.in_flight.overdue(Micros(900 * MS)), Some(key));
     }
 }
--- a/router/src/stages/dispatch.rs
+++ b/router/src/stages/dispatch.rs
@@ -24,14 +24,14 @@
     parts: Vec<(ShardRequestId, ShardNo, f64, Option<Micros>)>,
 ) {
     let query = WireQueryNo(id.0);
-    router.play(|brain, now, out| {
+    router.apply(|brain, now, out| {
         out.counts.taken += 1;
-        if let Some(held) = out.ledger.lookup(id) {
+        if let Some(held) = out.in_flight.lookup(id) {
             held.taken
                 .span
                 .in_scope(|| tracing::debug!("route: {} parts, {} us left", parts.len(), left.0));
         }
-        brain.lookup(
+        brain.query_received(
             now,
             id,
             query,
@@ -43,17 +43,17 @@
             out,
         );
         for (part, shard, weight, hint) in parts {
-            brain.part(now, part, query, shard, weight, hint, out);
+            brain.shard_request_received(now, part, query, shard, weight, hint, out);
         }
     });
 }
 
 /// A client has left before its answer.
 pub fn lapse(router: &Router, id: QueryId) {
-    router.play(|brain, now, out| {
-        if out.ledger.lookup(id).is_some() {
-            out.lapse(id);
-            brain.lapsed(now, id, out);
+    router.apply(|brain, now, out| {
+        if out.in_flight.lookup(id).is_some() {
+            out.client_left(id);
+            brain.client_left(now, id, out);
         }
     });
 }
@@ -65,8 +65,8 @@
         call,
         ending,
     } = back;
-    router.play(|brain, now, out| {
-        brain.returned(
+    router.apply(|brain, now, out| {
+        brain.attempt_finished(
             now,
             part,
             number,
@@ -82,21 +82,21 @@
 /// Plays what time and the module's own word have brought about.
 fn play_due(router: &Router) {
     loop {
-        let (now, mut desk) = (router.clock.now(), router.desk.borrow_mut());
-        desk.office.now = now;
-        let cancels = desk.brain.tariff.cancels;
-        let office = &mut desk.office;
-        if let Some(back) = office.returns.pop_front() {
+        let (now, mut desk) = (router.clock.now(), router.decisions.borrow_mut());
+        desk.effects.now = now;
+        let cancels = desk.engine.config.cancellation;
+        let office = &mut desk.effects;
+        if let Some(back) = office.finished_attempts.pop_front() {
             drop(desk);
             returned(router, back, &[]);
-        } else if let Some(key) = office.ledger.overdue(now) {
+        } else if let Some(key) = office.in_flight.overdue(now) {
             call_is_late(office, key, cancels);
         } else if office.timers.first().is_some_and(|(at, _)| *at <= now) {
             let Some((_, timer)) = office.timers.pop_first() else {
                 return;
             };
             drop(desk);
-            router.play(|brain, now, out| brain.elapsed(now, timer, out));
+            router.apply(|brain, now, out| brain.timer_fired(now, timer, out));
         } else {
             return;
         }
@@ -107,7 +107,7 @@
 /// A connection that has brought nothing since is not trusted with more: its peer may have vanished, and on
 /// its return would reset what is written to it.
 fn call_is_late(office: &mut EffectQueue, key: CallKey, cancels: bool) {
-    let Some(call) = office.ledger.call(key) else {
+    let Some(call) = office.in_flight.call(key) else {
         return;
     };
     let (written, sent, place) = (
@@ -116,7 +116,7 @@
         call.place,
     );
     if written && call.due > office.now {
-        return office.ledger.look_when_due(key);
+        return office.in_flight.look_when_due(key);
     }
     if let (Place::Queued(id, _), true) = (place, written) {
         office.nodes.retire_silent(id, sent);
@@ -138,16 +138,19 @@
 }
 
 fn next_due(router: &Router) -> Option<Micros> {
-    let desk = router.desk.borrow();
-    let timer = desk.office.timers.first().map(|(at, _)| *at);
-    timer.into_iter().chain(desk.office.ledger.next_due()).min()
+    let desk = router.decisions.borrow();
+    let timer = desk.effects.timers.first().map(|(at, _)| *at);
+    timer
+        .into_iter()
+        .chain(desk.effects.in_flight.next_due())
+        .min()
 }
 
 /// The turns of a router: wakes on inputs and on time, lets the inputs that are ready be played first, then
 /// has all orders carried out together, so that parts for one node share a call.
 pub async fn turns(router: Rc<Router>) {
     loop {
-        let turn = router.turn.listen();
+        let turn = router.input_applied.listen();
         future::yield_now().await;
         play_due(&router);
         upstream_writer::carry_out(&router);
--- a/router/src/stages/listener.rs
+++ b/router/src/stages/listener.rs
@@ -42,13 +42,13 @@
 
 /// Accepts connections until the router is told that the listener is to go, and then what still waits.
 pub async fn accept(router: Rc<Router>, listener: Async<TcpListener>, tls: Option<Rc<Tls>>) {
-    let closing = router.closing.listen();
+    let closing = router.listener_closing.listen();
     let mut failures = AcceptFailures::default();
     future::or(
         async {
             loop {
-                let changed = router.accepts_changed.listen();
-                if !router.accepts.get() {
+                let changed = router.accepting_changed.listen();
+                if !router.accepting.get() {
                     changed.await;
                     continue;
                 }
@@ -75,7 +75,10 @@
         closing,
     )
     .await;
-    while let (true, Some(permit)) = (router.accepts.get(), router.descriptors.take(Peer::Client)) {
+    while let (true, Some(permit)) = (
+        router.accepting.get(),
+        router.descriptors.take(Peer::Client),
+    ) {
         let stream = match listener.get_ref().accept() {
             Ok((stream, _)) => stream,
             Err(e) if e.kind() == ErrorKind::WouldBlock => break,
@@ -96,7 +99,7 @@
     }
     // The control socket holds the listener too, to pass it on: while this process answers what it has taken, the system
     // would go on taking connections that nobody serves. Where another process accepts, the listener is that one's.
-    if router.accepts.get() {
+    if router.accepting.get() {
         if let Err(e) = rustix::net::shutdown(listener.get_ref(), rustix::net::Shutdown::Both) {
             tracing::debug!("the listener cannot be shut, {e}");
         }
@@ -246,10 +249,10 @@
     if let Stream::Plain(socket) = stream {
         if let Ok(socket) = socket.into_inner() {
             router
-                .handed
+                .passed_clients
                 .borrow_mut()
                 .push_back((socket, input.to_vec()));
-            router.handed_more.notify(1);
+            router.client_passed.notify(1);
         }
     }
 }
@@ -273,7 +276,7 @@
 
 /// Reads and answers one request; false if the connection ends with it.
 async fn one_request(router: &Rc<Router>, line: &mut Line, request: &mut Reader) -> bool {
-    if router.handing.get() {
+    if router.passing_clients.get() {
         (line.handed, line.ends) = (true, "it goes to the new process");
         return false;
     }
@@ -288,7 +291,7 @@
         .longest_deadline
         .map_or(WHOLE_WITHIN, |longest| longest.min(WHOLE_WITHIN));
     let read = router
-        .until(
+        .with_deadline(
             Some(from + whole),
             read_request(router, line, request, from),
         )
@@ -372,9 +375,9 @@
         .bounds
         .longest_deadline
         .map(|longest| router.clock.now() + longest);
-    let last_byte = router.in_time(last_byte, |of| of.leaves_by);
+    let last_byte = router.before_shutdown(last_byte, |of| of.exit_by);
     let written = router
-        .until(last_byte, write_all(line))
+        .with_deadline(last_byte, write_all(line))
         .await
         .unwrap_or(false);
     line.gone |= !written;
@@ -429,14 +432,14 @@
     let mut told = place.told.listen();
     router.clients.keep_idle(router.descriptors.kept_idle());
     loop {
-        let hands = router.handing_changed.listen();
-        if router.handing.get() {
+        let hands = router.passing_clients_changed.listen();
+        if router.passing_clients.get() {
             (line.handed, line.ends) = (true, "it goes to the new process");
             return false;
         }
         // In a stop, one that has brought no request yet is told when it is to end.
         let rests = line.accepted.is_none();
-        let waits_on = !(rests && router.accepts_no_more.get()) && {
+        let waits_on = !(rests && router.listener_closed.get()) && {
             let more = async { line.stream.readable().await.is_ok() };
             let ends = async {
                 (&mut told).await;
@@ -448,7 +451,7 @@
             };
             let waits = future::or(more, future::or(ends, handed));
             let silent = line.accepted.map(|at| at + WHOLE_WITHIN);
-            router.until(silent, waits).await.unwrap_or(false)
+            router.with_deadline(silent, waits).await.unwrap_or(false)
         };
         // A request that has come meanwhile is still served; a wake-up without bytes begins none.
         match take_bytes(line) {
--- a/router/src/stages/mod.rs
+++ b/router/src/stages/mod.rs
@@ -34,8 +34,8 @@
 
 /// The decisions and the books that they act on.
 pub struct Decisions {
-    pub brain: RoutingEngine,
-    pub office: EffectQueue,
+    pub engine: RoutingEngine,
+    pub effects: EffectQueue,
 }
 
 /// One router: what its tasks share. No borrow of the desk is held while a task waits.
@@ -46,62 +46,69 @@
     pub budget: Rc<Budget>,
     pub clients: Rc<Clients>,
     pub executor: Rc<LocalExecutor<'static>>,
-    pub desk: RefCell<Decisions>,
+    pub decisions: RefCell<Decisions>,
     /// Who may ask; none: everybody.
-    pub gate: Option<AuthFilter>,
+    pub auth: Option<AuthFilter>,
     /// The fleet that this router agrees with on its policy; none: it goes by its own settings alone.
     pub fleet: Option<Rc<Fleet>>,
     /// An input has been played, so orders may wait to be carried out.
-    pub turn: Event,
+    pub input_applied: Event,
     /// The module wants the roster watched.
-    pub watch: Event,
+    pub watch_requested: Event,
     /// Where discovery is, and told when it has moved.
     pub discovery: Cell<SocketAddr>,
-    pub moved: Event,
+    pub discovery_moved: Event,
     /// By when what is owed, once the router was told to stop.
-    pub stopping: Cell<Option<Shutdown>>,
+    pub shutdown: Cell<Option<Shutdown>>,
     /// Whether clients are accepted, and told when that changes.
-    pub accepts: Cell<bool>,
-    pub accepts_changed: Event,
+    pub accepting: Cell<bool>,
+    pub accepting_changed: Event,
     /// Clients' connections that stand idle go to a new process: those that are to go, told when one has come, and told
     /// when it begins.
-    pub handing: Cell<bool>,
-    pub handed: RefCell<VecDeque<(TcpStream, Vec<u8>)>>,
-    pub handed_more: Event,
-    pub handing_changed: Event,
+    pub passing_clients: Cell<bool>,
+    pub passed_clients: RefCell<VecDeque<(TcpStream, Vec<u8>)>>,
+    pub client_passed: Event,
+    pub passing_clients_changed: Event,
     /// The version of the roster that is known.
-    pub roster_version: Cell<u64>,
+    pub endpoint_list_version: Cell<u64>,
     /// Everything has gone over to a new process.
-    pub gone: Cell<bool>,
+    pub handed_over: Cell<bool>,
     /// The router is to stop, by a command, or has nothing left.
-    pub told_to_stop: Event,
+    pub stop_requested: Event,
     /// Told when the listener is to go.
-    pub closing: Event,
+    pub listener_closing: Event,
     /// The listener is gone: a connection ends with the request on it, at once if it has none.
-    pub accepts_no_more: Cell<bool>,
+    pub listener_closed: Cell<bool>,
 }
 
 impl Router {
     /// Plays one input. What the module wants done is noted, and carried out when all inputs that are ready
     /// have been played.
-    pub fn play<R>(
+    pub fn apply<R>(
         &self,
         input: impl FnOnce(&mut RoutingEngine, Micros, &mut EffectQueue) -> R,
     ) -> R {
-        let mut desk = self.desk.borrow_mut();
-        let Decisions { brain, office } = &mut *desk;
+        let mut desk = self.decisions.borrow_mut();
+        let Decisions {
+            engine: brain,
+            effects: office,
+        } = &mut *desk;
         let now = self.clock.now();
         office.now = now;
         let result = input(brain, now, office);
         if std::mem::take(&mut office.watch_wanted) {
-            self.watch.notify(1);
+            self.watch_requested.notify(1);
         }
-        self.turn.notify(1);
+        self.input_applied.notify(1);
         result
     }
 
     /// What comes of `what`, or nothing once the time is up; without a time it is waited for.
-    pub async fn until<T>(&self, at: Option<Micros>, what: impl Future<Output = T>) -> Option<T> {
+    pub async fn with_deadline<T>(
+        &self,
+        at: Option<Micros>,
+        what: impl Future<Output = T>,
+    ) -> Option<T> {
         let Some(at) = at else {
             return Some(what.await);
         };
@@ -113,11 +120,15 @@
     }
 
     /// A time that the process may not be there to keep: sooner in a stop.
-    pub fn in_time(&self, at: Option<Micros>, by: impl Fn(Shutdown) -> Micros) -> Option<Micros> {
-        at.into_iter().chain(self.stopping.get().map(by)).min()
+    pub fn before_shutdown(
+        &self,
+        at: Option<Micros>,
+        by: impl Fn(Shutdown) -> Micros,
+    ) -> Option<Micros> {
+        at.into_iter().chain(self.shutdown.get().map(by)).min()
     }
 
     pub fn is_stopping(&self) -> bool {
-        self.stopping.get().is_some()
+        self.shutdown.get().is_some()
     }
 }
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -28,7 +28,7 @@
         let stalled = begun
             .zip(router.bounds.dial_timeout)
             .map(|(at, limit)| at + limit);
-        match router.until(stalled, stream.readable()).await {
+        match router.with_deadline(stalled, stream.readable()).await {
             Some(Ok(())) => {}
             Some(Err(_)) => return "cannot be read",
             None => return spoilt(router, id, "a frame is not finished", &frame),
@@ -65,16 +65,16 @@
 }
 
 fn spoilt(router: &Router, id: ConnectionId, what: &'static str, frame: &[u8]) -> &'static str {
-    let (now, mut desk) = (router.clock.now(), router.desk.borrow_mut());
-    desk.office.now = now;
-    desk.office.spoil(id, what, frames::id(frame));
+    let (now, mut desk) = (router.clock.now(), router.decisions.borrow_mut());
+    desk.effects.now = now;
+    desk.effects.spoil(id, what, frames::id(frame));
     what
 }
 
 fn heard(router: &Router, id: ConnectionId) {
-    let (now, mut desk) = (router.clock.now(), router.desk.borrow_mut());
-    desk.office.nodes.heard = now;
-    if let Some(connection) = desk.office.nodes.connection_mut(id) {
+    let (now, mut desk) = (router.clock.now(), router.decisions.borrow_mut());
+    desk.effects.nodes.heard = now;
+    if let Some(connection) = desk.effects.nodes.connection_mut(id) {
         (connection.used, connection.heard) = (now, now);
     }
 }
@@ -108,8 +108,8 @@
         End::Skipped => AttemptOutcome::NeverRan,
     };
     let back = {
-        let (now, mut desk) = (router.clock.now(), router.desk.borrow_mut());
-        let office = &mut desk.office;
+        let (now, mut desk) = (router.clock.now(), router.decisions.borrow_mut());
+        let office = &mut desk.effects;
         let Some(connection) = office.nodes.connection_mut(id) else {
             return Err("gone");
         };
@@ -122,17 +122,17 @@
                 Err("an answer of unknown id")
             };
         };
-        let Some(call) = office.ledger.finish(key) else {
+        let Some(call) = office.in_flight.finish(key) else {
             return Ok(());
         };
         connection.over(&call.id, now);
-        if let Some((held, _)) = office.ledger.part(&call) {
+        if let Some((held, _)) = office.in_flight.part(&call) {
             held.taken
                 .span
                 .in_scope(|| tracing::debug!("relay: part {} {ending:?}", call.id));
         }
         if ending == AttemptOutcome::Satisfied {
-            office.ledger.keep(&call, value);
+            office.in_flight.keep(&call, value);
         }
         office.nodes.stir_retired(id);
         Return { key, call, ending }
@@ -148,10 +148,10 @@
 fn load(router: &Router, id: ConnectionId, rest: &[u8]) -> Result<(), frames::BadFrame> {
     let text = std::str::from_utf8(rest).map_err(|_| "a report is not text")?;
     let node = {
-        let desk = router.desk.borrow();
-        desk.office.nodes.connection(id).ok_or("gone")?.node
+        let desk = router.decisions.borrow();
+        desk.effects.nodes.connection(id).ok_or("gone")?.node
     };
     let report = frames::report(text.trim_end(), &router.bounds.columns);
-    router.play(|brain, now, out| brain.probed(now, node, &report, out));
+    router.apply(|brain, now, out| brain.health_check_finished(now, node, &report, out));
     Ok(())
 }
--- a/router/src/stages/upstream_writer.rs
+++ b/router/src/stages/upstream_writer.rs
@@ -31,19 +31,19 @@
 
 /// Carries out the orders of a turn: those for one node share calls, up to the number in the settings.
 pub fn carry_out(router: &Rc<Router>) {
-    let mut desk = router.desk.borrow_mut();
-    let office = &mut desk.office;
+    let mut desk = router.decisions.borrow_mut();
+    let office = &mut desk.effects;
     office.now = router.clock.now();
-    let mut orders = std::mem::take(&mut office.orders);
+    let mut orders = std::mem::take(&mut office.ordered_attempts);
     while let Some(node) = orders
         .first()
-        .and_then(|key| Some(office.ledger.call(*key)?.node))
+        .and_then(|key| Some(office.in_flight.call(*key)?.node))
     {
         let (frame, rest) = split(office, orders, node);
         orders = rest;
         send_frame(router, office, node, frame);
     }
-    for node in std::mem::take(&mut office.probes) {
+    for node in std::mem::take(&mut office.health_checks) {
         let known = office.nodes.usable(node).next().map(|(id, _)| id);
         let Some(id) = known.or_else(|| open(router, office, node)) else {
             continue;
@@ -55,8 +55,8 @@
         }
     }
     // Calls that could not be made are told in a turn of their own.
-    if !office.returns.is_empty() {
-        router.turn.notify(1);
+    if !office.finished_attempts.is_empty() {
+        router.input_applied.notify(1);
     }
 }
 
@@ -69,7 +69,7 @@
     orders.into_iter().partition(|key| {
         let shares = room > 0
             && office
-                .ledger
+                .in_flight
                 .call(*key)
                 .is_some_and(|call| call.node == node);
         room -= usize::from(shares);
@@ -81,7 +81,7 @@
 fn send_frame(router: &Rc<Router>, office: &mut EffectQueue, node: NodeId, frame: Vec<CallKey>) {
     let most = office.bounds.parts_a_connection;
     let fits = |id: ConnectionId, carried: usize| {
-        carried + frame.len() <= most && frame.iter().all(|key| !office.ledger.carried(*key, id))
+        carried + frame.len() <= most && frame.iter().all(|key| !office.in_flight.carried(*key, id))
     };
     let found = office.nodes.usable(node).find(|(id, connection)| {
         let waiting = connection.waiting.iter().map(Vec::len).sum::<usize>();
@@ -99,7 +99,7 @@
     };
     frame
         .iter()
-        .for_each(|key| office.ledger.place(*key, Place::Waiting(id)));
+        .for_each(|key| office.in_flight.place(*key, Place::Waiting(id)));
     if let Some(connection) = office.nodes.connection_mut(id) {
         connection.waiting.push_back(frame);
         // What the socket does not take now, the connection's task writes; it also finds what is wrong.
@@ -127,7 +127,10 @@
 /// Moves frames that wait into the connection's buffer while it is up and has room.
 fn fill(office: &mut EffectQueue, id: ConnectionId) {
     let EffectQueue {
-        nodes, ledger, now, ..
+        nodes,
+        in_flight: ledger,
+        now,
+        ..
     } = office;
     let Some(connection) = nodes.connection_mut(id).filter(|of| of.stream.is_some()) else {
         return;
@@ -173,15 +176,27 @@
 /// A connection's whole life: dialled, used, and closed when it breaks, is retired or has stood idle.
 async fn connection(router: Rc<Router>, id: ConnectionId) {
     let found = |of: &Connection| (of.address, Rc::clone(&of.dials));
-    let found = router.desk.borrow().office.nodes.connection(id).map(found);
+    let found = router
+        .decisions
+        .borrow()
+        .effects
+        .nodes
+        .connection(id)
+        .map(found);
     let Some((address, dials)) = found else {
         return;
     };
     let dialled = dial_noting(&router, address, &dials).await;
     if let Ok(stream) = dialled {
         let stream = Rc::new(stream);
-        router.desk.borrow_mut().office.nodes.heard = router.clock.now();
-        if let Some(connection) = router.desk.borrow_mut().office.nodes.connection_mut(id) {
+        router.decisions.borrow_mut().effects.nodes.heard = router.clock.now();
+        if let Some(connection) = router
+            .decisions
+            .borrow_mut()
+            .effects
+            .nodes
+            .connection_mut(id)
+        {
             connection.stream = Some(Rc::clone(&stream));
         }
         let talk = future::or(
@@ -193,9 +208,15 @@
     } else if let Err(of) = dialled {
         tracing::debug!("connection to {address}: could not be made, {of:?}'s");
         // What this machine could not do says nothing of the node.
-        if let (Owner::Machine, Some(connection)) =
-            (of, router.desk.borrow_mut().office.nodes.connection_mut(id))
-        {
+        if let (Owner::Machine, Some(connection)) = (
+            of,
+            router
+                .decisions
+                .borrow_mut()
+                .effects
+                .nodes
+                .connection_mut(id),
+        ) {
             connection.abandoned = true;
         }
     }
@@ -224,7 +245,7 @@
                 Ok(stream) => return Ok(stream),
                 Err(e) => io_errors::dial(e.raw_os_error().unwrap_or(0)),
             };
-            let heard = || router.desk.borrow().office.nodes.heard >= began;
+            let heard = || router.decisions.borrow().effects.nodes.heard >= began;
             last.set(match failed {
                 Owner::Route => io_errors::route(heard()),
                 // Interrupted up to the end: nobody's, so not the node's.
@@ -244,7 +265,7 @@
         }
     };
     let stream = router
-        .until(limit, dials)
+        .with_deadline(limit, dials)
         .await
         .unwrap_or(Err(last.get()))?;
     // Frames and calls are small, and each is wanted at once.
@@ -255,8 +276,8 @@
 /// Ends what was out on a connection. What was not written whole has never run. A connection that the router
 /// ends itself says nothing of its node but for the call whose answer came spoilt: the node has not fallen.
 fn lost(router: &Router, id: ConnectionId) {
-    let mut desk = router.desk.borrow_mut();
-    let office = &mut desk.office;
+    let mut desk = router.decisions.borrow_mut();
+    let office = &mut desk.effects;
     office.now = router.clock.now();
     let Some(connection) = office.nodes.connection(id) else {
         return;
@@ -266,7 +287,7 @@
     let all = connection.waiting.iter().flatten().copied().chain(carried);
     let written = |key| {
         office
-            .ledger
+            .in_flight
             .call(key)
             .is_some_and(|call| is_written(&office.nodes, call))
     };
@@ -281,19 +302,22 @@
     office.nodes.disconnect(id);
     ends.into_iter()
         .for_each(|(key, ending)| office.end_call(key, ending));
-    router.turn.notify(1);
+    router.input_applied.notify(1);
 }
 
 /// Writes what stands in the connection's buffer, when the socket could not take it at once.
 async fn write(router: &Router, id: ConnectionId, stream: &Async<TcpStream>) -> &'static str {
     loop {
         let (stirred, written) = {
-            let mut desk = router.desk.borrow_mut();
-            desk.office.now = router.clock.now();
-            let Some(connection) = desk.office.nodes.connection(id) else {
+            let mut desk = router.decisions.borrow_mut();
+            desk.effects.now = router.clock.now();
+            let Some(connection) = desk.effects.nodes.connection(id) else {
                 return "gone";
             };
-            (connection.stirred.listen(), write_out(&mut desk.office, id))
+            (
+                connection.stirred.listen(),
+                write_out(&mut desk.effects, id),
+            )
         };
         match written {
             Ok(true) => stirred.await,
@@ -360,8 +384,8 @@
     let limit = limit.since(router.bounds.dial_timeout.unwrap_or_default());
     loop {
         let at = {
-            let desk = router.desk.borrow();
-            let Some(connection) = desk.office.nodes.connection(id) else {
+            let desk = router.decisions.borrow();
+            let Some(connection) = desk.effects.nodes.connection(id) else {
                 return "gone";
             };
             let now = router.clock.now();
--- a/simulation/src/fleet/virt.rs
+++ b/simulation/src/fleet/virt.rs
@@ -106,14 +106,15 @@
                     MemberInfo {
                         address: String::new(),
                         zone: String::new(),
-                        seat,
-                        learns: false,
+                        replica: seat,
+                        is_learner: false,
                     },
                 )
             })
             .collect();
         let voters: Vec<ReplicaId> = (1..=world.voters as u64).map(ReplicaId).collect();
-        let state = postcard::to_stdvec(&PolicyState::begins(members.clone())).unwrap_or_default();
+        let state =
+            postcard::to_stdvec(&PolicyState::bootstrap(members.clone())).unwrap_or_default();
         let mut routers = Vec::new();
         for at in 0..world.routers {
             let began = chance.random_range(1_000_000..1_000_000_000);
@@ -125,10 +126,10 @@
                 _ => chance.random_range(-drift..=drift),
             };
             let disk = match at < world.voters {
-                true => Replica::founds(FLEET, ReplicaId(at as u64 + 1), &voters, state.clone()),
+                true => Replica::bootstrap(FLEET, ReplicaId(at as u64 + 1), &voters, state.clone()),
                 false => Vec::new(),
             };
-            let keeper = LeaseHolder::starts(
+            let keeper = LeaseHolder::new(
                 world.terms,
                 member(at),
                 Incarnation(chance.random()),
@@ -189,7 +190,7 @@
                 Err(refused) => LoadedReplica::Unusable(refused.to_string()),
             },
         };
-        router.council.begins(now, found);
+        router.council.start(now, found);
         self.at(self.now, at, What::Turn);
     }
 
@@ -232,15 +233,18 @@
     pub fn leader(&self) -> Option<usize> {
         self.routers
             .iter()
-            .position(|router| router.council.leads() && !router.silent)
+            .position(|router| router.council.is_leader() && !router.silent)
     }
 
     pub fn version(&self, at: usize) -> Option<Version> {
-        self.routers[at].council.keeper.version()
+        self.routers[at].council.lease_holder.version()
     }
 
     pub fn admission(&self, at: usize) -> Admission {
-        self.routers[at].council.keeper.admission(self.clock(at))
+        self.routers[at]
+            .council
+            .lease_holder
+            .admission(self.clock(at))
     }
 
     /// An operator of a router proposes something.
@@ -253,7 +257,7 @@
         };
         self.routers[at]
             .council
-            .wish(OperationId(op), OperatorRequest::Command(command));
+            .submit(OperationId(op), OperatorRequest::Command(command));
         self.at(self.now, at, What::Turn);
     }
 
@@ -306,16 +310,16 @@
                 }
                 self.traffic[at].come += 1;
                 let from = Member(format!("n{from:04}"));
-                self.routers[at].council.hear(now, &from, *said);
+                self.routers[at].council.step(now, &from, *said);
             }
-            What::Kept => self.routers[at].council.kept(now, Ok(())),
+            What::Kept => self.routers[at].council.persisted(now, Ok(())),
         }
         if self.routers[at].silent {
             // It stands still: nothing is done, and time goes on.
             return;
         }
         for _ in 0..16 {
-            let acts = self.routers[at].council.turn(now);
+            let acts = self.routers[at].council.tick(now);
             if acts.is_empty() {
                 break;
             }
@@ -324,7 +328,7 @@
             }
         }
         self.look(at);
-        let due = self.routers[at].council.next_due(now);
+        let due = self.routers[at].council.next_deadline(now);
         let when = self.when(at, due).max(self.now + 1);
         self.routers[at].next_turn = when;
         self.at(when, at, What::Turn);
@@ -350,7 +354,7 @@
             }
             Effect::Lease(LeaseEffect::CheckPolicy(paper)) => self.routers[at]
                 .council
-                .checked(paper.number, Verdict::Fits),
+                .policy_checked(paper.number, Verdict::Fits),
             Effect::Lease(LeaseEffect::ApplyPolicy(paper)) => {
                 self.routers[at].policies.push(paper.number)
             }
--- a/simulation/src/fleet/works_size.rs
+++ b/simulation/src/fleet/works_size.rs
@@ -60,9 +60,9 @@
     let node = |at: usize| Node {
         name: format!("s{at:05}"),
         zone: (at % 3) as u16,
-        sets: vec![(at / site.holders) as u32],
-        sound: true,
-        out: false,
+        shard_sets: vec![(at / site.holders) as u32],
+        healthy: true,
+        out_of_service: false,
     };
     let nodes: Vec<Node> = (0..site.nodes).map(node).collect();
     let terms = MaintenanceConfig {
@@ -70,7 +70,7 @@
         ..MaintenanceConfig::default()
     };
     let mut carrier = Coordinator::new(terms);
-    carrier.sees(
+    carrier.observe_cluster(
         ClusterView {
             nodes: nodes.clone(),
             load: 0.0,
@@ -81,7 +81,7 @@
     let mut put = |carrier: &mut Coordinator, entry: &Entry| {
         at += 1;
         // One that no longer fits changes nothing.
-        let _ = carrier.play(Index(at), &postcard::to_stdvec(entry).unwrap_or_default());
+        let _ = carrier.apply(Index(at), &postcard::to_stdvec(entry).unwrap_or_default());
     };
     let names: Vec<String> = nodes.iter().map(|node| node.name.clone()).collect();
     for some in names.chunks(ternpick_maintenance::MOST_MACHINES) {
@@ -101,7 +101,7 @@
     };
     let began = Instant::now();
     let plan: serde_json::Value = carrier
-        .look(Micros(0), "works")
+        .inspect(Micros(0), "works")
         .and_then(|json| serde_json::from_str(&json).ok())
         .unwrap_or_default();
     went.planning_ms = began.elapsed().as_secs_f64() * 1e3;
@@ -111,17 +111,17 @@
     let (mut done_at, mut took, mut storm_over, mut still) = (BTreeMap::new(), Vec::new(), None, 0);
     let (mut storm, mut now) = (BTreeSet::<String>::new(), 0);
     went.fewest_holders = site.holders;
-    while !carrier.books.requests.is_empty() {
+    while !carrier.state.requests.is_empty() {
         now += STEP;
         if now > 7 * 24 * 3600 * STEP {
             return went;
         }
         // Half of the machines are done: the storm comes, for a minute.
         let left = carrier
-            .books
-            .jobs
+            .state
+            .operations
             .values()
-            .filter(|job| job.stage != Phase::InService)
+            .filter(|job| job.phase != Phase::InService)
             .count();
         if site.storm > 0.0 && storm_over.is_none() && left * 2 < site.nodes {
             let count = (site.storm * site.nodes as f64) as usize;
@@ -132,10 +132,10 @@
             storm.clear();
         }
         let returning = carrier
-            .books
-            .jobs
+            .state
+            .operations
             .iter()
-            .filter(|(_, job)| matches!(job.stage, Phase::Returning { .. }));
+            .filter(|(_, job)| matches!(job.phase, Phase::Returning { .. }));
         let word = RouterReport {
             goes_by: Index(u64::MAX),
             bear: returning.map(|((_, machine), _)| machine.clone()).collect(),
@@ -145,17 +145,17 @@
             answered: 100,
             ..RouterReport::default()
         };
-        let bytes = word.bytes();
+        let bytes = word.encode();
         let of = |number: usize| MemberContact {
             member: Member(format!("r{number}")),
-            word: Some(bytes.clone()),
-            fresh: true,
-            alone: true,
-            over: false,
+            report: Some(bytes.clone()),
+            is_recent: true,
+            only_one_process: true,
+            all_leases_expired: false,
         };
         let attended: Vec<MemberContact> = (0..site.routers).map(of).collect();
         let began = Instant::now();
-        let (steps, _) = carrier.steps(Micros(now), &me, 1, &attended);
+        let (steps, _) = carrier.next_entries(Micros(now), &me, 1, &attended);
         took.push(began.elapsed().as_secs_f64() * 1e3);
         let mut moved = false;
         for step in steps {
@@ -166,7 +166,9 @@
             went.holds += usize::from(matches!(step, Entry::OwnHold { .. }));
             put(&mut carrier, &step);
         }
-        if storm_over.is_some_and(|over| now >= over) && !moved && carrier.books.active().is_empty()
+        if storm_over.is_some_and(|over| now >= over)
+            && !moved
+            && carrier.state.active_machines().is_empty()
         {
             still += 1;
             went.still_after_storm = went.still_after_storm.max(still);
@@ -174,10 +176,10 @@
             still = 0;
         }
         let permitted = carrier
-            .books
-            .jobs
+            .state
+            .operations
             .values()
-            .filter_map(|job| match job.stage {
+            .filter_map(|job| match job.phase {
                 Phase::Permitted { permit, .. } => Some(permit),
                 _ => None,
             });
@@ -196,7 +198,7 @@
                 done_at.remove(&permit);
             }
         }
-        judge(&carrier.books, &nodes, site, &mut went);
+        judge(&carrier.state, &nodes, site, &mut went);
     }
     took.sort_by(f64::total_cmp);
     let middle = took.get(took.len() / 2).copied().unwrap_or(0.0);
@@ -207,14 +209,14 @@
 
 /// What is kept at this moment.
 fn judge(books: &MaintenanceState, nodes: &[Node], site: Site, went: &mut Went) {
-    let out: BTreeSet<String> = books.out().into_iter().collect();
+    let out: BTreeSet<String> = books.machines_out().into_iter().collect();
     went.most_out = went.most_out.max(out.len());
     went.load_on_rest = went
         .load_on_rest
         .max(site.nodes as f64 / (site.nodes - out.len()).max(1) as f64);
     let mut missing = BTreeMap::<u32, usize>::new();
     for node in nodes.iter().filter(|node| out.contains(&node.name)) {
-        *missing.entry(node.sets[0]).or_default() += 1;
+        *missing.entry(node.shard_sets[0]).or_default() += 1;
     }
     let most = missing.values().max().copied().unwrap_or(0);
     went.fewest_holders = went.fewest_holders.min(site.holders - most);
--- a/simulation/src/plan.rs
+++ b/simulation/src/plan.rs
@@ -287,17 +287,17 @@
     pub fn tariff(&self, zone: ZoneNo) -> PlatformConfig {
         let (n, c) = (&self.nodes, &self.clients);
         let row = |of: &Index| IndexConfig {
-            soft: Micros(of.soft),
-            gain: of.gain,
-            repeat: match of.repeat {
+            latency_objective: Micros(of.soft),
+            priority_weight: of.gain,
+            retry_semantics: match of.repeat {
                 Repeated::Idempotent => RetrySemantics::Idempotent,
                 Repeated::Fingerprinted => RetrySemantics::Fingerprinted(Micros(of.window)),
                 Repeated::OnceOnly => RetrySemantics::OnceOnly,
             },
-            need: 1.0,
-            least: of.least,
-            second_step: 0,
-            seen: false,
+            required_weight: 1.0,
+            min_weight: of.least,
+            second_phase_size: 0,
+            has_queries: false,
             ..IndexConfig::default()
         };
         let gauge = |of: &String| match of.as_str() {
@@ -308,35 +308,35 @@
         PlatformConfig {
             indexes: self.indexes.iter().map(row).collect(),
             quotas: c.quotas.clone(),
-            over_share_gain: 0.5,
-            routers: self.routers as f64,
+            over_quota_weight: 0.5,
+            router_count: self.routers as f64,
             zone,
-            crossing: 0.0,
-            vain: None,
-            cells: n.cells,
-            reach: n.reach,
-            call_cost: Micros(n.dial_work),
-            gauges: n.columns.iter().map(gauge).collect(),
-            reporting: match n.reports.as_str() {
+            cross_zone_cost: 0.0,
+            wasted_work_cost: None,
+            shard_group_count: n.cells,
+            groups_per_shard: n.reach,
+            attempt_cost: Micros(n.dial_work),
+            load_metrics: n.columns.iter().map(gauge).collect(),
+            load_reporting: match n.reports.as_str() {
                 "answers" => LoadReporting::InAnswers,
                 "probes" => LoadReporting::OnProbe,
                 _ => LoadReporting::Off,
             },
-            probing: n.reports == "probes",
-            roster_on_request: true,
-            most_calls: Some(self.most_calls),
-            second_copies: self.second_copies,
-            cancels: n.cancel != "none",
-            longest_advice: Some(Micros(1_000_000)),
+            health_checks: n.reports == "probes",
+            discovery_is_polled: true,
+            max_attempts: Some(self.most_calls),
+            hedging: self.second_copies,
+            cancellation: n.cancel != "none",
+            max_retry_after: Some(Micros(1_000_000)),
             tick: Micros(1000),
-            dial: Micros(self.network.dial_within),
-            cold_share: n.cold,
-            warm_within: Micros(n.warm_within),
-            fall_multiple: n.falls_at,
-            fall_window: Micros(n.fall_window),
-            extra_spare: 0.0,
-            extra_ratio: 0.0,
-            extra_window: None,
+            connect_timeout: Micros(self.network.dial_within),
+            slow_start_initial_share: n.cold,
+            slow_start_duration: Micros(n.warm_within),
+            overload_multiple: n.falls_at,
+            overload_window: Micros(n.fall_window),
+            retry_budget_min: 0.0,
+            retry_budget_ratio: 0.0,
+            retry_budget_window: None,
         }
     }
 }
--- a/simulation/src/policy.rs
+++ b/simulation/src/policy.rs
@@ -14,7 +14,7 @@
 /// What a router sees; each call as in [`RoutingEngine`].
 #[allow(clippy::too_many_arguments)] // a decoded field goes straight into a call
 pub trait Policy {
-    fn lookup(
+    fn query_received(
         &mut self,
         now: Micros,
         id: QueryId,
@@ -25,7 +25,7 @@
         repeat: bool,
         out: &mut dyn Actions,
     );
-    fn part(
+    fn shard_request_received(
         &mut self,
         now: Micros,
         id: ShardRequestId,
@@ -35,7 +35,7 @@
         hint: Option<Micros>,
         out: &mut dyn Actions,
     );
-    fn returned(
+    fn attempt_finished(
         &mut self,
         now: Micros,
         part: ShardRequestId,
@@ -46,15 +46,27 @@
         report: &[f64],
         out: &mut dyn Actions,
     );
-    fn probed(&mut self, now: Micros, node: NodeId, report: &[f64], out: &mut dyn Actions);
-    fn lapsed(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions);
-    fn roster(&mut self, now: Micros, list: &[Endpoint], full: bool, out: &mut dyn Actions);
-    fn roster_failed(&mut self, now: Micros, out: &mut dyn Actions);
-    fn elapsed(&mut self, now: Micros, timer: TimerId, out: &mut dyn Actions);
+    fn health_check_finished(
+        &mut self,
+        now: Micros,
+        node: NodeId,
+        report: &[f64],
+        out: &mut dyn Actions,
+    );
+    fn client_left(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions);
+    fn endpoints_changed(
+        &mut self,
+        now: Micros,
+        list: &[Endpoint],
+        full: bool,
+        out: &mut dyn Actions,
+    );
+    fn endpoint_watch_failed(&mut self, now: Micros, out: &mut dyn Actions);
+    fn timer_fired(&mut self, now: Micros, timer: TimerId, out: &mut dyn Actions);
 }
 
 impl Policy for RoutingEngine {
-    fn lookup(
+    fn query_received(
         &mut self,
         now: Micros,
         id: QueryId,
@@ -65,7 +77,7 @@
         repeat: bool,
         out: &mut dyn Actions,
     ) {
-        RoutingEngine::lookup(
+        RoutingEngine::query_received(
             self,
             now,
             id,
@@ -78,7 +90,7 @@
             out,
         );
     }
-    fn part(
+    fn shard_request_received(
         &mut self,
         now: Micros,
         id: ShardRequestId,
@@ -88,7 +100,7 @@
         hint: Option<Micros>,
         out: &mut dyn Actions,
     ) {
-        RoutingEngine::part(
+        RoutingEngine::shard_request_received(
             self,
             now,
             id,
@@ -99,7 +111,7 @@
             out,
         );
     }
-    fn returned(
+    fn attempt_finished(
         &mut self,
         now: Micros,
         part: ShardRequestId,
@@ -110,22 +122,34 @@
         report: &[f64],
         out: &mut dyn Actions,
     ) {
-        RoutingEngine::returned(self, now, part, call, node, lag, ending, report, out);
+        RoutingEngine::attempt_finished(self, now, part, call, node, lag, ending, report, out);
     }
-    fn probed(&mut self, now: Micros, node: NodeId, report: &[f64], out: &mut dyn Actions) {
-        RoutingEngine::probed(self, now, node, report, out);
+    fn health_check_finished(
+        &mut self,
+        now: Micros,
+        node: NodeId,
+        report: &[f64],
+        out: &mut dyn Actions,
+    ) {
+        RoutingEngine::health_check_finished(self, now, node, report, out);
     }
-    fn lapsed(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
-        RoutingEngine::lapsed(self, now, id, out);
+    fn client_left(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
+        RoutingEngine::client_left(self, now, id, out);
     }
-    fn roster(&mut self, now: Micros, list: &[Endpoint], full: bool, out: &mut dyn Actions) {
-        RoutingEngine::roster(self, now, list, full, out);
+    fn endpoints_changed(
+        &mut self,
+        now: Micros,
+        list: &[Endpoint],
+        full: bool,
+        out: &mut dyn Actions,
+    ) {
+        RoutingEngine::endpoints_changed(self, now, list, full, out);
     }
-    fn roster_failed(&mut self, now: Micros, out: &mut dyn Actions) {
-        RoutingEngine::roster_failed(self, now, out);
+    fn endpoint_watch_failed(&mut self, now: Micros, out: &mut dyn Actions) {
+        RoutingEngine::endpoint_watch_failed(self, now, out);
     }
-    fn elapsed(&mut self, now: Micros, timer: TimerId, out: &mut dyn Actions) {
-        RoutingEngine::elapsed(self, now, timer, out);
+    fn timer_fired(&mut self, now: Micros, timer: TimerId, out: &mut dyn Actions) {
+        RoutingEngine::timer_fired(self, now, timer, out);
     }
 }
 
@@ -233,8 +257,8 @@
     /// Ready holders of a shard that have no call of the part out, untried ones if there are any.
     fn holders(&self, shard: ShardNo, calls: &[(NodeId, Option<AttemptOutcome>)]) -> Vec<NodeId> {
         let t = &self.tariff;
-        let cells =
-            (0..t.reach.min(t.cells)).map(|j| ShardGroupNo((shard.0 % t.cells + j) % t.cells));
+        let cells = (0..t.groups_per_shard.min(t.shard_group_count))
+            .map(|j| ShardGroupNo((shard.0 % t.shard_group_count + j) % t.shard_group_count));
         let all = cells
             .filter_map(|cell| self.cells.get(&cell))
             .flatten()
@@ -242,7 +266,7 @@
         let ready = |id: &NodeId| {
             self.nodes
                 .get(id)
-                .is_some_and(|node| node.listing.phase == EndpointState::Ready)
+                .is_some_and(|node| node.listing.state == EndpointState::Ready)
         };
         let free: Vec<NodeId> = all
             .filter(ready)
@@ -324,15 +348,15 @@
             .tariff
             .indexes
             .iter()
-            .map(|row| row.gain)
+            .map(|row| row.priority_weight)
             .fold(0.0, f64::max);
-        let allowed = ROOM + (1.0 - ROOM) * self.row(of).gain / best.max(1e-9);
+        let allowed = ROOM + (1.0 - ROOM) * self.row(of).priority_weight / best.max(1e-9);
         let (sight, mut planned, index) = (Rc::clone(sight), BTreeMap::new(), of.index);
         let (left, shards) = (
             of.soft.since(now).0 as f64 * allowed,
             of.parts.iter().map(|part| (part.shard, part.weight)),
         );
-        let (shards, least): (Vec<_>, f64) = (shards.collect(), self.row(of).least);
+        let (shards, least): (Vec<_>, f64) = (shards.collect(), self.row(of).min_weight);
         let mut in_time = 0.0;
         for (shard, weight) in shards {
             let holders = self.holders(shard, &[]);
@@ -373,7 +397,7 @@
         if let Some(of) = self.lookups.get_mut(&id) {
             of.parts[at].calls.push((node, None));
         }
-        out.part_call(part_id, node, limit.since(now).max(Micros(1)));
+        out.send_attempt(part_id, node, limit.since(now).max(Micros(1)));
     }
 
     fn may_repeat(&self, of: &Held, part: &Part) -> bool {
@@ -383,11 +407,11 @@
                 Some(AttemptOutcome::NeverRan | AttemptOutcome::Unsent)
             )
         });
-        let harmless = !may_have_run || self.row(of).repeat == RetrySemantics::Idempotent;
+        let harmless = !may_have_run || self.row(of).retry_semantics == RetrySemantics::Idempotent;
         harmless
             && self
                 .tariff
-                .most_calls
+                .max_attempts
                 .is_none_or(|most| part.calls.len() < most)
     }
 
@@ -402,7 +426,7 @@
                     if let Some(seen) = self.nodes.get_mut(node) {
                         seen.out = seen.out.saturating_sub(1);
                     }
-                    out.cancel(part.id, AttemptNo(at as u8));
+                    out.cancel_attempt(part.id, AttemptNo(at as u8));
                 }
             }
         }
@@ -429,14 +453,14 @@
             .parts
             .iter()
             .any(|part| !part.in_hand && (waits(part) || self.may_repeat(of, part)));
-        let enough = share > 0.0 && share + 1e-9 >= self.row(of).least;
+        let enough = share > 0.0 && share + 1e-9 >= self.row(of).min_weight;
         let over = now + KEPT_BACK.times(2.0) >= of.end;
         if all || enough && (!more || now + KEPT_BACK >= of.soft || over) {
             out.answer(id, all);
             return self.close(id, out);
         }
         if !more || over {
-            let repeat = self.row(of).repeat == RetrySemantics::Idempotent;
+            let repeat = self.row(of).retry_semantics == RetrySemantics::Idempotent;
             let ran = of.parts.iter().flat_map(|part| &part.calls);
             let ran = ran.into_iter().any(|(_, ending)| {
                 !matches!(
@@ -445,8 +469,8 @@
                 )
             });
             match repeat || !ran {
-                true => out.nack(id, Micros(0)),
-                false => out.abort(id),
+                true => out.reject(id, Micros(0)),
+                false => out.fail(id),
             }
             return self.close(id, out);
         }
@@ -465,13 +489,13 @@
 
     fn beat(&mut self, out: &mut dyn Actions) {
         if !std::mem::replace(&mut self.beating, true) {
-            out.timer(KEPT_BACK, TimerId(0));
+            out.set_timer(KEPT_BACK, TimerId(0));
         }
     }
 }
 
 impl Policy for Plain {
-    fn lookup(
+    fn query_received(
         &mut self,
         now: Micros,
         id: QueryId,
@@ -482,7 +506,7 @@
         _: bool,
         out: &mut dyn Actions,
     ) {
-        let soft = now + self.tariff.indexes[index.at()].soft.min(left);
+        let soft = now + self.tariff.indexes[index.at()].latency_objective.min(left);
         self.lookups.insert(
             id,
             Held {
@@ -496,7 +520,7 @@
         self.beat(out);
     }
 
-    fn part(
+    fn shard_request_received(
         &mut self,
         now: Micros,
         id: ShardRequestId,
@@ -522,13 +546,13 @@
             .get(&lookup)
             .is_some_and(|of| of.parts.len() == of.expected);
         if complete && !self.foresees(now, lookup) {
-            out.nack(lookup, Micros(0));
+            out.reject(lookup, Micros(0));
             return self.close(lookup, out);
         }
         self.settle(now, lookup, out);
     }
 
-    fn returned(
+    fn attempt_finished(
         &mut self,
         now: Micros,
         part: ShardRequestId,
@@ -563,45 +587,60 @@
         self.settle(now, id, out);
     }
 
-    fn probed(&mut self, _: Micros, node: NodeId, report: &[f64], _: &mut dyn Actions) {
+    fn health_check_finished(
+        &mut self,
+        _: Micros,
+        node: NodeId,
+        report: &[f64],
+        _: &mut dyn Actions,
+    ) {
         if let Some(seen) = self.nodes.get_mut(&node) {
             seen.report = report.first().copied().or(seen.report);
         }
     }
 
-    fn lapsed(&mut self, _: Micros, id: QueryId, out: &mut dyn Actions) {
+    fn client_left(&mut self, _: Micros, id: QueryId, out: &mut dyn Actions) {
         self.close(id, out);
     }
 
-    fn roster(&mut self, _: Micros, list: &[Endpoint], full: bool, out: &mut dyn Actions) {
+    fn endpoints_changed(
+        &mut self,
+        _: Micros,
+        list: &[Endpoint],
+        full: bool,
+        out: &mut dyn Actions,
+    ) {
         if full {
             self.nodes
                 .values_mut()
-                .for_each(|node| node.listing.phase = EndpointState::Gone);
+                .for_each(|node| node.listing.state = EndpointState::Gone);
         }
         for listing in list {
             self.nodes.entry(listing.node).or_default().listing = *listing;
         }
         self.cells.clear();
         for (id, node) in &self.nodes {
-            self.cells.entry(node.listing.cell).or_default().push(*id);
+            self.cells
+                .entry(node.listing.shard_group)
+                .or_default()
+                .push(*id);
         }
         if self.ask_at.take().is_some() {
-            out.watch_roster();
+            out.watch_endpoints();
         }
         self.beat(out);
     }
 
-    fn roster_failed(&mut self, now: Micros, out: &mut dyn Actions) {
+    fn endpoint_watch_failed(&mut self, now: Micros, out: &mut dyn Actions) {
         self.ask_at = Some(now + ASK_AGAIN);
         self.beat(out);
     }
 
-    fn elapsed(&mut self, now: Micros, _: TimerId, out: &mut dyn Actions) {
+    fn timer_fired(&mut self, now: Micros, _: TimerId, out: &mut dyn Actions) {
         self.beating = false;
         if self.ask_at.is_some_and(|at| at <= now) {
             self.ask_at = None;
-            out.watch_roster();
+            out.watch_endpoints();
         }
         let due: Vec<QueryId> = self.lookups.keys().copied().collect();
         for id in due {
--- a/simulation/src/sim/fleet.rs
+++ b/simulation/src/sim/fleet.rs
@@ -20,9 +20,9 @@
     Endpoint {
         node: NodeId(u64::from(at)),
         zone: ZoneNo(node.zone),
-        cell: ShardGroupNo(node.cell),
-        phase,
-        started: Micros(node.started),
+        shard_group: ShardGroupNo(node.cell),
+        state: phase,
+        started_at: Micros(node.started),
     }
 }
 
--- a/simulation/src/sim/front.rs
+++ b/simulation/src/sim/front.rs
@@ -53,31 +53,31 @@
 struct Acts(Vec<Act>);
 
 impl Actions for Acts {
-    fn part_call(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
+    fn send_attempt(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
         self.0.push(Act::Call(part, node, limit));
     }
     fn answer(&mut self, lookup: QueryId, whole: bool) {
         self.0.push(Act::Answer(lookup, whole));
     }
-    fn nack(&mut self, lookup: QueryId, come_back: Micros) {
+    fn reject(&mut self, lookup: QueryId, come_back: Micros) {
         self.0.push(Act::Nack(lookup, come_back));
     }
-    fn abort(&mut self, lookup: QueryId) {
+    fn fail(&mut self, lookup: QueryId) {
         self.0.push(Act::Abort(lookup));
     }
-    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo) {
+    fn cancel_attempt(&mut self, part: ShardRequestId, call: AttemptNo) {
         self.0.push(Act::Cancel(part, call));
     }
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.0.push(Act::CloseIdle(node));
     }
-    fn probe(&mut self, node: NodeId) {
+    fn check_health(&mut self, node: NodeId) {
         self.0.push(Act::Probe(node));
     }
-    fn watch_roster(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.0.push(Act::Watch);
     }
-    fn timer(&mut self, delay: Micros, timer: TimerId) {
+    fn set_timer(&mut self, delay: Micros, timer: TimerId) {
         self.0.push(Act::Timer(delay, timer));
     }
     fn log(&mut self, _: &str) {}
@@ -403,9 +403,9 @@
         let repeat = marks && ask.tries > 1;
         self.sees(router, |policy, now, out| {
             let (index, customer) = (IndexNo(ask.index), CustomerNo(ask.tenant));
-            policy.lookup(now, lookup, index, customer, told.len(), left, repeat, out);
+            policy.query_received(now, lookup, index, customer, told.len(), left, repeat, out);
             for (part, shard, weight, hint) in told {
-                policy.part(
+                policy.shard_request_received(
                     now,
                     part,
                     lookup,
@@ -427,7 +427,9 @@
             front.parts.remove(&part.id);
         }
         self.checker.left(self.now, router, lookup.0);
-        self.sees(router, |policy, now, out| policy.lapsed(now, lookup, out));
+        self.sees(router, |policy, now, out| {
+            policy.client_left(now, lookup, out)
+        });
     }
 
     fn part_call(&mut self, router: u32, part: ShardRequestId, node: u32, limit: u64) {
@@ -604,7 +606,7 @@
         }
         let lag = Micros(self.now - call.sent);
         self.sees(router, |policy, now, out| {
-            policy.returned(
+            policy.attempt_finished(
                 now,
                 call.part,
                 call.number,
@@ -668,7 +670,9 @@
 
     pub(super) fn timer(&mut self, router: u32, epoch: u32, timer: TimerId) {
         if self.alive(router, epoch) {
-            self.sees(router, |policy, now, out| policy.elapsed(now, timer, out));
+            self.sees(router, |policy, now, out| {
+                policy.timer_fired(now, timer, out)
+            });
         }
     }
 
@@ -688,7 +692,7 @@
     pub(super) fn probe_returns(&mut self, router: u32, epoch: u32, node: u32, report: &[f64]) {
         if self.alive(router, epoch) {
             self.sees(router, |policy, now, out| {
-                policy.probed(now, node_id(node), report, out)
+                policy.health_check_finished(now, node_id(node), report, out)
             });
         }
     }
@@ -716,7 +720,7 @@
             list.insert(change.node, *change);
         }
         list.into_values()
-            .filter(|of| of.phase != EndpointState::Gone)
+            .filter(|of| of.state != EndpointState::Gone)
             .collect()
     }
 
@@ -726,11 +730,11 @@
                 now,
                 router,
                 of.node.0 as u32,
-                of.phase == EndpointState::Ready,
+                of.state == EndpointState::Ready,
             );
         }
         self.sees(router, |policy, now, out| {
-            policy.roster(now, list, full, out)
+            policy.endpoints_changed(now, list, full, out)
         });
     }
 
@@ -765,7 +769,9 @@
     pub(super) fn watch_fails(&mut self, router: u32, epoch: u32) {
         if self.alive(router, epoch) {
             self.fronts[router as usize].watching = false;
-            self.sees(router, |policy, now, out| policy.roster_failed(now, out));
+            self.sees(router, |policy, now, out| {
+                policy.endpoint_watch_failed(now, out)
+            });
         }
     }
 
--- a/simulation/src/sim/planted.rs
+++ b/simulation/src/sim/planted.rs
@@ -39,13 +39,13 @@
 }
 
 impl Actions for Bent<'_> {
-    fn part_call(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
+    fn send_attempt(&mut self, part: ShardRequestId, node: NodeId, limit: Micros) {
         let times = match self.fault {
             Fault::SendsTwice => 2,
             Fault::Floods => 5,
             _ => 1,
         };
-        (0..times).for_each(|_| self.out.part_call(part, node, limit));
+        (0..times).for_each(|_| self.out.send_attempt(part, node, limit));
     }
     fn answer(&mut self, lookup: QueryId, whole: bool) {
         if self.fault == Fault::Forgets && lookup.0.is_multiple_of(10) {
@@ -57,26 +57,26 @@
             self.out.answer(lookup, whole);
         }
     }
-    fn nack(&mut self, lookup: QueryId, come_back: Micros) {
-        self.out.nack(lookup, come_back);
+    fn reject(&mut self, lookup: QueryId, come_back: Micros) {
+        self.out.reject(lookup, come_back);
     }
-    fn abort(&mut self, lookup: QueryId) {
-        self.out.abort(lookup);
+    fn fail(&mut self, lookup: QueryId) {
+        self.out.fail(lookup);
     }
-    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo) {
-        self.out.cancel(part, call);
+    fn cancel_attempt(&mut self, part: ShardRequestId, call: AttemptNo) {
+        self.out.cancel_attempt(part, call);
     }
-    fn close_idle(&mut self, node: NodeId) {
-        self.out.close_idle(node);
+    fn close_idle_connections(&mut self, node: NodeId) {
+        self.out.close_idle_connections(node);
     }
-    fn probe(&mut self, node: NodeId) {
-        self.out.probe(node);
+    fn check_health(&mut self, node: NodeId) {
+        self.out.check_health(node);
     }
-    fn watch_roster(&mut self) {
-        self.out.watch_roster();
+    fn watch_endpoints(&mut self) {
+        self.out.watch_endpoints();
     }
-    fn timer(&mut self, delay: Micros, timer: TimerId) {
-        self.out.timer(delay, timer);
+    fn set_timer(&mut self, delay: Micros, timer: TimerId) {
+        self.out.set_timer(delay, timer);
     }
     fn log(&mut self, line: &str) {
         self.out.log(line);
@@ -96,7 +96,7 @@
 }
 
 impl Policy for Planted {
-    fn lookup(
+    fn query_received(
         &mut self,
         now: Micros,
         id: QueryId,
@@ -108,13 +108,13 @@
         out: &mut dyn Actions,
     ) {
         self.bent(out, |of, out| {
-            of.lookup(now, id, index, customer, expected, left, repeat, out)
+            of.query_received(now, id, index, customer, expected, left, repeat, out)
         });
         if self.fault == Fault::Hasty {
             out.answer(id, false);
         }
     }
-    fn part(
+    fn shard_request_received(
         &mut self,
         now: Micros,
         id: ShardRequestId,
@@ -125,10 +125,10 @@
         out: &mut dyn Actions,
     ) {
         self.bent(out, |of, out| {
-            of.part(now, id, lookup, shard, weight, hint, out)
+            of.shard_request_received(now, id, lookup, shard, weight, hint, out)
         });
     }
-    fn returned(
+    fn attempt_finished(
         &mut self,
         now: Micros,
         part: ShardRequestId,
@@ -140,29 +140,43 @@
         out: &mut dyn Actions,
     ) {
         self.bent(out, |of, out| {
-            of.returned(now, part, call, node, lag, ending, report, out)
+            of.attempt_finished(now, part, call, node, lag, ending, report, out)
         });
     }
-    fn probed(&mut self, now: Micros, node: NodeId, report: &[f64], out: &mut dyn Actions) {
-        self.bent(out, |of, out| of.probed(now, node, report, out));
+    fn health_check_finished(
+        &mut self,
+        now: Micros,
+        node: NodeId,
+        report: &[f64],
+        out: &mut dyn Actions,
+    ) {
+        self.bent(out, |of, out| {
+            of.health_check_finished(now, node, report, out)
+        });
     }
-    fn lapsed(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
-        self.bent(out, |of, out| of.lapsed(now, id, out));
+    fn client_left(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
+        self.bent(out, |of, out| of.client_left(now, id, out));
     }
-    fn roster(&mut self, now: Micros, list: &[Endpoint], full: bool, out: &mut dyn Actions) {
+    fn endpoints_changed(
+        &mut self,
+        now: Micros,
+        list: &[Endpoint],
+        full: bool,
+        out: &mut dyn Actions,
+    ) {
         let deaf = self.fault == Fault::DeafToDrains;
         let kept: Vec<Endpoint> = list
             .iter()
-            .filter(|of| !deaf || of.phase != EndpointState::Draining)
+            .filter(|of| !deaf || of.state != EndpointState::Draining)
             .copied()
             .collect();
-        self.bent(out, |of, out| of.roster(now, &kept, full, out));
+        self.bent(out, |of, out| of.endpoints_changed(now, &kept, full, out));
     }
-    fn roster_failed(&mut self, now: Micros, out: &mut dyn Actions) {
-        self.bent(out, |of, out| of.roster_failed(now, out));
+    fn endpoint_watch_failed(&mut self, now: Micros, out: &mut dyn Actions) {
+        self.bent(out, |of, out| of.endpoint_watch_failed(now, out));
     }
-    fn elapsed(&mut self, now: Micros, timer: TimerId, out: &mut dyn Actions) {
-        self.bent(out, |of, out| of.elapsed(now, timer, out));
+    fn timer_fired(&mut self, now: Micros, timer: TimerId, out: &mut dyn Actions) {
+        self.bent(out, |of, out| of.timer_fired(now, timer, out));
     }
 }
 
