--- a/src/routing.rs
+++ b/src/routing.rs
@@ -93,7 +93,7 @@
 
 #[derive(Default)]
 pub struct RoutingEngine {
-    pub tariff: PlatformConfig,
+    pub config: PlatformConfig,
     chance: RandomSource,
     now: Micros,
     born: Option<Micros>, // Its first list.
@@ -111,7 +111,7 @@
     survey: FleetStatistics,
     stale: bool,
     /// Lookups in hand; emptied by their final answers.
-    pub lookups: BTreeMap<QueryId, Query>,
+    pub queries: BTreeMap<QueryId, Query>,
     /// Smoothed hint of a part, in microseconds.
     mean_hint: Option<f64>,
     /// What each customer may still send within its share; one entry a customer of the tariff.
@@ -160,29 +160,33 @@
 impl RoutingEngine {
     pub fn new(tariff: PlatformConfig, seed: u64) -> Self {
         let quota_left = vec![(0.0, Micros(0)); tariff.quotas.len()];
-        let ask_at = tariff.roster_on_request.then_some(Micros(0));
+        let ask_at = tariff.discovery_is_polled.then_some(Micros(0));
         RoutingEngine {
             chance: RandomSource::new(seed),
             stale: true,
             quota_left,
             ask_at,
-            tariff,
+            config: tariff,
             ..RoutingEngine::default()
         }
     }
 
     /// Two processes serve one router's share: of its further calls `spare` are this one's. One that only
     /// finishes what it has taken earns no more, and leaves nodes that warm up to the other.
-    pub fn serve_part(&mut self, spare: f64, goes_on: bool) {
+    pub fn serve_share(&mut self, spare: f64, goes_on: bool) {
         self.take_back();
-        let of = &mut self.tariff;
+        let of = &mut self.config;
         let (whole, mut made) = (
-            (of.extra_spare, of.extra_ratio, of.cold_share),
+            (
+                of.retry_budget_min,
+                of.retry_budget_ratio,
+                of.slow_start_initial_share,
+            ),
             VecDeque::new(),
         );
-        of.extra_spare = spare;
+        of.retry_budget_min = spare;
         if !goes_on {
-            (of.extra_ratio, of.cold_share) = (0.0, 0.0);
+            (of.retry_budget_ratio, of.slow_start_initial_share) = (0.0, 0.0);
             made = std::mem::take(&mut self.extras);
         }
         self.whole = Some((whole.0, whole.1, whole.2, made));
@@ -191,7 +195,9 @@
 
     /// The whole share is this one's again, and nothing is out at nodes but its own.
     pub fn serve_whole(&mut self) {
-        self.nodes.values_mut().for_each(|n| n.abroad.1.clear());
+        self.nodes
+            .values_mut()
+            .for_each(|n| n.in_flight_elsewhere.1.clear());
         self.take_back();
     }
 
@@ -201,9 +207,9 @@
             return;
         };
         (
-            self.tariff.extra_spare,
-            self.tariff.extra_ratio,
-            self.tariff.cold_share,
+            self.config.retry_budget_min,
+            self.config.retry_budget_ratio,
+            self.config.slow_start_initial_share,
         ) = (spare, ratio, cold);
         made.append(&mut self.extras);
         (self.extras, self.stale) = (made, true);
@@ -211,7 +217,7 @@
 
     /// Counts a request for the budget, where one is set.
     fn take(&mut self) {
-        let Some(window) = self.tariff.extra_window else {
+        let Some(window) = self.config.retry_budget_window else {
             return;
         };
         self.taken.push_back(self.now);
@@ -221,7 +227,7 @@
         }
     }
 
-    pub fn lookup(
+    pub fn query_received(
         &mut self,
         now: Micros,
         id: QueryId,
@@ -235,36 +241,42 @@
     ) {
         self.now = now;
         self.take();
-        let row = &mut self.tariff.indexes[index.at()];
-        row.seen = true;
+        let row = &mut self.config.indexes[index.at()];
+        row.has_queries = true;
         // In a stop nobody is given longer than the process may live.
         let left = self.answers_by.map_or(left, |by| left.min(by.since(now)));
-        let (soft, end, row) = (now + row.soft.min(left), now + left, row.clone());
-        let partly = row.partly_at.map_or(soft, |at| soft.min(now + at));
+        let (soft, end, row) = (
+            now + row.latency_objective.min(left),
+            now + left,
+            row.clone(),
+        );
+        let partly = row
+            .partial_response_after
+            .map_or(soft, |at| soft.min(now + at));
         let of = Query {
             id,
-            query,
-            repeat,
+            wire_no: query,
+            is_client_retry: repeat,
             index,
-            row,
+            config: row,
             customer,
-            expected,
+            expected_requests: expected,
             ..Query::default()
         };
-        self.lookups.insert(
+        self.queries.insert(
             id,
             Query {
-                soft,
-                partly,
-                end,
-                left,
+                soft_deadline: soft,
+                partial_response_at: partly,
+                deadline: end,
+                time_allowed: left,
                 ..of
             },
         );
         self.settle(out);
     }
 
-    pub fn part(
+    pub fn shard_request_received(
         &mut self,
         now: Micros,
         id: ShardRequestId,
@@ -281,19 +293,24 @@
             .map(|hint| blend(self.mean_hint, hint.0 as f64, STEADY))
             .or(self.mean_hint);
         // Parts come for the newest, and may still for a lookup that has ended in the same batch.
-        if let Some(lookup) = self.lookups.values_mut().rev().find(|lk| lk.query == query) {
-            lookup.parts.push(ShardRequest {
+        if let Some(lookup) = self
+            .queries
+            .values_mut()
+            .rev()
+            .find(|lk| lk.wire_no == query)
+        {
+            lookup.requests.push(ShardRequest {
                 id,
                 shard,
                 weight,
-                hint,
+                cost_hint: hint,
                 ..ShardRequest::default()
             });
         }
         self.settle(out);
     }
 
-    pub fn returned(
+    pub fn attempt_finished(
         &mut self,
         now: Micros,
         part: ShardRequestId,
@@ -308,31 +325,34 @@
         let owed = self
             .nodes
             .get_mut(&node)
-            .and_then(|n| Some((n.owed.remove(&(part, call))?, n)));
+            .and_then(|n| Some((n.in_flight.remove(&(part, call))?, n)));
         if let Some((owed, n)) = owed {
-            let rested = n.rested_call.take_if(|of| *of == (part, call)).is_some();
+            let rested = n
+                .attempt_on_idle_connection
+                .take_if(|of| *of == (part, call))
+                .is_some();
             if ending == AttemptOutcome::Satisfied {
                 let heard = rested.then(|| blend(Some(self.silent), 0.0, STEADY));
                 self.silent = heard.unwrap_or(self.silent);
-                n.pace = Some(blend(
-                    n.pace,
-                    lag.0 as f64 / (owed.depth + FREE_DEPTH),
+                n.latency_per_request = Some(blend(
+                    n.latency_per_request,
+                    lag.0 as f64 / (owed.depth_when_sent + FREE_DEPTH),
                     FRESH,
                 ));
             }
             self.learn(node, owed.index, lag, ending);
             // Returns still come for lookups, and for first steps, that are over.
-            let parts = self.lookups.get_mut(&owed.lookup).map(|lk| &mut lk.parts);
+            let parts = self.queries.get_mut(&owed.query).map(|lk| &mut lk.requests);
             if let Some(p) = parts
-                .and_then(|parts| parts.get_mut(owed.at))
+                .and_then(|parts| parts.get_mut(owed.request_index))
                 .filter(|p| p.id == part)
             {
-                p.satisfied |= ending == AttemptOutcome::Satisfied;
+                p.answered |= ending == AttemptOutcome::Satisfied;
                 if ending == AttemptOutcome::Unsent {
-                    p.rests_until = now + UNSENT_PAUSE;
+                    p.retry_not_before = now + UNSENT_PAUSE;
                 }
-                if let Some(call) = p.calls.get_mut(usize::from(call.0)) {
-                    call.ending = Some(ending);
+                if let Some(call) = p.attempts.get_mut(usize::from(call.0)) {
+                    call.outcome = Some(ending);
                 }
             }
         }
@@ -342,7 +362,13 @@
 
     /// A probe that fails says nothing that a part call would not: it gives up sooner and is turned away
     /// sooner. One that comes back brings the report and no trust: a hung node answers probes briskly.
-    pub fn probed(&mut self, now: Micros, node: NodeId, report: &[f64], out: &mut dyn Actions) {
+    pub fn health_check_finished(
+        &mut self,
+        now: Micros,
+        node: NodeId,
+        report: &[f64],
+        out: &mut dyn Actions,
+    ) {
         self.now = now;
         self.read_report(node, report);
         self.settle(out);
@@ -350,36 +376,42 @@
 
     /// The process stops: whatever is in hand, or is taken from here on, ends by then. Trouble at nodes
     /// frees nothing that was taken from its final answer.
-    pub fn stops(&mut self, now: Micros, answers_by: Micros, out: &mut dyn Actions) {
+    pub fn shutdown_started(&mut self, now: Micros, answers_by: Micros, out: &mut dyn Actions) {
         self.now = now;
         self.answers_by = Some(answers_by);
-        for lookup in self.lookups.values_mut() {
-            lookup.end = lookup.end.min(answers_by);
-            lookup.soft = lookup.soft.min(answers_by);
-            lookup.partly = lookup.partly.min(answers_by);
+        for lookup in self.queries.values_mut() {
+            lookup.deadline = lookup.deadline.min(answers_by);
+            lookup.soft_deadline = lookup.soft_deadline.min(answers_by);
+            lookup.partial_response_at = lookup.partial_response_at.min(answers_by);
         }
         self.settle(out);
     }
 
-    pub fn lapsed(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
+    pub fn client_left(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
         self.now = now;
         self.close(id, out);
         self.settle(out);
     }
 
-    pub fn roster(&mut self, now: Micros, list: &[Endpoint], full: bool, out: &mut dyn Actions) {
+    pub fn endpoints_changed(
+        &mut self,
+        now: Micros,
+        list: &[Endpoint],
+        full: bool,
+        out: &mut dyn Actions,
+    ) {
         self.now = now;
         self.born = self.born.or(Some(now));
         let heard = self.heard.replace(now);
         let newest = list
             .iter()
-            .map(|listing| listing.started)
+            .map(|listing| listing.started_at)
             .max()
             .unwrap_or_default();
         if full {
             self.nodes
                 .values_mut()
-                .for_each(|n| n.listing.phase = EndpointState::Gone);
+                .for_each(|n| n.endpoint.state = EndpointState::Gone);
         }
         for listing in list {
             let (lot, known) = (
@@ -387,36 +419,36 @@
                 self.nodes.contains_key(&listing.node),
             );
             let node = self.nodes.entry(listing.node).or_insert_with(|| Node {
-                lot,
+                tie_breaker: lot,
                 ..Node::default()
             });
             // Gone without a drain, or back before it was missed: it fell. A new process is not known.
-            let not_before = slow_start::not_before(heard, now, listing.started, newest);
-            let anew = node.started.told(listing.started, now, not_before);
-            let fell = known && node.listing.phase == EndpointState::Ready;
-            self.alarm_at = (fell && (anew || listing.phase == EndpointState::Gone))
+            let not_before = slow_start::not_before(heard, now, listing.started_at, newest);
+            let anew = node.started.observe(listing.started_at, now, not_before);
+            let fell = known && node.endpoint.state == EndpointState::Ready;
+            self.alarm_at = (fell && (anew || listing.state == EndpointState::Gone))
                 .then_some(now)
                 .or(self.alarm_at);
             if anew || !known {
                 // What it was sent since its start counts, though this router hears of the start only now.
                 let (mut sends, owed) = (
-                    std::mem::take(&mut node.sends),
-                    std::mem::take(&mut node.owed),
+                    std::mem::take(&mut node.recent_sends),
+                    std::mem::take(&mut node.in_flight),
                 );
                 drop_front(&mut sends, |(at, _)| *at < node.started.at);
                 *node = Node {
-                    lot: node.lot,
-                    told: now,
+                    tie_breaker: node.tie_breaker,
+                    notified_at: now,
                     started: node.started,
-                    owed,
-                    sends,
+                    in_flight: owed,
+                    recent_sends: sends,
                     ..Node::default()
                 };
             }
-            node.listing = *listing;
+            node.endpoint = *listing;
         }
         self.nodes
-            .retain(|_, n| n.listing.phase != EndpointState::Gone || !n.owed.is_empty());
+            .retain(|_, n| n.endpoint.state != EndpointState::Gone || !n.in_flight.is_empty());
         self.index_nodes();
         if std::mem::take(&mut self.roster_lost) {
             out.log(&format!("roster: back, {} nodes known", self.nodes.len()));
@@ -425,12 +457,17 @@
     }
 
     /// Operators drain nodes, or no longer: of theirs and discovery's word the stricter is listed.
-    pub fn drains(&mut self, now: Micros, list: &[Endpoint], out: &mut dyn Actions) {
+    pub fn operator_drains_changed(
+        &mut self,
+        now: Micros,
+        list: &[Endpoint],
+        out: &mut dyn Actions,
+    ) {
         self.now = now;
         for listing in list {
             self.nodes
                 .entry(listing.node)
-                .and_modify(|n| n.listing.phase = listing.phase);
+                .and_modify(|n| n.endpoint.state = listing.state);
         }
         self.stale = true;
         self.settle(out);
@@ -439,17 +476,20 @@
     /// What the figures of beliefs rest on.
     fn terms(&self) -> String {
         let (rows, of) = (
-            self.tariff.indexes.iter().map(|row| (row.soft, row.repeat)),
-            &self.tariff,
+            self.config
+                .indexes
+                .iter()
+                .map(|row| (row.latency_objective, row.retry_semantics)),
+            &self.config,
         );
         format!(
             "{:?}",
             (
                 rows.collect::<Vec<_>>(),
-                &of.gauges,
+                &of.load_metrics,
                 of.quotas.len(),
-                of.cells,
-                of.reach
+                of.shard_group_count,
+                of.groups_per_shard
             )
         )
     }
@@ -484,17 +524,20 @@
     fn index_nodes(&mut self) {
         self.cells.clear();
         for (id, node) in &self.nodes {
-            self.cells.entry(node.listing.cell).or_default().push(*id);
+            self.cells
+                .entry(node.endpoint.shard_group)
+                .or_default()
+                .push(*id);
         }
         self.stale = true;
     }
 
     /// The watch broke or could not be had. Without one the router soon counts as told of what it has not
     /// heard, so it asks again; at a time by chance, so that not all routers ask at once.
-    pub fn roster_failed(&mut self, now: Micros, out: &mut dyn Actions) {
+    pub fn endpoint_watch_failed(&mut self, now: Micros, out: &mut dyn Actions) {
         self.now = now;
         // An agent that pushes lists is asked by nobody else, and what it has counts as told.
-        let pause = if self.tariff.roster_on_request {
+        let pause = if self.config.discovery_is_polled {
             ASK_AGAIN
         } else {
             ASK_AGAIN.times(AGENT)
@@ -509,24 +552,27 @@
         self.settle(out);
     }
 
-    pub fn elapsed(&mut self, now: Micros, _timer: TimerId, out: &mut dyn Actions) {
+    pub fn timer_fired(&mut self, now: Micros, _timer: TimerId, out: &mut dyn Actions) {
         self.now = now;
         self.beating = false;
         let (memory, nodes) = (self.memory(), &self.nodes);
-        let owes = |n: &Node| n.out(now).next().is_some();
-        let wanted =
-            |n: &Node| n.doubted.is_some() || owes(n) || now.since(n.seen).0 as f64 <= memory;
+        let owes = |n: &Node| n.all_in_flight(now).next().is_some();
+        let wanted = |n: &Node| {
+            n.suspected_for.is_some()
+                || owes(n)
+                || now.since(n.latency_updated_at).0 as f64 <= memory
+        };
         self.watched.retain(|id| nodes.get(id).is_some_and(wanted));
         self.settle(out);
     }
 
     /// Whether a time comes too soon to wait for another beat or two.
     fn soon(&self, at: Micros) -> bool {
-        self.now + BEAT.max(self.tariff.tick).times(2.0) >= at
+        self.now + BEAT.max(self.config.tick).times(2.0) >= at
     }
 
     fn settle(&mut self, out: &mut dyn Actions) {
-        if self.stale && !(self.lookups.is_empty() && self.watched.is_empty()) {
+        if self.stale && !(self.queries.is_empty() && self.watched.is_empty()) {
             (self.survey, self.stale) = (self.take_survey(), false);
         }
         while let Some((then, case)) = RULES
@@ -535,10 +581,10 @@
         {
             then(self, case, out);
         }
-        let idle = self.lookups.is_empty() && self.watched.is_empty();
+        let idle = self.queries.is_empty() && self.watched.is_empty();
         let waits = !idle || self.ask_at.or(self.shed_at).is_some();
         if waits && !std::mem::replace(&mut self.beating, true) {
-            out.timer(BEAT.max(self.tariff.tick), TimerId(0));
+            out.set_timer(BEAT.max(self.config.tick), TimerId(0));
         }
     }
 
@@ -554,19 +600,20 @@
 
     fn ask_roster(&mut self, _: RuleMatch, out: &mut dyn Actions) {
         self.ask_at = None;
-        out.watch_roster();
+        out.watch_endpoints();
     }
 
     fn probe_is_due(&self) -> Option<RuleMatch> {
-        if self.tariff.reporting != LoadReporting::OnProbe || !self.tariff.probing {
+        if self.config.load_reporting != LoadReporting::OnProbe || !self.config.health_checks {
             return None;
         }
         let recent = |at: Micros| self.now.since(at) < PROBE_EVERY;
-        let used =
-            |n: &Node| !n.owed.is_empty() || n.sends.back().is_some_and(|(at, _)| recent(*at));
-        let due = |n: &&Node| used(n) && n.probed.is_none_or(|at| !recent(at));
+        let used = |n: &Node| {
+            !n.in_flight.is_empty() || n.recent_sends.back().is_some_and(|(at, _)| recent(*at))
+        };
+        let due = |n: &&Node| used(n) && n.last_health_check.is_none_or(|at| !recent(at));
         self.watched_nodes().find(due).map(|n| RuleMatch {
-            node: n.listing.node,
+            node: n.endpoint.node,
             ..RuleMatch::default()
         })
     }
@@ -574,70 +621,81 @@
     fn probe(&mut self, case: RuleMatch, out: &mut dyn Actions) {
         self.nodes
             .entry(case.node)
-            .and_modify(|n| n.probed = Some(self.now));
-        out.probe(case.node);
+            .and_modify(|n| n.last_health_check = Some(self.now));
+        out.check_health(case.node);
     }
 
     fn find(&self, wanted: impl Fn(&Query) -> bool) -> Option<RuleMatch> {
-        self.lookups
+        self.queries
             .values()
             .find(|lk| wanted(lk))
             .map(|lk| RuleMatch {
-                lookup: lk.id,
+                query: lk.id,
                 ..RuleMatch::default()
             })
     }
 
     /// The weight that makes the present step whole, and the least that may be answered.
     fn bars(&self, lookup: &Query) -> (f64, f64) {
-        let row = &lookup.row;
-        let least = row.least.min(row.need);
-        match lookup.second {
-            true => (1.0, if row.least < row.need { least } else { 1.0 }),
-            false => (row.need, least),
+        let row = &lookup.config;
+        let least = row.min_weight.min(row.required_weight);
+        match lookup.in_second_phase {
+            true => (
+                1.0,
+                if row.min_weight < row.required_weight {
+                    least
+                } else {
+                    1.0
+                },
+            ),
+            false => (row.required_weight, least),
         }
     }
 
     fn whole(&self, lookup: &Query) -> bool {
-        let all_in = lookup.parts.iter().all(|p| p.satisfied);
-        let enough = if lookup.second {
+        let all_in = lookup.requests.iter().all(|p| p.answered);
+        let enough = if lookup.in_second_phase {
             all_in
         } else {
-            all_in || lookup.weight_in() >= self.bars(lookup).0
+            all_in || lookup.answered_weight() >= self.bars(lookup).0
         };
-        lookup.complete() && enough
+        lookup.all_requests_received() && enough
     }
 
     /// When a step is answered with what is in: its gain is about to fall. A first step leaves the second
     /// its time.
     fn cut_at(&self, lookup: &Query) -> Micros {
-        let second = !lookup.second && lookup.row.second_step > 0;
+        let second = !lookup.in_second_phase && lookup.config.second_phase_size > 0;
         let needed = self
             .survey
-            .middle
+            .median_latency
             .filter(|_| second)
             .map_or(Micros(0), |m| Micros((m * SECOND) as u64));
-        Micros(lookup.partly.0 - needed.0.min(lookup.partly.since(self.now).0))
+        Micros(
+            lookup.partial_response_at.0
+                - needed.0.min(lookup.partial_response_at.since(self.now).0),
+        )
     }
 
     /// An answer is due when it is whole; one in part when its gain is about to fall, or no more can come.
     fn answer_is_due(&self) -> Option<RuleMatch> {
         self.find(|lk| {
             // To the letter, but for sums: weights that are off are no leave to answer from too little.
-            let enough =
-                lk.complete() && lk.weight_in() + EXACT >= self.bars(lk).1 && lk.weight_in() > 0.0;
-            let last = || lk.parts.iter().all(|p| p.satisfied || self.spent(lk, p));
+            let enough = lk.all_requests_received()
+                && lk.answered_weight() + EXACT >= self.bars(lk).1
+                && lk.answered_weight() > 0.0;
+            let last = || lk.requests.iter().all(|p| p.answered || self.spent(lk, p));
             self.whole(lk) || enough && (self.soon(self.cut_at(lk)) || last())
         })
     }
 
     fn answer(&mut self, case: RuleMatch, out: &mut dyn Actions) {
-        let id = case.lookup;
+        let id = case.query;
         let whole = self
-            .lookups
+            .queries
             .get(&id)
-            .is_some_and(|lk| self.whole(lk) && (!lk.second || lk.first_whole));
-        out.reason(
+            .is_some_and(|lk| self.whole(lk) && (!lk.in_second_phase || lk.first_phase_complete));
+        out.record_reason(
             id,
             if whole {
                 DecisionReason::Whole
@@ -646,43 +704,48 @@
             },
         );
         out.answer(id, whole);
-        let Some(lookup) = self.lookups.get_mut(&id) else {
+        let Some(lookup) = self.queries.get_mut(&id) else {
             return;
         };
-        let second_step = lookup.row.second_step;
-        if lookup.second || second_step == 0 {
+        let second_step = lookup.config.second_phase_size;
+        if lookup.in_second_phase || second_step == 0 {
             return self.close(id, out);
         }
         // The first answer brings a second step, on parts of its own.
-        let parts = std::mem::take(&mut lookup.parts);
-        lookup.expected = second_step.min(parts.iter().filter(|p| p.satisfied).count());
-        (lookup.second, lookup.first_whole, lookup.placed) = (true, whole, false);
+        let parts = std::mem::take(&mut lookup.requests);
+        lookup.expected_requests = second_step.min(parts.iter().filter(|p| p.answered).count());
+        (
+            lookup.in_second_phase,
+            lookup.first_phase_complete,
+            lookup.placed,
+        ) = (true, whole, false);
         self.drop_parts(&parts, out);
     }
 
     /// No call is out, and none may follow.
     fn spent(&self, lookup: &Query, part: &ShardRequest) -> bool {
-        !part.satisfied && part.calls_out() == 0 && !self.may_call(lookup, part)
+        !part.answered && part.attempts_in_flight() == 0 && !self.may_call(lookup, part)
     }
 
     /// Given up as soon as what is in and may still come is too little, and just before the client's end.
     fn hopeless(&self) -> Option<RuleMatch> {
         self.find(|lk| {
             let spent = || {
-                lk.parts
+                lk.requests
                     .iter()
                     .filter(|p| self.spent(lk, p))
                     .map(|p| p.weight)
                     .sum::<f64>()
             };
             let short = |spent: f64| spent > 0.0 && 1.0 - spent + EXACT < self.bars(lk).1;
-            self.soon(lk.end) || lk.complete() && (self.deadly(lk) || short(spent()))
+            self.soon(lk.deadline)
+                || lk.all_requests_received() && (self.deadly(lk) || short(spent()))
         })
     }
 
     fn give_up(&mut self, case: RuleMatch, out: &mut dyn Actions) {
-        let deadly = self.lookups.get(&case.lookup).filter(|lk| self.deadly(lk));
-        let (now, fatal) = (self.now, deadly.map(|lk| (lk.end, lk.print())));
+        let deadly = self.queries.get(&case.query).filter(|lk| self.deadly(lk));
+        let (now, fatal) = (self.now, deadly.map(|lk| (lk.deadline, lk.fingerprint())));
         let come_back = fatal.as_ref().map_or(Micros(0), |_| Micros(u64::MAX));
         drop_front(&mut self.fatal, |(end, _)| *end < now);
         self.fatal.extend(fatal);
@@ -691,136 +754,146 @@
             self.fatal.pop_front();
         }
         let over = self
-            .lookups
-            .get(&case.lookup)
-            .is_some_and(|lk| self.soon(lk.end));
+            .queries
+            .get(&case.query)
+            .is_some_and(|lk| self.soon(lk.deadline));
         let why = if over {
             DecisionReason::Deadline
         } else {
             DecisionReason::Exhausted
         };
-        out.reason(
-            case.lookup,
+        out.record_reason(
+            case.query,
             if come_back.0 > 0 {
                 DecisionReason::Deadly
             } else {
                 why
             },
         );
-        self.refuse(case.lookup, come_back, out);
+        self.refuse(case.query, come_back, out);
     }
 
     /// Some lookups bring down each node that begins a part of them: connections break at one node after the
     /// other and nothing is ever answered; a node's own fall other lookups outlive by other parts. One that
     /// broke its scout's, or a repeat of such, needs no second proof. Hurts one that falling nodes meet.
     fn deadly(&self, lookup: &Query) -> bool {
-        let print = lookup.repeat.then(|| lookup.print());
+        let print = lookup.is_client_retry.then(|| lookup.fingerprint());
         let known = || {
             self.fatal
                 .iter()
                 .any(|(_, known)| Some(known) == print.as_ref())
         };
-        let fell = || lookup.broken_at() > usize::from(lookup.placed && !lookup.repeat);
-        lookup.unanswered() && fell() || lookup.repeat && lookup.complete() && known()
+        let fell = || {
+            lookup.nodes_with_broken_connections()
+                > usize::from(lookup.placed && !lookup.is_client_retry)
+        };
+        lookup.is_unanswered() && fell()
+            || lookup.is_client_retry && lookup.all_requests_received() && known()
     }
 
     /// While nodes fall, and for a client's repeat, one node is tried before the others see the lookup.
     fn wary(&self, lookup: &Query) -> bool {
         let alarmed = self
             .alarm_at
-            .is_some_and(|at| self.now.since(at) < self.tariff.warm_within);
-        (alarmed || lookup.repeat) && lookup.unanswered()
+            .is_some_and(|at| self.now.since(at) < self.config.slow_start_duration);
+        (alarmed || lookup.is_client_retry) && lookup.is_unanswered()
     }
 
     /// A scout is out, and less than a quarter of the time is gone.
     fn scouting(&self, lookup: &Query) -> bool {
-        let first = lookup.sent_out().min();
-        first.is_some_and(|at| self.now.since(at).times(3.0) < lookup.soft.since(self.now))
+        let first = lookup.in_flight_since().min();
+        first.is_some_and(|at| self.now.since(at).times(3.0) < lookup.soft_deadline.since(self.now))
             && self.wary(lookup)
     }
 
     /// A nack where a repeat is harmless, else an abort.
     fn refuse(&mut self, id: QueryId, come_back: Micros, out: &mut dyn Actions) {
-        let Some(lookup) = self.lookups.get(&id) else {
+        let Some(lookup) = self.queries.get(&id) else {
             return;
         };
-        let harmless = lookup.row.repeat == RetrySemantics::Idempotent
-            || !lookup.second
+        let harmless = lookup.config.retry_semantics == RetrySemantics::Idempotent
+            || !lookup.in_second_phase
                 && lookup
-                    .parts
+                    .requests
                     .iter()
-                    .all(|p| !p.calls.iter().any(Attempt::may_have_run));
+                    .all(|p| !p.attempts.iter().any(Attempt::may_have_run));
         if harmless {
-            out.nack(
+            out.reject(
                 id,
-                self.tariff
-                    .longest_advice
+                self.config
+                    .max_retry_after
                     .map_or(Micros(0), |longest| come_back.min(longest)),
             );
         } else {
-            out.abort(id);
+            out.fail(id);
         }
         self.close(id, out);
     }
 
     fn close(&mut self, id: QueryId, out: &mut dyn Actions) {
-        let Some(lookup) = self.lookups.remove(&id) else {
+        let Some(lookup) = self.queries.remove(&id) else {
             return;
         };
-        self.drop_parts(&lookup.parts, out);
+        self.drop_parts(&lookup.requests, out);
     }
 
     fn drop_parts(&mut self, parts: &[ShardRequest], out: &mut dyn Actions) {
         for part in parts {
             let still_out = part
-                .calls
+                .attempts
                 .iter()
                 .enumerate()
-                .filter(|(_, call)| call.ending.is_none());
-            for (at, _) in still_out.filter(|_| self.tariff.cancels) {
-                out.cancel(part.id, AttemptNo(at as u8));
+                .filter(|(_, call)| call.outcome.is_none());
+            for (at, _) in still_out.filter(|_| self.config.cancellation) {
+                out.cancel_attempt(part.id, AttemptNo(at as u8));
             }
         }
     }
 
     fn unplaced(&self) -> Option<RuleMatch> {
-        self.find(|lk| !lk.placed && lk.complete() && !self.scouting(lk))
+        self.find(|lk| !lk.placed && lk.all_requests_received() && !self.scouting(lk))
     }
 
     fn place_or_nack(&mut self, case: RuleMatch, out: &mut dyn Actions) {
-        let id = case.lookup;
-        let Some(lookup) = self.lookups.get(&id) else {
+        let id = case.query;
+        let Some(lookup) = self.queries.get(&id) else {
             return;
         };
-        let (customer, second, least) = (lookup.customer, lookup.second, self.bars(lookup).1);
-        let first = !second && lookup.parts.iter().all(|p| p.calls.is_empty());
+        let (customer, second, least) =
+            (lookup.customer, lookup.in_second_phase, self.bars(lookup).1);
+        let first = !second && lookup.requests.iter().all(|p| p.attempts.is_empty());
         let within_share = !first || self.draw_quota(customer);
-        let Some(lookup) = self.lookups.get(&id) else {
+        let Some(lookup) = self.queries.get(&id) else {
             return;
         };
-        let left = lookup.soft.since(self.now).0 as f64 * self.time_allowed(lookup, within_share);
+        let left =
+            lookup.soft_deadline.since(self.now).0 as f64 * self.time_allowed(lookup, within_share);
         let plan = self.plan(lookup, left);
-        if first && plan.in_time + SHORT < least {
+        if first && plan.weight_in_time + SHORT < least {
             if self.shed_at.replace(self.now).is_none() {
-                let (slowest, left, placed) = (plan.slowest / 1e3, left / 1e3, plan.places.len());
+                let (slowest, left, placed) = (
+                    plan.slowest_latency / 1e3,
+                    left / 1e3,
+                    plan.assignments.len(),
+                );
                 out.log(&format!(
                     "shedding: {placed} parts in {slowest:.0} ms, allowed {left:.0}"
                 ));
             }
-            out.reason(id, DecisionReason::Shed);
-            let excess = Micros((plan.slowest - left).max(BEAT.0 as f64) as u64);
+            out.record_reason(id, DecisionReason::Shed);
+            let excess = Micros((plan.slowest_latency - left).max(BEAT.0 as f64) as u64);
             return self.refuse(id, excess, out);
         }
         let scout = plan
-            .places
+            .assignments
             .first()
-            .filter(|_| self.wary(lookup) && lookup.sent_out().next().is_none());
+            .filter(|_| self.wary(lookup) && lookup.in_flight_since().next().is_none());
         let scout = scout.map(|(_, node)| *node);
-        self.lookups
+        self.queries
             .entry(id)
             .and_modify(|lk| lk.placed = scout.is_none());
         for (at, node) in plan
-            .places
+            .assignments
             .into_iter()
             .filter(|(_, node)| scout.is_none_or(|s| s == *node))
         {
@@ -838,7 +911,7 @@
         self.shed_at = None;
         out.log(&format!(
             "shedding: over, {} lookups in hand",
-            self.lookups.len()
+            self.queries.len()
         ));
     }
 
@@ -846,26 +919,26 @@
     /// there is, less for others, so that they give way first when nodes are busy. Not by parts: where one
     /// index needs all shards and another needs one, the middle one would have no room on a quiet day.
     fn time_allowed(&self, lookup: &Query, within_share: bool) -> f64 {
-        let seen = self.tariff.indexes.iter().filter(|row| row.seen);
-        let best = seen.map(|row| row.gain).fold(0.0, f64::max);
+        let seen = self.config.indexes.iter().filter(|row| row.has_queries);
+        let best = seen.map(|row| row.priority_weight).fold(0.0, f64::max);
         let share = if within_share {
             1.0
         } else {
-            self.tariff.over_share_gain
+            self.config.over_quota_weight
         };
         let rank = if best > 0.0 {
-            share * lookup.row.gain / best
+            share * lookup.config.priority_weight / best
         } else {
             1.0
         };
-        let rank = if lookup.left < lookup.row.soft {
+        let rank = if lookup.time_allowed < lookup.config.latency_objective {
             1.0
         } else {
             rank
         };
         let spare = self
-            .tariff
-            .vain
+            .config
+            .wasted_work_cost
             .map_or(SPARE_TIME, |vain| SPARE_TIME.max(1.0 - DEAR * vain));
         spare + (1.0 - spare) * rank
     }
@@ -874,11 +947,11 @@
     fn draw_quota(&mut self, customer: CustomerNo) -> bool {
         let at = usize::from(customer.0);
         let (Some(quota), Some((left, drawn))) =
-            (self.tariff.quotas.get(at), self.quota_left.get_mut(at))
+            (self.config.quotas.get(at), self.quota_left.get_mut(at))
         else {
             return true;
         };
-        let rate = quota / self.tariff.routers;
+        let rate = quota / self.config.router_count;
         let most = (rate * QUOTA_SECONDS).max(1.0);
         *left = (*left + rate * self.now.since(*drawn).0 as f64 / 1e6).min(most);
         *drawn = self.now;
@@ -889,22 +962,22 @@
 
     fn take_survey(&self) -> FleetStatistics {
         // One walk: at thousands of nodes it is what deciding costs.
-        let reported = self.tariff.gauges.contains(&LoadMetric::LatencyMs);
+        let reported = self.config.load_metrics.contains(&LoadMetric::LatencyMs);
         let [mut read, mut paces, mut latencies, mut works, mut rates] = [const { Vec::new() }; 5];
         for n in self
             .nodes
             .values()
-            .filter(|n| n.listing.phase == EndpointState::Ready)
+            .filter(|n| n.endpoint.state == EndpointState::Ready)
         {
             read.extend(self.reading(n));
-            paces.extend(n.pace);
+            paces.extend(n.latency_per_request);
             latencies.extend(n.latency);
             works.extend(if reported {
-                n.report.map(|ms| ms * 1e3)
+                n.reported_load.map(|ms| ms * 1e3)
             } else {
                 n.latency
             });
-            rates.extend(Some(n.best_rate).filter(|rate| *rate > 0.0));
+            rates.extend(Some(n.max_reported_rate).filter(|rate| *rate > 0.0));
         }
         let mean_o = if read.is_empty() {
             self.memory()
@@ -921,33 +994,35 @@
         FleetStatistics {
             mean_o,
             m: mean_o * PART_RATIO,
-            middle,
-            pace,
-            rate,
+            median_latency: middle,
+            median_latency_per_request: pace,
+            warm_rate: rate,
         }
     }
 
     /// A node's o as reported, or from its answers where it is not.
     fn reading(&self, node: &Node) -> Option<f64> {
-        let t = &self.tariff;
-        let silent = t.reporting == LoadReporting::Off
-            || t.reporting == LoadReporting::OnProbe && !t.probing;
+        let t = &self.config;
+        let silent = t.load_reporting == LoadReporting::Off
+            || t.load_reporting == LoadReporting::OnProbe && !t.health_checks;
         if silent
-            || t.gauges
+            || t.load_metrics
                 .iter()
                 .all(|g| matches!(g, LoadMetric::Rate | LoadMetric::Unread))
         {
             return node.latency;
         }
-        if t.gauges.contains(&LoadMetric::LatencyMs) {
-            return node.report.or(node.latency.map(|micros| micros / 1e3));
+        if t.load_metrics.contains(&LoadMetric::LatencyMs) {
+            return node
+                .reported_load
+                .or(node.latency.map(|micros| micros / 1e3));
         }
         // A queue of none is no free ride: a call costs a node work of its own, told in mean parts.
-        node.report.map(|queue| {
+        node.reported_load.map(|queue| {
             queue
                 + self
                     .mean_hint
-                    .map_or(1.0, |hint| t.call_cost.0 as f64 / hint)
+                    .map_or(1.0, |hint| t.attempt_cost.0 as f64 / hint)
         })
     }
 
@@ -955,11 +1030,14 @@
     /// both fading, and no less than the age of what it owes. Age counts from its last answer: a lost answer
     /// is not a hung node.
     fn belief(&self, node: &Node, index: IndexNo) -> f64 {
-        let (middle, lasting) = (self.survey.middle.unwrap_or(0.0), self.memory() * LASTING);
+        let (middle, lasting) = (
+            self.survey.median_latency.unwrap_or(0.0),
+            self.memory() * LASTING,
+        );
         let known = node.latency.unwrap_or(middle);
-        let latency = middle + (known - middle) * self.fade(node.seen, self.memory());
+        let latency = middle + (known - middle) * self.fade(node.latency_updated_at, self.memory());
         let age = node
-            .out(self.now)
+            .all_in_flight(self.now)
             .map(|out| self.overdue(node, out, index))
             .fold(0.0, f64::max);
         (latency + self.feared(node, index, lasting)).max(age)
@@ -971,7 +1049,7 @@
 
     /// How much later its failures make a node.
     fn feared(&self, node: &Node, index: IndexNo, lasting: f64) -> f64 {
-        node.standing(index).toll * self.fade(node.standing(index).at, lasting)
+        node.health(index).failure_cost * self.fade(node.health(index).updated_at, lasting)
     }
 
     fn overdue(
@@ -980,31 +1058,37 @@
         (owed, until): (&InFlightAttempt, Micros),
         index: IndexNo,
     ) -> f64 {
-        until.since(owed.sent.max(node.standing(index).answered)).0 as f64
+        until
+            .since(owed.sent_at.max(node.health(index).last_answer))
+            .0 as f64
     }
 
     /// The answer latency of a part that would be the last of so many more: the node's pace goes on, and it
     /// answers no sooner than what it owes is old.
     fn predicted(&self, node: &Node, index: IndexNo, more: f64) -> f64 {
-        let depth = node.owed_z() + more;
+        let depth = node.in_flight_cost() + more;
         let owing = |out: (&InFlightAttempt, Micros)| {
-            self.overdue(node, out, index) / (out.0.depth + FREE_DEPTH)
+            self.overdue(node, out, index) / (out.0.depth_when_sent + FREE_DEPTH)
         };
         // A node not heard from yet is no better than the middle, and one that warms up is slower.
         let known = node
-            .pace
-            .unwrap_or(self.survey.pace / self.warmth(node, self.now));
+            .latency_per_request
+            .unwrap_or(self.survey.median_latency_per_request / self.warmth(node, self.now));
         // Fear is short here, or a router that saw all fail would nack for good.
         let feared = self.feared(node, index, self.memory());
-        node.out(self.now).map(owing).fold(known, f64::max) * (depth + FREE_DEPTH) + feared
+        node.all_in_flight(self.now)
+            .map(owing)
+            .fold(known, f64::max)
+            * (depth + FREE_DEPTH)
+            + feared
     }
 
     /// How long an opinion of a node lasts unrefreshed: the shortest soft deadline.
     fn memory(&self) -> f64 {
-        self.tariff
+        self.config
             .indexes
             .iter()
-            .map(|row| row.soft.0 as f64)
+            .map(|row| row.latency_objective.0 as f64)
             .fold(f64::MAX, f64::min)
     }
 
@@ -1015,14 +1099,14 @@
         o = self
             .doubt(node, index)
             .map_or(o, |late| o.max(survey.mean_o * late));
-        if node.listing.zone != self.tariff.zone {
-            o += survey.mean_o * self.tariff.crossing * CROSSING;
+        if node.endpoint.zone != self.config.zone {
+            o += survey.mean_o * self.config.cross_zone_cost * CROSSING;
         }
-        o + survey.m * node.owed_z()
+        o + survey.m * node.in_flight_cost()
     }
 
     fn z(&self, part: &ShardRequest) -> f64 {
-        match (part.hint, self.mean_hint) {
+        match (part.cost_hint, self.mean_hint) {
             (Some(hint), Some(mean)) if mean > 0.0 => hint.0 as f64 / mean,
             _ => 1.0,
         }
@@ -1030,7 +1114,12 @@
 
     /// All nodes that hold a shard, from its cells in a row.
     fn held_by(&self, shard: ShardNo) -> impl Iterator<Item = &Node> {
-        let (cells, reach) = (self.tariff.cells, self.tariff.reach.min(self.tariff.cells));
+        let (cells, reach) = (
+            self.config.shard_group_count,
+            self.config
+                .groups_per_shard
+                .min(self.config.shard_group_count),
+        );
         let cell = move |j| ShardGroupNo((shard.0 % cells + j) % cells);
         let ids = (0..reach)
             .filter_map(move |j| self.cells.get(&cell(j)))
@@ -1042,15 +1131,15 @@
     fn holders(&self, part: &ShardRequest, planned: &BTreeMap<NodeId, f64>) -> Vec<&Node> {
         let z = self.z(part);
         let fit = |n: &&Node| {
-            let more = planned.get(&n.listing.node).copied().unwrap_or(0.0);
+            let more = planned.get(&n.endpoint.node).copied().unwrap_or(0.0);
             let free = part
-                .calls
+                .attempts
                 .iter()
-                .all(|c| c.ending.is_some() || c.node != n.listing.node);
-            n.listing.phase == EndpointState::Ready && free && self.has_room(n, more + z.max(1.0))
+                .all(|c| c.outcome.is_some() || c.node != n.endpoint.node);
+            n.endpoint.state == EndpointState::Ready && free && self.has_room(n, more + z.max(1.0))
         };
         let fit: Vec<&Node> = self.held_by(part.shard).filter(fit).collect();
-        let untried = |n: &&Node| part.calls.iter().all(|c| c.node != n.listing.node);
+        let untried = |n: &&Node| part.attempts.iter().all(|c| c.node != n.endpoint.node);
         prefer(fit, untried)
     }
 
@@ -1062,10 +1151,10 @@
             (self.held_by(part.shard).count(), self.z(part), at)
         };
         let open = |(_, part): &(usize, &ShardRequest)| {
-            part.calls_out() == 0 && self.may_call(lookup, part)
+            part.attempts_in_flight() == 0 && self.may_call(lookup, part)
         };
         let mut order: Vec<_> = lookup
-            .parts
+            .requests
             .iter()
             .enumerate()
             .filter(open)
@@ -1073,9 +1162,9 @@
             .collect();
         order.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)).then(a.2.cmp(&b.2)));
         for (_, z, at) in order {
-            let part = &lookup.parts[at];
+            let part = &lookup.requests[at];
             let added = |n: &Node| {
-                let fixed = if planned.contains_key(&n.listing.node) {
+                let fixed = if planned.contains_key(&n.endpoint.node) {
                     0.0
                 } else {
                     self.o(n, lookup.index)
@@ -1083,7 +1172,7 @@
                 fixed + self.survey.m * z
             };
             let latency = |n: &Node| {
-                let more = planned.get(&n.listing.node).copied().unwrap_or(0.0) + z;
+                let more = planned.get(&n.endpoint.node).copied().unwrap_or(0.0) + z;
                 self.predicted(n, lookup.index, more) * MARGIN
             };
             // A discount stacks parts behind the chosen: late holders give way to those in time.
@@ -1092,25 +1181,26 @@
                 continue;
             };
             let latency = latency(node);
-            *planned.entry(node.listing.node).or_default() += z;
-            plan.in_time += if latency <= left { part.weight } else { 0.0 };
-            plan.slowest = plan.slowest.max(latency);
-            plan.places.push((at, node.listing.node));
+            *planned.entry(node.endpoint.node).or_default() += z;
+            plan.weight_in_time += if latency <= left { part.weight } else { 0.0 };
+            plan.slowest_latency = plan.slowest_latency.max(latency);
+            plan.assignments.push((at, node.endpoint.node));
             sum += latency / MARGIN;
         }
         let calls = planned.len().max(1) as f64;
-        let latest =
-            sum / plan.places.len().max(1) as f64 * (LATEST.0 + LATEST.1 * calls.ln()).max(1.0);
+        let latest = sum / plan.assignments.len().max(1) as f64
+            * (LATEST.0 + LATEST.1 * calls.ln()).max(1.0);
         // Not where some may be missing; and a client that gives less than the aim is no sign of load.
-        let holds = self.bars(lookup).1 >= 1.0 && lookup.left >= lookup.row.soft;
+        let holds =
+            self.bars(lookup).1 >= 1.0 && lookup.time_allowed >= lookup.config.latency_objective;
         if holds && latest > left {
-            (plan.slowest, plan.in_time) = (plan.slowest.max(latest), 0.0);
+            (plan.slowest_latency, plan.weight_in_time) = (plan.slowest_latency.max(latest), 0.0);
         }
         plan
     }
 
     fn cheapest<'a>(&self, nodes: &[&'a Node], cost: impl Fn(&Node) -> f64) -> Option<&'a Node> {
-        let away = |n: &Node| (n.listing.zone != self.tariff.zone, n.lot);
+        let away = |n: &Node| (n.endpoint.zone != self.config.zone, n.tie_breaker);
         nodes
             .iter()
             .copied()
@@ -1121,65 +1211,70 @@
         // A plan may hold further calls of many parts: each may use up the budget that the next was planned
         // on.
         let lookup = self
-            .lookups
+            .queries
             .get(&id)
-            .filter(|lk| self.may_call(lk, &lk.parts[at]));
+            .filter(|lk| self.may_call(lk, &lk.requests[at]));
         let Some(lookup) = lookup else { return };
-        let part = &lookup.parts[at];
-        let (part_id, z, number) = (part.id, self.z(part), AttemptNo(part.calls.len() as u8));
+        let part = &lookup.requests[at];
+        let (part_id, z, number) = (part.id, self.z(part), AttemptNo(part.attempts.len() as u8));
         let index = lookup.index;
-        let due = if self.soon(lookup.soft) {
-            lookup.end
+        let due = if self.soon(lookup.soft_deadline) {
+            lookup.deadline
         } else {
-            lookup.soft
+            lookup.soft_deadline
         };
         let limit = due.since(self.now).max(Micros(1));
         let longest = self.memory();
         let Some(node) = self.nodes.get_mut(&to) else {
             return;
         };
-        let (depth, mut rested) = (node.owed_z() + z, node.rested(self.now).0 as f64 > longest);
+        let (depth, mut rested) = (
+            node.in_flight_cost() + z,
+            node.idle_time(self.now).0 as f64 > longest,
+        );
         if rested && self.distrusted.is_some() {
-            out.close_idle(to);
+            out.close_idle_connections(to);
             rested = false;
         }
-        node.rested_call = rested.then_some((part_id, number)).or(node.rested_call);
-        node.owed.insert(
+        node.attempt_on_idle_connection = rested
+            .then_some((part_id, number))
+            .or(node.attempt_on_idle_connection);
+        node.in_flight.insert(
             (part_id, number),
             InFlightAttempt {
-                lookup: id,
-                at,
+                query: id,
+                request_index: at,
                 index,
-                sent: self.now,
+                sent_at: self.now,
                 z,
-                depth,
+                depth_when_sent: depth,
             },
         );
-        let (now, kept) = (self.now, self.tariff.warm_within);
-        drop_front(&mut node.sends, |(at, _)| now.since(*at) > kept);
-        node.sends.push_back((self.now, z.max(1.0)));
+        let (now, kept) = (self.now, self.config.slow_start_duration);
+        drop_front(&mut node.recent_sends, |(at, _)| now.since(*at) > kept);
+        node.recent_sends.push_back((self.now, z.max(1.0)));
         self.watched.insert(to);
-        if number.0 > 0 && self.tariff.extra_window.is_some() {
+        if number.0 > 0 && self.config.retry_budget_window.is_some() {
             self.extras.push_back(self.now);
         }
-        if let Some(lookup) = self.lookups.get_mut(&id) {
-            lookup.parts[at].calls.push(Attempt {
+        if let Some(lookup) = self.queries.get_mut(&id) {
+            lookup.requests[at].attempts.push(Attempt {
                 node: to,
-                sent: self.now,
-                ending: None,
+                sent_at: self.now,
+                outcome: None,
             });
         }
-        out.part_call(part_id, to, limit);
+        out.send_attempt(part_id, to, limit);
     }
 
     /// Whether the rules let a part have a call, first or further, now.
     fn may_call(&self, lookup: &Query, part: &ShardRequest) -> bool {
-        let calls = &part.calls;
+        let calls = &part.attempts;
         let (dial, first_run) = (
-            self.tariff.dial,
-            calls.iter().find(|c| c.may_have_run()).map(|c| c.sent),
+            self.config.connect_timeout,
+            calls.iter().find(|c| c.may_have_run()).map(|c| c.sent_at),
         );
-        let harmless = match lookup.row.repeat {
+        let harmless = match lookup.config.retry_semantics {
             RetrySemantics::Idempotent => true,
             // A dial and two beats are kept back: the window is the nodes', the call has yet to reach one.
             RetrySemantics::Fingerprinted(window) => {
@@ -1188,22 +1283,22 @@
             RetrySemantics::OnceOnly => first_run.is_none(),
         };
         let most = lookup
-            .row
-            .calls
-            .or(self.tariff.most_calls)
+            .config
+            .max_attempts
+            .or(self.config.max_attempts)
             .unwrap_or(255)
             .min(255);
         // What never left counts for no try: three were gone within a millisecond of a shortage here.
-        let (made, unsent) = part.made();
+        let (made, unsent) = part.attempt_counts();
         let tries_left = made < most && unsent < MOST_UNSENT && calls.len() < 255;
-        let copies = self.tariff.second_copies && !lookup.row.no_copies;
-        let alone = copies || part.calls_out() == 0;
+        let copies = self.config.hedging && !lookup.config.hedging_disabled;
+        let alone = copies || part.attempts_in_flight() == 0;
         let budget = calls.is_empty() || self.within_budget(lookup);
-        !part.satisfied && harmless && tries_left && alone && budget && !self.soon(lookup.end)
+        !part.answered && harmless && tries_left && alone && budget && !self.soon(lookup.deadline)
     }
 
     fn within_budget(&self, lookup: &Query) -> bool {
-        let Some(window) = self.tariff.extra_window else {
+        let Some(window) = self.config.retry_budget_window else {
             return true;
         };
         // At the very edge of the window a call made may still count, a request taken may not.
@@ -1218,19 +1313,25 @@
             .filter(|at| self.now.since(**at) < window)
             .count() as f64;
         let fits = |(spare, ratio): (f64, f64)| made + 1.0 <= spare + ratio * taken;
-        fits((self.tariff.extra_spare, self.tariff.extra_ratio))
-            && lookup.row.further.is_none_or(fits)
+        fits((self.config.retry_budget_min, self.config.retry_budget_ratio))
+            && lookup.config.retry_budget.is_none_or(fits)
     }
 
     /// Connections that rest may be dropped on the way, and neither end is told: what is sent on one is lost.
     /// Seen as calls that are late, at many nodes, after nothing had gone there for a soft deadline.
     fn rested_is_silent(&self) -> Option<RuleMatch> {
-        let middle = self.survey.middle?;
+        let middle = self.survey.median_latency?;
         let late = |n: &Node| Micros(n.latency.unwrap_or(middle).max(middle) as u64).times(LATE);
-        let sent = |n: &Node| Some(n.owed.get(n.rested_call.as_ref()?)?.sent);
+        let sent = |n: &Node| {
+            Some(
+                n.in_flight
+                    .get(n.attempt_on_idle_connection.as_ref()?)?
+                    .sent_at,
+            )
+        };
         let lost = |n: &&Node| sent(n).is_some_and(|sent| self.now.since(sent) > late(n));
         self.watched_nodes().find(lost).map(|n| RuleMatch {
-            node: n.listing.node,
+            node: n.endpoint.node,
             ..RuleMatch::default()
         })
     }
@@ -1239,7 +1340,7 @@
         let Some(node) = self.nodes.get_mut(&case.node) else {
             return;
         };
-        node.rested_call = None;
+        node.attempt_on_idle_connection = None;
         self.silent = blend(Some(self.silent), 1.0, STEADY);
         if self.silent > SILENT && self.distrusted.is_none() {
             self.distrusted = Some(self.now);
@@ -1263,44 +1364,47 @@
     /// A part without a call out gets one, elsewhere if it can.
     fn needs_another_try(&self) -> Option<RuleMatch> {
         self.find_call(|lk, part| {
-            let waits = part.calls_out() == 0 && part.rests_until <= self.now;
-            waits && (lk.outlived() || lk.sent_out().next().is_none())
+            let waits = part.attempts_in_flight() == 0 && part.retry_not_before <= self.now;
+            waits && (lk.is_survivable() || lk.in_flight_since().next().is_none())
         })
     }
 
     /// A late part holds back its lookup: it gets a copy while that may still be in time. Copies are a small
     /// share of what is out: when everything is late, more would only add to it.
     fn needs_a_copy(&self) -> Option<RuleMatch> {
-        let middle = Micros(self.survey.middle? as u64);
+        let middle = Micros(self.survey.median_latency? as u64);
         // One at a time where no budget bounds them: more cost an overloaded fleet a fifth of its gain.
-        let share = self.tariff.extra_window.map_or(0.0, |_| COPIES);
+        let share = self.config.retry_budget_window.map_or(0.0, |_| COPIES);
         let out = self
-            .lookups
+            .queries
             .values()
-            .flat_map(|lk| &lk.parts)
-            .map(ShardRequest::calls_out);
+            .flat_map(|lk| &lk.requests)
+            .map(ShardRequest::attempts_in_flight);
         let (copies, out) = out.fold((0, 0), |(c, o), n| (c + n.saturating_sub(1), o + n));
         if copies as f64 >= (out as f64 * share).max(1.0) {
             return None;
         }
-        let late = |c: &Attempt| c.ending.is_none() && self.now.since(c.sent) > middle.times(LATE);
+        let late =
+            |c: &Attempt| c.outcome.is_none() && self.now.since(c.sent_at) > middle.times(LATE);
         self.find_call(|lk, part| {
-            part.calls.iter().any(late) && self.now + middle < lk.soft && lk.outlived()
+            part.attempts.iter().any(late)
+                && self.now + middle < lk.soft_deadline
+                && lk.is_survivable()
         })
     }
 
     fn find_call(&self, wanted: impl Fn(&Query, &ShardRequest) -> bool) -> Option<RuleMatch> {
-        self.lookups.values().filter(|lk| lk.placed).find_map(|lk| {
-            lk.parts.iter().enumerate().find_map(|(at, part)| {
-                if part.satisfied || !wanted(lk, part) || !self.may_call(lk, part) {
+        self.queries.values().filter(|lk| lk.placed).find_map(|lk| {
+            lk.requests.iter().enumerate().find_map(|(at, part)| {
+                if part.answered || !wanted(lk, part) || !self.may_call(lk, part) {
                     return None;
                 }
                 let holders = self.holders(part, &BTreeMap::new());
                 let node = self.cheapest(&holders, |n| self.o(n, lk.index))?;
                 Some(RuleMatch {
-                    lookup: lk.id,
-                    at,
-                    node: node.listing.node,
+                    query: lk.id,
+                    request_index: at,
+                    node: node.endpoint.node,
                     ..RuleMatch::default()
                 })
             })
@@ -1309,23 +1413,23 @@
 
     fn call_again(&mut self, case: RuleMatch, out: &mut dyn Actions) {
         let part = self
-            .lookups
-            .get(&case.lookup)
-            .and_then(|lk| lk.parts.get(case.at));
-        let hedges = part.is_some_and(|part| part.calls_out() > 0);
-        out.reason(
-            case.lookup,
+            .queries
+            .get(&case.query)
+            .and_then(|lk| lk.requests.get(case.request_index));
+        let hedges = part.is_some_and(|part| part.attempts_in_flight() > 0);
+        out.record_reason(
+            case.query,
             if hedges {
                 DecisionReason::Hedge
             } else {
                 DecisionReason::Retry
             },
         );
-        self.call(case.lookup, case.at, case.node, out);
+        self.call(case.query, case.request_index, case.node, out);
     }
 
     fn read_report(&mut self, id: NodeId, report: &[f64]) {
-        let gauges = &self.tariff.gauges;
+        let gauges = &self.config.load_metrics;
         // A figure that is none, or below nothing, says nothing.
         let sane = |figure: &f64| figure.is_finite() && *figure >= 0.0;
         let at = |wanted: LoadMetric| gauges.iter().position(|g| *g == wanted);
@@ -1337,11 +1441,11 @@
         // Work that takes no time is no report at all, and what came before it is not to be believed either.
         let untrue = read(LoadMetric::LatencyMs) == Some(0.0);
         if let Some(node) = self.nodes.get_mut(&id) {
-            node.report = o
-                .map(|o| blend(node.report, o, FRESH))
-                .or(node.report)
+            node.reported_load = o
+                .map(|o| blend(node.reported_load, o, FRESH))
+                .or(node.reported_load)
                 .filter(|_| !untrue);
-            node.best_rate = node.best_rate.max(rate.unwrap_or(0.0));
+            node.max_reported_rate = node.max_reported_rate.max(rate.unwrap_or(0.0));
             self.stale = true;
         }
     }
@@ -1353,8 +1457,11 @@
         self.alarm_at = Some(self.now)
             .filter(|_| ending == AttemptOutcome::Broken)
             .or(self.alarm_at);
-        let (longest, middle) = (self.memory(), self.survey.middle.unwrap_or(f64::MAX));
-        let once = self.tariff.indexes[index.at()].repeat == RetrySemantics::OnceOnly;
+        let (longest, middle) = (
+            self.memory(),
+            self.survey.median_latency.unwrap_or(f64::MAX),
+        );
+        let once = self.config.indexes[index.at()].retry_semantics == RetrySemantics::OnceOnly;
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
@@ -1365,19 +1472,20 @@
             _ => (1.0, longest),
         };
         if ending == AttemptOutcome::Satisfied {
-            (node.latency, node.seen) = (Some(blend(node.latency, lag.0 as f64, FRESH)), self.now);
+            (node.latency, node.latency_updated_at) =
+                (Some(blend(node.latency, lag.0 as f64, FRESH)), self.now);
         }
-        node.standings
-            .resize(self.tariff.indexes.len(), IndexHealth::default());
-        for (at, standing) in node.standings.iter_mut().enumerate() {
+        node.index_health
+            .resize(self.config.indexes.len(), IndexHealth::default());
+        for (at, standing) in node.index_health.iter_mut().enumerate() {
             if at == index.at()
                 || matches!(ending, AttemptOutcome::NeverRan | AttemptOutcome::Broken)
             {
-                standing.fear = blend(Some(standing.fear), fear, FRESH);
-                standing.toll = blend(Some(standing.toll), toll, FRESH);
-                standing.at = self.now;
-                standing.answered = if fear > 0.0 {
-                    standing.answered
+                standing.failure_rate = blend(Some(standing.failure_rate), fear, FRESH);
+                standing.failure_cost = blend(Some(standing.failure_cost), toll, FRESH);
+                standing.updated_at = self.now;
+                standing.last_answer = if fear > 0.0 {
+                    standing.last_answer
                 } else {
                     self.now
                 };
@@ -1389,18 +1497,21 @@
 
     /// How many times later than the middle a node is for an index, where that counts.
     fn doubt(&self, node: &Node, index: IndexNo) -> Option<f64> {
-        let (middle, belief) = (self.survey.middle?.max(1.0), self.belief(node, index));
+        let (middle, belief) = (
+            self.survey.median_latency?.max(1.0),
+            self.belief(node, index),
+        );
         (belief > (DOUBT * middle).max(self.memory() * BRIEF)).then_some(belief / middle)
     }
 
     fn doubt_has_changed(&self) -> Option<RuleMatch> {
-        let indexes = || (0..self.tariff.indexes.len() as u8).map(IndexNo);
+        let indexes = || (0..self.config.indexes.len() as u8).map(IndexNo);
         let doubted = |n: &Node| indexes().find(|index| self.doubt(n, *index).is_some());
         let mut now = self.watched_nodes().map(|n| (n, doubted(n)));
-        let (n, index) = now.find(|(n, index)| index.is_some() != n.doubted.is_some())?;
+        let (n, index) = now.find(|(n, index)| index.is_some() != n.suspected_for.is_some())?;
         Some(RuleMatch {
-            index: index.or(n.doubted)?,
-            node: n.listing.node,
+            index: index.or(n.suspected_for)?,
+            node: n.endpoint.node,
             ..RuleMatch::default()
         })
     }
@@ -1412,28 +1523,30 @@
         let (id, index, word) = (
             case.node.0,
             case.index,
-            node.doubted.map_or("doubted", |_| "trusted"),
+            node.suspected_for.map_or("doubted", |_| "trusted"),
         );
         let (late, middle) = (
             self.belief(node, index) / 1e3,
-            self.survey.middle.unwrap_or(0.0) / 1e3,
+            self.survey.median_latency.unwrap_or(0.0) / 1e3,
         );
-        let failing = node.standing(index).fear * 100.0;
+        let failing = node.health(index).failure_rate * 100.0;
         out.log(&format!(
             "node {id:x}: {word}, {late:.0} ms against {middle:.0}, failing {failing:.0}%"
         ));
         self.nodes
             .entry(case.node)
-            .and_modify(|n| n.doubted = n.doubted.is_none().then_some(index));
+            .and_modify(|n| n.suspected_for = n.suspected_for.is_none().then_some(index));
     }
 
     /// The share of its capacity that a node surely had when the window up to a time began.
     fn warmth(&self, node: &Node, at: Micros) -> f64 {
-        let (t, age) = (&self.tariff, at.since(node.started.at));
-        if node.started.at.0 == 0 || age >= t.warm_within {
+        let (t, age) = (&self.config, at.since(node.started.at));
+        if node.started.at.0 == 0 || age >= t.slow_start_duration {
             return 1.0;
         }
-        t.cold_share + (1.0 - t.cold_share) * age.since(t.fall_window).over(t.warm_within)
+        t.slow_start_initial_share
+            + (1.0 - t.slow_start_initial_share)
+                * age.since(t.overload_window).over(t.slow_start_duration)
     }
 
     /// Whether a node can bear so much more. One that has just started bears a multiple of what it can do at
@@ -1441,24 +1554,27 @@
     /// may send one in so many windows, the first by lot from when it was told: many routers that each sent
     /// one at once would push the node over. Who has just started itself does not know what it sent before.
     fn has_room(&self, node: &Node, more: f64) -> bool {
-        let window = self.tariff.fall_window;
+        let window = self.config.overload_window;
         if self.warmth(node, self.now) >= 1.0 || window.0 == 0 {
             return true;
         }
         let share = self.share(node, self.now);
         if share < 1.0 {
-            let first = (node.told, f64::from(node.lot) / f64::from(u32::MAX));
+            let first = (
+                node.notified_at,
+                f64::from(node.tie_breaker) / f64::from(u32::MAX),
+            );
             let (from, part) = node
-                .sends
+                .recent_sends
                 .back()
                 .copied()
-                .filter(|of| of.0 >= node.told)
+                .filter(|of| of.0 >= node.notified_at)
                 .unwrap_or(first);
             let earned = (self.share(node, from) + share) / 2.0 * self.now.since(from).over(window);
             return more <= LARGE && earned > part;
         }
         let sent: f64 = node
-            .sends
+            .recent_sends
             .iter()
             .filter(|of| self.now.since(of.0) <= window)
             .map(|of| of.1)
@@ -1470,11 +1586,12 @@
     /// This router's share of what a node bears in a window. With less than a part each, routers send by
     /// chance, and the sum swings by the root of its size: so much less is sent.
     fn share(&self, node: &Node, at: Micros) -> f64 {
-        let (t, sure) = (&self.tariff, self.warmth(node, at) * WARM_UP_SAFETY);
-        let bears = t.fall_multiple * sure * t.fall_window.0 as f64 / 1e6 * self.survey.rate;
-        let swing = SWINGS / 2.0 * (1.0 - bears / t.routers).max(0.0).sqrt();
+        let (t, sure) = (&self.config, self.warmth(node, at) * WARM_UP_SAFETY);
+        let bears =
+            t.overload_multiple * sure * t.overload_window.0 as f64 / 1e6 * self.survey.warm_rate;
+        let swing = SWINGS / 2.0 * (1.0 - bears / t.router_count).max(0.0).sqrt();
         let most = bears + BY_CHANCE * (bears.sqrt() + 1.0);
-        ((swing * swing + most).sqrt() - swing).powi(2).min(bears) / t.routers
+        ((swing * swing + most).sqrt() - swing).powi(2).min(bears) / t.router_count
     }
 }
 
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -58,20 +58,31 @@
 impl Node {
     fn belief(&self, now: Micros) -> NodeSnapshot {
         let age = |at: Micros| now.since(at).0;
-        let standing = |of: &IndexHealth| (of.fear, of.toll, age(of.at), age(of.answered));
+        let standing = |of: &IndexHealth| {
+            (
+                of.failure_rate,
+                of.failure_cost,
+                age(of.updated_at),
+                age(of.last_answer),
+            )
+        };
         NodeSnapshot {
-            started: self.listing.started.0,
-            report: self.report,
-            best_rate: self.best_rate,
+            started: self.endpoint.started_at.0,
+            report: self.reported_load,
+            best_rate: self.max_reported_rate,
             latency: self.latency,
-            seen: age(self.seen),
-            standings: self.standings.iter().map(standing).collect(),
-            pace: self.pace,
-            doubted: self.doubted.map(|index| index.0),
-            sends: self.sends.iter().map(|(at, z)| (age(*at), *z)).collect(),
+            seen: age(self.latency_updated_at),
+            standings: self.index_health.iter().map(standing).collect(),
+            pace: self.latency_per_request,
+            doubted: self.suspected_for.map(|index| index.0),
+            sends: self
+                .recent_sends
+                .iter()
+                .map(|(at, z)| (age(*at), *z))
+                .collect(),
             out: self
-                .out(now)
-                .map(|(of, _)| (of.index.0, age(of.sent), of.z, of.depth))
+                .all_in_flight(now)
+                .map(|(of, _)| (of.index.0, age(of.sent_at), of.z, of.depth_when_sent))
                 .collect(),
         }
     }
@@ -82,18 +93,18 @@
         let sound =
             |figure: Option<f64>| figure.filter(|figure| figure.is_finite() && *figure >= 0.0);
         let standing = |(fear, toll, changed, answered): &(f64, f64, u64, u64)| IndexHealth {
-            fear: sound(Some(*fear)).unwrap_or(0.0).min(1.0),
-            toll: sound(Some(*toll)).unwrap_or(0.0),
-            at: at(*changed),
-            answered: at(*answered),
+            failure_rate: sound(Some(*fear)).unwrap_or(0.0).min(1.0),
+            failure_cost: sound(Some(*toll)).unwrap_or(0.0),
+            updated_at: at(*changed),
+            last_answer: at(*answered),
         };
-        (self.report, self.latency, self.pace) =
+        (self.reported_load, self.latency, self.latency_per_request) =
             (sound(of.report), sound(of.latency), sound(of.pace));
-        self.best_rate = sound(Some(of.best_rate)).unwrap_or(0.0);
-        self.seen = at(of.seen);
-        self.standings = of.standings.iter().map(standing).collect();
-        self.doubted = of.doubted.map(IndexNo);
-        self.sends = of.sends.iter().map(|(age, z)| (at(*age), *z)).collect();
+        self.max_reported_rate = sound(Some(of.best_rate)).unwrap_or(0.0);
+        self.latency_updated_at = at(of.seen);
+        self.index_health = of.standings.iter().map(standing).collect();
+        self.suspected_for = of.doubted.map(IndexNo);
+        self.recent_sends = of.sends.iter().map(|(age, z)| (at(*age), *z)).collect();
         // What it hears of these, this process does not; an age that went on would doubt a node that has answered.
         let out = of
             .out
@@ -101,17 +112,17 @@
             .filter(|(_, _, z, depth)| (0.0..1e9).contains(z) && *depth >= 0.0);
         let out = out.map(|(index, age, z, depth)| InFlightAttempt {
             index: IndexNo(*index),
-            sent: at(*age),
+            sent_at: at(*age),
             z: *z,
-            depth: *depth,
+            depth_when_sent: *depth,
             ..InFlightAttempt::default()
         });
-        self.abroad = (now, out.collect());
+        self.in_flight_elsewhere = (now, out.collect());
     }
 }
 
 impl RoutingEngine {
-    pub fn beliefs(&self, now: Micros) -> EngineSnapshot {
+    pub fn snapshot(&self, now: Micros) -> EngineSnapshot {
         let age = |at: &Micros| now.since(*at).0;
         let ages = |times: &std::collections::VecDeque<Micros>| times.iter().map(age).collect();
         let print =
@@ -154,14 +165,14 @@
         let at = |age: &u64| now.since(Micros(*age));
         let mut taken = 0;
         for (id, belief) in &of.nodes {
-            let indexes = self.tariff.indexes.len();
+            let indexes = self.config.indexes.len();
             let node = self
                 .nodes
                 .get_mut(&NodeId(*id))
-                .filter(|node| node.listing.started.0 == belief.started);
+                .filter(|node| node.endpoint.started_at.0 == belief.started);
             if let Some(node) = node.filter(|_| belief.standings.len() <= indexes) {
                 node.believe(now, belief);
-                if node.doubted.is_some() || !node.abroad.1.is_empty() {
+                if node.suspected_for.is_some() || !node.in_flight_elsewhere.1.is_empty() {
                     self.watched.insert(NodeId(*id));
                 }
                 taken += 1;
@@ -205,13 +216,13 @@
         for id in 1..4u64 {
             let listing = Endpoint {
                 node: NodeId(id),
-                started: Micros(id),
+                started_at: Micros(id),
                 ..Endpoint::default()
             };
             brain.nodes.insert(
                 NodeId(id),
                 Node {
-                    listing,
+                    endpoint: listing,
                     ..Node::default()
                 },
             );
@@ -224,34 +235,39 @@
         let (here, there) = (Micros(900_000_000), Micros(2_000_000_000));
         let mut old = brain(here);
         let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
-        (node.latency, node.pace, node.seen) = (Some(4000.0), Some(1000.0), Micros(here.0 - 7_000));
-        node.sends.push_back((Micros(here.0 - 50_000), 2.0));
-        node.standings = vec![IndexHealth {
-            fear: 0.5,
-            toll: 10.0,
-            at: Micros(here.0 - 3),
-            answered: Micros(here.0 - 9),
+        (
+            node.latency,
+            node.latency_per_request,
+            node.latency_updated_at,
+        ) = (Some(4000.0), Some(1000.0), Micros(here.0 - 7_000));
+        node.recent_sends.push_back((Micros(here.0 - 50_000), 2.0));
+        node.index_health = vec![IndexHealth {
+            failure_rate: 0.5,
+            failure_cost: 10.0,
+            updated_at: Micros(here.0 - 3),
+            last_answer: Micros(here.0 - 9),
         }];
         let owed = InFlightAttempt {
-            sent: Micros(here.0 - 80),
+            sent_at: Micros(here.0 - 80),
             z: 1.5,
-            depth: 3.0,
+            depth_when_sent: 3.0,
             ..InFlightAttempt::default()
         };
-        node.owed.insert((ShardRequestId(1), AttemptNo(0)), owed);
-        old.tariff.indexes = vec![Default::default()];
+        node.in_flight
+            .insert((ShardRequestId(1), AttemptNo(0)), owed);
+        old.config.indexes = vec![Default::default()];
         old.extras.push_back(Micros(here.0 - 1000));
         old.fatal.push_back((
             here + Micros(5_000_000),
             (IndexNo(0), CustomerNo(0), vec![ShardNo(3)]),
         ));
-        let beliefs = old.beliefs(here);
+        let beliefs = old.snapshot(here);
         let mut new = brain(there);
-        new.tariff.indexes = vec![Default::default()];
+        new.config.indexes = vec![Default::default()];
         assert_eq!(new.believe(there, &beliefs), 3);
-        assert_eq!(new.beliefs(there), beliefs);
+        assert_eq!(new.snapshot(there), beliefs);
         assert_eq!(
-            new.nodes[&NodeId(2)].sends[0],
+            new.nodes[&NodeId(2)].recent_sends[0],
             (Micros(there.0 - 50_000), 2.0)
         );
         assert_eq!(new.fatal[0].0, there + Micros(5_000_000));
@@ -278,11 +294,11 @@
                 ..EngineSnapshot::default()
             },
         );
-        new.serve_part(1.0, true);
+        new.serve_share(1.0, true);
         new.now = now + Micros(later);
         let seen = |new: &RoutingEngine| {
             let node = &new.nodes[&NodeId(2)];
-            (node.owed_z(), new.belief(node, IndexNo(0)))
+            (node.in_flight_cost(), new.belief(node, IndexNo(0)))
         };
         assert_eq!(seen(&new), (z, age));
         new.serve_whole();
@@ -297,22 +313,22 @@
     ) {
         let mut brain = brain(Micros(1_000_000));
         (
-            brain.tariff.extra_spare,
-            brain.tariff.extra_ratio,
-            brain.tariff.cold_share,
+            brain.config.retry_budget_min,
+            brain.config.retry_budget_ratio,
+            brain.config.slow_start_initial_share,
         ) = (8.0, 0.1, 0.2);
         brain.extras.push_back(Micros(990_000));
         let seen = |brain: &RoutingEngine| {
-            let of = &brain.tariff;
+            let of = &brain.config;
             (
-                of.extra_spare,
-                of.extra_ratio,
-                of.cold_share,
+                of.retry_budget_min,
+                of.retry_budget_ratio,
+                of.slow_start_initial_share,
                 brain.extras.len(),
             )
         };
-        brain.serve_part(4.0, goes_on);
-        brain.serve_part(2.0, goes_on);
+        brain.serve_share(4.0, goes_on);
+        brain.serve_share(2.0, goes_on);
         assert_eq!(seen(&brain), kept);
         brain.extras.push_back(Micros(1_000_000));
         brain.serve_whole();
@@ -330,35 +346,35 @@
     ) {
         let now = Micros(900_000_000);
         let mut old = brain(now);
-        old.tariff.indexes = vec![Default::default()];
+        old.config.indexes = vec![Default::default()];
         let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
-        (node.latency, node.report) = (Some(4000.0), Some(90.0));
-        node.standings = vec![IndexHealth {
-            fear: 1.0,
-            toll: 1e6,
+        (node.latency, node.reported_load) = (Some(4000.0), Some(90.0));
+        node.index_health = vec![IndexHealth {
+            failure_rate: 1.0,
+            failure_cost: 1e6,
             ..IndexHealth::default()
         }];
-        node.sends.push_back((now, 2.0));
+        node.recent_sends.push_back((now, 2.0));
         old.extras.push_back(now);
         old.fatal.push_back((
             now + Micros(5_000_000),
             (IndexNo(0), CustomerNo(0), vec![ShardNo(3)]),
         ));
         let mut new = brain(now);
-        new.tariff.indexes = vec![Default::default()];
-        new.tariff.reach = if same { 0 } else { 3 };
-        new.believe(now, &old.beliefs(now));
+        new.config.indexes = vec![Default::default()];
+        new.config.groups_per_shard = if same { 0 } else { 3 };
+        new.believe(now, &old.snapshot(now));
         let node = &new.nodes[&NodeId(2)];
         let counts = (
-            node.standings.len(),
-            node.sends.len(),
+            node.index_health.len(),
+            node.recent_sends.len(),
             new.extras.len(),
             new.fatal.len(),
         );
         assert_eq!(
             (
                 node.latency,
-                node.report,
+                node.reported_load,
                 counts.0,
                 counts.1,
                 counts.2,
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -22,7 +22,7 @@
     let lookup = lookup(&brain, &vec![1.0 / parts as f64; parts], &[]);
     brain
         .plan(&lookup, 1e6)
-        .places
+        .assignments
         .iter()
         .map(|(_, node)| node.0)
         .collect()
@@ -34,18 +34,21 @@
 fn a_chosen_node_draws_the_other_parts() {
     let mut brain = router(
         PlatformConfig {
-            cells: 3,
-            reach: 2,
+            shard_group_count: 3,
+            groups_per_shard: 2,
             ..tariff()
         },
         2,
     );
-    (node(&mut brain, 2).listing.cell, node(&mut brain, 2).report) = (ShardGroupNo(1), Some(90.0));
+    (
+        node(&mut brain, 2).endpoint.shard_group,
+        node(&mut brain, 2).reported_load,
+    ) = (ShardGroupNo(1), Some(90.0));
     let mut both = lookup(&brain, &[0.5, 0.5], &[]);
     // Only node 1 holds this one; the other part is held by both.
-    both.parts[1].shard = ShardNo(2);
+    both.requests[1].shard = ShardNo(2);
     assert_eq!(
-        fresh(brain).plan(&both, 1e6).places,
+        fresh(brain).plan(&both, 1e6).assignments,
         [(1, NodeId(1)), (0, NodeId(1))]
     );
 }
@@ -53,15 +56,18 @@
 #[test]
 fn a_holder_predicted_late_gives_way() {
     let mut brain = router(tariff(), 2);
-    (node(&mut brain, 1).report, node(&mut brain, 1).pace) = (Some(50.0), Some(900_000.0));
-    node(&mut brain, 2).pace = Some(50_000.0);
+    (
+        node(&mut brain, 1).reported_load,
+        node(&mut brain, 1).latency_per_request,
+    ) = (Some(50.0), Some(900_000.0));
+    node(&mut brain, 2).latency_per_request = Some(50_000.0);
     assert_eq!(places(brain, 1), [2]);
 }
 
 #[test]
 fn own_parts_out_add_to_o() {
     let mut brain = router(tariff(), 2);
-    node(&mut brain, 2).report = Some(90.0);
+    node(&mut brain, 2).reported_load = Some(90.0);
     owe(&mut brain, 2, 1, ms(1));
     assert_eq!(places(brain, 1), [1]);
 }
@@ -69,7 +75,10 @@
 #[test]
 fn a_node_without_report_or_answers_costs_the_mean() {
     let mut brain = router(tariff(), 3);
-    (node(&mut brain, 1).report, node(&mut brain, 3).report) = (Some(300.0), None);
+    (
+        node(&mut brain, 1).reported_load,
+        node(&mut brain, 3).reported_load,
+    ) = (Some(300.0), None);
     node(&mut brain, 3).latency = None;
     let brain = fresh(brain);
     assert_eq!(brain.o(&brain.nodes[&NodeId(3)], IndexNo(0)), 200.0);
@@ -79,12 +88,15 @@
 fn empty_queues_still_tell_a_busy_node_from_an_idle_one() {
     let mut brain = router(
         PlatformConfig {
-            gauges: vec![LoadMetric::Queue],
+            load_metrics: vec![LoadMetric::Queue],
             ..tariff()
         },
         2,
     );
-    brain.nodes.values_mut().for_each(|n| n.report = Some(0.0));
+    brain
+        .nodes
+        .values_mut()
+        .for_each(|n| n.reported_load = Some(0.0));
     owe(&mut brain, 1, 1, ms(1));
     assert_eq!(places(brain, 1), [2]);
 }
@@ -93,13 +105,13 @@
 fn a_priced_crossing_tips_the_balance() {
     let mut brain = router(
         PlatformConfig {
-            crossing: 0.04,
+            cross_zone_cost: 0.04,
             ..tariff()
         },
         2,
     );
-    node(&mut brain, 1).listing.zone = ZoneNo(1);
-    node(&mut brain, 2).report = Some(110.0);
+    node(&mut brain, 1).endpoint.zone = ZoneNo(1);
+    node(&mut brain, 2).reported_load = Some(110.0);
     assert_eq!(places(brain, 1), [2]);
 }
 
@@ -109,13 +121,13 @@
 fn a_shard_is_held_by_reach_cells(cells: u32, cell: u32, shard: u32, held: bool) {
     let mut brain = router(
         PlatformConfig {
-            cells,
-            reach: 2,
+            shard_group_count: cells,
+            groups_per_shard: 2,
             ..tariff()
         },
         1,
     );
-    node(&mut brain, 1).listing.cell = ShardGroupNo(cell);
+    node(&mut brain, 1).endpoint.shard_group = ShardGroupNo(cell);
     assert_eq!(fresh(brain).held_by(ShardNo(shard)).count() == 1, held);
 }
 
@@ -125,7 +137,7 @@
 fn a_lookup_is_given_up_before_its_client_is() {
     let mut brain = router(tariff(), 2);
     let held = lookup(&brain, &[1.0], &[OUT]);
-    brain.now = Micros(held.end.0 - ms(15).0);
+    brain.now = Micros(held.deadline.0 - ms(15).0);
     hold(&mut brain, held);
     let mut tape = Tape::default();
     brain.settle(&mut tape);
@@ -136,7 +148,7 @@
             Did::Cancel(ShardRequestId(1), AttemptNo(0))
         ]
     );
-    assert!(brain.lookups.is_empty());
+    assert!(brain.queries.is_empty());
 }
 
 #[test]
@@ -144,7 +156,7 @@
     let (mut brain, mut tape) = (router(tariff(), 1), Tape::default());
     owe(&mut brain, 1, 1, ms(5));
     let (now, part, node) = (brain.now, ShardRequestId(1000), NodeId(1));
-    brain.returned(
+    brain.attempt_finished(
         now,
         part,
         AttemptNo(0),
@@ -154,8 +166,8 @@
         &[80.0],
         &mut tape,
     );
-    brain.lapsed(now, QueryId(9), &mut tape);
-    assert!(tape.0.is_empty() && brain.nodes[&node].owed.is_empty());
+    brain.client_left(now, QueryId(9), &mut tape);
+    assert!(tape.0.is_empty() && brain.nodes[&node].in_flight.is_empty());
 }
 
 // Rule 2: no effect twice.
@@ -178,15 +190,15 @@
 ) {
     let mut brain = router(
         PlatformConfig {
-            most_calls: Some(3),
+            max_attempts: Some(3),
             ..tariff()
         },
         2,
     );
-    brain.tariff.indexes[0].repeat = repeat;
+    brain.config.indexes[0].retry_semantics = repeat;
     let lookup = lookup(&brain, &[1.0], calls);
     brain.now += ms(later);
-    assert_eq!(brain.may_call(&lookup, &lookup.parts[0]), may);
+    assert_eq!(brain.may_call(&lookup, &lookup.requests[0]), may);
 }
 
 // On sockets a repeat that waits for a dial would reach its node after the window.
@@ -196,28 +208,28 @@
 fn a_fingerprinted_repeat_leaves_time_to_dial(dial: u64, later: u64, may: bool) {
     let mut brain = router(
         PlatformConfig {
-            dial: ms(dial),
+            connect_timeout: ms(dial),
             ..tariff()
         },
         2,
     );
-    brain.tariff.indexes[0].repeat = RetrySemantics::Fingerprinted(ms(500));
+    brain.config.indexes[0].retry_semantics = RetrySemantics::Fingerprinted(ms(500));
     let lookup = lookup(&brain, &[1.0], &[RAN]);
     brain.now += ms(later);
-    assert_eq!(brain.may_call(&lookup, &lookup.parts[0]), may);
+    assert_eq!(brain.may_call(&lookup, &lookup.requests[0]), may);
 }
 
 #[test]
 fn no_second_copy_where_none_is_allowed() {
     let brain = router(
         PlatformConfig {
-            second_copies: false,
+            hedging: false,
             ..tariff()
         },
         2,
     );
     let lookup = lookup(&brain, &[1.0], &[OUT]);
-    assert!(!brain.may_call(&lookup, &lookup.parts[0]));
+    assert!(!brain.may_call(&lookup, &lookup.requests[0]));
 }
 
 #[test_case(RetrySemantics::Idempotent, RAN, false, Did::Nack(Micros(0)); "idempotent")]
@@ -233,14 +245,20 @@
 ) {
     let mut brain = router(
         PlatformConfig {
-            cancels: false,
+            cancellation: false,
             ..tariff()
         },
         1,
     );
-    brain.tariff.indexes[0].repeat = repeat;
+    brain.config.indexes[0].retry_semantics = repeat;
     let held = lookup(&brain, &[1.0], &[call]);
-    hold(&mut brain, Query { second, ..held });
+    hold(
+        &mut brain,
+        Query {
+            in_second_phase: second,
+            ..held
+        },
+    );
     let mut tape = Tape::default();
     brain.refuse(QueryId(1), ms(50), &mut tape);
     assert_eq!(tape.0, [did]);
@@ -250,7 +268,7 @@
 fn a_nack_advises_no_longer_than_clients_heed() {
     let mut brain = router(
         PlatformConfig {
-            longest_advice: Some(ms(300)),
+            max_retry_after: Some(ms(300)),
             ..tariff()
         },
         1,
@@ -268,7 +286,7 @@
 #[test_case(EndpointState::Gone)]
 fn nothing_goes_to_a_node_that_leaves(phase: EndpointState) {
     let mut brain = router(tariff(), 2);
-    node(&mut brain, 1).listing.phase = phase;
+    node(&mut brain, 1).endpoint.state = phase;
     assert_eq!(places(brain, 2), [2, 2]);
 }
 
@@ -277,7 +295,7 @@
     let mut brain = router(tariff(), 2);
     owe(&mut brain, 1, 1, ms(1));
     let now = brain.now;
-    brain.roster(
+    brain.endpoints_changed(
         now,
         &[Endpoint {
             node: NodeId(2),
@@ -286,15 +304,15 @@
         true,
         &mut Tape::default(),
     );
-    assert_eq!(brain.nodes[&NodeId(1)].listing.phase, EndpointState::Gone);
+    assert_eq!(brain.nodes[&NodeId(1)].endpoint.state, EndpointState::Gone);
 }
 
 #[test]
 fn a_broken_watch_is_asked_for_again() {
     let mut brain = router(tariff(), 0);
     let (now, mut tape) = (brain.now, Tape::default());
-    brain.roster_failed(now, &mut tape);
-    brain.elapsed(now + ASK_AGAIN + ASK_AGAIN, TimerId(0), &mut tape);
+    brain.endpoint_watch_failed(now, &mut tape);
+    brain.timer_fired(now + ASK_AGAIN + ASK_AGAIN, TimerId(0), &mut tape);
     assert_eq!(tape.0, [Did::Log, Did::Watch]);
 }
 
@@ -306,14 +324,14 @@
 fn a_cold_node_gets_its_allowance(routers: u32, parts: u32, room: bool) {
     let mut brain = router(
         PlatformConfig {
-            routers: routers.into(),
+            router_count: routers.into(),
             ..tariff()
         },
         1,
     );
     let now = brain.now;
     node(&mut brain, 1).started.at = now;
-    node(&mut brain, 1).sends = (1..parts).map(|_| (now, 1.0)).collect();
+    node(&mut brain, 1).recent_sends = (1..parts).map(|_| (now, 1.0)).collect();
     assert_eq!(brain.has_room(&brain.nodes[&NodeId(1)], 1.0), room);
 }
 
@@ -323,7 +341,7 @@
     let now = brain.now;
     node(&mut brain, 1).started.at = Micros(now.0 - ms(10_000).0 + 1);
     brain.now += ms(1);
-    node(&mut brain, 1).sends = (1..100).map(|_| (now, 1.0)).collect();
+    node(&mut brain, 1).recent_sends = (1..100).map(|_| (now, 1.0)).collect();
     assert!(brain.has_room(&brain.nodes[&NodeId(1)], 1.0));
 }
 
@@ -333,7 +351,7 @@
     let now = brain.now;
     (
         node(&mut brain, 1).started.at,
-        node(&mut brain, 2).best_rate,
+        node(&mut brain, 2).max_reported_rate,
     ) = (now, 20.0);
     let brain = fresh(brain);
     assert!(brain.has_room(&brain.nodes[&NodeId(1)], 8.0));
@@ -353,23 +371,26 @@
 ) {
     let mut brain = router(
         PlatformConfig {
-            second_copies: false,
+            hedging: false,
             ..tariff()
         },
         1,
     );
-    (brain.tariff.indexes[0].need, brain.tariff.indexes[0].least) = (need, least);
+    (
+        brain.config.indexes[0].required_weight,
+        brain.config.indexes[0].min_weight,
+    ) = (need, least);
     let mut held = lookup(&brain, weights, &[OK]);
     let rest = 1.0 - weights.iter().sum::<f64>();
     if rest > 0.001 {
-        let out = lookup(&brain, &[rest], &[OUT]).parts.remove(0);
-        held.parts.push(ShardRequest {
+        let out = lookup(&brain, &[rest], &[OUT]).requests.remove(0);
+        held.requests.push(ShardRequest {
             id: ShardRequestId(99),
             ..out
         });
-        held.expected += 1;
+        held.expected_requests += 1;
     }
-    brain.now = held.soft;
+    brain.now = held.soft_deadline;
     hold(&mut brain, held);
     let mut tape = Tape::default();
     brain.settle(&mut tape);
@@ -384,8 +405,8 @@
     hold(
         &mut brain,
         Query {
-            second: true,
-            first_whole,
+            in_second_phase: true,
+            first_phase_complete: first_whole,
             ..held
         },
     );
@@ -400,11 +421,11 @@
 fn a_first_step_leaves_the_second_its_time(later: u64, answered: bool) {
     let mut brain = router(tariff(), 3);
     (
-        brain.tariff.indexes[0].second_step,
-        brain.tariff.indexes[0].least,
+        brain.config.indexes[0].second_phase_size,
+        brain.config.indexes[0].min_weight,
     ) = (2, 0.5);
     let mut half = lookup(&brain, &[0.5, 0.5], &[OUT]);
-    half.parts[0].satisfied = true;
+    half.requests[0].answered = true;
     hold(&mut brain, half);
     brain.now += ms(later);
     assert_eq!(brain.answer_is_due().is_some(), answered);
@@ -413,14 +434,14 @@
 #[test]
 fn the_first_answer_waits_for_as_many_parts_as_are_to_come() {
     let mut brain = router(tariff(), 1);
-    brain.tariff.indexes[0].second_step = 3;
+    brain.config.indexes[0].second_phase_size = 3;
     let held = lookup(&brain, &[0.5, 0.5], &[OK]);
     hold(&mut brain, held);
     brain.settle(&mut Tape::default());
     assert_eq!(
         (
-            brain.lookups[&QueryId(1)].expected,
-            brain.lookups[&QueryId(1)].second
+            brain.queries[&QueryId(1)].expected_requests,
+            brain.queries[&QueryId(1)].in_second_phase
         ),
         (2, true)
     );
@@ -432,15 +453,15 @@
 #[test_case(&[0.1; 10], true, 0.8; "eight tenths, whose sum falls short")]
 fn no_answer_is_given_from_less_than_the_least_share(weights: &[f64], answers: bool, least: f64) {
     let mut brain = router(tariff(), 1);
-    brain.tariff.indexes[0].least = least;
+    brain.config.indexes[0].min_weight = least;
     let mut held = lookup(&brain, weights, &[OK]);
-    (held.soft, held.partly) = (brain.now, brain.now);
+    (held.soft_deadline, held.partial_response_at) = (brain.now, brain.now);
     for part in held
-        .parts
+        .requests
         .iter_mut()
         .skip((least * weights.len() as f64) as usize)
     {
-        (part.satisfied, part.calls[0].ending) = (false, None);
+        (part.answered, part.attempts[0].outcome) = (false, None);
     }
     hold(&mut brain, held);
     assert_eq!(
@@ -454,11 +475,11 @@
     let mut brain = router(tariff(), 3);
     for id in 0..2 * MOST_FATAL as u64 {
         let mut held = lookup(&brain, &[1.0], &[Some(AttemptOutcome::Broken); 2]);
-        (held.id, held.placed, held.parts[0].calls[1].node) = (QueryId(id), true, NodeId(2));
+        (held.id, held.placed, held.requests[0].attempts[1].node) = (QueryId(id), true, NodeId(2));
         hold(&mut brain, held);
     }
     brain.settle(&mut Tape::default());
-    assert_eq!((brain.lookups.len(), brain.fatal.len()), (0, MOST_FATAL));
+    assert_eq!((brain.queries.len(), brain.fatal.len()), (0, MOST_FATAL));
 }
 
 // Rule 6: the budget.
@@ -474,9 +495,9 @@
     may: bool,
 ) {
     let budget = PlatformConfig {
-        extra_spare,
-        extra_ratio,
-        extra_window: Some(ms(1000)),
+        retry_budget_min: extra_spare,
+        retry_budget_ratio: extra_ratio,
+        retry_budget_window: Some(ms(1000)),
         ..tariff()
     };
     let mut brain = router(budget, 2);
@@ -490,8 +511,8 @@
     let (spare, window) = (2.0, Some(ms(5000)));
     let mut brain = router(
         PlatformConfig {
-            extra_spare: spare,
-            extra_window: window,
+            retry_budget_min: spare,
+            retry_budget_window: window,
             ..tariff()
         },
         3,
@@ -514,20 +535,22 @@
 fn a_first_call_needs_no_budget() {
     let brain = router(
         PlatformConfig {
-            extra_window: Some(ms(1000)),
+            retry_budget_window: Some(ms(1000)),
             ..tariff()
         },
         2,
     );
     let (fresh, failed) = (lookup(&brain, &[1.0], &[]), lookup(&brain, &[1.0], &[RAN]));
-    assert!(brain.may_call(&fresh, &fresh.parts[0]) && !brain.may_call(&failed, &failed.parts[0]));
+    assert!(
+        brain.may_call(&fresh, &fresh.requests[0]) && !brain.may_call(&failed, &failed.requests[0])
+    );
 }
 
 #[test]
 fn the_budget_tables_are_emptied_by_age() {
     let mut brain = router(
         PlatformConfig {
-            extra_window: Some(ms(1000)),
+            retry_budget_window: Some(ms(1000)),
             ..tariff()
         },
         0,
@@ -542,10 +565,10 @@
 #[test]
 fn a_hung_node_is_believed_by_what_it_owes() {
     let mut brain = router(tariff(), 2);
-    node(&mut brain, 1).report = Some(10.0);
+    node(&mut brain, 1).reported_load = Some(10.0);
     owe(&mut brain, 1, 1, ms(800));
     brain.settle(&mut Tape::default());
-    assert!(brain.nodes[&NodeId(1)].doubted.is_some());
+    assert!(brain.nodes[&NodeId(1)].suspected_for.is_some());
     assert_eq!(places(brain, 1), [2]);
 }
 
@@ -553,14 +576,14 @@
 #[test_case(400, true; "late")]
 fn doubt_comes_late(latency: u64, doubted: bool) {
     let mut brain = router(PlatformConfig::default(), 0);
-    brain.survey.middle = Some(100_000.0);
-    brain.tariff.indexes = vec![IndexConfig {
-        soft: ms(1400),
+    brain.survey.median_latency = Some(100_000.0);
+    brain.config.indexes = vec![IndexConfig {
+        latency_objective: ms(1400),
         ..IndexConfig::default()
     }];
     let late = Node {
         latency: Some(latency as f64 * 1e3),
-        seen: brain.now,
+        latency_updated_at: brain.now,
         ..Node::default()
     };
     assert_eq!(brain.doubt(&late, IndexNo(0)).is_some(), doubted);
@@ -572,9 +595,9 @@
 #[test_case(AttemptOutcome::MayHaveRun, false; "error")]
 fn a_failure_counts_for_what_it_shows(ending: AttemptOutcome, others_too: bool) {
     let mut brain = router(tariff(), 1);
-    brain.tariff.indexes.push(brain.tariff.indexes[0].clone());
+    brain.config.indexes.push(brain.config.indexes[0].clone());
     brain.learn(NodeId(1), IndexNo(1), ms(2), ending);
-    let fears = [0, 1].map(|at| brain.nodes[&NodeId(1)].standing(IndexNo(at)).fear);
+    let fears = [0, 1].map(|at| brain.nodes[&NodeId(1)].health(IndexNo(at)).failure_rate);
     assert_eq!(fears, [if others_too { FRESH } else { 0.0 }, FRESH]);
 }
 
@@ -590,8 +613,8 @@
     doubted: bool,
 ) {
     let mut brain = router(tariff(), 2);
-    brain.tariff.indexes[0].repeat = repeat;
-    brain.survey.middle = Some(100_000.0);
+    brain.config.indexes[0].retry_semantics = repeat;
+    brain.survey.median_latency = Some(100_000.0);
     (0..9).for_each(|_| brain.learn(NodeId(1), IndexNo(0), ms(lag), ending));
     assert_eq!(
         brain.doubt(&brain.nodes[&NodeId(1)], IndexNo(0)).is_some(),
@@ -606,7 +629,7 @@
     for id in 3..500 {
         let now = brain.now + ms(50);
         owe(&mut brain, id - 1, 1, ms(0));
-        brain.roster(
+        brain.endpoints_changed(
             now,
             &[Endpoint {
                 node: NodeId(id),
@@ -616,7 +639,7 @@
             &mut tape,
         );
         let lag = ms(50);
-        brain.returned(
+        brain.attempt_finished(
             now,
             ShardRequestId(1000),
             AttemptNo(0),
@@ -628,7 +651,7 @@
         );
     }
     let now = brain.now + ms(60_000);
-    brain.roster(
+    brain.endpoints_changed(
         now,
         &[Endpoint {
             node: NodeId(500),
@@ -637,7 +660,7 @@
         true,
         &mut tape,
     );
-    brain.elapsed(now, TimerId(0), &mut tape);
+    brain.timer_fired(now, TimerId(0), &mut tape);
     assert_eq!(
         (brain.nodes.len(), brain.cells.len(), brain.watched.len()),
         (1, 1, 0)
@@ -660,14 +683,20 @@
 fn a_deadly_lookup_is_nacked(fell: &[u64], repeat: bool, outlived: bool, nacked: bool) {
     let mut brain = router(tariff(), 3);
     let mut held = lookup(&brain, &[0.5, 0.5], &[Some(AttemptOutcome::Broken)]);
-    held.parts
+    held.requests
         .iter_mut()
         .zip(fell)
-        .for_each(|(part, node)| part.calls[0].node = NodeId(*node));
-    held.parts[1].satisfied = outlived;
-    hold(&mut brain, Query { repeat, ..held });
+        .for_each(|(part, node)| part.attempts[0].node = NodeId(*node));
+    held.requests[1].answered = outlived;
+    hold(
+        &mut brain,
+        Query {
+            is_client_retry: repeat,
+            ..held
+        },
+    );
     brain.settle(&mut Tape::default());
-    assert_eq!(brain.lookups.is_empty(), nacked);
+    assert_eq!(brain.queries.is_empty(), nacked);
 }
 
 #[test_case(true, true; "its repeat")]
@@ -675,10 +704,10 @@
 fn a_repeat_of_a_deadly_lookup_is_known(repeat: bool, nacked: bool) {
     let mut brain = router(tariff(), 3);
     let fresh = Query {
-        repeat,
+        is_client_retry: repeat,
         ..lookup(&brain, &[1.0], &[])
     };
-    brain.fatal.push_back((fresh.end, fresh.print()));
+    brain.fatal.push_back((fresh.deadline, fresh.fingerprint()));
     hold(&mut brain, fresh);
     let mut tape = Tape::default();
     brain.settle(&mut tape);
@@ -691,19 +720,19 @@
     let (mut brain, mut tape) = (
         router(
             PlatformConfig {
-                cells: 2,
-                reach: 1,
+                shard_group_count: 2,
+                groups_per_shard: 1,
                 ..tariff()
             },
             2,
         ),
         Tape::default(),
     );
-    node(&mut brain, 2).listing.cell = ShardGroupNo(1);
+    node(&mut brain, 2).endpoint.shard_group = ShardGroupNo(1);
     brain = fresh(brain);
     brain.alarm_at = alarmed.then_some(brain.now);
     let mut held = lookup(&brain, &[0.5, 0.5], &[]);
-    held.parts[1].shard = ShardNo(1);
+    held.requests[1].shard = ShardNo(1);
     hold(&mut brain, held);
     brain.settle(&mut tape);
     assert_eq!(tape.0.len(), calls);
@@ -714,13 +743,16 @@
 fn many_routers_take_turns_at_a_cold_node(seconds: u64, room: bool) {
     let mut brain = router(
         PlatformConfig {
-            routers: 10.0,
+            router_count: 10.0,
             ..tariff()
         },
         1,
     );
-    (node(&mut brain, 1).started.at, node(&mut brain, 1).lot) = (brain.now, u32::MAX / 2);
-    node(&mut brain, 1).told = brain.now;
+    (
+        node(&mut brain, 1).started.at,
+        node(&mut brain, 1).tie_breaker,
+    ) = (brain.now, u32::MAX / 2);
+    node(&mut brain, 1).notified_at = brain.now;
     brain.now += ms(seconds * 1000);
     assert_eq!(brain.has_room(&brain.nodes[&NodeId(1)], 1.0), room);
 }
@@ -730,7 +762,7 @@
 fn the_first_hint_of_work_counts_at_once() {
     let mut brain = RoutingEngine::new(tariff(), 1);
     let (now, mut tape) = (ms(1), Tape::default());
-    brain.roster(
+    brain.endpoints_changed(
         now,
         &[Endpoint {
             node: NodeId(1),
@@ -739,7 +771,7 @@
         true,
         &mut tape,
     );
-    brain.lookup(
+    brain.query_received(
         now,
         QueryId(1),
         WireQueryNo(1),
@@ -751,10 +783,10 @@
         &mut tape,
     );
     assert_eq!(
-        brain.survey.rate, 1.0,
+        brain.survey.warm_rate, 1.0,
         "one part in the shortest soft deadline"
     );
-    brain.part(
+    brain.shard_request_received(
         now,
         ShardRequestId(1),
         WireQueryNo(1),
@@ -763,7 +795,7 @@
         Some(ms(100)),
         &mut tape,
     );
-    assert_eq!(brain.survey.rate, 10.0);
+    assert_eq!(brain.survey.warm_rate, 10.0);
 }
 
 /// What each of so many routers sends to one node that starts cold, as often as it is let: routers hear of the start late, and
@@ -782,12 +814,12 @@
         let mut of = || {
             let mut brain = fresh(router(
                 PlatformConfig {
-                    routers: routers as f64,
+                    router_count: routers as f64,
                     ..tariff()
                 },
                 1,
             ));
-            node(&mut brain, 1).lot = chance.0.generate();
+            node(&mut brain, 1).tie_breaker = chance.0.generate();
             brain
         };
         let mut brains: Vec<RoutingEngine> = (0..routers).map(|_| of()).collect();
@@ -795,7 +827,7 @@
         let told = began + ms((late * 1000.0) as u64);
         let listing = Endpoint {
             node: NodeId(1),
-            started: began,
+            started_at: began,
             ..Endpoint::default()
         };
         let mut sent: Vec<u64> = Vec::new();
@@ -806,30 +838,31 @@
                     *brain = of();
                     (brain.born, brain.heard) = (None, None);
                 }
-                if node(brain, 1).listing.started != began {
+                if node(brain, 1).endpoint.started_at != began {
                     let survey = brain.survey;
-                    brain.roster(now, &[listing], true, &mut Tape::default());
+                    brain.endpoints_changed(now, &[listing], true, &mut Tape::default());
                     // Other nodes, warm ones, have shown the pace.
                     brain.survey = survey;
                 }
                 brain.now = now;
                 while brain.has_room(&brain.nodes[&NodeId(1)], 1.0) {
-                    node(brain, 1).sends.push_back((now, 1.0));
+                    node(brain, 1).recent_sends.push_back((now, 1.0));
                     sent.push(now.0);
                 }
             }
         }
-        let window = brains[0].tariff.fall_window.0;
+        let window = brains[0].config.overload_window.0;
         for (at, first) in sent.iter().enumerate() {
             let count = sent[at..]
                 .iter()
                 .take_while(|other| **other < first + window)
                 .count() as f64;
             // What the node surely bears as the window begins: its cold share, and what it has gained by then.
-            let age = (first - began.0) as f64 / tariff().warm_within.0 as f64;
-            let warmth = tariff().cold_share + (1.0 - tariff().cold_share) * age;
-            let bears =
-                tariff().fall_multiple * warmth * window as f64 / 1e6 * brains[0].survey.rate;
+            let age = (first - began.0) as f64 / tariff().slow_start_duration.0 as f64;
+            let warmth =
+                tariff().slow_start_initial_share + (1.0 - tariff().slow_start_initial_share) * age;
+            let bears = tariff().overload_multiple * warmth * window as f64 / 1e6
+                * brains[0].survey.warm_rate;
             let most = bears + 2.0 * bears.sqrt() + 2.0;
             assert!(
                 count <= most,
@@ -876,10 +909,10 @@
 fn copies_do_not_feed_a_jam() {
     let mut brain = router(tariff(), 3);
     let mut held = lookup(&brain, &[0.5, 0.5], &[OUT]);
-    held.parts[0].calls.push(Attempt {
+    held.requests[0].attempts.push(Attempt {
         node: NodeId(2),
-        sent: brain.now,
-        ending: OUT,
+        sent_at: brain.now,
+        outcome: OUT,
     });
     brain.now += ms(450);
     hold(&mut brain, held);
@@ -889,7 +922,7 @@
 #[test]
 fn a_lookup_that_would_be_late_is_nacked_at_once() {
     let mut brain = router(tariff(), 1);
-    node(&mut brain, 1).pace = Some(200_000.0);
+    node(&mut brain, 1).latency_per_request = Some(200_000.0);
     owe(&mut brain, 1, 4, ms(1));
     let held = lookup(&brain, &[1.0], &[]);
     hold(&mut brain, held);
@@ -903,19 +936,19 @@
 fn a_router_that_saw_all_fail_tries_again(later: u64, nacked: bool) {
     let (mut brain, mut tape) = (router(tariff(), 2), Tape::default());
     let standing = IndexHealth {
-        toll: brain.memory(),
-        at: brain.now,
+        failure_cost: brain.memory(),
+        updated_at: brain.now,
         ..IndexHealth::default()
     };
     brain
         .nodes
         .values_mut()
-        .for_each(|n| n.standings = vec![standing]);
+        .for_each(|n| n.index_health = vec![standing]);
     brain.now += ms(later);
     let held = lookup(&brain, &[1.0], &[]);
     hold(&mut brain, held);
     brain.settle(&mut tape);
-    assert_eq!(brain.lookups.is_empty(), nacked);
+    assert_eq!(brain.queries.is_empty(), nacked);
 }
 
 #[test]
@@ -929,7 +962,10 @@
 fn a_warming_node_is_predicted_slower_than_the_middle() {
     let mut brain = router(tariff(), 2);
     let now = brain.now;
-    (node(&mut brain, 1).started.at, node(&mut brain, 2).pace) = (now, Some(50_000.0));
+    (
+        node(&mut brain, 1).started.at,
+        node(&mut brain, 2).latency_per_request,
+    ) = (now, Some(50_000.0));
     let brain = fresh(brain);
     let predicted = brain.predicted(&brain.nodes[&NodeId(1)], IndexNo(0), 1.0);
     assert_eq!(predicted, 50_000.0 / 0.25 * (1.0 + FREE_DEPTH));
@@ -943,22 +979,25 @@
 fn time_allowed_follows_gain(gain: f64, vain: Option<f64>, within_share: bool, allowed: f64) {
     let mut brain = router(
         PlatformConfig {
-            over_share_gain: 0.0,
-            vain,
+            over_quota_weight: 0.0,
+            wasted_work_cost: vain,
             ..tariff()
         },
         0,
     );
     let row = IndexConfig {
-        seen: true,
-        ..brain.tariff.indexes[0].clone()
+        has_queries: true,
+        ..brain.config.indexes[0].clone()
     };
-    brain.tariff.indexes = vec![
+    brain.config.indexes = vec![
         IndexConfig {
-            gain,
+            priority_weight: gain,
             ..row.clone()
         },
-        IndexConfig { gain: 5.0, ..row },
+        IndexConfig {
+            priority_weight: 5.0,
+            ..row
+        },
     ];
     let lookup = lookup(&brain, &[1.0], &[]);
     assert!((brain.time_allowed(&lookup, within_share) - allowed).abs() < 1e-9);
@@ -986,8 +1025,8 @@
 fn used_nodes_are_probed_once_a_second_where_only_probes_report() {
     let mut brain = router(
         PlatformConfig {
-            reporting: LoadReporting::OnProbe,
-            probing: true,
+            load_reporting: LoadReporting::OnProbe,
+            health_checks: true,
             ..tariff()
         },
         2,
@@ -1004,7 +1043,7 @@
 fn a_senseless_report_is_passed_over(figure: f64) {
     let mut brain = router(tariff(), 1);
     brain.read_report(NodeId(1), &[figure]);
-    assert_eq!(brain.nodes[&NodeId(1)].report, Some(100.0));
+    assert_eq!(brain.nodes[&NodeId(1)].reported_load, Some(100.0));
 }
 
 /// A node that is slow and reports itself idle would draw parts by an o of nothing.
@@ -1012,7 +1051,7 @@
 fn a_latency_of_none_is_no_report() {
     let (mut brain, mut tape) = (router(tariff(), 2), Tape::default());
     node(&mut brain, 1).latency = Some(250_000.0);
-    brain.probed(brain.now, NodeId(1), &[0.0], &mut tape);
+    brain.health_check_finished(brain.now, NodeId(1), &[0.0], &mut tape);
     let brain = fresh(brain);
     assert_eq!(brain.reading(&brain.nodes[&NodeId(1)]), Some(250.0));
 }
@@ -1022,15 +1061,15 @@
 #[test_case(None, 1; "one at a time")]
 fn copies_are_few(extra_window: Option<Micros>, copies: usize) {
     let budget = PlatformConfig {
-        extra_spare: 9.0,
-        extra_window,
+        retry_budget_min: 9.0,
+        retry_budget_window: extra_window,
         ..tariff()
     };
     let (mut brain, mut tape) = (router(budget, 3), Tape::default());
     let mut late = lookup(&brain, &[0.04; 25], &[OUT]);
-    late.parts
+    late.requests
         .iter_mut()
-        .for_each(|part| part.calls[0].sent = Micros(brain.now.0 - 450_000));
+        .for_each(|part| part.attempts[0].sent_at = Micros(brain.now.0 - 450_000));
     hold(&mut brain, late);
     brain.settle(&mut tape);
     let calls: Vec<ShardRequestId> = tape
@@ -1048,8 +1087,8 @@
 fn a_failed_probe_is_no_failed_call() {
     let mut brain = router(tariff(), 1);
     let now = brain.now;
-    brain.probed(now, NodeId(1), &[], &mut Tape::default());
-    assert_eq!(brain.nodes[&NodeId(1)].standing(IndexNo(0)).fear, 0.0);
+    brain.health_check_finished(now, NodeId(1), &[], &mut Tape::default());
+    assert_eq!(brain.nodes[&NodeId(1)].health(IndexNo(0)).failure_rate, 0.0);
 }
 
 #[test_case(EndpointState::Ready, EndpointState::Gone, 0, true; "gone without a drain")]
@@ -1062,15 +1101,15 @@
     alarmed: bool,
 ) {
     let mut brain = router(tariff(), 1);
-    (node(&mut brain, 1).listing.phase, brain.alarm_at) = (was, None);
+    (node(&mut brain, 1).endpoint.state, brain.alarm_at) = (was, None);
     let now = brain.now;
     let listing = Endpoint {
         node: NodeId(1),
-        phase,
-        started: Micros(started),
+        state: phase,
+        started_at: Micros(started),
         ..Endpoint::default()
     };
-    brain.roster(now, &[listing], false, &mut Tape::default());
+    brain.endpoints_changed(now, &[listing], false, &mut Tape::default());
     assert_eq!(brain.alarm_at.is_some(), alarmed);
 }
 
@@ -1084,8 +1123,8 @@
     let (mut brain, mut tape) = (
         router(
             PlatformConfig {
-                cells: 7,
-                reach: 9,
+                shard_group_count: 7,
+                groups_per_shard: 9,
                 ..tariff()
             },
             nodes,
@@ -1093,7 +1132,7 @@
         Tape::default(),
     );
     let (now, id, query, out) = (brain.now, QueryId(1), WireQueryNo(1), &mut tape);
-    brain.lookup(
+    brain.query_received(
         now,
         id,
         query,
@@ -1104,7 +1143,7 @@
         false,
         out,
     );
-    brain.part(
+    brain.shard_request_received(
         now,
         ShardRequestId(1),
         query,
@@ -1113,12 +1152,12 @@
         None,
         out,
     );
-    brain.elapsed(now + ms(left.saturating_sub(15)), TimerId(0), out);
+    brain.timer_fired(now + ms(left.saturating_sub(15)), TimerId(0), out);
     let ends = tape
         .0
         .iter()
         .filter(|did| matches!(did, Did::Answer(_) | Did::Nack(_) | Did::Abort));
-    assert_eq!((ends.count(), brain.lookups.len()), (1, 0));
+    assert_eq!((ends.count(), brain.queries.len()), (1, 0));
 }
 
 #[test_case(4, 1000, false; "few parts")]
@@ -1128,8 +1167,8 @@
     let (mut brain, mut tape) = (
         router(
             PlatformConfig {
-                cells: 64,
-                reach: 1,
+                shard_group_count: 64,
+                groups_per_shard: 1,
                 ..tariff()
             },
             40,
@@ -1137,14 +1176,15 @@
         Tape::default(),
     );
     for (cell, node) in brain.nodes.values_mut().enumerate() {
-        (node.listing.cell, node.pace) = (ShardGroupNo(cell as u32), Some(130_000.0));
+        (node.endpoint.shard_group, node.latency_per_request) =
+            (ShardGroupNo(cell as u32), Some(130_000.0));
     }
     brain = fresh(brain);
     let mut held = Query {
-        left: ms(left),
+        time_allowed: ms(left),
         ..lookup(&brain, &vec![1.0 / parts as f64; parts], &[])
     };
-    held.parts
+    held.requests
         .iter_mut()
         .enumerate()
         .for_each(|(at, part)| part.shard = ShardNo(at as u32));
@@ -1159,7 +1199,7 @@
     let held = lookup(&brain, &[0.5, 0.5], &[]);
     hold(&mut brain, held);
     brain.settle(&mut tape);
-    brain.returned(
+    brain.attempt_finished(
         brain.now,
         ShardRequestId(2),
         AttemptNo(0),
@@ -1169,10 +1209,10 @@
         &[],
         &mut tape,
     );
-    let came: Vec<bool> = brain.lookups[&QueryId(1)]
-        .parts
+    let came: Vec<bool> = brain.queries[&QueryId(1)]
+        .requests
         .iter()
-        .map(|p| p.satisfied)
+        .map(|p| p.answered)
         .collect();
     assert_eq!(came, [false, true]);
 }
@@ -1180,8 +1220,8 @@
 #[test]
 fn trust_is_told_of_the_index_that_was_doubted() {
     let mut brain = router(tariff(), 1);
-    brain.tariff.indexes.push(brain.tariff.indexes[0].clone());
-    node(&mut brain, 1).doubted = Some(IndexNo(1));
+    brain.config.indexes.push(brain.config.indexes[0].clone());
+    node(&mut brain, 1).suspected_for = Some(IndexNo(1));
     brain.watched.insert(NodeId(1));
     assert_eq!(
         brain.doubt_has_changed().map(|case| case.index),
@@ -1206,14 +1246,14 @@
     owe(&mut brain, 2, 1, ms(500));
     let slow = node(&mut brain, 2);
     slow.latency = Some(latency as f64 * 1000.0);
-    slow.rested_call = slow.owed.keys().next().copied().filter(|_| rested);
-    node(&mut brain, 1).sends.push_back((ms(1000), 1.0));
+    slow.attempt_on_idle_connection = slow.in_flight.keys().next().copied().filter(|_| rested);
+    node(&mut brain, 1).recent_sends.push_back((ms(1000), 1.0));
     brain.silent = silent;
     brain.settle(&mut tape);
-    node(&mut brain, 2).owed.clear();
-    (brain.now, node(&mut brain, 1).seen) = (brain.now + ms(later), ms(1000));
+    node(&mut brain, 2).in_flight.clear();
+    (brain.now, node(&mut brain, 1).latency_updated_at) = (brain.now + ms(later), ms(1000));
     let held = Query {
-        parts: vec![ShardRequest {
+        requests: vec![ShardRequest {
             id: ShardRequestId(1),
             weight: 1.0,
             ..ShardRequest::default()
@@ -1229,35 +1269,35 @@
         .position(|did| *did == Did::CloseIdle(NodeId(1)));
     assert_eq!(close.is_some(), closed);
     assert_eq!(
-        node(&mut brain, 1).rested_call.is_some(),
+        node(&mut brain, 1).attempt_on_idle_connection.is_some(),
         !closed,
         "a new connection has not rested"
     );
 }
 
 // A policy of the fleet: stricter than the platform, never looser, and for lookups that are admitted under it.
-#[test_case(IndexConfig { calls: Some(1), ..IndexConfig::default() }, false; "no call beyond the first")]
-#[test_case(IndexConfig { further: Some((0.0, 0.0)), ..IndexConfig::default() }, false; "no further calls at all")]
-#[test_case(IndexConfig { further: Some((1.0, 0.0)), ..IndexConfig::default() }, true; "a spare one")]
+#[test_case(IndexConfig { max_attempts: Some(1), ..IndexConfig::default() }, false; "no call beyond the first")]
+#[test_case(IndexConfig { retry_budget: Some((0.0, 0.0)), ..IndexConfig::default() }, false; "no further calls at all")]
+#[test_case(IndexConfig { retry_budget: Some((1.0, 0.0)), ..IndexConfig::default() }, true; "a spare one")]
 #[test_case(IndexConfig::default(), true; "says nothing")]
 fn a_policy_binds_further_calls(row: IndexConfig, may: bool) {
     let budget = PlatformConfig {
-        extra_spare: 5.0,
-        extra_window: Some(ms(1000)),
+        retry_budget_min: 5.0,
+        retry_budget_window: Some(ms(1000)),
         ..tariff()
     };
     let brain = router(budget, 2);
     let row = IndexConfig {
-        soft: ms(1000),
-        need: 1.0,
-        least: 1.0,
+        latency_objective: ms(1000),
+        required_weight: 1.0,
+        min_weight: 1.0,
         ..row
     };
     let held = Query {
-        row,
+        config: row,
         ..lookup(&brain, &[1.0], &[NEVER])
     };
-    assert_eq!(brain.may_call(&held, &held.parts[0]), may);
+    assert_eq!(brain.may_call(&held, &held.requests[0]), may);
 }
 
 #[test_case(true, false; "no copies")]
@@ -1265,8 +1305,8 @@
 fn a_policy_may_forgo_copies(no_copies: bool, may: bool) {
     let brain = router(tariff(), 2);
     let mut held = lookup(&brain, &[1.0], &[OUT]);
-    held.row.no_copies = no_copies;
-    assert_eq!(brain.may_call(&held, &held.parts[0]), may);
+    held.config.hedging_disabled = no_copies;
+    assert_eq!(brain.may_call(&held, &held.requests[0]), may);
 }
 
 #[test_case(None, 950, false; "as ever at the soft deadline")]
@@ -1276,12 +1316,12 @@
 fn an_answer_in_part_goes_when_the_policy_says(at: Option<u64>, later: u64, due: bool) {
     let mut brain = router(tariff(), 2);
     (
-        brain.tariff.indexes[0].least,
-        brain.tariff.indexes[0].partly_at,
+        brain.config.indexes[0].min_weight,
+        brain.config.indexes[0].partial_response_after,
     ) = (0.5, at.map(ms));
-    brain.tariff.indexes[0].soft = ms(1000);
+    brain.config.indexes[0].latency_objective = ms(1000);
     let (now, mut tape) = (brain.now, Tape::default());
-    brain.lookup(
+    brain.query_received(
         now,
         QueryId(1),
         WireQueryNo(1),
@@ -1293,11 +1333,11 @@
         &mut tape,
     );
     // Whatever is in force by now, it keeps what it was admitted under.
-    brain.tariff.indexes[0].partly_at = Some(ms(1));
+    brain.config.indexes[0].partial_response_after = Some(ms(1));
     let held = lookup(&brain, &[0.5, 0.5], &[OUT]);
-    let own = brain.lookups.get_mut(&QueryId(1)).expect("in hand");
-    (own.parts, own.placed) = (held.parts, true);
-    own.parts[0].satisfied = true;
+    let own = brain.queries.get_mut(&QueryId(1)).expect("in hand");
+    (own.requests, own.placed) = (held.requests, true);
+    own.requests[0].answered = true;
     brain.now = now + ms(later);
     assert_eq!(brain.answer_is_due().is_some(), due);
 }
--- a/src/routing/tests/helpers.rs
+++ b/src/routing/tests/helpers.rs
@@ -19,31 +19,31 @@
 pub struct Tape(pub Vec<Did>);
 
 impl Actions for Tape {
-    fn part_call(&mut self, part: ShardRequestId, node: NodeId, _limit: Micros) {
+    fn send_attempt(&mut self, part: ShardRequestId, node: NodeId, _limit: Micros) {
         self.0.push(Did::Attempt(part, node));
     }
     fn answer(&mut self, _lookup: QueryId, whole: bool) {
         self.0.push(Did::Answer(whole));
     }
-    fn nack(&mut self, _lookup: QueryId, come_back: Micros) {
+    fn reject(&mut self, _lookup: QueryId, come_back: Micros) {
         self.0.push(Did::Nack(come_back));
     }
-    fn abort(&mut self, _lookup: QueryId) {
+    fn fail(&mut self, _lookup: QueryId) {
         self.0.push(Did::Abort);
     }
-    fn cancel(&mut self, part: ShardRequestId, call: AttemptNo) {
+    fn cancel_attempt(&mut self, part: ShardRequestId, call: AttemptNo) {
         self.0.push(Did::Cancel(part, call));
     }
-    fn close_idle(&mut self, node: NodeId) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.0.push(Did::CloseIdle(node));
     }
-    fn probe(&mut self, node: NodeId) {
+    fn check_health(&mut self, node: NodeId) {
         self.0.push(Did::Probe(node));
     }
-    fn watch_roster(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.0.push(Did::Watch);
     }
-    fn timer(&mut self, _delay: Micros, _timer: TimerId) {}
+    fn set_timer(&mut self, _delay: Micros, _timer: TimerId) {}
     fn log(&mut self, _line: &str) {
         self.0.push(Did::Log);
     }
@@ -56,25 +56,25 @@
 /// One cell, one index: soft deadline 1 s, whole answers only, reports of latency.
 pub fn tariff() -> PlatformConfig {
     let index = IndexConfig {
-        soft: ms(1000),
-        gain: 1.0,
-        need: 1.0,
-        least: 1.0,
+        latency_objective: ms(1000),
+        priority_weight: 1.0,
+        required_weight: 1.0,
+        min_weight: 1.0,
         ..IndexConfig::default()
     };
     PlatformConfig {
         indexes: vec![index],
-        routers: 1.0,
-        cells: 1,
-        reach: 1,
-        gauges: vec![LoadMetric::LatencyMs],
-        reporting: LoadReporting::InAnswers,
-        second_copies: true,
-        cancels: true,
-        cold_share: 0.25,
-        warm_within: ms(10_000),
-        fall_multiple: 2.0,
-        fall_window: ms(1000),
+        router_count: 1.0,
+        shard_group_count: 1,
+        groups_per_shard: 1,
+        load_metrics: vec![LoadMetric::LatencyMs],
+        load_reporting: LoadReporting::InAnswers,
+        hedging: true,
+        cancellation: true,
+        slow_start_initial_share: 0.25,
+        slow_start_duration: ms(10_000),
+        overload_multiple: 2.0,
+        overload_window: ms(1000),
         ..PlatformConfig::default()
     }
 }
@@ -90,10 +90,10 @@
         };
         let known = (Some(100.0), Some(100_000.0));
         let node = Node {
-            listing,
-            report: known.0,
+            endpoint: listing,
+            reported_load: known.0,
             latency: known.1,
-            seen: brain.now,
+            latency_updated_at: brain.now,
             ..Node::default()
         };
         brain.nodes.insert(NodeId(id), node);
@@ -112,32 +112,32 @@
 pub fn lookup(brain: &RoutingEngine, weights: &[f64], calls: &[Option<AttemptOutcome>]) -> Query {
     let call = |ending: &Option<AttemptOutcome>| Attempt {
         node: NodeId(1),
-        sent: brain.now,
-        ending: *ending,
+        sent_at: brain.now,
+        outcome: *ending,
     };
     let part = |(at, weight): (usize, &f64)| ShardRequest {
         id: ShardRequestId(at as u64 + 1),
         weight: *weight,
-        satisfied: calls.contains(&Some(AttemptOutcome::Satisfied)),
-        calls: calls.iter().map(call).collect(),
+        answered: calls.contains(&Some(AttemptOutcome::Satisfied)),
+        attempts: calls.iter().map(call).collect(),
         ..ShardRequest::default()
     };
     Query {
         id: QueryId(1),
-        row: brain.tariff.indexes[0].clone(),
-        partly: brain.now + ms(1000),
-        soft: brain.now + ms(1000),
-        end: brain.now + ms(3000),
-        left: ms(3000),
-        expected: weights.len(),
-        parts: weights.iter().enumerate().map(part).collect(),
+        config: brain.config.indexes[0].clone(),
+        partial_response_at: brain.now + ms(1000),
+        soft_deadline: brain.now + ms(1000),
+        deadline: brain.now + ms(3000),
+        time_allowed: ms(3000),
+        expected_requests: weights.len(),
+        requests: weights.iter().enumerate().map(part).collect(),
         placed: !calls.is_empty(),
         ..Query::default()
     }
 }
 
 pub fn hold(brain: &mut RoutingEngine, lookup: Query) {
-    brain.lookups.insert(lookup.id, lookup);
+    brain.queries.insert(lookup.id, lookup);
 }
 
 /// Parts out at a node for so long.
@@ -148,9 +148,9 @@
         (
             (ShardRequestId(1000 + n), AttemptNo(0)),
             InFlightAttempt {
-                sent,
+                sent_at: sent,
                 z: 1.0,
-                depth: 1.0,
+                depth_when_sent: 1.0,
                 ..InFlightAttempt::default()
             },
         )
@@ -159,6 +159,6 @@
         .nodes
         .get_mut(&NodeId(node))
         .expect("a node of the router")
-        .owed
+        .in_flight
         .extend(owed);
 }
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shutdown {
     /// The signal.
-    pub told: Micros,
+    pub requested_at: Micros,
     /// Until then connections are accepted; then those without a request on them are closed.
     pub accepts_until: Micros,
     /// By then all that was read is answered: lookups end sooner for it, and what comes too late for that
@@ -32,7 +32,7 @@
     pub answers_by: Micros,
     /// The process leaves then, and sooner if nobody is connected: who has had its answer is waited for no
     /// longer.
-    pub leaves_by: Micros,
+    pub exit_by: Micros,
     /// One that was held up over all that, and was not killed, still pays what it owes, up to here.
     pub gives_up_at: Micros,
 }
@@ -43,18 +43,18 @@
         let kill = told + ACCEPTS + counted;
         let spare = (HELD_UP + WRITES).min(counted.times(0.5));
         Shutdown {
-            told,
+            requested_at: told,
             accepts_until: told + ACCEPTS,
             answers_by: Micros(kill.0 - spare.0),
-            leaves_by: Micros(kill.0 - spare.times(0.25).0),
+            exit_by: Micros(kill.0 - spare.times(0.25).0),
             gives_up_at: kill + LATE,
         }
     }
 
     /// Whether the process is to leave, with so many clients connected and `owed` of them without their
     /// answer.
-    pub fn leaves(&self, now: Micros, clients: usize, owed: usize) -> bool {
-        clients == 0 || now >= self.leaves_by && owed == 0 || now >= self.gives_up_at
+    pub fn may_exit(&self, now: Micros, clients: usize, owed: usize) -> bool {
+        clients == 0 || now >= self.exit_by && owed == 0 || now >= self.gives_up_at
     }
 
     /// When a connection accepted at `accepted` that has brought no byte yet is closed. One that stays open
--- a/src/shutdown/tests.rs
+++ b/src/shutdown/tests.rs
@@ -17,14 +17,14 @@
     let of = Shutdown::new(TOLD, longest.map(|ms| Micros(ms * MS)));
     assert_eq!(after(of.accepts_until), 700);
     assert_eq!(after(of.answers_by), kill - 200);
-    assert!(of.answers_by < of.leaves_by && after(of.leaves_by) < kill);
+    assert!(of.answers_by < of.exit_by && after(of.exit_by) < kill);
 }
 
 /// Very short deadlines leave no room for the whole spare time; half of it is left for answers.
 #[test]
 fn very_short_deadlines_keep_their_order() {
     let of = Shutdown::new(TOLD, Some(Micros(100 * MS)));
-    assert!(of.accepts_until < of.answers_by && of.answers_by < of.leaves_by);
+    assert!(of.accepts_until < of.answers_by && of.answers_by < of.exit_by);
     assert_eq!(after(of.answers_by), 750);
 }
 
@@ -33,14 +33,16 @@
     let of = Shutdown::new(TOLD, Some(Micros(1900 * MS)));
     assert_eq!(after(of.closes_new(Micros(0))), 700);
     assert_eq!(after(of.closes_new(TOLD + Micros(690 * MS))), 890);
-    assert_eq!(of.closes_new(of.leaves_by), of.answers_by);
+    assert_eq!(of.closes_new(of.exit_by), of.answers_by);
 }
 
 #[test]
 fn nobody_leaves_with_something_owed_before_the_kill_is_long_due() {
     let of = Shutdown::new(TOLD, Some(Micros(1900 * MS)));
     let at = |ms: u64| TOLD + Micros(ms * MS);
-    assert!(of.leaves(at(700), 0, 0) && !of.leaves(at(2500), 1, 0));
-    assert!(of.leaves(at(2560), 1, 0) && !of.leaves(at(2560), 1, 1) && !of.leaves(at(3500), 1, 1));
-    assert!(of.leaves(at(3600), 1, 1));
+    assert!(of.may_exit(at(700), 0, 0) && !of.may_exit(at(2500), 1, 0));
+    assert!(
+        of.may_exit(at(2560), 1, 0) && !of.may_exit(at(2560), 1, 1) && !of.may_exit(at(3500), 1, 1)
+    );
+    assert!(of.may_exit(at(3600), 1, 1));
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -32,7 +32,7 @@
     /// Takes a claim in; true if it is another start. It came no earlier than `not_before`, and not in the
     /// future. The later reading is the safer: a node that is held to be younger than it is gets less for a
     /// while, one held to be older falls.
-    pub fn told(&mut self, claimed: Micros, now: Micros, not_before: Micros) -> bool {
+    pub fn observe(&mut self, claimed: Micros, now: Micros, not_before: Micros) -> bool {
         // 0 is long ago, and a line that leaves it out: what was seen to start runs on by this clock.
         let known = claimed == self.claimed || Some(claimed) == self.before;
         if known || claimed.0 == 0 {
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -20,7 +20,7 @@
     started: Micros,
 ) {
     let mut of = Started::default();
-    assert!(of.told(claimed, NOW, at(2 * S)));
+    assert!(of.observe(claimed, NOW, at(2 * S)));
     assert_eq!(of.at, started);
 }
 
@@ -36,7 +36,10 @@
 #[test]
 fn a_claim_is_believed_but_for_the_future() {
     let (mut old, mut ahead) = (Started::default(), Started::default());
-    assert!(old.told(at(HOUR), NOW, Micros(0)) && ahead.told(Micros(NOW.0 + HOUR), NOW, Micros(0)));
+    assert!(
+        old.observe(at(HOUR), NOW, Micros(0))
+            && ahead.observe(Micros(NOW.0 + HOUR), NOW, Micros(0))
+    );
     assert_eq!((old.at, ahead.at), (at(HOUR), NOW));
 }
 
@@ -44,8 +47,8 @@
 #[test]
 fn another_start_is_one_whichever_way_its_claim_lies() {
     let mut of = Started::default();
-    assert!(of.told(at(60 * S), at(59 * S), Micros(0)));
-    assert!(of.told(at(HOUR), NOW, at(2 * S)));
+    assert!(of.observe(at(60 * S), at(59 * S), Micros(0)));
+    assert!(of.observe(at(HOUR), NOW, at(2 * S)));
     assert_eq!(of.at, at(2 * S));
 }
 
@@ -53,9 +56,12 @@
 #[test]
 fn a_late_list_does_not_start_a_node_again() {
     let mut of = Started::default();
-    assert!(of.told(at(60 * S), at(59 * S), Micros(0)) && of.told(at(5 * S), at(4 * S), at(6 * S)));
+    assert!(
+        of.observe(at(60 * S), at(59 * S), Micros(0))
+            && of.observe(at(5 * S), at(4 * S), at(6 * S))
+    );
     let known = of;
-    assert!(!of.told(at(60 * S), NOW, at(S)) && !of.told(at(5 * S), NOW, at(S)));
+    assert!(!of.observe(at(60 * S), NOW, at(S)) && !of.observe(at(5 * S), NOW, at(S)));
     assert_eq!(of, known);
 }
 
@@ -66,10 +72,10 @@
         claimed in 1..200_000 * S, later in 0..HOUR, gap in 0..60 * S,
     ) {
         let mut of = Started::default();
-        of.told(Micros(claimed), NOW, at(gap));
+        of.observe(Micros(claimed), NOW, at(gap));
         prop_assert!(of.at >= at(gap) && of.at <= NOW);
         let known = of;
-        prop_assert!(!of.told(Micros(claimed), NOW + Micros(later), NOW));
+        prop_assert!(!of.observe(Micros(claimed), NOW + Micros(later), NOW));
         prop_assert_eq!(of, known);
     }
 }
@@ -78,9 +84,9 @@
 #[test]
 fn a_claim_of_long_ago_makes_no_seen_start_older() {
     let mut of = Started::default();
-    assert!(!of.told(Micros(0), NOW, at(S)) && of.at == Micros(0));
-    assert!(of.told(at(S), NOW, at(2 * S)));
+    assert!(!of.observe(Micros(0), NOW, at(S)) && of.at == Micros(0));
+    assert!(of.observe(at(S), NOW, at(2 * S)));
     let known = of;
-    assert!(!of.told(Micros(0), NOW, at(S)) && !of.told(at(S), NOW, at(S)));
+    assert!(!of.observe(Micros(0), NOW, at(S)) && !of.observe(at(S), NOW, at(S)));
     assert_eq!(of, known);
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -148,32 +148,32 @@
 pub struct Endpoint {
     pub node: NodeId,
     pub zone: ZoneNo,
-    pub cell: ShardGroupNo,
-    pub phase: EndpointState,
+    pub shard_group: ShardGroupNo,
+    pub state: EndpointState,
     /// Its last start; zero: long ago.
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
 /// A row of the table of what differs by index.
 #[derive(Clone, Debug, Default)]
 pub struct IndexConfig {
-    pub soft: Micros,
-    pub gain: f64,
-    pub repeat: RetrySemantics,
-    pub need: f64,
-    pub least: f64,
-    pub second_step: usize,
+    pub latency_objective: Micros,
+    pub priority_weight: f64,
+    pub retry_semantics: RetrySemantics,
+    pub required_weight: f64,
+    pub min_weight: f64,
+    pub second_phase_size: usize,
     /// Lookups of it have come to this router.
-    pub seen: bool,
+    pub has_queries: bool,
     /// What a policy of the fleet says beyond the rest, never more than that allows; a `None` says nothing.
     /// From a lookup's coming on: when to answer with what is in.
-    pub partly_at: Option<Micros>,
+    pub partial_response_after: Option<Micros>,
     /// Calls for a part.
-    pub calls: Option<usize>,
+    pub max_attempts: Option<usize>,
     /// A late part has no second call beside the first.
-    pub no_copies: bool,
+    pub hedging_disabled: bool,
     /// Further calls within the budget's window: so many, and a share of what was taken.
-    pub further: Option<(f64, f64)>,
+    pub retry_budget: Option<(f64, f64)>,
 }
 
 /// The terms of service that a router reads at its start. A `None` is a limit that is not set.
@@ -182,128 +182,138 @@
     pub indexes: Vec<IndexConfig>,
     /// Lookups a second within each customer's share, over all routers.
     pub quotas: Vec<f64>,
-    pub over_share_gain: f64,
-    pub routers: f64,
+    pub over_quota_weight: f64,
+    pub router_count: f64,
     pub zone: ZoneNo,
     /// Price of a part that crosses zones, as a share of its gain.
-    pub crossing: f64,
+    pub cross_zone_cost: f64,
     /// Price of lookups that all end late, and of work in vain, as shares of the gain; where they are told.
-    pub vain: Option<f64>,
-    pub cells: u32,
-    pub reach: u32,
-    pub call_cost: Micros,
-    pub gauges: Vec<LoadMetric>,
-    pub reporting: LoadReporting,
-    pub probing: bool,
-    pub roster_on_request: bool,
-    pub most_calls: Option<usize>,
-    pub second_copies: bool,
-    pub cancels: bool,
-    pub longest_advice: Option<Micros>,
+    pub wasted_work_cost: Option<f64>,
+    pub shard_group_count: u32,
+    pub groups_per_shard: u32,
+    pub attempt_cost: Micros,
+    pub load_metrics: Vec<LoadMetric>,
+    pub load_reporting: LoadReporting,
+    pub health_checks: bool,
+    pub discovery_is_polled: bool,
+    pub max_attempts: Option<usize>,
+    pub hedging: bool,
+    pub cancellation: bool,
+    pub max_retry_after: Option<Micros>,
     pub tick: Micros,
     /// How long a call may wait for its connection.
-    pub dial: Micros,
-    pub cold_share: f64,
-    pub warm_within: Micros,
-    pub fall_multiple: f64,
-    pub fall_window: Micros,
-    pub extra_spare: f64,
-    pub extra_ratio: f64,
-    pub extra_window: Option<Micros>,
+    pub connect_timeout: Micros,
+    pub slow_start_initial_share: f64,
+    pub slow_start_duration: Micros,
+    pub overload_multiple: f64,
+    pub overload_window: Micros,
+    pub retry_budget_min: f64,
+    pub retry_budget_ratio: f64,
+    pub retry_budget_window: Option<Micros>,
 }
 
 /// A part call that is still out.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InFlightAttempt {
     /// The lookup and the place of the part among its parts.
-    pub lookup: QueryId,
-    pub at: usize,
+    pub query: QueryId,
+    pub request_index: usize,
     pub index: IndexNo,
-    pub sent: Micros,
+    pub sent_at: Micros,
     pub z: f64,
     /// This router's parts out at the node when it was sent, itself included.
-    pub depth: f64,
+    pub depth_when_sent: f64,
 }
 
 /// How a node serves one index, as this router has seen it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IndexHealth {
     /// Smoothed share of calls that failed, and when that last changed.
-    pub fear: f64,
+    pub failure_rate: f64,
     /// Smoothed time that a call loses to failures, in microseconds.
-    pub toll: f64,
-    pub at: Micros,
+    pub failure_cost: f64,
+    pub updated_at: Micros,
     /// Its last answer.
-    pub answered: Micros,
+    pub last_answer: Micros,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Node {
-    pub listing: Endpoint,
+    pub endpoint: Endpoint,
     /// Its start as claimed, and by this router's clock.
     pub started: Started,
     /// When this router heard of its last start.
-    pub told: Micros,
+    pub notified_at: Micros,
     /// Breaks ties between equal costs.
-    pub lot: u32,
+    pub tie_breaker: u32,
     /// Smoothed reported latency or queue length.
-    pub report: Option<f64>,
+    pub reported_load: Option<f64>,
     /// The highest rate that it has reported, in parts a second.
-    pub best_rate: f64,
+    pub max_reported_rate: f64,
     /// Smoothed answer latency as this router has seen it, in microseconds, and when that last changed.
     pub latency: Option<f64>,
-    pub seen: Micros,
+    pub latency_updated_at: Micros,
     /// How it stands by index; filled at its first return.
-    pub standings: Vec<IndexHealth>,
+    pub index_health: Vec<IndexHealth>,
     /// Smoothed answer latency for each part of this router's that was out, in microseconds.
-    pub pace: Option<f64>,
+    pub latency_per_request: Option<f64>,
     /// The index for which it is doubted.
-    pub doubted: Option<IndexNo>,
-    pub probed: Option<Micros>,
+    pub suspected_for: Option<IndexNo>,
+    pub last_health_check: Option<Micros>,
     /// Part calls out; each is taken off when it returns.
-    pub owed: BTreeMap<(ShardRequestId, AttemptNo), InFlightAttempt>,
+    pub in_flight: BTreeMap<(ShardRequestId, AttemptNo), InFlightAttempt>,
     /// What another process of this router had out here, and when that was told; emptied when that one is
     /// done.
-    pub abroad: (Micros, Vec<InFlightAttempt>),
+    pub in_flight_elsewhere: (Micros, Vec<InFlightAttempt>),
     /// The call that went on a rested connection, while nothing is known of it.
-    pub rested_call: Option<(ShardRequestId, AttemptNo)>,
+    pub attempt_on_idle_connection: Option<(ShardRequestId, AttemptNo)>,
     /// Parts sent of late; emptied by age.
-    pub sends: VecDeque<(Micros, f64)>,
+    pub recent_sends: VecDeque<(Micros, f64)>,
 }
 
 impl Node {
     /// What is out here, and up to when that is known.
-    pub fn out(&self, now: Micros) -> impl Iterator<Item = (&InFlightAttempt, Micros)> {
-        let abroad = self.abroad.1.iter().map(|owed| (owed, self.abroad.0));
-        self.owed
+    pub fn all_in_flight(&self, now: Micros) -> impl Iterator<Item = (&InFlightAttempt, Micros)> {
+        let abroad = self
+            .in_flight_elsewhere
+            .1
+            .iter()
+            .map(|owed| (owed, self.in_flight_elsewhere.0));
+        self.in_flight
             .values()
             .map(move |owed| (owed, now))
             .chain(abroad)
     }
 
     /// For how long nothing has gone between this router and the node, if ever something has.
-    pub fn rested(&self, now: Micros) -> Micros {
-        let last = self.sends.back().map(|(at, _)| (*at).max(self.seen));
-        last.filter(|_| self.owed.is_empty())
+    pub fn idle_time(&self, now: Micros) -> Micros {
+        let last = self
+            .recent_sends
+            .back()
+            .map(|(at, _)| (*at).max(self.latency_updated_at));
+        last.filter(|_| self.in_flight.is_empty())
             .map_or(Micros(0), |last| now.since(last))
     }
 
     /// Our parts out, in parts of the mean size.
-    pub fn owed_z(&self) -> f64 {
-        self.out(Micros(0)).map(|(owed, _)| owed.z).sum()
+    pub fn in_flight_cost(&self) -> f64 {
+        self.all_in_flight(Micros(0)).map(|(owed, _)| owed.z).sum()
     }
 
-    pub fn standing(&self, index: IndexNo) -> IndexHealth {
-        self.standings.get(index.at()).copied().unwrap_or_default()
+    pub fn health(&self, index: IndexNo) -> IndexHealth {
+        self.index_health
+            .get(index.at())
+            .copied()
+            .unwrap_or_default()
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     pub node: NodeId,
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// `None` while it is out.
-    pub ending: Option<AttemptOutcome>,
+    pub outcome: Option<AttemptOutcome>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -311,43 +321,43 @@
     pub id: ShardRequestId,
     pub shard: ShardNo,
     pub weight: f64,
-    pub hint: Option<Micros>,
-    pub calls: Vec<Attempt>,
-    pub satisfied: bool,
+    pub cost_hint: Option<Micros>,
+    pub attempts: Vec<Attempt>,
+    pub answered: bool,
     /// Not called again before: the last call never left, for want of something here.
-    pub rests_until: Micros,
+    pub retry_not_before: Micros,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Query {
     pub id: QueryId,
-    pub query: WireQueryNo,
+    pub wire_no: WireQueryNo,
     /// A client's repeat of an earlier lookup, as far as clients say so.
-    pub repeat: bool,
+    pub is_client_retry: bool,
     pub index: IndexNo,
     /// Its index's row as it was when it was admitted: a change of policy finds it under the old one to its
     /// end.
-    pub row: IndexConfig,
+    pub config: IndexConfig,
     /// When it is answered with what is in.
-    pub partly: Micros,
+    pub partial_response_at: Micros,
     pub customer: CustomerNo,
     /// When its gain falls, and when its client leaves.
-    pub soft: Micros,
-    pub end: Micros,
+    pub soft_deadline: Micros,
+    pub deadline: Micros,
     /// The time that its client gave it.
-    pub left: Micros,
+    pub time_allowed: Micros,
     /// Parts of the present step that are to come in all.
-    pub expected: usize,
-    pub parts: Vec<ShardRequest>,
+    pub expected_requests: usize,
+    pub requests: Vec<ShardRequest>,
     pub placed: bool,
-    pub second: bool,
-    pub first_whole: bool,
+    pub in_second_phase: bool,
+    pub first_phase_complete: bool,
 }
 
 impl Attempt {
     pub fn may_have_run(&self) -> bool {
         !matches!(
-            self.ending,
+            self.outcome,
             Some(AttemptOutcome::NeverRan | AttemptOutcome::Unsent)
         )
     }
@@ -355,64 +365,68 @@
 
 impl ShardRequest {
     /// Calls that left, or may yet, and those that never did.
-    pub fn made(&self) -> (usize, usize) {
+    pub fn attempt_counts(&self) -> (usize, usize) {
         let unsent = self
-            .calls
+            .attempts
             .iter()
-            .filter(|c| c.ending == Some(AttemptOutcome::Unsent))
+            .filter(|c| c.outcome == Some(AttemptOutcome::Unsent))
             .count();
-        (self.calls.len() - unsent, unsent)
+        (self.attempts.len() - unsent, unsent)
     }
 
-    pub fn calls_out(&self) -> usize {
-        self.calls.iter().filter(|c| c.ending.is_none()).count()
+    pub fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|c| c.outcome.is_none()).count()
     }
 }
 
 impl Query {
     /// All parts of its step have come.
-    pub fn complete(&self) -> bool {
-        self.parts.len() >= self.expected && self.expected > 0
+    pub fn all_requests_received(&self) -> bool {
+        self.requests.len() >= self.expected_requests && self.expected_requests > 0
     }
 
-    pub fn weight_in(&self) -> f64 {
-        self.parts
+    pub fn answered_weight(&self) -> f64 {
+        self.requests
             .iter()
-            .filter(|p| p.satisfied)
+            .filter(|p| p.answered)
             .map(|p| p.weight)
             .sum()
     }
 
     /// When each call that is out was made.
-    pub fn sent_out(&self) -> impl Iterator<Item = Micros> + '_ {
-        let calls = self.parts.iter().flat_map(|p| &p.calls);
-        calls.filter(|c| c.ending.is_none()).map(|c| c.sent)
+    pub fn in_flight_since(&self) -> impl Iterator<Item = Micros> + '_ {
+        let calls = self.requests.iter().flat_map(|p| &p.attempts);
+        calls.filter(|c| c.outcome.is_none()).map(|c| c.sent_at)
     }
 
     /// Nodes at which connections broke under it.
-    pub fn broken_at(&self) -> usize {
-        let broken = |c: &&Attempt| c.ending == Some(AttemptOutcome::Broken);
-        let calls = self.parts.iter().flat_map(|p| &p.calls).filter(broken);
+    pub fn nodes_with_broken_connections(&self) -> usize {
+        let broken = |c: &&Attempt| c.outcome == Some(AttemptOutcome::Broken);
+        let calls = self
+            .requests
+            .iter()
+            .flat_map(|p| &p.attempts)
+            .filter(broken);
         calls.map(|c| c.node).collect::<BTreeSet<_>>().len()
     }
 
     /// What it has in common with its repeats.
-    pub fn print(&self) -> QueryFingerprint {
+    pub fn fingerprint(&self) -> QueryFingerprint {
         (
             self.index,
             self.customer,
-            self.parts.iter().map(|p| p.shard).collect(),
+            self.requests.iter().map(|p| p.shard).collect(),
         )
     }
 
     /// No part of it, in either step, has been answered.
-    pub fn unanswered(&self) -> bool {
-        self.weight_in() == 0.0 && !self.second
+    pub fn is_unanswered(&self) -> bool {
+        self.answered_weight() == 0.0 && !self.in_second_phase
     }
 
     /// No node has fallen under it, or one has outlived it.
-    pub fn outlived(&self) -> bool {
-        !self.unanswered() || self.broken_at() == 0
+    pub fn is_survivable(&self) -> bool {
+        !self.is_unanswered() || self.nodes_with_broken_connections() == 0
     }
 }
 
@@ -425,25 +439,25 @@
     pub mean_o: f64,
     pub m: f64,
     /// The middle node's answer latency, in microseconds, and its pace.
-    pub middle: Option<f64>,
-    pub pace: f64,
+    pub median_latency: Option<f64>,
+    pub median_latency_per_request: f64,
     /// Parts a second that a warm node surely does.
-    pub rate: f64,
+    pub warm_rate: f64,
 }
 
 /// Where the parts of a lookup go, and which of their weight is predicted in time.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
-    pub places: Vec<(usize, NodeId)>,
-    pub in_time: f64,
-    pub slowest: f64,
+    pub assignments: Vec<(usize, NodeId)>,
+    pub weight_in_time: f64,
+    pub slowest_latency: f64,
 }
 
 /// What a rule has found to act on; a rule reads what it fills in.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RuleMatch {
-    pub lookup: QueryId,
-    pub at: usize,
+    pub query: QueryId,
+    pub request_index: usize,
     pub node: NodeId,
     pub index: IndexNo,
 }
--- a/src/watch_schedule.rs
+++ b/src/watch_schedule.rs
@@ -31,7 +31,7 @@
     /// How long discovery may wait for news.
     pub wait: Micros,
     /// When it is given up, from its beginning.
-    pub patience: Micros,
+    pub timeout: Micros,
 }
 
 pub struct WatchSchedule {
@@ -56,7 +56,7 @@
         if self.looks || !after {
             return Poll {
                 wait: Micros(0),
-                patience: OVERDUE.times(2.0),
+                timeout: OVERDUE.times(2.0),
             };
         }
         let wait = Micros(
@@ -66,7 +66,7 @@
         );
         Poll {
             wait,
-            patience: wait + OVERDUE,
+            timeout: wait + OVERDUE,
         }
     }
 
--- a/src/watch_schedule/tests.rs
+++ b/src/watch_schedule/tests.rs
@@ -11,8 +11,8 @@
         assert!(cadence.failed(true), "a look follows at once");
         let look = cadence.next(true);
         assert_eq!(look.wait, Micros(0));
-        assert!(call.patience + OVERDUE + Micros(1_000_000) <= TOLD);
-        assert!(call.patience + look.patience <= TOLD);
+        assert!(call.timeout + OVERDUE + Micros(1_000_000) <= TOLD);
+        assert!(call.timeout + look.timeout <= TOLD);
     }
 }
 
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -58,14 +58,14 @@
 pub struct StoredFile {
     pub version: u64,
     /// When it was saved, in microseconds of Unix time, by the clock of who saved it.
-    pub saved: u64,
+    pub saved_at: u64,
     pub bytes: Vec<u8>,
 }
 
 impl StoredFile {
     /// Its age in microseconds; a file from the future, saved before a clock stepped back, counts as new.
     pub fn age(&self, now: u64) -> u64 {
-        now.saturating_sub(self.saved)
+        now.saturating_sub(self.saved_at)
     }
 }
 
@@ -194,7 +194,7 @@
 impl Journal {
     /// What was kept last, and the journal to go on with.
     pub fn open(path: &Path, kind: &str) -> Result<(Journal, Option<StoredFile>), StoreError> {
-        let mut journal = Journal::anew(path, kind);
+        let mut journal = Journal::replacing(path, kind);
         let whole = match read(path) {
             Ok(whole) => whole,
             Err(fault) if fault.is_missing() => return Ok((journal, None)),
@@ -225,7 +225,7 @@
     }
 
     /// One that replaces whatever is there, with the first that it keeps.
-    pub fn anew(path: &Path, kind: &str) -> Journal {
+    pub fn replacing(path: &Path, kind: &str) -> Journal {
         Journal {
             path: path.to_owned(),
             kind: kind.to_owned(),
@@ -235,7 +235,7 @@
     }
 
     /// Keeps `bytes`: they last once this returns.
-    pub fn keep(&mut self, version: u64, now: u64, bytes: &[u8]) -> Result<(), StoreError> {
+    pub fn append(&mut self, version: u64, now: u64, bytes: &[u8]) -> Result<(), StoreError> {
         let whole = record(&self.kind, version, now, bytes);
         let grown = self.size + whole.len() as u64;
         if let Some(mut file) = self.file.take().filter(|_| grown <= REPLACED_FROM) {
@@ -316,7 +316,7 @@
     let number = |word: &str| word.parse::<u64>().map_err(|_| ParseError::Foreign);
     let kept = StoredFile {
         version: number(version)?,
-        saved: number(saved)?,
+        saved_at: number(saved)?,
         bytes: bytes.to_vec(),
     };
     Ok((kept, end + 1 + length))
@@ -352,7 +352,7 @@
         let mut ends = vec![0];
         for version in 1..=3u64 {
             journal
-                .keep(version, 9, format!("number {version}").as_bytes())
+                .append(version, 9, format!("number {version}").as_bytes())
                 .expect("kept");
             ends.push(fs::metadata(&path).expect("there").len() as usize);
         }
@@ -367,7 +367,7 @@
                         Some(wanted),
                         "cut at {length}"
                     );
-                    journal.keep(9, 9, b"next").expect("kept");
+                    journal.append(9, 9, b"next").expect("kept");
                     let (_, kept) = Journal::open(&path, "list").expect("whole");
                     assert_eq!(kept.map(|kept| kept.version), Some(9), "cut at {length}");
                 }
@@ -383,7 +383,7 @@
         let (mut journal, _) = Journal::open(&path, "list").expect("none yet");
         let long = vec![7; 300_000];
         for version in 1..=9u64 {
-            journal.keep(version, 9, &long).expect("kept");
+            journal.append(version, 9, &long).expect("kept");
             assert!(fs::metadata(&path).expect("there").len() <= REPLACED_FROM);
         }
         let mut whole = fs::read(&path).expect("read");
@@ -425,7 +425,7 @@
             load(&path, "list").expect("whole"),
             StoredFile {
                 version: 8,
-                saved: 2000,
+                saved_at: 2000,
                 bytes: b"y".to_vec()
             }
         );
--- a/tenant_limits/examples/fairness.rs
+++ b/tenant_limits/examples/fairness.rs
@@ -42,7 +42,7 @@
                     let Some((_, tenant)) = out.pop_front() else {
                         break;
                     };
-                    limits.given_back(
+                    limits.release(
                         Micros(ms * 1000),
                         CustomerNo(tenant),
                         Micros(TAKES_MS * 1000),
@@ -57,7 +57,7 @@
                     asked[usize::from(tenant)] += 1;
                     let room = if limited {
                         limits
-                            .take(Micros(ms * 1000), CustomerNo(tenant), false)
+                            .admit(Micros(ms * 1000), CustomerNo(tenant), false)
                             .is_ok()
                     } else {
                         out.len() < ROOM
--- a/tenant_limits/src/lib.rs
+++ b/tenant_limits/src/lib.rs
@@ -64,7 +64,7 @@
 }
 
 impl Refused {
-    pub fn come_back(self) -> Micros {
+    pub fn retry_after(self) -> Micros {
         match self {
             Refused::InHand { come_back }
             | Refused::Rate { come_back }
@@ -207,7 +207,7 @@
 
     /// Takes new terms while lookups are in hand; what is counted stays counted. A number that is left out keeps what
     /// it has in hand and may have nothing more.
-    pub fn told_of(&mut self, tenants: Vec<Terms>, whole: Whole) {
+    pub fn update(&mut self, tenants: Vec<Terms>, whole: Whole) {
         let nothing = Terms {
             weight: 0.0,
             in_hand: 0,
@@ -236,7 +236,7 @@
     }
 
     /// Lookups in hand, of all tenants.
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.in_hand
     }
 
@@ -258,7 +258,7 @@
     }
 
     /// Takes a lookup in, or says why not; a refused one changes nothing but what repeats were spent.
-    pub fn take(&mut self, now: Micros, tenant: CustomerNo, repeat: bool) -> Result<(), Refused> {
+    pub fn admit(&mut self, now: Micros, tenant: CustomerNo, repeat: bool) -> Result<(), Refused> {
         let at = usize::from(tenant.0);
         let (limit, whole_in_hand) = (self.limit, self.in_hand);
         let soon = self.takes.unwrap_or_default();
@@ -310,7 +310,7 @@
     }
 
     /// A lookup is over: `took` so long, and was `late` or not.
-    pub fn given_back(&mut self, now: Micros, tenant: CustomerNo, took: Micros, late: bool) {
+    pub fn release(&mut self, now: Micros, tenant: CustomerNo, took: Micros, late: bool) {
         let Some(of) = self
             .tenants
             .get_mut(usize::from(tenant.0))
--- a/tenant_limits/tests/fairness.rs
+++ b/tenant_limits/tests/fairness.rs
@@ -37,7 +37,7 @@
     for ms in 0..2000 {
         while out.front().is_some_and(|(end, _)| *end <= ms) {
             let (_, tenant) = out.pop_front().expect("one");
-            limits.given_back(Micros(ms * MS), tenant, Micros(10 * MS), false);
+            limits.release(Micros(ms * MS), tenant, Micros(10 * MS), false);
         }
         let others =
             (1..tenants).filter(|tenant| (ms + u64::from(*tenant) * 7).is_multiple_of(every));
@@ -47,7 +47,7 @@
         for tenant in all {
             asked[usize::from(tenant > 0)] += 1;
             if limits
-                .take(Micros(ms * MS), CustomerNo(tenant), false)
+                .admit(Micros(ms * MS), CustomerNo(tenant), false)
                 .is_ok()
             {
                 got[usize::from(tenant)] += 1;
@@ -55,9 +55,9 @@
             }
         }
         assert!(
-            limits.in_hand() <= 2 * limit,
+            limits.in_flight() <= 2 * limit,
             "{} in hand",
-            limits.in_hand()
+            limits.in_flight()
         );
     }
     let others: u64 = got[1..].iter().sum();
@@ -86,12 +86,12 @@
 fn what_others_leave_is_used() {
     let mut limits = Limits::new(vec![terms(); 10], whole(100));
     let taken = (0..300)
-        .filter(|_| limits.take(Micros(0), CustomerNo(3), false).is_ok())
+        .filter(|_| limits.admit(Micros(0), CustomerNo(3), false).is_ok())
         .count();
     assert_eq!(taken, 100);
     // And yet the next tenant finds room, up to its half.
     let taken = (0..300)
-        .filter(|_| limits.take(Micros(0), CustomerNo(4), false).is_ok())
+        .filter(|_| limits.admit(Micros(0), CustomerNo(4), false).is_ok())
         .count();
     assert_eq!(taken, 50);
 }
@@ -101,9 +101,9 @@
 #[test_case(0.25, 20; "a quarter")]
 fn a_part_goes_by_weight(weight: f64, part: usize) {
     let mut limits = Limits::new(vec![terms(), Terms { weight, ..terms() }], whole(100));
-    while limits.take(Micros(0), CustomerNo(0), false).is_ok() {}
+    while limits.admit(Micros(0), CustomerNo(0), false).is_ok() {}
     let taken = (0..300)
-        .filter(|_| limits.take(Micros(0), CustomerNo(1), false).is_ok())
+        .filter(|_| limits.admit(Micros(0), CustomerNo(1), false).is_ok())
         .count();
     assert_eq!(taken, part);
 }
@@ -121,18 +121,18 @@
     let now = Micros(5 * S);
     assert_eq!(
         (0..9)
-            .filter(|_| limits.take(now, CustomerNo(0), false).is_ok())
+            .filter(|_| limits.admit(now, CustomerNo(0), false).is_ok())
             .count(),
         3
     );
-    let Err(Refused::Rate { come_back }) = limits.take(now, CustomerNo(0), false) else {
+    let Err(Refused::Rate { come_back }) = limits.admit(now, CustomerNo(0), false) else {
         panic!("refused")
     };
     assert_eq!(come_back, Micros(100 * MS));
     assert!(limits
-        .take(Micros(now.0 + come_back.0 - 1000), CustomerNo(0), false)
+        .admit(Micros(now.0 + come_back.0 - 1000), CustomerNo(0), false)
         .is_err());
-    assert!(limits.take(now + come_back, CustomerNo(0), false).is_ok());
+    assert!(limits.admit(now + come_back, CustomerNo(0), false).is_ok());
 }
 
 #[test]
@@ -149,19 +149,19 @@
     );
     let mut got = 0;
     for _ in 0..1000 {
-        let _ = limits.take(Micros(0), CustomerNo(0), false);
-        limits.given_back(Micros(0), CustomerNo(0), Micros(MS), false);
+        let _ = limits.admit(Micros(0), CustomerNo(0), false);
+        limits.release(Micros(0), CustomerNo(0), Micros(MS), false);
         // Each is repeated three times.
         for _ in 0..3 {
-            if limits.take(Micros(0), CustomerNo(0), true).is_ok() {
+            if limits.admit(Micros(0), CustomerNo(0), true).is_ok() {
                 got += 1;
-                limits.given_back(Micros(0), CustomerNo(0), Micros(MS), false);
+                limits.release(Micros(0), CustomerNo(0), Micros(MS), false);
             }
         }
     }
     assert!((100..=103).contains(&got), "{got} repeats of 3000");
     assert!(
-        limits.take(Micros(0), CustomerNo(1), true).is_ok(),
+        limits.admit(Micros(0), CustomerNo(1), true).is_ok(),
         "another tenant's are its own"
     );
 }
@@ -178,10 +178,10 @@
     );
     let mut round = |now: u64, late: bool| {
         let mut taken = 0;
-        while limits.take(Micros(now), CustomerNo(0), false).is_ok() {
+        while limits.admit(Micros(now), CustomerNo(0), false).is_ok() {
             taken += 1;
         }
-        (0..taken).for_each(|_| limits.given_back(Micros(now), CustomerNo(0), Micros(MS), late));
+        (0..taken).for_each(|_| limits.release(Micros(now), CustomerNo(0), Micros(MS), late));
         limits.limit()
     };
     let late: Vec<usize> = (0..40).map(|at| round(at * S, true)).collect();
@@ -205,15 +205,15 @@
             now += Micros(later * MS);
             let tenant = CustomerNo(tenant);
             if takes {
-                match limits.take(now, tenant, late) {
+                match limits.admit(now, tenant, late) {
                     Ok(()) => held.push((tenant, now)),
-                    Err(refused) => prop_assert!(refused.come_back().0 <= 60 * S),
+                    Err(refused) => prop_assert!(refused.retry_after().0 <= 60 * S),
                 }
             } else if !held.is_empty() {
                 let (tenant, since) = held.swap_remove(later as usize % held.len());
-                limits.given_back(now, tenant, now.since(since), late);
+                limits.release(now, tenant, now.since(since), late);
             }
-            prop_assert_eq!(limits.in_hand(), held.len());
+            prop_assert_eq!(limits.in_flight(), held.len());
             for (at, of) in tenants.iter().enumerate() {
                 let count = held.iter().filter(|(tenant, _)| usize::from(tenant.0) == at).count();
                 prop_assert!(count <= of.in_hand);
@@ -221,9 +221,9 @@
             }
         }
         for (tenant, since) in held {
-            limits.given_back(now, tenant, now.since(since), false);
+            limits.release(now, tenant, now.since(since), false);
         }
-        prop_assert_eq!(limits.in_hand(), 0);
-        prop_assert!(limits.take(now + Micros(60 * S), CustomerNo(0), false).is_ok(), "nobody is shut out for good");
+        prop_assert_eq!(limits.in_flight(), 0);
+        prop_assert!(limits.admit(now + Micros(60 * S), CustomerNo(0), false).is_ok(), "nobody is shut out for good");
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -23,23 +23,23 @@
 }
 
 impl Actions for Tape {
-    fn part_call(&mut self, part: ShardRequestId, node: NodeId, _: Micros) {
+    fn send_attempt(&mut self, part: ShardRequestId, node: NodeId, _: Micros) {
         self.calls.push((part, node));
     }
     fn answer(&mut self, lookup: QueryId, whole: bool) {
         self.finals.push((lookup, Some(whole)));
     }
-    fn nack(&mut self, lookup: QueryId, _: Micros) {
+    fn reject(&mut self, lookup: QueryId, _: Micros) {
         self.finals.push((lookup, None));
     }
-    fn abort(&mut self, lookup: QueryId) {
+    fn fail(&mut self, lookup: QueryId) {
         self.finals.push((lookup, None));
     }
-    fn cancel(&mut self, _: ShardRequestId, _: AttemptNo) {}
-    fn probe(&mut self, _: NodeId) {}
-    fn close_idle(&mut self, _: NodeId) {}
-    fn watch_roster(&mut self) {}
-    fn timer(&mut self, _: Micros, _: TimerId) {}
+    fn cancel_attempt(&mut self, _: ShardRequestId, _: AttemptNo) {}
+    fn check_health(&mut self, _: NodeId) {}
+    fn close_idle_connections(&mut self, _: NodeId) {}
+    fn watch_endpoints(&mut self) {}
+    fn set_timer(&mut self, _: Micros, _: TimerId) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -74,11 +74,11 @@
 
 fn router() -> RoutingEngine {
     let row = |repeat, least| IndexConfig {
-        soft: Micros(1_000_000),
-        gain: 1.0,
-        repeat,
-        need: 1.0,
-        least,
+        latency_objective: Micros(1_000_000),
+        priority_weight: 1.0,
+        retry_semantics: repeat,
+        required_weight: 1.0,
+        min_weight: least,
         ..IndexConfig::default()
     };
     let tariff = PlatformConfig {
@@ -86,14 +86,14 @@
             row(RetrySemantics::Idempotent, LEAST),
             row(RetrySemantics::OnceOnly, 1.0),
         ],
-        routers: 1.0,
-        cells: 1,
-        reach: 1,
-        second_copies: true,
-        most_calls: Some(3),
-        extra_spare: SPARE,
-        extra_ratio: RATIO,
-        extra_window: Some(WINDOW),
+        router_count: 1.0,
+        shard_group_count: 1,
+        groups_per_shard: 1,
+        hedging: true,
+        max_attempts: Some(3),
+        retry_budget_min: SPARE,
+        retry_budget_ratio: RATIO,
+        retry_budget_window: Some(WINDOW),
         ..PlatformConfig::default()
     };
     let mut brain = RoutingEngine::new(tariff, 7);
@@ -101,7 +101,7 @@
         node: NodeId(id),
         ..Endpoint::default()
     };
-    brain.roster(
+    brain.endpoints_changed(
         Micros(1),
         &[listing(1), listing(2), listing(3)],
         true,
@@ -132,21 +132,21 @@
                         let weight = 1.0 / rank as f64 / whole;
                         parts.insert(ShardRequestId(id.0 + rank), (id, once, weight, Vec::new()));
                     }
-                    brain.lookup(now, id, WireQueryNo(next), index, CustomerNo(0), count as usize, left, false, &mut tape);
+                    brain.query_received(now, id, WireQueryNo(next), index, CustomerNo(0), count as usize, left, false, &mut tape);
                     for rank in 1..=count {
                         let part = ShardRequestId(id.0 + rank);
-                        brain.part(now, part, WireQueryNo(next), ShardNo(0), parts[&part].2, None, &mut tape);
+                        brain.shard_request_received(now, part, WireQueryNo(next), ShardNo(0), parts[&part].2, None, &mut tape);
                     }
                 }
                 Step::Return { which, ending } if !out.is_empty() => {
                     let (part, call, node, sent) = out.swap_remove(which % out.len());
                     parts.get_mut(&part).expect("a part").3[usize::from(call.0)] = Some(ending);
-                    brain.returned(now, part, call, node, now.since(sent), ending, &[], &mut tape);
+                    brain.attempt_finished(now, part, call, node, now.since(sent), ending, &[], &mut tape);
                 }
                 Step::Return { .. } => {}
                 Step::Wait(micros) => {
                     now += Micros(micros);
-                    brain.elapsed(now, TimerId(0), &mut tape);
+                    brain.timer_fired(now, TimerId(0), &mut tape);
                 }
             }
             for (part, node) in tape.calls.drain(..) {
@@ -175,7 +175,7 @@
             }
         }
         // Time alone ends what is left, each lookup once.
-        brain.elapsed(now + Micros(3_000_000), TimerId(0), &mut tape);
+        brain.timer_fired(now + Micros(3_000_000), TimerId(0), &mut tape);
         for (id, _) in tape.finals.drain(..) {
             *final_of.get_mut(&id).expect("a lookup") += 1;
         }
--- a/wire/src/discovery.rs
+++ b/wire/src/discovery.rs
@@ -68,9 +68,9 @@
     let listing = Endpoint {
         node: NodeId(0),
         zone: ZoneNo(zone),
-        cell: ShardGroupNo(cell),
-        phase,
-        started,
+        shard_group: ShardGroupNo(cell),
+        state: phase,
+        started_at: started,
     };
     Ok((name.to_owned(), address, listing))
 }
@@ -96,10 +96,10 @@
         assert_eq!(
             entry
                 .as_ref()
-                .map(|(_, _, listing)| (listing.zone.0, listing.phase)),
+                .map(|(_, _, listing)| (listing.zone.0, listing.state)),
             read
         );
-        assert!(entry.is_none_or(|(_, _, listing)| listing.started == Micros(1_500_000)));
+        assert!(entry.is_none_or(|(_, _, listing)| listing.started_at == Micros(1_500_000)));
     }
 
     #[test_case(r#"{"index":4,"snapshot":true,"endpoints":[]}"#, Some((4, true)); "good")]
