--- a/router/src/fleet/commands.rs
+++ b/router/src/fleet/commands.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::fleet::Fleet;
-use crate::stages::Router;
+use crate::router::Router;
 
 /// Rows of members in an answer; of more, those that matter most come first.
 const MOST_ROWS: usize = 200;
--- a/router/src/fleet/event_loop.rs
+++ b/router/src/fleet/event_loop.rs
@@ -16,7 +16,7 @@
 
 use crate::fleet::peer_transport::{self, PeerTransport};
 use crate::fleet::{chance, commands, replica_file, Fleet};
-use crate::stages::Router;
+use crate::router::Router;
 
 /// A router that waits for its folder, or its listener, looks again so often.
 const LOOK_AGAIN: Micros = Micros(20_000);
@@ -191,9 +191,9 @@
 /// takes the folder, the seat and the listener again if it has to take over.
 pub async fn run(router: Rc<Router>, fleet: Rc<Fleet>) {
     loop {
-        while !router.accepting.get() {
-            let changed = router.accepting_changed.listen();
-            if !router.accepting.get() {
+        while !router.listener.is_accepting() {
+            let changed = router.listener.accepting_changed();
+            if !router.listener.is_accepting() {
                 changed.await;
             }
         }
@@ -223,14 +223,14 @@
             listener,
         ));
         let mut passed = false;
-        while router.accepting.get() {
+        while router.listener.is_accepting() {
             if router.is_stopping() && !std::mem::replace(&mut passed, true) {
                 fleet
                     .node
                     .borrow_mut()
                     .transfer_leadership(router.clock.now());
             }
-            let (wake, changed) = (fleet.wake.listen(), router.accepting_changed.listen());
+            let (wake, changed) = (fleet.wake.listen(), router.listener.accepting_changed());
             let due = fleet.turn(&router, &fleet);
             let time = async {
                 Timer::at(router.clock.instant(due)).await;
@@ -250,7 +250,7 @@
 /// Waits for the folder; none: this process no longer accepts.
 async fn hold(router: &Router, fleet: &Fleet) -> Option<ternpick_store::DirectoryLock> {
     let mut said = false;
-    while router.accepting.get() {
+    while router.listener.is_accepting() {
         match ternpick_store::lock_directory(&fleet.folder) {
             Ok(Some(held)) => return Some(held),
             Ok(None) if said => {}
--- a/router/src/fleet/maintenance.rs
+++ b/router/src/fleet/maintenance.rs
@@ -18,8 +18,8 @@
 
 use crate::fleet::commands::unknown;
 use crate::fleet::Fleet;
+use crate::router::Router;
 use crate::stages::completion::{Counts, EffectQueue};
-use crate::stages::Router;
 
 /// How often this router looks at what it sees.
 pub const LOOK: Micros = Micros(100_000);
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -32,9 +32,10 @@
 use ternpick_store::Journal;
 
 use crate::lifecycle::settings::FleetTerms;
-use crate::memory::clients::Answer;
+use crate::router::Router;
+use crate::stages::admission;
 use crate::stages::completion::{retry_after, EffectQueue};
-use crate::stages::{admission, Router};
+use crate::state::clients::Answer;
 use event_loop::Waits;
 use fragments::{FragmentBuffer, PeerBatch};
 
--- a/router/src/fleet/peer_transport.rs
+++ b/router/src/fleet/peer_transport.rs
@@ -17,8 +17,9 @@
 use crate::fleet::fragments::{in_pieces, PeerBatch, PARCEL_BYTES, PATH};
 use crate::fleet::{chance, Fleet};
 use crate::lifecycle::http_client;
-use crate::memory::descriptors::Peer;
-use crate::stages::{upstream_writer, Router};
+use crate::router::Router;
+use crate::stages::upstream_writer;
+use crate::state::descriptors::Peer;
 
 /// What waits for one router; the oldest goes first.
 const MOST_WAITING: usize = 64;
--- a/router/src/lifecycle/control.rs
+++ b/router/src/lifecycle/control.rs
@@ -25,7 +25,7 @@
 use crate::lifecycle::settings::ControlTerms;
 use crate::lifecycle::snapshot;
 use crate::lifecycle::upgrade::{self, Start, Upgrades};
-use crate::stages::Router;
+use crate::router::Router;
 
 /// The longest question, and how long it may take to come.
 const ASK_BOUND: usize = 32 * 1024;
@@ -157,7 +157,7 @@
             }
         },
         Some("drain") => {
-            router.stop_requested.notify(1);
+            router.shutdown.request();
             json!({"done": true, "ok": true, "line": "this process answers what it has taken, and leaves"})
         }
         Some("upgrade") if !control.terms.upgrade => {
@@ -215,8 +215,8 @@
 
 /// Nothing is left here: the process ends, or stays as the parent of its heir.
 fn leave(router: &Router) {
-    router.handed_over.set(true);
-    router.stop_requested.notify(1);
+    router.shutdown.mark_handed_over();
+    router.shutdown.request();
 }
 
 fn status(router: &Router, control: &Control) -> Value {
@@ -245,12 +245,12 @@
     json!({
         "name": control.name, "version": env!("CARGO_PKG_VERSION"), "process": std::process::id(),
         "step": machine.step_name(), "upgrades_begun": control.upgrades.begun.get(),
-        "accepts": router.accepting.get(), "stopping": router.is_stopping(),
+        "accepts": router.listener.is_accepting(), "stopping": router.is_stopping(),
         "lookups": office.in_flight.lookups(), "held": office.in_flight.held(), "taken": office.counts.taken,
         "satisfied": office.counts.satisfied, "nacked": office.counts.nacked, "aborted": office.counts.aborted,
         "clients": router.descriptors.clients(), "descriptors": router.descriptors.held(),
         "descriptors_may": router.descriptors.total(), "memory_held": router.budget.used(),
-        "roster_version": router.endpoint_list_version.get(), "nodes": nodes,
+        "roster_version": router.discovery.list_version(), "nodes": nodes,
         "identity": router.auth.as_ref().map(|gate| gate.status(router)), "limits": limits,
         "fleet": router.fleet.as_ref().map(|fleet| fleet.status(brain, now)),
     })
--- a/router/src/lifecycle/http_client.rs
+++ b/router/src/lifecycle/http_client.rs
@@ -6,7 +6,8 @@
 use async_io::Async;
 use ternpick::types::Micros;
 
-use crate::stages::{upstream_writer, Router};
+use crate::router::Router;
+use crate::stages::upstream_writer;
 use ternpick_wire::http::Reader;
 use ternpick_wire::ring::Ring;
 
--- a/router/src/lifecycle/key_sources.rs
+++ b/router/src/lifecycle/key_sources.rs
@@ -10,8 +10,8 @@
 use ternpick_identity::{Source, PAGE_BOUND, SET_BOUND};
 
 use crate::lifecycle::http_client;
+use crate::router::Router;
 use crate::stages::auth_filter::{AuthFilter, Watched};
-use crate::stages::Router;
 
 /// How often it is looked whether time alone has changed something.
 const LOOK: Micros = Micros(250_000);
--- a/router/src/lifecycle/reload.rs
+++ b/router/src/lifecycle/reload.rs
@@ -8,7 +8,7 @@
 
 use crate::lifecycle::config::{self, RouterConfig, FIXED};
 use crate::lifecycle::settings;
-use crate::stages::Router;
+use crate::router::Router;
 
 /// The file that a router was started with, and what stood in it that is fixed.
 pub struct Source {
@@ -64,12 +64,11 @@
 }
 
 fn follow(router: &Router, discovery: SocketAddr) {
-    let old = router.discovery.replace(discovery);
+    let old = router.discovery.move_to(discovery);
     if old == discovery {
         return tracing::info!("reload: done, discovery still at {discovery}");
     }
     tracing::info!("reload: done, discovery at {discovery}, no longer at {old}");
-    router.discovery_moved.notify(1);
 }
 
 #[cfg(test)]
--- a/router/src/lifecycle/signals.rs
+++ b/router/src/lifecycle/signals.rs
@@ -12,7 +12,7 @@
 
 use crate::lifecycle::reload::Source;
 use crate::lifecycle::stop;
-use crate::stages::Router;
+use crate::router::Router;
 
 /// A wake-up that was lost (the pipe is full, its write failed) delays a signal by no more than this.
 const LOOK_AGAIN: Duration = Duration::from_millis(100);
@@ -90,8 +90,8 @@
     accepting: async_executor::Task<()>,
 ) {
     loop {
-        let told = router.stop_requested.listen();
-        if router.handed_over.get() {
+        let told = router.shutdown.requested();
+        if router.shutdown.is_handed_over() {
             return;
         }
         let told = async {
@@ -100,7 +100,7 @@
         };
         match future::or(async { Some(signals.next().await) }, told).await {
             Some(Told::Reload) => source.reload(router),
-            None if router.handed_over.get() => return,
+            None if router.shutdown.is_handed_over() => return,
             _ => break,
         }
     }
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -10,7 +10,7 @@
 use ternpick_tenant_limits::Counted;
 
 use crate::lifecycle::watch;
-use crate::stages::Router;
+use crate::router::Router;
 
 /// The form of the snapshot; another one is not read.
 pub const FORM: u16 = 2;
@@ -64,7 +64,7 @@
         names.push((id.0, name.to_owned()));
     }
     (
-        json!({"index": router.endpoint_list_version.get(), "snapshot": true, "endpoints": entries}),
+        json!({"index": router.discovery.list_version(), "snapshot": true, "endpoints": entries}),
         names,
     )
 }
@@ -131,16 +131,17 @@
         let roster: Value = serde_json::from_str(&self.roster).map_err(|e| e.to_string())?;
         // The watch goes on from this version, and is asked for as the list is taken in.
         let version = roster["index"].as_u64().unwrap_or(0);
-        let before = router.endpoint_list_version.replace(version);
+        let before = router.discovery.list_version();
+        router.discovery.set_list_version(version);
         watch::take_list(router, &roster).map_err(|what| {
-            router.endpoint_list_version.set(before);
+            router.discovery.set_list_version(before);
             what.to_owned()
         })?;
         let names: HashMap<u64, String> = self.names.into_iter().collect();
         let now = router.clock.now();
         let (nodes, taken) = {
             let mut desk = router.decisions.borrow_mut();
-            let crate::stages::Decisions {
+            let crate::router::Decisions {
                 engine: brain,
                 effects: office,
             } = &mut *desk;
--- a/router/src/lifecycle/start.rs
+++ b/router/src/lifecycle/start.rs
@@ -1,6 +1,6 @@
 //! Start: from a configuration to a router that serves.
 
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
@@ -24,11 +24,16 @@
 use crate::lifecycle::tls::{self, Tls};
 use crate::lifecycle::upgrade::{self, Share, Start};
 use crate::lifecycle::{key_sources, logging, signals, stop, takeover, watch};
-use crate::memory::budget::Budget;
-use crate::memory::descriptors::Descriptors;
+use crate::router::{Decisions, Router};
 use crate::stages::auth_filter::AuthFilter;
 use crate::stages::completion::EffectQueue;
-use crate::stages::{dispatch, listener, Decisions, Router};
+use crate::stages::{dispatch, listener};
+use crate::state::budget::Budget;
+use crate::state::client_transfer::ClientTransfer;
+use crate::state::descriptors::Descriptors;
+use crate::state::discovery::DiscoveryState;
+use crate::state::listener::ListenerState;
+use crate::state::shutdown::ShutdownState;
 
 /// The descriptors that the process may really hold; its own limit is raised as far as wanted and allowed.
 fn descriptors(wanted: usize) -> usize {
@@ -181,21 +186,10 @@
         auth: gate,
         fleet,
         input_applied: Event::new(),
-        watch_requested: Event::new(),
-        discovery: Cell::new(discovery),
-        discovery_moved: Event::new(),
-        shutdown: Cell::new(None),
-        accepting: Cell::new(true),
-        accepting_changed: Event::new(),
-        passing_clients: Cell::new(false),
-        passed_clients: RefCell::default(),
-        client_passed: Event::new(),
-        passing_clients_changed: Event::new(),
-        endpoint_list_version: Cell::new(known["index"].as_u64().unwrap_or(0)),
-        handed_over: Cell::new(false),
-        stop_requested: Event::new(),
-        listener_closing: Event::new(),
-        listener_closed: Cell::new(false),
+        discovery: DiscoveryState::new(discovery, known["index"].as_u64().unwrap_or(0)),
+        shutdown: ShutdownState::default(),
+        listener: ListenerState::default(),
+        client_transfer: ClientTransfer::default(),
     });
     let share = Rc::new(Share::of(&router));
     let control = settings.control;
@@ -249,7 +243,7 @@
             }
         };
         if !asked {
-            router.watch_requested.notify(1);
+            router.discovery.request_watch();
         }
         tracing::info!(
             "{name} serves on {listen}, {} nodes known",
@@ -286,7 +280,8 @@
             }
         });
         signals::obey(&router, signals, &source, accepting).await;
-        let stays = control.filter(|control| control.terms.stays && router.handed_over.get());
+        let stays =
+            control.filter(|control| control.terms.stays && router.shutdown.is_handed_over());
         Ok::<_, String>(stays.and_then(|control| control.upgrades.heir.take()))
     }))?;
     drop(router);
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -12,8 +12,8 @@
 use ternpick::types::Micros;
 
 use crate::lifecycle::signals::{self, Told};
-use crate::memory::clients::State;
-use crate::stages::Router;
+use crate::router::Router;
+use crate::state::clients::State;
 
 /// How often a parent looks whether its heir lives.
 const LOOK_AT_HEIR: Duration = Duration::from_millis(100);
@@ -23,14 +23,14 @@
 /// From the signal on: accepts for as long as connections still come, then answers what is in hand.
 pub async fn stop(router: &Router, accepting: Task<()>) {
     let of = Shutdown::new(router.clock.now(), router.bounds.longest_deadline);
-    router.shutdown.set(Some(of));
+    router.shutdown.begin(of);
     router.apply(|brain, now, out| brain.shutdown_started(now, of.answers_by, out));
     if let Some(fleet) = &router.fleet {
         fleet.look_again();
     }
     tracing::info!("stopping: {}", what_is_out(router));
     Timer::at(router.clock.instant(of.accepts_until)).await;
-    router.listener_closing.notify(usize::MAX);
+    router.listener.close();
     accepting.await;
     tracing::info!("stopping: the listener is gone, {}", what_is_out(router));
     when_done(router, of).await;
@@ -63,14 +63,15 @@
 
 /// Closes connections without a request and waits until nothing is owed, or until the process may be killed.
 async fn when_done(router: &Router, of: Shutdown) {
-    router.listener_closed.set(true);
+    router.listener.mark_closed();
     // Only those that rest: who is closing in order has an answer on its way.
     router.clients.end(State::Resting, |_| true);
     loop {
         let now = router.clock.now();
         let (clients, waiting) = (router.descriptors.clients(), router.clients.waiting());
         // One that hands over leaves when that is done: whoever asked for it is owed the word.
-        let hands = usize::from(router.passing_clients.get() && !router.handed_over.get());
+        let hands =
+            usize::from(router.client_transfer.is_active() && !router.shutdown.is_handed_over());
         if of.may_exit(now, clients + hands, clients.saturating_sub(waiting)) {
             break;
         }
--- a/router/src/lifecycle/takeover.rs
+++ b/router/src/lifecycle/takeover.rs
@@ -15,7 +15,8 @@
 use crate::lifecycle::hot_restart_link::Link;
 use crate::lifecycle::snapshot::Snapshot;
 use crate::lifecycle::upgrade::Share;
-use crate::stages::{listener, Router};
+use crate::router::Router;
+use crate::stages::listener;
 
 /// How long the end of the old process may take to show after its link has ended.
 const SEEN_DEAD: u32 = 20;
@@ -208,12 +209,11 @@
                 }
                 Effect::Use(lease) => share.put_to_use(&router, lease, true),
                 Effect::Accept(accepts) => {
-                    router.accepting.set(accepts);
-                    router.accepting_changed.notify(usize::MAX);
+                    router.listener.set_accepting(accepts);
                 }
                 Effect::Log(line) => tracing::warn!("{line}"),
                 Effect::Exit => {
-                    router.stop_requested.notify(1);
+                    router.shutdown.request();
                 }
                 _ => {}
             }
--- a/router/src/lifecycle/tls.rs
+++ b/router/src/lifecycle/tls.rs
@@ -15,7 +15,7 @@
 use ternpick_identity::LIST_BOUND;
 
 use crate::lifecycle::settings::TlsTerms;
-use crate::stages::Router;
+use crate::router::Router;
 
 /// The longest of these files, in bytes.
 const FILE_BOUND: u64 = LIST_BOUND as u64;
--- a/router/src/lifecycle/upgrade.rs
+++ b/router/src/lifecycle/upgrade.rs
@@ -17,8 +17,9 @@
 use crate::lifecycle::hot_restart_link::Link;
 use crate::lifecycle::settings::ControlTerms;
 use crate::lifecycle::snapshot::Snapshot;
-use crate::memory::descriptors::OWN;
-use crate::stages::Router;
+use crate::router::Router;
+use crate::state::client_transfer::PassedClient;
+use crate::state::descriptors::OWN;
 
 /// How often it is looked whether the new process lives, and whether anything is left here.
 const LOOK: Micros = Micros(10_000);
@@ -241,12 +242,10 @@
                     }
                 }
                 Effect::Accept(accepts) => {
-                    router.accepting.set(accepts);
-                    router.accepting_changed.notify(usize::MAX);
+                    router.listener.set_accepting(accepts);
                 }
                 Effect::PassClients(hands) => {
-                    router.passing_clients.set(hands);
-                    router.passing_clients_changed.notify(usize::MAX);
+                    router.client_transfer.set_active(hands);
                 }
                 Effect::Use(lease) => {
                     let goes_on = self.of.machine.borrow().is_serving();
@@ -270,8 +269,10 @@
     /// Clients' connections that have become idle go over.
     async fn pass_clients(&mut self) {
         loop {
-            let next = self.router.passed_clients.borrow_mut().pop_front();
-            let Some((socket, unread)) = next else { return };
+            let next = self.router.client_transfer.pop();
+            let Some(PassedClient { socket, unread }) = next else {
+                return;
+            };
             let Some(link) = &self.link else { return };
             let message = Message::Client { unread };
             let fds = [socket.as_fd()];
@@ -286,9 +287,8 @@
             // Where nothing of it can have gone over, it stays here: its client has lost nothing.
             if let (Some(Err(_)), Message::Client { unread }) = (sent, message) {
                 self.router
-                    .passed_clients
-                    .borrow_mut()
-                    .push_front((socket, unread));
+                    .client_transfer
+                    .put_back(PassedClient { socket, unread });
             }
             self.broke = self.broke.or(Some(self.router.clock.now()));
             return;
@@ -301,7 +301,7 @@
             Timer::at(router.clock.instant(router.clock.now() + LOOK)).await;
             Came::Nothing
         };
-        let more = router.client_passed.listen();
+        let more = router.client_transfer.added();
         let handed = async {
             more.await;
             Came::Nothing
@@ -389,7 +389,7 @@
         run.carry_out(effects, say).await;
         if of.machine.borrow().is_serving() {
             // Connections that were on their way over stay here.
-            for (socket, unread) in router.passed_clients.borrow_mut().drain(..) {
+            while let Some(PassedClient { socket, unread }) = router.client_transfer.pop() {
                 if let Err(what) = crate::stages::listener::adopt(router, socket, &unread) {
                     tracing::warn!("upgrade: a connection is closed, {what}");
                 }
@@ -397,8 +397,7 @@
             return Err(run.why);
         }
         run.pass_clients().await;
-        let nothing =
-            router.descriptors.clients() == 0 && router.passed_clients.borrow().is_empty();
+        let nothing = router.descriptors.clients() == 0 && router.client_transfer.is_empty();
         if nothing && router.decisions.borrow().effects.in_flight.lookups() == 0 {
             let effects = of.machine.borrow_mut().drain_finished();
             run.carry_out(effects, say).await;
--- a/router/src/lifecycle/watch.rs
+++ b/router/src/lifecycle/watch.rs
@@ -11,7 +11,8 @@
 use ternpick::watch_schedule::WatchSchedule;
 
 use crate::lifecycle::http_client;
-use crate::stages::{upstream_writer, Router};
+use crate::router::Router;
+use crate::stages::upstream_writer;
 use ternpick_wire::discovery;
 
 /// Between an answer without news that came before its time and the next call: a watch goes on for 200 ms.
@@ -83,22 +84,22 @@
     let (mut kept, mut failing, mut after) = (None::<Async<TcpStream>>, false, None);
     let mut first = true;
     let (mut at, mut watching, mut wanted) = (
-        router.discovery.get(),
+        router.discovery.address(),
         false,
-        router.watch_requested.listen(),
+        router.discovery.watch_requested(),
     );
     loop {
-        let moved = router.discovery_moved.listen();
-        let discovery = router.discovery.get();
+        let moved = router.discovery.moved();
+        let discovery = router.discovery.address();
         if discovery != at {
             (at, watching) = (discovery, true);
             (kept, failing, after) = (None, false, None);
         }
         if !watching {
             future::or(wanted, moved).await;
-            (wanted, watching) = (router.watch_requested.listen(), true);
+            (wanted, watching) = (router.discovery.watch_requested(), true);
             if std::mem::replace(&mut first, false) {
-                after = Some(router.endpoint_list_version.get());
+                after = Some(router.discovery.list_version());
             }
             continue;
         }
@@ -124,7 +125,7 @@
         match answered.and_then(|list| take_list(&router, &list).map_err(str::to_owned)) {
             Ok(newer) => {
                 cadence.answered();
-                router.endpoint_list_version.set(newer);
+                router.discovery.set_list_version(newer);
                 let early = after == Some(newer) && router.clock.now().since(began) < terms.wait;
                 (after, failing) = (Some(newer), false);
                 if early {
@@ -146,7 +147,7 @@
                 }
                 watching = false;
                 // What the module wanted before it hears of this is out of date.
-                wanted = router.watch_requested.listen();
+                wanted = router.discovery.watch_requested();
                 router.apply(|brain, now, out| brain.endpoint_watch_failed(now, out));
             }
         }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -2,8 +2,9 @@
 
 mod fleet;
 mod lifecycle;
-mod memory;
+mod router;
 mod stages;
+mod state;
 
 use std::process::ExitCode;
 
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -6,9 +6,10 @@
 use ternpick::types::{CustomerNo, IndexNo, Micros, QueryId, RetrySemantics};
 use ternpick_identity::Certificate;
 
-use crate::memory::clients::{Answer, Reply};
-use crate::memory::in_flight::Taken;
-use crate::stages::{auth_filter, dispatch, Router};
+use crate::router::Router;
+use crate::stages::{auth_filter, dispatch};
+use crate::state::clients::{Answer, Reply};
+use crate::state::in_flight::Taken;
 use ternpick_wire::http::Reader;
 use ternpick_wire::query;
 
--- a/router/src/stages/auth_filter.rs
+++ b/router/src/stages/auth_filter.rs
@@ -16,10 +16,10 @@
 use ternpick_tenant_limits::{Limits, Terms as LimitTerms};
 
 use crate::lifecycle::settings::IdentityTerms;
-use crate::memory::clients::Answer;
+use crate::router::Router;
 use crate::stages::admission::line;
 use crate::stages::completion::retry_after;
-use crate::stages::Router;
+use crate::state::clients::Answer;
 use ternpick_wire::http::Reader;
 
 /// Lines on callers who are refused come no closer than this; they say the count.
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -12,9 +12,9 @@
 use ternpick_tenant_limits::Limits;
 
 use crate::fleet::Mark;
-use crate::memory::in_flight::{CallKey, CallOut, InFlightTable, Place};
-use crate::memory::nodes::{ConnectionId, Nodes};
 use crate::stages::upstream_writer;
+use crate::state::in_flight::{CallKey, CallOut, InFlightTable, Place};
+use crate::state::nodes::{ConnectionId, Nodes};
 use ternpick_wire::{frames, query};
 
 /// How many lookups were taken and how they ended.
@@ -270,9 +270,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::memory::clients::Reply;
-    use crate::memory::descriptors::{Descriptors, Peer};
-    use crate::memory::in_flight::Taken;
+    use crate::state::clients::Reply;
+    use crate::state::descriptors::{Descriptors, Peer};
+    use crate::state::in_flight::Taken;
     use ternpick::types::{EndpointState, ShardNo};
     use test_case::test_case;
 
--- a/router/src/stages/dispatch.rs
+++ b/router/src/stages/dispatch.rs
@@ -9,9 +9,10 @@
     AttemptOutcome, CustomerNo, IndexNo, Micros, QueryId, ShardNo, ShardRequestId, WireQueryNo,
 };
 
-use crate::memory::in_flight::{CallKey, Place};
+use crate::router::Router;
 use crate::stages::completion::{EffectQueue, Return};
-use crate::stages::{upstream_writer, Router};
+use crate::stages::upstream_writer;
+use crate::state::in_flight::{CallKey, Place};
 
 /// Plays a lookup and all its parts.
 pub fn take(
--- a/router/src/stages/listener.rs
+++ b/router/src/stages/listener.rs
@@ -11,12 +11,14 @@
 use ternpick::types::Micros;
 
 use crate::lifecycle::tls::Tls;
-use crate::memory::budget::Share;
-use crate::memory::clients::{Answer, Reply, State};
-use crate::memory::descriptors::{Peer, Permit};
+use crate::router::Router;
 use crate::stages::admission::{self, Admitted};
+use crate::stages::dispatch;
 use crate::stages::stream::Stream;
-use crate::stages::{dispatch, Router};
+use crate::state::budget::Share;
+use crate::state::client_transfer::PassedClient;
+use crate::state::clients::{Answer, Reply, State};
+use crate::state::descriptors::{Peer, Permit};
 use ternpick_wire::http::{self, Fault, Reader, BODY_BOUND, HEAD_BOUND};
 use ternpick_wire::ring::Ring;
 
@@ -42,13 +44,13 @@
 
 /// Accepts connections until the router is told that the listener is to go, and then what still waits.
 pub async fn accept(router: Rc<Router>, listener: Async<TcpListener>, tls: Option<Rc<Tls>>) {
-    let closing = router.listener_closing.listen();
+    let closing = router.listener.closing();
     let mut failures = AcceptFailures::default();
     future::or(
         async {
             loop {
-                let changed = router.accepting_changed.listen();
-                if !router.accepting.get() {
+                let changed = router.listener.accepting_changed();
+                if !router.listener.is_accepting() {
                     changed.await;
                     continue;
                 }
@@ -76,7 +78,7 @@
     )
     .await;
     while let (true, Some(permit)) = (
-        router.accepting.get(),
+        router.listener.is_accepting(),
         router.descriptors.take(Peer::Client),
     ) {
         let stream = match listener.get_ref().accept() {
@@ -99,7 +101,7 @@
     }
     // The control socket holds the listener too, to pass it on: while this process answers what it has taken, the system
     // would go on taking connections that nobody serves. Where another process accepts, the listener is that one's.
-    if router.accepting.get() {
+    if router.listener.is_accepting() {
         if let Err(e) = rustix::net::shutdown(listener.get_ref(), rustix::net::Shutdown::Both) {
             tracing::debug!("the listener cannot be shut, {e}");
         }
@@ -248,11 +250,10 @@
     let Line { stream, input, .. } = line;
     if let Stream::Plain(socket) = stream {
         if let Ok(socket) = socket.into_inner() {
-            router
-                .passed_clients
-                .borrow_mut()
-                .push_back((socket, input.to_vec()));
-            router.client_passed.notify(1);
+            router.client_transfer.push(PassedClient {
+                socket,
+                unread: input.to_vec(),
+            });
         }
     }
 }
@@ -276,7 +277,7 @@
 
 /// Reads and answers one request; false if the connection ends with it.
 async fn one_request(router: &Rc<Router>, line: &mut Line, request: &mut Reader) -> bool {
-    if router.passing_clients.get() {
+    if router.client_transfer.is_active() {
         (line.handed, line.ends) = (true, "it goes to the new process");
         return false;
     }
@@ -432,14 +433,14 @@
     let mut told = place.told.listen();
     router.clients.keep_idle(router.descriptors.kept_idle());
     loop {
-        let hands = router.passing_clients_changed.listen();
-        if router.passing_clients.get() {
+        let hands = router.client_transfer.active_changed();
+        if router.client_transfer.is_active() {
             (line.handed, line.ends) = (true, "it goes to the new process");
             return false;
         }
         // In a stop, one that has brought no request yet is told when it is to end.
         let rests = line.accepted.is_none();
-        let waits_on = !(rests && router.listener_closed.get()) && {
+        let waits_on = !(rests && router.listener.is_closed()) && {
             let more = async { line.stream.readable().await.is_ok() };
             let ends = async {
                 (&mut told).await;
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -6,9 +6,10 @@
 use async_io::Async;
 use ternpick::types::{AttemptOutcome, Micros};
 
-use crate::memory::nodes::ConnectionId;
+use crate::router::Router;
 use crate::stages::completion::Return;
-use crate::stages::{dispatch, Router};
+use crate::stages::dispatch;
+use crate::state::nodes::ConnectionId;
 use ternpick_wire::frames::{self, End};
 use ternpick_wire::ring::Ring;
 
--- a/router/src/stages/upstream_writer.rs
+++ b/router/src/stages/upstream_writer.rs
@@ -11,11 +11,12 @@
 use ternpick::io_errors::{self, Owner};
 use ternpick::types::{AttemptOutcome, Micros, NodeId};
 
-use crate::memory::descriptors::Peer;
-use crate::memory::in_flight::{CallKey, CallOut, Place};
-use crate::memory::nodes::{Connection, ConnectionId, Nodes};
+use crate::router::Router;
 use crate::stages::completion::EffectQueue;
-use crate::stages::{upstream_reader, Router};
+use crate::stages::upstream_reader;
+use crate::state::descriptors::Peer;
+use crate::state::in_flight::{CallKey, CallOut, Place};
+use crate::state::nodes::{Connection, ConnectionId, Nodes};
 use ternpick_wire::frames::{self, LINE_BOUND};
 use ternpick_wire::http::BODY_BOUND;
 
--- a/router/src/memory/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -7,8 +7,8 @@
 use crate::fleet::Mark;
 use ternpick::types::{AttemptNo, CustomerNo, Micros, NodeId, QueryId, ShardNo, ShardRequestId};
 
-use crate::memory::clients::Reply;
-use crate::memory::nodes::ConnectionId;
+use crate::state::clients::Reply;
+use crate::state::nodes::ConnectionId;
 
 /// A part of a lookup, and its value once it is in.
 pub struct HeldPart {
--- /dev/null
+++ b/router/src/state/mod.rs
@@ -0,0 +1,11 @@
+//! The state of a running router, one owner to a file. Nothing here does I/O or decides.
+
+pub mod budget;
+pub(crate) mod client_transfer;
+pub mod clients;
+pub mod descriptors;
+pub(crate) mod discovery;
+pub mod in_flight;
+pub(crate) mod listener;
+pub mod nodes;
+pub(crate) mod shutdown;
--- a/router/src/memory/nodes.rs
+++ b/router/src/state/nodes.rs
@@ -10,8 +10,8 @@
 use ternpick::io_errors::Owner;
 use ternpick::types::{EndpointState, Micros, NodeId};
 
-use crate::memory::descriptors::Permit;
-use crate::memory::in_flight::CallKey;
+use crate::state::descriptors::Permit;
+use crate::state::in_flight::CallKey;
 use ternpick_wire::ring::Ring;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -332,7 +332,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::memory::descriptors::{Descriptors, Peer};
+    use crate::state::descriptors::{Descriptors, Peer};
     use test_case::test_case;
 
     fn at(port: u16) -> SocketAddr {
