--- /dev/null
+++ b/handover/tests/release_bytes.rs
@@ -0,0 +1,81 @@
+//! An old process and the new one that takes its place are of two releases: each message of the hand-over keeps the frame
+//! that released programs write and read.
+
+#[path = "../../tests/common/recorded.rs"]
+mod recorded;
+
+use recorded::Recorded;
+use ternpick_handover::{decode, encode, Lease, Message};
+
+fn whole(frame: &[u8]) -> Option<Message> {
+    match decode(frame) {
+        Ok(Some((message, length))) if length == frame.len() => Some(message),
+        _ => None,
+    }
+}
+
+#[test]
+fn every_message_of_a_hand_over_has_the_frame_of_the_release() {
+    let lease = Lease {
+        held: 301,
+        extra: 302,
+        sockets: 303,
+        memory: 70_000_000_004,
+    };
+    let other = Lease {
+        held: 311,
+        extra: 312,
+        sockets: 313,
+        memory: 70_000_000_014,
+    };
+    let messages = [
+        (
+            "hello",
+            Message::Hello {
+                version: 1,
+                program: "ternpick 0.2.0".into(),
+            },
+        ),
+        (
+            "offer",
+            Message::Offer {
+                version: 2,
+                settings: 0x0102_0304_0506_0708,
+            },
+        ),
+        ("checked-same", Message::Checked { same: true }),
+        ("checked-other", Message::Checked { same: false }),
+        ("descriptors", Message::Descriptors { count: 3 }),
+        ("got", Message::Got),
+        (
+            "state",
+            Message::State {
+                left: 1_000,
+                piece: vec![1, 2, 3],
+            },
+        ),
+        ("ready", Message::Ready),
+        ("commit", Message::Commit { lease }),
+        ("took", Message::Took),
+        (
+            "client",
+            Message::Client {
+                unread: b"POST /half".to_vec(),
+            },
+        ),
+        ("ping", Message::Ping),
+        ("pong", Message::Pong),
+        ("done", Message::Done { lease: other }),
+        (
+            "abandon",
+            Message::Abandon {
+                why: "it is late".into(),
+            },
+        ),
+    ];
+    let mut recorded = Recorded::parse(include_str!("release_bytes.txt"));
+    for (name, message) in &messages {
+        recorded.value(name, message, encode, whole);
+    }
+    recorded.finish();
+}
--- a/router/src/fleet/parcel.rs
+++ b/router/src/fleet/parcel.rs
@@ -123,3 +123,6 @@
         assert_eq!((pieces.take(&from, mad), pieces.0.len()), (None, 0));
     }
 }
+
+#[cfg(test)]
+mod release_bytes;
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -154,3 +154,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod release_bytes;
--- /dev/null
+++ b/tests/common/recorded.rs
@@ -0,0 +1,133 @@
+//! Bytes that a released program wrote, as lines of a text file, and their comparison with what the present code writes.
+//!
+//! postcard goes by the order of fields and variants, JSON by their names. A rename, a move or a new field is harmless to
+//! the compiler and to every test that encodes and decodes by the same code; only bytes that are kept outside the code
+//! show it. A line is a name and, after a space, the bytes in hexadecimal or the JSON text. A line is never changed to
+//! make a test pass: programs of the release that wrote it are still running.
+
+// Each test program uses a part of it.
+#![allow(dead_code)]
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write;
+
+pub struct Recorded<'a> {
+    lines: BTreeMap<&'a str, &'a str>,
+    compared: BTreeSet<String>,
+    differences: Vec<String>,
+}
+
+fn hexadecimal(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        let _ = write!(text, "{byte:02x}");
+        text
+    })
+}
+
+fn bytes_of(hexadecimal: &str) -> Option<Vec<u8>> {
+    let digits = hexadecimal.as_bytes().chunks(2);
+    let pairs = digits.map(|pair| std::str::from_utf8(pair).ok());
+    pairs
+        .map(|pair| u8::from_str_radix(pair?, 16).ok())
+        .collect()
+}
+
+impl<'a> Recorded<'a> {
+    /// Reads the lines; empty ones and those that begin with `#` say nothing.
+    pub fn parse(text: &'a str) -> Recorded<'a> {
+        let mut lines = BTreeMap::new();
+        for line in text.lines() {
+            if line.is_empty() || line.starts_with('#') {
+                continue;
+            }
+            let (name, content) = line.split_once(' ').unwrap_or((line, ""));
+            assert!(
+                lines.insert(name, content).is_none(),
+                "{name} is recorded twice"
+            );
+        }
+        Recorded {
+            lines,
+            compared: BTreeSet::new(),
+            differences: Vec::new(),
+        }
+    }
+
+    /// The bytes that were recorded under a name.
+    pub fn recorded_bytes(&self, name: &str) -> Vec<u8> {
+        let line = self.lines.get(name).copied().and_then(bytes_of);
+        line.unwrap_or_else(|| panic!("no bytes are recorded as {name}"))
+    }
+
+    fn compare(&mut self, name: &str, written: &str) -> Option<&'a str> {
+        assert!(
+            self.compared.insert(name.to_owned()),
+            "{name} is compared twice"
+        );
+        let recorded = self.lines.get(name).copied();
+        if recorded != Some(written) {
+            let recorded = recorded.unwrap_or("nothing");
+            let difference = format!("{name}\n    recorded {recorded}\n    written  {written}");
+            self.differences.push(difference);
+            return None;
+        }
+        recorded
+    }
+
+    /// Bytes that the present code wrote are those that were recorded.
+    pub fn bytes(&mut self, name: &str, written: &[u8]) {
+        self.compare(name, &hexadecimal(written));
+    }
+
+    /// A value is written as was recorded, and what was recorded is read back as the same value: `decode` reads bytes,
+    /// and `encode` writes the same bytes from what it has read.
+    pub fn value<T>(
+        &mut self,
+        name: &str,
+        value: &T,
+        encode: impl Fn(&T) -> Vec<u8>,
+        decode: impl Fn(&[u8]) -> Option<T>,
+    ) {
+        let Some(recorded) = self.compare(name, &hexadecimal(&encode(value))) else {
+            return;
+        };
+        let bytes = bytes_of(recorded).expect("a line of hexadecimal digits");
+        let read = decode(&bytes).map(|read| encode(&read));
+        if read != Some(bytes) {
+            self.differences
+                .push(format!("{name}\n    is not read back as it was recorded"));
+        }
+    }
+
+    /// As [`Recorded::value`], of a value that is written as JSON on one line.
+    pub fn json<T>(
+        &mut self,
+        name: &str,
+        value: &T,
+        encode: impl Fn(&T) -> String,
+        decode: impl Fn(&str) -> Option<T>,
+    ) {
+        let Some(recorded) = self.compare(name, &encode(value)) else {
+            return;
+        };
+        let read = decode(recorded).map(|read| encode(&read));
+        if read.as_deref() != Some(recorded) {
+            self.differences
+                .push(format!("{name}\n    is not read back as it was recorded"));
+        }
+    }
+
+    /// All that is recorded was compared, and nothing differs.
+    pub fn finish(self) {
+        let names = self.lines.keys();
+        let missing: Vec<&&str> = names
+            .filter(|name| !self.compared.contains(**name))
+            .collect();
+        assert!(
+            self.differences.is_empty() && missing.is_empty(),
+            "{} differ from the release:\n{}\nrecorded, and not compared: {missing:?}",
+            self.differences.len(),
+            self.differences.join("\n")
+        );
+    }
+}
