--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -7,6 +7,7 @@
 pub mod cold;
 pub mod faulty;
 pub mod guarded;
+pub mod release;
 
 pub use ternpick_lab::standins::{entry, read_head, Act, Discovery, Node};
 
