--- a/router/src/fleet/parcel/release_bytes.rs
+++ b/router/src/fleet/parcel/release_bytes.rs
@@ -1,13 +1,10 @@
 //! Routers of two releases exchange parcels: the envelope keeps the bytes that released programs write and read. What may
 //! stand in it is guarded beside its types, in `policy/tests/release_bytes.rs`.
 
-#[path = "../../../../tests/common/recorded.rs"]
-mod recorded;
-
-use recorded::Recorded;
 use ternpick_policy::{Op, SeatNo};
 
 use super::*;
+use crate::recorded::Recorded;
 
 #[test]
 fn a_parcel_has_the_bytes_of_the_release() {
--- a/router/src/lifecycle/snapshot/release_bytes.rs
+++ b/router/src/lifecycle/snapshot/release_bytes.rs
@@ -1,13 +1,10 @@
 //! An upgrade hands a snapshot from a released program to the next one: every field of it, of what a router believes of
 //! its nodes and of what it has counted of its tenants keeps its place.
 
-#[path = "../../../../tests/common/recorded.rs"]
-mod recorded;
-
-use recorded::Recorded;
 use ternpick::brain::NodeBelief;
 
 use super::*;
+use crate::recorded::Recorded;
 
 fn full() -> Snapshot {
     let belief = NodeBelief {
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -5,6 +5,10 @@
 mod memory;
 mod stages;
 
+#[cfg(test)]
+#[path = "../../tests/common/recorded.rs"]
+mod recorded;
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
