--- a/fleet_policy/src/messages.rs
+++ b/fleet_policy/src/messages.rs
@@ -180,6 +180,7 @@
         to: Member,
     },
     /// Of a further matter.
+    #[serde(rename = "annex")]
     Extension {
         entry: Vec<u8>,
     },
--- /dev/null
+++ b/fleet_policy/tests/release_bytes.rs
@@ -0,0 +1,465 @@
+//! Routers of two releases share one log and speak to each other, and a router reads what an earlier release kept: each
+//! form in which the policy goes into the log, into snapshots, to other routers and over the control socket stays as
+//! released programs write and read it.
+
+#[path = "../../tests/common/recorded.rs"]
+mod recorded;
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use recorded::Recorded;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use ternpick_fleet_policy::{
+    Command, Entry, Epoch, HistoryEntry, Incarnation, Index, LastLeaderContact, LeaseGrant,
+    LeaseReply, LeaseRequest, Member, MemberInfo, OperationId, Outcome, PeerMessage,
+    PendingProposal, PolicyDocument, PolicyState, ProposalStatus, ProposalView, Record, ReplicaId,
+    Round, Seq, Verdict, Version, View,
+};
+
+fn postcard<T: Serialize + DeserializeOwned>(recorded: &mut Recorded, name: &str, value: &T) {
+    let encode = |value: &T| postcard::to_stdvec(value).expect("bytes");
+    recorded.value(name, value, encode, |bytes| {
+        postcard::from_bytes(bytes).ok()
+    });
+}
+
+fn json<T: Serialize + DeserializeOwned>(recorded: &mut Recorded, name: &str, value: &T) {
+    let encode = |value: &T| serde_json::to_string(value).expect("text");
+    recorded.json(name, value, encode, |text| serde_json::from_str(text).ok());
+}
+
+fn paper(number: u64) -> PolicyDocument {
+    PolicyDocument {
+        number: Version(number),
+        text: format!("text {number}"),
+        author: format!("author {number}"),
+        reason: format!("reason {number}"),
+    }
+}
+
+fn seated(seat: Option<u64>, learns: bool) -> MemberInfo {
+    MemberInfo {
+        address: "127.0.0.1:9301".into(),
+        zone: "south".into(),
+        replica: seat.map(ReplicaId),
+        is_learner: learns,
+    }
+}
+
+fn members() -> BTreeMap<Member, MemberInfo> {
+    BTreeMap::from([
+        ("n0".into(), seated(Some(301), false)),
+        ("n1".into(), seated(Some(302), true)),
+        ("n2".into(), seated(None, false)),
+    ])
+}
+
+fn entries() -> Vec<(&'static str, Entry)> {
+    let (op, number, round) = (OperationId(0x1234_5678_9abc_def0), Version(401), Round(402));
+    let member = Member::from("n3");
+    let verdicts = vec![
+        (Member::from("n0"), Verdict::Fits),
+        (Member::from("n1"), Verdict::Refused("calls is 9".into())),
+    ];
+    let (address, zone) = ("10.0.0.7:9300".to_owned(), "north".to_owned());
+    vec![
+        (
+            "propose",
+            Entry::Propose {
+                op,
+                base: Some(Version(400)),
+                paper: paper(403),
+                confirm: true,
+            },
+        ),
+        (
+            "propose-on-any",
+            Entry::Propose {
+                op,
+                base: None,
+                paper: paper(404),
+                confirm: false,
+            },
+        ),
+        (
+            "verdicts",
+            Entry::Verdicts {
+                number,
+                said: verdicts,
+            },
+        ),
+        (
+            "confirm",
+            Entry::Confirm {
+                op,
+                number,
+                by: "bob".into(),
+            },
+        ),
+        (
+            "begin",
+            Entry::Begin {
+                number,
+                round,
+                without: BTreeSet::from(["n1".into(), "n2".into()]),
+            },
+        ),
+        ("in-force", Entry::InForce { number, round }),
+        ("resume", Entry::Resume { number, round }),
+        (
+            "withdraw",
+            Entry::Withdraw {
+                op,
+                number,
+                by: "ann".into(),
+                reason: "too early".into(),
+            },
+        ),
+        (
+            "enter",
+            Entry::Enter {
+                op,
+                member: member.clone(),
+                address,
+                zone,
+            },
+        ),
+        (
+            "leave",
+            Entry::Leave {
+                op,
+                member: member.clone(),
+            },
+        ),
+        (
+            "seat",
+            Entry::Seat {
+                op,
+                member: member.clone(),
+            },
+        ),
+        ("unseat", Entry::Unseat { op, member }),
+        (
+            "learnt",
+            Entry::Learnt {
+                seat: ReplicaId(405),
+            },
+        ),
+        (
+            "annex-command",
+            Entry::Extension {
+                op: Some(op),
+                entry: vec![4, 5, 6],
+            },
+        ),
+        (
+            "annex-step",
+            Entry::Extension {
+                op: None,
+                entry: vec![7, 8],
+            },
+        ),
+    ]
+}
+
+fn outcomes() -> Vec<(&'static str, Outcome)> {
+    vec![
+        ("proposed", Outcome::Proposed(Version(501))),
+        ("seated", Outcome::MemberInfo(ReplicaId(502))),
+        ("numbered", Outcome::Numbered(503)),
+        ("done", Outcome::Done),
+        ("refused", Outcome::Refused("it is open".into())),
+    ]
+}
+
+/// A register in which nothing is empty. What became of commands is its own: entries make it.
+fn register() -> PolicyState {
+    let mut register = PolicyState::bootstrap(members());
+    for (at, (_, outcome)) in outcomes().into_iter().enumerate() {
+        if let Outcome::Numbered(number) = outcome {
+            register.annexed(
+                Index(2),
+                Some(OperationId(600 + at as u64)),
+                Ok(number),
+                vec![1],
+            );
+        }
+    }
+    register.annexed(
+        Index(3),
+        Some(OperationId(611)),
+        Err("no such request".into()),
+        vec![2],
+    );
+    register.apply(
+        Index(4),
+        Entry::Propose {
+            op: OperationId(612),
+            base: None,
+            paper: paper(9),
+            confirm: true,
+        },
+    );
+    register.apply(
+        Index(5),
+        Entry::Confirm {
+            op: OperationId(613),
+            number: Version(1),
+            by: "bob".into(),
+        },
+    );
+    register.apply(
+        Index(6),
+        Entry::Seat {
+            op: OperationId(614),
+            member: "n2".into(),
+        },
+    );
+    let fates = [
+        ProposalStatus::Open,
+        ProposalStatus::InForce,
+        ProposalStatus::Refused("n1".into(), "calls is 9".into()),
+        ProposalStatus::Withdrawn("ann".into(), "too early".into()),
+    ];
+    let history = fates
+        .into_iter()
+        .enumerate()
+        .map(|(at, fate)| HistoryEntry {
+            number: Version(620 + at as u64),
+            author: "ann".into(),
+            reason: "a trial".into(),
+            status: fate,
+            at: Index(630 + at as u64),
+        });
+    register.history = history.collect::<VecDeque<HistoryEntry>>();
+    (register.index, register.changed, register.members_at) = (Index(641), Index(642), Index(643));
+    (
+        register.epoch,
+        register.newest_version,
+        register.last_replica_id,
+    ) = (Epoch(644), Version(645), ReplicaId(646));
+    (
+        register.machines_out,
+        register.machines_out_at,
+        register.extension,
+    ) = (vec![47, 48], Index(649), vec![50, 51, 52]);
+    register.in_force = paper(653);
+    register.proposal = Some(PendingProposal {
+        document: paper(654),
+        accepted_by: BTreeSet::from(["n0".into()]),
+        unconfirmed: true,
+        round: Round(655),
+        barrier: Some(BTreeSet::from(["n1".into(), "n2".into()])),
+    });
+    register.left = BTreeSet::from(["n8".into(), "n9".into()]);
+    register
+}
+
+fn renew() -> LeaseRequest {
+    LeaseRequest {
+        member: "n1".into(),
+        incarnation: Incarnation(701),
+        seq: Seq(702),
+        index: Index(703),
+        members_at: Index(704),
+        verdict: Some((Version(705), Verdict::Refused("calls is 9".into()))),
+        paused_for: Some((Version(706), Round(707))),
+        is_only_process: true,
+        unfit: Some(Version(708)),
+        last_leader_contact: Some(LastLeaderContact {
+            replica: ReplicaId(709),
+            term: 710,
+            ago: 711,
+        }),
+        machines_out_at: Index(712),
+        extension_report: vec![13, 14],
+    }
+}
+
+fn told() -> LeaseReply {
+    let view = View {
+        index: Index(721),
+        epoch: Epoch(722),
+        in_force: paper(723),
+        proposal: Some(ProposalView {
+            document: paper(724),
+            unconfirmed: true,
+            round: Round(725),
+            barrier: false,
+        }),
+        members_at: Index(726),
+        machines_out: vec![27, 28],
+        machines_out_at: Index(729),
+    };
+    let grant = LeaseGrant {
+        incarnation: Incarnation(731),
+        seq: Seq(732),
+        epoch: Epoch(733),
+        version: Version(734),
+    };
+    LeaseReply {
+        view: Some(view),
+        members: Some(members()),
+        grant: Some(grant),
+        not_a_member: true,
+    }
+}
+
+fn commands() -> Vec<(&'static str, Command)> {
+    let member = || "n3".to_owned();
+    let (text, author, reason) = ("a text".to_owned(), "ann".to_owned(), "a trial".to_owned());
+    let (address, zone) = ("10.0.0.7:9300".to_owned(), "north".to_owned());
+    vec![
+        (
+            "propose",
+            Command::Propose {
+                base: Some(801),
+                text,
+                author,
+                reason,
+            },
+        ),
+        (
+            "confirm",
+            Command::Confirm {
+                number: 802,
+                by: "bob".into(),
+            },
+        ),
+        (
+            "withdraw",
+            Command::Withdraw {
+                number: 803,
+                by: "ann".into(),
+                reason: "too early".into(),
+            },
+        ),
+        (
+            "add",
+            Command::Add {
+                member: member(),
+                address,
+                zone,
+            },
+        ),
+        ("remove", Command::Remove { member: member() }),
+        ("seat", Command::Seat { member: member() }),
+        ("unseat", Command::Unseat { member: member() }),
+        ("transfer", Command::Transfer { to: "n2".into() }),
+        (
+            "annex",
+            Command::Extension {
+                entry: vec![9, 10, 11],
+            },
+        ),
+    ]
+}
+
+#[test]
+fn every_entry_of_the_log_has_the_bytes_of_the_release() {
+    let mut recorded = Recorded::parse(include_str!("release_bytes/entries.txt"));
+    for (name, entry) in &entries() {
+        postcard(&mut recorded, name, entry);
+    }
+    recorded.finish();
+}
+
+#[test]
+fn the_register_of_a_snapshot_has_the_bytes_of_the_release() {
+    let mut recorded = Recorded::parse(include_str!("release_bytes/register.txt"));
+    postcard(&mut recorded, "register", &register());
+    postcard(
+        &mut recorded,
+        "register-of-a-new-fleet",
+        &PolicyState::bootstrap(members()),
+    );
+    recorded.finish();
+}
+
+#[test]
+fn everything_that_routers_say_to_each_other_has_the_bytes_of_the_release() {
+    let op = OperationId(0x0fed_cba9_8765_4321);
+    let mut said = vec![
+        (
+            "seat".to_owned(),
+            PeerMessage::Raft {
+                from: ReplicaId(901),
+                to: ReplicaId(902),
+                word: vec![3, 4],
+            },
+        ),
+        ("renew".to_owned(), PeerMessage::LeaseRequest(renew())),
+        ("told".to_owned(), PeerMessage::LeaseReply(told())),
+        (
+            "told-nothing".to_owned(),
+            PeerMessage::LeaseReply(LeaseReply::default()),
+        ),
+        (
+            "elsewhere".to_owned(),
+            PeerMessage::NotLeader(Some("n2".into())),
+        ),
+        ("elsewhere-unknown".to_owned(), PeerMessage::NotLeader(None)),
+        (
+            "piece".to_owned(),
+            PeerMessage::Fragment {
+                number: 905,
+                at: 906,
+                of: 907,
+                bytes: vec![8, 9],
+            },
+        ),
+        (
+            "look".to_owned(),
+            PeerMessage::Inspect {
+                op,
+                what: "members".into(),
+            },
+        ),
+        (
+            "seen".to_owned(),
+            PeerMessage::InspectionResult {
+                op,
+                json: "{}".into(),
+            },
+        ),
+    ];
+    said.extend(
+        commands()
+            .into_iter()
+            .map(|(name, command)| (format!("do-{name}"), PeerMessage::Command { op, command })),
+    );
+    said.extend(outcomes().into_iter().map(|(name, outcome)| {
+        (
+            format!("did-{name}"),
+            PeerMessage::CommandOutcome { op, outcome },
+        )
+    }));
+    let mut recorded = Recorded::parse(include_str!("release_bytes/said.txt"));
+    for (name, said) in &said {
+        postcard(&mut recorded, name, said);
+    }
+    recorded.finish();
+}
+
+#[test]
+fn every_command_has_its_words_of_the_release_on_the_control_socket() {
+    let mut recorded = Recorded::parse(include_str!("release_bytes/commands.txt"));
+    for (name, command) in &commands() {
+        json(&mut recorded, name, command);
+    }
+    recorded.finish();
+}
+
+/// A policy's text stays in force over an upgrade: its keys mean what they meant.
+#[test]
+fn a_policy_of_the_release_is_read_with_every_key_as_before() {
+    let text = include_str!("release_bytes/policy.cue");
+    let record = Record::read("policy.cue", text).expect("it is read");
+    let mut recorded = Recorded::parse(include_str!("release_bytes/record.txt"));
+    json(&mut recorded, "record", &record);
+    for (path, figure) in &record.lines() {
+        recorded.bytes(path, figure.as_bytes());
+    }
+    recorded.finish();
+}
--- a/maintenance/src/state.rs
+++ b/maintenance/src/state.rs
@@ -140,6 +140,7 @@
         request: RequestNo,
         by: String,
     },
+    #[serde(rename = "hold")]
     Pause {
         by: String,
         why: String,
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -193,3 +193,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod release_bytes;
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -6,6 +6,10 @@
 mod stages;
 mod state;
 
+#[cfg(test)]
+#[path = "../../tests/common/recorded.rs"]
+mod recorded;
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
