--- a/consensus/src/log_storage.rs
+++ b/consensus/src/log_storage.rs
@@ -1,186 +1,106 @@
-//! The log and all that a seat has promised, as one image that is kept whole. raft-rs reads it through its `Storage`.
+//! The Raft log in memory. raft-rs reads it through its `Storage` trait; `persisted_state.rs` encodes it.
 
-use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result as RaftResult, Storage, StorageError};
-use serde::{Deserialize, Serialize};
 
-use crate::peer_promises::PeerPromises;
-use crate::{FleetId, ReplicaId};
+use crate::promise::{LogPosition, Promise};
 
-/// The form of the image; another is not read.
-const FORM: u16 = 1;
-
-/// What a seat has on disk.
+/// The snapshot, the log after it, and the hard state of one replica.
 #[derive(Clone, Debug, Default)]
-pub struct LogStorage {
-    pub hard: HardState,
-    /// The state up to its index, with who votes there.
-    pub snapshot: Snapshot,
-    /// What came after it, in order.
-    pub entries: Vec<Entry>,
-    /// Who votes after all entries that were played.
-    pub conf: ConfState,
+pub(crate) struct LogStorage {
+    /// Term, vote and commit index.
+    pub(crate) hard_state: HardState,
+    /// The application's state up to its index, with the membership at that index.
+    pub(crate) snapshot: Snapshot,
+    /// The entries after the snapshot, in order. [`LogStorage::compact`] removes those that are applied.
+    pub(crate) entries: Vec<Entry>,
+    /// The membership after all applied entries.
+    pub(crate) conf_state: ConfState,
 }
 
-/// The image's form: everything of the agreement's own types as bytes.
-#[derive(Serialize, Deserialize)]
-struct Image {
-    form: u16,
-    fleet: FleetId,
-    replica: ReplicaId,
-    /// How often this seat was started.
-    boots: u64,
-    hard: Vec<u8>,
-    snapshot: Vec<u8>,
-    entries: Vec<Vec<u8>>,
-    peer_promises: PeerPromises,
-}
+impl LogStorage {
+    fn snapshot_index(&self) -> u64 {
+        self.snapshot.get_metadata().index
+    }
 
-/// An image as it was read.
-pub struct PersistedState {
-    pub fleet: FleetId,
-    pub replica: ReplicaId,
-    pub boots: u64,
-    pub log_storage: LogStorage,
-    pub peer_promises: PeerPromises,
-}
+    /// The index of the first entry after the snapshot, whether it exists yet or not.
+    pub(crate) fn first_index(&self) -> u64 {
+        self.snapshot_index() + 1
+    }
 
-impl LogStorage {
-    pub fn first(&self) -> u64 {
-        self.snapshot.get_metadata().index + 1
+    pub(crate) fn last_index(&self) -> u64 {
+        self.snapshot_index() + self.entries.len() as u64
     }
 
-    pub fn last(&self) -> u64 {
-        self.snapshot.get_metadata().index + self.entries.len() as u64
+    /// The term of an entry in the log, or of the snapshot's last one.
+    pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
+        let metadata = self.snapshot.get_metadata();
+        if index == metadata.index {
+            return Some(metadata.term);
+        }
+        let offset = usize::try_from(index.checked_sub(metadata.index + 1)?).ok()?;
+        self.entries.get(offset).map(|entry| entry.term)
     }
 
-    /// The term of an entry that is here, or of the snapshot's last.
-    pub fn term_at(&self, index: u64) -> Option<u64> {
-        let meta = self.snapshot.get_metadata();
-        if index == meta.index {
-            return Some(meta.term);
+    /// What the replica with this state has told its peers at most.
+    pub(crate) fn promise(&self) -> Promise {
+        let index = self.last_index();
+        Promise {
+            term: self.hard_state.term,
+            vote: self.hard_state.vote,
+            last: LogPosition {
+                term: self.term_at(index).unwrap_or_default(),
+                index,
+            },
         }
-        let at = usize::try_from(index.checked_sub(meta.index + 1)?).ok()?;
-        self.entries.get(at).map(|entry| entry.term)
     }
 
-    /// Takes entries in; those from the first one's place on give way.
-    pub fn append(&mut self, entries: &[Entry]) {
-        let Some(from) = entries.first().map(|entry| entry.index) else {
+    /// Appends entries; they replace those in the log from the first one's index on.
+    pub(crate) fn append(&mut self, entries: &[Entry]) {
+        let Some(first) = entries.first() else {
             return;
         };
-        let keep = usize::try_from(from.saturating_sub(self.first())).unwrap_or(usize::MAX);
-        self.entries.truncate(keep);
+        let kept = first.index.saturating_sub(self.first_index());
+        self.entries
+            .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
         self.entries.extend_from_slice(entries);
     }
 
-    pub fn restore(&mut self, snapshot: Snapshot) {
-        self.conf = snapshot.get_metadata().get_conf_state().clone();
-        self.hard.commit = self.hard.commit.max(snapshot.get_metadata().index);
-        self.hard.term = self.hard.term.max(snapshot.get_metadata().term);
+    /// Replaces the whole log by a snapshot.
+    pub(crate) fn restore(&mut self, snapshot: Snapshot) {
+        let metadata = snapshot.get_metadata();
+        self.conf_state = metadata.get_conf_state().clone();
+        self.hard_state.commit = self.hard_state.commit.max(metadata.index);
+        self.hard_state.term = self.hard_state.term.max(metadata.term);
         self.entries.clear();
         self.snapshot = snapshot;
     }
 
-    /// Puts the state up to `index` in place of the entries up to there.
-    pub fn compact(&mut self, index: u64, data: Vec<u8>) {
-        let Some(term) = self
-            .term_at(index)
-            .filter(|_| index > self.snapshot.get_metadata().index)
-        else {
+    /// Replaces the entries up to `index` by a snapshot with the application's state at that index. Nothing happens if
+    /// the index is not after the present snapshot, or not in the log.
+    pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) {
+        if index <= self.snapshot_index() {
+            return;
+        }
+        let Some(term) = self.term_at(index) else {
             return;
         };
-        let gone = usize::try_from(index - self.snapshot.get_metadata().index).unwrap_or(0);
-        self.entries.drain(..gone);
+        let removed = usize::try_from(index - self.snapshot_index()).unwrap_or(0);
+        self.entries.drain(..removed);
         let mut snapshot = Snapshot::default();
-        let meta = snapshot.mut_metadata();
-        (meta.index, meta.term) = (index, term);
-        meta.set_conf_state(self.conf.clone());
+        let metadata = snapshot.mut_metadata();
+        metadata.index = index;
+        metadata.term = term;
+        metadata.set_conf_state(self.conf_state.clone());
         snapshot.data = data.into();
         self.snapshot = snapshot;
     }
-
-    /// The image, to be kept whole before anything that rests on it is said.
-    pub fn image(
-        &self,
-        fleet: FleetId,
-        replica: ReplicaId,
-        boots: u64,
-        peer_promises: &PeerPromises,
-    ) -> Vec<u8> {
-        let bytes = |of: &dyn protobuf::Message| of.write_to_bytes().unwrap_or_default();
-        let image = Image {
-            form: FORM,
-            fleet,
-            replica,
-            boots,
-            hard: bytes(&self.hard),
-            snapshot: bytes(&self.snapshot),
-            entries: self.entries.iter().map(|entry| bytes(entry)).collect(),
-            peer_promises: peer_promises.clone(),
-        };
-        postcard::to_stdvec(&image).unwrap_or_default()
-    }
-
-    /// Reads an image; what it says of itself has to hold together.
-    pub fn open(image: &[u8]) -> Result<PersistedState, String> {
-        let wrong = |what: &str| format!("the state of the seat is spoilt: {what}");
-        let image: Image = postcard::from_bytes(image).map_err(|_| wrong("it cannot be read"))?;
-        if image.form != FORM {
-            return Err(wrong(&format!(
-                "its form is {}, this program reads {FORM}",
-                image.form
-            )));
-        }
-        let mut log_storage = LogStorage::default();
-        log_storage
-            .hard
-            .merge_from_bytes(&image.hard)
-            .map_err(|_| wrong("its vote cannot be read"))?;
-        log_storage
-            .snapshot
-            .merge_from_bytes(&image.snapshot)
-            .map_err(|_| wrong("its snapshot cannot be read"))?;
-        for bytes in &image.entries {
-            let mut entry = Entry::default();
-            entry
-                .merge_from_bytes(bytes)
-                .map_err(|_| wrong("an entry cannot be read"))?;
-            if entry.index != log_storage.last() + 1 || entry.term > log_storage.hard.term {
-                return Err(wrong("its entries do not follow one another"));
-            }
-            log_storage.entries.push(entry);
-        }
-        let meta = log_storage.snapshot.get_metadata();
-        if log_storage.hard.commit > log_storage.last()
-            || log_storage.hard.commit < meta.index
-            || meta.term > log_storage.hard.term
-        {
-            return Err(wrong("it ends before what it says is agreed"));
-        }
-        log_storage.conf = meta.get_conf_state().clone();
-        let Image {
-            fleet,
-            replica,
-            boots,
-            peer_promises,
-            ..
-        } = image;
-        Ok(PersistedState {
-            fleet,
-            replica,
-            boots,
-            log_storage,
-            peer_promises,
-        })
-    }
 }
 
 impl Storage for LogStorage {
     fn initial_state(&self) -> RaftResult<RaftState> {
         Ok(RaftState {
-            hard_state: self.hard.clone(),
+            hard_state: self.hard_state.clone(),
             conf_state: self.snapshot.get_metadata().get_conf_state().clone(),
         })
     }
@@ -192,20 +112,20 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> RaftResult<Vec<Entry>> {
-        if low < self.first() {
+        if low < self.first_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        if high > self.last() + 1 {
+        if high > self.last_index() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let at = |index: u64| usize::try_from(index - self.first()).unwrap_or(usize::MAX);
-        let mut some = self.entries[at(low)..at(high)].to_vec();
-        raft::util::limit_size(&mut some, max_size.into());
-        Ok(some)
+        let offset = |index: u64| usize::try_from(index - self.first_index()).unwrap_or(usize::MAX);
+        let mut entries = self.entries[offset(low)..offset(high)].to_vec();
+        raft::util::limit_size(&mut entries, max_size.into());
+        Ok(entries)
     }
 
     fn term(&self, index: u64) -> RaftResult<u64> {
-        if index + 1 < self.first() {
+        if index + 1 < self.first_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
         self.term_at(index)
@@ -213,11 +133,11 @@
     }
 
     fn first_index(&self) -> RaftResult<u64> {
-        Ok(self.first())
+        Ok(self.first_index())
     }
 
     fn last_index(&self) -> RaftResult<u64> {
-        Ok(self.last())
+        Ok(self.last_index())
     }
 
     fn snapshot(&self, request_index: u64, _to: u64) -> RaftResult<Snapshot> {
--- /dev/null
+++ b/consensus/src/promise/tests.rs
@@ -0,0 +1,34 @@
+use proptest::prelude::*;
+
+use super::{LogPosition, Promise};
+
+fn any_promise() -> impl Strategy<Value = Promise> {
+    (0u64..4, 0u64..4, 0u64..4, 0u64..6).prop_map(|(term, vote, last_term, index)| Promise {
+        term,
+        vote,
+        last: LogPosition {
+            term: last_term,
+            index,
+        },
+    })
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
+    #[test]
+    fn promises_join_in_any_order_and_any_number_of_times(a in any_promise(), b in any_promise(), c in any_promise()) {
+        prop_assert_eq!(a.join(b), b.join(a));
+        prop_assert_eq!(a.join(b).join(c), a.join(b.join(c)));
+        prop_assert_eq!(a.join(a), a);
+    }
+
+    #[test]
+    fn a_replica_that_kept_its_state_is_never_taken_for_an_older_copy(a in any_promise(), more in any_promise()) {
+        // A replica knows its own promises, and its vote does not change within a term.
+        let mut own = a.join(more);
+        if a.term == own.term && a.vote != 0 {
+            own.vote = a.vote;
+        }
+        prop_assert_eq!(a.check_covered_by(&own), Ok(()));
+    }
+}
--- a/consensus/tests/common/mod.rs
+++ b/consensus/tests/common/mod.rs
@@ -1,250 +1,296 @@
-//! Seats in virtual time: a network that delays, reorders, doubles, loses and cuts one way; crashes that keep, or lose, or
-//! roll back what was on disk. All chance from one seed.
+//! Replicas in virtual time: a network that delays, reorders, duplicates and loses messages and blocks links in one
+//! direction; crashes that keep, lose or roll back the stored state. All randomness comes from one seed.
 
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
 
 use nanorand::{Rng, WyRand};
 use ternpick_consensus::{FleetId, Participation, RaftConfig, Replica, ReplicaId};
 
-pub const FLEET: FleetId = FleetId(7);
-
-pub struct Place {
-    pub replica: Option<Replica>,
-    /// What is on disk, and all that ever was.
-    pub disk: Vec<Vec<u8>>,
-    /// What was played, in order, with its place; a snapshot puts its whole content in its place.
-    pub played: Vec<(u64, Vec<u8>)>,
-    /// Work that was begun and is not kept yet.
-    pub working: bool,
-    pub writing: Option<Vec<u8>>,
+pub(crate) const FLEET: FleetId = FleetId(7);
+
+/// A machine with one replica.
+pub(crate) struct Node {
+    /// None while it is crashed.
+    pub(crate) replica: Option<Replica>,
+    /// All states that were ever stored; the last one is on disk.
+    pub(crate) stored_states: Vec<Vec<u8>>,
+    /// All entries that were applied, in order, with their indexes. A snapshot replaces them by its own.
+    pub(crate) applied: Vec<(u64, Vec<u8>)>,
+    pub(crate) confirmed_reads: Vec<u64>,
+    /// A state is being stored.
+    storing: bool,
+    state_being_stored: Option<Vec<u8>>,
+}
+
+impl Node {
+    pub(crate) fn running(replica: Replica) -> Node {
+        Node {
+            replica: Some(replica),
+            ..Node::stopped(Vec::new())
+        }
+    }
+
+    fn stopped(stored_states: Vec<Vec<u8>>) -> Node {
+        Node {
+            replica: None,
+            stored_states,
+            applied: Vec::new(),
+            confirmed_reads: Vec::new(),
+            storing: false,
+            state_being_stored: None,
+        }
+    }
+}
+
+struct MessageInFlight {
+    arrives_at: u64,
+    from: ReplicaId,
+    to: ReplicaId,
+    bytes: Vec<u8>,
 }
 
-pub struct World {
-    pub places: BTreeMap<ReplicaId, Place>,
-    pub chance: WyRand,
-    /// Messages on their way: when they come, from, to, bytes.
-    wire: Vec<(u64, ReplicaId, ReplicaId, Vec<u8>)>,
-    pub now: u64,
-    pub loss: f64,
-    pub slow_disk: f64,
-    /// Pairs that hear nothing, one way each.
-    pub cut: Vec<(ReplicaId, ReplicaId)>,
-    pub terms: RaftConfig,
-    pub leaders: BTreeMap<u64, ReplicaId>,
-    pub boots: u64,
+pub(crate) struct World {
+    pub(crate) nodes: BTreeMap<ReplicaId, Node>,
+    pub(crate) rng: WyRand,
+    in_flight: Vec<MessageInFlight>,
+    now: u64,
+    pub(crate) loss_probability: f64,
+    pub(crate) slow_disk_probability: f64,
+    /// Sender and receiver of each blocked link.
+    pub(crate) blocked_links: Vec<(ReplicaId, ReplicaId)>,
+    pub(crate) config: RaftConfig,
+    leader_of_term: BTreeMap<u64, ReplicaId>,
+    starts: u64,
 }
 
-fn state_of(played: &[(u64, Vec<u8>)]) -> Vec<u8> {
-    postcard::to_stdvec(played).expect("bytes")
+fn application_state(applied: &[(u64, Vec<u8>)]) -> Vec<u8> {
+    postcard::to_stdvec(applied).expect("encodable")
 }
 
 impl World {
-    pub fn new(count: u64, seed: u64) -> World {
-        let voters: Vec<ReplicaId> = (1..=count).map(ReplicaId).collect();
+    pub(crate) fn new(voter_count: u64, seed: u64) -> World {
+        let voters: Vec<ReplicaId> = (1..=voter_count).map(ReplicaId).collect();
         let mut world = World {
-            places: BTreeMap::new(),
-            chance: WyRand::new_seed(seed),
-            wire: Vec::new(),
+            nodes: BTreeMap::new(),
+            rng: WyRand::new_seed(seed),
+            in_flight: Vec::new(),
             now: 0,
-            loss: 0.0,
-            slow_disk: 0.0,
-            cut: Vec::new(),
-            terms: RaftConfig {
+            loss_probability: 0.0,
+            slow_disk_probability: 0.0,
+            blocked_links: Vec::new(),
+            config: RaftConfig {
                 max_log_entries: 24,
                 ..RaftConfig::default()
             },
-            leaders: BTreeMap::new(),
-            boots: 0,
+            leader_of_term: BTreeMap::new(),
+            starts: 0,
         };
-        for no in &voters {
-            let image = Replica::bootstrap(FLEET, *no, &voters, state_of(&[]));
-            let place = Place {
-                replica: None,
-                disk: vec![image],
-                played: Vec::new(),
-                working: false,
-                writing: None,
-            };
-            world.places.insert(*no, place);
-            world.start(*no);
+        for id in &voters {
+            let state = Replica::bootstrap(FLEET, *id, &voters, application_state(&[]));
+            world.nodes.insert(*id, Node::stopped(vec![state]));
+            world.start(*id);
         }
         world
     }
 
-    pub fn start(&mut self, no: ReplicaId) {
-        self.boots += 1;
-        let place = self.places.get_mut(&no).expect("a place");
-        let image = place.disk.last().expect("something on disk");
-        let replica = Replica::open(image, FLEET, self.terms, no.0 * 1000 + self.boots)
-            .expect("a good state");
-        let (_, state) = replica.initial_snapshot().expect("a state");
-        place.played = postcard::from_bytes(&state).expect("a state");
-        (place.replica, place.working, place.writing) = (Some(replica), false, None);
+    /// Starts the node from its last stored state.
+    pub(crate) fn start(&mut self, id: ReplicaId) {
+        self.starts += 1;
+        let seed = id.0 * 1000 + self.starts;
+        let node = self.nodes.get_mut(&id).expect("a node of this world");
+        let state = node.stored_states.last().expect("a stored state");
+        let replica = Replica::open(state, FLEET, self.config, seed).expect("a usable state");
+        let (_, application_state) = replica.initial_snapshot().expect("a snapshot");
+        node.applied = postcard::from_bytes(&application_state).expect("decodable");
+        node.replica = Some(replica);
+        node.storing = false;
+        node.state_being_stored = None;
+    }
+
+    pub(crate) fn crash(&mut self, id: ReplicaId) {
+        let node = self.nodes.get_mut(&id).expect("a node of this world");
+        node.replica = None;
     }
 
-    pub fn crash(&mut self, no: ReplicaId) {
-        self.places.get_mut(&no).expect("a place").replica = None;
+    /// Puts the disk of a crashed node back to the first `count` states that it stored.
+    pub(crate) fn roll_back(&mut self, id: ReplicaId, count: usize) {
+        let node = self.nodes.get_mut(&id).expect("a node of this world");
+        node.stored_states.truncate(count);
     }
 
-    pub fn up(&self) -> Vec<ReplicaId> {
-        self.places
+    /// The nodes that are not crashed.
+    pub(crate) fn running(&self) -> Vec<ReplicaId> {
+        self.nodes
             .iter()
-            .filter(|(_, place)| place.replica.is_some())
-            .map(|(no, _)| *no)
+            .filter(|(_, node)| node.replica.is_some())
+            .map(|(id, _)| *id)
             .collect()
     }
 
-    pub fn leader(&self) -> Option<ReplicaId> {
-        let leads = self
-            .places
+    /// The first running node other than `excluded`.
+    pub(crate) fn running_except(&self, excluded: &[ReplicaId]) -> ReplicaId {
+        self.running()
+            .into_iter()
+            .find(|id| !excluded.contains(id))
+            .expect("another node runs")
+    }
+
+    /// The leader of the latest term.
+    pub(crate) fn leader(&self) -> Option<ReplicaId> {
+        self.nodes
             .iter()
-            .filter(|(_, place)| place.replica.as_ref().is_some_and(Replica::is_leader));
-        leads
-            .max_by_key(|(_, place)| place.replica.as_ref().map(Replica::term))
-            .map(|(no, _)| *no)
+            .filter_map(|(id, node)| Some((id, node.replica.as_ref()?)))
+            .filter(|(_, replica)| replica.is_leader())
+            .max_by_key(|(_, replica)| replica.term())
+            .map(|(id, _)| *id)
     }
 
-    pub fn put(&mut self, data: &[u8]) -> bool {
-        let Some(no) = self.leader() else {
+    /// Whether there is a leader that has taken the entry.
+    pub(crate) fn propose(&mut self, data: &[u8]) -> bool {
+        let Some(leader) = self.leader() else {
             return false;
         };
-        let replica = self
-            .places
-            .get_mut(&no)
-            .and_then(|place| place.replica.as_mut());
-        replica.is_some_and(|replica| replica.propose(data.to_vec()).is_ok())
+        self.replica(leader).propose(data.to_vec()).is_ok()
     }
 
-    pub fn replica(&mut self, no: ReplicaId) -> &mut Replica {
-        self.places
-            .get_mut(&no)
-            .and_then(|place| place.replica.as_mut())
-            .expect("a seat that is up")
+    pub(crate) fn replica(&mut self, id: ReplicaId) -> &mut Replica {
+        self.nodes
+            .get_mut(&id)
+            .and_then(|node| node.replica.as_mut())
+            .expect("a running node")
     }
 
-    /// One tick of time; `keeps` says whether work is kept now or waits.
-    pub fn step(&mut self) {
+    /// One tick of time.
+    pub(crate) fn step(&mut self) {
         self.now += 1;
-        let numbers = self.up();
-        let (due, rest) = std::mem::take(&mut self.wire)
+        let running = self.running();
+        let (due, later) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|(at, ..)| *at <= self.now);
-        self.wire = rest;
-        for (_, from, to, bytes) in due {
-            if let Some(replica) = self
-                .places
-                .get_mut(&to)
-                .and_then(|place| place.replica.as_mut())
-            {
-                replica.step(from, &bytes);
-            }
+            .partition(|message| message.arrives_at <= self.now);
+        self.in_flight = later;
+        for message in due {
+            self.deliver(message);
+        }
+        for id in running {
+            self.replica(id).tick();
+            self.store_and_send(id);
+        }
+    }
+
+    pub(crate) fn steps(&mut self, count: u64) {
+        for _ in 0..count {
+            self.step();
         }
-        for no in numbers {
-            self.replica(no).tick();
-            self.work(no);
+    }
+
+    fn deliver(&mut self, message: MessageInFlight) {
+        let receiver = self.nodes.get_mut(&message.to);
+        if let Some(replica) = receiver.and_then(|node| node.replica.as_mut()) {
+            replica.step(message.from, &message.bytes);
         }
     }
 
-    fn work(&mut self, no: ReplicaId) {
+    fn store_and_send(&mut self, id: ReplicaId) {
         for _ in 0..20 {
-            let place = self.places.get_mut(&no).expect("a place");
-            let Some(replica) = &mut place.replica else {
+            let node = self.nodes.get_mut(&id).expect("a node of this world");
+            let Some(replica) = &mut node.replica else {
                 return;
             };
-            if !place.working {
-                let Some(work) = replica.ready() else { break };
-                place.writing = work.image;
+            if !node.storing {
+                let Some(ready) = replica.ready() else { break };
+                node.state_being_stored = ready.image;
             }
-            // A slow disk: what comes meanwhile finds the work not kept yet.
-            place.working = self.chance.generate::<f64>() < self.slow_disk;
-            if place.working {
+            // A slow disk: inputs arrive while the state is being stored.
+            node.storing = self.rng.generate::<f64>() < self.slow_disk_probability;
+            if node.storing {
                 return;
             }
-            place.disk.extend(place.writing.take());
-            let done = replica.advance();
-            if let Some((_, state)) = done.restored {
-                place.played = postcard::from_bytes(&state).expect("a state");
-            }
-            place.played.extend(done.entries);
-            if replica.needs_compaction() {
-                replica.compact(state_of(&place.played));
-            }
-            if replica.is_leader() {
-                let before = self.leaders.insert(replica.term(), no);
-                assert!(
-                    before.is_none_or(|before| before == no),
-                    "two lead in term {}",
-                    replica.term()
-                );
-            }
-            for (to, bytes) in done.messages {
-                self.send(no, to, bytes);
+            node.stored_states.extend(node.state_being_stored.take());
+            for (to, bytes) in self.advance(id) {
+                self.send(id, to, bytes);
             }
         }
     }
 
+    /// Applies what follows from the stored state; returns the messages.
+    fn advance(&mut self, id: ReplicaId) -> Vec<(ReplicaId, Vec<u8>)> {
+        let node = self.nodes.get_mut(&id).expect("a node of this world");
+        let replica = node.replica.as_mut().expect("a running node");
+        let advanced = replica.advance();
+        if let Some((_, state)) = advanced.restored {
+            node.applied = postcard::from_bytes(&state).expect("decodable");
+        }
+        node.applied.extend(advanced.entries);
+        let confirmed = advanced.confirmed_reads.iter().map(|(number, _)| *number);
+        node.confirmed_reads.extend(confirmed);
+        if replica.needs_compaction() {
+            replica.compact(application_state(&node.applied));
+        }
+        if replica.is_leader() {
+            let term = replica.term();
+            let before = self.leader_of_term.insert(term, id);
+            assert!(
+                before.is_none_or(|before| before == id),
+                "two leaders in term {term}"
+            );
+        }
+        advanced.messages
+    }
+
     fn send(&mut self, from: ReplicaId, to: ReplicaId, bytes: Vec<u8>) {
-        if self.cut.contains(&(from, to)) || self.chance.generate::<f64>() < self.loss {
+        if self.blocked_links.contains(&(from, to)) || self.is_lost() {
             return;
         }
-        let copies = if self.chance.generate::<f64>() < self.loss {
-            2
-        } else {
-            1
-        };
+        let copies = if self.is_lost() { 2 } else { 1 };
         for _ in 0..copies {
-            let delay = self.chance.generate_range(1..4u64)
-                + if self.loss > 0.0 {
-                    self.chance.generate_range(0..6u64)
-                } else {
-                    0
-                };
-            self.wire.push((self.now + delay, from, to, bytes.clone()));
+            let mut delay = self.rng.generate_range(1..4u64);
+            if self.loss_probability > 0.0 {
+                delay += self.rng.generate_range(0..6u64);
+            }
+            self.in_flight.push(MessageInFlight {
+                arrives_at: self.now + delay,
+                from,
+                to,
+                bytes: bytes.clone(),
+            });
         }
     }
 
-    pub fn steps(&mut self, count: u64) {
-        for _ in 0..count {
-            self.step();
-        }
+    fn is_lost(&mut self) -> bool {
+        self.rng.generate::<f64>() < self.loss_probability
     }
 
-    /// Until somebody leads, at most so long.
-    pub fn led(&mut self) -> ReplicaId {
+    /// Steps until there is a leader, at most 2000 times.
+    pub(crate) fn wait_for_leader(&mut self) -> ReplicaId {
         for _ in 0..2000 {
             self.step();
-            if let Some(no) = self.leader() {
-                return no;
+            if let Some(leader) = self.leader() {
+                return leader;
             }
         }
-        panic!("nobody leads: {:?}", self.standings());
+        panic!("no leader: {:?}", self.participations());
     }
 
-    pub fn standings(&self) -> Vec<(ReplicaId, Option<Participation>)> {
-        self.places
+    pub(crate) fn participations(&self) -> Vec<(ReplicaId, Option<Participation>)> {
+        self.nodes
             .iter()
-            .map(|(no, place)| {
-                (
-                    *no,
-                    place
-                        .replica
-                        .as_ref()
-                        .map(|replica| replica.participation().clone()),
-                )
+            .map(|(id, node)| {
+                let replica = node.replica.as_ref();
+                (*id, replica.map(|replica| replica.participation().clone()))
             })
             .collect()
     }
 
-    /// No two have played another entry at the same place. The rule that all else rests on.
-    pub fn agree(&self) -> Result<(), String> {
-        let mut all: BTreeMap<u64, (ReplicaId, &[u8])> = BTreeMap::new();
-        for (no, place) in &self.places {
-            for (index, entry) in &place.played {
-                let (first, known) = *all.entry(*index).or_insert((*no, entry));
+    /// No two nodes have applied different entries at the same index: the state machine safety of Raft, section 5.4.
+    pub(crate) fn check_agreement(&self) -> Result<(), String> {
+        let mut first_applied: BTreeMap<u64, (ReplicaId, &[u8])> = BTreeMap::new();
+        for (id, node) in &self.nodes {
+            for (index, entry) in &node.applied {
+                let (first, known) = *first_applied.entry(*index).or_insert((*id, entry));
                 if known != entry.as_slice() {
-                    return Err(format!("seats {first} and {no} differ at {index}"));
+                    return Err(format!("replicas {first} and {id} differ at {index}"));
                 }
             }
         }
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -4,8 +4,8 @@
 //! ```
 //! let folder = tempfile::tempdir().expect("a folder");
 //! let path = folder.path().join("keys.kept");
-//! ternpick_store::put(&path, "keys", 3, 1_700_000_000_000_000, b"what is kept").expect("written");
-//! let kept = ternpick_store::get(&path, "keys").expect("whole");
+//! ternpick_store::save(&path, "keys", 3, 1_700_000_000_000_000, b"what is kept").expect("written");
+//! let kept = ternpick_store::load(&path, "keys").expect("whole");
 //! assert_eq!((kept.version, kept.bytes.as_slice()), (3, &b"what is kept"[..]));
 //! ```
 
@@ -174,8 +174,8 @@
 /// let path = folder.path().join("seat");
 /// let (mut journal, kept) = ternpick_store::Journal::open(&path, "seat").expect("none yet");
 /// assert!(kept.is_none());
-/// journal.keep(1, 1_700_000_000_000_000, b"first").expect("kept");
-/// journal.keep(2, 1_700_000_000_000_001, b"second").expect("kept");
+/// journal.append(1, 1_700_000_000_000_000, b"first").expect("kept");
+/// journal.append(2, 1_700_000_000_000_001, b"second").expect("kept");
 /// let (_, kept) = ternpick_store::Journal::open(&path, "seat").expect("whole");
 /// assert_eq!(kept.map(|kept| kept.bytes), Some(b"second".to_vec()));
 /// ```
