--- /dev/null
+++ b/hot_restart/src/effect.rs
@@ -0,0 +1,32 @@
+//! What the drivers carry out.
+
+use crate::lease::Lease;
+use crate::message::Message;
+
+/// What a driver is to do. The effects of one call are carried out in order.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum Effect {
+    /// Start the new process with one end of a new link.
+    Spawn,
+    /// Send a message over the link.
+    Send(Message),
+    /// Send the listeners' descriptors together with [`Message::Descriptors`].
+    PassListeners,
+    /// Send the snapshot in pieces ([`Message::State`]).
+    PassState,
+    /// Start (true) or stop (false) accepting clients. Connections that were not accepted stay in the queue of the listener
+    /// that both processes hold.
+    Accept(bool),
+    /// Start (true) or stop (false) sending idle client connections over the link, one at a time.
+    PassClients(bool),
+    /// Use at most this much from now on.
+    Use(Lease),
+    /// End the other process: the first time by a signal that it can handle, then by one that it cannot.
+    EndPeer,
+    /// Bind the listeners and serve from the configuration alone: the old process ended before it passed any.
+    BindAnew,
+    /// End this process; nothing is in flight here.
+    Exit,
+    /// Log one line for operators.
+    Log(String),
+}
--- a/hot_restart/src/lease.rs
+++ b/hot_restart/src/lease.rs
@@ -1,41 +1,51 @@
-//! Two processes of one router serve one share. What each may use is split so that the sum never exceeds the one's.
+//! The division of one router's capacity between two processes that serve at the same time: the sum of their leases never
+//! exceeds the capacity of one.
 
 use serde::{Deserialize, Serialize};
 
-/// What one process may use of the router's share.
+/// How much of the router's capacity one process may use. Part of the wire format: postcard encodes the fields by position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Lookups and parts in hand.
+    /// Queries and shard requests in flight.
     pub held: u32,
-    /// Further part calls (repeats and copies) within the budget.
+    /// Retries and hedged requests left in the retry budget.
     pub extra: u32,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: u32,
-    /// Bytes that peers may make it hold.
+    /// Bytes of memory for what peers send.
     pub memory: u64,
 }
 
+/// A lease divided between the old and the new process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseSplit {
+    /// What the old process keeps.
+    pub retained: Lease,
+    /// What the new process receives.
+    pub granted: Lease,
+}
+
 impl Lease {
-    /// What the old one keeps for what it has in hand, and what is left for the new one: nothing is given twice. The old
-    /// one takes in nothing new, so it keeps what it uses, and a quarter of the further calls that are left.
-    pub fn split(self, uses: Lease) -> (Lease, Lease) {
-        let kept = Lease {
-            held: uses.held.min(self.held),
-            extra: (self.extra / 4).min(self.extra),
-            sockets: uses.sockets.min(self.sockets),
-            memory: uses.memory.min(self.memory),
+    /// Divides this lease: the old process accepts nothing new, so it retains what it has `in_use`, and a quarter of the
+    /// retry budget. The rest is granted.
+    pub fn split(self, in_use: Lease) -> LeaseSplit {
+        let retained = Lease {
+            held: in_use.held.min(self.held),
+            extra: self.extra / 4,
+            sockets: in_use.sockets.min(self.sockets),
+            memory: in_use.memory.min(self.memory),
         };
-        let given = Lease {
-            held: self.held - kept.held,
-            extra: self.extra - kept.extra,
-            sockets: self.sockets - kept.sockets,
-            memory: self.memory - kept.memory,
+        let granted = Lease {
+            held: self.held - retained.held,
+            extra: self.extra - retained.extra,
+            sockets: self.sockets - retained.sockets,
+            memory: self.memory - retained.memory,
         };
-        (kept, given)
+        LeaseSplit { retained, granted }
     }
 
-    /// Two leases together, as they return to a survivor.
-    pub fn with(self, other: Lease) -> Lease {
+    /// Both leases together, for the process that remains.
+    pub fn combine(self, other: Lease) -> Lease {
         Lease {
             held: self.held.saturating_add(other.held),
             extra: self.extra.saturating_add(other.extra),
@@ -44,30 +54,11 @@
         }
     }
 
-    pub fn fits(self, share: Lease) -> bool {
-        self.held <= share.held
-            && self.extra <= share.extra
-            && self.sockets <= share.sockets
-            && self.memory <= share.memory
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
-        #[test]
-        fn a_split_gives_nothing_twice_and_loses_nothing(
-            a in any::<(u32, u32, u32, u64)>(), b in any::<(u32, u32, u32, u64)>()
-        ) {
-            let of = |(held, extra, sockets, memory)| Lease { held, extra, sockets, memory };
-            let (share, uses) = (of(a), of(b));
-            let (kept, given) = share.split(uses);
-            prop_assert_eq!(kept.with(given), share);
-            prop_assert!(kept.fits(share) && given.fits(share));
-        }
+    /// Whether no part of this lease exceeds that of `capacity`.
+    pub fn fits_within(self, capacity: Lease) -> bool {
+        self.held <= capacity.held
+            && self.extra <= capacity.extra
+            && self.sockets <= capacity.sockets
+            && self.memory <= capacity.memory
     }
 }
--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -1,68 +1,88 @@
-//! What the two sides say to each other, and its form on the link: length, checksum, then the message (postcard).
+//! The messages between the two processes and their frames: the length and the CRC-32 of the body, four bytes each, least
+//! significant first; then the body, a [`Message`] in postcard.
 
 use serde::{Deserialize, Serialize};
 
 use crate::lease::Lease;
 
-/// The form of the messages. Sides of different versions fall back; nothing is guessed.
+/// The version of the messages. Processes of different versions do not hand over; the old one continues to serve.
 pub const VERSION: u16 = 1;
-/// The longest frame, in bytes; a longer snapshot goes in pieces.
+/// The longest body of a frame, in bytes. A longer snapshot is sent in pieces.
 pub const FRAME_BOUND: usize = 128 * 1024;
-/// Length and checksum, four bytes each, least significant first.
-const HEAD: usize = 8;
 
+const LENGTH_BYTES: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
+const HEADER_BYTES: usize = LENGTH_BYTES + CHECKSUM_BYTES;
+
+/// A message between the two processes. postcard encodes variants and fields by position: their order is the wire format,
+/// which also the release before this one has to read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// The new one is there.
+    /// New to old: the new process has started.
     Hello {
+        /// The sender's [`VERSION`].
         version: u16,
+        /// The sender's program, version and process id, for the log.
         program: String,
     },
-    /// The old one asks whether these settings (their digest) are what the new one was started with.
+    /// Old to new: asks whether the new process runs on the same settings.
     Offer {
+        /// The sender's [`VERSION`].
         version: u16,
+        /// The digest of the sender's settings.
         settings: u64,
     },
-    /// The new one can use its configuration; `same`: as the old one.
+    /// New to old: the new process can use its settings.
     Checked {
+        /// Whether they have the digest that was offered.
         same: bool,
     },
-    /// So many listeners' descriptors come with this.
+    /// Old to new: the listeners' descriptors come with this message.
     Descriptors {
+        /// The number of descriptors.
         count: u8,
     },
+    /// New to old: the descriptors have been received.
     Got,
-    /// A piece of the snapshot, and how many come after it.
+    /// Old to new: a piece of the snapshot.
     State {
+        /// The number of pieces that follow.
         left: u32,
+        /// The bytes of this piece.
         piece: Vec<u8>,
     },
-    /// The new one has read the snapshot in and could serve.
+    /// New to old: the snapshot is loaded, and the new process is ready to serve.
     Ready,
-    /// The new one is to accept, on this lease.
+    /// Old to new: the new process is to accept clients.
     Commit {
+        /// What the new process may use.
         lease: Lease,
     },
-    /// It accepts.
+    /// New to old: the new process accepts clients.
     Took,
-    /// A client's connection, its descriptor with this, and what it has sent already.
+    /// Old to new: a client connection, whose descriptor comes with this message.
     Client {
+        /// What the client has sent and the old process has not handled.
         unread: Vec<u8>,
     },
+    /// Old to new: asks whether the new process responds.
     Ping,
+    /// New to old: the answer to a ping.
     Pong,
-    /// The old one has nothing left: its lease returns.
+    /// Old to new: the old process has drained and exits.
     Done {
+        /// The lease that the old process returns.
         lease: Lease,
     },
-    /// The old one goes on alone.
+    /// Old to new: the old process abandons the restart and continues to serve; the new one is to exit.
     Abandon {
+        /// The reason, for the log.
         why: String,
     },
 }
 
 impl Message {
-    /// Its name, for people.
+    /// What the message is, for the log.
     pub fn name(&self) -> &'static str {
         match self {
             Message::Hello { .. } => "hello",
@@ -73,95 +93,77 @@
             Message::State { .. } => "state",
             Message::Ready => "ready",
             Message::Commit { .. } => "a commit",
-            Message::Took => "the word that it serves",
-            Message::Client { .. } => "a client",
-            Message::Ping => "a question",
-            Message::Pong => "an answer",
-            Message::Done { .. } => "the end",
+            Message::Took => "the confirmation of a commit",
+            Message::Client { .. } => "a client connection",
+            Message::Ping => "a ping",
+            Message::Pong => "a pong",
+            Message::Done { .. } => "the end of draining",
             Message::Abandon { .. } => "the end of an upgrade",
         }
     }
 }
 
+/// Why bytes are not a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    #[error("a frame longer than any is")]
+    /// The length in the header exceeds [`FRAME_BOUND`].
+    #[error("a frame is longer than {FRAME_BOUND} bytes")]
     TooLong,
-    #[error("a frame whose checksum is wrong")]
+    /// The body does not have the checksum in the header.
+    #[error("a frame has a wrong checksum")]
     Checksum,
-    #[error("a message that is not known")]
+    /// The body is not a message of this version.
+    #[error("a frame holds an unknown message")]
     Unknown,
 }
 
-/// A message and how many bytes it took, or none yet.
+/// The first message in some bytes and the length of its frame, or None if the frame is incomplete.
 pub type Decoded = Option<(Message, usize)>;
 
+/// The frame of a message.
 pub fn encode(message: &Message) -> Vec<u8> {
-    let body = postcard::to_stdvec(message).unwrap_or_default();
-    let sum = crc32fast::hash(&body);
+    let body =
+        postcard::to_stdvec(message).expect("sequences of known length can always be encoded");
+    // A body beyond the bound is rejected by the receiver, whatever length stands in its header.
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
-    [&length.to_le_bytes()[..], &sum.to_le_bytes(), &body].concat()
+    let checksum = crc32fast::hash(&body);
+    [
+        &length.to_le_bytes()[..],
+        &checksum.to_le_bytes()[..],
+        &body,
+    ]
+    .concat()
 }
 
+/// Decodes the frame that `bytes` starts with.
+///
+/// # Errors
+/// Any [`DecodeError`]; the link cannot be used any further then.
 pub fn decode(bytes: &[u8]) -> Result<Decoded, DecodeError> {
-    let word = |at: usize| {
-        bytes
-            .get(at..at + 4)
-            .and_then(|four| four.try_into().ok())
-            .map(u32::from_le_bytes)
-    };
-    let (Some(length), sum) = (word(0), word(4)) else {
+    let Some(length) = read_u32(bytes, 0) else {
         return Ok(None);
     };
     let length = length as usize;
     if length > FRAME_BOUND {
         return Err(DecodeError::TooLong);
     }
-    let (Some(sum), Some(body)) = (sum, bytes.get(HEAD..HEAD + length)) else {
+    let Some(checksum) = read_u32(bytes, LENGTH_BYTES) else {
+        return Ok(None);
+    };
+    let frame_length = HEADER_BYTES + length;
+    let Some(body) = bytes.get(HEADER_BYTES..frame_length) else {
         return Ok(None);
     };
-    if crc32fast::hash(body) != sum {
+    if crc32fast::hash(body) != checksum {
         return Err(DecodeError::Checksum);
     }
     match postcard::take_from_bytes(body) {
-        Ok((message, [])) => Ok(Some((message, HEAD + length))),
+        Ok((message, [])) => Ok(Some((message, frame_length))),
         _ => Err(DecodeError::Unknown),
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use test_case::test_case;
-
-    #[test_case(Message::Hello { version: 1, program: "x".into() }; "hello")]
-    #[test_case(Message::State { left: 3, piece: vec![1; 70_000] }; "a piece")]
-    #[test_case(Message::Done { lease: Lease { held: 1, extra: 2, sockets: 3, memory: 4 } }; "done")]
-    fn a_frame_cut_at_any_length_waits_and_a_whole_one_is_read(message: Message) {
-        let frame = encode(&message);
-        for length in (0..frame.len()).step_by(1 + frame.len() / 500) {
-            assert_eq!(decode(&frame[..length]), Ok(None), "cut at {length}");
-        }
-        let more = [&frame[..], b"rest"].concat();
-        assert_eq!(decode(&more), Ok(Some((message, frame.len()))));
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
-        #[test]
-        fn spoilt_bytes_are_no_message(at in 0usize..64, to in any::<u8>()) {
-            let message = Message::Hello { version: VERSION, program: "ternpick 0.2.0".into() };
-            let mut frame = encode(&message);
-            let at = at % frame.len();
-            prop_assume!(frame[at] != to);
-            frame[at] = to;
-            prop_assert!(!matches!(decode(&frame), Ok(Some(_))));
-        }
-
-        #[test]
-        fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-            let _ = decode(&bytes);
-        }
-    }
+fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
+    let four = bytes.get(at..at + 4)?;
+    four.try_into().ok().map(u32::from_le_bytes)
 }
--- a/hot_restart/src/new_process.rs
+++ b/hot_restart/src/new_process.rs
@@ -1,5 +1,7 @@
-//! The side of the process that is to take over. It accepts once it is told to, and never gives way afterwards but
-//! to be ended; where the old one dies before that, it serves from what it has.
+//! The side of the process that takes over.
+//!
+//! It accepts clients once the old process commits. Then it serves until the old process abandons the restart. If the old
+//! process ends before the commit, it serves from what it has received.
 
 use ternpick::types::Micros;
 
@@ -7,192 +9,235 @@
 use crate::message::{Message, VERSION};
 use crate::{Effect, StepTimeouts};
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Greets,
-    Checked,
-    /// Has the listeners.
-    Loads,
-    Ready,
-    Serves,
+    /// Has sent its hello.
+    AwaitingOffer,
+    /// Has confirmed its settings.
+    AwaitingListeners,
+    /// Has the listeners, and loads the state.
+    LoadingState,
+    /// Has reported that it is ready.
+    AwaitingCommit,
+    Serving,
+    /// Has been told to exit.
     Over,
 }
 
-/// What the link brings, or what was done here.
+/// What the driver of the new process reports.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OldProcessEvent {
+    /// A message has arrived.
     Received(Message),
-    /// The link has ended, or what came is no message; does the old process live?
+    /// The link has ended, or carried something that is not a message.
     LinkLost {
+        /// Whether the old process still runs.
         old_lives: bool,
     },
-    /// The whole snapshot is read in, or cannot be.
+    /// The last piece of the snapshot has arrived; whether it could be loaded.
     SnapshotLoaded(bool),
 }
 
+/// The new process of a hot restart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NewProcess {
     step: Step,
-    patience: StepTimeouts,
+    timeouts: StepTimeouts,
+    /// The digest of the settings that it was started with.
     settings: u64,
     lease: Lease,
-    due: Option<Micros>,
+    /// When the present step has taken too long.
+    deadline: Option<Micros>,
 }
 
 impl NewProcess {
-    /// A new process says hello at once.
+    /// A new process, and the effects to start with. `settings` is the digest of its settings; `program` names it in the
+    /// old process's log.
     pub fn start(
-        patience: StepTimeouts,
+        timeouts: StepTimeouts,
         settings: u64,
         program: &str,
         now: Micros,
     ) -> (Self, Vec<Effect>) {
-        let due = Some(now + patience.step);
         let hello = Message::Hello {
             version: VERSION,
             program: program.to_owned(),
         };
         let new = NewProcess {
-            step: Step::Greets,
-            patience,
+            step: Step::AwaitingOffer,
+            timeouts,
             settings,
             lease: Lease::default(),
-            due,
+            deadline: Some(now + timeouts.step),
         };
         (new, vec![Effect::Send(hello)])
     }
 
+    /// When [`NewProcess::handle_timeout`] is to be called; None if no step has a deadline.
     pub fn next_timeout(&self) -> Option<Micros> {
-        self.due
+        self.deadline
     }
 
+    /// Whether it accepts clients.
     pub fn is_serving(&self) -> bool {
-        self.step == Step::Serves
+        self.step == Step::Serving
     }
 
+    /// Whether it has been told to exit.
     pub fn is_over(&self) -> bool {
         self.step == Step::Over
     }
 
-    /// What this process may use now; before the commit, nothing.
+    /// What this process may use now; nothing before the commit.
     pub fn lease(&self) -> Lease {
         self.lease
     }
 
-    fn go(&mut self, step: Step, now: Micros, within: Micros) {
-        (self.step, self.due) = (step, Some(now + within));
-    }
-
-    fn leave(&mut self, why: &str) -> Vec<Effect> {
-        (self.step, self.due, self.lease) = (Step::Over, None, Lease::default());
-        vec![
-            Effect::Log(format!("upgrade: not taken over, {why}")),
-            Effect::Exit,
-        ]
-    }
-
-    /// The old one has died: serves from what there is. All of the share is this process's; `share` tells how much.
-    fn alone(&mut self, share: Lease) -> Vec<Effect> {
-        let has_listeners = matches!(self.step, Step::Loads | Step::Ready);
-        (self.step, self.due, self.lease) = (Step::Serves, None, share);
-        let serve = if has_listeners {
-            Effect::Accept(true)
-        } else {
-            Effect::BindAnew
-        };
-        vec![
-            Effect::Log("upgrade: the old process has died, this one serves".into()),
-            Effect::Use(share),
-            serve,
-        ]
-    }
-
-    /// The link brings something; `share` is all that the router may use.
+    /// Handles an event; `capacity` is what the whole router may use.
     pub fn handle_event(
         &mut self,
         now: Micros,
-        from: OldProcessEvent,
-        share: Lease,
+        event: OldProcessEvent,
+        capacity: Lease,
     ) -> Vec<Effect> {
-        let message = match from {
-            OldProcessEvent::Received(message) => message,
-            OldProcessEvent::SnapshotLoaded(true) if self.step == Step::Loads => {
-                self.go(Step::Ready, now, self.patience.step);
-                return vec![Effect::Send(Message::Ready)];
-            }
-            OldProcessEvent::SnapshotLoaded(false) if self.step == Step::Loads => {
-                return self.leave("the state cannot be used")
+        match event {
+            OldProcessEvent::Received(message) => self.handle_message(now, message),
+            OldProcessEvent::LinkLost { old_lives: true } => self.handle_link_broken(),
+            OldProcessEvent::LinkLost { old_lives: false } => self.handle_old_ended(capacity),
+            OldProcessEvent::SnapshotLoaded(loaded) => self.handle_snapshot_loaded(now, loaded),
+        }
+    }
+
+    /// Abandons the takeover if the present step has reached its deadline.
+    pub fn handle_timeout(&mut self, now: Micros) -> Vec<Effect> {
+        if self.deadline.is_some_and(|deadline| deadline <= now) {
+            return self.leave("nothing came from the old process in time");
+        }
+        Vec::new()
+    }
+
+    fn handle_message(&mut self, now: Micros, message: Message) -> Vec<Effect> {
+        match (self.step, message) {
+            (Step::Over, _) => Vec::new(),
+            (Step::Serving, message) => self.handle_message_while_serving(message),
+            (_, Message::Abandon { why }) => self.leave(&why),
+            (Step::AwaitingOffer, Message::Offer { version, settings }) => {
+                self.handle_offer(now, version, settings)
             }
-            OldProcessEvent::SnapshotLoaded(_) => return Vec::new(),
-            OldProcessEvent::LinkLost { old_lives } => {
-                return match (&self.step, old_lives) {
-                    (Step::Over, _) => Vec::new(),
-                    // With the old one's end what it kept returns.
-                    (Step::Serves, false) if self.lease != share => {
-                        self.lease = share;
-                        vec![Effect::Use(share)]
-                    }
-                    (Step::Serves, _) => Vec::new(),
-                    (_, true) => self.leave("the link broke"),
-                    (_, false) => self.alone(share),
-                };
+            (Step::AwaitingListeners, Message::Descriptors { count: 1.. }) => {
+                self.enter(Step::LoadingState, now + self.timeouts.ready);
+                vec![Effect::Send(Message::Got)]
             }
-        };
-        match (&self.step, message) {
-            (Step::Over, _) => Vec::new(),
-            (Step::Serves, Message::Ping) => vec![Effect::Send(Message::Pong)],
-            (Step::Serves, Message::Done { lease }) => {
-                self.lease = self.lease.with(lease);
+            // The driver collects the pieces and reports when the snapshot is loaded.
+            (Step::LoadingState, Message::State { .. }) => Vec::new(),
+            (Step::AwaitingCommit, Message::Commit { lease }) => self.handle_commit(lease),
+            (_, message) => self.leave(&format!("{} was not expected", message.name())),
+        }
+    }
+
+    fn handle_message_while_serving(&mut self, message: Message) -> Vec<Effect> {
+        match message {
+            Message::Ping => vec![Effect::Send(Message::Pong)],
+            Message::Done { lease } => {
+                self.lease = self.lease.combine(lease);
                 vec![Effect::Use(self.lease)]
             }
-            // The old one takes its place again and ends this process, which answers what it has taken.
-            (Step::Serves, Message::Abandon { why }) => {
+            // The old process serves again and ends this one, which still answers what it has accepted.
+            Message::Abandon { why } => {
                 let mut effects = vec![Effect::Accept(false)];
                 effects.extend(self.leave(&why));
                 effects
             }
-            (Step::Serves, _) => Vec::new(),
-            (_, Message::Abandon { why }) => self.leave(&why),
-            (
-                Step::Greets,
-                Message::Offer {
-                    version: VERSION,
-                    settings,
-                },
-            ) => {
-                self.go(Step::Checked, now, self.patience.step);
-                vec![Effect::Send(Message::Checked {
-                    same: settings == self.settings,
-                })]
-            }
-            (Step::Greets, Message::Offer { version, .. }) => self.leave(&format!(
+            _ => Vec::new(),
+        }
+    }
+
+    fn handle_offer(&mut self, now: Micros, version: u16, settings: u64) -> Vec<Effect> {
+        if version != VERSION {
+            return self.leave(&format!(
                 "the old process speaks version {version}, not {VERSION}"
-            )),
-            (Step::Checked, Message::Descriptors { count: 1.. }) => {
-                self.go(Step::Loads, now, self.patience.ready);
-                vec![Effect::Send(Message::Got)]
-            }
-            (Step::Loads, Message::State { .. }) => Vec::new(),
-            (Step::Ready, Message::Commit { lease }) => {
-                (self.step, self.due, self.lease) = (Step::Serves, None, lease);
-                vec![
-                    Effect::Use(lease),
-                    Effect::Accept(true),
-                    Effect::Send(Message::Took),
-                ]
-            }
-            (_, message) => {
-                let what = format!("{} was not expected", message.name());
-                self.leave(&what)
-            }
+            ));
         }
+        self.enter(Step::AwaitingListeners, now + self.timeouts.step);
+        let same = settings == self.settings;
+        vec![Effect::Send(Message::Checked { same })]
     }
 
-    /// The time of a step is over.
-    pub fn handle_timeout(&mut self, now: Micros) -> Vec<Effect> {
-        match self.due {
-            Some(due) if due <= now => self.leave("nothing came from the old process in time"),
-            _ => Vec::new(),
+    fn handle_commit(&mut self, lease: Lease) -> Vec<Effect> {
+        self.serve(lease);
+        vec![
+            Effect::Use(lease),
+            Effect::Accept(true),
+            Effect::Send(Message::Took),
+        ]
+    }
+
+    fn handle_snapshot_loaded(&mut self, now: Micros, loaded: bool) -> Vec<Effect> {
+        if self.step != Step::LoadingState {
+            return Vec::new();
+        }
+        if !loaded {
+            return self.leave("the state cannot be used");
+        }
+        self.enter(Step::AwaitingCommit, now + self.timeouts.step);
+        vec![Effect::Send(Message::Ready)]
+    }
+
+    /// The link is lost and the old process still runs: it serves, unless it has handed over.
+    fn handle_link_broken(&mut self) -> Vec<Effect> {
+        match self.step {
+            Step::Over | Step::Serving => Vec::new(),
+            _ => self.leave("the link broke"),
         }
     }
+
+    /// The old process has ended: the whole capacity belongs to this one.
+    fn handle_old_ended(&mut self, capacity: Lease) -> Vec<Effect> {
+        match self.step {
+            Step::Over => Vec::new(),
+            Step::Serving if self.lease == capacity => Vec::new(),
+            Step::Serving => {
+                self.lease = capacity;
+                vec![Effect::Use(capacity)]
+            }
+            _ => self.serve_without_commit(capacity),
+        }
+    }
+
+    /// Serves from what has arrived: on the old process's listeners if it has them, else on its own.
+    fn serve_without_commit(&mut self, capacity: Lease) -> Vec<Effect> {
+        let has_listeners = matches!(self.step, Step::LoadingState | Step::AwaitingCommit);
+        self.serve(capacity);
+        let start_accepting = if has_listeners {
+            Effect::Accept(true)
+        } else {
+            Effect::BindAnew
+        };
+        vec![
+            Effect::Log("upgrade: the old process has died, this one serves".into()),
+            Effect::Use(capacity),
+            start_accepting,
+        ]
+    }
+
+    fn enter(&mut self, step: Step, deadline: Micros) {
+        self.step = step;
+        self.deadline = Some(deadline);
+    }
+
+    fn serve(&mut self, lease: Lease) {
+        self.step = Step::Serving;
+        self.deadline = None;
+        self.lease = lease;
+    }
+
+    fn leave(&mut self, why: &str) -> Vec<Effect> {
+        self.step = Step::Over;
+        self.deadline = None;
+        self.lease = Lease::default();
+        vec![
+            Effect::Log(format!("upgrade: not taken over, {why}")),
+            Effect::Exit,
+        ]
+    }
 }
--- a/hot_restart/src/old_process.rs
+++ b/hot_restart/src/old_process.rs
@@ -1,335 +1,325 @@
-//! The side of the process that serves. It goes on accepting until it has heard that the new one does, and takes its
-//! place again where the new one dies while there is anything left of the old.
+//! The side of the process that serves and is to be replaced.
+//!
+//! It accepts clients until the new process has confirmed that it accepts them, then drains. It serves again if the new
+//! process fails while it drains.
+
+mod step;
 
 use ternpick::types::Micros;
 
+use crate::injected_bug::InjectedBug;
 use crate::lease::Lease;
 use crate::message::{Message, VERSION};
 use crate::{Effect, StepTimeouts};
+use step::Step;
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
-    /// Alone, with the whole share.
-    Serves,
-    Greets,
-    Checks,
-    Hands,
-    Loads,
-    /// The commit is sent; the lease is already reduced to what is kept.
-    Commits,
-    /// The new one serves; what was taken here is finished here.
-    Drains,
-    /// The new one is being ended; its lease returns with its end.
-    Ends,
-    Over,
-}
-
-/// What the link brings.
+/// What the driver of the old process reports.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum NewProcessEvent {
+    /// A message has arrived.
     Received(Message),
-    /// What came is no message, or the link has ended while the new one lives.
+    /// The link has ended, or carried something that is not a message, and the new process still runs.
     LinkBroken,
-    /// The new one has died.
+    /// The new process has ended.
     ProcessDied,
 }
 
+/// The old process of a hot restart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OldProcess {
     step: Step,
-    patience: StepTimeouts,
-    share: Lease,
-    /// What is in use here, and what the new one has.
-    kept: Lease,
-    due: Option<Micros>,
-    /// The new one has been asked whether it is there, and has not answered yet.
-    pinged: bool,
-    /// It has answered once since it serves: one that hangs with the commit is not left alone.
-    answered: bool,
+    timeouts: StepTimeouts,
+    /// What the whole router may use.
+    capacity: Lease,
+    /// What this process may use; the new one has the rest.
+    lease: Lease,
+    /// When the present step has taken too long, or the next ping is due.
+    deadline: Option<Micros>,
+    /// A ping has been sent and not been answered.
+    awaiting_pong: bool,
+    /// The new process has answered a ping since it serves. Until it has, this one does not exit: a process that hangs just
+    /// after the commit must not be left alone.
+    has_answered_ping: bool,
+    /// The digest of the settings that it runs on.
     settings: u64,
     #[cfg(test)]
-    pub(crate) fault: Option<crate::model::Fault>,
+    pub(crate) injected_bug: Option<InjectedBug>,
 }
 
 impl OldProcess {
-    /// `share`: all that the router may use; `settings`: the digest of what it runs on.
-    pub fn new(patience: StepTimeouts, share: Lease, settings: u64) -> Self {
+    /// A process that serves with the whole `capacity` of the router; `settings` is the digest of its settings.
+    pub fn new(timeouts: StepTimeouts, capacity: Lease, settings: u64) -> Self {
         OldProcess {
-            step: Step::Serves,
-            patience,
-            share,
-            kept: share,
-            due: None,
-            pinged: false,
-            answered: false,
+            step: Step::Serving,
+            timeouts,
+            capacity,
+            lease: capacity,
+            deadline: None,
+            awaiting_pong: false,
+            has_answered_ping: false,
             settings,
             #[cfg(test)]
-            fault: None,
+            injected_bug: None,
         }
     }
 
-    /// An upgrade is asked for, of one who may use `has` now; a second one during one is refused with a word. So is one
-    /// while the process before this one drains: three would use more than the share.
-    pub fn start(&mut self, now: Micros, has: Lease) -> Result<Vec<Effect>, &'static str> {
+    /// Starts a hot restart. `current_lease` is what this process may use now: less than the capacity while its own
+    /// predecessor drains.
+    ///
+    /// # Errors
+    /// The reason in words, if a restart is under way or done, or the predecessor still drains: three processes would use
+    /// more than the capacity.
+    pub fn start(
+        &mut self,
+        now: Micros,
+        current_lease: Lease,
+    ) -> Result<Vec<Effect>, &'static str> {
         match self.step {
-            Step::Serves if has != self.share => {
+            Step::Serving if current_lease != self.capacity => {
                 Err("the process before this one still has a part of the share, ask again when it has left")
             }
-            Step::Serves => {
-                self.go(Step::Greets, now, self.patience.hello);
+            Step::Serving => {
+                self.enter(Step::AwaitingHello, now + self.timeouts.hello);
                 Ok(vec![Effect::Spawn])
             }
-            Step::Drains | Step::Over => Err("this process has handed over, ask the new one"),
+            Step::Draining | Step::HandedOver => {
+                Err("this process has handed over, ask the new one")
+            }
             _ => Err("an upgrade is under way"),
         }
     }
 
-    /// When it is to be told of the time; none: no step is under way.
+    /// When [`OldProcess::handle_timeout`] is to be called; None if no step has a deadline.
     pub fn next_timeout(&self) -> Option<Micros> {
-        self.due
+        self.deadline
     }
 
+    /// Whether it is the only process, and no restart is under way.
     pub fn is_serving(&self) -> bool {
-        self.step == Step::Serves
+        self.step == Step::Serving
     }
 
+    /// Whether the new process serves and this one answers what it has accepted.
     pub fn is_draining(&self) -> bool {
-        self.step == Step::Drains
+        self.step == Step::Draining
     }
 
     /// What this process may use now.
     pub fn lease(&self) -> Lease {
-        self.kept
+        self.lease
     }
 
-    /// The step, in a word.
+    /// The step as text. The control socket returns it, and scripts match on it.
     pub fn step_name(&self) -> &'static str {
-        match self.step {
-            Step::Serves => "serves",
-            Step::Greets => "waits for hello",
-            Step::Checks => "has its settings checked",
-            Step::Hands => "passes the listeners",
-            Step::Loads => "passes the state",
-            Step::Commits => "commits",
-            Step::Drains => "drains",
-            Step::Ends => "ends the new one",
-            Step::Over => "is over",
-        }
-    }
-
-    fn go(&mut self, step: Step, now: Micros, within: Micros) {
-        (self.step, self.due) = (step, Some(now + within));
+        self.step.name()
     }
 
-    /// Back to "the old one serves": the new one is ended, and its lease returns once it has.
-    fn abandon(&mut self, now: Micros, why: &str) -> Vec<Effect> {
-        let mut effects = vec![Effect::Log(format!(
-            "upgrade: given up, {why}; this process goes on"
-        ))];
-        if self.step == Step::Drains {
-            effects.extend([Effect::PassClients(false), Effect::Accept(true)]);
+    /// Handles an event; `in_use` is what this process uses at present.
+    pub fn handle_event(
+        &mut self,
+        now: Micros,
+        event: NewProcessEvent,
+        in_use: Lease,
+    ) -> Vec<Effect> {
+        match event {
+            NewProcessEvent::Received(message) => self.handle_message(now, message, in_use),
+            NewProcessEvent::LinkBroken => self.handle_link_broken(now),
+            NewProcessEvent::ProcessDied => self.handle_process_died(),
         }
-        effects.extend([
-            Effect::Send(Message::Abandon {
-                why: why.to_owned(),
-            }),
-            Effect::EndPeer,
-        ]);
-        self.go(Step::Ends, now, self.patience.step);
-        effects
     }
 
-    /// The new one is gone for good.
-    fn alone(&mut self, why: &str) -> Vec<Effect> {
-        let mut effects = Vec::new();
-        if self.step != Step::Ends {
-            effects.push(Effect::Log(format!(
-                "upgrade: given up, {why}; this process goes on"
-            )));
+    /// Acts on a deadline that has passed: sends the next ping, or abandons the restart.
+    pub fn handle_timeout(&mut self, now: Micros) -> Vec<Effect> {
+        if self.deadline.is_none_or(|deadline| deadline > now) {
+            return Vec::new();
         }
-        if self.step == Step::Drains && !self.is(Planted::StaysDrained) {
-            effects.extend([Effect::PassClients(false), Effect::Accept(true)]);
+        match self.step {
+            Step::Serving | Step::HandedOver => {
+                self.deadline = None;
+                Vec::new()
+            }
+            // It was told to end and has not: the driver ends it for good the second time.
+            Step::EndingNewProcess => {
+                self.enter(Step::EndingNewProcess, now + self.timeouts.step);
+                vec![Effect::EndPeer]
+            }
+            Step::Draining if !self.awaiting_pong => {
+                self.enter(Step::Draining, now + self.timeouts.silence);
+                self.awaiting_pong = true;
+                vec![Effect::Send(Message::Ping)]
+            }
+            _ => self.abandon(now, &format!("nothing came while it {}", self.step.name())),
         }
-        (self.step, self.due, self.kept) = (Step::Serves, None, self.share);
-        effects.push(Effect::Use(self.kept));
-        effects
     }
 
-    #[cfg(test)]
-    fn is(&self, planted: Planted) -> bool {
-        self.fault == Some(planted)
-    }
-
-    #[cfg(not(test))]
-    fn is(&self, _: Planted) -> bool {
-        false
+    /// Nothing is in flight in this process any more, and no client is connected to it.
+    pub fn drain_finished(&mut self) -> Vec<Effect> {
+        if self.step != Step::Draining || !self.has_answered_ping {
+            return Vec::new();
+        }
+        self.step = Step::HandedOver;
+        self.deadline = None;
+        let done = Message::Done { lease: self.lease };
+        vec![Effect::Send(done), Effect::Exit]
     }
 
-    /// The link brings something; `uses` is what this process has in use, and what is left of its further calls.
-    pub fn handle_event(&mut self, now: Micros, from: NewProcessEvent, uses: Lease) -> Vec<Effect> {
-        let message = match from {
-            NewProcessEvent::Received(message) => message,
-            NewProcessEvent::ProcessDied => {
-                return match self.step {
-                    Step::Serves | Step::Over => Vec::new(),
-                    _ => self.alone("the new process has ended"),
-                }
-            }
-            NewProcessEvent::LinkBroken => {
-                return match self.step {
-                    // It accepts, and nothing more is wanted of it.
-                    Step::Serves | Step::Ends | Step::Over => Vec::new(),
-                    Step::Drains => {
-                        self.due = None;
-                        vec![Effect::PassClients(false)]
-                    }
-                    _ => self.abandon(now, "the link broke"),
-                };
-            }
-        };
-        match (&self.step, message) {
-            (
-                Step::Greets,
-                Message::Hello {
-                    version: VERSION,
-                    program,
-                },
-            ) => {
-                self.go(Step::Checks, now, self.patience.step);
-                vec![
-                    Effect::Log(format!("upgrade: {program} is there")),
-                    Effect::Send(Message::Offer {
-                        version: VERSION,
-                        settings: self.settings,
-                    }),
-                ]
+    fn handle_message(&mut self, now: Micros, message: Message, in_use: Lease) -> Vec<Effect> {
+        match (self.step, message) {
+            (Step::AwaitingHello, Message::Hello { version, program }) => {
+                self.handle_hello(now, version, &program)
             }
-            (Step::Greets, Message::Hello { version, .. }) => self.abandon(
-                now,
-                &format!("the new process speaks version {version}, not {VERSION}"),
-            ),
-            (Step::Checks, Message::Checked { same }) => {
-                self.go(Step::Hands, now, self.patience.step);
-                let word = if same {
-                    "the same settings"
-                } else {
-                    "other settings"
-                };
-                vec![
-                    Effect::Log(format!("upgrade: it runs on {word}")),
-                    Effect::PassListeners,
-                ]
-            }
-            (Step::Hands, Message::Got) => {
-                self.go(Step::Loads, now, self.patience.ready);
+            (Step::CheckingSettings, Message::Checked { same }) => self.pass_listeners(now, same),
+            (Step::PassingListeners, Message::Got) => {
+                self.enter(Step::PassingState, now + self.timeouts.ready);
                 vec![Effect::PassState]
             }
-            (Step::Loads, Message::Ready) => {
-                let (kept, given) = self.share.split(uses);
-                self.kept = if self.is(Planted::KeepsAll) {
-                    self.share
-                } else {
-                    kept
-                };
-                self.go(Step::Commits, now, self.patience.step);
-                let mut effects = vec![
-                    Effect::Use(self.kept),
-                    Effect::Send(Message::Commit { lease: given }),
-                ];
-                if self.is(Planted::StopsEarly) {
-                    effects.push(Effect::Accept(false));
-                }
-                effects
-            }
-            (Step::Commits, Message::Took) => {
-                self.go(Step::Drains, now, self.patience.silence);
-                (self.pinged, self.answered) = (true, false);
-                vec![
-                    Effect::Send(Message::Ping),
-                    Effect::Accept(false),
-                    Effect::Log(
-                        "upgrade: the new process serves, this one finishes what it has taken"
-                            .into(),
-                    ),
-                    Effect::PassClients(true),
-                ]
+            (Step::PassingState, Message::Ready) => self.commit(now, in_use),
+            (Step::Committing, Message::Took) => self.drain(now),
+            (Step::Draining, Message::Pong) => {
+                self.enter(Step::Draining, now + self.timeouts.silence);
+                self.awaiting_pong = false;
+                self.has_answered_ping = true;
+                Vec::new()
             }
-            (Step::Drains, Message::Pong) => {
-                self.go(Step::Drains, now, self.patience.silence);
-                (self.pinged, self.answered) = (false, true);
+            // Messages that were under way when the restart was abandoned or done.
+            (Step::EndingNewProcess | Step::Serving | Step::HandedOver | Step::Draining, _) => {
                 Vec::new()
             }
-            // What was on its way when it was given up.
-            (Step::Ends | Step::Serves | Step::Over | Step::Drains, _) => Vec::new(),
             (_, message) => self.abandon(now, &format!("{} was not expected", message.name())),
         }
     }
 
-    /// The time of a step is over.
-    pub fn handle_timeout(&mut self, now: Micros) -> Vec<Effect> {
-        if self.due.is_none_or(|due| due > now) {
-            return Vec::new();
+    fn handle_hello(&mut self, now: Micros, version: u16, program: &str) -> Vec<Effect> {
+        if version != VERSION {
+            let why = format!("the new process speaks version {version}, not {VERSION}");
+            return self.abandon(now, &why);
+        }
+        self.enter(Step::CheckingSettings, now + self.timeouts.step);
+        vec![
+            Effect::Log(format!("upgrade: {program} is there")),
+            Effect::Send(Message::Offer {
+                version: VERSION,
+                settings: self.settings,
+            }),
+        ]
+    }
+
+    fn pass_listeners(&mut self, now: Micros, same_settings: bool) -> Vec<Effect> {
+        self.enter(Step::PassingListeners, now + self.timeouts.step);
+        let settings = if same_settings {
+            "the same settings"
+        } else {
+            "other settings"
+        };
+        vec![
+            Effect::Log(format!("upgrade: it runs on {settings}")),
+            Effect::PassListeners,
+        ]
+    }
+
+    fn commit(&mut self, now: Micros, in_use: Lease) -> Vec<Effect> {
+        let split = self.capacity.split(in_use);
+        self.lease = split.retained;
+        if self.has_bug(InjectedBug::KeepsWholeLease) {
+            self.lease = self.capacity;
+        }
+        self.enter(Step::Committing, now + self.timeouts.step);
+        // This process uses less before the new one uses more.
+        let mut effects = vec![
+            Effect::Use(self.lease),
+            Effect::Send(Message::Commit {
+                lease: split.granted,
+            }),
+        ];
+        if self.has_bug(InjectedBug::StopsAcceptingEarly) {
+            effects.push(Effect::Accept(false));
         }
+        effects
+    }
+
+    fn drain(&mut self, now: Micros) -> Vec<Effect> {
+        self.enter(Step::Draining, now + self.timeouts.silence);
+        self.awaiting_pong = true;
+        self.has_answered_ping = false;
+        let line = "upgrade: the new process serves, this one finishes what it has taken";
+        vec![
+            Effect::Send(Message::Ping),
+            Effect::Accept(false),
+            Effect::Log(line.into()),
+            Effect::PassClients(true),
+        ]
+    }
+
+    fn handle_link_broken(&mut self, now: Micros) -> Vec<Effect> {
         match self.step {
-            Step::Serves | Step::Over => {
-                self.due = None;
-                Vec::new()
+            Step::Serving | Step::EndingNewProcess | Step::HandedOver => Vec::new(),
+            // The new process accepts clients and needs nothing more from this one.
+            Step::Draining => {
+                self.deadline = None;
+                vec![Effect::PassClients(false)]
             }
-            // Asked to end, it has not: it is ended for good, which the driver tells.
-            Step::Ends => {
-                self.go(Step::Ends, now, self.patience.step);
-                vec![Effect::EndPeer]
-            }
-            Step::Drains if !self.pinged => {
-                self.go(Step::Drains, now, self.patience.silence);
-                self.pinged = true;
-                vec![Effect::Send(Message::Ping)]
-            }
-            _ => self.abandon(now, &format!("nothing came while it {}", self.step_name())),
+            _ => self.abandon(now, "the link broke"),
         }
     }
 
-    /// Nothing is left in hand, and no client's connection.
-    pub fn drain_finished(&mut self) -> Vec<Effect> {
-        if self.step != Step::Drains || !self.answered {
-            return Vec::new();
+    fn handle_process_died(&mut self) -> Vec<Effect> {
+        match self.step {
+            Step::Serving | Step::HandedOver => Vec::new(),
+            _ => self.serve_alone("the new process has ended"),
         }
-        (self.step, self.due) = (Step::Over, None);
-        vec![
-            Effect::Send(Message::Done { lease: self.kept }),
-            Effect::Exit,
-        ]
     }
-}
 
-/// Faults that are planted to see that the model finds them.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Planted {
-    /// Goes on as drained though the new one has died.
-    StaysDrained,
-    /// Accepts no more with the commit, not with the word that the new one does.
-    StopsEarly,
-    /// Gives a lease away and keeps all.
-    KeepsAll,
-}
+    /// Serves again, and ends the new process; its lease returns when it has ended.
+    fn abandon(&mut self, now: Micros, why: &str) -> Vec<Effect> {
+        let mut effects = vec![abandoned_line(why)];
+        if self.step == Step::Draining {
+            effects.extend(accept_again());
+        }
+        let why = why.to_owned();
+        effects.push(Effect::Send(Message::Abandon { why }));
+        effects.push(Effect::EndPeer);
+        self.enter(Step::EndingNewProcess, now + self.timeouts.step);
+        effects
+    }
+
+    /// The new process has ended: serves with the whole capacity.
+    fn serve_alone(&mut self, why: &str) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        // The line was already logged when the new process was told to end.
+        if self.step != Step::EndingNewProcess {
+            effects.push(abandoned_line(why));
+        }
+        if self.step == Step::Draining && !self.has_bug(InjectedBug::StaysDrained) {
+            effects.extend(accept_again());
+        }
+        self.step = Step::Serving;
+        self.deadline = None;
+        self.lease = self.capacity;
+        effects.push(Effect::Use(self.lease));
+        effects
+    }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use test_case::test_case;
+    fn enter(&mut self, step: Step, deadline: Micros) {
+        self.step = step;
+        self.deadline = Some(deadline);
+    }
 
-    const SHARE: Lease = Lease {
-        held: 8,
-        extra: 8,
-        sockets: 8,
-        memory: 8,
-    };
+    #[cfg(test)]
+    fn has_bug(&self, bug: InjectedBug) -> bool {
+        self.injected_bug == Some(bug)
+    }
 
-    #[test_case(SHARE, true; "all of the share")]
-    #[test_case(Lease { held: 6, ..SHARE }, false; "less, while another drains")]
-    fn an_upgrade_begins_with_the_whole_share_alone(has: Lease, begins: bool) {
-        let mut old = OldProcess::new(StepTimeouts::default(), SHARE, 1);
-        assert_eq!(old.start(Micros(0), has).is_ok(), begins);
-        assert_eq!(old.is_serving(), !begins);
+    #[cfg(not(test))]
+    fn has_bug(&self, _: InjectedBug) -> bool {
+        false
     }
 }
+
+/// The driver reads the reason from this line, after "given up, ".
+fn abandoned_line(why: &str) -> Effect {
+    Effect::Log(format!("upgrade: given up, {why}; this process goes on"))
+}
+
+fn accept_again() -> [Effect; 2] {
+    [Effect::PassClients(false), Effect::Accept(true)]
+}
--- /dev/null
+++ b/hot_restart/src/old_process/step.rs
@@ -0,0 +1,35 @@
+//! The steps of a hot restart at the old process, in order.
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) enum Step {
+    /// The only process, with the whole capacity.
+    Serving,
+    AwaitingHello,
+    CheckingSettings,
+    PassingListeners,
+    PassingState,
+    /// The commit is sent; the lease is already reduced to what this process retains.
+    Committing,
+    /// The new process serves; this one answers what it has accepted.
+    Draining,
+    /// The new process has been told to end; its lease returns when it has ended.
+    EndingNewProcess,
+    HandedOver,
+}
+
+impl Step {
+    /// The control socket returns this text, and scripts match on it.
+    pub(super) fn name(self) -> &'static str {
+        match self {
+            Step::Serving => "serves",
+            Step::AwaitingHello => "waits for hello",
+            Step::CheckingSettings => "has its settings checked",
+            Step::PassingListeners => "passes the listeners",
+            Step::PassingState => "passes the state",
+            Step::Committing => "commits",
+            Step::Draining => "drains",
+            Step::EndingNewProcess => "ends the new one",
+            Step::HandedOver => "is over",
+        }
+    }
+}
--- /dev/null
+++ b/hot_restart/src/tests/model.rs
@@ -0,0 +1,230 @@
+//! All interleavings of the two sides at small size: crashes of either at any point, links that break with the messages on
+//! them, steps that take too long, restarts requested twice. The state machines are the real ones.
+
+use stateright::{Model, Property};
+use ternpick::types::Micros;
+
+use super::properties;
+use super::world::{World, CAPACITY};
+use crate::injected_bug::InjectedBug;
+use crate::{Lease, Message, NewProcessEvent, OldProcessEvent};
+
+/// What the old process has in use when it commits.
+const IN_USE: Lease = Lease {
+    held: 2,
+    extra: 0,
+    sockets: 2,
+    memory: 2,
+};
+const NOW: Micros = Micros(0);
+/// After every deadline.
+const LATE: Micros = Micros(u64::MAX / 2);
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) enum Action {
+    RequestRestart,
+    /// While one is under way.
+    RequestAnotherRestart,
+    DeliverToNew,
+    DeliverToOld,
+    /// The snapshot turns out to be unusable.
+    FailToLoadSnapshot,
+    CrashOld,
+    CrashNew,
+    BreakLink,
+    TellOldOfLoss,
+    TellNewOfLoss,
+    TimeOutOld,
+    TimeOutNew,
+    /// The new process was told to end and does.
+    EndNew,
+    AnswerQuery,
+    /// Nothing is in flight in the old process any more.
+    FinishDrain,
+}
+
+pub(super) struct HotRestart {
+    pub(super) injected_bug: Option<InjectedBug>,
+    pub(super) restarts: u8,
+}
+
+impl Model for HotRestart {
+    type State = World;
+    type Action = Action;
+
+    fn init_states(&self) -> Vec<World> {
+        vec![World::new(self.injected_bug, self.restarts)]
+    }
+
+    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
+        push_actions_of_old(world, actions);
+        push_actions_of_new(world, actions);
+    }
+
+    fn next_state(&self, last: &World, action: Action) -> Option<World> {
+        let mut world = last.clone();
+        world.perform(action)?;
+        (world != *last).then_some(world)
+    }
+
+    fn properties(&self) -> Vec<Property<Self>> {
+        properties::all()
+    }
+}
+
+fn push_actions_of_old(world: &World, actions: &mut Vec<Action>) {
+    let Some(old) = &world.old else { return };
+    let is_serving = old.machine.is_serving();
+    if world.restarts_left > 0 && is_serving && world.new.is_none() {
+        actions.push(Action::RequestRestart);
+    } else if world.restarts_left > 0 && !is_serving {
+        actions.push(Action::RequestAnotherRestart);
+    }
+    let has_unknown_loss = !world.old_knows_link_lost && !world.is_linked
+        || world.new.is_none() && !world.old_knows_new_died;
+    if !world.to_old.is_empty() {
+        actions.push(Action::DeliverToOld);
+    } else if has_unknown_loss {
+        actions.push(Action::TellOldOfLoss);
+    }
+    if world.timeouts_left > 0 && old.machine.next_timeout().is_some() {
+        actions.push(Action::TimeOutOld);
+    }
+    if world.in_flight > 0 {
+        actions.push(Action::AnswerQuery);
+    } else if old.machine.is_draining() {
+        actions.push(Action::FinishDrain);
+    }
+    if world.crashes_left > 0 {
+        actions.push(Action::CrashOld);
+    }
+}
+
+fn push_actions_of_new(world: &World, actions: &mut Vec<Action>) {
+    let Some(new) = &world.new else { return };
+    if !world.to_new.is_empty() {
+        actions.push(Action::DeliverToNew);
+    } else if !world.new_knows_link_lost && !world.is_linked {
+        actions.push(Action::TellNewOfLoss);
+    }
+    if world.timeouts_left > 0 && new.machine.next_timeout().is_some() {
+        actions.push(Action::TimeOutNew);
+    }
+    if new.is_ending {
+        actions.push(Action::EndNew);
+    }
+    if world.crashes_left > 0 {
+        actions.push(Action::CrashNew);
+    }
+    if world.old.is_some() && world.is_linked && world.link_breaks_left > 0 {
+        actions.push(Action::BreakLink);
+    }
+    actions.push(Action::FailToLoadSnapshot);
+}
+
+/// One method for each action; None where it cannot happen.
+impl World {
+    fn perform(&mut self, action: Action) -> Option<()> {
+        match action {
+            Action::RequestRestart => self.request_restart()?,
+            Action::RequestAnotherRestart => self.request_another_restart()?,
+            Action::DeliverToOld => self.deliver_to_old()?,
+            Action::DeliverToNew => self.deliver_to_new()?,
+            Action::FailToLoadSnapshot => {
+                self.tell_new(OldProcessEvent::SnapshotLoaded(false))?;
+            }
+            Action::CrashOld => {
+                self.crashes_left -= 1;
+                self.end_old();
+            }
+            Action::CrashNew => {
+                self.crashes_left -= 1;
+                self.end_new();
+            }
+            Action::BreakLink => {
+                self.link_breaks_left -= 1;
+                self.break_link();
+            }
+            Action::TellOldOfLoss => self.tell_old_of_loss()?,
+            Action::TellNewOfLoss => {
+                self.new_knows_link_lost = true;
+                let old_lives = self.old.is_some();
+                self.tell_new(OldProcessEvent::LinkLost { old_lives })?;
+            }
+            Action::TimeOutOld => {
+                self.timeouts_left -= 1;
+                let effects = self.old.as_mut()?.machine.handle_timeout(LATE);
+                self.carry_out_for_old(effects);
+            }
+            Action::TimeOutNew => {
+                self.timeouts_left -= 1;
+                let effects = self.new.as_mut()?.machine.handle_timeout(LATE);
+                self.carry_out_for_new(effects);
+            }
+            Action::EndNew => self.end_new(),
+            Action::AnswerQuery => self.in_flight -= 1,
+            Action::FinishDrain => {
+                let effects = self.old.as_mut()?.machine.drain_finished();
+                self.carry_out_for_old(effects);
+            }
+        }
+        Some(())
+    }
+
+    fn request_restart(&mut self) -> Option<()> {
+        self.restarts_left -= 1;
+        let effects = self.old.as_mut()?.machine.start(NOW, CAPACITY).ok()?;
+        self.carry_out_for_old(effects);
+        Some(())
+    }
+
+    /// It is rejected in every step.
+    fn request_another_restart(&mut self) -> Option<()> {
+        self.restarts_left -= 1;
+        let started = self.old.as_mut()?.machine.start(NOW, CAPACITY);
+        started.is_err().then_some(())
+    }
+
+    fn deliver_to_old(&mut self) -> Option<()> {
+        let message = self.to_old.pop_front()?;
+        self.tell_old(NewProcessEvent::Received(message))
+    }
+
+    fn deliver_to_new(&mut self) -> Option<()> {
+        let message = self.to_new.pop_front()?;
+        let is_last_piece = matches!(message, Message::State { left: 0, .. });
+        let new = self.new.as_mut()?;
+        new.has_listener |= matches!(message, Message::Descriptors { .. });
+        let received = OldProcessEvent::Received(message);
+        let mut effects = new.machine.handle_event(NOW, received, CAPACITY);
+        if is_last_piece {
+            let loaded = OldProcessEvent::SnapshotLoaded(true);
+            effects.extend(new.machine.handle_event(NOW, loaded, CAPACITY));
+        }
+        self.carry_out_for_new(effects);
+        Some(())
+    }
+
+    fn tell_old_of_loss(&mut self) -> Option<()> {
+        self.old_knows_link_lost = true;
+        if self.new.is_some() {
+            return self.tell_old(NewProcessEvent::LinkBroken);
+        }
+        self.old_knows_new_died = true;
+        self.tell_old(NewProcessEvent::ProcessDied)
+    }
+
+    fn tell_old(&mut self, event: NewProcessEvent) -> Option<()> {
+        let old = self.old.as_mut()?;
+        let effects = old.machine.handle_event(NOW, event, IN_USE);
+        self.carry_out_for_old(effects);
+        Some(())
+    }
+
+    fn tell_new(&mut self, event: OldProcessEvent) -> Option<()> {
+        let new = self.new.as_mut()?;
+        let effects = new.machine.handle_event(NOW, event, CAPACITY);
+        self.carry_out_for_new(effects);
+        Some(())
+    }
+}
--- /dev/null
+++ b/hot_restart/src/tests/properties.rs
@@ -0,0 +1,115 @@
+//! The rules that every state keeps, and the outcomes that some state reaches.
+
+use stateright::Property;
+
+use super::model::HotRestart;
+use super::world::{World, CAPACITY};
+use crate::Lease;
+
+pub(super) const SOME_PROCESS_ACCEPTS: &str = "a process accepts clients while one lives";
+pub(super) const LEASES_FIT: &str = "the leases never exceed the capacity";
+
+pub(super) fn all() -> Vec<Property<HotRestart>> {
+    vec![
+        Property::always(SOME_PROCESS_ACCEPTS, |_, world: &World| {
+            some_process_accepts(world) || !some_process_lives(world) || !world.is_quiet()
+        }),
+        Property::always(
+            "the listener stays open while the old process or its successor lives",
+            |_, world: &World| listener_is_open(world),
+        ),
+        Property::always(
+            "both processes accept only during a commit",
+            |_, world: &World| both_accept_only_during_a_commit(world),
+        ),
+        Property::always(LEASES_FIT, |_, world: &World| {
+            old_lease(world)
+                .combine(new_lease(world))
+                .fits_within(CAPACITY)
+        }),
+        Property::always(
+            "a process that serves alone has the whole capacity",
+            |_, world: &World| {
+                let is_alone = world.old.is_none() && new_serves(world);
+                !is_alone || new_lease(world) == CAPACITY || !world.is_quiet()
+            },
+        ),
+        Property::always(
+            "a process that exits leaves no query behind",
+            |_, world: &World| {
+                world.old.is_some() || world.in_flight == 0 || world.crashes_left < 2
+            },
+        ),
+        Property::sometimes("a restart succeeds", |_, world: &World| succeeded(world)),
+        Property::sometimes(
+            "a failed restart leaves the old process as it was",
+            |_, world: &World| failed_without_a_trace(world),
+        ),
+    ]
+}
+
+fn some_process_lives(world: &World) -> bool {
+    world.old.is_some() || world.new.is_some()
+}
+
+fn some_process_accepts(world: &World) -> bool {
+    world.old.as_ref().is_some_and(|old| old.accepts)
+        || world.new.as_ref().is_some_and(|new| new.accepts)
+}
+
+fn new_serves(world: &World) -> bool {
+    world
+        .new
+        .as_ref()
+        .is_some_and(|new| new.machine.is_serving())
+}
+
+fn listener_is_open(world: &World) -> bool {
+    let at_old = world.old.as_ref().is_some_and(|old| old.has_listener);
+    let at_new = world
+        .new
+        .as_ref()
+        .is_none_or(|new| new.has_listener || !new.machine.is_serving());
+    at_old || at_new
+}
+
+fn both_accept_only_during_a_commit(world: &World) -> bool {
+    let (Some(old), Some(new)) = (&world.old, &world.new) else {
+        return true;
+    };
+    let both_accept = old.accepts && new.accepts && world.is_quiet();
+    !both_accept || old.machine.step_name() == "commits"
+}
+
+fn old_lease(world: &World) -> Lease {
+    world
+        .old
+        .as_ref()
+        .map(|old| old.machine.lease())
+        .unwrap_or_default()
+}
+
+fn new_lease(world: &World) -> Lease {
+    world
+        .new
+        .as_ref()
+        .map(|new| new.machine.lease())
+        .unwrap_or_default()
+}
+
+fn succeeded(world: &World) -> bool {
+    let new_accepts = world.new.as_ref().is_some_and(|new| new.accepts);
+    world.old.is_none() && world.crashes_left == 2 && new_accepts && new_lease(world) == CAPACITY
+}
+
+fn failed_without_a_trace(world: &World) -> bool {
+    let old_serves = world
+        .old
+        .as_ref()
+        .is_some_and(|old| old.machine.is_serving());
+    world.restarts_left == 0
+        && world.new.is_none()
+        && world.is_quiet()
+        && old_serves
+        && old_lease(world) == CAPACITY
+}
--- /dev/null
+++ b/hot_restart/src/tests/world.rs
@@ -0,0 +1,184 @@
+//! The state of the model: two processes, the link between them, and the faults that are still to come.
+
+use std::collections::VecDeque;
+
+use ternpick::types::Micros;
+
+use crate::injected_bug::InjectedBug;
+use crate::{Effect, Lease, Message, NewProcess, OldProcess, StepTimeouts};
+
+pub(super) const CAPACITY: Lease = Lease {
+    held: 8,
+    extra: 8,
+    sockets: 8,
+    memory: 8,
+};
+
+/// A process and what its driver has done for it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Process<M> {
+    pub(super) machine: M,
+    pub(super) accepts: bool,
+    pub(super) has_listener: bool,
+    /// It has been told to end and will.
+    pub(super) is_ending: bool,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct World {
+    pub(super) old: Option<Process<OldProcess>>,
+    pub(super) new: Option<Process<NewProcess>>,
+    /// Messages on the link, in order.
+    pub(super) to_new: VecDeque<Message>,
+    pub(super) to_old: VecDeque<Message>,
+    /// The link works. After it breaks, each side learns of it once it has read what had arrived.
+    pub(super) is_linked: bool,
+    pub(super) old_knows_link_lost: bool,
+    pub(super) new_knows_link_lost: bool,
+    pub(super) old_knows_new_died: bool,
+    /// Faults and requests that may still happen.
+    pub(super) crashes_left: u8,
+    pub(super) link_breaks_left: u8,
+    pub(super) timeouts_left: u8,
+    pub(super) restarts_left: u8,
+    /// Queries in flight in the old process.
+    pub(super) in_flight: u8,
+}
+
+impl World {
+    pub(super) fn new(injected_bug: Option<InjectedBug>, restarts: u8) -> World {
+        let mut machine = OldProcess::new(StepTimeouts::default(), CAPACITY, 1);
+        machine.injected_bug = injected_bug;
+        World {
+            old: Some(Process {
+                machine,
+                accepts: true,
+                has_listener: true,
+                is_ending: false,
+            }),
+            new: None,
+            to_new: VecDeque::new(),
+            to_old: VecDeque::new(),
+            is_linked: false,
+            old_knows_link_lost: true,
+            new_knows_link_lost: true,
+            old_knows_new_died: true,
+            crashes_left: 2,
+            link_breaks_left: 1,
+            timeouts_left: 2,
+            restarts_left: restarts,
+            in_flight: 2,
+        }
+    }
+
+    pub(super) fn carry_out_for_old(&mut self, effects: Vec<Effect>) {
+        for effect in effects {
+            let Some(old) = &mut self.old else { return };
+            match effect {
+                Effect::Spawn => self.spawn_new(),
+                Effect::Send(message) => self.send_to_new(message),
+                Effect::PassListeners => self.send_to_new(Message::Descriptors { count: 1 }),
+                Effect::PassState => self.send_to_new(Message::State {
+                    left: 0,
+                    piece: vec![],
+                }),
+                Effect::Accept(accepts) => old.accepts = accepts,
+                Effect::EndPeer => {
+                    if let Some(new) = &mut self.new {
+                        new.is_ending = true;
+                    }
+                }
+                Effect::Exit => self.end_old(),
+                _ => {}
+            }
+        }
+    }
+
+    pub(super) fn carry_out_for_new(&mut self, effects: Vec<Effect>) {
+        for effect in effects {
+            let Some(new) = &mut self.new else { return };
+            match effect {
+                Effect::Send(message) if self.is_linked => self.to_old.push_back(message),
+                Effect::Accept(accepts) => {
+                    new.accepts = accepts;
+                    new.has_listener = true;
+                }
+                Effect::BindAnew => {
+                    new.accepts = true;
+                    new.has_listener = true;
+                }
+                Effect::Exit => self.end_new(),
+                _ => {}
+            }
+        }
+    }
+
+    fn spawn_new(&mut self) {
+        let (machine, effects) = NewProcess::start(StepTimeouts::default(), 1, "new", Micros(0));
+        self.new = Some(Process {
+            machine,
+            accepts: false,
+            has_listener: false,
+            is_ending: false,
+        });
+        self.is_linked = true;
+        self.old_knows_link_lost = false;
+        self.new_knows_link_lost = false;
+        self.old_knows_new_died = false;
+        self.to_new.clear();
+        self.to_old.clear();
+        self.carry_out_for_new(effects);
+    }
+
+    fn send_to_new(&mut self, message: Message) {
+        if self.is_linked {
+            self.to_new.push_back(message);
+        }
+    }
+
+    /// The new process learns of it, whether the link worked until then or not.
+    pub(super) fn end_old(&mut self) {
+        self.old = None;
+        self.is_linked = false;
+        self.to_old.clear();
+        self.new_knows_link_lost = false;
+    }
+
+    pub(super) fn end_new(&mut self) {
+        self.new = None;
+        self.is_linked = false;
+        self.to_new.clear();
+    }
+
+    pub(super) fn break_link(&mut self) {
+        self.is_linked = false;
+        self.to_new.clear();
+        self.to_old.clear();
+    }
+
+    /// Whether no process has yet to learn of something that has happened.
+    pub(super) fn is_quiet(&self) -> bool {
+        let old_has_messages = self.old.is_some() && !self.to_old.is_empty();
+        let new_has_messages = self.new.is_some() && !self.to_new.is_empty();
+        let new_is_ending = self.new.as_ref().is_some_and(|new| new.is_ending);
+        !old_has_messages
+            && !new_has_messages
+            && !self.link_loss_is_unknown()
+            && !self.death_of_new_is_unknown()
+            && !new_is_ending
+    }
+
+    fn link_loss_is_unknown(&self) -> bool {
+        let to_old = self.old.is_some() && !self.old_knows_link_lost;
+        let to_new = self.new.is_some() && !self.new_knows_link_lost;
+        !self.is_linked && (to_old || to_new)
+    }
+
+    fn death_of_new_is_unknown(&self) -> bool {
+        let old_waits = self
+            .old
+            .as_ref()
+            .is_some_and(|old| !old.machine.is_serving());
+        self.new.is_none() && old_waits && !self.old_knows_new_died
+    }
+}
--- /dev/null
+++ b/hot_restart/tests/lease.rs
@@ -0,0 +1,27 @@
+//! The division of a lease.
+
+use proptest::prelude::*;
+use ternpick_hot_restart::Lease;
+
+type Parts = (u32, u32, u32, u64);
+
+fn lease((held, extra, sockets, memory): Parts) -> Lease {
+    Lease {
+        held,
+        extra,
+        sockets,
+        memory,
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
+    #[test]
+    fn a_split_grants_nothing_twice_and_loses_nothing(capacity in any::<Parts>(), in_use in any::<Parts>()) {
+        let capacity = lease(capacity);
+        let split = capacity.split(lease(in_use));
+        prop_assert_eq!(split.retained.combine(split.granted), capacity);
+        prop_assert!(split.retained.fits_within(capacity));
+        prop_assert!(split.granted.fits_within(capacity));
+    }
+}
