--- /dev/null
+++ b/maintenance/src/coordinator/operations.rs
@@ -0,0 +1,119 @@
+//! Entries for machines that are out or returning: a permit once every router is drained, and the return to service.
+
+use std::collections::BTreeSet;
+
+use ternpick::types::Micros;
+
+use super::contacts::unhealthy_machines;
+use super::Coordinator;
+use crate::entry::Entry;
+use crate::operation::{Operation, OperationKey, Phase};
+use crate::router_removal::router_of;
+use crate::router_report::RouterReport;
+
+/// How far a machine that was given back is.
+enum ReturnProgress {
+    Serving,
+    TimedOut,
+    Pending,
+}
+
+impl Coordinator {
+    /// All entries that are due for operations, in the order of their keys.
+    pub(super) fn follow_operations(&mut self, now: Micros) -> Vec<Entry> {
+        self.forget_finished_returns();
+        let reports = self.reports();
+        let unhealthy = unhealthy_machines(&reports);
+        let mut entries = Vec::new();
+        let mut pending = Vec::new();
+        for (key, operation) in &self.state.operations {
+            match operation.phase {
+                Phase::Out => entries.extend(self.permit_entry(key, operation)),
+                Phase::Returning { .. } => {
+                    match self.return_progress(key, &reports, &unhealthy, now) {
+                        ReturnProgress::Serving => entries.push(Entry::ReturnToService {
+                            fence: self.state.fence,
+                            operation: key.clone(),
+                            wall_ms: self.wall_ms,
+                        }),
+                        ReturnProgress::TimedOut => entries.push(Entry::KeepOut {
+                            fence: self.state.fence,
+                            operation: key.clone(),
+                            wall_ms: self.wall_ms,
+                        }),
+                        ReturnProgress::Pending => pending.push(key.clone()),
+                    }
+                }
+                _ => {}
+            }
+        }
+        for key in pending {
+            self.returning_since.entry(key).or_insert(now);
+        }
+        entries
+    }
+
+    fn forget_finished_returns(&mut self) {
+        let operations = &self.state.operations;
+        self.returning_since.retain(|key, _| {
+            operations
+                .get(key)
+                .is_some_and(|operation| matches!(operation.phase, Phase::Returning { .. }))
+        });
+    }
+
+    /// A router counts as drained when its operator has drained it: the permit is the fleet's word that he may.
+    fn permit_entry(&self, key: &OperationKey, operation: &Operation) -> Option<Entry> {
+        let is_drained = router_of(&key.machine).is_some()
+            || self
+                .undrained_routers(&key.machine, operation.since_index)
+                .is_empty();
+        is_drained.then(|| Entry::GrantPermit {
+            fence: self.state.fence,
+            operation: key.clone(),
+            wall_ms: self.wall_ms,
+        })
+    }
+
+    fn return_progress(
+        &self,
+        key: &OperationKey,
+        reports: &[&RouterReport],
+        unhealthy: &BTreeSet<&str>,
+        now: Micros,
+    ) -> ReturnProgress {
+        let waited_us = self
+            .returning_since
+            .get(key)
+            .map(|since| now.since(*since).0);
+        if self.serves_load(&key.machine, reports, waited_us)
+            && !unhealthy.contains(key.machine.as_str())
+        {
+            ReturnProgress::Serving
+        } else if waited_us.is_some_and(|waited| waited > self.config.return_timeout_us) {
+            ReturnProgress::TimedOut
+        } else {
+            ReturnProgress::Pending
+        }
+    }
+
+    /// Whether a machine serves load. If no router has anything for it, discovery's word is all there is, after a
+    /// while. A router serves if it was heard lately.
+    fn serves_load(
+        &self,
+        machine: &String,
+        reports: &[&RouterReport],
+        waited_us: Option<u64>,
+    ) -> bool {
+        let answers = reports.iter().any(|report| report.bear.contains(machine));
+        let is_idle =
+            !reports.is_empty() && reports.iter().all(|report| report.idle.contains(machine));
+        let is_stable = waited_us.is_some_and(|waited| waited >= self.config.stabilization_us);
+        let router = router_of(machine);
+        let is_router_present = self
+            .contacts
+            .iter()
+            .any(|contact| contact.is_recent && Some(&contact.member) == router.as_ref());
+        answers || is_idle && is_stable || is_router_present
+    }
+}
--- /dev/null
+++ b/maintenance/src/coordinator/tests/return_to_service.rs
@@ -0,0 +1,66 @@
+use super::*;
+
+#[test]
+fn a_machine_that_does_not_return_in_time_is_kept_out_until_it_is_given_back_again() {
+    let mut fleet = Fleet::with_request(&["s0", "s3"]);
+    fleet.coordinator.config.return_timeout_us = 5 * S;
+    let idle = [contact("n0", &report_at(1000))];
+    fleet.run(10, &idle);
+    let permit = fleet.coordinator.permit_of("s0").expect("a permit");
+    fleet.commit(Entry::FinishWork {
+        permit,
+        by: "ann".into(),
+        unfit_reason: None,
+    });
+    fleet.run(8, &idle);
+    assert_eq!(fleet.out(), ["s0", "s3"], "kept out");
+    fleet.commit(Entry::FinishWork {
+        permit,
+        by: "ann".into(),
+        unfit_reason: None,
+    });
+    fleet.run(
+        1,
+        &[contact(
+            "n0",
+            &RouterReport {
+                bear: vec!["s0".into()],
+                ..report_at(1000)
+            },
+        )],
+    );
+    assert_eq!(fleet.out(), ["s3"]);
+}
+
+#[test]
+fn a_machine_that_discovery_lists_as_terminating_is_not_in_service() {
+    let mut fleet = Fleet::with_request(&["s0"]);
+    fleet.run(8, &[contact("n0", &report_at(100))]);
+    let permit = fleet.coordinator.permit_of("s0").expect("a permit");
+    fleet.commit(Entry::FinishWork {
+        permit,
+        by: "ann".into(),
+        unfit_reason: None,
+    });
+    let listed = RouterReport {
+        unsound: vec!["s0".into()],
+        bear: vec!["s0".into()],
+        ..report_at(100)
+    };
+    fleet.run(20, &[contact("n0", &listed)]);
+    assert!(
+        fleet.coordinator.state.active_machines().contains("s0"),
+        "it answers one router, and is about to go"
+    );
+    fleet.run(
+        1,
+        &[contact(
+            "n0",
+            &RouterReport {
+                bear: vec!["s0".into()],
+                ..report_at(100)
+            },
+        )],
+    );
+    assert!(fleet.coordinator.state.operations.is_empty());
+}
--- a/maintenance/src/ids.rs
+++ b/maintenance/src/ids.rs
@@ -1,10 +1,10 @@
-//! Numbers of the works; each is a place in the agreed log, so that none is ever given twice.
+//! Numbers that the maintenance log gives out. Each is the log index of the entry that created it, so none is given twice.
 
 ternpick_fleet_policy::numbers! {
-    /// A request for machines.
+    /// A maintenance request: the log index of its [`crate::Entry::Ask`].
     RequestNo,
-    /// A permit to work on one machine.
+    /// A permit to work on one machine: the log index of its [`crate::Entry::GrantPermit`].
     PermitNo,
-    /// Who carries the work on, from which place of the log: steps with an earlier one count for nothing.
+    /// Fencing number of a coordinator: the log index at which it took over. Entries with another one are rejected.
     Fence,
 }
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -1,33 +1,36 @@
-//! Machines are taken out for work in an order that the routers of a fleet settle among themselves, without I/O.
+//! Takes machines out of service for maintenance, in an order that all routers of a fleet agree on. No I/O, clock or
+//! threads: time and reports come in as arguments, log entries go out.
 //!
-//! [`MaintenanceState`] is what was agreed, replayed from the log alone: requests, which machine is out, which permit stands.
-//! [`DisruptionBudget`] says what is never given up: holders of each set of shards, of each zone, room for the load. [`schedule`] puts
-//! machines into rounds. [`Coordinator`] is one router's part and the one way in: it plays the log, and while its router
-//! leads it takes machines out one step after the other, each step with its fencing number.
+//! [`MaintenanceState`] is the replicated state, derived from the log alone: open requests, the phase of each machine,
+//! permits. [`DisruptionBudget`] says how many machines may be missing: holders of each set of shards, machines of each
+//! zone, capacity for the load. [`schedule`] puts machines into rounds. [`Coordinator`] is the entry point that the
+//! router uses: it applies the log, and while its router is the fleet's leader it proposes the next entries, each with
+//! its fencing number.
 //!
-//! The rule: a permit exists only once every router has said that it goes by the machine's being out and has nothing
-//! there, or can surely act no more on anything it admitted before. `docs/design/works.md` says why that holds.
+//! The safety rule: a permit exists only once every router either has reported that it applies the machine's being out
+//! and has no shard request in flight there, or can no longer act on anything it admitted before.
+//! `docs/design/works.md` says why that holds.
 
 mod coordinator;
 mod disruption_budget;
+mod entry;
 mod ids;
+mod operation;
 mod router_removal;
 mod router_report;
 mod schedule;
 mod state;
 
-#[cfg(test)]
-mod model;
-
 #[cfg(any(test, feature = "planted"))]
 pub use coordinator::InjectedBug;
 pub use coordinator::{Coordinator, MaintenanceConfig};
 pub use disruption_budget::{ClusterView, DisruptionBudget, Limits, Node, Violation};
+pub use entry::{Entry, Request, MOST_MACHINES, MOST_REQUESTS};
 pub use ids::{Fence, PermitNo, RequestNo};
-pub use router_removal::{router_of, RouterViolation, Routers};
+pub use operation::{Operation, OperationKey, Phase};
+pub use router_removal::{router_of, OtherRouters, RouterFleet, RouterViolation};
 pub use router_report::RouterReport;
-pub use schedule::{exact_rounds, lower_bound, schedule, Round, Schedule, WorkItem};
-pub use state::{
-    Entry, HistoryEntry, MaintenanceState, Operation, Pause, Phase, Request, MOST_MACHINES,
-    MOST_REQUESTS,
+pub use schedule::{
+    exact_rounds, lower_bound, schedule, Round, Schedule, Unschedulable, Urgency, WorkItem,
 };
+pub use state::{CoordinatorTerm, HistoryEntry, MaintenanceState, Pause, Rejection};
--- a/maintenance/src/router_report.rs
+++ b/maintenance/src/router_report.rs
@@ -1,34 +1,38 @@
-//! What a router says of the works, with each request for its lease.
+//! What each router reports about machines under maintenance. It goes to the leader with each request for a lease.
 
 use serde::{Deserialize, Serialize};
 use ternpick_fleet_policy::Index;
 
-/// A router's word. All that it says is its state.
+/// One router's report. It is complete in itself: a newer one replaces an older one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RouterReport {
-    /// It goes by the machines' being out that was agreed up to this place.
+    /// The router applies the list of machines out that was agreed up to this log index.
     pub goes_by: Index,
-    /// Of those, where it still has something out.
+    /// Machines of that list at which it still has a shard request in flight.
     pub busy: Vec<String>,
-    /// Machines that do not bear load as it sees them: not listed as ready, just started, failing. At most so many are
-    /// named; `more` counts the rest.
+    /// Machines that it considers unhealthy: not listed as ready, just started, or failing. Bounded by the reporter.
     pub unsound: Vec<String>,
+    /// Unhealthy machines beyond those that `unsound` names.
     pub more: u32,
-    /// Machines in work whose answers show that they bear load.
+    /// Returning machines whose answers show that they serve load.
     pub bear: Vec<String>,
-    /// Those that would bear load, as far as discovery knows, and to which nothing has gone.
+    /// Returning machines that are ready according to discovery, and to which this router has sent nothing.
     pub idle: Vec<String>,
-    /// Of late: part calls a second; lookups that it answered, and those of them that were late, failed or refused.
+    /// Shard requests a second, over the last few observations.
     pub calls: u32,
+    /// Queries answered in that time.
     pub answered: u32,
+    /// Of those, the ones that were late, failed or rejected.
     pub late: u32,
 }
 
 impl RouterReport {
+    /// The postcard form that goes with a request for a lease.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
+    /// Reads what [`RouterReport::encode`] wrote; `None` for bytes of another form.
     pub fn decode(bytes: &[u8]) -> Option<RouterReport> {
         postcard::from_bytes(bytes).ok()
     }
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -1,66 +1,89 @@
-//! In which rounds machines go out. Machines that share no limit go together; a round is over once all of it are back.
+//! The rounds in which machines go out. Machines that share no limit go together; a round is over once all of its
+//! machines are back. The coordinator shows the rounds to operators and takes out the first one.
 //!
-//! Weighed: greedy by first fit (taken; the tightest first, among equals by deadline and priority), local search on top of
-//! it (brought nothing on drawn cases, see `docs/measurements/works.md`), and the exact least by search, which small fleets
-//! alone can bear and tests compare with.
+//! Weighed: greedy by first fit (taken; the scarcest limit first, among equals by deadline and priority), local search
+//! on top of it (no gain on random cases, see `docs/measurements/works.md`), and the exact minimum by search, which only
+//! small fleets can afford and tests compare with.
 
-use serde::{Deserialize, Serialize};
+mod exact;
 
-use crate::disruption_budget::{DisruptionBudget, Violation};
+use crate::disruption_budget::{DisruptionBudget, LimitUse, Violation};
 use crate::ids::RequestNo;
 
-/// Machines that go out as one.
+pub use exact::exact_rounds;
+
+/// The order among items: the lower goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Urgency {
+    /// The request's deadline, wall clock in milliseconds since 1970; the largest number if it has none.
+    pub deadline_ms: u64,
+    /// The highest priority is the lowest number.
+    pub inverse_priority: u8,
+}
+
+/// Machines that go out together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkItem {
+    /// The request that they belong to.
     pub request: RequestNo,
+    /// Their places in the cluster view.
     pub nodes: Vec<usize>,
-    /// Earlier goes first: the deadline, then the priority turned round.
-    pub urgency: (u64, u8),
+    /// The order among items.
+    pub urgency: Urgency,
     /// How long the work takes, in microseconds.
-    pub lasts: u64,
+    pub duration_us: u64,
 }
 
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+/// Items that go out together.
+#[derive(Clone, Debug, Default, PartialEq)]
 pub struct Round {
-    /// Numbers of the items in it.
+    /// Places in the list of items.
     pub items: Vec<usize>,
-    pub lasts: u64,
+    /// The longest duration of any of them, in microseconds.
+    pub duration_us: u64,
 }
 
+/// An item that fits into no round.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Unschedulable {
+    /// Its place in the list of items.
+    pub item: usize,
+    /// The limit that it breaks by itself.
+    pub violation: Violation,
+}
+
+/// All items, in rounds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
+    /// In the order in which they go out.
     pub rounds: Vec<Round>,
-    /// Items that no round can take, and what binds.
-    pub cannot: Vec<(usize, Violation)>,
-    /// No plan has fewer rounds.
-    pub bound: usize,
+    /// Items that no round can take.
+    pub unschedulable: Vec<Unschedulable>,
+    /// No schedule has fewer rounds.
+    pub lower_bound: usize,
 }
 
-/// How scarce the scarcest limit is that an item takes of, by its demand and what is free; and the limit of which a round
-/// bears the fewest.
-fn tightest(demand: &[usize], room: &DisruptionBudget, item: &WorkItem) -> (f64, Option<usize>) {
-    let uses = || item.nodes.iter().flat_map(|node| room.uses(*node));
-    let scarce = uses()
-        .map(|(limit, free)| demand[limit] as f64 / free.max(1) as f64)
-        .fold(0.0, f64::max);
-    (
-        scarce,
-        uses().min_by_key(|(_, free)| *free).map(|(limit, _)| limit),
-    )
+fn uses<'a>(
+    item: &'a WorkItem,
+    budget: &'a DisruptionBudget,
+) -> impl Iterator<Item = LimitUse> + 'a {
+    item.nodes.iter().flat_map(|node| budget.uses(*node))
 }
 
-fn demand(items: &[WorkItem], room: &DisruptionBudget) -> Vec<usize> {
-    let mut demand = vec![0; room.free().len()];
-    for node in items.iter().flat_map(|item| &item.nodes) {
-        room.uses(*node).for_each(|(limit, _)| demand[limit] += 1);
+/// For each limit, how many machines of all items take of it.
+fn demand(items: &[WorkItem], budget: &DisruptionBudget) -> Vec<usize> {
+    let mut demand = vec![0; budget.free().len()];
+    for used in items.iter().flat_map(|item| uses(item, budget)) {
+        demand[used.limit] += 1;
     }
     demand
 }
 
-/// Rounds that no plan can do without: of each limit, what is wanted by what is free.
-pub fn lower_bound(items: &[WorkItem], room: &DisruptionBudget) -> usize {
-    let pairs = demand(items, room).into_iter().zip(room.free());
-    pairs
+/// The rounds that no schedule can do without: for each limit, the demand divided by what is free.
+pub fn lower_bound(items: &[WorkItem], budget: &DisruptionBudget) -> usize {
+    demand(items, budget)
+        .into_iter()
+        .zip(budget.free())
         .filter(|(_, free)| *free > 0)
         .map(|(wanted, free)| wanted.div_ceil(free))
         .max()
@@ -68,145 +91,131 @@
 }
 
 /// What a round has taken of each limit.
-struct Taken(Vec<usize>);
+struct Usage(Vec<usize>);
 
-impl Taken {
-    fn fits(&self, room: &DisruptionBudget, item: &WorkItem) -> bool {
-        let mut more = Vec::<(usize, usize)>::new();
-        for (limit, free) in item.nodes.iter().flat_map(|node| room.uses(*node)) {
-            let at = match more.iter().position(|(of, _)| *of == limit) {
+impl Usage {
+    fn none(budget: &DisruptionBudget) -> Usage {
+        Usage(vec![0; budget.free().len()])
+    }
+
+    fn fits(&self, budget: &DisruptionBudget, item: &WorkItem) -> bool {
+        let mut wanted = Vec::<(usize, usize)>::new();
+        for LimitUse { limit, free } in uses(item, budget) {
+            let at = match wanted.iter().position(|(other, _)| *other == limit) {
                 Some(at) => at,
                 None => {
-                    more.push((limit, 0));
-                    more.len() - 1
+                    wanted.push((limit, 0));
+                    wanted.len() - 1
                 }
             };
-            more[at].1 += 1;
-            if self.0[limit] + more[at].1 > free {
+            wanted[at].1 += 1;
+            if self.0[limit] + wanted[at].1 > free {
                 return false;
             }
         }
         true
     }
 
-    fn add(&mut self, room: &DisruptionBudget, item: &WorkItem, sign: bool) {
-        for (limit, _) in item.nodes.iter().flat_map(|node| room.uses(*node)) {
-            self.0[limit] = if sign {
-                self.0[limit] + 1
-            } else {
-                self.0[limit] - 1
-            };
+    fn add(&mut self, budget: &DisruptionBudget, item: &WorkItem) {
+        for used in uses(item, budget) {
+            self.0[used.limit] += 1;
         }
     }
-}
 
-/// Puts all items into rounds. `room`: with nothing out.
-pub fn schedule(items: &[WorkItem], room: &DisruptionBudget) -> Schedule {
-    let demand = demand(items, room);
-    let mut cannot = Vec::new();
-    let limits = room.free().len();
-    let mut order: Vec<(usize, f64, usize)> = Vec::new();
-    let (nothing, mut ranks) = (Taken(vec![0; limits]), vec![0; limits]);
-    for (at, item) in items.iter().enumerate() {
-        if nothing.fits(room, item) {
-            let (tight, limit) = tightest(&demand, room, item);
-            // Of those that want the same, one after the other: neighbours spread over the rounds.
-            let rank = limit.map_or(0, |limit| {
-                ranks[limit] += 1;
-                ranks[limit]
-            });
-            order.push((at, tight, rank));
-        } else if let Err(binds) = room.clone().take_out_all(&item.nodes) {
-            cannot.push((at, binds));
+    fn remove(&mut self, budget: &DisruptionBudget, item: &WorkItem) {
+        for used in uses(item, budget) {
+            self.0[used.limit] -= 1;
         }
     }
-    order.sort_by(|(a, tight_a, rank_a), (b, tight_b, rank_b)| {
-        let urgency = items[*a].urgency.cmp(&items[*b].urgency);
-        urgency
-            .then(tight_b.total_cmp(tight_a))
-            .then(rank_a.cmp(rank_b))
-            .then(a.cmp(b))
-    });
-    let (mut rounds, mut taken) = (Vec::<Round>::new(), Vec::<Taken>::new());
-    for (at, ..) in order {
-        let item = &items[at];
-        let round = taken
-            .iter()
-            .position(|taken| taken.fits(room, item))
-            .unwrap_or_else(|| {
-                rounds.push(Round::default());
-                taken.push(Taken(vec![0; limits]));
-                taken.len() - 1
-            });
-        taken[round].add(room, item, true);
-        rounds[round].items.push(at);
-        rounds[round].lasts = rounds[round].lasts.max(item.lasts);
+}
+
+/// An item's place in the order in which items look for a round.
+struct Candidate {
+    item: usize,
+    urgency: Urgency,
+    /// Demand by what is free, of the scarcest limit that it takes of.
+    scarcity: f64,
+    /// Its number among the items whose limit with the least free is the same. Machines of one set thus come one after
+    /// the other, and spread over the rounds.
+    rank: usize,
+}
+
+impl Candidate {
+    fn compare(&self, other: &Candidate) -> std::cmp::Ordering {
+        self.urgency
+            .cmp(&other.urgency)
+            .then(other.scarcity.total_cmp(&self.scarcity))
+            .then(self.rank.cmp(&other.rank))
+            .then(self.item.cmp(&other.item))
+    }
+}
+
+/// Puts all items into rounds. `budget`: with nothing out.
+pub fn schedule(items: &[WorkItem], budget: &DisruptionBudget) -> Schedule {
+    let mut schedule = Schedule::default();
+    let candidates = candidates(items, budget, &mut schedule.unschedulable);
+    let mut usages = Vec::<Usage>::new();
+    for candidate in &candidates {
+        let item = &items[candidate.item];
+        let first_fit = usages.iter().position(|usage| usage.fits(budget, item));
+        let round = first_fit.unwrap_or_else(|| {
+            schedule.rounds.push(Round::default());
+            usages.push(Usage::none(budget));
+            usages.len() - 1
+        });
+        usages[round].add(budget, item);
+        let round = &mut schedule.rounds[round];
+        round.items.push(candidate.item);
+        round.duration_us = round.duration_us.max(item.duration_us);
     }
-    let fits: Vec<WorkItem> = items
+    let schedulable: Vec<WorkItem> = items
         .iter()
         .enumerate()
-        .filter(|(at, _)| cannot.iter().all(|(of, _)| of != at))
+        .filter(|(at, _)| schedule.unschedulable.iter().all(|of| of.item != *at))
         .map(|(_, item)| item.clone())
         .collect();
-    let bound = lower_bound(&fits, room).max(usize::from(!rounds.is_empty()));
-    Schedule {
-        rounds,
-        cannot,
-        bound,
-    }
+    let at_least = usize::from(!schedule.rounds.is_empty());
+    schedule.lower_bound = lower_bound(&schedulable, budget).max(at_least);
+    schedule
 }
 
-/// The least rounds there are, by search; none: some item fits nowhere, or it takes more than so many tries.
-pub fn exact_rounds(
+/// The items that fit a round of their own, in their order; the others go to `unschedulable`.
+fn candidates(
     items: &[WorkItem],
-    room: &DisruptionBudget,
-    most_tries: usize,
-) -> Option<usize> {
-    if items
-        .iter()
-        .any(|item| room.clone().take_out_all(&item.nodes).is_err())
-    {
-        return None;
-    }
-    let mut tries = 0;
-    for count in lower_bound(items, room)..=items.len() {
-        let mut taken: Vec<Taken> = (0..count)
-            .map(|_| Taken(vec![0; room.free().len()]))
-            .collect();
-        match fill(items, room, &mut taken, 0, &mut tries, most_tries) {
-            Some(true) => return Some(count),
-            Some(false) => {}
-            None => return None,
-        }
-    }
-    None
-}
-
-fn fill(
-    items: &[WorkItem],
-    room: &DisruptionBudget,
-    taken: &mut [Taken],
-    used: usize,
-    tries: &mut usize,
-    most: usize,
-) -> Option<bool> {
-    let Some((item, rest)) = items.split_first() else {
-        return Some(true);
-    };
-    *tries += 1;
-    if *tries > most {
-        return None;
-    }
-    // Rounds that nothing is in yet are all alike.
-    for round in 0..taken.len().min(used + 1) {
-        if taken[round].fits(room, item) {
-            taken[round].add(room, item, true);
-            let found = fill(rest, room, taken, used.max(round + 1), tries, most);
-            taken[round].add(room, item, false);
-            if found != Some(false) {
-                return found;
+    budget: &DisruptionBudget,
+    unschedulable: &mut Vec<Unschedulable>,
+) -> Vec<Candidate> {
+    let demand = demand(items, budget);
+    let empty = Usage::none(budget);
+    let mut ranks = vec![0; demand.len()];
+    let mut candidates = Vec::new();
+    for (at, item) in items.iter().enumerate() {
+        if !empty.fits(budget, item) {
+            if let Err(violation) = budget.clone().take_out_all(&item.nodes) {
+                unschedulable.push(Unschedulable {
+                    item: at,
+                    violation,
+                });
             }
+            continue;
         }
+        let scarcity = uses(item, budget)
+            .map(|used| demand[used.limit] as f64 / used.free.max(1) as f64)
+            .fold(0.0, f64::max);
+        let rank = match uses(item, budget).min_by_key(|used| used.free) {
+            Some(used) => {
+                ranks[used.limit] += 1;
+                ranks[used.limit]
+            }
+            None => 0,
+        };
+        candidates.push(Candidate {
+            item: at,
+            urgency: item.urgency,
+            scarcity,
+            rank,
+        });
     }
-    Some(false)
+    candidates.sort_by(Candidate::compare);
+    candidates
 }
--- a/maintenance/tests/rounds.rs
+++ b/maintenance/tests/rounds.rs
@@ -1,25 +1,30 @@
-//! Rounds on drawn fleets: never against the limits, nothing left out that could go, close to the least there is.
+//! Schedules of random fleets: never against the limits, nothing left out that could go, close to the fewest rounds.
 
 use nanorand::{Rng, WyRand};
 use ternpick_maintenance::{
     exact_rounds, lower_bound, schedule, ClusterView, DisruptionBudget, Limits, Node, RequestNo,
-    WorkItem,
+    Urgency, WorkItem,
 };
 
-/// A drawn fleet: a ring of sets or blocks of holders, some machines dead, and some of them wanted.
-fn drawn(seed: u64) -> (ClusterView, Limits, Vec<WorkItem>) {
-    let mut chance = WyRand::new_seed(seed);
-    let nodes = chance.generate_range(3usize..13);
-    let (reach, ring) = (
-        chance.generate_range(1u32..5),
-        chance.generate_range(0u32..2) == 0,
-    );
-    let cells = (nodes as u32).div_ceil(2).max(1);
-    let node = |at: usize, dead: bool| {
-        let own = at as u32 % cells;
-        let sets = if ring {
-            (0..reach.min(cells))
-                .map(|j| (own + cells - j) % cells)
+fn urgency(deadline_ms: u64) -> Urgency {
+    Urgency {
+        deadline_ms,
+        inverse_priority: 0,
+    }
+}
+
+/// A random fleet: a ring of sets or blocks of holders, some machines unhealthy, and some of them to go out.
+fn random_fleet(seed: u64) -> (ClusterView, Limits, Vec<WorkItem>) {
+    let mut rng = WyRand::new_seed(seed);
+    let nodes = rng.generate_range(3usize..13);
+    let reach = rng.generate_range(1u32..5);
+    let is_ring = rng.generate_range(0u32..2) == 0;
+    let groups = (nodes as u32).div_ceil(2).max(1);
+    let node = |at: usize, unhealthy: bool| {
+        let own = at as u32 % groups;
+        let sets = if is_ring {
+            (0..reach.min(groups))
+                .map(|j| (own + groups - j) % groups)
                 .collect()
         } else {
             vec![own / reach]
@@ -28,48 +33,51 @@
             name: format!("s{at}"),
             zone: (at % 3) as u16,
             shard_sets: sets,
-            healthy: !dead,
+            healthy: !unhealthy,
             out_of_service: false,
         }
     };
     let nodes = (0..nodes)
-        .map(|at| node(at, chance.generate_range(0u32..12) == 0))
+        .map(|at| node(at, rng.generate_range(0u32..12) == 0))
         .collect();
     let limits = Limits {
-        keep: chance.generate_range(1usize..4),
-        zone_share: [0.0, 0.3, 0.5][chance.generate_range(0usize..3)],
-        most_out: [0.2, 0.5, 1.0][chance.generate_range(0usize..3)],
+        min_holders: rng.generate_range(1usize..4),
+        min_zone_share: [0.0, 0.3, 0.5][rng.generate_range(0usize..3)],
+        max_out_share: [0.2, 0.5, 1.0][rng.generate_range(0usize..3)],
         ..Limits::default()
     };
-    let world = ClusterView { nodes, load: 0.0 };
-    let room = DisruptionBudget::new(&world, &limits, 0);
+    let view = ClusterView { nodes, load: 0.0 };
+    let budget = DisruptionBudget::new(&view, &limits, 0);
     let mut items = Vec::new();
     let mut at = 0;
-    while at < world.nodes.len() {
-        let together = chance.generate_range(0u32..6) == 0 && at + 1 < world.nodes.len();
-        let nodes: Vec<usize> = if together { vec![at, at + 1] } else { vec![at] };
+    while at < view.nodes.len() {
+        let in_pair = rng.generate_range(0u32..6) == 0 && at + 1 < view.nodes.len();
+        let nodes: Vec<usize> = if in_pair { vec![at, at + 1] } else { vec![at] };
         at += nodes.len();
-        if chance.generate_range(0u32..5) > 0 && room.clone().take_out_all(&nodes).is_ok() {
+        if rng.generate_range(0u32..5) > 0 && budget.clone().take_out_all(&nodes).is_ok() {
             items.push(WorkItem {
                 request: RequestNo(1),
                 nodes,
-                urgency: (u64::MAX, 0),
-                lasts: 1,
+                urgency: urgency(u64::MAX),
+                duration_us: 1,
             });
         }
     }
-    (world, limits, items)
+    (view, limits, items)
 }
 
 #[test]
-fn a_thousand_drawn_fleets_against_the_exact_least() {
-    let (mut same, mut one_more, mut worse, mut bound_met) = (0, 0, 0, 0);
+fn random_fleets_take_hardly_more_rounds_than_the_exact_minimum() {
+    let mut optimal = 0;
+    let mut one_more = 0;
+    let mut worse = 0;
+    let mut bound_met = 0;
     for seed in 0..1000 {
-        let (world, limits, items) = drawn(seed);
-        let room = DisruptionBudget::new(&world, &limits, 0);
-        let of = schedule(&items, &room);
-        assert_eq!(of.cannot, [], "seed {seed}: each alone may go");
-        let mut placed: Vec<usize> = of
+        let (view, limits, items) = random_fleet(seed);
+        let budget = DisruptionBudget::new(&view, &limits, 0);
+        let plan = schedule(&items, &budget);
+        assert_eq!(plan.unschedulable, [], "seed {seed}: each alone may go");
+        let mut placed: Vec<usize> = plan
             .rounds
             .iter()
             .flat_map(|round| round.items.clone())
@@ -80,63 +88,68 @@
             (0..items.len()).collect::<Vec<_>>(),
             "seed {seed}: each once"
         );
-        for round in &of.rounds {
-            let mut room = room.clone();
+        for round in &plan.rounds {
+            let mut budget = budget.clone();
             for at in &round.items {
-                room.take_out_all(&items[*at].nodes)
-                    .unwrap_or_else(|binds| panic!("seed {seed}: {binds}"));
+                budget
+                    .take_out_all(&items[*at].nodes)
+                    .unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
             }
         }
-        let least = exact_rounds(&items, &room, 2_000_000)
+        let fewest = exact_rounds(&items, &budget, 2_000_000)
             .unwrap_or_else(|| panic!("seed {seed}: too large"));
         assert!(
-            lower_bound(&items, &room) <= least && least <= of.rounds.len(),
+            lower_bound(&items, &budget) <= fewest && fewest <= plan.rounds.len(),
             "seed {seed}"
         );
-        bound_met += usize::from(lower_bound(&items, &room) == least);
-        match of.rounds.len() - least {
-            0 => same += 1,
+        bound_met += usize::from(lower_bound(&items, &budget) == fewest);
+        match plan.rounds.len() - fewest {
+            0 => optimal += 1,
             1 => one_more += 1,
             _ => worse += 1,
         }
     }
     eprintln!(
-        "the least {same}, one more {one_more}, worse {worse}; the bound is the least {bound_met}"
+        "the minimum {optimal}, one more {one_more}, worse {worse}; the bound is the minimum {bound_met}"
     );
     assert!(
-        same >= 950 && worse == 0,
-        "the least {same}, one more {one_more}, worse {worse}"
+        optimal >= 950 && worse == 0,
+        "the minimum {optimal}, one more {one_more}, worse {worse}"
     );
 }
 
 #[test]
-fn urgent_ones_go_first_and_a_dead_machine_is_in_nobodys_way() {
-    let node = |at: u32, sound| Node {
+fn urgent_machines_go_first_and_an_unhealthy_one_is_in_no_ones_way() {
+    let node = |at: u32, healthy| Node {
         name: format!("s{at}"),
         zone: 0,
         shard_sets: vec![0],
-        healthy: sound,
+        healthy,
         out_of_service: false,
     };
-    let world = ClusterView {
+    let view = ClusterView {
         nodes: (0..5).map(|at| node(at, at != 4)).collect(),
         load: 0.0,
     };
     let limits = Limits {
-        keep: 3,
-        zone_share: 0.0,
-        most_out: 1.0,
+        min_holders: 3,
+        min_zone_share: 0.0,
+        max_out_share: 1.0,
         ..Limits::default()
     };
-    let item = |node: usize, by_when| WorkItem {
+    let item = |node: usize, deadline_ms| WorkItem {
         request: RequestNo(node as u64),
         nodes: vec![node],
-        urgency: (by_when, 0),
-        lasts: 1,
+        urgency: urgency(deadline_ms),
+        duration_us: 1,
     };
     let items = [item(0, 30), item(1, 10), item(2, 20), item(4, 40)];
-    let of = schedule(&items, &DisruptionBudget::new(&world, &limits, 0));
-    let rounds: Vec<Vec<usize>> = of.rounds.iter().map(|round| round.items.clone()).collect();
+    let plan = schedule(&items, &DisruptionBudget::new(&view, &limits, 0));
+    let rounds: Vec<Vec<usize>> = plan
+        .rounds
+        .iter()
+        .map(|round| round.items.clone())
+        .collect();
     assert_eq!(rounds, [vec![1, 3], vec![2], vec![0]]);
 }
 
@@ -149,31 +162,31 @@
         healthy: true,
         out_of_service: false,
     };
-    let world = ClusterView {
+    let view = ClusterView {
         nodes: (0..12_000).map(node).collect(),
         load: 0.0,
     };
     let limits = Limits {
-        most_out: 0.1,
+        max_out_share: 0.1,
         ..Limits::default()
     };
-    let room = DisruptionBudget::new(&world, &limits, 0);
+    let budget = DisruptionBudget::new(&view, &limits, 0);
     let items: Vec<WorkItem> = (0..12_000)
         .map(|at| WorkItem {
             request: RequestNo(1),
             nodes: vec![at],
-            urgency: (0, 0),
-            lasts: 1,
+            urgency: urgency(0),
+            duration_us: 1,
         })
         .collect();
-    let began = std::time::Instant::now();
-    let of = schedule(&items, &room);
+    let started = std::time::Instant::now();
+    let plan = schedule(&items, &budget);
     eprintln!(
-        "{} rounds, at least {}, {:?}",
-        of.rounds.len(),
-        of.bound,
-        began.elapsed()
+        "{} rounds, at fewest {}, {:?}",
+        plan.rounds.len(),
+        plan.lower_bound,
+        started.elapsed()
     );
     // 128 at a time, as every router has to know them.
-    assert_eq!((of.rounds.len(), of.bound), (94, 94));
+    assert_eq!((plan.rounds.len(), plan.lower_bound), (94, 94));
 }
--- a/simulation/src/fleet/works_size.rs
+++ b/simulation/src/fleet/works_size.rs
@@ -87,9 +87,9 @@
     for some in names.chunks(ternpick_maintenance::MOST_MACHINES) {
         let request = Request {
             machines: some.to_vec(),
-            why: "kernels".into(),
-            by: "ann".into(),
-            lasts: site.work * STEP,
+            reason: "kernels".into(),
+            requested_by: "ann".into(),
+            duration_us: site.work * STEP,
             ..Request::default()
         };
         put(&mut carrier, &Entry::Ask { request });
@@ -138,7 +138,7 @@
             .filter(|(_, job)| matches!(job.phase, Phase::Returning { .. }));
         let word = RouterReport {
             goes_by: Index(u64::MAX),
-            bear: returning.map(|((_, machine), _)| machine.clone()).collect(),
+            bear: returning.map(|(key, _)| key.machine.clone()).collect(),
             unsound: storm.iter().take(64).cloned().collect(),
             more: storm.len().saturating_sub(64) as u32,
             calls: 100,
@@ -163,7 +163,7 @@
                 continue;
             };
             moved |= matches!(step, Entry::TakeOut { .. });
-            went.holds += usize::from(matches!(step, Entry::OwnHold { .. }));
+            went.holds += usize::from(matches!(step, Entry::AutoPause { .. }));
             put(&mut carrier, &step);
         }
         if storm_over.is_some_and(|over| now >= over)
@@ -189,10 +189,10 @@
             if now >= until {
                 put(
                     &mut carrier,
-                    &Entry::Done {
+                    &Entry::FinishWork {
                         permit,
                         by: "ann".into(),
-                        failed: None,
+                        unfit_reason: None,
                     },
                 );
                 done_at.remove(&permit);
@@ -220,7 +220,7 @@
     }
     let most = missing.values().max().copied().unwrap_or(0);
     went.fewest_holders = went.fewest_holders.min(site.holders - most);
-    let floor = site.limits.keep.max(2).min(site.holders - 1).max(1);
+    let floor = site.limits.min_holders.max(2).min(site.holders - 1).max(1);
     went.breaches += u64::from(site.holders - most < floor);
 }
 
@@ -231,7 +231,7 @@
     #[test]
     fn a_hundred_and_twenty_machines_go_and_come_back_through_a_storm() {
         let limits = Limits {
-            most_out: 0.1,
+            max_out_share: 0.1,
             ..Limits::default()
         };
         let site = Site {
--- a/simulation/src/main.rs
+++ b/simulation/src/main.rs
@@ -310,7 +310,7 @@
             seed,
         } => {
             let limits = ternpick_maintenance::Limits {
-                most_out: 0.1,
+                max_out_share: 0.1,
                 ..ternpick_maintenance::Limits::default()
             };
             let (nodes, routers, holders, work) = (*nodes, *routers, (*holders).max(1), *work);
