--- a/maintenance/src/coordinator/config.rs
+++ b/maintenance/src/coordinator/config.rs
@@ -10,9 +10,10 @@
     /// How many machines may be missing.
     #[serde(flatten)]
     pub limits: Limits,
-    /// How long past the end of its lease a router may still act on a query: the longest deadline there is.
+    /// How long past the end of its lease a router may still act on a query: the longest deadline there is. In microseconds;
+    /// the router compares it with its deadlines at its start.
     pub lingers: u64,
-    /// A machine that has not shown that it serves load for so long after it was given back is kept out.
+    /// A machine that has not shown that it serves load for so long after its permit was given back stays out of service.
     #[serde(rename = "back_within")]
     pub return_timeout_us: u64,
     /// Nothing more goes out before nothing has been wrong for so long.
--- a/maintenance/src/coordinator/log_lines.rs
+++ b/maintenance/src/coordinator/log_lines.rs
@@ -7,20 +7,23 @@
 pub(super) fn log_line(entry: &Entry) -> Option<String> {
     match entry {
         Entry::TakeOut { operations, .. } => {
-            Some(format!("works: {} to go out", machine_names(operations)))
-        }
-        Entry::GrantPermit { operation, .. } => {
-            Some(format!("works: {} is quiet", operation.machine))
-        }
-        Entry::ReturnToService { operation, .. } => {
-            Some(format!("works: {} bears load again", operation.machine))
+            let machines = machine_names(operations);
+            Some(format!("maintenance: taking {machines} out of service"))
         }
+        Entry::GrantPermit { operation, .. } => Some(format!(
+            "maintenance: {} is drained, granting its permit",
+            operation.machine
+        )),
+        Entry::ReturnToService { operation, .. } => Some(format!(
+            "maintenance: {} serves load again",
+            operation.machine
+        )),
         Entry::KeepOut { operation, .. } => Some(format!(
-            "works: {} does not come back in time, kept out",
+            "maintenance: {} did not return to service in time, kept out",
             operation.machine
         )),
-        Entry::AutoPause { reason, .. } => Some(format!("works: held, {reason}")),
-        Entry::AutoResume { .. } => Some("works: goes on".into()),
+        Entry::AutoPause { reason, .. } => Some(format!("maintenance: paused, {reason}")),
+        Entry::AutoResume { .. } => Some("maintenance: resumed".into()),
         _ => None,
     }
 }
--- a/maintenance/src/coordinator/operations.rs
+++ b/maintenance/src/coordinator/operations.rs
@@ -62,7 +62,7 @@
         });
     }
 
-    /// A router counts as drained when its operator has drained it: the permit is the fleet's word that he may.
+    /// A router as a machine needs no proof: its operator drains it, and the permit says that this may begin.
     fn permit_entry(&self, key: &OperationKey, operation: &Operation) -> Option<Entry> {
         let is_drained = router_of(&key.machine).is_some()
             || self
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Whether a machine serves load. If no router has anything for it, discovery's word is all there is, after a
-    /// while. A router serves if it was heard lately.
+    /// Whether a machine serves load. If no router sends it anything, nothing but discovery shows it, and
+    /// that counts after a while. A router serves load if it was heard lately.
     fn serves_load(
         &self,
         machine: &String,
--- a/maintenance/src/coordinator/take_out.rs
+++ b/maintenance/src/coordinator/take_out.rs
@@ -54,8 +54,8 @@
         (!operations.is_empty()).then(|| self.take_out_entry(operations))
     }
 
-    /// Whether any machine may go out: no pause, all well for long enough, room under the total, and reports that name
-    /// all unhealthy machines.
+    /// Whether any machine may go out: no pause, nothing wrong for long enough, capacity under the total, and reports
+    /// that name all unhealthy machines.
     fn may_take_out(&self, now: Micros, reports: &[&RouterReport]) -> bool {
         let is_stable = self
             .healthy_since
--- a/maintenance/src/disruption_budget.rs
+++ b/maintenance/src/disruption_budget.rs
@@ -15,7 +15,7 @@
 pub use violation::Violation;
 
 /// The most machines out at a time, whatever the settings say: every router has to know all of them.
-pub const MAX_MACHINES_OUT: usize = 128;
+pub(crate) const MAX_MACHINES_OUT: usize = 128;
 
 /// The operators' settings. Shares are from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
