--- a/fleet_policy/src/ids.rs
+++ b/fleet_policy/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers of the fleet's agreement, each a type of its own.
+//! Identifiers and counters of the fleet's log, each a type of its own so that none is taken for another.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 pub use ternpick_consensus::ReplicaId;
 
-/// Numbers, each a type of its own: whoever uses it has `serde`.
+/// Defines counters and identifiers, each a type of its own around a `u64`. The package that uses it depends on `serde`.
 #[macro_export]
 macro_rules! numbers {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
@@ -26,19 +26,19 @@
 }
 
 numbers! {
-    /// A proposal's number and, once in force, the policy's version. Some are never in force; none is used twice.
+    /// A proposal's number and, once in force, the policy's version. Some never come into force; none is used twice.
     Version,
-    /// A try to have one proposal take hold; counted anew for each proposal.
+    /// Counts the barriers of one proposal, from 1.
     Round,
-    /// Counts every step after which leases given before are void.
+    /// Counts the steps after which every lease granted before is void.
     Epoch,
-    /// A place in the agreed log.
+    /// A place in the log.
     Index,
-    /// One process of a member, by chance; a restart is another.
+    /// One process of a member, drawn at random; a restart is another.
     Incarnation,
-    /// A request for a lease, counted by its process.
+    /// A lease request, counted by its process.
     Seq,
-    /// An operator's command, by chance: said again, it is still one.
+    /// An operator's command, drawn at random: the idempotency key of its retries.
     OperationId,
 }
 
--- a/fleet_policy/src/lease_config.rs
+++ b/fleet_policy/src/lease_config.rs
@@ -1,24 +1,32 @@
-//! The spans of time that leases rest on.
+//! The times that leases rest on. [`crate::Leader`] and [`crate::LeaseHolder`] read them; the router's settings set them.
+
+#[cfg(test)]
+mod tests;
 
 use serde::{Deserialize, Serialize};
 use ternpick::types::Micros;
 
-/// All spans by monotonic clocks; no clock is ever compared with another's.
+const MILLION: u64 = 1_000_000;
+/// A larger drift is taken as this one: the bounds below divide by what it leaves of a million.
+const MOST_DRIFT_PPM: u64 = 500_000;
+
+/// Times in microseconds, each by one router's monotonic clock; no clock is ever compared with another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseConfig {
-    /// How long a lease lasts at the router that has it, from the moment at which it was asked for.
+    /// How long a lease lasts at its holder, from the moment at which it was requested.
     pub lease: u64,
-    /// How often a router asks for its lease anew.
+    /// How often a router renews its lease.
     pub renew: u64,
-    /// How far a clock may run fast or slow, in millionths of the time. Beyond it nothing is promised.
+    /// How much faster or slower than real time a clock may run, in parts per million. Beyond it nothing is guaranteed.
     pub drift_ppm: u64,
-    /// How long lookups wait at admission while a change takes hold, before they are refused.
+    /// How long queries wait at admission during a barrier before they are rejected.
     pub hold: u64,
-    /// How long a change that takes hold waits for all to have stopped, before all go on as before.
+    /// How long a barrier waits for all to have stopped admitting before all resume.
     pub patience: u64,
-    /// Serve on under the last policy known, marked, where no lease is to be had: the rule is given up.
+    /// Where no lease can be had, admit queries under the last known policy and mark the answers. Gives up the rule that
+    /// no router admits under a version that another has left.
     pub serve_without: bool,
-    /// A change needs a second person's word.
+    /// A proposal needs a second person's confirmation.
     pub confirm: bool,
 }
 
@@ -37,44 +45,26 @@
 }
 
 impl LeaseConfig {
-    /// How long after a grant its lease has run out surely, by the granter's clock: its holder's may run slow by the
-    /// drift while the granter's runs fast by it.
+    fn drift(&self) -> u64 {
+        self.drift_ppm.min(MOST_DRIFT_PPM)
+    }
+
+    /// How long after a grant its lease has certainly expired, by the leader's clock: the holder's clock may run slow by
+    /// the drift while the leader's runs fast by it.
     pub fn certainly_expired_after(&self) -> Micros {
-        let (million, drift) = (1_000_000, self.drift_ppm.min(500_000));
-        Micros((self.lease * (million + drift)).div_ceil(million - drift) + 1)
+        let drift = self.drift();
+        Micros((self.lease * (MILLION + drift)).div_ceil(MILLION - drift) + 1)
     }
 
-    /// The least that this clock has counted while another, within the drift, counted so much.
+    /// The least that this clock has counted while another one, within the drift, counted `other` microseconds.
     pub fn by_slowest_clock(&self, other: u64) -> Micros {
-        let (million, drift) = (1_000_000, self.drift_ppm.min(500_000));
-        Micros(
-            (u128::from(other) * u128::from(million - drift) / u128::from(million + drift)) as u64,
-        )
+        let drift = self.drift();
+        let counted = u128::from(other) * u128::from(MILLION - drift) / u128::from(MILLION + drift);
+        Micros(counted as u64)
     }
 
-    /// A router that has been heard from so lately is there.
+    /// A router whose last request is more recent than this counts as reachable.
     pub fn contact_is_recent_for(&self) -> Micros {
         Micros((self.renew * 2).min(self.lease))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
-        #[test]
-        fn a_lease_is_over_by_every_pair_of_clocks_within_the_drift(
-            lease in 1000u64..100_000_000, drift in 0u64..200_000, slow in 0.0f64..=1.0, fast in 0.0f64..=1.0
-        ) {
-            let terms = LeaseConfig { lease, drift_ppm: drift, ..LeaseConfig::default() };
-            let d = drift as f64 / 1e6;
-            // The holder's clock counts `lease` while this much time really passes; the granter's counts more or less.
-            let really = lease as f64 / (1.0 - d * slow);
-            let counted = terms.certainly_expired_after().0 as f64 / (1.0 + d * fast);
-            prop_assert!(counted >= really - 0.001, "{counted} < {really}");
-        }
-    }
-}
--- /dev/null
+++ b/fleet_policy/src/lease_holder/admission.rs
@@ -0,0 +1,109 @@
+//! Whether a query may be admitted.
+
+use ternpick::types::Micros;
+
+use super::LeaseHolder;
+use crate::ids::Version;
+use crate::planted::InLeaseHolder;
+
+/// Whether a query may be admitted at this moment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// Under this version, with a lease.
+    Leased(Version),
+    /// Under this version without a lease, because the settings allow it: answers are marked.
+    Unguarded(Version),
+    /// A change is taking effect; ask again when something has changed, or at this time.
+    Wait(Micros),
+    /// Not now.
+    Rejected {
+        /// The reason.
+        why: RejectReason,
+        /// How long a client waits before it retries (Retry-After).
+        come_back: Micros,
+    },
+}
+
+/// Why a query is not admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RejectReason {
+    /// The router has just started and knows no policy.
+    PolicyUnknown,
+    /// Its lease has expired.
+    NoLease,
+    /// A barrier has been in progress for too long.
+    ChangeInProgress,
+    /// The policy in force cannot be used on this router.
+    PolicyDoesNotFit,
+    /// The router does not belong to the fleet.
+    NotMember,
+}
+
+impl RejectReason {
+    /// For the client and for operators.
+    pub fn description(self) -> &'static str {
+        match self {
+            RejectReason::PolicyUnknown => "this router has yet to learn the policy in force",
+            RejectReason::NoLease => {
+                "this router cannot reach the others, and admits nothing without them"
+            }
+            RejectReason::ChangeInProgress => "a change of policy takes hold",
+            RejectReason::PolicyDoesNotFit => "the policy in force does not fit this router",
+            RejectReason::NotMember => "this router does not belong to the fleet",
+        }
+    }
+}
+
+impl LeaseHolder {
+    /// To be called in the same turn in which the query is admitted, with the clock as it stands then: a process that was
+    /// stopped in between finds its lease expired.
+    pub fn admission(&self, now: Micros) -> Admission {
+        if self.not_a_member {
+            return self.reject(RejectReason::NotMember);
+        }
+        let Some(version) = self.version() else {
+            return self
+                .wait_while_paused(now)
+                .unwrap_or_else(|| self.reject(RejectReason::PolicyUnknown));
+        };
+        if self.unfit == Some(version) {
+            return self.reject(RejectReason::PolicyDoesNotFit);
+        }
+        if self.has_bug(InLeaseHolder::GoesOnInBarrier) {
+            if let Some(lease) = self.lease.filter(|lease| now < lease.until) {
+                return Admission::Leased(lease.version);
+            }
+        }
+        let is_leased = self.lease.is_some_and(|lease| self.is_valid(&lease, now));
+        if is_leased && !self.in_barrier() {
+            return Admission::Leased(version);
+        }
+        if let Some(wait) = self.wait_while_paused(now) {
+            return wait;
+        }
+        if self.config.serve_without {
+            return Admission::Unguarded(version);
+        }
+        if self.in_barrier() {
+            return self.reject(RejectReason::ChangeInProgress);
+        }
+        self.reject(RejectReason::NoLease)
+    }
+
+    fn reject(&self, why: RejectReason) -> Admission {
+        Admission::Rejected {
+            why,
+            come_back: Micros(self.config.renew),
+        }
+    }
+
+    /// A router that has paused only just now has queries wait a little before it rejects them.
+    fn wait_while_paused(&self, now: Micros) -> Option<Admission> {
+        let until = self.paused_since? + Micros(self.config.hold);
+        (now < until).then_some(Admission::Wait(until))
+    }
+
+    fn in_barrier(&self) -> bool {
+        self.paused_for().is_some() && !self.has_bug(InLeaseHolder::GoesOnInBarrier)
+    }
+}
--- a/fleet_policy/src/lib.rs
+++ b/fleet_policy/src/lib.rs
@@ -1,15 +1,23 @@
-//! The fleet's policy and how it takes hold, without I/O. A change is in force at all routers or at none, and no router
-//! decides under one that the others have left.
+//! The fleet's policy and how a change of it takes effect, without I/O. A change is in force at all routers or at none, and
+//! no router decides under a version that another has left.
 //!
-//! [`PolicyState`] is what was agreed, replayed from the log alone. [`LeaseHolder`] is a router's own part: the policy it knows and
-//! its lease; it alone says whether a lookup may be admitted ([`LeaseHolder::admission`]). [`Leader`] is kept by the router that
-//! leads: it gives leases and takes a proposal from step to step. [`FleetNode`] is one router's whole part, with its seat
-//! in the agreement: the one way in for a driver. A [`Record`] is a policy's text, read and checked.
+//! [`FleetNode`] is one router's part, the only entry point for a driver: `router` in the real program, the simulation in
+//! virtual time. It contains
 //!
-//! The rule: a lookup is decided under the policy in force when it was admitted; once one router has admitted under a
+//! - [`PolicyState`], the replicated state machine, derived from the log alone;
+//! - [`LeaseHolder`], this router's lease and its view of the policy: it alone says whether a query may be admitted
+//!   ([`LeaseHolder::admission`]);
+//! - [`Leader`], only while this router leads: grants leases and decides the next step of a proposal;
+//! - [`Extension`], a second state machine on the same log (maintenance).
+//!
+//! A [`Record`] is a policy's text, read and checked against what a platform allows.
+//!
+//! The rule: a query is decided under the policy in force when it was admitted; once one router has admitted under a
 //! version, none ever again admits under an earlier one. `docs/design/policy.md` says why it holds.
 
+mod command;
 mod effective_config;
+mod effects;
 mod extension;
 mod ids;
 mod leader;
@@ -21,33 +29,32 @@
 mod record;
 mod state_machine;
 
+#[cfg(any(test, feature = "planted"))]
+pub mod planted;
+#[cfg(not(any(test, feature = "planted")))]
+#[expect(unreachable_pub, reason = "public where a fault can be injected")]
+mod planted;
+
 #[cfg(test)]
-mod model;
+mod tests;
 
+pub use command::Command;
 pub use effective_config::{platform, put_in_force};
+pub use effects::{Effect, LoadedReplica, LogLevel, OperatorRequest, OperatorResponse};
 pub use extension::{Extension, MemberContact, NoExtension};
 pub use ids::{Epoch, Incarnation, Index, Member, OperationId, ReplicaId, Round, Seq, Version};
 pub use leader::{Leader, LeaderAction, MemberStatus};
 pub use lease_config::LeaseConfig;
 pub use lease_holder::{Admission, LeaseEffect, LeaseHolder, RejectReason};
 pub use messages::{
-    Command, LastLeaderContact, LeaseGrant, LeaseReply, LeaseRequest, PeerMessage, ProposalView,
-    View,
+    LastLeaderContact, LeaseGrant, LeaseReply, LeaseRequest, PeerMessage, ProposalView, View,
 };
-pub use node::{
-    raft_config, Effect, FleetNode, LoadedReplica, LogLevel, OperatorRequest, OperatorResponse,
-    TICK,
+pub use node::{raft_config, FleetNode, TICK};
+pub use record::{
+    CustomerTerms, Further, IndexTerms, Platform, PlatformIndex, Record, DEFINITIONS,
 };
-pub use record::{IndexTerms, Platform, PlatformIndex, Record, DEFINITIONS};
 pub use state_machine::{
     Entry, HistoryEntry, MemberInfo, Outcome, PendingProposal, PolicyDocument, PolicyState,
     ProposalStatus, Verdict, LONGEST_TEXT, LONGEST_WORDS, MOST_MEMBERS,
 };
 pub use ternpick_consensus::FleetId;
-
-/// Faults that tests plant and must find; never in a build that serves.
-#[cfg(any(test, feature = "planted"))]
-pub mod planted {
-    pub use crate::leader::InjectedBug as InLeader;
-    pub use crate::lease_holder::InjectedBug as InLeaseHolder;
-}
--- a/fleet_policy/src/messages.rs
+++ b/fleet_policy/src/messages.rs
@@ -1,252 +1,195 @@
-//! What a router and the one that leads say to each other about leases and policies.
+//! Messages between the routers of a fleet: lease requests and replies, consensus messages, forwarded commands.
+//!
+//! [`crate::FleetNode`] reads and writes them; the driver carries them. `postcard` encodes variants and fields by position:
+//! their order and number are fixed.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
+use crate::command::Command;
 use crate::ids::{Epoch, Incarnation, Index, Member, OperationId, ReplicaId, Round, Seq, Version};
-use crate::state_machine::{Entry, MemberInfo, Outcome, PolicyDocument, PolicyState, Verdict};
+use crate::state_machine::{MemberInfo, Outcome, PolicyDocument, PolicyState, Verdict};
 
-/// A router asks for its lease, and says where it stands. All that it says is its state, so that a later one makes an
-/// earlier one needless, and one that comes twice says nothing new.
+/// A router requests a lease and reports its state. The request is the whole report: a later one replaces an earlier one,
+/// and a duplicate changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
+    /// The router.
     pub member: Member,
+    /// Its process.
     pub incarnation: Incarnation,
+    /// Counts the requests of this process.
     pub seq: Seq,
-    /// How far it knows the register, and the members.
+    /// Up to where it knows the policy state.
     pub index: Index,
+    /// Up to where it knows the members.
     pub members_at: Index,
-    /// What it says of the proposal on its way.
+    /// Its verdict on the pending proposal.
     pub verdict: Option<(Version, Verdict)>,
-    /// It has stopped admitting for this round, and will not admit before it hears of the round's end.
+    /// It has stopped admitting for this barrier, and will not admit before it learns of the barrier's end.
     pub paused_for: Option<(Version, Round)>,
-    /// No other process of this member may still have a lease.
+    /// No other process of this member can still have a lease.
     pub is_only_process: bool,
-    /// It cannot use the policy in force: it wants no lease.
+    /// It cannot use the policy in force, this version: it wants no lease.
     pub unfit: Option<Version>,
-    /// Of one that votes.
+    /// Of a router with a voting replica.
     pub last_leader_contact: Option<LastLeaderContact>,
-    /// Of the further matter: what it goes by, and its word on it.
+    /// Up to where it acts on the extension's state.
     pub machines_out_at: Index,
+    /// Its report to the extension.
     pub extension_report: Vec<u8>,
 }
 
-/// A voter can no longer take the word of a leader of a term before `term`, and has last done so `ago` microseconds back.
+/// A voter can no longer accept messages of a leader of a term before `term`, and last did so `ago` microseconds before
+/// this was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LastLeaderContact {
+    /// The voter.
     pub replica: ReplicaId,
+    /// Its persisted term.
     pub term: u64,
+    /// In microseconds by its own clock.
     pub ago: u64,
 }
 
-/// A lease: this process may admit under this version, in this epoch, for the agreed span from when it asked.
+/// A lease: this process may admit queries under this version, in this epoch, for the configured time since it sent its
+/// request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
+    /// The process.
     pub incarnation: Incarnation,
+    /// The request that this answers.
     pub seq: Seq,
+    /// The epoch in which it is valid.
     pub epoch: Epoch,
+    /// The version in force.
     pub version: Version,
 }
 
-/// The proposal on its way, as routers need it.
+/// The pending proposal, as routers need it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ProposalView {
+    /// The policy.
     pub document: PolicyDocument,
+    /// A second person has yet to confirm it.
     pub unconfirmed: bool,
+    /// The latest barrier.
     pub round: Round,
-    /// It takes hold: nobody admits.
+    /// The barrier is in progress: no router admits.
     pub barrier: bool,
 }
 
-/// The register, as far as a router without a vote needs it. Its size does not depend on how far behind one is.
+/// The policy state, as far as a router without a replica needs it. Its size does not depend on how far behind the router
+/// is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
+    /// Where something in it last changed.
     pub index: Index,
+    /// Leases of an earlier epoch are void.
     pub epoch: Epoch,
+    /// The policy in force.
     pub in_force: PolicyDocument,
+    /// The pending proposal.
     pub proposal: Option<ProposalView>,
+    /// Where the members last changed.
     pub members_at: Index,
+    /// What a router has to know of the extension's state before it gets a lease.
     pub machines_out: Vec<u8>,
+    /// Where that last changed.
     pub machines_out_at: Index,
 }
 
 impl View {
-    pub fn of(register: &PolicyState) -> View {
-        let next = register.proposal.as_ref().map(|next| ProposalView {
+    /// The view of a policy state.
+    pub fn of(state: &PolicyState) -> View {
+        let proposal = state.proposal.as_ref().map(|next| ProposalView {
             document: next.document.clone(),
             unconfirmed: next.unconfirmed,
             round: next.round,
             barrier: next.barrier.is_some(),
         });
         View {
-            index: register.changed,
-            epoch: register.epoch,
-            in_force: register.in_force.clone(),
-            proposal: next,
-            members_at: register.members_at,
-            machines_out: register.machines_out.clone(),
-            machines_out_at: register.machines_out_at,
+            index: state.changed_at,
+            epoch: state.epoch,
+            in_force: state.in_force.clone(),
+            proposal,
+            members_at: state.members_at,
+            machines_out: state.machines_out.clone(),
+            machines_out_at: state.machines_out_at,
         }
     }
 }
 
-/// What the router that leads says to another.
+/// What the leader sends to a router, in answer to a request or because the policy state has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseReply {
-    /// Left out where the other knows it.
+    /// Left out where the router knows it.
     pub view: Option<View>,
+    /// Left out where the router knows them.
     pub members: Option<BTreeMap<Member, MemberInfo>>,
+    /// The lease, if it is granted.
     pub grant: Option<LeaseGrant>,
-    /// Who asked is no member of the fleet.
+    /// The router does not belong to the fleet.
     pub not_a_member: bool,
 }
 
-/// What routers of a fleet say to each other.
+/// A message between routers of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Between seats of the agreement.
+    /// Between replicas.
     Raft {
+        /// The sender.
         from: ReplicaId,
+        /// The recipient.
         to: ReplicaId,
+        /// The message, encoded by `ternpick-consensus`.
         word: Vec<u8>,
     },
+    /// To the leader.
     LeaseRequest(LeaseRequest),
+    /// From the leader.
     LeaseReply(LeaseReply),
-    /// Whoever is asked does not lead; perhaps this one does.
+    /// The sender does not lead; the leader, if it knows one.
     NotLeader(Option<Member>),
-    /// An operator's command, for whoever leads; said again until its outcome is heard.
+    /// An operator's command, to the leader; sent again until its outcome is received.
     Command {
+        /// Identifies the command across retries.
         op: OperationId,
+        /// The command.
         command: Command,
     },
+    /// The outcome of a command.
     CommandOutcome {
+        /// The command.
         op: OperationId,
+        /// Its outcome.
         outcome: Outcome,
     },
-    /// A part of something that is longer than goes at a time: the driver's matter, no council hears it.
+    /// A fragment of a message that is longer than one transport request carries: the driver reassembles it,
+    /// [`crate::FleetNode`] ignores it.
     Fragment {
+        /// The message.
         number: u64,
+        /// The position of this fragment, from 0.
         at: u16,
+        /// How many fragments there are.
         of: u16,
+        /// The content.
         bytes: Vec<u8>,
     },
-    /// A question of an operator's, and its answer (JSON).
+    /// An operator's question, to the leader.
     Inspect {
+        /// Identifies the question across retries.
         op: OperationId,
+        /// The question.
         what: String,
     },
+    /// The answer to a question.
     InspectionResult {
+        /// The question.
         op: OperationId,
+        /// The answer, as JSON.
         json: String,
     },
 }
-
-/// What an operator wants done.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Command {
-    Propose {
-        base: Option<u64>,
-        text: String,
-        author: String,
-        reason: String,
-    },
-    Confirm {
-        number: u64,
-        by: String,
-    },
-    Withdraw {
-        number: u64,
-        by: String,
-        reason: String,
-    },
-    Add {
-        member: String,
-        address: String,
-        zone: String,
-    },
-    Remove {
-        member: String,
-    },
-    /// A new seat, for one that has none or has lost its own.
-    Seat {
-        member: String,
-    },
-    Unseat {
-        member: String,
-    },
-    Transfer {
-        to: Member,
-    },
-    /// Of a further matter.
-    Extension {
-        entry: Vec<u8>,
-    },
-}
-
-impl Command {
-    /// The entry that it asks for; a transfer needs none.
-    pub fn entry(self, op: OperationId, confirm: bool) -> Option<Entry> {
-        let member = |name: String| Member(name);
-        Some(match self {
-            Command::Propose {
-                base,
-                text,
-                author,
-                reason,
-            } => {
-                let paper = PolicyDocument {
-                    number: Version(0),
-                    text,
-                    author,
-                    reason,
-                };
-                Entry::Propose {
-                    op,
-                    base: base.map(Version),
-                    paper,
-                    confirm,
-                }
-            }
-            Command::Confirm { number, by } => Entry::Confirm {
-                op,
-                number: Version(number),
-                by,
-            },
-            Command::Withdraw { number, by, reason } => Entry::Withdraw {
-                op,
-                number: Version(number),
-                by,
-                reason,
-            },
-            Command::Add {
-                member: name,
-                address,
-                zone,
-            } => Entry::Enter {
-                op,
-                member: member(name),
-                address,
-                zone,
-            },
-            Command::Remove { member: name } => Entry::Leave {
-                op,
-                member: member(name),
-            },
-            Command::Seat { member: name } => Entry::Seat {
-                op,
-                member: member(name),
-            },
-            Command::Unseat { member: name } => Entry::Unseat {
-                op,
-                member: member(name),
-            },
-            Command::Extension { entry } => Entry::Extension {
-                op: Some(op),
-                entry,
-            },
-            Command::Transfer { .. } => return None,
-        })
-    }
-}
--- /dev/null
+++ b/fleet_policy/src/record/limits.rs
@@ -0,0 +1,143 @@
+//! Checks a policy against what a platform's own settings allow.
+
+use super::{CustomerTerms, IndexTerms, Platform, PlatformIndex, Record};
+
+/// A setting of a policy that the platform does not allow.
+#[derive(Debug, thiserror::Error)]
+#[error("{path} {kind}")]
+pub(super) struct Violation {
+    /// The setting's path in the policy.
+    pub(super) path: String,
+    kind: ViolationKind,
+}
+
+/// What the policy sets, and what the platform allows.
+#[derive(Debug, thiserror::Error)]
+enum ViolationKind {
+    #[error("is no index here; there are {}", .known.join(", "))]
+    UnknownIndex { known: Vec<String> },
+    #[error("is {wanted}, the platform allows {least} to {most}")]
+    ThresholdOutOfRange { wanted: f64, least: f64, most: f64 },
+    #[error("is {wanted_ms} ms, after the soft deadline of {objective_ms} ms")]
+    DeadlineTooLate { wanted_ms: f64, objective_ms: f64 },
+    #[error("is {wanted}, the platform allows {most}")]
+    TooManyAttempts { wanted: u64, most: usize },
+    #[error("is true, the platform allows none")]
+    HedgingNotAllowed,
+    #[error("is no customer here")]
+    UnknownCustomer,
+    #[error("has {wanted} a second, the platform allows {most}")]
+    QuotaTooHigh { wanted: f64, most: f64 },
+    #[error("is {spare} and {share}, the platform allows {most_spare} and {most_share}")]
+    RetryBudgetTooLarge {
+        spare: f64,
+        share: f64,
+        most_spare: f64,
+        most_share: f64,
+    },
+    #[error("is set, and the platform counts no further calls")]
+    NoRetryBudget,
+}
+
+impl ViolationKind {
+    fn at(self, path: String) -> Violation {
+        Violation { path, kind: self }
+    }
+}
+
+impl Record {
+    /// Each setting that the platform does not allow.
+    pub(super) fn violations(&self, platform: &Platform) -> Vec<Violation> {
+        let mut all = Vec::new();
+        for (name, terms) in &self.indexes {
+            all.extend(index_violations(name, terms, platform));
+        }
+        for (name, terms) in &self.customers {
+            all.extend(customer_violation(name, terms, platform));
+        }
+        all.extend(self.retry_budget_violation(platform));
+        all
+    }
+
+    fn retry_budget_violation(&self, platform: &Platform) -> Option<Violation> {
+        let budget = self.further?;
+        let kind = match platform.further {
+            None => ViolationKind::NoRetryBudget,
+            Some((most_spare, most_share))
+                if budget.spare > most_spare || budget.share > most_share =>
+            {
+                ViolationKind::RetryBudgetTooLarge {
+                    spare: budget.spare,
+                    share: budget.share,
+                    most_spare,
+                    most_share,
+                }
+            }
+            Some(_) => return None,
+        };
+        Some(kind.at("further".to_owned()))
+    }
+}
+
+fn index_violations(name: &str, terms: &IndexTerms, platform: &Platform) -> Vec<Violation> {
+    let known = platform.indexes.iter().find(|index| index.name == name);
+    let Some(index) = known else {
+        let known = platform
+            .indexes
+            .iter()
+            .map(|index| index.name.clone())
+            .collect();
+        return vec![ViolationKind::UnknownIndex { known }.at(format!("indexes.{name}"))];
+    };
+    let found = [
+        ("least", threshold_violation(terms, index)),
+        ("partly_at", deadline_violation(terms, index)),
+        ("calls", attempts_violation(terms, platform)),
+        ("copies", hedging_violation(terms, platform)),
+    ];
+    found
+        .into_iter()
+        .filter_map(|(key, kind)| Some(kind?.at(format!("indexes.{name}.{key}"))))
+        .collect()
+}
+
+fn threshold_violation(terms: &IndexTerms, index: &PlatformIndex) -> Option<ViolationKind> {
+    let least = index.least.min(index.need);
+    let most = index.need;
+    let wanted = terms.least?;
+    (!(least..=most).contains(&wanted)).then_some(ViolationKind::ThresholdOutOfRange {
+        wanted,
+        least,
+        most,
+    })
+}
+
+fn deadline_violation(terms: &IndexTerms, index: &PlatformIndex) -> Option<ViolationKind> {
+    let wanted = terms.partly_at?;
+    (wanted > index.soft.0).then_some(ViolationKind::DeadlineTooLate {
+        wanted_ms: wanted as f64 / 1e3,
+        objective_ms: index.soft.0 as f64 / 1e3,
+    })
+}
+
+fn attempts_violation(terms: &IndexTerms, platform: &Platform) -> Option<ViolationKind> {
+    let wanted = terms.calls?;
+    let most = platform.calls?;
+    (wanted > most as u64).then_some(ViolationKind::TooManyAttempts { wanted, most })
+}
+
+fn hedging_violation(terms: &IndexTerms, platform: &Platform) -> Option<ViolationKind> {
+    (terms.copies == Some(true) && !platform.copies).then_some(ViolationKind::HedgingNotAllowed)
+}
+
+fn customer_violation(name: &str, terms: &CustomerTerms, platform: &Platform) -> Option<Violation> {
+    let kind = match platform.customers.get(name) {
+        None => ViolationKind::UnknownCustomer,
+        Some(most) if terms.per_second > *most => ViolationKind::QuotaTooHigh {
+            wanted: terms.per_second,
+            most: *most,
+        },
+        Some(_) => return None,
+    };
+    Some(kind.at(format!("customers.{name}")))
+}
--- /dev/null
+++ b/fleet_policy/src/tests/mod.rs
@@ -0,0 +1,3 @@
+//! Tests of several modules together, with access to what is private.
+
+mod model;
--- /dev/null
+++ b/fleet_policy/src/tests/model.rs
@@ -0,0 +1,276 @@
+//! All interleavings of one change at small size, with the real state machines: two routers, two that may lead, a log that
+//! is committed at once. Requests and replies are lost, duplicated and delayed; a router pauses for any time, or restarts;
+//! the leader changes while replies of the one before are still in flight. Time goes in steps of a tenth of a second, and
+//! may pass at any point.
+
+mod world;
+
+use stateright::{Checker, Model, Property};
+use ternpick::types::Micros;
+use test_case::test_case;
+
+use crate::planted::{InLeader, InLeaseHolder};
+use crate::*;
+use world::{Budget, World, START, STEP};
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+enum Fault {
+    Leader(InLeader),
+    LeaseHolder(InLeaseHolder),
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum Action {
+    /// One step of time passes.
+    Tick,
+    /// A router's messages are delayed from now on.
+    DelayMessages(usize),
+    /// Its messages are delayed no more; those that are come in any order.
+    EndDelay(usize),
+    Deliver(usize),
+    Lose(usize),
+    Duplicate(usize),
+    /// Confirmations of the leadership are delayed from now on.
+    DelayConfirmations,
+    /// A delayed confirmation comes.
+    DeliverConfirmation(usize),
+    /// Another one leads from now on; the one before does not know.
+    ChangeLeader,
+    /// An earlier leader learns that it no longer leads.
+    Depose(usize),
+    Restart(usize),
+}
+
+/// One change of the policy, and what may go wrong meanwhile.
+struct Change {
+    fault: Option<Fault>,
+    /// The step with which the proposal comes, and the last one.
+    proposed: u64,
+    until: u64,
+    budget: Budget,
+}
+
+impl Change {
+    fn lease_holder(&self, router: usize, incarnation: u64, now: u64) -> LeaseHolder {
+        let mut holder = world::lease_holder(router, incarnation, now);
+        holder.injected_bug = match self.fault {
+            Some(Fault::LeaseHolder(fault)) => Some(fault),
+            _ => None,
+        };
+        holder
+    }
+
+    fn leader(&self, now: u64, state: &PolicyState) -> Leader {
+        let mut leader = Leader::new(world::config(), Micros(now), state);
+        leader.injected_bug = match self.fault {
+            Some(Fault::Leader(fault)) => Some(fault),
+            _ => None,
+        };
+        leader
+    }
+}
+
+impl Model for Change {
+    type State = World;
+    type Action = Action;
+
+    fn init_states(&self) -> Vec<World> {
+        let state = world::bootstrap();
+        let leader = self.leader(0, &state);
+        let routers = vec![
+            self.lease_holder(0, 1, START),
+            self.lease_holder(1, 2, START),
+        ];
+        let mut world = World::new(leader, state, routers, self.budget.clone());
+        // Both have their leases when the proposal comes.
+        world.settle();
+        vec![world]
+    }
+
+    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
+        if world.now < START + self.until * STEP {
+            actions.push(Action::Tick);
+        }
+        for router in 0..world.routers.len() {
+            if world.is_delayed[router] {
+                actions.push(Action::EndDelay(router));
+            } else if world.budget.delays > 0 {
+                actions.push(Action::DelayMessages(router));
+            }
+            if world.budget.restarts > 0 {
+                actions.push(Action::Restart(router));
+            }
+        }
+        for message in 0..world.in_flight.len() {
+            actions.push(Action::Deliver(message));
+            actions.push(Action::Lose(message));
+            if world.budget.duplicates > 0 {
+                actions.push(Action::Duplicate(message));
+            }
+        }
+        if !world.delays_confirmations && world.budget.delays > 0 {
+            actions.push(Action::DelayConfirmations);
+        }
+        for (at, candidate) in world.leaders.iter().enumerate() {
+            if candidate.delayed_confirmation.is_some() {
+                actions.push(Action::DeliverConfirmation(at));
+            }
+            if at > 0 {
+                actions.push(Action::Depose(at));
+            }
+        }
+        if world.budget.leader_changes > 0 {
+            actions.push(Action::ChangeLeader);
+        }
+    }
+
+    fn next_state(&self, world: &World, action: Action) -> Option<World> {
+        let mut world = world.clone();
+        match action {
+            Action::Tick => world.tick(self.proposed),
+            Action::DelayMessages(router) => {
+                world.budget.delays -= 1;
+                world.is_delayed[router] = true;
+            }
+            Action::EndDelay(router) => world.is_delayed[router] = false,
+            Action::Deliver(message) => {
+                let message = world.in_flight.remove(message);
+                world.deliver(message);
+            }
+            Action::Lose(message) => {
+                world.in_flight.remove(message);
+            }
+            Action::Duplicate(message) => {
+                world.budget.duplicates -= 1;
+                let message = world.in_flight[message].clone();
+                world.deliver(message);
+            }
+            Action::DelayConfirmations => {
+                world.budget.delays -= 1;
+                world.delays_confirmations = true;
+            }
+            Action::DeliverConfirmation(at) => {
+                let number = world.leaders[at].delayed_confirmation.take()?;
+                world.with_leader(at, |leader, now, state| {
+                    leader.leadership_confirmed(now, state, number)
+                });
+            }
+            Action::ChangeLeader => {
+                let state = world.replay();
+                let leader = self.leader(world.now, &state);
+                world.change_leader(leader, state);
+            }
+            Action::Depose(at) => {
+                world.leaders.remove(at);
+            }
+            Action::Restart(router) => {
+                world.budget.restarts -= 1;
+                let incarnation = 10 + u64::from(world.budget.restarts);
+                world.routers[router] = self.lease_holder(router, incarnation, world.now);
+            }
+        }
+        world.settle();
+        Some(world)
+    }
+
+    fn properties(&self) -> Vec<Property<Self>> {
+        vec![
+            Property::always("no version after a later one", |_, world: &World| {
+                world.violation.is_none()
+            }),
+            Property::sometimes("the change is in force everywhere", |_, world: &World| {
+                let now = Micros(world.now);
+                world
+                    .routers
+                    .iter()
+                    .all(|holder| holder.admission(now) == Admission::Leased(Version(1)))
+            }),
+            Property::sometimes(
+                "it comes into force without a router that is silent",
+                |_, world: &World| {
+                    world.leaders[0].state.in_force.number == Version(1)
+                        && world
+                            .routers
+                            .iter()
+                            .any(|holder| holder.version() == Some(Version(0)))
+                },
+            ),
+        ]
+    }
+}
+
+fn change() -> Change {
+    Change {
+        fault: None,
+        proposed: 1,
+        until: 3,
+        budget: budget(),
+    }
+}
+
+fn budget() -> Budget {
+    Budget {
+        leader_changes: 1,
+        restarts: 0,
+        duplicates: 0,
+        delays: 1,
+    }
+}
+
+fn assert_rule_holds(change: Change) {
+    let checker = change.checker().threads(4).spawn_bfs().join();
+    println!("{} states", checker.unique_state_count());
+    checker.assert_properties();
+}
+
+/// An injected bug is found, in a world where without it the rule holds.
+fn assert_found(fault: Fault, change: Change) {
+    let change = Change {
+        fault: Some(fault),
+        ..change
+    };
+    let checker = change.checker().threads(4).spawn_bfs().join();
+    let found = checker.discovery("no version after a later one");
+    assert!(
+        found.is_some(),
+        "{fault:?} is not found in {} states",
+        checker.unique_state_count()
+    );
+}
+
+#[test]
+fn no_router_admits_under_a_version_that_another_has_left() {
+    assert_rule_holds(change());
+}
+
+#[test_case(Budget { leader_changes: 0, restarts: 1, ..budget() }; "where a router restarts")]
+#[test_case(Budget { leader_changes: 0, duplicates: 1, ..budget() }; "where a message is duplicated")]
+fn no_router_admits_under_a_version_that_another_has_left_also(budget: Budget) {
+    assert_rule_holds(Change { budget, ..change() });
+}
+
+#[test_case(Fault::Leader(InLeader::NoWait); "a change that takes effect without waiting")]
+#[test_case(Fault::Leader(InLeader::NoAsking); "leases granted without confirming the leadership")]
+#[test_case(Fault::Leader(InLeader::ForgetsOthers); "leases of the leader before not waited for")]
+#[test_case(Fault::LeaseHolder(InLeaseHolder::UsedBeyondEnd); "a lease used after its end")]
+#[test_case(Fault::LeaseHolder(InLeaseHolder::GoesOnInBarrier); "a router that reports a stop and goes on")]
+fn an_injected_bug_is_found(fault: Fault) {
+    assert_found(fault, change());
+}
+
+#[test]
+fn a_lease_that_counts_from_its_grant_is_found() {
+    let fault = Fault::LeaseHolder(InLeaseHolder::CountsFromGrant);
+    assert_found(
+        fault,
+        Change {
+            proposed: 2,
+            until: 4,
+            budget: Budget {
+                leader_changes: 0,
+                ..budget()
+            },
+            ..change()
+        },
+    );
+}
--- a/fleet_policy/tests/encoding.rs
+++ b/fleet_policy/tests/encoding.rs
@@ -63,85 +63,104 @@
     }
 }
 
-fn entries() -> Vec<Entry> {
-    let without: BTreeSet<Member> = BTreeSet::from(["c".into()]);
-    let one = (Version(1), Round(1));
-    let two = (Version(2), Round(1));
+fn propose(op: u64, base: Option<u64>, confirm: bool) -> Entry {
+    Entry::Propose {
+        op: OperationId(op),
+        base: base.map(Version),
+        document: document(0),
+        confirm,
+    }
+}
+
+fn confirm(op: u64, number: u64, by: &str) -> Entry {
+    Entry::Confirm {
+        op: OperationId(op),
+        number: Version(number),
+        by: by.into(),
+    }
+}
+
+fn withdraw(op: u64, number: u64, reason: &str) -> Entry {
+    Entry::Withdraw {
+        op: OperationId(op),
+        number: Version(number),
+        by: "ann".into(),
+        reason: reason.into(),
+    }
+}
+
+fn verdicts(number: u64, verdicts: &[(&str, Verdict)]) -> Entry {
+    Entry::Verdicts {
+        number: Version(number),
+        verdicts: verdicts
+            .iter()
+            .map(|(member, verdict)| (Member::from(*member), verdict.clone()))
+            .collect(),
+    }
+}
+
+fn begin_barrier(number: u64, round: u64) -> Entry {
+    Entry::BeginBarrier {
+        number: Version(number),
+        round: Round(round),
+        without: BTreeSet::from(["c".into()]),
+    }
+}
+
+fn add_member(op: u64, member: &str, address: &str, zone: &str) -> Entry {
+    Entry::AddMember {
+        op: OperationId(op),
+        member: member.into(),
+        address: address.into(),
+        zone: zone.into(),
+    }
+}
+
+fn remove_member(op: u64, member: &str) -> Entry {
+    Entry::RemoveMember {
+        op: OperationId(op),
+        member: member.into(),
+    }
+}
+
+fn assign_replica(op: u64, member: &str) -> Entry {
+    Entry::AssignReplica {
+        op: OperationId(op),
+        member: member.into(),
+    }
+}
+
+fn remove_replica(op: u64, member: &str) -> Entry {
+    Entry::RemoveReplica {
+        op: OperationId(op),
+        member: member.into(),
+    }
+}
+
+fn accepted_entries() -> Vec<Entry> {
+    let (number, round) = (Version(1), Round(1));
     vec![
-        Entry::Propose {
-            op: OperationId(1),
-            base: Some(Version(0)),
-            paper: document(0),
-            confirm: true,
-        },
-        Entry::Confirm {
-            op: OperationId(2),
-            number: one.0,
-            by: "bob".into(),
-        },
-        Entry::Verdicts {
-            number: one.0,
-            said: vec![("a".into(), Verdict::Fits), ("b".into(), Verdict::Fits)],
-        },
-        Entry::Begin {
-            number: one.0,
-            round: one.1,
-            without: without.clone(),
-        },
-        Entry::Resume {
-            number: one.0,
-            round: one.1,
-        },
-        Entry::Begin {
-            number: one.0,
-            round: Round(2),
-            without: without.clone(),
-        },
+        propose(1, Some(0), true),
+        confirm(2, 1, "bob"),
+        verdicts(1, &[("a", Verdict::Fits), ("b", Verdict::Fits)]),
+        begin_barrier(1, 1),
+        Entry::Resume { number, round },
+        begin_barrier(1, 2),
         Entry::InForce {
-            number: one.0,
+            number,
             round: Round(2),
         },
-        Entry::Propose {
-            op: OperationId(3),
-            base: None,
-            paper: document(0),
-            confirm: false,
-        },
-        Entry::Verdicts {
-            number: two.0,
-            said: vec![("a".into(), Verdict::Refused("too many calls".into()))],
-        },
-        Entry::Propose {
-            op: OperationId(4),
-            base: None,
-            paper: document(0),
-            confirm: false,
-        },
-        Entry::Withdraw {
-            op: OperationId(5),
-            number: Version(3),
-            by: "ann".into(),
-            reason: "a mistake".into(),
-        },
-        Entry::Enter {
-            op: OperationId(6),
-            member: "d".into(),
-            address: "127.0.0.1:4".into(),
-            zone: "west".into(),
-        },
-        Entry::Seat {
-            op: OperationId(7),
-            member: "d".into(),
-        },
-        Entry::Learnt { seat: ReplicaId(3) },
-        Entry::Unseat {
-            op: OperationId(8),
-            member: "b".into(),
-        },
-        Entry::Leave {
-            op: OperationId(9),
-            member: "b".into(),
-        },
+        propose(3, None, false),
+        verdicts(2, &[("a", Verdict::Refused("too many calls".into()))]),
+        propose(4, None, false),
+        withdraw(5, 3, "a mistake"),
+        add_member(6, "d", "127.0.0.1:4", "west"),
+        assign_replica(7, "d"),
+        Entry::PromoteLearner {
+            replica: ReplicaId(3),
+        },
+        remove_replica(8, "b"),
+        remove_member(9, "b"),
         Entry::Extension {
             op: Some(OperationId(10)),
             entry: vec![1, 2, 3],
@@ -150,123 +169,43 @@
             op: None,
             entry: vec![],
         },
-        // Each of these is refused, and its outcome is remembered in words.
-        Entry::Propose {
-            op: OperationId(11),
-            base: Some(Version(7)),
-            paper: document(0),
-            confirm: false,
-        },
-        Entry::Confirm {
-            op: OperationId(12),
-            number: Version(9),
-            by: "ann".into(),
-        },
-        Entry::Withdraw {
-            op: OperationId(13),
-            number: Version(1),
-            by: "ann".into(),
-            reason: String::new(),
-        },
-        Entry::Withdraw {
-            op: OperationId(14),
-            number: Version(2),
-            by: "ann".into(),
-            reason: String::new(),
-        },
-        Entry::Withdraw {
-            op: OperationId(15),
-            number: Version(3),
-            by: "ann".into(),
-            reason: String::new(),
-        },
-        Entry::Withdraw {
-            op: OperationId(16),
-            number: Version(99),
-            by: "ann".into(),
-            reason: String::new(),
-        },
-        Entry::Leave {
-            op: OperationId(17),
-            member: "a".into(),
-        },
-        Entry::Leave {
-            op: OperationId(18),
-            member: "z".into(),
-        },
-        Entry::Seat {
-            op: OperationId(19),
-            member: "z".into(),
-        },
-        Entry::Unseat {
-            op: OperationId(20),
-            member: "z".into(),
-        },
-        Entry::Unseat {
-            op: OperationId(21),
-            member: "d".into(),
-        },
-        Entry::Unseat {
-            op: OperationId(22),
-            member: "a".into(),
-        },
-        Entry::Enter {
-            op: OperationId(23),
-            member: "".into(),
-            address: String::new(),
-            zone: String::new(),
-        },
-        Entry::Propose {
-            op: OperationId(24),
-            base: None,
-            paper: PolicyDocument {
-                text: "x".repeat(9000),
-                ..document(0)
-            },
-            confirm: false,
-        },
-        Entry::Propose {
-            op: OperationId(25),
-            base: None,
-            paper: document(0),
-            confirm: true,
-        },
-        Entry::Confirm {
-            op: OperationId(26),
-            number: Version(4),
-            by: "ann".into(),
-        },
-        Entry::Propose {
-            op: OperationId(27),
-            base: None,
-            paper: document(0),
-            confirm: false,
-        },
-        Entry::Confirm {
-            op: OperationId(28),
-            number: Version(4),
-            by: "bob".into(),
-        },
-        Entry::Verdicts {
-            number: Version(4),
-            said: vec![("a".into(), Verdict::Fits), ("d".into(), Verdict::Fits)],
-        },
-        Entry::Begin {
-            number: Version(4),
-            round: Round(1),
-            without,
-        },
-        // No member changes while a change takes hold.
-        Entry::Leave {
-            op: OperationId(29),
-            member: "c".into(),
-        },
-        Entry::Enter {
-            op: OperationId(30),
-            member: "e".into(),
-            address: String::new(),
-            zone: String::new(),
-        },
+    ]
+}
+
+/// Each is refused, and its outcome is remembered in words; but for those that lead up to a refusal.
+fn refused_entries() -> Vec<Entry> {
+    let too_long = Entry::Propose {
+        op: OperationId(24),
+        base: None,
+        document: PolicyDocument {
+            text: "x".repeat(9000),
+            ..document(0)
+        },
+        confirm: false,
+    };
+    vec![
+        propose(11, Some(7), false),
+        confirm(12, 9, "ann"),
+        withdraw(13, 1, ""),
+        withdraw(14, 2, ""),
+        withdraw(15, 3, ""),
+        withdraw(16, 99, ""),
+        remove_member(17, "a"),
+        remove_member(18, "z"),
+        assign_replica(19, "z"),
+        remove_replica(20, "z"),
+        remove_replica(21, "d"),
+        remove_replica(22, "a"),
+        add_member(23, "", "", ""),
+        too_long,
+        propose(25, None, true),
+        confirm(26, 4, "ann"),
+        propose(27, None, false),
+        confirm(28, 4, "bob"),
+        verdicts(4, &[("a", Verdict::Fits), ("d", Verdict::Fits)]),
+        begin_barrier(4, 1),
+        remove_member(29, "c"),
+        add_member(30, "e", "", ""),
     ]
 }
 
@@ -314,8 +253,8 @@
             zone: "west".into(),
         },
         Command::Remove { member: "d".into() },
-        Command::Seat { member: "d".into() },
-        Command::Unseat { member: "d".into() },
+        Command::AssignReplica { member: "d".into() },
+        Command::RemoveReplica { member: "d".into() },
         Command::Transfer { to: "a".into() },
         Command::Extension { entry: vec![1] },
     ]
@@ -387,7 +326,8 @@
         ("c".into(), info("127.0.0.1:3", None, false)),
     ]));
     lines.postcard("bootstrap", &state);
-    for (at, entry) in entries().into_iter().enumerate() {
+    let entries = accepted_entries().into_iter().chain(refused_entries());
+    for (at, entry) in entries.enumerate() {
         lines.postcard(&format!("entry-{at}"), &entry);
         state.apply(Index(at as u64 + 2), entry);
         lines.postcard(&format!("state-{at}"), &state);
--- a/fleet_policy/tests/far_behind.rs
+++ b/fleet_policy/tests/far_behind.rs
@@ -1,6 +1,6 @@
-//! A router that was away for ten thousand entries learns all it needs from one answer of bounded size.
+//! A router that was away for ten thousand entries learns all it needs from one reply of bounded size.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use ternpick::types::Micros;
 use ternpick_fleet_policy::{
@@ -8,71 +8,82 @@
     PolicyDocument, PolicyState, Round, Verdict, Version, View,
 };
 
-#[test]
-fn ten_thousand_entries_behind_is_one_answer_away() {
-    let seated = MemberInfo {
+fn bootstrap() -> PolicyState {
+    let info = MemberInfo {
         address: "127.0.0.1:1".into(),
         zone: String::new(),
         replica: None,
         is_learner: false,
     };
-    let mut register = PolicyState::bootstrap(BTreeMap::from([("a".into(), seated)]));
-    let mut keeper = LeaseHolder::new(
+    PolicyState::bootstrap(BTreeMap::from([("a".into(), info)]))
+}
+
+fn reply(state: &PolicyState) -> LeaseReply {
+    LeaseReply {
+        view: Some(View::of(state)),
+        ..LeaseReply::default()
+    }
+}
+
+/// The entries of one change, from its proposal until it is in force.
+fn change(number: u64) -> [Entry; 4] {
+    let (op, number, round) = (OperationId(number), Version(number), Round(1));
+    [
+        Entry::Propose {
+            op,
+            base: None,
+            document: PolicyDocument {
+                text: "x".repeat(2000),
+                author: "ann".into(),
+                ..PolicyDocument::default()
+            },
+            confirm: false,
+        },
+        Entry::Verdicts {
+            number,
+            verdicts: vec![("a".into(), Verdict::Fits)],
+        },
+        Entry::BeginBarrier {
+            number,
+            round,
+            without: BTreeSet::new(),
+        },
+        Entry::InForce { number, round },
+    ]
+}
+
+#[test]
+fn ten_thousand_entries_behind_is_one_reply_away() {
+    let mut state = bootstrap();
+    let mut holder = LeaseHolder::new(
         LeaseConfig::default(),
         "a".into(),
         Incarnation(1),
         false,
         Micros(0),
     );
-    let told = |register: &PolicyState| LeaseReply {
-        view: Some(View::of(register)),
-        ..LeaseReply::default()
-    };
-    keeper.handle_reply(Micros(1), told(&register));
-    let (mut index, mut changes) = (1, 0);
+    holder.handle_reply(Micros(1), reply(&state));
+    let mut index = 1;
+    let mut changes = 0;
     while index < 10_000 {
         changes += 1;
-        let (number, round) = (Version(changes), Round(1));
-        let paper = PolicyDocument {
-            text: "x".repeat(2000),
-            author: "ann".into(),
-            ..PolicyDocument::default()
-        };
-        for entry in [
-            Entry::Propose {
-                op: OperationId(changes),
-                base: None,
-                paper,
-                confirm: false,
-            },
-            Entry::Verdicts {
-                number,
-                said: vec![("a".into(), Verdict::Fits)],
-            },
-            Entry::Begin {
-                number,
-                round,
-                without: Default::default(),
-            },
-            Entry::InForce { number, round },
-        ] {
+        for entry in change(changes) {
             index += 1;
-            register.apply(Index(index), entry);
+            state.apply(Index(index), entry);
         }
     }
-    let size = |of: &[u8]| of.len();
-    let view = postcard::to_stdvec(&View::of(&register)).expect("bytes");
-    let whole = postcard::to_stdvec(&register).expect("bytes");
+    let view = postcard::to_stdvec(&View::of(&state)).expect("bytes");
+    let whole = postcard::to_stdvec(&state).expect("bytes");
     assert!(
-        size(&view) < 4096 && size(&whole) < 16 * 1024,
+        view.len() < 4096 && whole.len() < 16 * 1024,
         "{} and {} bytes",
-        size(&view),
-        size(&whole)
+        view.len(),
+        whole.len()
     );
-    assert_eq!(keeper.version(), Some(Version(0)));
-    keeper.handle_reply(Micros(2), told(&register));
-    assert_eq!(keeper.version(), Some(Version(2500)));
+    assert_eq!(holder.version(), Some(Version(0)));
+    holder.handle_reply(Micros(2), reply(&state));
+    assert_eq!(holder.version(), Some(Version(2500)));
     // What it was told before says nothing new: it never goes back.
-    keeper.handle_reply(Micros(3), told(&PolicyState::bootstrap(BTreeMap::new())));
-    assert_eq!(keeper.version(), Some(Version(2500)));
+    holder.handle_reply(Micros(3), reply(&PolicyState::bootstrap(BTreeMap::new())));
+    assert_eq!(holder.version(), Some(Version(2500)));
 }
