--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,9 +5,15 @@
 //! what.
 
 pub mod actions;
+mod config;
+mod ids;
 pub mod io_errors;
+mod node;
+mod query;
+mod random;
 pub mod routing;
 pub mod shutdown;
 pub mod slow_start;
+mod time;
 pub mod types;
 pub mod watch_schedule;
--- /dev/null
+++ b/src/routing/admission/tests.rs
@@ -0,0 +1,95 @@
+//! Tests of `admission`.
+
+use test_case::test_case;
+
+use super::*;
+use crate::routing::test_support::*;
+use crate::types::*;
+
+#[test]
+fn a_query_that_would_be_late_is_rejected_at_once() {
+    let mut engine = engine_with(platform(), 1);
+    node(&mut engine, 1).latency_per_request = Some(200_000.0);
+    add_in_flight(&mut engine, 1, 4, ms(1));
+    let query = query(&engine, &[1.0], &[]);
+    add_query(&mut engine, query);
+    let mut recorder = Recorder::default();
+    engine.run_rules(&mut recorder);
+    assert!(matches!(recorder.0[..], [Action::Log, Action::Reject(_)]));
+}
+
+#[test_case(100, true; "a moment ago")]
+#[test_case(1500, false; "a while ago")]
+fn a_router_that_saw_all_nodes_fail_tries_again(later: u64, rejected: bool) {
+    let mut engine = engine_with(platform(), 2);
+    let mut recorder = Recorder::default();
+    let standing = IndexHealth {
+        failure_cost: engine.shortest_objective_us(),
+        updated_at: engine.now,
+        ..IndexHealth::default()
+    };
+    engine
+        .nodes
+        .values_mut()
+        .for_each(|n| n.index_health = vec![standing]);
+    engine.now += ms(later);
+    let query = query(&engine, &[1.0], &[]);
+    add_query(&mut engine, query);
+    engine.run_rules(&mut recorder);
+    assert_eq!(engine.queries.is_empty(), rejected);
+}
+
+#[test_case(5.0, None, true, 1.0; "the best gain")]
+#[test_case(1.0, None, true, 0.68; "less gain")]
+#[test_case(1.0, Some(0.08), true, 0.84; "less gain, and lateness is cheap")]
+#[test_case(1.0, Some(9.0), true, 0.68; "less gain, and lateness is dear")]
+#[test_case(5.0, None, false, 0.6; "beyond the customer's quota")]
+fn the_allowed_time_follows_the_gain(
+    gain: f64,
+    vain: Option<f64>,
+    within_share: bool,
+    allowed: f64,
+) {
+    let mut engine = engine_with(
+        PlatformConfig {
+            over_quota_weight: 0.0,
+            wasted_work_cost: vain,
+            ..platform()
+        },
+        0,
+    );
+    let row = IndexConfig {
+        has_queries: true,
+        ..engine.config.indexes[0].clone()
+    };
+    engine.config.indexes = vec![
+        IndexConfig {
+            priority_weight: gain,
+            ..row.clone()
+        },
+        IndexConfig {
+            priority_weight: 5.0,
+            ..row
+        },
+    ];
+    let query = query(&engine, &[1.0], &[]);
+    assert!((engine.allowed_time_share(&query, within_share) - allowed).abs() < 1e-9);
+}
+
+#[test]
+fn a_quota_is_used_up_and_comes_back() {
+    let mut engine = engine_with(
+        PlatformConfig {
+            quotas: vec![1.0],
+            ..platform()
+        },
+        0,
+    );
+    engine.quota_left = vec![QuotaLeft::default()];
+    let drawn: Vec<bool> = (0..3).map(|_| engine.draw_quota(CustomerNo(0))).collect();
+    engine.now += ms(1000);
+    assert_eq!(
+        (drawn, engine.draw_quota(CustomerNo(0))),
+        (vec![true, true, false], true)
+    );
+}
--- /dev/null
+++ b/src/routing/attempts/tests.rs
@@ -0,0 +1,51 @@
+//! Tests of `attempts`.
+
+use crate::routing::test_support::*;
+use crate::types::*;
+
+#[test]
+fn late_returns_and_unknown_clients_are_passed_over() {
+    let mut engine = engine_with(platform(), 1);
+    let mut recorder = Recorder::default();
+    add_in_flight(&mut engine, 1, 1, ms(5));
+    let now = engine.now;
+    let part = ShardRequestId(1000);
+    let node = NodeId(1);
+    engine.attempt_finished(
+        now,
+        part,
+        AttemptNo(0),
+        node,
+        ms(5),
+        AttemptOutcome::Satisfied,
+        &[80.0],
+        &mut recorder,
+    );
+    engine.client_left(now, QueryId(9), &mut recorder);
+    assert!(recorder.0.is_empty() && engine.nodes[&node].in_flight.is_empty());
+}
+
+#[test]
+fn a_return_finds_its_request_by_the_attempt() {
+    let mut engine = engine_with(platform(), 1);
+    let mut recorder = Recorder::default();
+    let query = query(&engine, &[0.5, 0.5], &[]);
+    add_query(&mut engine, query);
+    engine.run_rules(&mut recorder);
+    engine.attempt_finished(
+        engine.now,
+        ShardRequestId(2),
+        AttemptNo(0),
+        NodeId(1),
+        ms(5),
+        AttemptOutcome::Satisfied,
+        &[],
+        &mut recorder,
+    );
+    let came: Vec<bool> = engine.queries[&QueryId(1)]
+        .requests
+        .iter()
+        .map(|p| p.answered)
+        .collect();
+    assert_eq!(came, [false, true]);
+}
--- /dev/null
+++ b/src/routing/idle_connections/tests.rs
@@ -0,0 +1,57 @@
+//! Tests of `idle_connections`.
+
+use test_case::test_case;
+
+use crate::routing::test_support::*;
+use crate::types::*;
+
+// Idle connections may be dropped silently: attempts on such are lost, and the next go on new ones.
+#[test_case(0.14, true, 100, 0, true; "one more after many")]
+#[test_case(0.14, false, 100, 0, false; "it was not idle")]
+#[test_case(0.14, true, 1000, 0, false; "a node that is always so late")]
+#[test_case(0.0, true, 100, 0, false; "the first")]
+#[test_case(0.14, true, 100, 60_000, false; "long ago")]
+fn idle_connections_are_not_used_while_such_are_lost(
+    silent: f64,
+    rested: bool,
+    latency: u64,
+    later: u64,
+    closed: bool,
+) {
+    let mut engine = engine_with(platform(), 3);
+    let mut recorder = Recorder::default();
+    add_in_flight(&mut engine, 2, 1, ms(500));
+    let slow = node(&mut engine, 2);
+    slow.latency = Some(latency as f64 * 1000.0);
+    slow.attempt_on_idle_connection = slow.in_flight.keys().next().copied().filter(|_| rested);
+    node(&mut engine, 1).recent_sends.push_back(RecentSend {
+        at: ms(1000),
+        cost: 1.0,
+    });
+    engine.idle_loss_rate = silent;
+    engine.run_rules(&mut recorder);
+    node(&mut engine, 2).in_flight.clear();
+    engine.now += ms(later);
+    node(&mut engine, 1).latency_updated_at = ms(1000);
+    let query = Query {
+        requests: vec![ShardRequest {
+            id: ShardRequestId(1),
+            weight: 1.0,
+            ..ShardRequest::default()
+        }],
+        ..query(&engine, &[1.0], &[])
+    };
+    add_query(&mut engine, query);
+    engine.run_rules(&mut recorder);
+    engine.send_attempt(QueryId(1), 0, NodeId(1), &mut recorder);
+    let close = recorder
+        .0
+        .iter()
+        .position(|action| *action == Action::CloseIdle(NodeId(1)));
+    assert_eq!(close.is_some(), closed);
+    assert_eq!(
+        node(&mut engine, 1).attempt_on_idle_connection.is_some(),
+        !closed,
+        "a new connection has not been idle"
+    );
+}
--- /dev/null
+++ b/src/routing/outlier_detection/tests.rs
@@ -0,0 +1,121 @@
+//! Tests of `outlier_detection`.
+
+use test_case::test_case;
+
+use super::*;
+use crate::routing::test_support::*;
+use crate::types::*;
+
+#[test]
+fn a_hung_node_is_judged_by_what_is_in_flight() {
+    let mut engine = engine_with(platform(), 2);
+    node(&mut engine, 1).reported_load = Some(10.0);
+    add_in_flight(&mut engine, 1, 1, ms(800));
+    engine.run_rules(&mut Recorder::default());
+    assert!(engine.nodes[&NodeId(1)].suspected_for.is_some());
+    assert_eq!(placed_nodes(engine, 1), [2]);
+}
+
+#[test_case(300, false; "late, but not by the clock of a query")]
+#[test_case(400, true; "late")]
+fn a_node_is_an_outlier_only_where_its_latency_matters(latency: u64, doubted: bool) {
+    let mut engine = engine_with(PlatformConfig::default(), 0);
+    engine.statistics.median_latency = Some(100_000.0);
+    engine.config.indexes = vec![IndexConfig {
+        latency_objective: ms(1400),
+        ..IndexConfig::default()
+    }];
+    let late = Node {
+        latency: Some(latency as f64 * 1e3),
+        latency_updated_at: engine.now,
+        ..Node::default()
+    };
+    assert_eq!(engine.outlier_ratio(&late, IndexNo(0)).is_some(), doubted);
+}
+
+// A node that fails one index and serves the others, against one that is down.
+#[test_case(AttemptOutcome::NeverRan, true; "no connection")]
+#[test_case(AttemptOutcome::Broken, true; "connection broke")]
+#[test_case(AttemptOutcome::MayHaveRun, false; "error")]
+fn a_failure_counts_for_what_it_shows(ending: AttemptOutcome, others_too: bool) {
+    let mut engine = engine_with(platform(), 1);
+    engine.config.indexes.push(engine.config.indexes[0].clone());
+    engine.record_outcome(NodeId(1), IndexNo(1), ms(2), ending);
+    let fears = [0, 1].map(|at| engine.nodes[&NodeId(1)].health(IndexNo(at)).failure_rate);
+    assert_eq!(
+        fears,
+        [
+            if others_too { FAST_SMOOTHING } else { 0.0 },
+            FAST_SMOOTHING
+        ]
+    );
+}
+
+// Immediate errors against errors and time-outs that take as long as the soft deadline, and what must not run twice.
+#[test_case(AttemptOutcome::MayHaveRun, 2, RetrySemantics::Idempotent, false; "an immediate error")]
+#[test_case(AttemptOutcome::MayHaveRun, 1000, RetrySemantics::Idempotent, true; "a time-out")]
+#[test_case(AttemptOutcome::MayHaveRun, 2, RetrySemantics::OnceOnly, true; "an error that cannot be repeated")]
+#[test_case(AttemptOutcome::NeverRan, 2, RetrySemantics::Idempotent, true; "rejected at once")]
+fn a_node_that_fails_at_once_still_takes_its_part(
+    ending: AttemptOutcome,
+    lag: u64,
+    repeat: RetrySemantics,
+    doubted: bool,
+) {
+    let mut engine = engine_with(platform(), 2);
+    engine.config.indexes[0].retry_semantics = repeat;
+    engine.statistics.median_latency = Some(100_000.0);
+    (0..9).for_each(|_| engine.record_outcome(NodeId(1), IndexNo(0), ms(lag), ending));
+    assert_eq!(
+        engine
+            .outlier_ratio(&engine.nodes[&NodeId(1)], IndexNo(0))
+            .is_some(),
+        doubted
+    );
+}
+
+#[test]
+fn a_lost_answer_is_not_a_hung_node() {
+    let mut engine = engine_with(platform(), 1);
+    add_in_flight(&mut engine, 1, 1, ms(900));
+    engine.record_outcome(NodeId(1), IndexNo(0), ms(100), AttemptOutcome::Satisfied);
+    assert!(engine.expected_latency(&engine.nodes[&NodeId(1)], IndexNo(0)) < 110_000.0);
+}
+
+#[test]
+fn opinions_fade_without_answers() {
+    let mut engine = engine_with(platform(), 1);
+    node(&mut engine, 1).latency = Some(900_000.0);
+    engine.now += ms(5000);
+    assert!(engine.expected_latency(&engine.nodes[&NodeId(1)], IndexNo(0)) < 110_000.0);
+}
+
+#[test]
+fn predicted_latency_is_no_better_than_requests_in_flight_show() {
+    let mut engine = engine_with(platform(), 1);
+    add_in_flight(&mut engine, 1, 1, ms(900));
+    assert!(engine.predicted_latency(&engine.nodes[&NodeId(1)], IndexNo(0), 1.0) >= 900_000.0);
+}
+
+#[test]
+fn a_node_in_slow_start_is_predicted_slower_than_the_median() {
+    let mut engine = engine_with(platform(), 2);
+    let now = engine.now;
+    node(&mut engine, 1).started.at = now;
+    node(&mut engine, 2).latency_per_request = Some(50_000.0);
+    let engine = refreshed(engine);
+    let predicted = engine.predicted_latency(&engine.nodes[&NodeId(1)], IndexNo(0), 1.0);
+    assert_eq!(predicted, 50_000.0 / 0.25 * (1.0 + FREE_DEPTH));
+}
+
+#[test]
+fn the_end_of_a_suspicion_names_its_index() {
+    let mut engine = engine_with(platform(), 1);
+    engine.config.indexes.push(engine.config.indexes[0].clone());
+    node(&mut engine, 1).suspected_for = Some(IndexNo(1));
+    engine.monitored.insert(NodeId(1));
+    assert_eq!(
+        engine.suspicion_has_changed().map(|case| case.index),
+        Some(IndexNo(1))
+    );
+}
--- /dev/null
+++ b/src/routing/partial_response/tests.rs
@@ -0,0 +1,222 @@
+//! Tests of `partial_response`.
+
+use test_case::test_case;
+
+use crate::routing::test_support::*;
+use crate::types::*;
+
+#[test]
+fn a_query_ends_before_its_client_leaves() {
+    let mut engine = engine_with(platform(), 2);
+    let query = query(&engine, &[1.0], &[IN_FLIGHT]);
+    engine.now = Micros(query.deadline.0 - ms(15).0);
+    add_query(&mut engine, query);
+    let mut recorder = Recorder::default();
+    engine.run_rules(&mut recorder);
+    assert_eq!(
+        recorder.0,
+        [
+            Action::Reject(Micros(0)),
+            Action::Cancel(ShardRequestId(1), AttemptNo(0))
+        ]
+    );
+    assert!(engine.queries.is_empty());
+}
+
+#[test_case(RetrySemantics::Idempotent, MAY_HAVE_RUN, false, Action::Reject(Micros(0)); "idempotent")]
+#[test_case(RetrySemantics::OnceOnly, NEVER_RAN, false, Action::Reject(Micros(0)); "once only, never ran")]
+#[test_case(RetrySemantics::OnceOnly, MAY_HAVE_RUN, false, Action::Fail; "once only, may have run")]
+#[test_case(RetrySemantics::OnceOnly, NEVER_RAN, true, Action::Fail; "once only, its first phase ran")]
+#[test_case(RetrySemantics::Fingerprinted(ms(500)), IN_FLIGHT, false, Action::Fail; "fingerprinted, still in flight")]
+fn a_rejection_promises_that_nothing_ran(
+    repeat: RetrySemantics,
+    call: Option<AttemptOutcome>,
+    second: bool,
+    action: Action,
+) {
+    let mut engine = engine_with(
+        PlatformConfig {
+            cancellation: false,
+            ..platform()
+        },
+        1,
+    );
+    engine.config.indexes[0].retry_semantics = repeat;
+    let query = query(&engine, &[1.0], &[call]);
+    add_query(
+        &mut engine,
+        Query {
+            in_second_phase: second,
+            ..query
+        },
+    );
+    let mut recorder = Recorder::default();
+    engine.reject_or_fail(QueryId(1), ms(50), &mut recorder);
+    assert_eq!(recorder.0, [action]);
+}
+
+#[test]
+fn a_rejection_advises_no_longer_than_clients_heed() {
+    let mut engine = engine_with(
+        PlatformConfig {
+            max_retry_after: Some(ms(300)),
+            ..platform()
+        },
+        1,
+    );
+    let query = query(&engine, &[1.0], &[]);
+    add_query(&mut engine, query);
+    let mut recorder = Recorder::default();
+    engine.reject_or_fail(QueryId(1), ms(800), &mut recorder);
+    assert_eq!(recorder.0, [Action::Reject(ms(300))]);
+}
+
+#[test_case(1.0, 1.0, &[0.6, 0.4], Some(true); "all in")]
+#[test_case(0.9, 0.5, &[0.9], Some(true); "enough for complete")]
+#[test_case(1.0, 0.6, &[0.7], Some(false); "enough for partial")]
+#[test_case(1.0, 0.8, &[0.7], None; "too little")]
+fn answers_are_honest_at_the_soft_deadline(
+    need: f64,
+    least: f64,
+    weights: &[f64],
+    whole: Option<bool>,
+) {
+    let mut engine = engine_with(
+        PlatformConfig {
+            hedging: false,
+            ..platform()
+        },
+        1,
+    );
+    engine.config.indexes[0].required_weight = need;
+    engine.config.indexes[0].min_weight = least;
+    let rest = 1.0 - weights.iter().sum::<f64>();
+    let mut missing = query(&engine, &[rest], &[IN_FLIGHT]);
+    let mut query = query(&engine, weights, &[ANSWERED]);
+    if rest > 0.001 {
+        let out = missing.requests.remove(0);
+        query.requests.push(ShardRequest {
+            id: ShardRequestId(99),
+            ..out
+        });
+        query.expected_requests += 1;
+    }
+    engine.now = query.soft_deadline;
+    add_query(&mut engine, query);
+    let mut recorder = Recorder::default();
+    engine.run_rules(&mut recorder);
+    assert_eq!(recorder.0.first().copied(), whole.map(Action::Answer));
+}
+
+#[test_case(true, true)]
+#[test_case(false, false)]
+fn a_second_phase_is_complete_only_after_a_complete_first(first_whole: bool, whole: bool) {
+    let mut engine = engine_with(platform(), 1);
+    let query = query(&engine, &[1.0], &[ANSWERED]);
+    add_query(
+        &mut engine,
+        Query {
+            in_second_phase: true,
+            first_phase_complete: first_whole,
+            ..query
+        },
+    );
+    let mut recorder = Recorder::default();
+    engine.run_rules(&mut recorder);
+    assert_eq!(recorder.0, [Action::Answer(whole)]);
+}
+
+/// A first answer just before the soft deadline leaves the second phase no time: most of the gain came late.
+#[test_case(770, false; "there is time yet")]
+#[test_case(810, true; "the second phase needs the rest")]
+fn a_first_phase_leaves_the_second_its_time(later: u64, answered: bool) {
+    let mut engine = engine_with(platform(), 3);
+    engine.config.indexes[0].second_phase_size = 2;
+    engine.config.indexes[0].min_weight = 0.5;
+    let mut half = query(&engine, &[0.5, 0.5], &[IN_FLIGHT]);
+    half.requests[0].answered = true;
+    add_query(&mut engine, half);
+    engine.now += ms(later);
+    assert_eq!(engine.answer_is_due().is_some(), answered);
+}
+
+#[test]
+fn the_second_phase_expects_no_more_requests_than_were_answered() {
+    let mut engine = engine_with(platform(), 1);
+    engine.config.indexes[0].second_phase_size = 3;
+    let query = query(&engine, &[0.5, 0.5], &[ANSWERED]);
+    add_query(&mut engine, query);
+    engine.run_rules(&mut Recorder::default());
+    assert_eq!(
+        (
+            engine.queries[&QueryId(1)].expected_requests,
+            engine.queries[&QueryId(1)].in_second_phase
+        ),
+        (2, true)
+    );
+}
+
+// The minimum weight, exactly. The simulation found answers from 0.69996 where 0.7 was asked for.
+#[test_case(&[0.69996, 0.30004], false, 0.7; "a little less")]
+#[test_case(&[0.7, 0.3], true, 0.7; "as much")]
+#[test_case(&[0.1; 10], true, 0.8; "eight tenths, whose sum falls short")]
+fn no_answer_is_given_from_less_than_the_minimum_weight(
+    weights: &[f64],
+    answers: bool,
+    least: f64,
+) {
+    let mut engine = engine_with(platform(), 1);
+    engine.config.indexes[0].min_weight = least;
+    let mut query = query(&engine, weights, &[ANSWERED]);
+    query.soft_deadline = engine.now;
+    query.partial_response_at = engine.now;
+    for part in query
+        .requests
+        .iter_mut()
+        .skip((least * weights.len() as f64) as usize)
+    {
+        part.answered = false;
+        part.attempts[0].outcome = None;
+    }
+    add_query(&mut engine, query);
+    assert_eq!(
+        (
+            engine.answer_is_due().is_some(),
+            engine.query_cannot_complete().is_some()
+        ),
+        (answers, false)
+    );
+}
+
+#[test_case(None, 950, false; "as ever at the soft deadline")]
+#[test_case(Some(400), 350, false; "before its time")]
+#[test_case(Some(400), 400, true; "at its time")]
+#[test_case(Some(9000), 950, false; "never after the soft deadline")]
+fn a_partial_response_goes_when_the_policy_says(at: Option<u64>, later: u64, due: bool) {
+    let mut engine = engine_with(platform(), 2);
+    engine.config.indexes[0].min_weight = 0.5;
+    engine.config.indexes[0].partial_response_after = at.map(ms);
+    engine.config.indexes[0].latency_objective = ms(1000);
+    let now = engine.now;
+    let mut recorder = Recorder::default();
+    engine.query_received(
+        now,
+        QueryId(1),
+        WireQueryNo(1),
+        IndexNo(0),
+        CustomerNo(0),
+        2,
+        ms(3000),
+        false,
+        &mut recorder,
+    );
+    // Whatever is in force by now, it keeps what it was admitted under.
+    engine.config.indexes[0].partial_response_after = Some(ms(1));
+    let query = query(&engine, &[0.5, 0.5], &[IN_FLIGHT]);
+    let own = engine.queries.get_mut(&QueryId(1)).expect("in hand");
+    own.requests = query.requests;
+    own.placed = true;
+    own.requests[0].answered = true;
+    engine.now = now + ms(later);
+    assert_eq!(engine.answer_is_due().is_some(), due);
+}
--- /dev/null
+++ b/src/routing/retry/tests.rs
@@ -0,0 +1,246 @@
+//! Tests of `retry`.
+
+use test_case::test_case;
+
+use crate::routing::test_support::*;
+use crate::types::*;
+
+#[test_case(RetrySemantics::OnceOnly, &[MAY_HAVE_RUN], 0, false; "once only, may have run")]
+#[test_case(RetrySemantics::OnceOnly, &[IN_FLIGHT], 0, false; "once only, still in flight")]
+#[test_case(RetrySemantics::OnceOnly, &[NEVER_RAN], 0, true; "once only, never ran")]
+#[test_case(RetrySemantics::Fingerprinted(ms(500)), &[MAY_HAVE_RUN], 400, true; "fingerprinted, inside the window")]
+#[test_case(RetrySemantics::Fingerprinted(ms(500)), &[MAY_HAVE_RUN], 490, false; "fingerprinted, too near its end")]
+#[test_case(RetrySemantics::Fingerprinted(ms(500)), &[NEVER_RAN], 900, true; "fingerprinted, never ran")]
+#[test_case(RetrySemantics::Idempotent, &[MAY_HAVE_RUN], 900, true; "idempotent")]
+#[test_case(RetrySemantics::Idempotent, &[ANSWERED], 0, false; "satisfied")]
+#[test_case(RetrySemantics::Idempotent, &[MAY_HAVE_RUN, MAY_HAVE_RUN, MAY_HAVE_RUN], 0, false; "no attempts left")]
+#[test_case(RetrySemantics::Idempotent, &[MAY_HAVE_RUN], 2985, false; "no time left")]
+fn further_attempts_keep_the_rules(
+    repeat: RetrySemantics,
+    calls: &[Option<AttemptOutcome>],
+    later: u64,
+    may: bool,
+) {
+    let mut engine = engine_with(
+        PlatformConfig {
+            max_attempts: Some(3),
+            ..platform()
+        },
+        2,
+    );
+    engine.config.indexes[0].retry_semantics = repeat;
+    let query = query(&engine, &[1.0], calls);
+    engine.now += ms(later);
+    assert_eq!(engine.may_send(&query, &query.requests[0]), may);
+}
+
+// On sockets a repeat that waits for a connect would reach its node after the window.
+#[test_case(100, 370, true; "time for a connect")]
+#[test_case(100, 390, false; "the connect would end too near the window's end")]
+#[test_case(600, 0, false; "no connect fits the window")]
+fn a_fingerprinted_repeat_leaves_time_to_connect(dial: u64, later: u64, may: bool) {
+    let mut engine = engine_with(
+        PlatformConfig {
+            connect_timeout: ms(dial),
+            ..platform()
+        },
+        2,
+    );
+    engine.config.indexes[0].retry_semantics = RetrySemantics::Fingerprinted(ms(500));
+    let query = query(&engine, &[1.0], &[MAY_HAVE_RUN]);
+    engine.now += ms(later);
+    assert_eq!(engine.may_send(&query, &query.requests[0]), may);
+}
+
+#[test]
+fn no_request_is_hedged_where_hedging_is_off() {
+    let engine = engine_with(
+        PlatformConfig {
+            hedging: false,
+            ..platform()
+        },
+        2,
+    );
+    let query = query(&engine, &[1.0], &[IN_FLIGHT]);
+    assert!(!engine.may_send(&query, &query.requests[0]));
+}
+
+#[test_case(1.0, 0.0, 0, true; "a spare one")]
+#[test_case(1.0, 0.0, 1, false; "spare ones used up")]
+#[test_case(0.0, 0.5, 0, true; "a share of what was admitted")]
+#[test_case(0.0, 0.4, 0, false; "too small a share")]
+fn further_attempts_stay_within_the_budget(
+    extra_spare: f64,
+    extra_ratio: f64,
+    made: usize,
+    may: bool,
+) {
+    let budget = PlatformConfig {
+        retry_budget_min: extra_spare,
+        retry_budget_ratio: extra_ratio,
+        retry_budget_window: Some(ms(1000)),
+        ..platform()
+    };
+    let mut engine = engine_with(budget, 2);
+    engine.admitted = vec![engine.now; 2].into();
+    engine.extra_attempts = vec![engine.now; made].into();
+    assert_eq!(
+        engine.is_within_retry_budget(&query(&engine, &[1.0], &[])),
+        may
+    );
+}
+
+/// Requests whose canary failed are planned together, each within the budget as it stands before any is sent.
+#[test]
+fn further_attempts_that_are_planned_together_stay_within_the_budget() {
+    let spare = 2.0;
+    let window = Some(ms(5000));
+    let mut engine = engine_with(
+        PlatformConfig {
+            retry_budget_min: spare,
+            retry_budget_window: window,
+            ..platform()
+        },
+        3,
+    );
+    let mut failed = query(&engine, &[0.2; 5], &[NEVER_RAN]);
+    failed.placed = false;
+    add_query(&mut engine, failed);
+    let mut recorder = Recorder::default();
+    engine.run_rules(&mut recorder);
+    assert_eq!(
+        recorder
+            .0
+            .iter()
+            .filter(|action| matches!(action, Action::Send(..)))
+            .count(),
+        2
+    );
+}
+
+#[test]
+fn a_first_attempt_needs_no_budget() {
+    let engine = engine_with(
+        PlatformConfig {
+            retry_budget_window: Some(ms(1000)),
+            ..platform()
+        },
+        2,
+    );
+    let fresh = query(&engine, &[1.0], &[]);
+    let failed = query(&engine, &[1.0], &[MAY_HAVE_RUN]);
+    assert!(
+        engine.may_send(&fresh, &fresh.requests[0])
+            && !engine.may_send(&failed, &failed.requests[0])
+    );
+}
+
+#[test]
+fn the_budget_tables_are_emptied_by_age() {
+    let mut engine = engine_with(
+        PlatformConfig {
+            retry_budget_window: Some(ms(1000)),
+            ..platform()
+        },
+        0,
+    );
+    engine.extra_attempts = vec![Micros(0); 5].into();
+    engine.count_admitted();
+    assert!(engine.extra_attempts.is_empty());
+}
+
+#[test]
+fn a_failed_attempt_is_retried_elsewhere() {
+    let mut engine = engine_with(platform(), 2);
+    let query = query(&engine, &[1.0], &[MAY_HAVE_RUN]);
+    add_query(&mut engine, query);
+    let mut recorder = Recorder::default();
+    engine.run_rules(&mut recorder);
+    assert_eq!(recorder.0, [Action::Send(ShardRequestId(1), NodeId(2))]);
+}
+
+#[test_case(200, false; "not late")]
+#[test_case(450, true; "late")]
+fn a_late_request_is_hedged(age: u64, copied: bool) {
+    let mut engine = engine_with(platform(), 3);
+    let query = query(&engine, &[1.0], &[IN_FLIGHT]);
+    engine.now += ms(age);
+    add_query(&mut engine, query);
+    assert_eq!(engine.request_needs_hedge().is_some(), copied);
+}
+
+#[test]
+fn hedged_requests_do_not_add_to_an_overload() {
+    let mut engine = engine_with(platform(), 3);
+    let mut query = query(&engine, &[0.5, 0.5], &[IN_FLIGHT]);
+    query.requests[0].attempts.push(Attempt {
+        node: NodeId(2),
+        sent_at: engine.now,
+        outcome: IN_FLIGHT,
+    });
+    engine.now += ms(450);
+    add_query(&mut engine, query);
+    assert!(engine.request_needs_hedge().is_none());
+}
+
+/// A query of many requests has several late ones; without a budget, one at a time.
+#[test_case(Some(ms(5000)), 3; "under a budget, a tenth of what is in flight")]
+#[test_case(None, 1; "one at a time")]
+fn hedged_requests_are_few(extra_window: Option<Micros>, copies: usize) {
+    let budget = PlatformConfig {
+        retry_budget_min: 9.0,
+        retry_budget_window: extra_window,
+        ..platform()
+    };
+    let mut engine = engine_with(budget, 3);
+    let mut recorder = Recorder::default();
+    let mut late = query(&engine, &[0.04; 25], &[IN_FLIGHT]);
+    late.requests
+        .iter_mut()
+        .for_each(|part| part.attempts[0].sent_at = Micros(engine.now.0 - 450_000));
+    add_query(&mut engine, late);
+    engine.run_rules(&mut recorder);
+    let calls: Vec<ShardRequestId> = recorder
+        .0
+        .iter()
+        .filter_map(|action| match action {
+            Action::Send(part, _) => Some(*part),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(calls.len(), copies);
+}
+
+// A policy of the fleet: stricter than the platform, never looser, and for queries that are admitted under it.
+#[test_case(IndexConfig { max_attempts: Some(1), ..IndexConfig::default() }, false; "no attempt beyond the first")]
+#[test_case(IndexConfig { retry_budget: Some((0.0, 0.0)), ..IndexConfig::default() }, false; "no further attempts at all")]
+#[test_case(IndexConfig { retry_budget: Some((1.0, 0.0)), ..IndexConfig::default() }, true; "a spare one")]
+#[test_case(IndexConfig::default(), true; "says nothing")]
+fn a_policy_limits_further_attempts(row: IndexConfig, may: bool) {
+    let budget = PlatformConfig {
+        retry_budget_min: 5.0,
+        retry_budget_window: Some(ms(1000)),
+        ..platform()
+    };
+    let engine = engine_with(budget, 2);
+    let row = IndexConfig {
+        latency_objective: ms(1000),
+        required_weight: 1.0,
+        min_weight: 1.0,
+        ..row
+    };
+    let query = Query {
+        config: row,
+        ..query(&engine, &[1.0], &[NEVER_RAN])
+    };
+    assert_eq!(engine.may_send(&query, &query.requests[0]), may);
+}
+
+#[test_case(true, false; "no hedging")]
+#[test_case(false, true; "hedging")]
+fn a_policy_may_forbid_hedging(no_copies: bool, may: bool) {
+    let engine = engine_with(platform(), 2);
+    let mut query = query(&engine, &[1.0], &[IN_FLIGHT]);
+    query.config.hedging_disabled = no_copies;
+    assert_eq!(engine.may_send(&query, &query.requests[0]), may);
+}
--- /dev/null
+++ b/src/routing/slow_start/tests.rs
@@ -0,0 +1,156 @@
+//! Tests of `slow_start`.
+
+use nanorand::Rng;
+use test_case::test_case;
+
+use super::*;
+use crate::routing::test_support::*;
+use crate::types::*;
+
+// A core does ten parts of 100 ms a second; a quarter of twice that, less a tenth, is 4.5.
+
+#[test_case(1, 4, true; "within the allowance")]
+#[test_case(1, 5, false; "beyond it")]
+#[test_case(2, 3, false; "beyond one router's share of it")]
+fn a_cold_node_gets_its_allowance(routers: u32, parts: u32, room: bool) {
+    let mut engine = engine_with(
+        PlatformConfig {
+            router_count: routers.into(),
+            ..platform()
+        },
+        1,
+    );
+    let now = engine.now;
+    node(&mut engine, 1).started.at = now;
+    node(&mut engine, 1).recent_sends = (1..parts)
+        .map(|_| RecentSend { at: now, cost: 1.0 })
+        .collect();
+    assert_eq!(
+        engine.slow_start_allows(&engine.nodes[&NodeId(1)], 1.0),
+        room
+    );
+}
+
+#[test]
+fn a_warm_node_is_not_limited() {
+    let mut engine = engine_with(platform(), 1);
+    let now = engine.now;
+    node(&mut engine, 1).started.at = Micros(now.0 - ms(10_000).0 + 1);
+    engine.now += ms(1);
+    node(&mut engine, 1).recent_sends = (1..100)
+        .map(|_| RecentSend { at: now, cost: 1.0 })
+        .collect();
+    assert!(engine.slow_start_allows(&engine.nodes[&NodeId(1)], 1.0));
+}
+
+#[test]
+fn a_reported_rate_raises_the_allowance() {
+    let mut engine = engine_with(platform(), 2);
+    let now = engine.now;
+    node(&mut engine, 1).started.at = now;
+    node(&mut engine, 2).max_reported_rate = 20.0;
+    let engine = refreshed(engine);
+    assert!(engine.slow_start_allows(&engine.nodes[&NodeId(1)], 8.0));
+}
+
+#[test_case(0, false; "another router's turn")]
+#[test_case(2, true; "its turn")]
+fn many_routers_take_turns_at_a_cold_node(seconds: u64, room: bool) {
+    let mut engine = engine_with(
+        PlatformConfig {
+            router_count: 10.0,
+            ..platform()
+        },
+        1,
+    );
+    node(&mut engine, 1).started.at = engine.now;
+    node(&mut engine, 1).tie_breaker = u32::MAX / 2;
+    node(&mut engine, 1).notified_at = engine.now;
+    engine.now += ms(seconds * 1000);
+    assert_eq!(
+        engine.slow_start_allows(&engine.nodes[&NodeId(1)], 1.0),
+        room
+    );
+}
+
+/// What each of so many routers sends to one node that starts cold, as often as it may: routers hear of the start late, and
+/// all at once, or have themselves just started and know nothing of what they sent. Every window of the rule is counted.
+#[test_case(20, 1.5, false; "twenty, notified late")]
+#[test_case(30, 1.5, false; "thirty, notified late")]
+#[test_case(300, 1.5, false; "three hundred, notified late")]
+#[test_case(300, 0.0, false; "three hundred, notified at once")]
+#[test_case(3, 0.0, true; "three, restarted meanwhile")]
+#[test_case(20, 1.5, true; "twenty, restarted meanwhile")]
+#[test_case(300, 1.5, true; "three hundred, restarted meanwhile")]
+fn a_cold_node_bears_the_sum_of_what_all_routers_send(routers: usize, late: f64, restart: bool) {
+    let mut all = 0;
+    for seed in 0..40 {
+        let mut random = RandomSource::new(seed);
+        let mut of = || {
+            let mut engine = refreshed(engine_with(
+                PlatformConfig {
+                    router_count: routers as f64,
+                    ..platform()
+                },
+                1,
+            ));
+            node(&mut engine, 1).tie_breaker = random.0.generate();
+            engine
+        };
+        let mut engines: Vec<RoutingEngine> = (0..routers).map(|_| of()).collect();
+        let began = engines[0].now;
+        let told = began + ms((late * 1000.0) as u64);
+        let endpoint = Endpoint {
+            node: NodeId(1),
+            started_at: began,
+            ..Endpoint::default()
+        };
+        let mut sent: Vec<u64> = Vec::new();
+        for step in 0..400u64 {
+            let now = told + ms(step * 10);
+            for (at, engine) in engines.iter_mut().enumerate() {
+                if restart && step == 30 + at as u64 * 60 / routers as u64 {
+                    *engine = of();
+                    engine.first_list_at = None;
+                    engine.last_list_at = None;
+                }
+                if node(engine, 1).endpoint.started_at != began {
+                    let statistics = engine.statistics;
+                    engine.endpoints_changed(now, &[endpoint], true, &mut Recorder::default());
+                    // Other nodes, warm ones, have shown the pace.
+                    engine.statistics = statistics;
+                }
+                engine.now = now;
+                while engine.slow_start_allows(&engine.nodes[&NodeId(1)], 1.0) {
+                    node(engine, 1)
+                        .recent_sends
+                        .push_back(RecentSend { at: now, cost: 1.0 });
+                    sent.push(now.0);
+                }
+            }
+        }
+        let window = engines[0].config.overload_window.0;
+        for (at, first) in sent.iter().enumerate() {
+            let count = sent[at..]
+                .iter()
+                .take_while(|other| **other < first + window)
+                .count() as f64;
+            // What the node surely bears as the window begins: its cold share, and what it has gained by then.
+            let age = (first - began.0) as f64 / platform().slow_start_duration.0 as f64;
+            let warmth = platform().slow_start_initial_share
+                + (1.0 - platform().slow_start_initial_share) * age;
+            let bears = platform().overload_multiple * warmth * window as f64 / 1e6
+                * engines[0].statistics.warm_rate;
+            let most = bears + 2.0 * bears.sqrt() + 2.0;
+            assert!(
+                count <= most,
+                "seed {seed}: {count} in a window at {age:.2}, {bears:.1} are borne"
+            );
+        }
+        all += sent.len();
+    }
+    assert!(
+        all > 40 * 4 * 4,
+        "it is used: {all} parts in 40 times four seconds"
+    );
+}
--- /dev/null
+++ b/src/routing/snapshot/tests.rs
@@ -0,0 +1,176 @@
+//! Tests of `snapshot`.
+
+use test_case::test_case;
+
+use super::*;
+use crate::routing::test_support::*;
+use crate::types::*;
+
+#[test]
+fn a_snapshot_goes_over_to_another_clock_unchanged() {
+    let here = Micros(900_000_000);
+    let there = Micros(2_000_000_000);
+    let mut old = engine_with_started_nodes(here);
+    let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
+    node.latency = Some(4000.0);
+    node.latency_per_request = Some(1000.0);
+    node.latency_updated_at = Micros(here.0 - 7_000);
+    node.recent_sends.push_back(RecentSend {
+        at: Micros(here.0 - 50_000),
+        cost: 2.0,
+    });
+    node.index_health = vec![IndexHealth {
+        failure_rate: 0.5,
+        failure_cost: 10.0,
+        updated_at: Micros(here.0 - 3),
+        last_answer: Micros(here.0 - 9),
+    }];
+    let owed = InFlightAttempt {
+        sent_at: Micros(here.0 - 80),
+        z: 1.5,
+        depth_when_sent: 3.0,
+        ..InFlightAttempt::default()
+    };
+    node.in_flight
+        .insert((ShardRequestId(1), AttemptNo(0)), owed);
+    old.config.indexes = vec![Default::default()];
+    old.extra_attempts.push_back(Micros(here.0 - 1000));
+    old.queries_of_death.push_back(KnownQueryOfDeath {
+        until: here + Micros(5_000_000),
+        fingerprint: QueryFingerprint {
+            index: IndexNo(0),
+            customer: CustomerNo(0),
+            shards: vec![ShardNo(3)],
+        },
+    });
+    let beliefs = old.snapshot(here);
+    let mut new = engine_with_started_nodes(there);
+    new.config.indexes = vec![Default::default()];
+    assert_eq!(new.believe(there, &beliefs), 3);
+    assert_eq!(new.snapshot(there), beliefs);
+    assert_eq!(
+        new.nodes[&NodeId(2)].recent_sends[0],
+        RecentSend {
+            at: Micros(there.0 - 50_000),
+            cost: 2.0
+        }
+    );
+    assert_eq!(new.queries_of_death[0].until, there + Micros(5_000_000));
+}
+
+#[test_case(0, 2.0, 300_000.0; "as old as when it was reported")]
+#[test_case(900_000, 2.0, 300_000.0; "and no older later")]
+fn requests_in_flight_elsewhere_count_until_that_process_is_done(later: u64, z: f64, age: f64) {
+    let now = Micros(1_000_000_000);
+    let mut new = engine_with_started_nodes(now);
+    let out = vec![(0, 300_000, 2.0, 1.0), (0, 1, f64::NAN, 1.0)];
+    let nodes = vec![(
+        2,
+        NodeSnapshot {
+            started: 2,
+            out,
+            ..NodeSnapshot::default()
+        },
+    )];
+    new.believe(
+        now,
+        &EngineSnapshot {
+            nodes,
+            ..EngineSnapshot::default()
+        },
+    );
+    new.serve_share(1.0, true);
+    new.now = now + Micros(later);
+    let seen = |new: &RoutingEngine| {
+        let node = &new.nodes[&NodeId(2)];
+        (
+            node.in_flight_cost(),
+            new.expected_latency(node, IndexNo(0)),
+        )
+    };
+    assert_eq!(seen(&new), (z, age));
+    new.serve_whole();
+    assert_eq!(seen(&new), (0.0, 0.0));
+}
+
+/// The first seconds under a configuration with other indexes: a node that failed one is not suspected for another that has
+/// its number, one that warms up gets no allowance twice, and no share of the retry budget is spent twice.
+#[test_case(true, (Some(4000.0), Some(90.0), 1, 1, 1, 1); "the same settings")]
+#[test_case(false, (Some(4000.0), None, 0, 1, 1, 0); "other settings")]
+fn what_means_the_same_is_kept_under_other_settings(
+    same: bool,
+    kept: (Option<f64>, Option<f64>, usize, usize, usize, usize),
+) {
+    let now = Micros(900_000_000);
+    let mut old = engine_with_started_nodes(now);
+    old.config.indexes = vec![Default::default()];
+    let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
+    node.latency = Some(4000.0);
+    node.reported_load = Some(90.0);
+    node.index_health = vec![IndexHealth {
+        failure_rate: 1.0,
+        failure_cost: 1e6,
+        ..IndexHealth::default()
+    }];
+    node.recent_sends
+        .push_back(RecentSend { at: now, cost: 2.0 });
+    old.extra_attempts.push_back(now);
+    old.queries_of_death.push_back(KnownQueryOfDeath {
+        until: now + Micros(5_000_000),
+        fingerprint: QueryFingerprint {
+            index: IndexNo(0),
+            customer: CustomerNo(0),
+            shards: vec![ShardNo(3)],
+        },
+    });
+    let mut new = engine_with_started_nodes(now);
+    new.config.indexes = vec![Default::default()];
+    new.config.groups_per_shard = if same { 0 } else { 3 };
+    new.believe(now, &old.snapshot(now));
+    let node = &new.nodes[&NodeId(2)];
+    let counts = (
+        node.index_health.len(),
+        node.recent_sends.len(),
+        new.extra_attempts.len(),
+        new.queries_of_death.len(),
+    );
+    assert_eq!(
+        (
+            node.latency,
+            node.reported_load,
+            counts.0,
+            counts.1,
+            counts.2,
+            counts.3
+        ),
+        kept
+    );
+}
+
+#[test]
+fn another_start_another_node_and_invalid_figures_are_passed_over() {
+    let mut new = engine_with_started_nodes(Micros(1_000_000));
+    let belief = |started, latency| NodeSnapshot {
+        started,
+        latency: Some(latency),
+        ..NodeSnapshot::default()
+    };
+    let nodes = vec![
+        (1, belief(9, 1.0)),
+        (2, belief(2, f64::NAN)),
+        (3, belief(3, 70.0)),
+        (8, belief(8, 1.0)),
+    ];
+    assert_eq!(
+        new.believe(
+            Micros(1_000_000),
+            &EngineSnapshot {
+                nodes,
+                ..EngineSnapshot::default()
+            }
+        ),
+        2
+    );
+    let latencies: Vec<Option<f64>> = new.nodes.values().map(|node| node.latency).collect();
+    assert_eq!(latencies, [None, None, Some(70.0)]);
+}
