--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,12 +1,21 @@
-//! Plays the decision module on the bench's wire: frames on standard input, one reply frame each on standard output.
+//! Plays the decision module on the bench's wire: frames on standard input, one reply frame for each on standard
+//! output. It decides nothing. `deploy/balancer.toml` names it as the program that the bench runs.
 
+mod error;
+mod fields;
 mod frame;
 mod host;
+mod protocol;
+mod reply;
+mod reply_actions;
+mod request;
 
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
-fn run() -> Result<(), frame::BadFrame> {
+use error::AdapterError;
+
+fn run() -> Result<(), AdapterError> {
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut host = host::Host::default();
@@ -15,7 +24,7 @@
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
-            .map_err(|e| format!("cannot write a reply: {e}"))?;
+            .map_err(AdapterError::WriteReply)?;
     }
     Ok(())
 }
@@ -25,8 +34,8 @@
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("ternpick-adapter: {what}");
+        Err(error) => {
+            eprintln!("ternpick-adapter: {error}");
             ExitCode::FAILURE
         }
     }
