--- a/router/src/lifecycle/config.rs
+++ b/router/src/lifecycle/config.rs
@@ -91,32 +91,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use test_case::test_case;
-
-    const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","seed":"8c1f",
-        "limits":{"sockets":512,"memory_mb":32},"known":{},
-        "settings":{"classes":[{"name":"a","semantics":"idempotent"}],"extra":{"secondStep":[0]}}}"#;
-
-    #[test_case("", "", ""; "good")]
-    #[test_case("\"n3\"", "3", "'name' is missing"; "no name")]
-    #[test_case("127.0.0.1:9000", "here", "'listen' is not an address and port"; "no address")]
-    #[test_case("8c1f", "seed", "'seed' is not a hexadecimal number"; "no seed")]
-    #[test_case("{\"name\":\"a\",\"semantics\":\"idempotent\"}", "", "'settings': no classes, or one without a name"; "no classes")]
-    #[test_case("[0]", "[3]", "'settings': class a has a second step, which this protocol cannot ask for"; "a second step")]
-    fn says_in_one_line_what_is_wrong(from: &str, to: &str, wrong: &str) {
-        let read = parse(GOOD.replacen(from, to, 1).as_bytes());
-        assert_eq!(read.err().unwrap_or_default(), wrong);
-    }
-
-    #[test]
-    fn reads_what_it_is_given() {
-        let read = parse(GOOD.as_bytes()).expect("a good configuration");
-        assert_eq!(
-            (read.seed, read.sockets, read.memory >> 20),
-            (0x8c1f, 512, 32)
-        );
-        assert!(parse(b"not json").is_err_and(|what| what.starts_with("not JSON")));
-    }
-}
+mod tests;
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -13,7 +13,7 @@
 
 use crate::lifecycle::signals::{self, Told};
 use crate::router::Router;
-use crate::state::clients::State;
+use crate::state::clients::{State, StateCount};
 
 /// How often a parent looks whether its heir lives.
 const LOOK_AT_HEIR: Duration = Duration::from_millis(100);
@@ -39,23 +39,33 @@
 /// What is in hand and which connections are open, by state, each with the age of the oldest.
 fn what_is_out(router: &Router) -> String {
     let now = router.clock.now();
-    let aged = |(count, since): (usize, Option<Micros>), what: &str| {
+    let aged = |StateCount {
+                    count,
+                    oldest: since,
+                }: StateCount,
+                what: &str| {
         let age = since.map(|since| format!(" (oldest {} ms)", now.since(since).0 / 1000));
         format!("{count} {what}{}", age.unwrap_or_default())
     };
     let of = |state| router.clients.count(state);
     let desk = router.decisions.borrow();
     let ledger = &desk.effects.in_flight;
-    let lookups = aged((ledger.lookups(), ledger.oldest()), "lookups in hand");
+    let lookups = aged(
+        StateCount {
+            count: ledger.lookups(),
+            oldest: ledger.oldest_admission(),
+        },
+        "lookups in hand",
+    );
     let clients = [
         aged(of(State::New), "without a request yet"),
         aged(of(State::Partial), "with a part of one"),
         aged(of(State::Resting), "resting"),
-        format!("{} closing", of(State::Closing).0),
+        format!("{} closing", of(State::Closing).count),
     ];
     format!(
         "{lookups}, {} part calls out; {} clients: {}",
-        ledger.calls(),
+        ledger.attempts(),
         router.descriptors.clients(),
         clients.join(", ")
     )
--- a/router/src/state/budget.rs
+++ b/router/src/state/budget.rs
@@ -1,22 +1,26 @@
-//! The one count of bytes that peers make the router hold: heads, bodies, half frames, answers not yet read. A
-//! [`Share`] stands for one connection's and is given back when it is dropped.
+//! The one count of bytes that peers make the router hold: heads, bodies, partial frames, responses not yet read.
+//!
+//! Each connection reports what it holds through its [`Share`]. The listener compares the sum with the limit and closes the
+//! largest incomplete request above it. A hot restart moves the limit while two processes share a router's memory.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
+/// The bytes that all connections hold, and the limit on them.
 pub struct Budget {
     limit: Cell<usize>,
     used: Cell<usize>,
 }
 
+/// The bytes that one connection holds; given back when it is dropped.
 pub struct Share {
-    of: Rc<Budget>,
+    budget: Rc<Budget>,
     bytes: usize,
 }
 
 impl Budget {
-    /// Peers get half of the memory that there is: the rest is for the program, its books, and what reading a
-    /// message takes beside the message.
+    /// The budget of a process that may take up `memory` bytes. Peers get half of it: the rest is for the program, its own
+    /// tables, and what parsing a message takes beside the message.
     pub fn new(memory: usize) -> Rc<Self> {
         Rc::new(Budget {
             limit: Cell::new(memory / 2),
@@ -24,35 +28,40 @@
         })
     }
 
+    /// A share for a new connection, which holds nothing yet.
     pub fn share(self: &Rc<Self>) -> Share {
         Share {
-            of: Rc::clone(self),
+            budget: Rc::clone(self),
             bytes: 0,
         }
     }
 
+    /// The bytes that all connections together may hold.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
+    /// Replaces the limit.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
 
+    /// The bytes that all connections together hold.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
+    /// Whether more is held than the limit allows.
     pub fn is_over(&self) -> bool {
         self.used.get() > self.limit.get()
     }
 }
 
 impl Share {
-    /// Says how much is held now.
+    /// Replaces what this connection holds by `bytes`.
     pub fn set(&mut self, bytes: usize) {
-        let others = self.of.used.get().saturating_sub(self.bytes);
-        self.of.used.set(others + bytes);
+        let others = self.budget.used.get().saturating_sub(self.bytes);
+        self.budget.used.set(others + bytes);
         self.bytes = bytes;
     }
 }
@@ -64,21 +73,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_held_counts_until_it_is_given_back() {
-        let budget = Budget::new(200);
-        let (mut first, mut second) = (budget.share(), budget.share());
-        first.set(60);
-        second.set(40);
-        assert!(!budget.is_over());
-        second.set(41);
-        assert!(budget.is_over());
-        first.set(10);
-        assert!(!budget.is_over());
-        drop((first, second));
-        assert_eq!(budget.used.get(), 0);
-    }
-}
+mod tests;
--- a/router/src/state/clients.rs
+++ b/router/src/state/clients.rs
@@ -1,29 +1,38 @@
-//! Client connections without a whole request: when descriptors or memory run out one of them gives way, never a
-//! lookup that has been taken. And the place where a lookup's answer waits for the connection that asked.
+//! Connections of clients that may be closed when descriptors or memory run out, and the place where a query's response waits
+//! for the connection that sent it.
+//!
+//! Each connection registers while it has no complete request ([`Clients::wait`]) and listens for being closed. A query that
+//! has been admitted is never closed for want of resources. The listener decides when something has to be closed; a shutdown
+//! closes connections by state.
 
 use std::cell::{Cell, RefCell};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use event_listener::Event;
 use ternpick::types::Micros;
 
-/// An answer to a client: status, header lines, body.
+/// A response to a client: status, header lines, body.
 pub type Answer = (u16, String, String);
 
-/// Where a lookup's one answer waits for its client.
+/// Where a query's one response waits for its client.
 #[derive(Default)]
 pub struct Reply {
+    /// The response, from when it is known until the client's connection takes it.
     pub answer: RefCell<Option<Answer>>,
+    /// Notified once there is a response.
     pub ready: Event,
 }
 
 impl Reply {
+    /// Stores the response and wakes the client's connection.
     pub fn set(&self, status: u16, headers: String, body: String) {
         *self.answer.borrow_mut() = Some((status, headers, body));
         self.ready.notify(1);
     }
 
+    /// Waits for the response and takes it.
     pub async fn wait(&self) -> Answer {
         loop {
             let ready = self.ready.listen();
@@ -35,135 +44,162 @@
     }
 }
 
-/// What a client's connection without a request in hand stands at.
+/// The state of a client's connection that has no complete request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It rests behind an answer.
+    /// Kept alive after a response.
     Resting,
-    /// It is shut, and read to its end.
+    /// Shut for writing, and read to its end.
     Closing,
     /// It has brought no byte yet.
     New,
-    /// Its request is not whole.
+    /// Its request is incomplete.
     Partial,
 }
 
 impl State {
-    /// Nothing is owed on it: such give way first.
+    /// Whether nothing is owed on it: such connections are closed first.
     pub fn is_idle(self) -> bool {
         matches!(self, State::Resting | State::Closing)
     }
 }
 
-/// A connection that may give way: it stands idle, or its request is not whole.
+/// How many connections are in one state, and since when the first of them is.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct StateCount {
+    /// How many.
+    pub(crate) count: usize,
+    /// Since when the first of them is in that state; none if there is none.
+    pub(crate) oldest: Option<Micros>,
+}
+
+/// A connection that may be closed: it is idle, or its request is incomplete.
 struct Waiting {
     state: State,
     since: Micros,
+    /// What it holds of its request.
     bytes: usize,
-    told: Rc<Event>,
+    /// Notified when it is to close.
+    close: Rc<Event>,
 }
 
+/// All connections of clients that may be closed.
 #[derive(Default)]
 pub struct Clients {
-    next: Cell<u64>,
-    connections: Cell<u64>,
-    /// An entry goes when its request is whole, or its connection is closed or told to close.
+    next_key: Cell<u64>,
+    last_number: Cell<u64>,
+    /// An entry goes when its request is complete, or its connection is closed or asked to close.
     waiting: RefCell<BTreeMap<u64, Waiting>>,
 }
 
-/// A connection's place among those that may give way, given back when dropped.
+/// A connection's entry among those that may be closed; removed when it is dropped.
 pub struct Place {
-    of: Rc<Clients>,
+    clients: Rc<Clients>,
     key: u64,
+    /// Notified when the connection is to close.
     pub told: Rc<Event>,
 }
 
 impl Clients {
-    pub fn wait(self: &Rc<Self>, now: Micros, state: State) -> Place {
-        let key = self.next.replace(self.next.get() + 1);
-        let told = Rc::new(Event::new());
+    /// Registers a connection that has been in `state` since `since`.
+    pub fn wait(self: &Rc<Self>, since: Micros, state: State) -> Place {
+        let key = self.next_key.replace(self.next_key.get() + 1);
+        let close = Rc::new(Event::new());
         let waiting = Waiting {
             state,
-            since: now,
+            since,
             bytes: 0,
-            told: Rc::clone(&told),
+            close: Rc::clone(&close),
         };
         self.waiting.borrow_mut().insert(key, waiting);
         Place {
-            of: Rc::clone(self),
+            clients: Rc::clone(self),
             key,
-            told,
+            told: close,
         }
     }
 
-    /// A number of its own for each connection.
+    /// A number of its own for each connection, from 1.
     pub fn number(&self) -> u64 {
-        self.connections.replace(self.connections.get() + 1) + 1
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
+        number
     }
 
-    /// Has the one give way that is first by `order`; false if there is none.
-    fn give_way<T: Ord>(&self, order: impl Fn(&Waiting) -> Option<T>) -> bool {
+    /// Asks the connection to close whose rank is lowest, of those that have a rank; false if none has.
+    fn close_first<T: Ord>(&self, rank: impl Fn(&Waiting) -> Option<T>) -> bool {
         let mut waiting = self.waiting.borrow_mut();
-        let ordered = waiting
+        let ranked = waiting
             .iter()
-            .filter_map(|(key, of)| Some((order(of)?, *key)));
-        let first = ordered.min().and_then(|(_, key)| waiting.remove(&key));
-        first.map(|of| of.told.notify(1)).is_some()
+            .filter_map(|(key, connection)| Some((rank(connection)?, *key)));
+        let Some((_, key)) = ranked.min() else {
+            return false;
+        };
+        if let Some(connection) = waiting.remove(&key) {
+            connection.close.notify(1);
+        }
+        true
     }
 
-    /// For want of a descriptor: the connection idle longest, else the request that is longest in coming.
+    /// For want of a descriptor: closes the connection idle longest, else the request that has been arriving longest.
     pub fn close_longest(&self) -> bool {
-        self.give_way(|of| Some((!of.state.is_idle(), of.since)))
+        self.close_first(|connection| Some((!connection.state.is_idle(), connection.since)))
     }
 
-    /// For want of memory: the request not whole that holds the most.
+    /// For want of memory: closes the incomplete request that holds the most.
     pub fn close_largest(&self) -> bool {
-        self.give_way(|of| (of.bytes > 0).then_some(std::cmp::Reverse(of.bytes)))
+        self.close_first(|connection| (connection.bytes > 0).then_some(Reverse(connection.bytes)))
     }
 
-    /// Some clients ask once and keep their connection: those idle longest give way until no more than `most` are.
-    /// What clients may hold is bounded on their side too, and used up by such connections nobody else gets in.
+    /// Closes the connections idle longest until no more than `most` are idle. Some clients send one request and keep their
+    /// connection; what clients may hold is bounded on their side too, and used up by such connections nobody else gets in.
     pub fn keep_idle(&self, most: usize) {
         let idle = self
             .waiting
             .borrow()
             .values()
-            .filter(|of| of.state.is_idle())
+            .filter(|connection| connection.state.is_idle())
             .count();
         for _ in most..idle {
-            self.give_way(|of| of.state.is_idle().then_some(of.since));
+            self.close_first(|connection| connection.state.is_idle().then_some(connection.since));
         }
     }
-}
 
-impl Clients {
-    /// Tells those at a state to end that have been there since a time for which `wanted` holds.
+    /// Closes all connections in `state` for which `wanted` holds of the instant since which they are in it.
     pub fn end(&self, state: State, wanted: impl Fn(Micros) -> bool) {
-        let ends = |of: &Waiting| of.state == state && wanted(of.since);
-        while self.give_way(|of| ends(of).then_some(of.since)) {}
+        let rank = |connection: &Waiting| {
+            let ends = connection.state == state && wanted(connection.since);
+            ends.then_some(connection.since)
+        };
+        while self.close_first(rank) {}
     }
 
-    /// How many connections have no whole request and are owed no answer; a part of one is owed.
+    /// How many connections have no request and are owed no response; an incomplete request is owed one.
     pub fn waiting(&self) -> usize {
         self.waiting
             .borrow()
             .values()
-            .filter(|of| of.state != State::Partial)
+            .filter(|connection| connection.state != State::Partial)
             .count()
     }
 
-    /// How many connections stand at a state, and since when the first of them does.
-    pub fn count(&self, state: State) -> (usize, Option<Micros>) {
+    /// How many connections are in `state`, and since when the first of them is.
+    pub(crate) fn count(&self, state: State) -> StateCount {
         let waiting = self.waiting.borrow();
-        let of = waiting.values().filter(|of| of.state == state);
-        (of.clone().count(), of.map(|of| of.since).min())
+        let in_state = waiting
+            .values()
+            .filter(|connection| connection.state == state);
+        StateCount {
+            count: in_state.clone().count(),
+            oldest: in_state.map(|connection| connection.since).min(),
+        }
     }
 }
 
 impl Place {
-    /// Says how much it holds.
+    /// Notes how many bytes of its request the connection holds.
     pub fn holds(&self, bytes: usize) {
-        if let Some(waiting) = self.of.waiting.borrow_mut().get_mut(&self.key) {
+        if let Some(waiting) = self.clients.waiting.borrow_mut().get_mut(&self.key) {
             waiting.bytes = bytes;
         }
     }
@@ -171,67 +207,9 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.of.waiting.borrow_mut().remove(&self.key);
+        self.clients.waiting.borrow_mut().remove(&self.key);
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_idle_give_way_first_then_what_is_longest_in_coming() {
-        let clients = Rc::new(Clients::default());
-        let at = |at, state| clients.wait(Micros(at), state);
-        let places = [
-            at(1, State::Partial),
-            at(3, State::Resting),
-            at(2, State::Closing),
-            at(0, State::New),
-        ];
-        let mut told: Vec<_> = places.iter().map(|place| place.told.listen()).collect();
-        for first in [2, 1, 3, 0] {
-            assert!(clients.close_longest());
-            let heard = told.iter_mut().position(|told| {
-                let waker = futures_lite::future::poll_once(told);
-                futures_lite::future::block_on(waker).is_some()
-            });
-            assert_eq!(heard, Some(first));
-            told[first] = Rc::new(Event::new()).listen();
-        }
-        assert!(!clients.close_longest());
-    }
-
-    #[test]
-    fn only_so_many_stay_idle() {
-        let clients = Rc::new(Clients::default());
-        let _places = [5, 3, 4].map(|at| clients.wait(Micros(at), State::Resting));
-        let _whole = clients.wait(Micros(0), State::Partial);
-        clients.keep_idle(2);
-        let left: Vec<u64> = clients
-            .waiting
-            .borrow()
-            .values()
-            .map(|of| of.since.0)
-            .collect();
-        assert_eq!(left, [5, 4, 0]);
-    }
-
-    #[test]
-    fn the_largest_request_gives_way_and_no_lookup_in_hand() {
-        let clients = Rc::new(Clients::default());
-        let (small, large) = (
-            clients.wait(Micros(0), State::Partial),
-            clients.wait(Micros(1), State::Partial),
-        );
-        small.holds(10);
-        large.holds(20);
-        assert!(clients.close_largest());
-        assert!(
-            clients.waiting.borrow().contains_key(&small.key)
-                && clients.waiting.borrow().len() == 1
-        );
-        drop(small);
-        assert!(!clients.close_largest());
-    }
-}
+mod tests;
--- a/router/src/state/descriptors.rs
+++ b/router/src/state/descriptors.rs
@@ -1,76 +1,91 @@
 //! The one count of file descriptors. A [`Permit`] stands for one and is given back when it is dropped.
+//!
+//! The listener, the upstream writer and the fleet's transport take a permit before each connection. A hot restart moves the
+//! total while two processes share a router's descriptors.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-use event_listener::Event;
+use event_listener::{Event, EventListener};
 
-/// What the process holds beside its peers: the standard streams, the poller and its timer, the signals'
-/// pipe, the listener, discovery, and some to spare.
+/// Descriptors that the process holds beside those of its peers: the standard streams, the poller and its timer, the pipe of
+/// the signals, the listener, discovery, and some to spare.
 pub const OWN: usize = 32;
 
+/// The kind of peer that a descriptor is held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Peer {
+    /// Sends queries.
     Client,
+    /// Answers shard requests; also other routers of the fleet, and discovery.
     Node,
 }
 
-/// Clients may hold three quarters of what there is and nodes half, so neither can shut the other out.
+/// Descriptors held, by kind of peer. Clients may hold three quarters of the total and nodes half, so neither can shut the
+/// other out.
 pub struct Descriptors {
     total: Cell<usize>,
     clients: Cell<usize>,
     nodes: Cell<usize>,
     highest: Cell<usize>,
-    /// Told when one is given back.
+    /// Notified when one is given back.
     freed: Event,
 }
 
+/// The right to hold one descriptor.
 pub struct Permit {
-    of: Rc<Descriptors>,
+    descriptors: Rc<Descriptors>,
     peer: Peer,
 }
 
 impl Descriptors {
+    /// The descriptors of a process that may hold `limit`, its own included.
     pub fn new(limit: usize) -> Rc<Self> {
         let total = limit.saturating_sub(OWN).max(2);
-        let total = Cell::new(total);
-        let (clients, nodes, highest) = (Cell::new(0), Cell::new(0), Cell::new(0));
         Rc::new(Descriptors {
-            total,
-            clients,
-            nodes,
-            highest,
+            total: Cell::new(total),
+            clients: Cell::new(0),
+            nodes: Cell::new(0),
+            highest: Cell::new(0),
             freed: Event::new(),
         })
     }
 
-    /// How many a kind of peer holds, and how many it may.
-    fn of(&self, peer: Peer) -> (&Cell<usize>, usize) {
+    fn held_by(&self, peer: Peer) -> &Cell<usize> {
         match peer {
-            Peer::Client => (&self.clients, self.total.get() * 3 / 4),
-            Peer::Node => (&self.nodes, self.total.get() / 2),
+            Peer::Client => &self.clients,
+            Peer::Node => &self.nodes,
         }
     }
 
+    fn limit_of(&self, peer: Peer) -> usize {
+        match peer {
+            Peer::Client => self.total.get() * 3 / 4,
+            Peer::Node => self.total.get() / 2,
+        }
+    }
+
+    /// A permit for one more descriptor, or nothing if this kind of peer, or all together, hold what they may.
     pub fn take(self: &Rc<Self>, peer: Peer) -> Option<Permit> {
-        let (used, most) = self.of(peer);
-        let all = self.clients.get() + self.nodes.get();
-        if used.get() >= most || all >= self.total.get() {
+        let held_by_kind = self.held_by(peer);
+        let held = self.held();
+        if held_by_kind.get() >= self.limit_of(peer) || held >= self.total.get() {
             return None;
         }
-        used.set(used.get() + 1);
-        self.highest.set(self.highest.get().max(all + 1));
+        held_by_kind.set(held_by_kind.get() + 1);
+        self.highest.set(self.highest.get().max(held + 1));
         Some(Permit {
-            of: Rc::clone(self),
+            descriptors: Rc::clone(self),
             peer,
         })
     }
 
-    /// All that peers may hold, and another number for it: two processes share a router's while one gives way.
+    /// The descriptors that all peers together may hold.
     pub fn total(&self) -> usize {
         self.total.get()
     }
 
+    /// Replaces the total: two processes share a router's descriptors while one of them leaves.
     pub fn set_total(&self, total: usize) {
         self.total.set(total.max(2));
         self.freed.notify(usize::MAX);
@@ -86,43 +101,30 @@
         self.highest.get()
     }
 
-    /// Idle connections of clients that are kept: clients may hold a third of all descriptors for their requests,
-    /// so this leaves most of that to those that ask.
+    /// Idle connections of clients that are kept open: clients may hold a third of all descriptors for their requests, so this
+    /// leaves most of that to those that send some.
     pub fn kept_idle(&self) -> usize {
         self.total.get() / 8
     }
 
+    /// What clients hold now.
     pub fn clients(&self) -> usize {
         self.clients.get()
     }
 
-    pub fn freed(&self) -> event_listener::EventListener {
+    /// Resolves once a descriptor has been given back or the total has changed.
+    pub fn freed(&self) -> EventListener {
         self.freed.listen()
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let (used, _) = self.of.of(self.peer);
-        used.set(used.get().saturating_sub(1));
-        self.of.freed.notify(usize::MAX);
+        let held = self.descriptors.held_by(self.peer);
+        held.set(held.get().saturating_sub(1));
+        self.descriptors.freed.notify(usize::MAX);
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn neither_kind_of_peer_shuts_the_other_out() {
-        let of = Descriptors::new(OWN + 16);
-        let all = |peer| -> Vec<Permit> { std::iter::from_fn(|| of.take(peer)).collect() };
-        let (clients, nodes) = (all(Peer::Client), all(Peer::Node));
-        assert_eq!((clients.len(), nodes.len(), of.highest()), (12, 4, 16));
-        drop(clients);
-        assert_eq!(
-            (of.clients(), all(Peer::Node).len(), all(Peer::Client).len()),
-            (0, 4, 8)
-        );
-    }
-}
+mod tests;
--- a/router/src/state/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -1,38 +1,50 @@
-//! The ledger of lookups in hand and of part calls out. A lookup's record goes with its one final answer, a
-//! call's with its one return; nothing else takes them off.
+//! Queries in flight, their shard requests, and the attempts that are out for them.
+//!
+//! Admission adds a query, dispatch adds attempts, the upstream writer notes where an attempt is. A query's record goes with
+//! its one final response ([`InFlightTable::close`]) and an attempt's with its one return ([`InFlightTable::finish`]); nothing
+//! else removes them, so the table is bounded by what is admitted.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-use crate::fleet::Mark;
 use ternpick::types::{AttemptNo, CustomerNo, Micros, NodeId, QueryId, ShardNo, ShardRequestId};
 
+use crate::fleet::Mark;
 use crate::state::clients::Reply;
-use crate::state::nodes::ConnectionId;
+pub use crate::state::ids::CallKey;
+use crate::state::ids::ConnectionId;
 
-/// A part of a lookup, and its value once it is in.
-pub struct HeldPart {
+/// One shard's part of a query, and its value once a node has answered it.
+pub struct InFlightShardRequest {
+    /// Its number in the decision module.
     pub id: ShardRequestId,
+    /// The shard that is asked.
     pub shard: ShardNo,
+    /// Attempts made so far.
     pub calls: u8,
-    /// Connections that have carried a call of it: an answer is known by its connection and the part's id.
+    /// Connections that have carried an attempt of it. A response names the shard request alone, so no connection may carry
+    /// two attempts of one.
     pub carried: Vec<ConnectionId>,
+    /// The first answer's value.
     pub value: Option<Box<str>>,
 }
 
-/// On whose account a lookup was taken, and when.
+/// On whose account a query was admitted, and when.
 pub struct Taken {
-    /// Counted among this tenant's lookups; none where tenants are not told apart.
+    /// The tenant that it counts for; none where tenants are not told apart.
     pub tenant: Option<CustomerNo>,
+    /// When it was admitted.
     pub at: Micros,
+    /// Its soft deadline.
     pub soft: Micros,
     /// The policy that it is decided under; none where the fleet agrees on none.
     pub mark: Option<Mark>,
-    /// Follows the lookup through the stages.
+    /// Follows the query through the stages.
     pub span: tracing::Span,
 }
 
 impl Default for Taken {
+    /// A query of nobody, at the epoch, without a soft deadline.
     fn default() -> Self {
         Taken {
             tenant: None,
@@ -44,86 +56,114 @@
     }
 }
 
-pub struct Held {
+/// A query that has been admitted and has no final response yet.
+pub struct InFlightQuery {
+    /// On whose account, and when.
     pub taken: Taken,
     /// The client's id of the request.
     pub name: Rc<str>,
+    /// What nodes are asked.
     pub statement: Rc<str>,
+    /// The idempotency key.
     pub key: Option<Rc<str>>,
-    pub parts: Vec<HeldPart>,
+    /// Its shard requests, in the order in which they are answered.
+    pub parts: Vec<InFlightShardRequest>,
+    /// Where the client's connection waits for the response.
     pub reply: Rc<Reply>,
 }
 
-/// How far a call has come.
+/// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// Wanted by the module, not yet given to a connection.
+    /// Wanted by the decision module, not yet given to a connection.
     Ordered,
     /// Waits for its connection to come up or to have room.
     Waiting(ConnectionId),
-    /// In the connection's buffer; gone out once so many bytes of the connection have.
+    /// In the connection's buffer; sent once the connection has written this many bytes.
     Queued(ConnectionId, u64),
 }
 
+/// One attempt of a shard request, from the decision to make it until its outcome is known.
 pub struct CallOut {
+    /// The query that it is made for.
     pub lookup: QueryId,
+    /// Position of its shard request in [`InFlightQuery::parts`].
     pub at: usize,
+    /// The node that is asked.
     pub node: NodeId,
-    /// The part's id as nodes are told it.
+    /// The shard request's id on the wire.
     pub id: Rc<str>,
+    /// When the decision module wanted it.
     pub sent: Micros,
     /// When its time is up.
     pub due: Micros,
-    /// When it is looked at: first to see that it has gone out, then as `due`.
-    look: Micros,
+    /// When it is examined next: first to see whether it has been sent, then at `due`.
+    next_check: Micros,
+    /// How far it has come.
     pub place: Place,
 }
 
-pub type CallKey = (ShardRequestId, AttemptNo);
+/// Where a shard request is: its query, and its position there.
+#[derive(Clone, Copy)]
+struct ShardRequestLocation {
+    query: QueryId,
+    position: usize,
+}
+
+/// When an attempt is to be examined; ordered by time.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledCheck {
+    at: Micros,
+    attempt: CallKey,
+}
 
+/// All queries in flight and all attempts out.
 #[derive(Default)]
 pub struct InFlightTable {
-    next: u64,
-    lookups: HashMap<QueryId, Held>,
-    names: HashSet<Rc<str>>,
-    /// Which lookup a part belongs to; goes with the lookup.
-    parts: HashMap<ShardRequestId, (QueryId, usize)>,
-    /// How many of them have their value.
+    last_number: u64,
+    queries: HashMap<QueryId, InFlightQuery>,
+    /// Clients' ids of the requests in flight.
+    request_ids: HashSet<Rc<str>>,
+    /// Goes with the query.
+    shard_requests: HashMap<ShardRequestId, ShardRequestLocation>,
+    /// How many shard requests have their value.
     answered: usize,
-    calls: BTreeMap<CallKey, CallOut>,
-    due: BTreeSet<(Micros, CallKey)>,
+    attempts: BTreeMap<CallKey, CallOut>,
+    checks: BTreeSet<ScheduledCheck>,
 }
 
 impl InFlightTable {
-    /// Lookups and parts in hand; a part that is in is over.
+    /// Queries and unanswered shard requests, which the limit on what is in flight counts.
     pub fn held(&self) -> usize {
-        self.lookups.len() + self.parts.len() - self.answered
+        self.queries.len() + self.shard_requests.len() - self.answered
     }
 
+    /// Queries in flight.
     pub fn lookups(&self) -> usize {
-        self.lookups.len()
+        self.queries.len()
     }
 
-    /// When the lookup in hand longest was taken.
-    pub fn oldest(&self) -> Option<Micros> {
-        self.lookups.values().map(|held| held.taken.at).min()
+    /// When the query longest in flight was admitted.
+    pub(crate) fn oldest_admission(&self) -> Option<Micros> {
+        self.queries.values().map(|query| query.taken.at).min()
     }
 
-    /// Part calls out.
-    pub fn calls(&self) -> usize {
-        self.calls.len()
+    /// Attempts out.
+    pub(crate) fn attempts(&self) -> usize {
+        self.attempts.len()
     }
 
+    /// Whether a request with this id of the client is in flight.
     pub fn knows(&self, name: &str) -> bool {
-        self.names.contains(name)
+        self.request_ids.contains(name)
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// Writes a lookup in, and tells its id and its parts' ids, in the order of `shards`.
+    /// Adds a query; returns its id and the ids of its shard requests, in the order of `shards`.
     pub fn open(
         &mut self,
         name: &str,
@@ -133,22 +173,15 @@
         reply: Rc<Reply>,
         taken: Taken,
     ) -> (QueryId, Vec<ShardRequestId>) {
-        let (lookup, name) = (QueryId(self.number()), Rc::<str>::from(name));
-        let mut parts = Vec::new();
-        for (at, shard) in shards.enumerate() {
-            let id = ShardRequestId(self.number());
-            self.parts.insert(id, (lookup, at));
-            parts.push(HeldPart {
-                id,
-                shard,
-                calls: 0,
-                carried: Vec::new(),
-                value: None,
-            });
-        }
+        let query = QueryId(self.next_number());
+        let parts: Vec<InFlightShardRequest> = shards
+            .enumerate()
+            .map(|(position, shard)| self.add_shard_request(query, position, shard))
+            .collect();
         let ids = parts.iter().map(|part| part.id).collect();
-        self.names.insert(Rc::clone(&name));
-        let held = Held {
+        let name = Rc::<str>::from(name);
+        self.request_ids.insert(Rc::clone(&name));
+        let in_flight = InFlightQuery {
             taken,
             name,
             statement: statement.into(),
@@ -156,26 +189,46 @@
             parts,
             reply,
         };
-        self.lookups.insert(lookup, held);
-        (lookup, ids)
+        self.queries.insert(query, in_flight);
+        (query, ids)
     }
 
-    pub fn lookup(&self, id: QueryId) -> Option<&Held> {
-        self.lookups.get(&id)
+    fn add_shard_request(
+        &mut self,
+        query: QueryId,
+        position: usize,
+        shard: ShardNo,
+    ) -> InFlightShardRequest {
+        let id = ShardRequestId(self.next_number());
+        let location = ShardRequestLocation { query, position };
+        self.shard_requests.insert(id, location);
+        InFlightShardRequest {
+            id,
+            shard,
+            calls: 0,
+            carried: Vec::new(),
+            value: None,
+        }
     }
 
-    /// The one place where a lookup is taken off.
-    pub fn close(&mut self, id: QueryId) -> Option<Held> {
-        let held = self.lookups.remove(&id)?;
-        self.names.remove(&held.name);
-        for part in &held.parts {
-            self.parts.remove(&part.id);
+    /// The query with this id, while it is in flight.
+    pub fn lookup(&self, id: QueryId) -> Option<&InFlightQuery> {
+        self.queries.get(&id)
+    }
+
+    /// Removes a query with its shard requests; the one place that does.
+    pub fn close(&mut self, id: QueryId) -> Option<InFlightQuery> {
+        let query = self.queries.remove(&id)?;
+        self.request_ids.remove(&query.name);
+        for part in &query.parts {
+            self.shard_requests.remove(&part.id);
             self.answered -= usize::from(part.value.is_some());
         }
-        Some(held)
+        Some(query)
     }
 
-    /// Writes a call in that the module wants made; none if the part is not in hand.
+    /// Adds an attempt that the decision module wants made, with `limit` from `now` to its end. Where the connection may have
+    /// to be dialled, the attempt is examined after `dial` already. Nothing if the shard request is not in flight.
     pub fn order(
         &mut self,
         part: ShardRequestId,
@@ -184,103 +237,115 @@
         limit: Micros,
         dial: Option<Micros>,
     ) -> Option<CallKey> {
-        let (lookup, at) = *self.parts.get(&part)?;
-        let held = self.lookups.get_mut(&lookup)?;
-        let of = &mut held.parts[at];
-        let key = (part, AttemptNo(of.calls));
-        of.calls = of.calls.checked_add(1)?;
-        let (id, due) = (format!("{}.{}", held.name, of.shard.0).into(), now + limit);
-        let look = dial.map_or(due, |dial| due.min(now + dial));
-        self.calls.insert(
-            key,
-            CallOut {
-                lookup,
-                at,
-                node,
-                id,
-                sent: now,
-                due,
-                look,
-                place: Place::Ordered,
-            },
-        );
-        self.due.insert((look, key));
+        let ShardRequestLocation { query, position } = *self.shard_requests.get(&part)?;
+        let in_flight = self.queries.get_mut(&query)?;
+        let shard_request = &mut in_flight.parts[position];
+        let key = (part, AttemptNo(shard_request.calls));
+        shard_request.calls = shard_request.calls.checked_add(1)?;
+        let due = now + limit;
+        let next_check = dial.map_or(due, |dial| due.min(now + dial));
+        let attempt = CallOut {
+            lookup: query,
+            at: position,
+            node,
+            id: format!("{}.{}", in_flight.name, shard_request.shard.0).into(),
+            sent: now,
+            due,
+            next_check,
+            place: Place::Ordered,
+        };
+        self.attempts.insert(key, attempt);
+        self.checks.insert(ScheduledCheck {
+            at: next_check,
+            attempt: key,
+        });
         Some(key)
     }
 
+    /// The attempt with this key, while it is out.
     pub fn call(&self, key: CallKey) -> Option<&CallOut> {
-        self.calls.get(&key)
+        self.attempts.get(&key)
     }
 
-    pub fn part(&self, call: &CallOut) -> Option<(&Held, &HeldPart)> {
-        let held = self.lookups.get(&call.lookup)?;
-        Some((held, held.parts.get(call.at)?))
+    /// The query and the shard request that an attempt is made for, while they are in flight.
+    pub fn part(&self, call: &CallOut) -> Option<(&InFlightQuery, &InFlightShardRequest)> {
+        let query = self.queries.get(&call.lookup)?;
+        Some((query, query.parts.get(call.at)?))
     }
 
-    /// Whether a connection has carried a call of the same part.
+    /// Whether a connection has carried an attempt of the same shard request.
     pub fn carried(&self, key: CallKey, connection: ConnectionId) -> bool {
-        let part = self.calls.get(&key).and_then(|call| self.part(call));
+        let attempt = self.attempts.get(&key);
+        let part = attempt.and_then(|attempt| self.part(attempt));
         part.is_some_and(|(_, part)| part.carried.contains(&connection))
     }
 
-    /// Says that a call has been given to a connection, and where it stands there.
+    /// Notes that an attempt has been given to a connection, and how far it has come there.
     pub fn place(&mut self, key: CallKey, place: Place) {
-        let Some(call) = self.calls.get_mut(&key) else {
+        let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
-        call.place = place;
+        attempt.place = place;
         let (Place::Waiting(connection) | Place::Queued(connection, _)) = place else {
             return;
         };
-        let held = self.lookups.get_mut(&call.lookup);
-        if let Some(part) = held.and_then(|held| held.parts.get_mut(call.at)) {
+        let query = self.queries.get_mut(&attempt.lookup);
+        if let Some(part) = query.and_then(|query| query.parts.get_mut(attempt.at)) {
             if !part.carried.contains(&connection) {
                 part.carried.push(connection);
             }
         }
     }
 
-    /// The one place where a call is taken off.
+    /// Removes an attempt; the one place that does.
     pub fn finish(&mut self, key: CallKey) -> Option<CallOut> {
-        let call = self.calls.remove(&key)?;
-        self.due.remove(&(call.look, key));
-        Some(call)
+        let attempt = self.attempts.remove(&key)?;
+        self.checks.remove(&ScheduledCheck {
+            at: attempt.next_check,
+            attempt: key,
+        });
+        Some(attempt)
     }
 
-    /// Looks at a call again when its time is up.
+    /// Examines an attempt again when its time is up.
     pub fn look_when_due(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get_mut(&key) else {
+        let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
-        self.due.remove(&(call.look, key));
-        call.look = call.due;
-        self.due.insert((call.look, key));
+        self.checks.remove(&ScheduledCheck {
+            at: attempt.next_check,
+            attempt: key,
+        });
+        attempt.next_check = attempt.due;
+        self.checks.insert(ScheduledCheck {
+            at: attempt.due,
+            attempt: key,
+        });
     }
 
-    /// Keeps a part's value as a node gave it; a part counts once.
+    /// Stores a shard request's value as a node gave it; only the first one counts.
     pub fn keep(&mut self, call: &CallOut, value: &str) {
-        let held = self.lookups.get_mut(&call.lookup);
-        if let Some(part) = held.and_then(|held| held.parts.get_mut(call.at)) {
+        let query = self.queries.get_mut(&call.lookup);
+        if let Some(part) = query.and_then(|query| query.parts.get_mut(call.at)) {
             self.answered += usize::from(part.value.is_none());
             part.value.get_or_insert_with(|| value.into());
         }
     }
 
-    /// When the next call is to be looked at.
+    /// When the next attempt is to be examined.
     pub fn next_due(&self) -> Option<Micros> {
-        self.due.first().map(|(at, _)| *at)
+        self.checks.first().map(|check| check.at)
     }
 
+    /// An attempt that is to be examined by `now`.
     pub fn overdue(&self, now: Micros) -> Option<CallKey> {
-        self.due
-            .first()
-            .filter(|(at, _)| *at <= now)
-            .map(|(_, key)| *key)
+        let check = self.checks.first().filter(|check| check.at <= now)?;
+        Some(check.attempt)
     }
 
-    /// Calls of a part that are still out.
+    /// Attempts of a shard request that are still out.
     pub fn out_of(&self, part: ShardRequestId) -> impl Iterator<Item = (CallKey, &CallOut)> {
-        self.calls
+        self.attempts
             .range((part, AttemptNo(0))..=(part, AttemptNo(u8::MAX)))
             .map(|(key, call)| (*key, call))
     }
--- a/router/src/state/mod.rs
+++ b/router/src/state/mod.rs
@@ -3,8 +3,10 @@
 pub mod budget;
 pub(crate) mod client_transfer;
 pub mod clients;
+pub(crate) mod connection;
 pub mod descriptors;
 pub(crate) mod discovery;
+pub(crate) mod ids;
 pub mod in_flight;
 pub(crate) mod listener;
 pub mod nodes;
