--- /dev/null
+++ b/router/src/lifecycle/build.rs
@@ -0,0 +1,174 @@
+//! Makes a [`Router`] from its configuration and settings: each owner of its state, in the order in which they depend on each
+//! other. Opens no socket and starts no task.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+
+use async_executor::LocalExecutor;
+use event_listener::Event;
+use ternpick::routing::RoutingEngine;
+use ternpick::types::{Micros, PlatformConfig};
+use ternpick_platform_config::Bounds;
+use ternpick_tenant_limits::Limits;
+
+use crate::fleet::Fleet;
+use crate::lifecycle::clock::Clock;
+use crate::lifecycle::config::RouterConfig;
+use crate::lifecycle::settings::{FleetTerms, IdentityTerms};
+use crate::router::{Decisions, Router};
+use crate::stages::auth_filter::AuthFilter;
+use crate::stages::completion::EffectQueue;
+use crate::state::budget::Budget;
+use crate::state::client_transfer::ClientTransfer;
+use crate::state::descriptors::Descriptors;
+use crate::state::discovery::DiscoveryState;
+use crate::state::listener::ListenerState;
+use crate::state::shutdown::ShutdownState;
+
+/// Why a router cannot be made from what it was given.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum BuildError {
+    /// Identity does not accept its settings.
+    #[error("identity: {0}")]
+    Identity(String),
+    /// A permit for maintenance could end before the queries of a router that has lost its lease.
+    #[error(
+        "fleet.works.lingers is {} ms, the longest deadline here is {} ms: a router without a lease could still act \
+         on a machine under a permit",
+        lingers.0 / 1000,
+        longest_deadline.0 / 1000
+    )]
+    LingersTooShort {
+        lingers: Micros,
+        longest_deadline: Micros,
+    },
+}
+
+/// What a router is made from.
+pub(crate) struct RouterBuilder {
+    /// The configuration file.
+    pub(crate) config: RouterConfig,
+    /// Identity's settings; everybody may send queries without them.
+    pub(crate) identity: Option<IdentityTerms>,
+    /// The fleet's settings; the router belongs to none without them.
+    pub(crate) fleet: Option<FleetTerms>,
+    /// File descriptors that the process may hold.
+    pub(crate) descriptor_limit: usize,
+    /// The version of the endpoint list that the configuration has.
+    pub(crate) list_version: u64,
+    /// Whether this process takes the place of another one.
+    pub(crate) replaces_process: bool,
+}
+
+/// Who may send queries, and what tenants have in flight.
+struct Auth {
+    filter: AuthFilter,
+    limits: Limits,
+}
+
+impl RouterBuilder {
+    /// Makes the router.
+    pub(crate) fn build(mut self) -> Result<Router, BuildError> {
+        let auth = self.auth()?;
+        let clock = Clock::start();
+        self.check_lingers()?;
+        let fleet = self.fleet(auth.as_ref(), clock.now());
+        let (filter, limits) = match auth {
+            Some(auth) => (Some(auth.filter), Some(auth.limits)),
+            None => (None, None),
+        };
+        let RouterConfig {
+            platform,
+            bounds,
+            seed,
+            discovery,
+            memory_bytes,
+            ..
+        } = self.config;
+        let bounds = Rc::new(bounds);
+        Ok(Router {
+            clock,
+            descriptors: Descriptors::new(self.descriptor_limit),
+            budget: Budget::new(memory_bytes),
+            clients: Rc::default(),
+            executor: Rc::new(LocalExecutor::new()),
+            decisions: RefCell::new(decisions(platform, seed, &bounds, limits)),
+            bounds,
+            auth: filter,
+            fleet,
+            input_applied: Event::new(),
+            discovery: DiscoveryState::new(discovery, self.list_version),
+            shutdown: ShutdownState::default(),
+            listener: ListenerState::default(),
+            client_transfer: ClientTransfer::default(),
+        })
+    }
+
+    /// Identity, where the settings have it. Its tenants' quotas replace those of the configuration.
+    fn auth(&mut self) -> Result<Option<Auth>, BuildError> {
+        let Some(identity) = &self.identity else {
+            return Ok(None);
+        };
+        let (filter, limits) = AuthFilter::new(identity, self.config.seed)
+            .map_err(|error| BuildError::Identity(error.to_string()))?;
+        self.config.platform.quotas = filter.quotas(identity);
+        Ok(Some(Auth { filter, limits }))
+    }
+
+    /// A router that has lost its lease answers what it has admitted; a permit for maintenance waits that long.
+    fn check_lingers(&self) -> Result<(), BuildError> {
+        let maintenance = self.fleet.as_ref().and_then(|fleet| fleet.works.as_ref());
+        let (Some(maintenance), Some(longest_deadline)) =
+            (maintenance, self.config.bounds.longest_deadline)
+        else {
+            return Ok(());
+        };
+        let lingers = Micros(maintenance.lingers);
+        if lingers < longest_deadline {
+            return Err(BuildError::LingersTooShort {
+                lingers,
+                longest_deadline,
+            });
+        }
+        Ok(())
+    }
+
+    fn fleet(&mut self, auth: Option<&Auth>, now: Micros) -> Option<Rc<Fleet>> {
+        let settings = self.fleet.take()?;
+        let RouterConfig {
+            name,
+            platform,
+            bounds,
+            ..
+        } = &self.config;
+        let tenants = match auth {
+            Some(auth) => auth.filter.customers(),
+            None => bounds.customer_names.clone(),
+        };
+        Some(Fleet::new(
+            settings,
+            name,
+            platform,
+            &bounds.index_names,
+            tenants,
+            self.replaces_process,
+            now,
+        ))
+    }
+}
+
+fn decisions(
+    platform: PlatformConfig,
+    seed: u64,
+    bounds: &Rc<Bounds>,
+    limits: Option<Limits>,
+) -> Decisions {
+    Decisions {
+        engine: RoutingEngine::new(platform, seed),
+        effects: EffectQueue {
+            bounds: Rc::clone(bounds),
+            limits,
+            ..EffectQueue::default()
+        },
+    }
+}
--- /dev/null
+++ b/router/src/lifecycle/capacity_share.rs
@@ -0,0 +1,116 @@
+//! How much of the router's capacity this process may use while another process has a part of it, during a hot restart.
+//!
+//! The split is [`ternpick_hot_restart::Lease`]'s; both sides of an upgrade apply theirs here.
+
+use std::cell::Cell;
+
+use ternpick_hot_restart::Lease;
+
+use crate::router::Router;
+use crate::state::descriptors::OWN;
+
+/// Connections to nodes that a draining process may still open for what it has in flight.
+const SPARE_SOCKETS: usize = 8;
+/// Queries and shard requests that each client's connection may still bring to a draining process.
+const HELD_A_CLIENT: usize = 4;
+
+/// Whether a process that has a part of the capacity admits new queries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Role {
+    /// It does.
+    Serving,
+    /// It answers what it has admitted.
+    Draining,
+}
+
+/// What a router may use in all, and how much of it this process may.
+pub(crate) struct CapacityShare {
+    all: Lease,
+    /// What this process may use now.
+    current: Cell<Lease>,
+    descriptors: usize,
+    memory: usize,
+}
+
+impl CapacityShare {
+    /// The share of a process that has all of the router's capacity.
+    pub(crate) fn of(router: &Router) -> CapacityShare {
+        let decisions = router.decisions.borrow();
+        let descriptors = router.descriptors.total();
+        let memory = router.budget.limit();
+        let most_held = decisions.effects.bounds.most_held;
+        let all = Lease {
+            held: most_held.map_or(u32::MAX, saturating_u32),
+            extra: decisions.engine.config.retry_budget_min.clamp(0.0, 1e9) as u32,
+            // The new process has descriptors of its own beside its peers', out of the same number.
+            sockets: saturating_u32(descriptors.saturating_sub(OWN)),
+            memory: memory as u64,
+        };
+        CapacityShare {
+            all,
+            current: Cell::new(all),
+            descriptors,
+            memory,
+        }
+    }
+
+    /// All of the router's capacity.
+    pub(crate) fn all(&self) -> Lease {
+        self.all
+    }
+
+    /// What this process may use now.
+    pub(crate) fn current(&self) -> Lease {
+        self.current.get()
+    }
+
+    /// What this process uses now.
+    pub(crate) fn in_use(&self, router: &Router) -> Lease {
+        // Requests that are half read here are admitted here.
+        let half_read = HELD_A_CLIENT * router.descriptors.clients();
+        let held = router.decisions.borrow().effects.in_flight.held() + half_read;
+        Lease {
+            held: saturating_u32(held),
+            extra: 0,
+            sockets: saturating_u32(router.descriptors.held() + SPARE_SOCKETS),
+            memory: router.budget.used() as u64,
+        }
+    }
+
+    /// Applies what this process may use from now on.
+    pub(crate) fn apply(&self, router: &Router, lease: Lease, role: Role) {
+        self.current.set(lease);
+        if lease == self.all {
+            self.apply_all(router);
+        } else {
+            apply_part(router, lease, role);
+        }
+    }
+
+    fn apply_all(&self, router: &Router) {
+        let mut decisions = router.decisions.borrow_mut();
+        decisions.effects.shared_limit = None;
+        decisions.engine.serve_whole();
+        if let Some(limits) = &mut decisions.effects.limits {
+            limits.other_done();
+        }
+        router.descriptors.set_total(self.descriptors);
+        router.budget.set_limit(self.memory);
+    }
+}
+
+fn apply_part(router: &Router, lease: Lease, role: Role) {
+    let mut decisions = router.decisions.borrow_mut();
+    decisions.effects.shared_limit = (lease.held < u32::MAX).then_some(lease.held as usize);
+    decisions
+        .engine
+        .serve_share(f64::from(lease.extra), role == Role::Serving);
+    router.descriptors.set_total(lease.sockets as usize);
+    router
+        .budget
+        .set_limit(usize::try_from(lease.memory).unwrap_or(usize::MAX));
+}
+
+fn saturating_u32(count: usize) -> u32 {
+    u32::try_from(count).unwrap_or(u32::MAX)
+}
--- a/router/src/lifecycle/cli.rs
+++ b/router/src/lifecycle/cli.rs
@@ -1,14 +1,21 @@
-//! The command line.
+//! The command line: names the commands and hands each to the module that carries it out.
 
+use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use ternpick::types::Micros;
+use ternpick::types::{Micros, PlatformConfig};
+use ternpick_identity::Identity;
+use ternpick_platform_config::Bounds;
 
 use crate::fleet::cli as fleet;
 use crate::fleet::maintenance_cli;
+use crate::lifecycle::config::RouterConfig;
 use crate::lifecycle::reload::Source;
+use crate::lifecycle::settings::Settings;
+use crate::lifecycle::start::Origin;
+use crate::lifecycle::takeover::PreviousProcess;
 use crate::lifecycle::tls::Tls;
 use crate::lifecycle::{config, control, key_commands, settings, start, takeover};
 
@@ -69,124 +76,124 @@
     Version,
 }
 
-fn serve(config: PathBuf, path: Option<PathBuf>, take_over: Option<u32>) -> Result<(), String> {
-    let opening = config::read(&config)?;
-    let settings = path
-        .as_deref()
-        .map(settings::read)
-        .transpose()?
-        .unwrap_or_default();
+/// What a command ends with. The last line of a failure says what was attempted and what was found.
+type CommandResult = Result<ExitCode, Box<dyn Error>>;
+
+/// Parses the command line and runs its command.
+pub(crate) fn run() -> ExitCode {
+    run_command(Cli::parse().command).unwrap_or_else(|error| {
+        eprintln!("ternpick: {error}");
+        ExitCode::FAILURE
+    })
+}
+
+fn run_command(command: Command) -> CommandResult {
+    match command {
+        Command::Serve {
+            config,
+            settings,
+            take_over,
+        } => serve(config, settings, take_over)?,
+        Command::Check { config, settings } => check(config, settings)?,
+        Command::Keys(command) => key_commands::keys(command)?,
+        Command::Token(command) => key_commands::token(command)?,
+        Command::Revoke(command) => key_commands::revoke(command)?,
+        Command::Rights(command) => key_commands::rights(command)?,
+        Command::Control(command) => return Ok(control::run(command)?),
+        Command::Policy(command) => return Ok(fleet::policy(command)?),
+        Command::Fleet(command) => return Ok(fleet::fleet(command)?),
+        Command::Works(command) => return Ok(maintenance_cli::works(command)?),
+        Command::Version => println!("ternpick {}", env!("CARGO_PKG_VERSION")),
+    }
+    Ok(ExitCode::SUCCESS)
+}
+
+fn serve(
+    config_path: PathBuf,
+    settings_path: Option<PathBuf>,
+    take_over: Option<u32>,
+) -> Result<(), Box<dyn Error>> {
+    let config = config::read(&config_path)?;
+    let settings = match &settings_path {
+        Some(path) => settings::read(path)?,
+        None => Settings::default(),
+    };
     let source = Source {
-        path: config,
-        settings: path,
-        fixed: opening.fixed.clone(),
+        path: config_path,
+        settings: settings_path,
+        fixed: config.fixed.clone(),
     };
-    let from = match take_over {
-        Some(old) => start::From::Process(takeover::link()?, old),
-        None => start::From::Nothing,
+    let origin = match take_over {
+        Some(id) => Origin::Replaces(PreviousProcess {
+            link: takeover::link()?,
+            id,
+        }),
+        None => Origin::Fresh,
     };
-    start::serve(opening, settings, source, from)
+    start::serve(config, settings, source, origin)?;
+    Ok(())
 }
 
-fn check(config: Option<PathBuf>, path: Option<PathBuf>) -> Result<(), String> {
-    if let Some(config) = config {
-        print(&config::read(&config)?);
+fn check(
+    config_path: Option<PathBuf>,
+    settings_path: Option<PathBuf>,
+) -> Result<(), Box<dyn Error>> {
+    if let Some(path) = config_path {
+        print_config(&config::read(&path)?);
     }
-    if let Some(path) = path {
+    if let Some(path) = settings_path {
         let settings = settings::read(&path)?;
-        settings.used.iter().for_each(|line| println!("{line}"));
+        for line in &settings.used {
+            println!("{line}");
+        }
         if let Some(identity) = settings.identity {
-            ternpick_identity::Identity::new(identity.terms)
-                .map_err(|fault| format!("identity: {fault}"))?;
+            Identity::new(identity.terms).map_err(|error| format!("identity: {error}"))?;
         }
-        if let Some(terms) = settings.tls {
-            Tls::new(terms)?;
+        if let Some(tls) = settings.tls {
+            Tls::new(tls)?;
         }
     }
     Ok(())
 }
 
-pub fn run() -> ExitCode {
-    let done = match Cli::parse().command {
-        Command::Serve {
-            config,
-            settings,
-            take_over,
-        } => serve(config, settings, take_over),
-        Command::Check { config, settings } => check(config, settings),
-        Command::Keys(command) => key_commands::keys(command),
-        Command::Token(command) => key_commands::token(command),
-        Command::Revoke(of) => key_commands::revoke(of),
-        Command::Rights(command) => key_commands::rights(command),
-        Command::Control(command) => match control::run(command) {
-            Ok(code) => return code,
-            Err(what) => Err(what),
-        },
-        Command::Policy(command) => match fleet::policy(command) {
-            Ok(code) => return code,
-            Err(what) => Err(what),
-        },
-        Command::Fleet(command) => match fleet::fleet(command) {
-            Ok(code) => return code,
-            Err(what) => Err(what),
-        },
-        Command::Works(command) => match maintenance_cli::works(command) {
-            Ok(code) => return code,
-            Err(what) => Err(what),
-        },
-        Command::Version => {
-            println!("ternpick {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("ternpick: {what}");
-            ExitCode::FAILURE
-        }
-    }
-}
-
-fn print(of: &config::RouterConfig) {
-    let (bounds, tariff) = (&of.bounds, &of.tariff);
-    let millis =
-        |time: Option<Micros>| time.map_or("none".into(), |t| format!("{} ms", t.0 / 1000));
+fn print_config(config: &RouterConfig) {
     println!(
         "name {}, listens on {}, discovery at {}",
-        of.name, of.listen, of.discovery
+        config.name, config.listen, config.discovery
     );
     println!(
         "descriptors: {}, memory: {} MB",
-        of.sockets,
-        of.memory >> 20
+        config.descriptor_limit,
+        config.memory_bytes >> 20
     );
-    println!(
-        "nodes known: {}",
-        of.known["endpoints"].as_array().map_or(0, Vec::len)
-    );
-    for (name, row) in bounds.index_names.iter().zip(&tariff.indexes) {
+    let known = config.known_endpoints["endpoints"].as_array();
+    println!("nodes known: {}", known.map_or(0, Vec::len));
+    print_platform(&config.platform, &config.bounds);
+}
+
+fn print_platform(platform: &PlatformConfig, bounds: &Bounds) {
+    let millis =
+        |time: Option<Micros>| time.map_or("none".into(), |t| format!("{} ms", t.0 / 1000));
+    for (name, index) in bounds.index_names.iter().zip(&platform.indexes) {
         println!(
             "index {name}: soft deadline {}, {:?}",
-            millis(Some(row.latency_objective)),
-            row.retry_semantics
+            millis(Some(index.latency_objective)),
+            index.retry_semantics
         );
     }
     println!(
         "load reports: {:?}, of {}",
-        tariff.load_reporting,
+        platform.load_reporting,
         bounds.columns.join(", ")
     );
     println!(
         "parts: {} a call, {} a connection",
         bounds.parts_a_call, bounds.parts_a_connection
     );
-    println!(
-        "held at most: {}",
-        bounds
-            .most_held
-            .map_or("no limit".into(), |most| most.to_string())
-    );
+    let most_held = bounds
+        .most_held
+        .map_or("no limit".into(), |most| most.to_string());
+    println!("held at most: {most_held}");
     println!(
         "dial timeout {}, idle close {}",
         millis(bounds.dial_timeout),
--- a/router/src/lifecycle/clock.rs
+++ b/router/src/lifecycle/clock.rs
@@ -1,35 +1,41 @@
-//! The one clock: Unix time in microseconds, so that nodes' starts compare, and only ever forward.
+//! The router's one clock: Unix time in microseconds, so that start times of nodes compare, and only ever forward.
+//!
+//! Reads the wall clock once, at the start of the process, and goes on by the monotonic clock.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use ternpick::types::Micros;
 
+/// Time since the Unix epoch as this process counts it.
 #[derive(Clone, Copy)]
-pub struct Clock {
-    unix: Micros,
-    from: Instant,
+pub(crate) struct Clock {
+    started_at: Micros,
+    started: Instant,
 }
 
 impl Clock {
-    pub fn start() -> Self {
+    /// A clock that is set by the wall clock now.
+    pub(crate) fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            unix: micros(unix),
-            from: Instant::now(),
+            started_at: micros(unix),
+            started: Instant::now(),
         }
     }
 
-    pub fn now(&self) -> Micros {
-        self.unix + micros(self.from.elapsed())
+    /// The time now.
+    pub(crate) fn now(&self) -> Micros {
+        self.started_at + micros(self.started.elapsed())
     }
 
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.from + Duration::from_micros(at.since(self.unix).0)
+    /// The monotonic instant of a time of this clock, for timers.
+    pub(crate) fn instant(&self, at: Micros) -> Instant {
+        self.started + Duration::from_micros(at.since(self.started_at).0)
     }
 }
 
-fn micros(of: Duration) -> Micros {
-    Micros(u64::try_from(of.as_micros()).unwrap_or(u64::MAX))
+fn micros(duration: Duration) -> Micros {
+    Micros(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
 }
--- a/router/src/lifecycle/config.rs
+++ b/router/src/lifecycle/config.rs
@@ -1,94 +1,161 @@
-//! The configuration file that a router is started with.
+//! The configuration file that a router is started with, as the platform hands it over.
+//!
+//! Read at the start, at each reload and by `ternpick check`. Keys are the platform's; nothing here applies a value.
 
+use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use serde_json::Value;
 use ternpick::types::PlatformConfig;
-use ternpick_platform_config::Bounds;
+use ternpick_platform_config::{Bounds, PlatformConfigError};
 
 /// Descriptors, where the configuration does not say.
-const SOCKETS: usize = 1024;
+const DEFAULT_DESCRIPTORS: usize = 1024;
 /// Megabytes, where the configuration does not say.
-const MEMORY_MB: u64 = 192;
+const DEFAULT_MEMORY_MB: u64 = 192;
 
-pub struct RouterConfig {
-    pub name: String,
-    pub listen: SocketAddr,
-    pub discovery: SocketAddr,
-    pub seed: u64,
-    pub sockets: usize,
+/// What a router says of itself and may hold: a change needs a restart. Its endpoint list and its seed are for starts only,
+/// and differ with each.
+pub(crate) const FIXED: [&str; 4] = ["name", "listen", "limits", "settings"];
+
+/// A configuration that can be used.
+pub(crate) struct RouterConfig {
+    /// The router's name.
+    pub(crate) name: String,
+    /// Where it accepts clients.
+    pub(crate) listen: SocketAddr,
+    /// Where discovery is.
+    pub(crate) discovery: SocketAddr,
+    /// Seeds all random choices.
+    pub(crate) seed: u64,
+    /// File descriptors that the process may hold.
+    pub(crate) descriptor_limit: usize,
     /// Bytes that the process may take up.
-    pub memory: usize,
-    /// The nodes as this router last had the list, in discovery's form.
-    pub known: Value,
-    pub tariff: PlatformConfig,
-    pub bounds: Bounds,
+    pub(crate) memory_bytes: usize,
+    /// The endpoint list as this router last had it, in discovery's form; null if it had none.
+    pub(crate) known_endpoints: Value,
+    /// What the decision module goes by.
+    pub(crate) platform: PlatformConfig,
+    /// What the router itself goes by.
+    pub(crate) bounds: Bounds,
     /// What a reload compares, in the order of [`FIXED`].
-    pub fixed: [Value; FIXED.len()],
+    pub(crate) fixed: [Value; FIXED.len()],
 }
 
-/// What a router says of itself and may hold: a change needs a restart. Its list of nodes and its seed are
-/// for starts only, and differ with each.
-pub const FIXED: [&str; 4] = ["name", "listen", "limits", "settings"];
+/// Why a configuration file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum ConfigError {
+    /// The file cannot be read.
+    #[error("cannot read {}: {source}", path.display())]
+    Unreadable { path: PathBuf, source: io::Error },
+    /// The file says what cannot be used.
+    #[error("{}: {source}", path.display())]
+    Invalid {
+        path: PathBuf,
+        source: InvalidConfig,
+    },
+}
 
-/// Reads the file; what is wrong with it comes back as one plain line.
-pub fn read(path: &Path) -> Result<RouterConfig, String> {
-    let text = std::fs::read(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    parse(&text).map_err(|what| format!("{}: {what}", path.display()))
+/// What is wrong with the text of a configuration.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum InvalidConfig {
+    /// Not JSON.
+    #[error("not JSON: {0}")]
+    NotJson(#[from] serde_json::Error),
+    /// A key that is not there, or no text.
+    #[error("'{0}' is missing")]
+    Missing(&'static str),
+    /// A text that is no address.
+    #[error("'{0}' is not an address and port")]
+    NotAnAddress(&'static str),
+    /// A seed that is no number.
+    #[error("'seed' is not a hexadecimal number")]
+    Seed,
+    /// The platform's settings are wrong.
+    #[error("'settings': {0}")]
+    Platform(PlatformConfigError),
+    /// No class, or one without a name.
+    #[error("'settings': no classes, or one without a name")]
+    Classes,
+    /// A class with a second phase.
+    #[error("'settings': class {0} has a second step, which this protocol cannot ask for")]
+    SecondPhase(String),
 }
 
-pub fn parse(text: &[u8]) -> Result<RouterConfig, String> {
-    let all: Value = serde_json::from_slice(text).map_err(|e| format!("not JSON: {e}"))?;
-    let word = |key: &str| {
-        all[key]
-            .as_str()
-            .ok_or_else(|| format!("'{key}' is missing"))
-    };
-    let address = |key: &str| -> Result<SocketAddr, String> {
-        word(key)?
-            .parse()
-            .map_err(|_| format!("'{key}' is not an address and port"))
-    };
-    let seed =
-        u64::from_str_radix(word("seed")?, 16).map_err(|_| "'seed' is not a hexadecimal number")?;
+/// For callers whose errors are still text.
+impl From<ConfigError> for String {
+    fn from(error: ConfigError) -> Self {
+        error.to_string()
+    }
+}
+
+/// Reads a configuration file.
+pub(crate) fn read(path: &Path) -> Result<RouterConfig, ConfigError> {
+    let text = std::fs::read(path).map_err(|source| ConfigError::Unreadable {
+        path: path.to_owned(),
+        source,
+    })?;
+    parse(&text).map_err(|source| ConfigError::Invalid {
+        path: path.to_owned(),
+        source,
+    })
+}
+
+/// Parses the text of a configuration file.
+pub(crate) fn parse(text: &[u8]) -> Result<RouterConfig, InvalidConfig> {
+    let all: Value = serde_json::from_slice(text)?;
+    let seed = u64::from_str_radix(text_of(&all, "seed")?, 16).map_err(|_| InvalidConfig::Seed)?;
     let settings = &all["settings"];
-    let tariff =
-        ternpick_platform_config::tariff(settings).map_err(|what| format!("'settings': {what}"))?;
+    let platform = ternpick_platform_config::tariff(settings).map_err(InvalidConfig::Platform)?;
     let bounds = ternpick_platform_config::bounds(settings);
-    if tariff.indexes.is_empty() || bounds.index_names.iter().any(String::is_empty) {
-        return Err("'settings': no classes, or one without a name".into());
-    }
-    if let Some(at) = tariff
-        .indexes
-        .iter()
-        .position(|row| row.second_phase_size > 0)
-    {
-        let name = &bounds.index_names[at];
-        return Err(format!(
-            "'settings': class {name} has a second step, which this protocol cannot ask for"
-        ));
-    }
-    let sockets = all["limits"]["sockets"]
+    check_classes(&platform, &bounds)?;
+    let descriptor_limit = all["limits"]["sockets"]
         .as_u64()
-        .map_or(SOCKETS, |n| n as usize);
-    let memory_mb = all["limits"]["memory_mb"].as_u64().unwrap_or(MEMORY_MB);
-    let memory = usize::try_from(memory_mb)
-        .unwrap_or(usize::MAX)
-        .saturating_mul(1024 * 1024);
+        .map_or(DEFAULT_DESCRIPTORS, |n| n as usize);
     Ok(RouterConfig {
-        name: word("name")?.to_owned(),
-        listen: address("listen")?,
-        discovery: address("discovery")?,
+        name: text_of(&all, "name")?.to_owned(),
+        listen: address_of(&all, "listen")?,
+        discovery: address_of(&all, "discovery")?,
         seed,
-        sockets,
-        memory,
-        known: all["known"].clone(),
-        tariff,
+        descriptor_limit,
+        memory_bytes: memory_bytes(&all["limits"]),
+        known_endpoints: all["known"].clone(),
+        platform,
         bounds,
         fixed: FIXED.map(|name| all[name].clone()),
     })
 }
 
+fn text_of<'a>(all: &'a Value, key: &'static str) -> Result<&'a str, InvalidConfig> {
+    all[key].as_str().ok_or(InvalidConfig::Missing(key))
+}
+
+fn address_of(all: &Value, key: &'static str) -> Result<SocketAddr, InvalidConfig> {
+    let text = text_of(all, key)?;
+    text.parse().map_err(|_| InvalidConfig::NotAnAddress(key))
+}
+
+fn memory_bytes(limits: &Value) -> usize {
+    let megabytes = limits["memory_mb"].as_u64().unwrap_or(DEFAULT_MEMORY_MB);
+    usize::try_from(megabytes)
+        .unwrap_or(usize::MAX)
+        .saturating_mul(1024 * 1024)
+}
+
+fn check_classes(platform: &PlatformConfig, bounds: &Bounds) -> Result<(), InvalidConfig> {
+    if platform.indexes.is_empty() || bounds.index_names.iter().any(String::is_empty) {
+        return Err(InvalidConfig::Classes);
+    }
+    let second_phase = platform
+        .indexes
+        .iter()
+        .position(|index| index.second_phase_size > 0);
+    match second_phase {
+        Some(at) => Err(InvalidConfig::SecondPhase(bounds.index_names[at].clone())),
+        None => Ok(()),
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/router/src/lifecycle/config/tests.rs
+++ b/router/src/lifecycle/config/tests.rs
@@ -13,15 +13,15 @@
 #[test_case("[0]", "[3]", "'settings': class a has a second step, which this protocol cannot ask for"; "a second step")]
 fn says_in_one_line_what_is_wrong(from: &str, to: &str, wrong: &str) {
     let read = parse(GOOD.replacen(from, to, 1).as_bytes());
-    assert_eq!(read.err().unwrap_or_default(), wrong);
+    let error = read.err().map(|error| error.to_string());
+    assert_eq!(error.unwrap_or_default(), wrong);
 }
 
 #[test]
 fn reads_what_it_is_given() {
     let read = parse(GOOD.as_bytes()).expect("a good configuration");
-    assert_eq!(
-        (read.seed, read.sockets, read.memory >> 20),
-        (0x8c1f, 512, 32)
-    );
-    assert!(parse(b"not json").is_err_and(|what| what.starts_with("not JSON")));
+    assert_eq!(read.seed, 0x8c1f);
+    assert_eq!(read.descriptor_limit, 512);
+    assert_eq!(read.memory_bytes >> 20, 32);
+    assert!(parse(b"not json").is_err_and(|error| error.to_string().starts_with("not JSON")));
 }
--- a/router/src/lifecycle/hot_restart_link.rs
+++ b/router/src/lifecycle/hot_restart_link.rs
@@ -1,4 +1,6 @@
-//! The link between an old and a new process: frames of [`ternpick_hot_restart`], and descriptors beside them.
+//! The link between an old and a new process: frames of [`ternpick_hot_restart`], and file descriptors beside them.
+//!
+//! Carries messages in order and says when it is broken; what they mean is the two drivers'.
 
 use std::collections::VecDeque;
 use std::io::{Error, ErrorKind, IoSlice, IoSliceMut, Result};
@@ -14,19 +16,22 @@
 use ternpick_hot_restart::{decode, encode, Message, FRAME_BOUND};
 
 /// Descriptors in one message: the listeners, or one client's.
-const MOST_FDS: usize = 4;
+const MOST_DESCRIPTORS: usize = 4;
 /// Bytes read at a time.
-const READ: usize = 64 * 1024;
+const READ_SIZE: usize = 64 * 1024;
 
-pub struct Link {
+/// One end of the link.
+pub(crate) struct Link {
     stream: Async<UnixStream>,
+    /// What has been read and is no message yet.
     input: Vec<u8>,
-    /// Descriptors that came, in the order of the messages that they came with.
+    /// Descriptors that came, in the order of the messages that they came with. Emptied by [`Link::fd`].
     fds: VecDeque<OwnedFd>,
 }
 
 impl Link {
-    pub fn new(stream: UnixStream) -> Result<Link> {
+    /// A link over a connected socket.
+    pub(crate) fn new(stream: UnixStream) -> Result<Link> {
         Ok(Link {
             stream: Async::new(stream)?,
             input: Vec::new(),
@@ -34,38 +39,29 @@
         })
     }
 
-    /// Sends a message whole; descriptors go with its first byte.
-    pub async fn send(&self, message: &Message, fds: &[BorrowedFd<'_>]) -> Result<()> {
+    /// Sends a message completely; descriptors go with its first byte.
+    pub(crate) async fn send(&self, message: &Message, fds: &[BorrowedFd<'_>]) -> Result<()> {
         let frame = encode(message);
         let mut sent = 0;
         while sent < frame.len() {
             let rest = &frame[sent..];
-            let with = if sent == 0 { fds } else { &[] };
+            let fds = if sent == 0 { fds } else { &[] };
             sent += self
                 .stream
-                .write_with(|stream| send_some(stream, rest, with))
+                .write_with(|stream| send_some(stream, rest, fds))
                 .await?;
         }
         Ok(())
     }
 
     /// The next message; an error once the link has ended or brought what is none.
-    pub async fn receive(&mut self) -> Result<Message> {
+    pub(crate) async fn receive(&mut self) -> Result<Message> {
         loop {
-            match decode(&self.input) {
-                Ok(Some((message, length))) => {
-                    self.input.drain(..length);
-                    return Ok(message);
-                }
-                Ok(None) if self.input.len() > FRAME_BOUND + READ => {
-                    return Err(ErrorKind::InvalidData.into())
-                }
-                Ok(None) => {}
-                Err(spoilt) => return Err(Error::new(ErrorKind::InvalidData, spoilt)),
+            if let Some(message) = self.next_message()? {
+                return Ok(message);
             }
-            let Link { stream, input, fds } = self;
-            stream.readable().await?;
-            match receive_some(stream.get_ref(), input, fds) {
+            self.stream.readable().await?;
+            match self.receive_some() {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
                 Err(e) if e.kind() != ErrorKind::WouldBlock => return Err(e),
                 _ => {}
@@ -73,45 +69,59 @@
         }
     }
 
+    /// The next message of what has been read; none if there is no complete one.
+    fn next_message(&mut self) -> Result<Option<Message>> {
+        match decode(&self.input) {
+            Ok(Some((message, length))) => {
+                self.input.drain(..length);
+                Ok(Some(message))
+            }
+            Ok(None) if self.input.len() > FRAME_BOUND + READ_SIZE => {
+                Err(ErrorKind::InvalidData.into())
+            }
+            Ok(None) => Ok(None),
+            Err(error) => Err(Error::new(ErrorKind::InvalidData, error)),
+        }
+    }
+
     /// The descriptor that came with the last message.
-    pub fn fd(&mut self) -> Option<OwnedFd> {
+    pub(crate) fn fd(&mut self) -> Option<OwnedFd> {
         self.fds.pop_front()
     }
+
+    /// Reads once; returns how many bytes came.
+    fn receive_some(&mut self) -> Result<usize> {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+        let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+        let mut bytes = vec![0; READ_SIZE];
+        let received = recvmsg(
+            self.stream.get_ref(),
+            &mut [IoSliceMut::new(&mut bytes)],
+            &mut ancillary,
+            RecvFlags::CMSG_CLOEXEC,
+        )?;
+        self.input.extend_from_slice(&bytes[..received.bytes]);
+        for message in ancillary.drain() {
+            if let RecvAncillaryMessage::ScmRights(fds) = message {
+                self.fds.extend(fds);
+            }
+        }
+        Ok(received.bytes)
+    }
 }
 
+/// Writes once, with descriptors beside; returns how many bytes went.
 fn send_some(stream: &UnixStream, bytes: &[u8], fds: &[BorrowedFd]) -> Result<usize> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_FDS))];
-    let mut beside = SendAncillaryBuffer::new(&mut space);
-    if !fds.is_empty() && !beside.push(SendAncillaryMessage::ScmRights(fds)) {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+    let mut ancillary = SendAncillaryBuffer::new(&mut space);
+    if !fds.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(fds)) {
         return Err(Error::other("too many descriptors for one message"));
     }
-    Ok(sendmsg(
+    let sent = sendmsg(
         stream,
         &[IoSlice::new(bytes)],
-        &mut beside,
+        &mut ancillary,
         SendFlags::NOSIGNAL,
-    )?)
-}
-
-fn receive_some(
-    stream: &UnixStream,
-    input: &mut Vec<u8>,
-    fds: &mut VecDeque<OwnedFd>,
-) -> Result<usize> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_FDS))];
-    let mut beside = RecvAncillaryBuffer::new(&mut space);
-    let mut bytes = vec![0; READ];
-    let got = recvmsg(
-        stream,
-        &mut [IoSliceMut::new(&mut bytes)],
-        &mut beside,
-        RecvFlags::CMSG_CLOEXEC,
     )?;
-    input.extend_from_slice(&bytes[..got.bytes]);
-    for message in beside.drain() {
-        if let RecvAncillaryMessage::ScmRights(some) = message {
-            fds.extend(some);
-        }
-    }
-    Ok(got.bytes)
+    Ok(sent)
 }
--- a/router/src/lifecycle/http_client.rs
+++ b/router/src/lifecycle/http_client.rs
@@ -1,76 +1,112 @@
-//! One call over HTTP to a service of the installation, bounded in bytes and time.
+//! One HTTP call to a service of the installation (discovery, sources of keys, other routers), bounded in bytes and time.
+//!
+//! Knows nothing of what is asked. Retries and schedules are the caller's.
 
-use std::io::{ErrorKind, Read, Write};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
 use async_io::Async;
 use ternpick::types::Micros;
+use ternpick_wire::http::{Fault, Reader};
+use ternpick_wire::ring::Ring;
 
 use crate::router::Router;
 use crate::stages::upstream_writer;
-use ternpick_wire::http::Reader;
-use ternpick_wire::ring::Ring;
 
-const IN_BOUND: usize = 16 * 1024;
+/// Bytes of a response that are read before they are parsed.
+const INPUT_BUFFER: usize = 16 * 1024;
+
+/// Why a call has brought no document.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum HttpError {
+    /// No connection within the dial timeout.
+    #[error("the connection could not be made")]
+    NotConnected,
+    /// Reading or writing failed.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// The response is not HTTP, or larger than allowed.
+    #[error("{0:?}")]
+    Malformed(Fault),
+    /// The connection was closed in the middle of the response.
+    #[error("the connection ended")]
+    Truncated,
+    /// A status other than 200; 0 where the response has none.
+    #[error("status {0}")]
+    Status(u16),
+    /// No complete response in time.
+    #[error("no answer in time")]
+    TimedOut,
+}
+
+/// For callers whose errors are still text.
+impl From<HttpError> for String {
+    fn from(error: HttpError) -> Self {
+        error.to_string()
+    }
+}
 
-/// Writes a request and reads its answer, whose body is no longer than `bound`.
-pub async fn exchange(
+/// Writes a request and reads its response, whose body is no longer than `bound` bytes. Any status but 200 is an error.
+pub(crate) async fn exchange(
     stream: &Async<TcpStream>,
     request: &[u8],
     bound: usize,
-) -> Result<Reader, String> {
-    let words = |e: std::io::Error| e.to_string();
+) -> Result<Reader, HttpError> {
+    write_all(stream, request).await?;
+    let response = read_response(stream, bound).await?;
+    match response.status() {
+        Some(200) => Ok(response),
+        status => Err(HttpError::Status(status.unwrap_or_default())),
+    }
+}
+
+async fn write_all(stream: &Async<TcpStream>, request: &[u8]) -> io::Result<()> {
     let mut rest = request;
     while !rest.is_empty() {
-        let count = stream
-            .write_with(|mut stream| stream.write(rest))
-            .await
-            .map_err(words)?;
+        let count = stream.write_with(|mut stream| stream.write(rest)).await?;
         rest = &rest[count..];
     }
-    let (mut input, mut answer) = (Ring::new(IN_BOUND), Reader::of_answers(bound));
-    while !answer
-        .read(&mut input)
-        .map_err(|fault| format!("{fault:?}"))?
-    {
-        stream.readable().await.map_err(words)?;
+    Ok(())
+}
+
+async fn read_response(stream: &Async<TcpStream>, bound: usize) -> Result<Reader, HttpError> {
+    let mut input = Ring::new(INPUT_BUFFER);
+    let mut response = Reader::of_answers(bound);
+    while !response.read(&mut input).map_err(HttpError::Malformed)? {
+        stream.readable().await?;
         match stream.get_ref().read(input.free()) {
-            // An answer without a length is whole now. One that a reset cut off comes here as an error.
-            Ok(0) if answer.ended() => break,
-            Ok(0) => return Err("the connection ended".into()),
+            // A response without a length is complete now. One that a reset cut off comes here as an error.
+            Ok(0) if response.ended() => break,
+            Ok(0) => return Err(HttpError::Truncated),
             Ok(count) => input.filled_more(count),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-            Err(e) => return Err(words(e)),
+            Err(e) => return Err(e.into()),
         }
     }
-    match answer.status() {
-        Some(200) => Ok(answer),
-        status => Err(format!("status {}", status.unwrap_or_default())),
-    }
+    Ok(response)
 }
 
-/// Gets a document on a connection of its own, within `patience`.
-pub async fn get(
+/// Gets a document of at most `bound` bytes on a connection of its own, within `timeout`.
+pub(crate) async fn get(
     router: &Router,
     address: SocketAddr,
     path: &str,
     bound: usize,
-    patience: Micros,
-) -> Result<Vec<u8>, String> {
+    timeout: Micros,
+) -> Result<Vec<u8>, HttpError> {
     let call = async {
         let stream = upstream_writer::dial(router, address)
             .await
-            .map_err(|_| "the connection could not be made")?;
+            .map_err(|_| HttpError::NotConnected)?;
         let request = format!(
             "GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\nConnection: close\r\n\r\n"
         );
-        exchange(&stream, request.as_bytes(), bound)
-            .await
-            .map(|answer| answer.body().to_vec())
+        let response = exchange(&stream, request.as_bytes(), bound).await?;
+        Ok(response.body().to_vec())
     };
-    let late = router.clock.now() + patience;
+    let deadline = router.clock.now() + timeout;
     router
-        .with_deadline(Some(late), call)
+        .with_deadline(Some(deadline), call)
         .await
-        .unwrap_or_else(|| Err("no answer in time".into()))
+        .unwrap_or(Err(HttpError::TimedOut))
 }
--- a/router/src/lifecycle/key_sources.rs
+++ b/router/src/lifecycle/key_sources.rs
@@ -1,6 +1,9 @@
-//! Where keys and revocations come from: a file, or a service on HTTP. When to ask is identity's to say
-//! ([`ternpick_identity::Refresh`]); the last good answer is kept on disk, where the settings name a place.
+//! Where keys and revocations come from: a file, or a service over HTTP. When to ask is identity's to say
+//! ([`ternpick_identity::Refresh`]); the last good answer is stored on disk, where the settings name a place.
+//!
+//! One task for each source, started with the router. Answers go to the [`AuthFilter`], which judges them.
 
+use std::io;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
@@ -9,12 +12,28 @@
 use ternpick::types::Micros;
 use ternpick_identity::{Source, PAGE_BOUND, SET_BOUND};
 
-use crate::lifecycle::http_client;
+use crate::lifecycle::http_client::{self, HttpError};
 use crate::router::Router;
 use crate::stages::auth_filter::{AuthFilter, Watched};
 
-/// How often it is looked whether time alone has changed something.
-const LOOK: Micros = Micros(250_000);
+/// How often identity is told of the time, for what ends by time alone.
+const EXPIRY_CHECK_INTERVAL: Micros = Micros(250_000);
+
+/// Why a source has brought nothing that can be used.
+#[derive(Debug, thiserror::Error)]
+enum SourceError {
+    #[error("{}: {source}", path.display())]
+    Unreadable { path: PathBuf, source: io::Error },
+    #[error("{}: it is longer than {bound} bytes", path.display())]
+    TooLong { path: PathBuf, bound: usize },
+    #[error("no address")]
+    NoAddress,
+    #[error("{0}")]
+    Http(#[from] HttpError),
+    /// Identity does not accept it.
+    #[error("{0}")]
+    Rejected(String),
+}
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Kind {
@@ -23,177 +42,249 @@
 }
 
 impl Kind {
-    fn word(self) -> &'static str {
+    /// The kind of the stored file, and the name in the log.
+    fn name(self) -> &'static str {
         match self {
             Kind::Keys => "keys",
             Kind::Revocations => "revocations",
         }
     }
 
-    fn tell(self, gate: &AuthFilter, then: Micros, text: &[u8]) -> Result<(), String> {
+    /// The longest document, in bytes.
+    fn bound(self) -> usize {
+        match self {
+            Kind::Keys => SET_BOUND,
+            Kind::Revocations => PAGE_BOUND,
+        }
+    }
+
+    fn source(self, auth: &AuthFilter) -> Option<&Watched> {
         match self {
-            Kind::Keys => gate.told_of_keys(then, text),
-            Kind::Revocations => gate.told_of_revocations(then, text),
+            Kind::Keys => auth.keys.as_ref(),
+            Kind::Revocations => auth.feed.as_ref(),
         }
     }
+
+    /// Applies a document that was current at `at`.
+    fn apply(self, auth: &AuthFilter, at: Micros, text: &[u8]) -> Result<(), SourceError> {
+        let applied = match self {
+            Kind::Keys => auth.told_of_keys(at, text),
+            Kind::Revocations => auth.told_of_revocations(at, text),
+        };
+        applied.map_err(|error| SourceError::Rejected(error.to_string()))
+    }
+}
+
+/// What is asked of a source.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Extent {
+    /// All that it has.
+    Complete,
+    /// What is newer than what is known.
+    Newer,
 }
 
-/// Begins all watches: what is kept first, so that a start needs no service.
-pub fn start(router: &Rc<Router>) {
-    let Some(gate) = &router.auth else { return };
-    for (kind, watched) in [(Kind::Keys, &gate.keys), (Kind::Revocations, &gate.feed)] {
-        let Some(watched) = watched else { continue };
+/// Starts the tasks of all sources. What is stored is applied first, so that a start needs no service.
+pub(crate) fn start(router: &Rc<Router>) {
+    let Some(auth) = &router.auth else {
+        return;
+    };
+    for kind in [Kind::Keys, Kind::Revocations] {
+        let Some(watched) = kind.source(auth) else {
+            continue;
+        };
         if let Some(path) = &watched.source.kept {
-            restore(router, gate, kind, Path::new(path));
+            restore(router, auth, kind, Path::new(path));
         }
-        router
-            .executor
-            .spawn(watch(Rc::clone(router), kind))
-            .detach();
+        let task = watch(Rc::clone(router), kind);
+        router.executor.spawn(task).detach();
     }
-    router.executor.spawn(elapse(Rc::clone(router))).detach();
+    router
+        .executor
+        .spawn(check_expiry(Rc::clone(router)))
+        .detach();
 }
 
-fn restore(router: &Router, gate: &AuthFilter, kind: Kind, path: &Path) {
-    let now = gate.now(router);
-    let word = kind.word();
-    match ternpick_store::load(path, word) {
-        Ok(kept) => {
-            // Never newer than now: a clock that ran ahead makes nothing last longer.
-            let then = Micros(kept.saved_at.min(now.0));
-            let told = kind.tell(gate, then, &kept.bytes);
-            let age = now.since(then).0 / 1_000_000;
-            match told {
-                Ok(()) => tracing::info!(
-                    "identity: {word} as kept {age} s ago, until they are heard anew"
-                ),
-                Err(what) => tracing::warn!("identity: the kept {word} are passed over, {what}"),
-            }
+fn restore(router: &Router, auth: &AuthFilter, kind: Kind, path: &Path) {
+    let now = auth.now(router);
+    let name = kind.name();
+    let stored = match ternpick_store::load(path, name) {
+        Ok(stored) => stored,
+        Err(error) if error.is_missing() => return,
+        Err(error) => {
+            tracing::warn!(kind = name, %error, "identity: stored copy ignored");
+            return;
         }
-        Err(fault) if fault.is_missing() => {}
-        Err(fault) => tracing::warn!("identity: the kept {word} are passed over, {fault}"),
+    };
+    // Never newer than now: a clock that ran ahead makes nothing last longer.
+    let saved_at = Micros(stored.saved_at.min(now.0));
+    match kind.apply(auth, saved_at, &stored.bytes) {
+        Ok(()) => {
+            let age_s = now.since(saved_at).0 / 1_000_000;
+            tracing::info!(kind = name, age_s, "identity: stored copy in use");
+        }
+        Err(error) => tracing::warn!(kind = name, %error, "identity: stored copy ignored"),
     }
 }
 
-/// Time goes by for what identity holds.
-async fn elapse(router: Rc<Router>) {
+/// Tells identity of the time.
+async fn check_expiry(router: Rc<Router>) {
     loop {
-        Timer::at(router.clock.instant(router.clock.now() + LOOK)).await;
-        if let Some(gate) = &router.auth {
-            gate.elapsed(gate.now(&router));
+        let next = router.clock.now() + EXPIRY_CHECK_INTERVAL;
+        Timer::at(router.clock.instant(next)).await;
+        if let Some(auth) = &router.auth {
+            auth.elapsed(auth.now(&router));
         }
     }
 }
 
-fn watched(router: &Router, kind: Kind) -> Option<(&AuthFilter, &Watched)> {
-    let gate = router.auth.as_ref()?;
-    let watched = match kind {
-        Kind::Keys => gate.keys.as_ref(),
-        Kind::Revocations => gate.feed.as_ref(),
-    };
-    Some((gate, watched?))
-}
-
 async fn watch(router: Rc<Router>, kind: Kind) {
-    let Some((gate, of)) = watched(&router, kind) else {
+    let Some(auth) = &router.auth else {
+        return;
+    };
+    let Some(watched) = kind.source(auth) else {
         return;
     };
-    // After a gap the whole list is asked for.
-    let (mut whole, mut failing, mut kept_text) = (true, false, Vec::new());
+    let mut watch = SourceWatch {
+        router: &router,
+        auth,
+        watched,
+        kind,
+        extent: Extent::Complete,
+        failing: false,
+        stored_text: Vec::new(),
+    };
     loop {
-        let stirred = of.stirred.listen();
-        let next = of.refresh.borrow().next();
-        let now = gate.now(&router);
-        if let Some(wait) = next.map(|next| next.since(now)).filter(|wait| wait.0 > 0) {
-            let timer = Timer::at(router.clock.instant(router.clock.now() + wait));
-            let time = async {
-                timer.await;
+        watch.wait_until_due().await;
+        watch.refresh().await;
+    }
+}
+
+/// One source, as its task sees it.
+struct SourceWatch<'a> {
+    router: &'a Router,
+    auth: &'a AuthFilter,
+    watched: &'a Watched,
+    kind: Kind,
+    /// After a failure everything is asked for: there may be a gap.
+    extent: Extent,
+    failing: bool,
+    /// What was stored last.
+    stored_text: Vec<u8>,
+}
+
+impl SourceWatch<'_> {
+    async fn wait_until_due(&self) {
+        loop {
+            let rescheduled = self.watched.stirred.listen();
+            let next = self.watched.refresh.borrow().next();
+            let Some(next) = next else {
+                return;
             };
-            future::or(time, stirred).await;
-            continue;
-        }
-        of.refresh.borrow_mut().began(now);
-        let got = get(&router, gate, of, kind, whole).await;
-        let now = gate.now(&router);
-        let told = got.and_then(|text| kind.tell(gate, now, &text).map(|()| text));
-        match told {
-            Ok(text) => {
-                of.refresh.borrow_mut().succeeded(now);
-                if std::mem::replace(&mut failing, false) {
-                    tracing::info!("identity: {} are heard again", kind.word());
-                }
-                // Pages of what is new cannot be kept alone; the whole list comes again with the next start.
-                let worth = kind == Kind::Keys || whole;
-                if let Some(path) = of
-                    .source
-                    .kept
-                    .as_ref()
-                    .filter(|_| worth && text != kept_text)
-                {
-                    keep(kind, PathBuf::from(path), now, text.clone()).await;
-                    kept_text = text;
-                }
-                whole = kind == Kind::Revocations
-                    && (of.source.file.is_some() || of.source.kept.is_some());
+            let wait = next.since(self.auth.now(self.router));
+            if wait.0 == 0 {
+                return;
             }
-            Err(what) => {
-                of.refresh.borrow_mut().failed(now);
-                whole = true;
-                match std::mem::replace(&mut failing, true) {
-                    false => tracing::warn!("identity: {} could not be had, {what}", kind.word()),
-                    true => tracing::debug!("identity: {} could not be had, {what}", kind.word()),
-                }
+            let clock = self.router.clock;
+            let timer = async {
+                Timer::at(clock.instant(clock.now() + wait)).await;
+            };
+            future::or(timer, rescheduled).await;
+        }
+    }
+
+    /// Asks the source once, and applies what it has.
+    async fn refresh(&mut self) {
+        let began = self.auth.now(self.router);
+        self.watched.refresh.borrow_mut().began(began);
+        let fetched = self.fetch().await;
+        let now = self.auth.now(self.router);
+        let applied =
+            fetched.and_then(|text| self.kind.apply(self.auth, now, &text).map(|()| text));
+        match applied {
+            Ok(text) => self.succeeded(now, text).await,
+            Err(error) => self.failed(now, &error),
+        }
+    }
+
+    async fn succeeded(&mut self, now: Micros, text: Vec<u8>) {
+        self.watched.refresh.borrow_mut().succeeded(now);
+        let kind = self.kind.name();
+        if self.failing {
+            self.failing = false;
+            tracing::info!(kind, "identity: source answers again");
+        }
+        let source = &self.watched.source;
+        // Pages of what is new cannot be stored alone; the whole list comes again with the next start.
+        let complete = self.kind == Kind::Keys || self.extent == Extent::Complete;
+        if let Some(path) = &source.kept {
+            if complete && text != self.stored_text {
+                store(self.kind, PathBuf::from(path), now, text.clone()).await;
+                self.stored_text = text;
             }
         }
+        let asks_for_all =
+            self.kind == Kind::Revocations && (source.file.is_some() || source.kept.is_some());
+        self.extent = if asks_for_all {
+            Extent::Complete
+        } else {
+            Extent::Newer
+        };
     }
-}
 
-async fn get(
-    router: &Router,
-    gate: &AuthFilter,
-    of: &Watched,
-    kind: Kind,
-    whole: bool,
-) -> Result<Vec<u8>, String> {
-    let bound = if kind == Kind::Keys {
-        SET_BOUND
-    } else {
-        PAGE_BOUND
-    };
-    let Source {
-        file,
-        path,
-        patience,
-        ..
-    } = &of.source;
-    if let Some(file) = file {
-        let file = PathBuf::from(file);
-        return blocking::unblock(move || read(&file, bound)).await;
+    fn failed(&mut self, now: Micros, error: &SourceError) {
+        self.watched.refresh.borrow_mut().failed(now);
+        self.extent = Extent::Complete;
+        let kind = self.kind.name();
+        // A warning for each spell of failures, not for each failure.
+        if self.failing {
+            tracing::debug!(kind, %error, "identity: source failed");
+        } else {
+            tracing::warn!(kind, %error, "identity: source failed");
+        }
+        self.failing = true;
+    }
+
+    async fn fetch(&self) -> Result<Vec<u8>, SourceError> {
+        let bound = self.kind.bound();
+        let Source {
+            file,
+            path,
+            patience,
+            ..
+        } = &self.watched.source;
+        if let Some(file) = file {
+            let file = PathBuf::from(file);
+            return blocking::unblock(move || read(&file, bound)).await;
+        }
+        let address = self.watched.address.ok_or(SourceError::NoAddress)?;
+        let path = if self.kind == Kind::Revocations && self.extent == Extent::Newer {
+            format!("{path}?after={}", self.auth.revocations_known())
+        } else {
+            path.clone()
+        };
+        let text = http_client::get(self.router, address, &path, bound, Micros(*patience)).await?;
+        Ok(text)
     }
-    let address = of.address.ok_or("no address")?;
-    let path = match (kind, whole) {
-        (Kind::Revocations, false) => format!("{path}?after={}", gate.revocations_known()),
-        _ => path.clone(),
-    };
-    http_client::get(router, address, &path, bound, Micros(*patience)).await
 }
 
-fn read(path: &Path, bound: usize) -> Result<Vec<u8>, String> {
-    let words = |e: std::io::Error| format!("{}: {e}", path.display());
-    let long = std::fs::metadata(path).map_err(words)?.len();
-    if long > bound as u64 {
-        return Err(format!(
-            "{}: it is longer than {bound} bytes",
-            path.display()
-        ));
+fn read(path: &Path, bound: usize) -> Result<Vec<u8>, SourceError> {
+    let unreadable = |source| SourceError::Unreadable {
+        path: path.to_owned(),
+        source,
+    };
+    if std::fs::metadata(path).map_err(unreadable)?.len() > bound as u64 {
+        let path = path.to_owned();
+        return Err(SourceError::TooLong { path, bound });
     }
-    std::fs::read(path).map_err(words)
+    std::fs::read(path).map_err(unreadable)
 }
 
-async fn keep(kind: Kind, path: PathBuf, now: Micros, text: Vec<u8>) {
-    let kept =
-        blocking::unblock(move || ternpick_store::save(&path, kind.word(), 1, now.0, &text)).await;
-    if let Err(fault) = kept {
-        tracing::warn!("identity: {} could not be kept, {fault}", kind.word());
+async fn store(kind: Kind, path: PathBuf, now: Micros, text: Vec<u8>) {
+    let name = kind.name();
+    let stored =
+        blocking::unblock(move || ternpick_store::save(&path, name, 1, now.0, &text)).await;
+    if let Err(error) = stored {
+        tracing::warn!(kind = name, %error, "identity: copy could not be stored");
     }
 }
--- a/router/src/lifecycle/mod.rs
+++ b/router/src/lifecycle/mod.rs
@@ -1,21 +1,32 @@
-//! Start and stop: command line, configuration and its reload, clock, the roster's watch, signals.
+//! From the command line to a router that serves, and to its end.
+//!
+//! - start: [`cli`], [`config`], [`settings`], [`build`], [`start`], [`sockets`], [`logging`], [`clock`];
+//! - while it serves: [`run`], [`signals`], [`reload`], [`control`], [`watch`], [`tls`], [`key_sources`], [`http_client`];
+//! - its end: [`stop`]; an upgrade's: [`upgrade`] (old process), [`takeover`] (new process), [`hot_restart_link`],
+//!   [`snapshot`], [`capacity_share`], [`parent`];
+//! - tools: [`key_commands`].
 
-pub mod cli;
-pub mod clock;
-pub mod config;
-pub mod control;
-pub mod hot_restart_link;
-pub mod http_client;
-pub mod key_commands;
-pub mod key_sources;
-pub mod logging;
-pub mod reload;
-pub mod settings;
-pub mod signals;
-pub mod snapshot;
-pub mod start;
-pub mod stop;
-pub mod takeover;
-pub mod tls;
-pub mod upgrade;
-pub mod watch;
+pub(crate) mod build;
+pub(crate) mod capacity_share;
+pub(crate) mod cli;
+pub(crate) mod clock;
+pub(crate) mod config;
+pub(crate) mod control;
+pub(crate) mod hot_restart_link;
+pub(crate) mod http_client;
+pub(crate) mod key_commands;
+pub(crate) mod key_sources;
+pub(crate) mod logging;
+pub(crate) mod parent;
+pub(crate) mod reload;
+pub(crate) mod run;
+pub(crate) mod settings;
+pub(crate) mod signals;
+pub(crate) mod snapshot;
+pub(crate) mod sockets;
+pub(crate) mod start;
+pub(crate) mod stop;
+pub(crate) mod takeover;
+pub(crate) mod tls;
+pub(crate) mod upgrade;
+pub(crate) mod watch;
--- a/router/src/lifecycle/reload.rs
+++ b/router/src/lifecycle/reload.rs
@@ -1,59 +1,77 @@
-//! Reload: on SIGHUP the configuration file is read again. Discovery's address is taken from it; the rest is
-//! what a router is started with, and stays as it is until the next start.
+//! Reload: on SIGHUP the configuration file is read again. Discovery's address is taken from it, and identity's rights,
+//! tenants and limits from the settings file; the rest is what a router is started with, and stays as it is until the next
+//! start.
 
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use serde_json::Value;
+use ternpick_tenant_limits::Limits;
 
 use crate::lifecycle::config::{self, RouterConfig, FIXED};
-use crate::lifecycle::settings;
+use crate::lifecycle::settings::{self, SettingsError};
 use crate::router::Router;
+use crate::stages::auth_filter::AuthFilter;
 
-/// The file that a router was started with, and what stood in it that is fixed.
-pub struct Source {
-    pub path: PathBuf,
+/// The files that a router was started with, and what is fixed in them.
+pub(crate) struct Source {
+    /// The configuration file.
+    pub(crate) path: PathBuf,
     /// The settings file, where there is one.
-    pub settings: Option<PathBuf>,
-    pub fixed: [Value; FIXED.len()],
+    pub(crate) settings: Option<PathBuf>,
+    /// The configuration's values that need a restart, in the order of [`FIXED`].
+    pub(crate) fixed: [Value; FIXED.len()],
+}
+
+/// Why identity's settings stay as they were.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    #[error("{0}")]
+    Settings(#[from] SettingsError),
+    #[error("identity is no longer in it")]
+    IdentityRemoved,
+    /// Identity does not accept them.
+    #[error("{0}")]
+    Rejected(String),
 }
 
 impl Source {
-    /// Reads the file again. One that cannot be used changes nothing.
-    pub fn reload(&self, router: &Router) {
-        let opening = match config::read(&self.path) {
-            Ok(opening) => opening,
-            Err(what) => return tracing::warn!("reload: the running configuration stays, {what}"),
+    /// Reads the files again. One that cannot be used changes nothing.
+    pub(crate) fn reload(&self, router: &Router) {
+        let config = match config::read(&self.path) {
+            Ok(config) => config,
+            Err(error) => {
+                tracing::warn!(%error, "reload: configuration unusable, keeping the running one");
+                return;
+            }
         };
-        for name in self.changed(&opening) {
-            tracing::warn!("reload: '{name}' can't change while running, it stays as it was");
+        for field in self.changed(&config) {
+            tracing::warn!(
+                field,
+                "reload: field cannot change while running, keeping its value"
+            );
         }
-        follow(router, opening.discovery);
-        self.terms(router);
+        move_discovery(router, config.discovery);
+        self.reload_identity(router);
     }
 
-    /// Rights, tenants and limits are taken from the settings anew; where keys come from and TLS need a restart.
-    fn terms(&self, router: &Router) {
-        let (Some(path), Some(gate)) = (&self.settings, &router.auth) else {
+    /// Applies rights, tenants and limits; where keys come from and TLS need a restart.
+    fn reload_identity(&self, router: &Router) {
+        let (Some(path), Some(auth)) = (&self.settings, &router.auth) else {
             return;
         };
-        let told = settings::read(path).and_then(|settings| {
-            let terms = settings.identity.ok_or("identity is no longer in it")?;
-            let mut desk = router.decisions.borrow_mut();
-            let Some(limits) = &mut desk.effects.limits else {
-                return Ok(());
-            };
-            gate.told_of_terms(terms, limits)
-                .map_err(|fault| fault.to_string())
-        });
-        match told {
-            Ok(()) => tracing::info!("reload: the terms of identity are read anew"),
-            Err(what) => tracing::warn!("reload: the terms of identity stay as they were, {what}"),
+        let mut decisions = router.decisions.borrow_mut();
+        match apply_identity(path, auth, decisions.effects.limits.as_mut()) {
+            Ok(()) => tracing::info!("reload: identity settings applied"),
+            Err(error) => {
+                tracing::warn!(%error, "reload: identity settings unusable, keeping the running ones");
+            }
         }
     }
 
-    fn changed(&self, opening: &RouterConfig) -> Vec<&'static str> {
-        let pairs = self.fixed.iter().zip(&opening.fixed);
+    /// The fixed values that differ in another configuration.
+    fn changed(&self, config: &RouterConfig) -> Vec<&'static str> {
+        let pairs = self.fixed.iter().zip(&config.fixed);
         FIXED
             .into_iter()
             .zip(pairs)
@@ -63,12 +81,28 @@
     }
 }
 
-fn follow(router: &Router, discovery: SocketAddr) {
-    let old = router.discovery.move_to(discovery);
-    if old == discovery {
-        return tracing::info!("reload: done, discovery still at {discovery}");
+fn apply_identity(
+    path: &Path,
+    auth: &AuthFilter,
+    limits: Option<&mut Limits>,
+) -> Result<(), ReloadError> {
+    let terms = settings::read(path)?
+        .identity
+        .ok_or(ReloadError::IdentityRemoved)?;
+    let Some(limits) = limits else {
+        return Ok(());
+    };
+    auth.told_of_terms(terms, limits)
+        .map_err(|error| ReloadError::Rejected(error.to_string()))
+}
+
+fn move_discovery(router: &Router, discovery: SocketAddr) {
+    let previous = router.discovery.move_to(discovery);
+    if previous == discovery {
+        tracing::info!(%discovery, "reload: done");
+    } else {
+        tracing::info!(%discovery, %previous, "reload: done, discovery has moved");
     }
-    tracing::info!("reload: done, discovery at {discovery}, no longer at {old}");
 }
 
 #[cfg(test)]
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -1,12 +1,17 @@
-//! The router's own settings: typed records in a file beside what the platform hands over. None of it is on without.
+//! The router's own settings: typed records of a CUE file beside what the platform hands over. Without a file everything
+//! here is off.
+//!
+//! Read at the start, at each reload and by `ternpick check`. Field names follow the keys of the file where other modules use
+//! them. Durations are in microseconds.
 
 use std::collections::BTreeMap;
-use std::path::Path;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
 
 use serde::Deserialize;
 use serde_json::Value;
 use ternpick_identity::Terms;
-use ternpick_settings::{Read, Schema};
+use ternpick_settings::{Read, Refused, Schema};
 use ternpick_tenant_limits::{Terms as LimitTerms, Whole};
 
 const SCHEMA: Schema = Schema::new(
@@ -17,119 +22,233 @@
     "#Settings",
 );
 
+/// The most voting members that a fleet may have.
+const MOST_VOTERS: usize = 9;
+
+/// How lines of the log are written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub(crate) enum LogFormat {
+    /// For people.
+    Text,
+    /// For machines: an object a line.
+    Json,
+}
+
+/// The log.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Log {
-    pub form: String,
-    pub level: String,
+pub(crate) struct LogSettings {
+    /// How lines are written.
+    #[serde(rename = "form")]
+    pub(crate) format: LogFormat,
+    /// What is logged, in the syntax of `RUST_LOG`.
+    pub(crate) level: String,
 }
 
+/// The TLS listener.
 #[derive(Clone, Debug, Deserialize)]
-pub struct TlsTerms {
-    pub listen: String,
-    pub certificate: String,
-    pub key: String,
-    pub authorities: Option<String>,
-    pub lists: Vec<String>,
-    pub required: bool,
-    pub every: u64,
+pub(crate) struct TlsSettings {
+    /// Address and port.
+    pub(crate) listen: String,
+    /// File of the certificate chain.
+    pub(crate) certificate: String,
+    /// File of the private key.
+    pub(crate) key: String,
+    /// File of the authorities that sign clients' certificates; without it none is asked for.
+    pub(crate) authorities: Option<String>,
+    /// Files of certificate revocation lists.
+    #[serde(rename = "lists")]
+    pub(crate) revocation_lists: Vec<String>,
+    /// Whether a client without a certificate is rejected.
+    #[serde(rename = "required")]
+    pub(crate) client_certificate_required: bool,
+    /// How often the files are checked for changes.
+    #[serde(rename = "every")]
+    pub(crate) check_interval: u64,
 }
 
+/// The control socket, and upgrades over it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct ControlTerms {
-    pub socket: String,
-    pub upgrade: bool,
-    pub pid_file: Option<String>,
-    pub stays: bool,
-    pub hello: u64,
-    pub step: u64,
-    pub ready: u64,
-    pub silence: u64,
+pub(crate) struct ControlTerms {
+    /// Path of the socket.
+    pub(crate) socket: String,
+    /// Whether upgrades are allowed.
+    pub(crate) upgrade: bool,
+    /// File that names the process that serves.
+    pub(crate) pid_file: Option<String>,
+    /// Whether a process that has handed over stays as the parent of the new one.
+    #[serde(rename = "stays")]
+    pub(crate) stays_as_parent: bool,
+    /// How long the new process may take to start.
+    #[serde(rename = "hello")]
+    pub(crate) hello_timeout: u64,
+    /// How long each step of an upgrade may take.
+    #[serde(rename = "step")]
+    pub(crate) step_timeout: u64,
+    /// How long the new process may take to apply the snapshot.
+    #[serde(rename = "ready")]
+    pub(crate) ready_timeout: u64,
+    /// How long the new process may be silent while the old one drains.
+    #[serde(rename = "silence")]
+    pub(crate) silence_timeout: u64,
 }
 
+/// A founding member of a fleet.
 #[derive(Clone, Debug, Deserialize)]
-pub struct MemberTerms {
-    pub address: String,
-    pub zone: String,
-    pub vote: bool,
+pub(crate) struct MemberTerms {
+    /// Address and port for other members.
+    pub(crate) address: String,
+    /// Its zone.
+    pub(crate) zone: String,
+    /// Whether it is a voter.
+    pub(crate) vote: bool,
 }
 
+/// The fleet that a router belongs to.
 #[derive(Clone, Debug, Deserialize)]
-pub struct FleetTerms {
-    pub name: String,
-    pub members: BTreeMap<String, MemberTerms>,
-    pub listen: Option<String>,
-    pub folder: String,
-    pub lease: u64,
-    pub renew: u64,
-    pub drift_ppm: u64,
-    pub hold: u64,
-    pub patience: u64,
-    pub without_lease: String,
-    pub confirm: bool,
-    pub election: u64,
-    pub works: Option<ternpick_maintenance::MaintenanceConfig>,
+pub(crate) struct FleetTerms {
+    /// The fleet's name.
+    pub(crate) name: String,
+    /// The founding members, by name.
+    pub(crate) members: BTreeMap<String, MemberTerms>,
+    /// Where this router listens for other members, if not at its member's address.
+    pub(crate) listen: Option<String>,
+    /// Folder of the stored state.
+    pub(crate) folder: String,
+    /// How long a router may admit on its own, from when it asked for the lease.
+    pub(crate) lease: u64,
+    /// Interval between renewals of a lease.
+    pub(crate) renew: u64,
+    /// The largest difference between the rates of two clocks, in parts per million.
+    pub(crate) drift_ppm: u64,
+    /// How long queries wait while a change takes effect, before they are rejected.
+    pub(crate) hold: u64,
+    /// How long a change that takes effect waits for all routers to have stopped.
+    pub(crate) patience: u64,
+    /// What a router without a lease does: `refuse` or `serve-and-mark`.
+    pub(crate) without_lease: String,
+    /// Whether a change needs a second operator's confirmation.
+    pub(crate) confirm: bool,
+    /// Election timeout; up to as much more is added at random.
+    pub(crate) election: u64,
+    /// Maintenance of machines; off without it.
+    pub(crate) works: Option<ternpick_maintenance::MaintenanceConfig>,
+}
+
+/// Why a settings file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum SettingsError {
+    /// The file cannot be read, or does not meet the schema; each mistake is marked in the text.
+    #[error("{0}")]
+    Refused(#[from] Refused),
+    /// A value that the schema cannot rule out.
+    #[error("{}: {source}", path.display())]
+    Invalid {
+        path: PathBuf,
+        source: InvalidSettings,
+    },
+}
+
+/// What is wrong with a value that meets the schema.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum InvalidSettings {
+    /// A value under `identity` that is not of its type.
+    #[error("{0}")]
+    Type(#[from] serde_json::Error),
+    /// Identity contradicts itself.
+    #[error("identity: {0}")]
+    Identity(String),
+    /// The TLS listener's address.
+    #[error("tls.listen is no address")]
+    TlsListen,
+    /// A member's address.
+    #[error("fleet.members.{member}.address is no address and port")]
+    MemberAddress { member: String },
+    /// The fleet listener's address.
+    #[error("fleet.listen is no address and port")]
+    FleetListen,
+    /// No voter, or too many.
+    #[error("fleet.members: {found} vote, there have to be 1 to {MOST_VOTERS}, best 3, 5 or 7")]
+    Voters { found: usize },
+    /// Renewals too far apart.
+    #[error("fleet.renew is over half of fleet.lease: a lease would end between two requests")]
+    RenewInterval,
+}
+
+/// For callers whose errors are still text.
+impl From<SettingsError> for String {
+    fn from(error: SettingsError) -> Self {
+        error.to_string()
+    }
 }
 
 impl FleetTerms {
-    /// What the types do not say.
-    fn check(&self) -> Result<(), String> {
-        for (name, member) in &self.members {
-            let address = member.address.parse::<std::net::SocketAddr>();
-            address.map_err(|_| format!("fleet.members.{name}.address is no address and port"))?;
+    /// Checks what the schema cannot express.
+    fn check(&self) -> Result<(), InvalidSettings> {
+        for (member, settings) in &self.members {
+            if !is_address(&settings.address) {
+                let member = member.clone();
+                return Err(InvalidSettings::MemberAddress { member });
+            }
         }
-        if self
-            .listen
-            .as_ref()
-            .is_some_and(|of| of.parse::<std::net::SocketAddr>().is_err())
-        {
-            return Err("fleet.listen is no address and port".into());
+        if self.listen.as_deref().is_some_and(|of| !is_address(of)) {
+            return Err(InvalidSettings::FleetListen);
         }
-        let votes = self.members.values().filter(|member| member.vote).count();
-        if votes == 0 || votes > 9 {
-            return Err(format!(
-                "fleet.members: {votes} vote, there have to be 1 to 9, best 3, 5 or 7"
-            ));
+        let found = self.members.values().filter(|member| member.vote).count();
+        if !(1..=MOST_VOTERS).contains(&found) {
+            return Err(InvalidSettings::Voters { found });
         }
         if self.renew * 2 > self.lease {
-            return Err(
-                "fleet.renew is over half of fleet.lease: a lease would end between two requests"
-                    .into(),
-            );
+            return Err(InvalidSettings::RenewInterval);
         }
         Ok(())
     }
 }
 
+fn is_address(text: &str) -> bool {
+    text.parse::<SocketAddr>().is_ok()
+}
+
+/// The file as the schema has it.
 #[derive(Debug, Deserialize)]
-struct Form {
-    log: Log,
+struct SettingsFile {
+    log: LogSettings,
     control: Option<ControlTerms>,
     identity: Option<Value>,
-    tls: Option<TlsTerms>,
+    tls: Option<TlsSettings>,
     fleet: Option<FleetTerms>,
 }
 
-/// Identity's terms, and the limits of its tenants by name.
-pub struct IdentityTerms {
-    pub terms: Terms,
-    pub limits: Vec<(String, LimitTerms)>,
-    pub whole: Whole,
+/// Identity's settings, and the limits of its tenants.
+pub(crate) struct IdentityTerms {
+    /// Who may do what.
+    pub(crate) terms: Terms,
+    /// Limits of tenants, by name.
+    pub(crate) limits: Vec<(String, LimitTerms)>,
+    /// The limit on all tenants together.
+    pub(crate) whole: Whole,
 }
 
-pub struct Settings {
-    pub log: Log,
-    pub control: Option<ControlTerms>,
-    pub identity: Option<IdentityTerms>,
-    pub tls: Option<TlsTerms>,
-    pub fleet: Option<FleetTerms>,
+/// All settings of a router.
+pub(crate) struct Settings {
+    /// The log.
+    pub(crate) log: LogSettings,
+    /// The control socket; off without it.
+    pub(crate) control: Option<ControlTerms>,
+    /// Identity and limits of tenants; off without it.
+    pub(crate) identity: Option<IdentityTerms>,
+    /// The TLS listener; off without it.
+    pub(crate) tls: Option<TlsSettings>,
+    /// The fleet; off without it.
+    pub(crate) fleet: Option<FleetTerms>,
     /// Every value used, a line each with its origin.
-    pub used: Vec<String>,
+    pub(crate) used: Vec<String>,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        let log = Log {
-            form: "text".into(),
+        let log = LogSettings {
+            format: LogFormat::Text,
             level: "info".into(),
         };
         Settings {
@@ -143,23 +262,38 @@
     }
 }
 
+impl Settings {
+    /// Replaces `{name}` in paths by the router's name: several routers of one machine may share a file.
+    pub(crate) fn for_router(mut self, name: &str) -> Settings {
+        let own = |path: &mut String| *path = path.replace("{name}", name);
+        if let Some(control) = &mut self.control {
+            own(&mut control.socket);
+            control.pid_file.iter_mut().for_each(own);
+        }
+        if let Some(fleet) = &mut self.fleet {
+            own(&mut fleet.folder);
+        }
+        self
+    }
+}
+
+/// The limits of a tenant, beside what identity reads of it.
 #[derive(Deserialize)]
-struct TenantForm {
+struct TenantLimits {
     limits: LimitTerms,
 }
 
-fn identity(value: Value) -> Result<IdentityTerms, String> {
-    let words = |error: serde_json::Error| error.to_string();
-    let whole = serde_json::from_value(value["whole"].clone()).map_err(words)?;
+fn identity(value: Value) -> Result<IdentityTerms, InvalidSettings> {
+    let whole = serde_json::from_value(value["whole"].clone())?;
     let mut limits = Vec::new();
     for (name, tenant) in value["tenants"].as_object().into_iter().flatten() {
-        let tenant: TenantForm = serde_json::from_value(tenant.clone()).map_err(words)?;
+        let tenant: TenantLimits = serde_json::from_value(tenant.clone())?;
         limits.push((name.clone(), tenant.limits));
     }
-    let terms: Terms = serde_json::from_value(value).map_err(words)?;
+    let terms: Terms = serde_json::from_value(value)?;
     terms
         .check()
-        .map_err(|fault| format!("identity: {fault}"))?;
+        .map_err(|error| InvalidSettings::Identity(error.to_string()))?;
     Ok(IdentityTerms {
         terms,
         limits,
@@ -167,43 +301,30 @@
     })
 }
 
-impl Settings {
-    /// Paths that several routers of one machine may share a file for: `{name}` is this router's.
-    pub fn for_router(mut self, name: &str) -> Settings {
-        let own = |path: &mut String| *path = path.replace("{name}", name);
-        if let Some(control) = &mut self.control {
-            own(&mut control.socket);
-            control.pid_file.iter_mut().for_each(own);
-        }
-        if let Some(fleet) = &mut self.fleet {
-            own(&mut fleet.folder);
-        }
-        self
-    }
-}
-
-/// Reads a settings file; all that is wrong with it comes back, each mistake marked in the text.
-pub fn read(path: &Path) -> Result<Settings, String> {
-    let Read { value: form, used } = SCHEMA
-        .read_file::<Form>(path)
-        .map_err(|refused| refused.to_string())?;
-    let named = |what: String| format!("{}: {what}", path.display());
-    let identity = form.identity.map(identity).transpose().map_err(named)?;
-    if let Some(tls) = &form.tls {
-        tls.listen
-            .parse::<std::net::SocketAddr>()
-            .map_err(|_| named("tls.listen is no address".into()))?;
+/// Reads a settings file. All that is wrong with it under the schema comes back at once, each mistake marked in the text.
+pub(crate) fn read(path: &Path) -> Result<Settings, SettingsError> {
+    let Read { value: file, used } = SCHEMA.read_file::<SettingsFile>(path)?;
+    let invalid = |source| SettingsError::Invalid {
+        path: path.to_owned(),
+        source,
+    };
+    let identity = file.identity.map(identity).transpose().map_err(invalid)?;
+    if file
+        .tls
+        .as_ref()
+        .is_some_and(|tls| !is_address(&tls.listen))
+    {
+        return Err(invalid(InvalidSettings::TlsListen));
     }
-    if let Some(fleet) = &form.fleet {
-        fleet.check().map_err(named)?;
+    if let Some(fleet) = &file.fleet {
+        fleet.check().map_err(invalid)?;
     }
-    let used = used.iter().map(ToString::to_string).collect();
     Ok(Settings {
-        log: form.log,
-        control: form.control,
+        log: file.log,
+        control: file.control,
         identity,
-        tls: form.tls,
-        fleet: form.fleet,
-        used,
+        tls: file.tls,
+        fleet: file.fleet,
+        used: used.iter().map(ToString::to_string).collect(),
     })
 }
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -1,5 +1,7 @@
 //! What a router passes to the process that takes its place: one form, each field as plain data with ages, not times.
-//! A reader that lacks a field, or cannot use it, does as after a plain start.
+//!
+//! A reader that lacks a field, or cannot use it, does as after a plain start. Encoded by position (postcard): fields are
+//! neither reordered nor added or removed under one [`FORM`].
 
 use std::collections::HashMap;
 
@@ -9,185 +11,250 @@
 use ternpick::types::{EndpointState, Micros, NodeId};
 use ternpick_tenant_limits::Counted;
 
-use crate::lifecycle::watch;
-use crate::router::Router;
+use crate::lifecycle::watch::{self, MalformedList};
+use crate::router::{Decisions, Router};
+use crate::stages::auth_filter::AuthFilter;
 
 /// The form of the snapshot; another one is not read.
-pub const FORM: u16 = 2;
+pub(crate) const FORM: u16 = 2;
 
+/// The terms that the engine is given where its own do not apply: they agree with none.
+const FOREIGN_TERMS: &str = "somebody else's";
+
+/// A document, and its age in microseconds.
+type AgedDocument = (u64, String);
+
+/// The state of a router.
 #[derive(Serialize, Deserialize)]
-pub struct Snapshot {
-    pub form: u16,
-    /// The roster as discovery words it, with its version. Without it: the list of the configuration.
-    pub roster: String,
-    /// The numbers that beliefs name nodes by, and the nodes' names.
-    pub names: Vec<(u64, String)>,
-    pub beliefs: EngineSnapshot,
+pub(crate) struct Snapshot {
+    /// [`FORM`].
+    pub(crate) form: u16,
+    /// The endpoint list as discovery words it, with its version. Without it: the list of the configuration.
+    pub(crate) endpoint_list: String,
+    /// The numbers by which the engine's state names nodes, and the nodes' names.
+    pub(crate) node_names: Vec<(u64, String)>,
+    /// What the decision module has learnt.
+    pub(crate) engine: EngineSnapshot,
     /// Limits of tenants. Without it: full bursts.
-    pub limits: Option<Counted>,
-    /// The set of keys as it was served, and its age in microseconds. Without it: none until the source is heard.
-    pub keys: Option<(u64, String)>,
-    /// All revocations, and their age. Without it: none until the source is heard, and no trust before.
-    pub revocations: Option<(u64, String)>,
+    pub(crate) limits: Option<Counted>,
+    /// The set of keys as it was served, and its age in microseconds. Without it: none until the source answers.
+    pub(crate) keys: Option<AgedDocument>,
+    /// All revocations, and their age. Without it: none until the source answers, and no trust before.
+    pub(crate) revocations: Option<AgedDocument>,
 }
 
-fn roster(router: &Router) -> (Value, Vec<(u64, String)>) {
-    let (now, desk) = (router.clock.now(), router.decisions.borrow());
-    let (mut entries, mut names) = (Vec::new(), Vec::new());
-    for (id, name, address) in desk.effects.nodes.all() {
-        let Some(node) = desk.engine.nodes.get(&id) else {
+/// Why a snapshot cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum SnapshotError {
+    /// Not the encoding of a snapshot.
+    #[error("{0}")]
+    Encoding(#[from] postcard::Error),
+    /// Of another form.
+    #[error("form {0} is not known")]
+    Form(u16),
+    /// The endpoint list is not JSON.
+    #[error("{0}")]
+    EndpointListSyntax(#[from] serde_json::Error),
+    /// The endpoint list cannot be used.
+    #[error("{0}")]
+    EndpointList(#[from] MalformedList),
+    /// Identity does not accept the keys or the revocations.
+    #[error("{0}")]
+    Identity(String),
+}
+
+/// The endpoint list as discovery words it, and the names of its nodes by number.
+struct ListedEndpoints {
+    list: Value,
+    node_names: Vec<(u64, String)>,
+}
+
+fn listed_endpoints(router: &Router) -> ListedEndpoints {
+    let now = router.clock.now();
+    let decisions = router.decisions.borrow();
+    let mut entries = Vec::new();
+    let mut node_names = Vec::new();
+    for (id, name, address) in decisions.effects.nodes.all() {
+        let Some(node) = decisions.engine.nodes.get(&id) else {
             continue;
         };
-        let listing = &node.endpoint;
-        // Discovery's own word: what operators take out is the fleet's, and the new process hears it from there.
+        let endpoint = &node.endpoint;
+        // Discovery's own state: what operators take out is the fleet's, and the new process learns it from there.
         // Seen: a machine that was out at an upgrade never came back, the new process had it from discovery.
-        let own = router
-            .fleet
-            .as_ref()
-            .and_then(|fleet| fleet.discovery_says(name));
-        let status = match own.unwrap_or(listing.state) {
+        let fleet = router.fleet.as_ref();
+        let at_discovery = fleet.and_then(|fleet| fleet.discovery_says(name));
+        let status = match at_discovery.unwrap_or(endpoint.state) {
             EndpointState::Ready => "Ready",
             EndpointState::Draining => "Terminating",
             EndpointState::Gone => continue,
         };
         // How long it has been up by this process's clock: the next one's may read another wall clock.
-        let age = Some(node.started.at)
-            .filter(|at| at.0 > 0)
-            .map(|at| now.since(at).0 / 1000);
-        let zone = desk
-            .effects
-            .bounds
-            .zone_names
-            .get(usize::from(listing.zone.0));
+        let started_at = Some(node.started.at).filter(|at| at.0 > 0);
+        let age_ms = started_at.map(|at| now.since(at).0 / 1000);
+        let zone_names = &decisions.effects.bounds.zone_names;
+        let zone = zone_names.get(usize::from(endpoint.zone.0));
         entries.push(json!({"name": name, "address": address.to_string(), "zone": zone,
-            "group": listing.shard_group.0, "status": status, "since_ms": listing.started_at.0 / 1000, "age_ms": age}));
-        names.push((id.0, name.to_owned()));
+            "group": endpoint.shard_group.0, "status": status, "since_ms": endpoint.started_at.0 / 1000, "age_ms": age_ms}));
+        node_names.push((id.0, name.to_owned()));
+    }
+    let version = router.discovery.list_version();
+    ListedEndpoints {
+        list: json!({"index": version, "snapshot": true, "endpoints": entries}),
+        node_names,
     }
-    (
-        json!({"index": router.discovery.list_version(), "snapshot": true, "endpoints": entries}),
-        names,
-    )
 }
 
-/// Whose beliefs these are: the names that numbers of indexes and tenants stand for.
+/// Whose state this is: the names that numbers of indexes and tenants stand for.
 fn owners(router: &Router) -> String {
-    let tenants = router.auth.as_ref().map_or_else(
-        || router.bounds.customer_names.clone(),
-        |gate| gate.customers(),
-    );
+    let tenants = match &router.auth {
+        Some(auth) => auth.customers(),
+        None => router.bounds.customer_names.clone(),
+    };
     format!(" of {:?}", (&router.bounds.index_names, tenants))
 }
 
-/// What beliefs rest on without whose they are, and whether they are this router's own. Under other names a number means
-/// somebody else: what was learnt of one customer's index would be held against another's.
-fn own_terms(terms: Option<&str>, owners: &str) -> (String, bool) {
+/// The engine's terms without their owners.
+struct OwnTerms {
+    terms: String,
+    /// Whether the owners are this router's.
+    is_own: bool,
+}
+
+/// Under other names a number means somebody else: what was learnt of one customer's index would be held against another's.
+fn own_terms(terms: Option<&str>, owners: &str) -> OwnTerms {
     match terms.and_then(|terms| terms.strip_suffix(owners)) {
-        Some(own) => (own.to_owned(), true),
-        None => ("somebody else's".to_owned(), false),
+        Some(own) => OwnTerms {
+            terms: own.to_owned(),
+            is_own: true,
+        },
+        None => OwnTerms {
+            terms: FOREIGN_TERMS.to_owned(),
+            is_own: false,
+        },
     }
 }
 
 impl Snapshot {
-    pub fn take(router: &Router) -> Snapshot {
-        let (roster, names) = roster(router);
+    /// The state of a router now.
+    pub(crate) fn take(router: &Router) -> Snapshot {
+        let ListedEndpoints { list, node_names } = listed_endpoints(router);
         let now = router.clock.now();
-        let [keys, revocations] = router
-            .auth
-            .as_ref()
-            .map_or([None, None], |gate| gate.kept(router));
-        let mut desk = router.decisions.borrow_mut();
-        let limits = desk
-            .effects
-            .limits
-            .as_mut()
-            .map(|limits| limits.counted(now));
-        let mut beliefs = desk.engine.snapshot(now);
-        beliefs.terms = beliefs.terms.map(|terms| terms + &owners(router));
+        let auth = router.auth.as_ref();
+        let [keys, revocations] = auth.map_or([None, None], |auth| auth.kept(router));
+        let mut decisions = router.decisions.borrow_mut();
+        let limits = decisions.effects.limits.as_mut();
+        let limits = limits.map(|limits| limits.counted(now));
+        let mut engine = decisions.engine.snapshot(now);
+        engine.terms = engine.terms.map(|terms| terms + &owners(router));
         Snapshot {
             form: FORM,
-            roster: roster.to_string(),
-            names,
-            beliefs,
+            endpoint_list: list.to_string(),
+            node_names,
+            engine,
             limits,
             keys,
             revocations,
         }
     }
 
-    pub fn bytes(&self) -> Vec<u8> {
+    /// Its encoding.
+    pub(crate) fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    pub fn parse(bytes: &[u8]) -> Result<Snapshot, String> {
-        let snapshot: Snapshot = postcard::from_bytes(bytes).map_err(|e| e.to_string())?;
+    /// Decodes a snapshot of this form.
+    pub(crate) fn parse(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
+        let snapshot: Snapshot = postcard::from_bytes(bytes)?;
         match snapshot.form {
             FORM => Ok(snapshot),
-            other => Err(format!("form {other} is not known")),
+            other => Err(SnapshotError::Form(other)),
         }
     }
 
-    /// Takes it in; tells the version of the roster. Numbers of nodes are this process's own.
-    pub fn apply(mut self, router: &Router) -> Result<u64, String> {
-        let roster: Value = serde_json::from_str(&self.roster).map_err(|e| e.to_string())?;
-        // The watch goes on from this version, and is asked for as the list is taken in.
-        let version = roster["index"].as_u64().unwrap_or(0);
-        let before = router.discovery.list_version();
-        router.discovery.set_list_version(version);
-        watch::take_list(router, &roster).map_err(|what| {
-            router.discovery.set_list_version(before);
-            what.to_owned()
-        })?;
-        let names: HashMap<u64, String> = self.names.into_iter().collect();
-        let now = router.clock.now();
-        let (nodes, taken) = {
-            let mut desk = router.decisions.borrow_mut();
-            let crate::router::Decisions {
-                engine: brain,
-                effects: office,
-            } = &mut *desk;
-            for entry in roster["endpoints"].as_array().into_iter().flatten() {
-                let of = entry["name"]
-                    .as_str()
-                    .and_then(|name| office.nodes.number(name));
-                let node = of.and_then(|id| brain.nodes.get_mut(&id));
-                if let (Some(node), Some(age)) = (node, entry["age_ms"].as_u64()) {
-                    node.started.at = now.since(Micros(age.saturating_mul(1000)));
-                }
-            }
-            let known = |id: &u64| office.nodes.number(names.get(id)?);
-            let nodes = std::mem::take(&mut self.beliefs.nodes);
-            let count = nodes.len();
-            self.beliefs.nodes = nodes
-                .into_iter()
-                .filter_map(|(id, belief)| Some((known(&id)?.0, belief)))
-                .collect();
-            let (terms, own) = own_terms(self.beliefs.terms.as_deref(), &owners(router));
-            self.beliefs.terms = Some(terms);
-            let taken = brain.believe(now, &self.beliefs);
-            if let (Some(limits), Some(counted), true) = (&mut office.limits, &self.limits, own) {
-                limits.go_on(now, counted);
-            }
-            (count, taken)
-        };
-        if let Some(gate) = &router.auth {
-            let now = gate.now(router);
-            let then = |age: u64| now.since(Micros(age));
-            if let Some((age, text)) = &self.keys {
-                gate.told_of_keys(then(*age), text.as_bytes())?;
-            }
-            if let Some((age, text)) = &self.revocations {
-                gate.told_of_revocations(then(*age), text.as_bytes())?;
-            }
+    /// Applies it to a router that does not serve yet; returns the version of the endpoint list. Numbers of nodes become
+    /// this process's own.
+    pub(crate) fn apply(mut self, router: &Router) -> Result<u64, SnapshotError> {
+        let list: Value = serde_json::from_str(&self.endpoint_list)?;
+        let version = apply_list(router, &list)?;
+        let nodes = self.engine.nodes.len();
+        let applied = self.apply_to_engine(router, &list);
+        if let Some(auth) = &router.auth {
+            self.apply_to_identity(router, auth)?;
         }
         tracing::info!(
-            "upgrade: beliefs of {taken} of {nodes} nodes are taken over, roster version {version}"
+            nodes,
+            applied,
+            list_version = version,
+            "hot restart: node statistics taken over"
         );
         Ok(version)
     }
+
+    /// Applies what was learnt; returns of how many nodes.
+    fn apply_to_engine(&mut self, router: &Router, list: &Value) -> usize {
+        let now = router.clock.now();
+        let mut decisions = router.decisions.borrow_mut();
+        let decisions = &mut *decisions;
+        apply_start_times(decisions, list, now);
+        let Decisions { engine, effects } = decisions;
+        let names: HashMap<u64, String> = self.node_names.drain(..).collect();
+        let known = |id: &u64| effects.nodes.number(names.get(id)?);
+        let nodes = std::mem::take(&mut self.engine.nodes);
+        self.engine.nodes = nodes
+            .into_iter()
+            .filter_map(|(id, node)| Some((known(&id)?.0, node)))
+            .collect();
+        let own = own_terms(self.engine.terms.as_deref(), &owners(router));
+        self.engine.terms = Some(own.terms);
+        let applied = engine.believe(now, &self.engine);
+        if let (Some(limits), Some(counted)) = (&mut effects.limits, &self.limits) {
+            if own.is_own {
+                limits.go_on(now, counted);
+            }
+        }
+        applied
+    }
+
+    fn apply_to_identity(&self, router: &Router, auth: &AuthFilter) -> Result<(), SnapshotError> {
+        let now = auth.now(router);
+        let current_at = |age: u64| now.since(Micros(age));
+        if let Some((age, text)) = &self.keys {
+            auth.told_of_keys(current_at(*age), text.as_bytes())
+                .map_err(|error| SnapshotError::Identity(error.to_string()))?;
+        }
+        if let Some((age, text)) = &self.revocations {
+            auth.told_of_revocations(current_at(*age), text.as_bytes())
+                .map_err(|error| SnapshotError::Identity(error.to_string()))?;
+        }
+        Ok(())
+    }
+}
+
+fn apply_list(router: &Router, list: &Value) -> Result<u64, MalformedList> {
+    // The watch goes on from this version, and is asked for as the list is applied.
+    let version = list["index"].as_u64().unwrap_or(0);
+    let before = router.discovery.list_version();
+    router.discovery.set_list_version(version);
+    if let Err(error) = watch::apply_endpoint_list(router, list) {
+        router.discovery.set_list_version(before);
+        return Err(error);
+    }
+    Ok(version)
+}
+
+fn apply_start_times(decisions: &mut Decisions, list: &Value, now: Micros) {
+    for entry in list["endpoints"].as_array().into_iter().flatten() {
+        let name = entry["name"].as_str();
+        let id = name.and_then(|name| decisions.effects.nodes.number(name));
+        let node = id.and_then(|id| decisions.engine.nodes.get_mut(&id));
+        if let (Some(node), Some(age_ms)) = (node, entry["age_ms"].as_u64()) {
+            node.started.at = now.since(Micros(age_ms.saturating_mul(1000)));
+        }
+    }
 }
 
-/// The number of a node, for status.
-pub fn number(id: NodeId) -> String {
+/// The number of a node, as status and log print it.
+pub(crate) fn number(id: NodeId) -> String {
     format!("{:x}", id.0)
 }
 
--- a/router/src/lifecycle/snapshot/tests.rs
+++ b/router/src/lifecycle/snapshot/tests.rs
@@ -9,8 +9,8 @@
                 "zone": "north", "group": at % 97, "status": "Ready", "since_ms": 1_790_000_000_000u64 + at})
         })
         .collect();
-    let roster = json!({"index": 7, "snapshot": true, "endpoints": entries}).to_string();
-    let belief = NodeSnapshot {
+    let endpoint_list = json!({"index": 7, "snapshot": true, "endpoints": entries}).to_string();
+    let node = NodeSnapshot {
         started: 1_790_000_000_000_000,
         report: Some(3.25),
         best_rate: 41.5,
@@ -22,16 +22,16 @@
         sends: Vec::new(),
         out: vec![(1, 40_000, 1.0, 2.0)],
     };
-    let beliefs = EngineSnapshot {
-        nodes: (0..nodes).map(|at| (at, belief.clone())).collect(),
+    let engine = EngineSnapshot {
+        nodes: (0..nodes).map(|at| (at, node.clone())).collect(),
         ..EngineSnapshot::default()
     };
-    let names = (0..nodes).map(|at| (at, format!("s-{at:08x}"))).collect();
+    let node_names = (0..nodes).map(|at| (at, format!("s-{at:08x}"))).collect();
     Snapshot {
         form: FORM,
-        roster,
-        names,
-        beliefs,
+        endpoint_list,
+        node_names,
+        engine,
         limits: None,
         keys: None,
         revocations: None,
@@ -50,7 +50,7 @@
         bytes.len(),
         began.elapsed()
     );
-    assert_eq!(read.beliefs.nodes.len() as u64, nodes);
+    assert_eq!(read.engine.nodes.len() as u64, nodes);
     assert!(bytes.len() as u64 / nodes < 400, "{} bytes", bytes.len());
 }
 
@@ -79,5 +79,7 @@
 #[test_case(Some("soft 5"), "somebody else's", false; "from a program that did not say whose they are")]
 #[test_case(None, "somebody else's", false; "nothing said")]
 fn beliefs_by_number_hold_for_the_same_names_alone(terms: Option<&str>, own: &str, ours: bool) {
-    assert_eq!(own_terms(terms, " of a, b"), (own.to_owned(), ours));
+    let parsed = own_terms(terms, " of a, b");
+    assert_eq!(parsed.terms, own);
+    assert_eq!(parsed.is_own, ours);
 }
--- a/router/src/lifecycle/start.rs
+++ b/router/src/lifecycle/start.rs
@@ -1,65 +1,134 @@
-//! Start: from a configuration to a router that serves.
+//! Start: from a configuration to a router that serves, until it has stopped or handed over.
 
-use std::cell::RefCell;
+use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
+use std::process::Child;
 use std::rc::Rc;
 
-use async_executor::LocalExecutor;
+use async_executor::Task;
 use async_io::Async;
-use event_listener::Event;
 use futures_lite::future;
-use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use serde_json::Value;
-use ternpick::routing::RoutingEngine;
 use ternpick::watch_schedule::WatchSchedule;
+use ternpick_store::StoreError;
 
-use crate::fleet::{event_loop, Fleet};
-use crate::lifecycle::clock::Clock;
+use crate::fleet::event_loop;
+use crate::lifecycle::build::{BuildError, RouterBuilder};
+use crate::lifecycle::capacity_share::CapacityShare;
 use crate::lifecycle::config::RouterConfig;
 use crate::lifecycle::control::{self, Control};
-use crate::lifecycle::hot_restart_link::Link;
+use crate::lifecycle::parent::{self, ParentError};
 use crate::lifecycle::reload::Source;
 use crate::lifecycle::settings::{ControlTerms, Settings};
-use crate::lifecycle::tls::{self, Tls};
-use crate::lifecycle::upgrade::{self, Share, Start};
-use crate::lifecycle::{key_sources, logging, signals, stop, takeover, watch};
-use crate::router::{Decisions, Router};
-use crate::stages::auth_filter::AuthFilter;
-use crate::stages::completion::EffectQueue;
+use crate::lifecycle::signals::{SignalError, Signals};
+use crate::lifecycle::sockets::{self, ListenError};
+use crate::lifecycle::takeover::{PreviousProcess, TakeoverError};
+use crate::lifecycle::tls::{self, Tls, TlsError};
+use crate::lifecycle::upgrade::{self, Start, Upgrades};
+use crate::lifecycle::{key_sources, logging, run, signals, takeover, watch};
+use crate::router::Router;
 use crate::stages::{dispatch, listener};
-use crate::state::budget::Budget;
-use crate::state::client_transfer::ClientTransfer;
-use crate::state::descriptors::Descriptors;
-use crate::state::discovery::DiscoveryState;
-use crate::state::listener::ListenerState;
-use crate::state::shutdown::ShutdownState;
 
-/// The descriptors that the process may really hold; its own limit is raised as far as wanted and allowed.
-fn descriptors(wanted: usize) -> usize {
-    let limit = getrlimit(Resource::Nofile);
-    let most = limit
-        .maximum
-        .map_or(wanted, |most| wanted.min(most as usize));
-    let current = limit.current.map_or(wanted, |now| now as usize);
-    let raised = Rlimit {
-        current: Some(most as u64),
-        ..limit
-    };
-    if current >= wanted || setrlimit(Resource::Nofile, raised).is_ok() {
-        return most;
-    }
-    tracing::warn!("only {current} of {wanted} descriptors may be held");
-    current
+/// Why a router does not serve, or ends with a failure.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum StartError {
+    /// Signals cannot be received.
+    #[error("{0}")]
+    Signals(#[from] SignalError),
+    /// TLS files cannot be used.
+    #[error("{0}")]
+    Tls(#[from] TlsError),
+    /// Configuration and settings make no router.
+    #[error("{0}")]
+    Build(#[from] BuildError),
+    /// An address cannot be listened on.
+    #[error("{0}")]
+    Listen(#[from] ListenError),
+    /// A listener cannot be duplicated.
+    #[error("a listener is spoilt: {0}")]
+    DuplicateListener(io::Error),
+    /// The place of another process cannot be taken.
+    #[error("{0}")]
+    Takeover(#[from] TakeoverError),
+    /// The process id cannot be stored.
+    #[error("{0}")]
+    PidFile(#[from] StoreError),
+    /// The control socket cannot be opened.
+    #[error("{0}")]
+    Control(String),
+    /// The program of this process, for upgrades.
+    #[error("the program is not to be found: {0}")]
+    Program(io::Error),
+    /// The process that has taken over has failed.
+    #[error("{0}")]
+    Parent(#[from] ParentError),
 }
 
-fn bind(listen: SocketAddr, sockets: usize) -> Result<TcpListener, String> {
-    let listener = TcpListener::bind(listen).and_then(|listener| {
-        // Connections that wait to be accepted are the router's already, so there is room for all it may hold.
-        rustix::net::listen(&listener, i32::try_from(sockets).unwrap_or(i32::MAX))?;
-        Ok(listener)
-    });
-    listener.map_err(|e| format!("cannot listen on {listen}: {e}"))
+/// How a router starts.
+pub(crate) enum Origin {
+    /// On its own.
+    Fresh,
+    /// In the place of another process.
+    Replaces(PreviousProcess),
+}
+
+/// Where the listeners come from.
+enum ListenerSource {
+    Bound(Vec<TcpListener>),
+    Previous(PreviousProcess),
+}
+
+/// Serves until told to stop and nothing that was admitted is left unanswered.
+pub(crate) fn serve(
+    mut config: RouterConfig,
+    settings: Settings,
+    source: Source,
+    origin: Origin,
+) -> Result<(), StartError> {
+    logging::start(&settings.log);
+    let settings = settings.for_router(&config.name);
+    let signals = signals::listen()?;
+    let digest = digest(&source);
+    let descriptor_limit = sockets::raise_descriptor_limit(config.descriptor_limit);
+    let tls = settings.tls.map(Tls::new).transpose()?;
+    let addresses = std::iter::once(config.listen).chain(tls.as_ref().map(|tls| tls.listen));
+    let addresses: Vec<SocketAddr> = addresses.collect();
+    let listeners = match origin {
+        Origin::Fresh => ListenerSource::Bound(sockets::bind_all(&addresses, descriptor_limit)?),
+        Origin::Replaces(previous) => ListenerSource::Previous(previous),
+    };
+    let known_endpoints = config.known_endpoints.take();
+    let polled = config.platform.discovery_is_polled;
+    let schedule = WatchSchedule::new(config.bounds.ask_within, !config.seed);
+    let name = config.name.clone();
+    let builder = RouterBuilder {
+        config,
+        identity: settings.identity,
+        fleet: settings.fleet,
+        descriptor_limit,
+        list_version: known_endpoints["index"].as_u64().unwrap_or(0),
+        replaces_process: matches!(listeners, ListenerSource::Previous(_)),
+    };
+    let router = Rc::new(builder.build()?);
+    let executor = Rc::clone(&router.executor);
+    let serving = Serving {
+        share: Rc::new(CapacityShare::of(&router)),
+        router,
+        name,
+        addresses,
+        descriptor_limit,
+        tls,
+        known_endpoints,
+        source,
+        digest,
+    };
+    let serving = serving.run(listeners, schedule, polled, settings.control, signals);
+    // The executor stays until the process ends, with the tasks that are left on it.
+    match future::block_on(executor.run(serving))? {
+        Some(heir) => Ok(parent::stay(heir)?),
+        None => Ok(()),
+    }
 }
 
 /// The digest of what a router runs on, for the process that is to take its place.
@@ -73,253 +142,157 @@
     u64::from(crc32fast::hash(fixed.as_bytes())) << 32 | u64::from(crc32fast::hash(&settings))
 }
 
-/// Both listeners, the plain one first.
-fn bind_all(
-    listen: SocketAddr,
-    tls: Option<&Rc<Tls>>,
-    sockets: usize,
-) -> Result<Vec<TcpListener>, String> {
-    let addresses = std::iter::once(listen).chain(tls.map(|tls| tls.listen));
-    addresses.map(|address| bind(address, sockets)).collect()
+/// A router on its way to serve.
+struct Serving {
+    router: Rc<Router>,
+    share: Rc<CapacityShare>,
+    name: String,
+    /// Where it listens, the plain listener first.
+    addresses: Vec<SocketAddr>,
+    descriptor_limit: usize,
+    tls: Option<Rc<Tls>>,
+    /// The endpoint list of the configuration; null if there is none.
+    known_endpoints: Value,
+    source: Source,
+    digest: u64,
 }
 
-/// How a router starts: on its own, or in another process's place.
-pub enum From {
-    Nothing,
-    /// The link to it, and its number.
-    Process(Link, u32),
-}
+impl Serving {
+    /// Starts all tasks and waits for the end. Returns the process that has taken over, if this one is to stay as its parent.
+    async fn run(
+        self,
+        listeners: ListenerSource,
+        schedule: WatchSchedule,
+        polled: bool,
+        control: Option<ControlTerms>,
+        signals: Signals,
+    ) -> Result<Option<Child>, StartError> {
+        self.spawn(watch::watch(Rc::clone(&self.router), schedule));
+        self.spawn(dispatch::turns(Rc::clone(&self.router)));
+        // The tasks are to listen before they are called upon: applying a list may ask for the watch at once.
+        future::yield_now().await;
+        let listeners = match listeners {
+            ListenerSource::Bound(listeners) => {
+                self.apply_known_endpoints();
+                listeners
+            }
+            ListenerSource::Previous(previous) => {
+                self.take_over(previous, control.as_ref()).await?
+            }
+        };
+        if !polled {
+            self.router.discovery.request_watch();
+        }
+        let nodes = self.router.decisions.borrow().effects.nodes.count();
+        let address = self.addresses[0];
+        tracing::info!(router = self.name, %address, nodes, "serving");
+        key_sources::start(&self.router);
+        if let Some(fleet) = &self.router.fleet {
+            self.spawn(event_loop::run(Rc::clone(&self.router), Rc::clone(fleet)));
+        }
+        let control = control
+            .map(|settings| self.open_control(settings, &listeners))
+            .transpose()?;
+        let accepting = self.accept(listeners)?;
+        run::until_stopped(&self.router, signals, &self.source, accepting).await;
+        let stays = control.filter(|control| {
+            control.terms.stays_as_parent && self.router.shutdown.is_handed_over()
+        });
+        Ok(stays.and_then(|control| control.upgrades.heir.take()))
+    }
 
-/// Serves until told to stop and nothing taken is left unanswered.
-pub fn serve(
-    opening: RouterConfig,
-    settings: Settings,
-    source: Source,
-    from: From,
-) -> Result<(), String> {
-    logging::start(&settings.log);
-    let settings = settings.for_router(&opening.name);
-    let signals = signals::listen()?;
-    let digest = digest(&source);
-    let RouterConfig {
-        name,
-        listen,
-        discovery,
-        seed,
-        sockets,
-        memory,
-        known,
-        mut tariff,
-        bounds,
-        ..
-    } = opening;
-    let sockets = descriptors(sockets);
-    let tls = settings.tls.map(Tls::new).transpose()?;
-    let bound = match from {
-        From::Nothing => Some(bind_all(listen, tls.as_ref(), sockets)?),
-        From::Process(..) => None,
-    };
-    let gate = settings
-        .identity
-        .as_ref()
-        .map(|of| AuthFilter::new(of, seed).map(|(gate, limits)| (gate, limits, of)));
-    let (gate, limits) = match gate
-        .transpose()
-        .map_err(|fault| format!("identity: {fault}"))?
-    {
-        Some((gate, limits, of)) => {
-            tariff.quotas = gate.quotas(of);
-            (Some(gate), Some(limits))
+    fn spawn(&self, task: impl std::future::Future<Output = ()> + 'static) {
+        self.router.executor.spawn(task).detach();
+    }
+
+    /// Applies the endpoint list of the configuration, so that a start needs no discovery.
+    fn apply_known_endpoints(&self) {
+        if self.known_endpoints.is_null() {
+            return;
         }
-        None => (None, None),
-    };
-    let customers = match &gate {
-        Some(gate) => gate.customers(),
-        None => bounds.customer_names.clone(),
-    };
-    let inherits = matches!(from, From::Process(..));
-    let clock = Clock::start();
-    let lingers = settings
-        .fleet
-        .as_ref()
-        .and_then(|fleet| fleet.works.as_ref())
-        .map(|works| works.lingers);
-    if let (Some(lingers), Some(longest)) = (lingers, bounds.longest_deadline) {
-        if lingers < longest.0 {
-            return Err(format!(
-                "fleet.works.lingers is {} ms, the longest deadline here is {} ms: a router without a lease could still act \
-                 on a machine under a permit",
-                lingers / 1000,
-                longest.0 / 1000
-            ));
+        if let Err(error) = watch::apply_endpoint_list(&self.router, &self.known_endpoints) {
+            tracing::warn!(%error, "endpoint list of the configuration ignored");
         }
     }
-    let fleet = settings.fleet.map(|terms| {
-        Fleet::new(
-            terms,
-            &name,
-            &tariff,
-            &bounds.index_names,
-            customers,
-            inherits,
-            clock.now(),
-        )
-    });
-    let cadence = WatchSchedule::new(bounds.ask_within, !seed);
-    let (bounds, asked) = (Rc::new(bounds), tariff.discovery_is_polled);
-    let office = EffectQueue {
-        bounds: Rc::clone(&bounds),
-        limits,
-        ..EffectQueue::default()
-    };
-    let router = Rc::new(Router {
-        clock,
-        bounds,
-        descriptors: Descriptors::new(sockets),
-        budget: Budget::new(memory),
-        clients: Rc::default(),
-        executor: Rc::new(LocalExecutor::new()),
-        decisions: RefCell::new(Decisions {
-            engine: RoutingEngine::new(tariff, seed),
-            effects: office,
-        }),
-        auth: gate,
-        fleet,
-        input_applied: Event::new(),
-        discovery: DiscoveryState::new(discovery, known["index"].as_u64().unwrap_or(0)),
-        shutdown: ShutdownState::default(),
-        listener: ListenerState::default(),
-        client_transfer: ClientTransfer::default(),
-    });
-    let share = Rc::new(Share::of(&router));
-    let control = settings.control;
-    let executor = Rc::clone(&router.executor);
-    let heir = future::block_on(executor.run(async {
-        executor
-            .spawn(watch::watch(Rc::clone(&router), cadence))
-            .detach();
-        executor.spawn(dispatch::turns(Rc::clone(&router))).detach();
-        // The tasks are to listen before they are called upon: taking a list in may ask for the watch at once.
-        future::yield_now().await;
-        let take_known = || {
-            if !known.is_null() {
-                watch::take_list(&router, &known).unwrap_or_else(|what| {
-                    tracing::warn!("roster: the known list is passed over, {what}");
-                    0
-                });
-            }
-        };
-        let listeners = match (bound, from) {
-            (Some(bound), _) => {
-                take_known();
-                bound
-            }
-            (None, From::Nothing) => bind_all(listen, tls.as_ref(), sockets)?,
-            (None, From::Process(link, old)) => {
-                let patience = control.as_ref().map(upgrade::patience).unwrap_or_default();
-                let taken =
-                    takeover::take_over(&router, &share, (link, old), patience, digest).await?;
-                let listeners = match &taken.listeners {
-                    Some(passed) => {
-                        let again = passed.iter().map(TcpListener::try_clone);
-                        again
-                            .collect::<Result<Vec<_>, _>>()
-                            .map_err(|e| format!("a listener is spoilt: {e}"))?
-                    }
-                    None => bind_all(listen, tls.as_ref(), sockets)?,
-                };
-                // The old one died before it passed its state: the list of the configuration is what there is.
-                if taken.version.is_none() {
-                    take_known();
-                }
-                executor
-                    .spawn(takeover::follow(
-                        Rc::clone(&router),
-                        Rc::clone(&share),
-                        taken,
-                    ))
-                    .detach();
-                listeners
-            }
+
+    /// Takes another process's place; returns the listeners.
+    async fn take_over(
+        &self,
+        previous: PreviousProcess,
+        control: Option<&ControlTerms>,
+    ) -> Result<Vec<TcpListener>, StartError> {
+        let timeouts = control.map(upgrade::step_timeouts).unwrap_or_default();
+        let taken =
+            takeover::take_over(&self.router, &self.share, previous, timeouts, self.digest).await?;
+        let listeners = match taken.listeners {
+            Some(listeners) => listeners,
+            None => sockets::bind_all(&self.addresses, self.descriptor_limit)?,
         };
-        if !asked {
-            router.discovery.request_watch();
+        // The old one died before it passed its state: the list of the configuration is what there is.
+        if taken.list_version.is_none() {
+            self.apply_known_endpoints();
         }
-        tracing::info!(
-            "{name} serves on {listen}, {} nodes known",
-            router.decisions.borrow().effects.nodes.count()
-        );
-        key_sources::start(&router);
-        if let Some(fleet) = &router.fleet {
-            executor
-                .spawn(event_loop::run(Rc::clone(&router), Rc::clone(fleet)))
-                .detach();
+        self.spawn(takeover::follow(
+            Rc::clone(&self.router),
+            Rc::clone(&self.share),
+            taken.old,
+        ));
+        Ok(listeners)
+    }
+
+    /// Opens the control socket, and stores which process serves.
+    fn open_control(
+        &self,
+        settings: ControlTerms,
+        listeners: &[TcpListener],
+    ) -> Result<Rc<Control>, StartError> {
+        let duplicates = listeners
+            .iter()
+            .map(|listener| listener.try_clone().map(OwnedFd::from))
+            .collect::<Result<Vec<_>, _>>()
+            .map_err(StartError::DuplicateListener)?;
+        if let Some(path) = &settings.pid_file {
+            let text = format!("{}\n", std::process::id());
+            ternpick_store::replace_file(path.as_ref(), text.as_bytes())?;
         }
-        let control = match control {
-            Some(terms) => Some(open_control(
-                &router, &share, terms, &source, digest, &listeners, &name,
-            )?),
-            None => None,
+        let socket = control::bind(settings.socket.as_ref())
+            .map_err(|error| StartError::Control(error.to_string()))?;
+        let start = Start {
+            program: std::env::current_exe().map_err(StartError::Program)?,
+            config: self.source.path.clone(),
+            settings: self.source.settings.clone().unwrap_or_default(),
         };
+        let upgrades = Upgrades::new(&self.share, &settings, self.digest, duplicates);
+        let control = Rc::new(Control::new(settings, start, upgrades, &self.name));
+        self.spawn(control::serve(
+            Rc::clone(&self.router),
+            Rc::clone(&control),
+            socket,
+        ));
+        Ok(control)
+    }
+
+    /// Accepts clients; the task ends once all listeners are closed. The first listener is plain, another one TLS.
+    fn accept(&self, listeners: Vec<TcpListener>) -> Result<Task<()>, StartError> {
+        let executor = &self.router.executor;
         let mut accepting = Vec::new();
-        for (at, listener) in listeners.into_iter().enumerate() {
-            let listener =
-                Async::new(listener).map_err(|e| format!("cannot listen on {listen}: {e}"))?;
-            let tls = if at == 0 { None } else { tls.clone() };
+        for (position, listener) in listeners.into_iter().enumerate() {
+            let listener = Async::new(listener).map_err(|source| ListenError {
+                address: self.addresses[0],
+                source,
+            })?;
+            let tls = self.tls.clone().filter(|_| position > 0);
             if let Some(tls) = &tls {
-                tracing::info!("{name} serves TLS on {}", tls.listen);
-                executor
-                    .spawn(tls::watch(Rc::clone(&router), Rc::clone(tls)))
-                    .detach();
+                tracing::info!(router = self.name, address = %tls.listen, "serving TLS");
+                self.spawn(tls::watch(Rc::clone(&self.router), Rc::clone(tls)));
             }
-            accepting.push(executor.spawn(listener::accept(Rc::clone(&router), listener, tls)));
+            let task = listener::accept(Rc::clone(&self.router), listener, tls);
+            accepting.push(executor.spawn(task));
         }
-        let accepting = executor.spawn(async {
+        Ok(executor.spawn(async {
             for task in accepting {
                 task.await;
             }
-        });
-        signals::obey(&router, signals, &source, accepting).await;
-        let stays =
-            control.filter(|control| control.terms.stays && router.shutdown.is_handed_over());
-        Ok::<_, String>(stays.and_then(|control| control.upgrades.heir.take()))
-    }))?;
-    drop(router);
-    match heir {
-        Some(heir) => stop::stay(heir),
-        None => Ok(()),
-    }
-}
-
-/// Opens the control socket, and writes down which process serves.
-fn open_control(
-    router: &Rc<Router>,
-    share: &Rc<Share>,
-    terms: ControlTerms,
-    source: &Source,
-    digest: u64,
-    listeners: &[TcpListener],
-    name: &str,
-) -> Result<Rc<Control>, String> {
-    let passed = listeners.iter().map(|of| of.try_clone().map(OwnedFd::from));
-    let passed = passed
-        .collect::<Result<Vec<_>, _>>()
-        .map_err(|e| format!("a listener is spoilt: {e}"))?;
-    if let Some(path) = &terms.pid_file {
-        let text = format!("{}\n", std::process::id());
-        ternpick_store::replace_file(path.as_ref(), text.as_bytes())
-            .map_err(|fault| fault.to_string())?;
+        }))
     }
-    let socket = control::bind(terms.socket.as_ref())?;
-    let start = Start {
-        program: std::env::current_exe()
-            .map_err(|e| format!("the program is not to be found: {e}"))?,
-        config: source.path.clone(),
-        settings: source.settings.clone().unwrap_or_default(),
-    };
-    let upgrades = upgrade::upgrades(share, &terms, digest, passed);
-    let control = Rc::new(Control::new(terms, start, upgrades, name));
-    let serving = control::serve(Rc::clone(router), Rc::clone(&control), socket);
-    router.executor.spawn(serving).detach();
-    Ok(control)
 }
--- a/router/src/lifecycle/takeover.rs
+++ b/router/src/lifecycle/takeover.rs
@@ -1,8 +1,10 @@
-//! The new side of an upgrade, driven: speaks to the old process on its standard input, takes its listeners and state,
-//! and goes on hearing from it while it drains.
+//! The new side of an upgrade: speaks to the old process on its standard input, takes its listeners and its snapshot over, and
+//! goes on receiving from it while it drains.
+//!
+//! The protocol is [`NewProcess`]'s; its effects are carried out here. Called by the start, where `--take-over` is given.
 
-use std::cell::Cell;
-use std::net::TcpListener;
+use std::io;
+use std::net::{TcpListener, TcpStream};
 use std::os::fd::{AsFd, OwnedFd};
 use std::os::unix::net::UnixStream;
 use std::rc::Rc;
@@ -12,218 +14,331 @@
 use ternpick::types::Micros;
 use ternpick_hot_restart::{Effect, Message, NewProcess, OldProcessEvent, StepTimeouts};
 
+use crate::lifecycle::capacity_share::{CapacityShare, Role};
 use crate::lifecycle::hot_restart_link::Link;
 use crate::lifecycle::snapshot::Snapshot;
-use crate::lifecycle::upgrade::Share;
 use crate::router::Router;
 use crate::stages::listener;
 
-/// How long the end of the old process may take to show after its link has ended.
-const SEEN_DEAD: u32 = 20;
-const LOOK: Micros = Micros(10_000);
-/// How often it is looked whether an old process, whose link is gone, has left at last.
-const LOOK_ON: Micros = Micros(1_000_000);
-
-/// What a process has when it may serve.
-pub struct Taken {
-    /// None: the old one died before it gave any; they are to be bound anew.
-    pub listeners: Option<Vec<TcpListener>>,
-    pub version: Option<u64>,
-    follow: Follow,
+/// How often it is checked whether the old process has ended, after its link has.
+const DEATH_CHECK_INTERVAL: Micros = Micros(10_000);
+/// How many checks it is given.
+const DEATH_CHECKS: u32 = 20;
+/// How often it is checked whether an old process, whose link is gone, has left at last.
+const DEPARTURE_CHECK_INTERVAL: Micros = Micros(1_000_000);
+
+/// Why a process could not take over.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum TakeoverError {
+    /// The link cannot be used.
+    #[error("no link: {0}")]
+    Link(io::Error),
+    /// Standard input is no link.
+    #[error("--take-over is for a process that another one starts")]
+    NoOldProcess,
+    /// The old process goes on.
+    #[error("not taken over")]
+    NotTakenOver,
+    /// The old process has sent fewer listeners than it said.
+    #[error("listeners are missing")]
+    ListenersMissing,
+}
+
+/// The process that started this one, to be replaced by it.
+pub(crate) struct PreviousProcess {
+    /// The link to it.
+    pub(crate) link: Link,
+    /// Its process id.
+    pub(crate) id: u32,
+}
+
+/// What a process has once it may serve.
+pub(crate) struct TakenOver {
+    /// The listeners; none if the old process died before it gave any: they are to be bound anew.
+    pub(crate) listeners: Option<Vec<TcpListener>>,
+    /// The version of the endpoint list in the snapshot; none if there was no snapshot that could be used.
+    pub(crate) list_version: Option<u64>,
+    /// The old process, while it drains.
+    pub(crate) old: DrainingProcess,
 }
 
-struct Follow {
+/// An old process that drains, as the new one sees it.
+pub(crate) struct DrainingProcess {
     link: Link,
     machine: NewProcess,
     parent: Option<Pid>,
 }
 
 /// The link that an old process has left on standard input.
-pub fn link() -> Result<Link, String> {
+pub(crate) fn link() -> Result<Link, TakeoverError> {
     let fd = std::io::stdin()
         .as_fd()
         .try_clone_to_owned()
-        .map_err(|e| format!("no link: {e}"))?;
+        .map_err(TakeoverError::Link)?;
     let stream = UnixStream::from(fd);
-    stream
-        .peer_addr()
-        .map_err(|_| "--take-over is for a process that another one starts".to_owned())?;
-    Link::new(stream).map_err(|e| format!("no link: {e}"))
+    if stream.peer_addr().is_err() {
+        return Err(TakeoverError::NoOldProcess);
+    }
+    Link::new(stream).map_err(TakeoverError::Link)
 }
 
-/// Whether the process that started this one lives.
-async fn old_lives(router: &Router, parent: Option<Pid>) -> bool {
-    for _ in 0..SEEN_DEAD {
+/// Whether the process that started this one lives; waits for a moment to be sure that it does.
+async fn old_process_lives(router: &Router, parent: Option<Pid>) -> bool {
+    for _ in 0..DEATH_CHECKS {
         if getppid() != parent {
             return false;
         }
-        Timer::at(router.clock.instant(router.clock.now() + LOOK)).await;
+        let next = router.clock.now() + DEATH_CHECK_INTERVAL;
+        Timer::at(router.clock.instant(next)).await;
     }
     true
 }
 
 /// Takes over, or says why not. Returns once this process is to accept.
-pub async fn take_over(
-    router: &Rc<Router>,
-    share: &Share,
-    (mut link, old): (Link, u32),
-    patience: StepTimeouts,
+pub(crate) async fn take_over(
+    router: &Router,
+    share: &CapacityShare,
+    previous: PreviousProcess,
+    timeouts: StepTimeouts,
     digest: u64,
-) -> Result<Taken, String> {
-    // It may have died before this process began.
-    let parent = i32::try_from(old).ok().and_then(Pid::from_raw);
+) -> Result<TakenOver, TakeoverError> {
     let program = format!(
         "ternpick {} (process {})",
         env!("CARGO_PKG_VERSION"),
         std::process::id()
     );
-    let (mut machine, mut effects) =
-        NewProcess::start(patience, digest, &program, router.clock.now());
-    let (mut listeners, mut state, mut version) = (None::<Vec<TcpListener>>, Vec::new(), None);
-    loop {
-        for effect in std::mem::take(&mut effects) {
+    let (machine, effects) = NewProcess::start(timeouts, digest, &program, router.clock.now());
+    let takeover = Takeover {
+        router,
+        share,
+        link: previous.link,
+        // It may have died before this process began.
+        parent: i32::try_from(previous.id).ok().and_then(Pid::from_raw),
+        machine,
+        listeners: None,
+        snapshot: Vec::new(),
+        list_version: None,
+    };
+    takeover.run(effects).await
+}
+
+/// A takeover under way.
+struct Takeover<'a> {
+    router: &'a Router,
+    share: &'a CapacityShare,
+    link: Link,
+    parent: Option<Pid>,
+    machine: NewProcess,
+    listeners: Option<Vec<TcpListener>>,
+    /// The pieces of the snapshot so far.
+    snapshot: Vec<u8>,
+    list_version: Option<u64>,
+}
+
+impl Takeover<'_> {
+    async fn run(mut self, first: Vec<Effect>) -> Result<TakenOver, TakeoverError> {
+        let mut effects = first;
+        loop {
+            self.carry_out(effects).await?;
+            if self.machine.is_serving() {
+                return Ok(TakenOver {
+                    listeners: self.listeners,
+                    list_version: self.list_version,
+                    old: DrainingProcess {
+                        link: self.link,
+                        machine: self.machine,
+                        parent: self.parent,
+                    },
+                });
+            }
+            effects = self.receive().await?;
+        }
+    }
+
+    async fn carry_out(&mut self, effects: Vec<Effect>) -> Result<(), TakeoverError> {
+        for effect in effects {
             match effect {
-                Effect::Send(message) => {
-                    let due = machine.next_timeout();
-                    let sent = router.with_deadline(due, link.send(&message, &[])).await;
-                    if !matches!(sent, Some(Ok(()))) {
-                        tracing::debug!("upgrade: {} could not be said", message.name());
-                    }
-                }
-                Effect::Use(lease) => share.put_to_use(router, lease, true),
-                Effect::Log(line) => tracing::info!("{line}"),
-                Effect::Exit => return Err("not taken over".into()),
-                Effect::BindAnew => listeners = None,
-                _ => {}
+                Effect::Send(message) => self.send(&message).await,
+                Effect::Use(lease) => self.share.apply(self.router, lease, Role::Serving),
+                Effect::Log(step) => tracing::info!(step, "hot restart: new process"),
+                Effect::Exit => return Err(TakeoverError::NotTakenOver),
+                Effect::BindAnew => self.listeners = None,
+                // Of the other side, or of a process that serves.
+                Effect::Spawn
+                | Effect::PassListeners
+                | Effect::PassState
+                | Effect::Accept(_)
+                | Effect::PassClients(_)
+                | Effect::EndPeer => {}
             }
         }
-        if machine.is_serving() {
-            return Ok(Taken {
-                listeners,
-                version,
-                follow: Follow {
-                    link,
-                    machine,
-                    parent,
-                },
-            });
+        Ok(())
+    }
+
+    async fn send(&self, message: &Message) {
+        let deadline = self.machine.next_timeout();
+        let sent = self
+            .router
+            .with_deadline(deadline, self.link.send(message, &[]))
+            .await;
+        if !matches!(sent, Some(Ok(()))) {
+            let message = message.name();
+            tracing::debug!(message_name = message, "hot restart: message not sent");
         }
-        let heard = router
-            .with_deadline(machine.next_timeout(), link.receive())
+    }
+
+    /// Waits for the next message, the end of the link or the time of the step.
+    async fn receive(&mut self) -> Result<Vec<Effect>, TakeoverError> {
+        let deadline = self.machine.next_timeout();
+        let received = self
+            .router
+            .with_deadline(deadline, self.link.receive())
             .await;
-        let now = router.clock.now();
-        effects = match heard {
-            None => machine.handle_timeout(now),
-            Some(Err(_)) => {
-                let old_lives = old_lives(router, parent).await;
-                machine.handle_event(
-                    router.clock.now(),
-                    OldProcessEvent::LinkLost { old_lives },
-                    share.whole(),
-                )
-            }
-            Some(Ok(message)) => {
-                let mut last = false;
-                match &message {
-                    Message::Descriptors { count } => {
-                        let fds: Vec<OwnedFd> = (0..*count).filter_map(|_| link.fd()).collect();
-                        if fds.len() != usize::from(*count) {
-                            return Err("listeners are missing".into());
-                        }
-                        listeners = Some(fds.into_iter().map(TcpListener::from).collect());
-                    }
-                    Message::State { left, piece } => {
-                        state.extend_from_slice(piece);
-                        last = *left == 0;
-                    }
-                    _ => {}
-                }
-                let mut effects =
-                    machine.handle_event(now, OldProcessEvent::Received(message), share.whole());
-                if last {
-                    let applied =
-                        Snapshot::parse(&state).and_then(|snapshot| snapshot.apply(router));
-                    state = Vec::new();
-                    if let Err(what) = &applied {
-                        tracing::warn!("upgrade: the state cannot be used, {what}");
-                    }
-                    version = applied.as_ref().ok().copied();
-                    effects.extend(machine.handle_event(
-                        now,
-                        OldProcessEvent::SnapshotLoaded(applied.is_ok()),
-                        share.whole(),
-                    ));
-                }
-                effects
+        let now = self.router.clock.now();
+        match received {
+            None => Ok(self.machine.handle_timeout(now)),
+            Some(Err(_)) => Ok(self.handle_lost_link().await),
+            Some(Ok(message)) => self.handle_message(message, now),
+        }
+    }
+
+    async fn handle_lost_link(&mut self) -> Vec<Effect> {
+        let old_lives = old_process_lives(self.router, self.parent).await;
+        self.machine.handle_event(
+            self.router.clock.now(),
+            OldProcessEvent::LinkLost { old_lives },
+            self.share.all(),
+        )
+    }
+
+    fn handle_message(
+        &mut self,
+        message: Message,
+        now: Micros,
+    ) -> Result<Vec<Effect>, TakeoverError> {
+        let mut snapshot_complete = false;
+        match &message {
+            Message::Descriptors { count } => self.take_listeners(*count)?,
+            Message::State { left, piece } => {
+                self.snapshot.extend_from_slice(piece);
+                snapshot_complete = *left == 0;
             }
-        };
+            _ => {}
+        }
+        let all = self.share.all();
+        let mut effects = self
+            .machine
+            .handle_event(now, OldProcessEvent::Received(message), all);
+        if snapshot_complete {
+            let loaded = self.apply_snapshot();
+            let event = OldProcessEvent::SnapshotLoaded(loaded);
+            effects.extend(self.machine.handle_event(now, event, all));
+        }
+        Ok(effects)
+    }
+
+    fn take_listeners(&mut self, count: u8) -> Result<(), TakeoverError> {
+        let fds: Vec<OwnedFd> = (0..count).filter_map(|_| self.link.fd()).collect();
+        if fds.len() != usize::from(count) {
+            return Err(TakeoverError::ListenersMissing);
+        }
+        self.listeners = Some(fds.into_iter().map(TcpListener::from).collect());
+        Ok(())
+    }
+
+    /// Applies the snapshot; false if it cannot be used.
+    fn apply_snapshot(&mut self) -> bool {
+        let bytes = std::mem::take(&mut self.snapshot);
+        let applied = Snapshot::parse(&bytes).and_then(|snapshot| snapshot.apply(self.router));
+        if let Err(error) = &applied {
+            tracing::warn!(%error, "hot restart: snapshot unusable");
+        }
+        self.list_version = applied.ok();
+        self.list_version.is_some()
     }
 }
 
-/// Hears on from the old process, until its link ends: clients' connections, its questions, its end.
-pub async fn follow(router: Rc<Router>, share: Rc<Share>, taken: Taken) {
-    let Follow {
-        mut link,
-        mut machine,
-        parent,
-    } = taken.follow;
-    let adopted = Cell::new(0u32);
+/// Receives from the old process until it has left: clients' connections, its questions, its end.
+pub(crate) async fn follow(router: Rc<Router>, share: Rc<CapacityShare>, mut old: DrainingProcess) {
+    let mut adopted: u32 = 0;
     loop {
-        let heard = link.receive().await;
-        let now = router.clock.now();
-        let lost = heard.is_err();
-        let effects = match heard {
+        let received = old.link.receive().await;
+        let link_lost = received.is_err();
+        let effects = match received {
             Ok(Message::Client { unread }) => {
-                match link.fd().map(std::net::TcpStream::from) {
-                    Some(socket) => match listener::adopt(&router, socket, &unread) {
-                        Ok(()) => adopted.set(adopted.get() + 1),
-                        Err(what) => tracing::warn!("upgrade: a connection is closed, {what}"),
-                    },
-                    None => tracing::warn!("upgrade: a connection has come without its descriptor"),
-                }
+                adopted += u32::from(adopt(&router, old.link.fd(), &unread));
                 continue;
             }
             Ok(message) => {
-                machine.handle_event(now, OldProcessEvent::Received(message), share.whole())
-            }
-            Err(_) => {
-                // What it kept is its own until it has left, link or none.
-                while !machine.is_over()
-                    && machine.lease() != share.whole()
-                    && old_lives(&router, parent).await
-                {
-                    Timer::at(router.clock.instant(router.clock.now() + LOOK_ON)).await;
-                }
-                machine.handle_event(
-                    router.clock.now(),
-                    OldProcessEvent::LinkLost { old_lives: false },
-                    share.whole(),
-                )
+                let event = OldProcessEvent::Received(message);
+                old.machine
+                    .handle_event(router.clock.now(), event, share.all())
             }
+            Err(_) => old.wait_until_gone(&router, &share).await,
         };
+        old.carry_out(&router, &share, effects).await;
+        if link_lost || old.machine.is_over() {
+            tracing::info!(
+                connections = adopted,
+                "hot restart: the old process has left"
+            );
+            return;
+        }
+    }
+}
+
+/// Serves a client's connection that the old process has passed on; false if it cannot be served.
+fn adopt(router: &Rc<Router>, fd: Option<OwnedFd>, unread: &[u8]) -> bool {
+    let Some(fd) = fd else {
+        tracing::warn!("hot restart: client connection came without its descriptor");
+        return false;
+    };
+    match listener::adopt(router, TcpStream::from(fd), unread) {
+        Ok(()) => true,
+        Err(error) => {
+            tracing::warn!(%error, "hot restart: client connection closed");
+            false
+        }
+    }
+}
+
+impl DrainingProcess {
+    /// After the link has ended. What the old process kept is its own until it has left, link or none.
+    async fn wait_until_gone(&mut self, router: &Router, share: &CapacityShare) -> Vec<Effect> {
+        while !self.machine.is_over()
+            && self.machine.lease() != share.all()
+            && old_process_lives(router, self.parent).await
+        {
+            let next = router.clock.now() + DEPARTURE_CHECK_INTERVAL;
+            Timer::at(router.clock.instant(next)).await;
+        }
+        self.machine.handle_event(
+            router.clock.now(),
+            OldProcessEvent::LinkLost { old_lives: false },
+            share.all(),
+        )
+    }
+
+    async fn carry_out(&self, router: &Router, share: &CapacityShare, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send(message) => {
-                    let said = link.send(&message, &[]).await;
-                    tracing::debug!("upgrade: {} is said, {said:?}", message.name());
-                }
-                Effect::Use(lease) => share.put_to_use(&router, lease, true),
-                Effect::Accept(accepts) => {
-                    router.listener.set_accepting(accepts);
-                }
-                Effect::Log(line) => tracing::warn!("{line}"),
-                Effect::Exit => {
-                    router.shutdown.request();
+                    let sent = self.link.send(&message, &[]).await;
+                    let message_name = message.name();
+                    tracing::debug!(message_name, ?sent, "hot restart: message sent");
                 }
-                _ => {}
+                Effect::Use(lease) => share.apply(router, lease, Role::Serving),
+                Effect::Accept(accepts) => router.listener.set_accepting(accepts),
+                Effect::Log(step) => tracing::warn!(step, "hot restart: new process"),
+                Effect::Exit => router.shutdown.request(),
+                // Of the other side, or of a process that does not serve yet.
+                Effect::Spawn
+                | Effect::PassListeners
+                | Effect::PassState
+                | Effect::PassClients(_)
+                | Effect::EndPeer
+                | Effect::BindAnew => {}
             }
         }
-        if lost || machine.is_over() {
-            tracing::info!(
-                "upgrade: the old process has left, {} connections came over",
-                adopted.get()
-            );
-            return;
-        }
     }
 }
--- a/router/src/lifecycle/tls.rs
+++ b/router/src/lifecycle/tls.rs
@@ -1,210 +1,288 @@
-//! TLS as the settings have it: certificate and key, the authorities of clients, lists of revoked certificates. The
-//! files are looked at again and again; new ones serve the next connections and no standing one is dropped.
+//! TLS as the settings have it: certificate and key, the authorities of clients, certificate revocation lists.
+//!
+//! The files are checked for changes at an interval; new ones serve the next connections, and no open connection is dropped.
+//! Handshakes are [`stages::stream`](crate::stages::stream)'s; who a certificate stands for is identity's to say.
 
 use std::cell::{Cell, RefCell};
+use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
 use async_io::Timer;
-use rustls::pki_types::CertificateDer;
-use rustls::server::WebPkiClientVerifier;
+use rustls::pki_types::{CertificateDer, PrivateKeyDer};
+use rustls::server::{ServerSessionMemoryCache, VerifierBuilderError, WebPkiClientVerifier};
 use rustls::{RootCertStore, ServerConfig};
 use ternpick_identity::LIST_BOUND;
 
-use crate::lifecycle::settings::TlsTerms;
+use crate::lifecycle::settings::TlsSettings;
 use crate::router::Router;
+use crate::stages::auth_filter::AuthFilter;
 
 /// The longest of these files, in bytes.
 const FILE_BOUND: u64 = LIST_BOUND as u64;
 /// Sessions that may be resumed; each holds its client's certificate.
 const SESSIONS: usize = 128;
 
-type Sessions = Arc<rustls::server::ServerSessionMemoryCache>;
+/// Why TLS files cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum TlsError {
+    /// The listener's address.
+    #[error("tls.listen is no address")]
+    Listen,
+    /// A file that cannot be read.
+    #[error("{path}: {source}")]
+    Unreadable { path: String, source: io::Error },
+    /// A file beyond any plausible length.
+    #[error("{path}: it is longer than any such file is")]
+    TooLong { path: String },
+    /// A file of certificates without one.
+    #[error("{path}: no certificate in PEM")]
+    NoCertificate { path: String },
+    /// A key file that is not PEM.
+    #[error("{0}")]
+    MalformedKey(io::Error),
+    /// A key file without a key.
+    #[error("{path}: no private key in PEM")]
+    NoKey { path: String },
+    /// A certificate that cannot be an authority.
+    #[error("an authority of clients: {0}")]
+    Authority(rustls::Error),
+    /// The authorities cannot verify clients.
+    #[error("{0}")]
+    Verifier(#[from] VerifierBuilderError),
+    /// No protocol version is supported.
+    #[error("{0}")]
+    Versions(rustls::Error),
+    /// Certificate and key do not go together.
+    #[error("{path}: {source}")]
+    Certificate { path: String, source: rustls::Error },
+    /// A revocation list that is not PEM.
+    #[error("{0}")]
+    MalformedList(io::Error),
+    /// A revocation list that identity does not accept.
+    #[error("{0}")]
+    RejectedList(String),
+}
+
+type Sessions = Arc<ServerSessionMemoryCache>;
+type Authorities = Vec<CertificateDer<'static>>;
+
+/// When a file was changed, and its length; none if it cannot be read.
+type FileVersion = Option<(SystemTime, u64)>;
 
-pub struct Tls {
-    terms: TlsTerms,
-    pub listen: SocketAddr,
+/// The TLS listener's configuration, as the files last had it.
+pub(crate) struct Tls {
+    settings: TlsSettings,
+    /// Where the listener accepts.
+    pub(crate) listen: SocketAddr,
     config: RefCell<Arc<ServerConfig>>,
+    /// Counts the changes of the authorities.
     epoch: Cell<u64>,
-    authorities: RefCell<Vec<CertificateDer<'static>>>,
+    authorities: RefCell<Authorities>,
     /// Kept when other files change; new authorities begin with none.
     sessions: RefCell<Sessions>,
-    seen: RefCell<Vec<Option<(SystemTime, u64)>>>,
+    /// The files that are in use.
+    files_in_use: RefCell<Vec<FileVersion>>,
 }
 
-fn read(path: &str) -> Result<Vec<u8>, String> {
-    let words = |what: String| format!("{path}: {what}");
-    let long = std::fs::metadata(Path::new(path))
-        .map_err(|e| words(e.to_string()))?
-        .len();
-    if long > FILE_BOUND {
-        return Err(words("it is longer than any such file is".into()));
+fn read(path: &str) -> Result<Vec<u8>, TlsError> {
+    let unreadable = |source| TlsError::Unreadable {
+        path: path.to_owned(),
+        source,
+    };
+    if std::fs::metadata(path).map_err(unreadable)?.len() > FILE_BOUND {
+        let path = path.to_owned();
+        return Err(TlsError::TooLong { path });
     }
-    std::fs::read(path).map_err(|e| words(e.to_string()))
+    std::fs::read(path).map_err(unreadable)
 }
 
-fn certificates(path: &str) -> Result<Vec<CertificateDer<'static>>, String> {
+fn read_certificates(path: &str) -> Result<Authorities, TlsError> {
     let text = read(path)?;
-    let all: Result<Vec<_>, _> = rustls_pemfile::certs(&mut &text[..]).collect();
-    let all = all.map_err(|e| format!("{path}: {e}"))?;
-    if all.is_empty() {
-        Err(format!("{path}: no certificate in PEM"))
-    } else {
-        Ok(all)
+    let certificates: Result<Vec<_>, _> = rustls_pemfile::certs(&mut &text[..]).collect();
+    let certificates = certificates.map_err(|source| TlsError::Unreadable {
+        path: path.to_owned(),
+        source,
+    })?;
+    if certificates.is_empty() {
+        let path = path.to_owned();
+        return Err(TlsError::NoCertificate { path });
+    }
+    Ok(certificates)
+}
+
+fn read_key(path: &str) -> Result<PrivateKeyDer<'static>, TlsError> {
+    let text = read(path)?;
+    let key = rustls_pemfile::private_key(&mut &text[..]).map_err(TlsError::MalformedKey)?;
+    key.ok_or_else(|| TlsError::NoKey {
+        path: path.to_owned(),
+    })
+}
+
+fn read_authorities(settings: &TlsSettings) -> Result<Authorities, TlsError> {
+    let path = settings.authorities.as_deref();
+    path.map_or(Ok(Vec::new()), read_certificates)
+}
+
+fn root_store(authorities: &[CertificateDer<'static>]) -> Result<RootCertStore, TlsError> {
+    let mut roots = RootCertStore::empty();
+    for authority in authorities {
+        roots.add(authority.clone()).map_err(TlsError::Authority)?;
     }
+    Ok(roots)
 }
 
-fn build(
-    terms: &TlsTerms,
+fn build_config(
+    settings: &TlsSettings,
     authorities: &[CertificateDer<'static>],
     sessions: Sessions,
-) -> Result<Arc<ServerConfig>, String> {
-    let chain = certificates(&terms.certificate)?;
-    let key =
-        rustls_pemfile::private_key(&mut &read(&terms.key)?[..]).map_err(|e| e.to_string())?;
-    let key = key.ok_or_else(|| format!("{}: no private key in PEM", terms.key))?;
+) -> Result<Arc<ServerConfig>, TlsError> {
+    let chain = read_certificates(&settings.certificate)?;
+    let key = read_key(&settings.key)?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
-    let versions = ServerConfig::builder_with_provider(Arc::clone(&provider));
-    let builder = versions
+    let builder = ServerConfig::builder_with_provider(Arc::clone(&provider))
         .with_safe_default_protocol_versions()
-        .map_err(|e| e.to_string())?;
+        .map_err(TlsError::Versions)?;
     let builder = if authorities.is_empty() {
         builder.with_no_client_auth()
     } else {
-        let mut roots = RootCertStore::empty();
-        for authority in authorities {
-            roots
-                .add(authority.clone())
-                .map_err(|e| format!("an authority of clients: {e}"))?;
-        }
-        let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider);
-        let verifier = if terms.required {
+        let roots = Arc::new(root_store(authorities)?);
+        let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider);
+        let verifier = if settings.client_certificate_required {
             verifier
         } else {
             verifier.allow_unauthenticated()
         };
-        builder.with_client_cert_verifier(verifier.build().map_err(|e| e.to_string())?)
+        builder.with_client_cert_verifier(verifier.build()?)
     };
-    let mut config = builder
-        .with_single_cert(chain, key)
-        .map_err(|e| format!("{}: {e}", terms.certificate))?;
+    let mut config =
+        builder
+            .with_single_cert(chain, key)
+            .map_err(|source| TlsError::Certificate {
+                path: settings.certificate.clone(),
+                source,
+            })?;
     config.session_storage = sessions;
     config.max_early_data_size = 0;
     Ok(Arc::new(config))
 }
 
 impl Tls {
-    pub fn new(terms: TlsTerms) -> Result<Rc<Tls>, String> {
-        let listen = terms
-            .listen
-            .parse()
-            .map_err(|_| "tls.listen is no address".to_owned())?;
-        let authorities = terms
-            .authorities
-            .as_deref()
-            .map_or(Ok(Vec::new()), certificates)?;
-        let sessions = rustls::server::ServerSessionMemoryCache::new(SESSIONS);
-        let config = RefCell::new(build(&terms, &authorities, Arc::clone(&sessions))?);
+    /// Reads the files that the settings name.
+    pub(crate) fn new(settings: TlsSettings) -> Result<Rc<Tls>, TlsError> {
+        let listen = settings.listen.parse().map_err(|_| TlsError::Listen)?;
+        let authorities = read_authorities(&settings)?;
+        let sessions = ServerSessionMemoryCache::new(SESSIONS);
+        let config = build_config(&settings, &authorities, Arc::clone(&sessions))?;
         let tls = Tls {
-            terms,
+            settings,
             listen,
-            config,
+            config: RefCell::new(config),
             epoch: Cell::new(0),
             authorities: RefCell::new(authorities),
             sessions: RefCell::new(sessions),
-            seen: RefCell::default(),
+            files_in_use: RefCell::default(),
         };
-        tls.seen.replace(tls.look());
+        tls.files_in_use.replace(tls.file_versions());
         Ok(Rc::new(tls))
     }
 
-    pub fn config(&self) -> Arc<ServerConfig> {
+    /// The configuration for the next connection.
+    pub(crate) fn config(&self) -> Arc<ServerConfig> {
         Arc::clone(&self.config.borrow())
     }
 
-    /// Counts the changes of the authorities.
-    pub fn epoch(&self) -> u64 {
+    /// Counts the changes of the authorities: who a connection's certificate stands for holds for one epoch.
+    pub(crate) fn epoch(&self) -> u64 {
         self.epoch.get()
     }
 
-    fn look(&self) -> Vec<Option<(SystemTime, u64)>> {
-        let terms = &self.terms;
-        let files = [&terms.certificate, &terms.key]
+    fn file_versions(&self) -> Vec<FileVersion> {
+        let settings = &self.settings;
+        [&settings.certificate, &settings.key]
             .into_iter()
-            .chain(&terms.authorities)
-            .chain(&terms.lists);
-        let seen = |path: &String| {
-            let of = std::fs::metadata(path).ok()?;
-            Some((of.modified().ok()?, of.len()))
-        };
-        files.map(seen).collect()
+            .chain(&settings.authorities)
+            .chain(&settings.revocation_lists)
+            .map(|path| file_version(path))
+            .collect()
     }
 
     /// Reads the files again; one that cannot be used changes nothing.
-    fn reload(&self) -> Result<(), String> {
-        let authorities = self
-            .terms
-            .authorities
-            .as_deref()
-            .map_or(Ok(Vec::new()), certificates)?;
-        let same = *self.authorities.borrow() == authorities;
-        let sessions = match same {
-            true => Arc::clone(&self.sessions.borrow()),
-            false => rustls::server::ServerSessionMemoryCache::new(SESSIONS),
-        };
-        let config = build(&self.terms, &authorities, Arc::clone(&sessions))?;
-        if !same {
-            self.sessions.replace(sessions);
-            self.epoch.set(self.epoch.get() + 1);
-            self.authorities.replace(authorities);
+    fn reload(&self) -> Result<(), TlsError> {
+        let authorities = read_authorities(&self.settings)?;
+        if *self.authorities.borrow() == authorities {
+            let sessions = Arc::clone(&self.sessions.borrow());
+            let config = build_config(&self.settings, &authorities, sessions)?;
+            self.config.replace(config);
+            return Ok(());
         }
+        let sessions = ServerSessionMemoryCache::new(SESSIONS);
+        let config = build_config(&self.settings, &authorities, Arc::clone(&sessions))?;
+        self.sessions.replace(sessions);
+        self.epoch.set(self.epoch.get() + 1);
+        self.authorities.replace(authorities);
         self.config.replace(config);
         Ok(())
     }
 
-    /// Tells identity of the lists of revoked certificates.
-    pub fn tell_lists(&self, router: &Router) {
-        let Some(gate) = &router.auth else { return };
-        for path in &self.terms.lists {
-            let told = read(path).and_then(|text| {
-                let all: Result<Vec<_>, _> = rustls_pemfile::crls(&mut &text[..]).collect();
-                let mut count = 0;
-                for list in all.map_err(|e| e.to_string())? {
-                    count += gate.told_of_list(&list, &self.authorities.borrow())?;
+    /// Applies the certificate revocation lists to identity.
+    fn apply_revocation_lists(&self, router: &Router) {
+        let Some(auth) = &router.auth else {
+            return;
+        };
+        for path in &self.settings.revocation_lists {
+            match self.apply_revocation_list(auth, path) {
+                Ok(count) => {
+                    tracing::info!(count, path, "identity: certificate revocation list applied")
                 }
-                Ok(count)
-            });
-            match told {
-                Ok(count) => tracing::info!("identity: {count} certificates are revoked by {path}"),
-                Err(what) => tracing::warn!("identity: {path} is passed over, {what}"),
+                Err(error) => tracing::warn!(
+                    path,
+                    %error,
+                    "identity: certificate revocation list ignored"
+                ),
             }
         }
     }
+
+    /// Applies all lists of one file; returns how many certificates they revoke.
+    fn apply_revocation_list(&self, auth: &AuthFilter, path: &str) -> Result<usize, TlsError> {
+        let text = read(path)?;
+        let lists: Result<Vec<_>, _> = rustls_pemfile::crls(&mut &text[..]).collect();
+        let mut count = 0;
+        for list in lists.map_err(TlsError::MalformedList)? {
+            count += auth
+                .told_of_list(&list, &self.authorities.borrow())
+                .map_err(|error| TlsError::RejectedList(error.to_string()))?;
+        }
+        Ok(count)
+    }
+}
+
+fn file_version(path: &str) -> FileVersion {
+    let metadata = std::fs::metadata(path).ok()?;
+    Some((metadata.modified().ok()?, metadata.len()))
 }
 
-/// Looks at the files again and again.
-pub async fn watch(router: Rc<Router>, tls: Rc<Tls>) {
-    tls.tell_lists(&router);
+/// Checks the files for changes, for as long as the router runs.
+pub(crate) async fn watch(router: Rc<Router>, tls: Rc<Tls>) {
+    tls.apply_revocation_lists(&router);
     loop {
-        Timer::after(Duration::from_micros(tls.terms.every)).await;
-        let seen = tls.look();
-        if seen == *tls.seen.borrow() {
+        Timer::after(Duration::from_micros(tls.settings.check_interval)).await;
+        let files = tls.file_versions();
+        if files == *tls.files_in_use.borrow() {
             continue;
         }
         match tls.reload() {
             Ok(()) => {
-                tls.seen.replace(seen);
-                tracing::info!(
-                    "tls: new files are in use, {} authorities",
-                    tls.authorities.borrow().len()
-                );
-                tls.tell_lists(&router);
+                tls.files_in_use.replace(files);
+                let authorities = tls.authorities.borrow().len();
+                tracing::info!(authorities, "tls: new files in use");
+                tls.apply_revocation_lists(&router);
             }
-            // Half of them may be written: it is tried again, and said each time.
-            Err(what) => tracing::warn!("tls: the files in use stay, {what}"),
+            // Half of them may be written: it is tried again, and logged each time.
+            Err(error) => tracing::warn!(%error, "tls: files unusable, keeping the ones in use"),
         }
     }
 }
--- /dev/null
+++ b/router/src/lifecycle/upgrade/driver.rs
@@ -0,0 +1,372 @@
+//! Carries out what [`OldProcess`](ternpick_hot_restart::OldProcess) wants: starts the new process, speaks to it over the
+//! link, passes the listeners, the snapshot and idle connections of clients on.
+
+use std::io;
+use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
+use std::os::unix::net::UnixStream;
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::rc::Rc;
+
+use async_io::Timer;
+use futures_lite::future;
+use rustix::process::{kill_process, Pid, Signal};
+use ternpick::types::Micros;
+use ternpick_hot_restart::{Effect, Lease, Message, NewProcessEvent};
+
+use super::{Start, UpgradeError, Upgrades};
+use crate::lifecycle::capacity_share::Role;
+use crate::lifecycle::hot_restart_link::Link;
+use crate::lifecycle::snapshot::Snapshot;
+use crate::router::Router;
+use crate::stages::listener;
+use crate::state::client_transfer::PassedClient;
+
+/// How often it is checked whether the new process lives, and whether anything is left here.
+const CHECK_INTERVAL: Micros = Micros(10_000);
+/// A link that has ended while the process lives is only broken once the process had the time to be seen dead.
+const DEATH_SEEN_WITHIN: Micros = Micros(200_000);
+/// How long passing a client's connection on may take.
+const PASS_TIMEOUT: Micros = Micros(1_000_000);
+/// Bytes of the snapshot in one message.
+const SNAPSHOT_PIECE: usize = 64 * 1024;
+
+/// Why the new process could not be started.
+#[derive(Debug, thiserror::Error)]
+enum SpawnError {
+    #[error("no link: {0}")]
+    Link(io::Error),
+    #[error("{} cannot be started: {source}", program.display())]
+    Program { program: PathBuf, source: io::Error },
+}
+
+/// What a wait has brought.
+enum Received {
+    Message(Message),
+    LinkBroken,
+    /// The time of a check, or a client's connection to pass on.
+    Nothing,
+}
+
+/// One upgrade under way.
+pub(super) struct Driver<'a> {
+    router: &'a Rc<Router>,
+    upgrades: &'a Upgrades,
+    start: &'a Start,
+    report: &'a mut dyn FnMut(&str),
+    link: Option<Link>,
+    child: Option<Child>,
+    /// Whether the new process has been asked to end; the next time it is killed.
+    asked_to_end: bool,
+    /// When the link was first found broken.
+    link_broken_at: Option<Micros>,
+    /// Whether the protocol has been told so.
+    link_broken_reported: bool,
+    /// Nothing is left here.
+    finished: bool,
+    /// What the upgrade fails with, if it fails.
+    failure: String,
+}
+
+impl<'a> Driver<'a> {
+    pub(super) fn new(
+        router: &'a Rc<Router>,
+        upgrades: &'a Upgrades,
+        start: &'a Start,
+        report: &'a mut dyn FnMut(&str),
+    ) -> Self {
+        Driver {
+            router,
+            upgrades,
+            start,
+            report,
+            link: None,
+            child: None,
+            asked_to_end: false,
+            link_broken_at: None,
+            link_broken_reported: false,
+            finished: false,
+            failure: "the new process has ended".into(),
+        }
+    }
+
+    /// Drives the upgrade to its end; returns the process that has taken over.
+    pub(super) async fn run(mut self, first: Vec<Effect>) -> Result<Option<Child>, UpgradeError> {
+        self.carry_out(first).await;
+        loop {
+            let received = self.wait().await;
+            self.kill_if_stopping();
+            let now = self.router.clock.now();
+            self.handle(received, now).await;
+            let effects = self.upgrades.machine.borrow_mut().handle_timeout(now);
+            self.carry_out(effects).await;
+            if self.upgrades.machine.borrow().is_serving() {
+                self.take_clients_back();
+                return Err(UpgradeError::GivenUp {
+                    reason: self.failure,
+                });
+            }
+            self.pass_clients().await;
+            self.finish_if_drained().await;
+            if self.finished {
+                return Ok(self.child);
+            }
+        }
+    }
+
+    /// Waits for a message, a client's connection to pass on, or the time of the next check.
+    async fn wait(&mut self) -> Received {
+        let router = self.router;
+        let check = async {
+            let at = router.clock.now() + CHECK_INTERVAL;
+            Timer::at(router.clock.instant(at)).await;
+            Received::Nothing
+        };
+        let client_added = router.client_transfer.added();
+        let client = async {
+            client_added.await;
+            Received::Nothing
+        };
+        let link = self.link.as_mut().filter(|_| self.link_broken_at.is_none());
+        let message = async {
+            let Some(link) = link else {
+                return future::pending().await;
+            };
+            match link.receive().await {
+                Ok(message) => Received::Message(message),
+                Err(_) => Received::LinkBroken,
+            }
+        };
+        future::or(message, future::or(client, check)).await
+    }
+
+    /// In a stop there is to be no new process that nobody has asked for.
+    fn kill_if_stopping(&mut self) {
+        if !self.router.is_stopping() || self.upgrades.machine.borrow().is_draining() {
+            return;
+        }
+        if let Some(child) = &mut self.child {
+            let _ = child.kill();
+            let _ = child.wait();
+        }
+    }
+
+    async fn handle(&mut self, received: Received, now: Micros) {
+        let in_use: Lease = self.upgrades.share.in_use(self.router);
+        let Some(event) = self.event(received) else {
+            return;
+        };
+        if event == NewProcessEvent::LinkBroken {
+            if self.link_broken_reported {
+                return;
+            }
+            self.link_broken_reported = true;
+        }
+        let effects = self
+            .upgrades
+            .machine
+            .borrow_mut()
+            .handle_event(now, event, in_use);
+        self.carry_out(effects).await;
+    }
+
+    /// What the last wait means to the protocol.
+    fn event(&mut self, received: Received) -> Option<NewProcessEvent> {
+        match received {
+            Received::Message(message) => return Some(NewProcessEvent::Received(message)),
+            Received::LinkBroken => self.note_broken_link(),
+            Received::Nothing => {}
+        }
+        let has_ended = match &mut self.child {
+            Some(child) => child.try_wait().ok().flatten().is_some(),
+            None => true,
+        };
+        if has_ended {
+            return Some(NewProcessEvent::ProcessDied);
+        }
+        let now = self.router.clock.now();
+        let broken_since = self.link_broken_at?;
+        (now.since(broken_since) >= DEATH_SEEN_WITHIN).then_some(NewProcessEvent::LinkBroken)
+    }
+
+    fn note_broken_link(&mut self) {
+        if self.link_broken_at.is_none() {
+            self.link_broken_at = Some(self.router.clock.now());
+        }
+    }
+
+    async fn carry_out(&mut self, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                Effect::Spawn => self.spawn(),
+                Effect::Send(message) => self.send(&message, &[]).await,
+                Effect::PassListeners => self.pass_listeners().await,
+                Effect::PassState => self.pass_snapshot().await,
+                Effect::Accept(accepts) => self.router.listener.set_accepting(accepts),
+                Effect::PassClients(passes) => self.router.client_transfer.set_active(passes),
+                Effect::Use(lease) => self.apply_share(lease),
+                Effect::EndPeer => self.end_new_process(),
+                Effect::Exit => self.finished = true,
+                Effect::Log(step) => self.log(&step),
+                // Of the other side.
+                Effect::BindAnew => {}
+            }
+        }
+    }
+
+    fn spawn(&mut self) {
+        match start_process(self.start) {
+            Ok((child, link)) => {
+                self.child = Some(child);
+                self.link = Some(link);
+            }
+            Err(error) => {
+                self.failure = error.to_string();
+                (self.report)(&self.failure);
+                self.child = None;
+            }
+        }
+    }
+
+    async fn send(&mut self, message: &Message, fds: &[BorrowedFd<'_>]) {
+        let Some(link) = &self.link else {
+            return;
+        };
+        // A new process that reads nothing is found out by the time of the step.
+        let deadline = self.upgrades.machine.borrow().next_timeout();
+        let sent = self
+            .router
+            .with_deadline(deadline, link.send(message, fds))
+            .await;
+        if !matches!(sent, Some(Ok(()))) {
+            self.note_broken_link();
+        }
+    }
+
+    async fn pass_listeners(&mut self) {
+        let upgrades = self.upgrades;
+        let fds: Vec<_> = upgrades.listeners.iter().map(AsFd::as_fd).collect();
+        let count = u8::try_from(fds.len()).unwrap_or(u8::MAX);
+        self.send(&Message::Descriptors { count }, &fds).await;
+    }
+
+    async fn pass_snapshot(&mut self) {
+        let bytes = Snapshot::take(self.router).bytes();
+        (self.report)(&format!("state: {} bytes", bytes.len()));
+        let pieces = bytes.chunks(SNAPSHOT_PIECE);
+        let count = pieces.len();
+        for (at, piece) in pieces.enumerate() {
+            let left = u32::try_from(count - 1 - at).unwrap_or(u32::MAX);
+            let piece = piece.to_vec();
+            self.send(&Message::State { left, piece }, &[]).await;
+        }
+    }
+
+    fn apply_share(&self, lease: Lease) {
+        let role = if self.upgrades.machine.borrow().is_serving() {
+            Role::Serving
+        } else {
+            Role::Draining
+        };
+        self.upgrades.share.apply(self.router, lease, role);
+    }
+
+    /// Ends the new process: asks it first, and kills it the second time.
+    fn end_new_process(&mut self) {
+        let Some(child) = &mut self.child else {
+            return;
+        };
+        let ended = if self.asked_to_end {
+            child.kill().is_ok()
+        } else {
+            kill_process(Pid::from_child(child), Signal::TERM).is_ok()
+        };
+        self.asked_to_end = true;
+        if !ended {
+            tracing::debug!("hot restart: the new process has ended already");
+        }
+    }
+
+    fn log(&mut self, step: &str) {
+        tracing::info!(step, "hot restart: old process");
+        (self.report)(step);
+        if let Some((_, reason)) = step.split_once("given up, ") {
+            self.failure = reason.to_owned();
+        }
+    }
+
+    /// Passes connections of clients that have become idle on.
+    async fn pass_clients(&mut self) {
+        while let Some(client) = self.router.client_transfer.pop() {
+            if !self.pass_client(client).await {
+                return;
+            }
+        }
+    }
+
+    /// Passes one connection on; false if the link is broken.
+    async fn pass_client(&mut self, client: PassedClient) -> bool {
+        let Some(link) = &self.link else {
+            return false;
+        };
+        let PassedClient { socket, unread } = client;
+        let message = Message::Client { unread };
+        let fds = [socket.as_fd()];
+        let deadline = self.router.clock.now() + PASS_TIMEOUT;
+        let sent = self
+            .router
+            .with_deadline(Some(deadline), link.send(&message, &fds))
+            .await;
+        if matches!(sent, Some(Ok(()))) {
+            return true;
+        }
+        // Where nothing of it can have gone over, it stays here: its client has lost nothing.
+        if let (Some(Err(_)), Message::Client { unread }) = (sent, message) {
+            self.router
+                .client_transfer
+                .put_back(PassedClient { socket, unread });
+        }
+        self.note_broken_link();
+        false
+    }
+
+    /// The upgrade has failed: connections that were on their way over stay here.
+    fn take_clients_back(&self) {
+        while let Some(PassedClient { socket, unread }) = self.router.client_transfer.pop() {
+            if let Err(error) = listener::adopt(self.router, socket, &unread) {
+                tracing::warn!(%error, "hot restart: client connection closed");
+            }
+        }
+    }
+
+    /// Tells the protocol once no query is in flight and no client's connection is left.
+    async fn finish_if_drained(&mut self) {
+        let router = self.router;
+        let no_clients = router.descriptors.clients() == 0 && router.client_transfer.is_empty();
+        if no_clients && router.decisions.borrow().effects.in_flight.lookups() == 0 {
+            let effects = self.upgrades.machine.borrow_mut().drain_finished();
+            self.carry_out(effects).await;
+        }
+    }
+}
+
+/// Starts the new process, with its end of the link as its standard input.
+fn start_process(start: &Start) -> Result<(Child, Link), SpawnError> {
+    let (ours, theirs) = UnixStream::pair().map_err(SpawnError::Link)?;
+    let child = Command::new(&start.program)
+        .arg("serve")
+        .arg("--config")
+        .arg(&start.config)
+        .arg("--settings")
+        .arg(&start.settings)
+        .arg("--take-over")
+        .arg(std::process::id().to_string())
+        .stdin(Stdio::from(OwnedFd::from(theirs)))
+        .spawn()
+        .map_err(|source| SpawnError::Program {
+            program: start.program.clone(),
+            source,
+        })?;
+    let link = Link::new(ours).map_err(SpawnError::Link)?;
+    Ok((child, link))
+}
--- a/router/src/lifecycle/watch.rs
+++ b/router/src/lifecycle/watch.rs
@@ -1,178 +1,275 @@
-//! The watch of the roster: kept up call after call until one fails; then the module says when to ask again.
+//! The watch of the endpoint list at discovery: calls one after another until one fails; then the decision module says when
+//! to begin again.
+//!
+//! One task of the router. [`apply_endpoint_list`] also serves the list of the configuration and of a snapshot.
 
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
 use async_io::{Async, Timer};
+use event_listener::EventListener;
 use futures_lite::future;
 use serde_json::Value;
-use ternpick::types::{EndpointState, Micros};
-use ternpick::watch_schedule::WatchSchedule;
+use ternpick::routing::RoutingEngine;
+use ternpick::types::{Endpoint, EndpointState, Micros};
+use ternpick::watch_schedule::{Poll, WatchSchedule};
+use ternpick_wire::discovery;
 
-use crate::lifecycle::http_client;
+use crate::lifecycle::http_client::{self, HttpError};
 use crate::router::Router;
+use crate::stages::completion::EffectQueue;
 use crate::stages::upstream_writer;
-use ternpick_wire::discovery;
 
-/// Between an answer without news that came before its time and the next call: a watch goes on for 200 ms.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a response without news that came before its time: the watch of some services ends after 200 ms.
+const EARLY_RESPONSE_PAUSE: Duration = Duration::from_millis(100);
+
+/// An endpoint list that cannot be used.
+#[derive(Debug, thiserror::Error)]
+#[error("{reason}")]
+pub(crate) struct MalformedList {
+    reason: String,
+}
 
-/// Takes a list in: the nodes' addresses here, the rest by the module.
-pub fn take_list(router: &Router, list: &Value) -> Result<u64, &'static str> {
-    let (version, full) = discovery::version(list)?;
+/// Why a call of the watch has failed.
+#[derive(Debug, thiserror::Error)]
+enum WatchError {
+    #[error("no answer in time")]
+    TimedOut,
+    #[error("{0}")]
+    Http(#[from] HttpError),
+    #[error("{0}")]
+    Malformed(#[from] MalformedList),
+}
+
+/// Applies an endpoint list: nodes' addresses to the router's nodes, the rest to the decision module. Returns its version.
+pub(crate) fn apply_endpoint_list(router: &Router, list: &Value) -> Result<u64, MalformedList> {
+    let (version, complete) = discovery::version(list).map_err(|error| MalformedList {
+        reason: error.to_string(),
+    })?;
     let entries = list["endpoints"].as_array().map_or(&[][..], Vec::as_slice);
-    router.apply(|brain, now, out| {
-        let mut listings = Vec::with_capacity(entries.len());
-        for entry in entries {
-            match discovery::entry(entry, &out.bounds.zone_names) {
-                Ok((name, address, mut listing)) => {
-                    if let Some(fleet) = &router.fleet {
-                        fleet.lists(&name, &mut listing);
-                    }
-                    let (node, news) = out.nodes.list(&name, address, listing.state);
-                    listing.node = node;
-                    // The module's lines name nodes by these numbers.
-                    if news {
-                        tracing::info!("roster: node {:x} is {name} at {address}", node.0);
-                    }
-                    listings.push(listing);
-                }
-                Err(what) => {
-                    tracing::warn!("roster: an entry is skipped, {what}: {entry}");
-                    // A whole list that names a node and spoils the rest does not say that it is gone: it stays as it was.
-                    let known = entry["name"]
-                        .as_str()
-                        .and_then(|name| out.nodes.number(name));
-                    let known = known
-                        .filter(|_| full)
-                        .and_then(|node| brain.nodes.get(&node));
-                    listings.extend(known.map(|node| node.endpoint));
-                }
-            }
-        }
-        if full {
-            let listed: Vec<_> = listings.iter().map(|listing| listing.node).collect();
-            out.nodes.keep_only(&listed);
-            if let Some(fleet) = &router.fleet {
-                fleet.lists_only(
-                    &entries
-                        .iter()
-                        .filter_map(|entry| entry["name"].as_str())
-                        .collect(),
-                );
-            }
+    router.apply(|engine, now, effects| {
+        let endpoints: Vec<Endpoint> = entries
+            .iter()
+            .filter_map(|entry| apply_entry(router, engine, effects, entry, complete))
+            .collect();
+        if complete {
+            let listed: Vec<_> = endpoints.iter().map(|endpoint| endpoint.node).collect();
+            effects.nodes.keep_only(&listed);
+            keep_only_in_fleet(router, entries);
         }
-        let gone = listings
+        let gone = endpoints
             .iter()
-            .filter(|listing| listing.state == EndpointState::Gone)
+            .filter(|endpoint| endpoint.state == EndpointState::Gone)
             .count();
-        tracing::debug!(
-            "roster: version {version}, {} entries, {gone} gone",
-            listings.len()
-        );
-        brain.endpoints_changed(now, &listings, full, out);
-        out.nodes.forget_gone();
+        let entries = endpoints.len();
+        tracing::debug!(version, entries, gone, "endpoint list applied");
+        engine.endpoints_changed(now, &endpoints, complete, effects);
+        effects.nodes.forget_gone();
     });
     Ok(version)
 }
 
-/// Watches whenever the module wants it, from the version that the router started with. Where discovery has
-/// moved, the call that is out at the old address is left at once, and the new one is asked for its whole list:
-/// its versions need not go on from the old one's, and what it does not list is gone.
-pub async fn watch(router: Rc<Router>, mut cadence: WatchSchedule) {
-    let (mut kept, mut failing, mut after) = (None::<Async<TcpStream>>, false, None);
-    let mut first = true;
-    let (mut at, mut watching, mut wanted) = (
-        router.discovery.address(),
-        false,
-        router.discovery.watch_requested(),
-    );
+/// One entry of the list as the decision module takes it; nothing for one that cannot be used.
+fn apply_entry(
+    router: &Router,
+    engine: &RoutingEngine,
+    effects: &mut EffectQueue,
+    entry: &Value,
+    complete: bool,
+) -> Option<Endpoint> {
+    match discovery::entry(entry, &effects.bounds.zone_names) {
+        Ok((name, address, mut endpoint)) => {
+            if let Some(fleet) = &router.fleet {
+                fleet.lists(&name, &mut endpoint);
+            }
+            let (node, new_there) = effects.nodes.list(&name, address, endpoint.state);
+            endpoint.node = node;
+            // The decision module's lines name nodes by these numbers.
+            if new_there {
+                let node = format_args!("{:x}", node.0);
+                tracing::info!(%node, name, %address, "endpoint list: node at a new address");
+            }
+            Some(endpoint)
+        }
+        Err(error) => {
+            tracing::warn!(%error, %entry, "endpoint list: entry skipped");
+            // A complete list that names a node and spoils the rest does not say that it is gone: it stays as it was.
+            let name = entry["name"].as_str().filter(|_| complete)?;
+            let node = engine.nodes.get(&effects.nodes.number(name)?)?;
+            Some(node.endpoint)
+        }
+    }
+}
+
+fn keep_only_in_fleet(router: &Router, entries: &[Value]) {
+    let Some(fleet) = &router.fleet else {
+        return;
+    };
+    let names = entries
+        .iter()
+        .filter_map(|entry| entry["name"].as_str())
+        .collect();
+    fleet.lists_only(&names);
+}
+
+/// Watches whenever the decision module wants it, from the version that the router started with.
+pub(crate) async fn watch(router: Rc<Router>, schedule: WatchSchedule) {
+    let mut watch = EndpointWatch::new(router, schedule);
     loop {
-        let moved = router.discovery.moved();
-        let discovery = router.discovery.address();
-        if discovery != at {
-            (at, watching) = (discovery, true);
-            (kept, failing, after) = (None, false, None);
+        watch.step().await;
+    }
+}
+
+struct EndpointWatch {
+    router: Rc<Router>,
+    schedule: WatchSchedule,
+    /// Where the last call went.
+    discovery: SocketAddr,
+    /// The last call's connection, if it may be used again.
+    connection: Option<Async<TcpStream>>,
+    /// The version to ask for what is newer than; without it the complete list is asked for.
+    known_version: Option<u64>,
+    /// Whether calls follow each other; otherwise a request of the decision module is waited for.
+    active: bool,
+    requested: EventListener,
+    /// Whether the version that the router started with is yet to be used.
+    first_request: bool,
+    /// The last call failed.
+    failing: bool,
+}
+
+impl EndpointWatch {
+    fn new(router: Rc<Router>, schedule: WatchSchedule) -> Self {
+        EndpointWatch {
+            schedule,
+            discovery: router.discovery.address(),
+            connection: None,
+            known_version: None,
+            active: false,
+            requested: router.discovery.watch_requested(),
+            first_request: true,
+            failing: false,
+            router,
         }
-        if !watching {
-            future::or(wanted, moved).await;
-            (wanted, watching) = (router.discovery.watch_requested(), true);
-            if std::mem::replace(&mut first, false) {
-                after = Some(router.discovery.list_version());
-            }
-            continue;
+    }
+
+    /// Waits for a request, or makes one call.
+    async fn step(&mut self) {
+        let moved = self.router.discovery.moved();
+        self.follow_discovery();
+        if !self.active {
+            self.wait_for_request(moved).await;
+            return;
+        }
+        let began = self.router.clock.now();
+        let poll = self.schedule.next(self.known_version.is_some());
+        let wait = poll.wait;
+        match self.call_unless_moved(moved, began, poll).await {
+            None => {}
+            Some(Ok(version)) => self.succeeded(version, began, wait).await,
+            Some(Err(error)) => self.failed(&error),
+        }
+    }
+
+    /// Where discovery has moved, it is asked for its complete list: its versions need not go on from the ones at the old
+    /// address, and what it does not list is gone.
+    fn follow_discovery(&mut self) {
+        let address = self.router.discovery.address();
+        if address == self.discovery {
+            return;
         }
-        let began = router.clock.now();
-        let terms = cadence.next(after.is_some());
+        self.discovery = address;
+        self.active = true;
+        self.connection = None;
+        self.failing = false;
+        self.known_version = None;
+    }
+
+    async fn wait_for_request(&mut self, moved: EventListener) {
+        future::or(&mut self.requested, moved).await;
+        self.requested = self.router.discovery.watch_requested();
+        self.active = true;
+        if self.first_request {
+            self.first_request = false;
+            self.known_version = Some(self.router.discovery.list_version());
+        }
+    }
+
+    /// One call, whose list is applied; nothing if discovery moves meanwhile: a call at the old address is left at once.
+    async fn call_unless_moved(
+        &mut self,
+        moved: EventListener,
+        began: Micros,
+        poll: Poll,
+    ) -> Option<Result<u64, WatchError>> {
+        let router = Rc::clone(&self.router);
         let called = async {
-            let call = call(&router, &mut kept, discovery, after, terms.wait);
-            Some(
-                router
-                    .with_deadline(Some(began + terms.timeout), call)
-                    .await,
-            )
+            let call = self.call(poll.wait);
+            let deadline = began + poll.timeout;
+            Some(router.with_deadline(Some(deadline), call).await)
         };
-        let leaves = async {
+        let left = async {
             moved.await;
             None
         };
-        let Some(answered) = future::or(leaves, called).await else {
-            continue;
+        let answered = future::or(left, called).await?;
+        let list = answered.unwrap_or(Err(WatchError::TimedOut));
+        Some(list.and_then(|list| Ok(apply_endpoint_list(&router, &list)?)))
+    }
+
+    async fn call(&mut self, wait: Micros) -> Result<Value, WatchError> {
+        let stream = match self.connection.take() {
+            Some(stream) => stream,
+            // A machine that has vanished is found out by the dial, not by the call's far longer wait.
+            None => upstream_writer::dial(&self.router, self.discovery)
+                .await
+                .map_err(|_| HttpError::NotConnected)?,
         };
-        let silent = answered.is_none();
-        let answered = answered.unwrap_or_else(|| Err("no answer in time".into()));
-        match answered.and_then(|list| take_list(&router, &list).map_err(str::to_owned)) {
-            Ok(newer) => {
-                cadence.answered();
-                router.discovery.set_list_version(newer);
-                let early = after == Some(newer) && router.clock.now().since(began) < terms.wait;
-                (after, failing) = (Some(newer), false);
-                if early {
-                    Timer::after(PAUSE).await;
-                }
-            }
-            Err(what) => {
-                // Why, once for each spell of failures; the module says that the roster is lost.
-                match failing {
-                    true => tracing::debug!("roster: a call failed, {what}"),
-                    false => tracing::info!("roster: a call failed, {what}"),
-                }
-                (kept, failing) = (None, true);
-                // Given up and asked anew half a second to a second later, in turn behind all others whose watches fell
-                // silent at once, the list came after what it said counted as told: parts went to nodes that had begun to
-                // drain. The first look behind a silent watch follows at once.
-                if cadence.failed(silent) {
-                    continue;
-                }
-                watching = false;
-                // What the module wanted before it hears of this is out of date.
-                wanted = router.discovery.watch_requested();
-                router.apply(|brain, now, out| brain.endpoint_watch_failed(now, out));
-            }
+        let host = self.discovery.to_string();
+        let request = discovery::call(&host, self.known_version, wait);
+        let response = http_client::exchange(&stream, &request, discovery::LIST_BOUND).await?;
+        if !response.closes() {
+            self.connection = Some(stream);
         }
+        let list = discovery::parse(response.body()).map_err(|error| MalformedList {
+            reason: error.to_string(),
+        })?;
+        Ok(list)
     }
-}
 
-/// One call, on the kept connection if there is one.
-async fn call(
-    router: &Router,
-    kept: &mut Option<Async<TcpStream>>,
-    discovery: SocketAddr,
-    after: Option<u64>,
-    wait: Micros,
-) -> Result<Value, String> {
-    let stream = match kept.take() {
-        Some(stream) => stream,
-        // A machine that has vanished is found out by the dial, not by the call's far longer wait.
-        None => upstream_writer::dial(router, discovery)
-            .await
-            .map_err(|_| "the connection could not be made")?,
-    };
-    let request = discovery::call(&discovery.to_string(), after, wait);
-    let answer = http_client::exchange(&stream, &request, discovery::LIST_BOUND).await?;
-    if !answer.closes() {
-        *kept = Some(stream);
+    async fn succeeded(&mut self, version: u64, began: Micros, wait: Micros) {
+        self.schedule.answered();
+        self.router.discovery.set_list_version(version);
+        let no_news = self.known_version == Some(version);
+        let early = self.router.clock.now().since(began) < wait;
+        self.known_version = Some(version);
+        self.failing = false;
+        if no_news && early {
+            Timer::after(EARLY_RESPONSE_PAUSE).await;
+        }
+    }
+
+    fn failed(&mut self, error: &WatchError) {
+        // Why, once for each spell of failures; the decision module logs that the list is lost.
+        if self.failing {
+            tracing::debug!(%error, "endpoint list: watch call failed");
+        } else {
+            tracing::info!(%error, "endpoint list: watch call failed");
+        }
+        self.connection = None;
+        self.failing = true;
+        // The first call after a watch that fell silent follows at once. When it was made half a second to a second later
+        // instead, in turn behind all others whose watches fell silent at the same time, the list came after the time from
+        // which nodes count as notified: shard requests went to nodes that had begun to drain.
+        let silent = matches!(error, WatchError::TimedOut);
+        if self.schedule.failed(silent) {
+            return;
+        }
+        self.active = false;
+        // What the decision module wanted before it hears of this is out of date.
+        self.requested = self.router.discovery.watch_requested();
+        self.router
+            .apply(|engine, now, effects| engine.endpoint_watch_failed(now, effects));
     }
-    discovery::parse(answer.body())
 }
--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -29,49 +29,49 @@
 use crate::state::shutdown::ShutdownState;
 
 /// The decision module, and the effects that it has asked for and that are yet to be carried out.
-pub struct Decisions {
+pub(crate) struct Decisions {
     /// Decides, and knows no protocol.
-    pub engine: RoutingEngine,
+    pub(crate) engine: RoutingEngine,
     /// What is in flight, and what the engine wants done.
-    pub effects: EffectQueue,
+    pub(crate) effects: EffectQueue,
 }
 
 /// One router: what its tasks share. No borrow of its [`Decisions`] is held while a task waits.
-pub struct Router {
+pub(crate) struct Router {
     /// Monotonic time since the start.
-    pub clock: Clock,
+    pub(crate) clock: Clock,
     /// Limits of the platform's configuration that the router itself keeps.
-    pub bounds: Rc<Bounds>,
+    pub(crate) bounds: Rc<Bounds>,
     /// File descriptors, by kind of peer.
-    pub descriptors: Rc<Descriptors>,
+    pub(crate) descriptors: Rc<Descriptors>,
     /// Memory that peers make this process hold.
-    pub budget: Rc<Budget>,
+    pub(crate) budget: Rc<Budget>,
     /// Connections of clients, by state.
-    pub clients: Rc<Clients>,
+    pub(crate) clients: Rc<Clients>,
     /// Runs all tasks, on one thread.
-    pub executor: Rc<LocalExecutor<'static>>,
+    pub(crate) executor: Rc<LocalExecutor<'static>>,
     /// The decision module with its effects; changed through [`Router::apply`].
-    pub decisions: RefCell<Decisions>,
+    pub(crate) decisions: RefCell<Decisions>,
     /// Who may send queries; without it everybody may.
-    pub auth: Option<AuthFilter>,
+    pub(crate) auth: Option<AuthFilter>,
     /// The fleet whose policy this router goes by; without it the router goes by its own settings alone.
-    pub fleet: Option<Rc<Fleet>>,
+    pub(crate) fleet: Option<Rc<Fleet>>,
     /// Notified after each input, so that its effects are carried out once all inputs that are ready have been applied.
-    pub input_applied: Event,
+    pub(crate) input_applied: Event,
     /// Where discovery is, and how far the endpoint list is known.
-    pub discovery: DiscoveryState,
+    pub(crate) discovery: DiscoveryState,
     /// Whether and how this process ends.
-    pub shutdown: ShutdownState,
+    pub(crate) shutdown: ShutdownState,
     /// Whether clients are accepted.
-    pub listener: ListenerState,
+    pub(crate) listener: ListenerState,
     /// Connections of clients on their way to a new process.
-    pub client_transfer: ClientTransfer,
+    pub(crate) client_transfer: ClientTransfer,
 }
 
 impl Router {
     /// Gives one input to the decision module. What it wants done is queued, and carried out once all inputs that are ready
     /// have been applied.
-    pub fn apply<R>(
+    pub(crate) fn apply<R>(
         &self,
         input: impl FnOnce(&mut RoutingEngine, Micros, &mut EffectQueue) -> R,
     ) -> R {
@@ -88,7 +88,7 @@
     }
 
     /// What comes of `what`, or nothing once the time is up; without a time it is waited for.
-    pub async fn with_deadline<T>(
+    pub(crate) async fn with_deadline<T>(
         &self,
         at: Option<Micros>,
         what: impl Future<Output = T>,
@@ -104,7 +104,7 @@
     }
 
     /// A time that the process may not be there to keep: sooner in a stop.
-    pub fn before_shutdown(
+    pub(crate) fn before_shutdown(
         &self,
         at: Option<Micros>,
         by: impl Fn(Shutdown) -> Micros,
@@ -112,7 +112,7 @@
         at.into_iter().chain(self.shutdown.schedule().map(by)).min()
     }
 
-    pub fn is_stopping(&self) -> bool {
+    pub(crate) fn is_stopping(&self) -> bool {
         self.shutdown.schedule().is_some()
     }
 }
--- a/router/src/state/budget.rs
+++ b/router/src/state/budget.rs
@@ -7,13 +7,13 @@
 use std::rc::Rc;
 
 /// The bytes that all connections hold, and the limit on them.
-pub struct Budget {
+pub(crate) struct Budget {
     limit: Cell<usize>,
     used: Cell<usize>,
 }
 
 /// The bytes that one connection holds; given back when it is dropped.
-pub struct Share {
+pub(crate) struct Share {
     budget: Rc<Budget>,
     bytes: usize,
 }
@@ -21,7 +21,7 @@
 impl Budget {
     /// The budget of a process that may take up `memory` bytes. Peers get half of it: the rest is for the program, its own
     /// tables, and what parsing a message takes beside the message.
-    pub fn new(memory: usize) -> Rc<Self> {
+    pub(crate) fn new(memory: usize) -> Rc<Self> {
         Rc::new(Budget {
             limit: Cell::new(memory / 2),
             used: Cell::new(0),
@@ -29,7 +29,7 @@
     }
 
     /// A share for a new connection, which holds nothing yet.
-    pub fn share(self: &Rc<Self>) -> Share {
+    pub(crate) fn share(self: &Rc<Self>) -> Share {
         Share {
             budget: Rc::clone(self),
             bytes: 0,
@@ -37,29 +37,29 @@
     }
 
     /// The bytes that all connections together may hold.
-    pub fn limit(&self) -> usize {
+    pub(crate) fn limit(&self) -> usize {
         self.limit.get()
     }
 
     /// Replaces the limit.
-    pub fn set_limit(&self, limit: usize) {
+    pub(crate) fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
 
     /// The bytes that all connections together hold.
-    pub fn used(&self) -> usize {
+    pub(crate) fn used(&self) -> usize {
         self.used.get()
     }
 
     /// Whether more is held than the limit allows.
-    pub fn is_over(&self) -> bool {
+    pub(crate) fn is_over(&self) -> bool {
         self.used.get() > self.limit.get()
     }
 }
 
 impl Share {
     /// Replaces what this connection holds by `bytes`.
-    pub fn set(&mut self, bytes: usize) {
+    pub(crate) fn set(&mut self, bytes: usize) {
         let others = self.budget.used.get().saturating_sub(self.bytes);
         self.budget.used.set(others + bytes);
         self.bytes = bytes;
