--- a/router/src/state/clients.rs
+++ b/router/src/state/clients.rs
@@ -14,26 +14,26 @@
 use ternpick::types::Micros;
 
 /// A response to a client: status, header lines, body.
-pub type Answer = (u16, String, String);
+pub(crate) type Answer = (u16, String, String);
 
 /// Where a query's one response waits for its client.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     /// The response, from when it is known until the client's connection takes it.
-    pub answer: RefCell<Option<Answer>>,
+    pub(crate) answer: RefCell<Option<Answer>>,
     /// Notified once there is a response.
-    pub ready: Event,
+    pub(crate) ready: Event,
 }
 
 impl Reply {
     /// Stores the response and wakes the client's connection.
-    pub fn set(&self, status: u16, headers: String, body: String) {
+    pub(crate) fn set(&self, status: u16, headers: String, body: String) {
         *self.answer.borrow_mut() = Some((status, headers, body));
         self.ready.notify(1);
     }
 
     /// Waits for the response and takes it.
-    pub async fn wait(&self) -> Answer {
+    pub(crate) async fn wait(&self) -> Answer {
         loop {
             let ready = self.ready.listen();
             if let Some(answer) = self.answer.borrow_mut().take() {
@@ -46,7 +46,7 @@
 
 /// The state of a client's connection that has no complete request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub(crate) enum State {
     /// Kept alive after a response.
     Resting,
     /// Shut for writing, and read to its end.
@@ -59,7 +59,7 @@
 
 impl State {
     /// Whether nothing is owed on it: such connections are closed first.
-    pub fn is_idle(self) -> bool {
+    pub(crate) fn is_idle(self) -> bool {
         matches!(self, State::Resting | State::Closing)
     }
 }
@@ -85,7 +85,7 @@
 
 /// All connections of clients that may be closed.
 #[derive(Default)]
-pub struct Clients {
+pub(crate) struct Clients {
     next_key: Cell<u64>,
     last_number: Cell<u64>,
     /// An entry goes when its request is complete, or its connection is closed or asked to close.
@@ -93,16 +93,16 @@
 }
 
 /// A connection's entry among those that may be closed; removed when it is dropped.
-pub struct Place {
+pub(crate) struct Place {
     clients: Rc<Clients>,
     key: u64,
     /// Notified when the connection is to close.
-    pub told: Rc<Event>,
+    pub(crate) told: Rc<Event>,
 }
 
 impl Clients {
     /// Registers a connection that has been in `state` since `since`.
-    pub fn wait(self: &Rc<Self>, since: Micros, state: State) -> Place {
+    pub(crate) fn wait(self: &Rc<Self>, since: Micros, state: State) -> Place {
         let key = self.next_key.replace(self.next_key.get() + 1);
         let close = Rc::new(Event::new());
         let waiting = Waiting {
@@ -120,7 +120,7 @@
     }
 
     /// A number of its own for each connection, from 1.
-    pub fn number(&self) -> u64 {
+    pub(crate) fn number(&self) -> u64 {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
         number
@@ -142,18 +142,18 @@
     }
 
     /// For want of a descriptor: closes the connection idle longest, else the request that has been arriving longest.
-    pub fn close_longest(&self) -> bool {
+    pub(crate) fn close_longest(&self) -> bool {
         self.close_first(|connection| Some((!connection.state.is_idle(), connection.since)))
     }
 
     /// For want of memory: closes the incomplete request that holds the most.
-    pub fn close_largest(&self) -> bool {
+    pub(crate) fn close_largest(&self) -> bool {
         self.close_first(|connection| (connection.bytes > 0).then_some(Reverse(connection.bytes)))
     }
 
     /// Closes the connections idle longest until no more than `most` are idle. Some clients send one request and keep their
     /// connection; what clients may hold is bounded on their side too, and used up by such connections nobody else gets in.
-    pub fn keep_idle(&self, most: usize) {
+    pub(crate) fn keep_idle(&self, most: usize) {
         let idle = self
             .waiting
             .borrow()
@@ -166,7 +166,7 @@
     }
 
     /// Closes all connections in `state` for which `wanted` holds of the instant since which they are in it.
-    pub fn end(&self, state: State, wanted: impl Fn(Micros) -> bool) {
+    pub(crate) fn end(&self, state: State, wanted: impl Fn(Micros) -> bool) {
         let rank = |connection: &Waiting| {
             let ends = connection.state == state && wanted(connection.since);
             ends.then_some(connection.since)
@@ -175,7 +175,7 @@
     }
 
     /// How many connections have no request and are owed no response; an incomplete request is owed one.
-    pub fn waiting(&self) -> usize {
+    pub(crate) fn waiting(&self) -> usize {
         self.waiting
             .borrow()
             .values()
@@ -198,7 +198,7 @@
 
 impl Place {
     /// Notes how many bytes of its request the connection holds.
-    pub fn holds(&self, bytes: usize) {
+    pub(crate) fn holds(&self, bytes: usize) {
         if let Some(waiting) = self.clients.waiting.borrow_mut().get_mut(&self.key) {
             waiting.bytes = bytes;
         }
--- a/router/src/state/connection.rs
+++ b/router/src/state/connection.rs
@@ -29,39 +29,39 @@
 }
 
 /// A connection to a node, from the decision to open it until it is removed.
-pub struct Connection {
+pub(crate) struct Connection {
     /// The node that it leads to.
-    pub node: NodeId,
+    pub(crate) node: NodeId,
     /// Where the node listened when the connection was opened.
-    pub address: SocketAddr,
+    pub(crate) address: SocketAddr,
     /// For whom its dial waits: the node, or this machine.
-    pub dials: Rc<Cell<Owner>>,
+    pub(crate) dials: Rc<Cell<Owner>>,
     /// Its socket, once it is up.
-    pub stream: Option<Rc<Async<TcpStream>>>,
+    pub(crate) stream: Option<Rc<Async<TcpStream>>>,
     /// Carries no more attempts, and is closed once it carries none.
-    pub retired: bool,
+    pub(crate) retired: bool,
     /// Frames that are yet to be written.
-    pub out: Ring,
+    pub(crate) out: Ring,
     /// Bytes ever put into `out`.
-    pub queued: u64,
+    pub(crate) queued: u64,
     /// Bytes ever taken off `out` by the socket.
-    pub written: u64,
+    pub(crate) written: u64,
     /// Attempts out on it, by the id that their responses name.
-    pub carries: HashMap<Rc<str>, CallKey>,
+    pub(crate) carries: HashMap<Rc<str>, CallKey>,
     /// Attempts that share a frame each, for when it is up or has room.
-    pub waiting: VecDeque<Vec<CallKey>>,
+    pub(crate) waiting: VecDeque<Vec<CallKey>>,
     /// Attempts that are over; bounded by age and by number.
     pub(crate) finished: VecDeque<FinishedAttempt>,
     /// When it last carried something.
-    pub used: Micros,
+    pub(crate) used: Micros,
     /// When it last brought a frame that could be used.
-    pub heard: Micros,
+    pub(crate) heard: Micros,
     /// Ended by the router itself: a frame on it is not to be finished, or it has brought what cannot be used.
-    pub abandoned: bool,
+    pub(crate) abandoned: bool,
     /// The attempt whose response could not be used.
-    pub spoilt: Option<CallKey>,
+    pub(crate) spoilt: Option<CallKey>,
     /// Wakes its task: there is something to write, or it is retired.
-    pub stirred: Rc<Event>,
+    pub(crate) stirred: Rc<Event>,
     _permit: Permit,
 }
 
@@ -96,7 +96,7 @@
     }
 
     /// Whether it carries nothing and has nothing to write.
-    pub fn idle(&self) -> bool {
+    pub(crate) fn idle(&self) -> bool {
         self.carries.is_empty() && self.waiting.is_empty() && self.out.is_empty()
     }
 
@@ -113,14 +113,14 @@
 
     /// Ends it since its node has sent what cannot be used. The attempt whose response could not be used is the one that the
     /// bytes name, or the one out longest; of the others it is only known that they may have run.
-    pub fn spoil(&mut self, named: Option<&str>) {
+    pub(crate) fn spoil(&mut self, named: Option<&str>) {
         let named = named.and_then(|name| self.carries.get(name));
         self.spoilt = named.or_else(|| self.carries.values().min()).copied();
         self.abandoned = true;
     }
 
     /// Remembers that an attempt which it carried is over.
-    pub fn over(&mut self, name: &Rc<str>, now: Micros) {
+    pub(crate) fn over(&mut self, name: &Rc<str>, now: Micros) {
         while self.forgets_oldest(now) {
             self.finished.pop_front();
         }
@@ -138,12 +138,12 @@
     }
 
     /// Whether it has carried an attempt of this name that is over and remembered.
-    pub fn is_over(&self, name: &str) -> bool {
+    pub(crate) fn is_over(&self, name: &str) -> bool {
         self.finished.iter().any(|attempt| *attempt.name == *name)
     }
 
     /// Puts a complete frame into its buffer, or nothing if there is no room.
-    pub fn push(&mut self, frame: &[u8], now: Micros) -> bool {
+    pub(crate) fn push(&mut self, frame: &[u8], now: Micros) -> bool {
         let pushed = self.out.push(frame);
         if pushed {
             self.queued += frame.len() as u64;
--- a/router/src/state/descriptors.rs
+++ b/router/src/state/descriptors.rs
@@ -10,11 +10,11 @@
 
 /// Descriptors that the process holds beside those of its peers: the standard streams, the poller and its timer, the pipe of
 /// the signals, the listener, discovery, and some to spare.
-pub const OWN: usize = 32;
+pub(crate) const OWN: usize = 32;
 
 /// The kind of peer that a descriptor is held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Peer {
+pub(crate) enum Peer {
     /// Sends queries.
     Client,
     /// Answers shard requests; also other routers of the fleet, and discovery.
@@ -23,7 +23,7 @@
 
 /// Descriptors held, by kind of peer. Clients may hold three quarters of the total and nodes half, so neither can shut the
 /// other out.
-pub struct Descriptors {
+pub(crate) struct Descriptors {
     total: Cell<usize>,
     clients: Cell<usize>,
     nodes: Cell<usize>,
@@ -33,14 +33,14 @@
 }
 
 /// The right to hold one descriptor.
-pub struct Permit {
+pub(crate) struct Permit {
     descriptors: Rc<Descriptors>,
     peer: Peer,
 }
 
 impl Descriptors {
     /// The descriptors of a process that may hold `limit`, its own included.
-    pub fn new(limit: usize) -> Rc<Self> {
+    pub(crate) fn new(limit: usize) -> Rc<Self> {
         let total = limit.saturating_sub(OWN).max(2);
         Rc::new(Descriptors {
             total: Cell::new(total),
@@ -66,7 +66,7 @@
     }
 
     /// A permit for one more descriptor, or nothing if this kind of peer, or all together, hold what they may.
-    pub fn take(self: &Rc<Self>, peer: Peer) -> Option<Permit> {
+    pub(crate) fn take(self: &Rc<Self>, peer: Peer) -> Option<Permit> {
         let held_by_kind = self.held_by(peer);
         let held = self.held();
         if held_by_kind.get() >= self.limit_of(peer) || held >= self.total.get() {
@@ -81,39 +81,39 @@
     }
 
     /// The descriptors that all peers together may hold.
-    pub fn total(&self) -> usize {
+    pub(crate) fn total(&self) -> usize {
         self.total.get()
     }
 
     /// Replaces the total: two processes share a router's descriptors while one of them leaves.
-    pub fn set_total(&self, total: usize) {
+    pub(crate) fn set_total(&self, total: usize) {
         self.total.set(total.max(2));
         self.freed.notify(usize::MAX);
     }
 
     /// What peers hold now.
-    pub fn held(&self) -> usize {
+    pub(crate) fn held(&self) -> usize {
         self.clients.get() + self.nodes.get()
     }
 
     /// The most that peers held at a time.
-    pub fn highest(&self) -> usize {
+    pub(crate) fn highest(&self) -> usize {
         self.highest.get()
     }
 
     /// Idle connections of clients that are kept open: clients may hold a third of all descriptors for their requests, so this
     /// leaves most of that to those that send some.
-    pub fn kept_idle(&self) -> usize {
+    pub(crate) fn kept_idle(&self) -> usize {
         self.total.get() / 8
     }
 
     /// What clients hold now.
-    pub fn clients(&self) -> usize {
+    pub(crate) fn clients(&self) -> usize {
         self.clients.get()
     }
 
     /// Resolves once a descriptor has been given back or the total has changed.
-    pub fn freed(&self) -> EventListener {
+    pub(crate) fn freed(&self) -> EventListener {
         self.freed.listen()
     }
 }
--- a/router/src/state/ids.rs
+++ b/router/src/state/ids.rs
@@ -4,7 +4,7 @@
 
 /// Names a connection to a node; never used twice in a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnectionId(pub u64);
+pub(crate) struct ConnectionId(pub u64);
 
 /// Names an attempt: its shard request, and its number among that one's attempts.
-pub type CallKey = (ShardRequestId, AttemptNo);
+pub(crate) type CallKey = (ShardRequestId, AttemptNo);
--- a/router/src/state/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -11,36 +11,36 @@
 
 use crate::fleet::Mark;
 use crate::state::clients::Reply;
-pub use crate::state::ids::CallKey;
+pub(crate) use crate::state::ids::CallKey;
 use crate::state::ids::ConnectionId;
 
 /// One shard's part of a query, and its value once a node has answered it.
-pub struct InFlightShardRequest {
+pub(crate) struct InFlightShardRequest {
     /// Its number in the decision module.
-    pub id: ShardRequestId,
+    pub(crate) id: ShardRequestId,
     /// The shard that is asked.
-    pub shard: ShardNo,
+    pub(crate) shard: ShardNo,
     /// Attempts made so far.
-    pub calls: u8,
+    pub(crate) calls: u8,
     /// Connections that have carried an attempt of it. A response names the shard request alone, so no connection may carry
     /// two attempts of one.
-    pub carried: Vec<ConnectionId>,
+    pub(crate) carried: Vec<ConnectionId>,
     /// The first answer's value.
-    pub value: Option<Box<str>>,
+    pub(crate) value: Option<Box<str>>,
 }
 
 /// On whose account a query was admitted, and when.
-pub struct Taken {
+pub(crate) struct Taken {
     /// The tenant that it counts for; none where tenants are not told apart.
-    pub tenant: Option<CustomerNo>,
+    pub(crate) tenant: Option<CustomerNo>,
     /// When it was admitted.
-    pub at: Micros,
+    pub(crate) at: Micros,
     /// Its soft deadline.
-    pub soft: Micros,
+    pub(crate) soft: Micros,
     /// The policy that it is decided under; none where the fleet agrees on none.
-    pub mark: Option<Mark>,
+    pub(crate) mark: Option<Mark>,
     /// Follows the query through the stages.
-    pub span: tracing::Span,
+    pub(crate) span: tracing::Span,
 }
 
 impl Default for Taken {
@@ -57,24 +57,24 @@
 }
 
 /// A query that has been admitted and has no final response yet.
-pub struct InFlightQuery {
+pub(crate) struct InFlightQuery {
     /// On whose account, and when.
-    pub taken: Taken,
+    pub(crate) taken: Taken,
     /// The client's id of the request.
-    pub name: Rc<str>,
+    pub(crate) name: Rc<str>,
     /// What nodes are asked.
-    pub statement: Rc<str>,
+    pub(crate) statement: Rc<str>,
     /// The idempotency key.
-    pub key: Option<Rc<str>>,
+    pub(crate) key: Option<Rc<str>>,
     /// Its shard requests, in the order in which they are answered.
-    pub parts: Vec<InFlightShardRequest>,
+    pub(crate) parts: Vec<InFlightShardRequest>,
     /// Where the client's connection waits for the response.
-    pub reply: Rc<Reply>,
+    pub(crate) reply: Rc<Reply>,
 }
 
 /// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub(crate) enum Place {
     /// Wanted by the decision module, not yet given to a connection.
     Ordered,
     /// Waits for its connection to come up or to have room.
@@ -84,23 +84,23 @@
 }
 
 /// One attempt of a shard request, from the decision to make it until its outcome is known.
-pub struct CallOut {
+pub(crate) struct CallOut {
     /// The query that it is made for.
-    pub lookup: QueryId,
+    pub(crate) lookup: QueryId,
     /// Position of its shard request in [`InFlightQuery::parts`].
-    pub at: usize,
+    pub(crate) at: usize,
     /// The node that is asked.
-    pub node: NodeId,
+    pub(crate) node: NodeId,
     /// The shard request's id on the wire.
-    pub id: Rc<str>,
+    pub(crate) id: Rc<str>,
     /// When the decision module wanted it.
-    pub sent: Micros,
+    pub(crate) sent: Micros,
     /// When its time is up.
-    pub due: Micros,
+    pub(crate) due: Micros,
     /// When it is examined next: first to see whether it has been sent, then at `due`.
     next_check: Micros,
     /// How far it has come.
-    pub place: Place,
+    pub(crate) place: Place,
 }
 
 /// Where a shard request is: its query, and its position there.
@@ -119,7 +119,7 @@
 
 /// All queries in flight and all attempts out.
 #[derive(Default)]
-pub struct InFlightTable {
+pub(crate) struct InFlightTable {
     last_number: u64,
     queries: HashMap<QueryId, InFlightQuery>,
     /// Clients' ids of the requests in flight.
@@ -134,12 +134,12 @@
 
 impl InFlightTable {
     /// Queries and unanswered shard requests, which the limit on what is in flight counts.
-    pub fn held(&self) -> usize {
+    pub(crate) fn held(&self) -> usize {
         self.queries.len() + self.shard_requests.len() - self.answered
     }
 
     /// Queries in flight.
-    pub fn lookups(&self) -> usize {
+    pub(crate) fn lookups(&self) -> usize {
         self.queries.len()
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// Whether a request with this id of the client is in flight.
-    pub fn knows(&self, name: &str) -> bool {
+    pub(crate) fn knows(&self, name: &str) -> bool {
         self.request_ids.contains(name)
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Adds a query; returns its id and the ids of its shard requests, in the order of `shards`.
-    pub fn open(
+    pub(crate) fn open(
         &mut self,
         name: &str,
         statement: &str,
@@ -212,12 +212,12 @@
     }
 
     /// The query with this id, while it is in flight.
-    pub fn lookup(&self, id: QueryId) -> Option<&InFlightQuery> {
+    pub(crate) fn lookup(&self, id: QueryId) -> Option<&InFlightQuery> {
         self.queries.get(&id)
     }
 
     /// Removes a query with its shard requests; the one place that does.
-    pub fn close(&mut self, id: QueryId) -> Option<InFlightQuery> {
+    pub(crate) fn close(&mut self, id: QueryId) -> Option<InFlightQuery> {
         let query = self.queries.remove(&id)?;
         self.request_ids.remove(&query.name);
         for part in &query.parts {
@@ -229,7 +229,7 @@
 
     /// Adds an attempt that the decision module wants made, with `limit` from `now` to its end. Where the connection may have
     /// to be dialled, the attempt is examined after `dial` already. Nothing if the shard request is not in flight.
-    pub fn order(
+    pub(crate) fn order(
         &mut self,
         part: ShardRequestId,
         node: NodeId,
@@ -263,25 +263,25 @@
     }
 
     /// The attempt with this key, while it is out.
-    pub fn call(&self, key: CallKey) -> Option<&CallOut> {
+    pub(crate) fn call(&self, key: CallKey) -> Option<&CallOut> {
         self.attempts.get(&key)
     }
 
     /// The query and the shard request that an attempt is made for, while they are in flight.
-    pub fn part(&self, call: &CallOut) -> Option<(&InFlightQuery, &InFlightShardRequest)> {
+    pub(crate) fn part(&self, call: &CallOut) -> Option<(&InFlightQuery, &InFlightShardRequest)> {
         let query = self.queries.get(&call.lookup)?;
         Some((query, query.parts.get(call.at)?))
     }
 
     /// Whether a connection has carried an attempt of the same shard request.
-    pub fn carried(&self, key: CallKey, connection: ConnectionId) -> bool {
+    pub(crate) fn carried(&self, key: CallKey, connection: ConnectionId) -> bool {
         let attempt = self.attempts.get(&key);
         let part = attempt.and_then(|attempt| self.part(attempt));
         part.is_some_and(|(_, part)| part.carried.contains(&connection))
     }
 
     /// Notes that an attempt has been given to a connection, and how far it has come there.
-    pub fn place(&mut self, key: CallKey, place: Place) {
+    pub(crate) fn place(&mut self, key: CallKey, place: Place) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
@@ -298,7 +298,7 @@
     }
 
     /// Removes an attempt; the one place that does.
-    pub fn finish(&mut self, key: CallKey) -> Option<CallOut> {
+    pub(crate) fn finish(&mut self, key: CallKey) -> Option<CallOut> {
         let attempt = self.attempts.remove(&key)?;
         self.checks.remove(&ScheduledCheck {
             at: attempt.next_check,
@@ -308,7 +308,7 @@
     }
 
     /// Examines an attempt again when its time is up.
-    pub fn look_when_due(&mut self, key: CallKey) {
+    pub(crate) fn look_when_due(&mut self, key: CallKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
@@ -324,7 +324,7 @@
     }
 
     /// Stores a shard request's value as a node gave it; only the first one counts.
-    pub fn keep(&mut self, call: &CallOut, value: &str) {
+    pub(crate) fn keep(&mut self, call: &CallOut, value: &str) {
         let query = self.queries.get_mut(&call.lookup);
         if let Some(part) = query.and_then(|query| query.parts.get_mut(call.at)) {
             self.answered += usize::from(part.value.is_none());
@@ -333,18 +333,18 @@
     }
 
     /// When the next attempt is to be examined.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub(crate) fn next_due(&self) -> Option<Micros> {
         self.checks.first().map(|check| check.at)
     }
 
     /// An attempt that is to be examined by `now`.
-    pub fn overdue(&self, now: Micros) -> Option<CallKey> {
+    pub(crate) fn overdue(&self, now: Micros) -> Option<CallKey> {
         let check = self.checks.first().filter(|check| check.at <= now)?;
         Some(check.attempt)
     }
 
     /// Attempts of a shard request that are still out.
-    pub fn out_of(&self, part: ShardRequestId) -> impl Iterator<Item = (CallKey, &CallOut)> {
+    pub(crate) fn out_of(&self, part: ShardRequestId) -> impl Iterator<Item = (CallKey, &CallOut)> {
         self.attempts
             .range((part, AttemptNo(0))..=(part, AttemptNo(u8::MAX)))
             .map(|(key, call)| (*key, call))
--- a/router/src/state/nodes.rs
+++ b/router/src/state/nodes.rs
@@ -9,24 +9,24 @@
 
 use ternpick::types::{EndpointState, Micros, NodeId};
 
-pub use crate::state::connection::Connection;
+pub(crate) use crate::state::connection::Connection;
 use crate::state::descriptors::Permit;
-pub use crate::state::ids::ConnectionId;
+pub(crate) use crate::state::ids::ConnectionId;
 
 /// A node of the endpoint list, or one that is gone and still has connections.
-pub struct Node {
+pub(crate) struct Node {
     /// Its name in the endpoint list.
-    pub name: String,
+    pub(crate) name: String,
     /// Where it listens.
-    pub address: SocketAddr,
+    pub(crate) address: SocketAddr,
     /// Its state in the endpoint list.
-    pub phase: EndpointState,
+    pub(crate) phase: EndpointState,
     connections: Vec<ConnectionId>,
 }
 
 /// All nodes and all connections to them.
 #[derive(Default)]
-pub struct Nodes {
+pub(crate) struct Nodes {
     /// Numbers nodes and connections.
     last_number: u64,
     /// Emptied of nodes that are gone and have no connection left.
@@ -34,15 +34,15 @@
     ids: HashMap<String, NodeId>,
     connections: BTreeMap<ConnectionId, Connection>,
     /// Connections ever opened.
-    pub opened: u64,
+    pub(crate) opened: u64,
     /// When any node last sent something.
-    pub heard: Micros,
+    pub(crate) heard: Micros,
 }
 
 impl Nodes {
     /// Applies one entry of the endpoint list: the same name is the same node, wherever it listens. Returns its id, and
     /// whether it was not known at that address.
-    pub fn list(
+    pub(crate) fn list(
         &mut self,
         name: &str,
         address: SocketAddr,
@@ -73,19 +73,19 @@
     }
 
     /// All nodes with their names and addresses.
-    pub fn all(&self) -> impl Iterator<Item = (NodeId, &str, SocketAddr)> {
+    pub(crate) fn all(&self) -> impl Iterator<Item = (NodeId, &str, SocketAddr)> {
         self.nodes
             .iter()
             .map(|(id, node)| (*id, node.name.as_str(), node.address))
     }
 
     /// The id of a node by its name.
-    pub fn number(&self, name: &str) -> Option<NodeId> {
+    pub(crate) fn number(&self, name: &str) -> Option<NodeId> {
         self.ids.get(name).copied()
     }
 
     /// Marks all nodes as gone that a complete endpoint list did not name.
-    pub fn keep_only(&mut self, listed: &[NodeId]) {
+    pub(crate) fn keep_only(&mut self, listed: &[NodeId]) {
         let unlisted: Vec<NodeId> = self
             .nodes
             .keys()
@@ -112,7 +112,7 @@
     }
 
     /// Retires a node's connections that carry nothing.
-    pub fn retire_idle(&mut self, node: NodeId) {
+    pub(crate) fn retire_idle(&mut self, node: NodeId) {
         self.connections
             .values_mut()
             .filter(|connection| connection.node == node && connection.idle())
@@ -120,7 +120,7 @@
     }
 
     /// Removes nodes that are gone and have no connection left.
-    pub fn forget_gone(&mut self) {
+    pub(crate) fn forget_gone(&mut self) {
         let Nodes { nodes, ids, .. } = self;
         nodes.retain(|_, node| {
             let kept = node.phase != EndpointState::Gone || !node.connections.is_empty();
@@ -132,17 +132,17 @@
     }
 
     /// The node with this id.
-    pub fn node(&self, id: NodeId) -> Option<&Node> {
+    pub(crate) fn node(&self, id: NodeId) -> Option<&Node> {
         self.nodes.get(&id)
     }
 
     /// How many nodes are known.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.nodes.len()
     }
 
     /// A node's connections that may carry more, those that are up first.
-    pub fn usable(&self, id: NodeId) -> impl Iterator<Item = (ConnectionId, &Connection)> {
+    pub(crate) fn usable(&self, id: NodeId) -> impl Iterator<Item = (ConnectionId, &Connection)> {
         let of_state = move |up: bool| {
             self.connections_of(id).filter(move |(_, connection)| {
                 connection.is_usable() && connection.stream.is_some() == up
@@ -161,7 +161,7 @@
     }
 
     /// Adds a connection to a node, which its task is to dial; nothing if the node is not known.
-    pub fn connect(
+    pub(crate) fn connect(
         &mut self,
         node: NodeId,
         now: Micros,
@@ -179,18 +179,18 @@
     }
 
     /// The connection with this id.
-    pub fn connection(&self, id: ConnectionId) -> Option<&Connection> {
+    pub(crate) fn connection(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(&id)
     }
 
     /// The connection with this id.
-    pub fn connection_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+    pub(crate) fn connection_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&id)
     }
 
     /// Takes an attempt off its connection; `end` counts the connection's bytes up to the end of its frame. A frame that has
     /// not left completely may neither be finished, since the attempt is over, nor be left half: that connection ends.
-    pub fn unload(&mut self, id: ConnectionId, name: &Rc<str>, end: u64, now: Micros) {
+    pub(crate) fn unload(&mut self, id: ConnectionId, name: &Rc<str>, end: u64, now: Micros) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
@@ -203,14 +203,14 @@
     }
 
     /// Retires a connection that has brought nothing since `since`.
-    pub fn retire_silent(&mut self, id: ConnectionId, since: Micros) {
+    pub(crate) fn retire_silent(&mut self, id: ConnectionId, since: Micros) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.retired |= connection.heard < since;
         }
     }
 
     /// Wakes the task of a retired connection, which closes it if it carries nothing any more.
-    pub fn stir_retired(&self, id: ConnectionId) {
+    pub(crate) fn stir_retired(&self, id: ConnectionId) {
         let connection = self.connections.get(&id);
         if let Some(connection) = connection.filter(|connection| connection.retired) {
             connection.stirred.notify(1);
@@ -218,7 +218,7 @@
     }
 
     /// Removes a connection; the one place that does.
-    pub fn disconnect(&mut self, id: ConnectionId) -> Option<Connection> {
+    pub(crate) fn disconnect(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         if let Some(node) = self.nodes.get_mut(&connection.node) {
             node.connections.retain(|of| *of != id);
@@ -228,7 +228,7 @@
     }
 
     /// Retires the connection that has been idle longest; false if none is idle.
-    pub fn retire_longest_idle(&mut self) -> bool {
+    pub(crate) fn retire_longest_idle(&mut self) -> bool {
         let idle = self
             .connections
             .values_mut()
--- a/router/tests/identity.rs
+++ b/router/tests/identity.rs
@@ -221,7 +221,7 @@
     let whole = std::fs::read(&kept).expect("kept");
     std::fs::write(&kept, &whole[..whole.len() - 1]).expect("cut");
     let third = Guarded::with(&world, Some(&keys_from), Some(&feed_from), "info", 1024);
-    third.log_has("the kept keys are passed over");
+    third.log_has("identity: stored copy ignored kind=\"keys\"");
     assert_eq!(
         ask(
             &mut third.router.connect(),
@@ -233,7 +233,7 @@
         401
     );
     service.set(Serves::Text(world.public()));
-    third.log_has("keys are heard again");
+    third.log_has("identity: source answers again kind=\"keys\"");
     assert_eq!(
         ask(
             &mut third.router.connect(),
@@ -359,7 +359,7 @@
     let mut chief = guarded.secure(&world.client(Some(("chief.example", 9))));
     assert_eq!(ask(&mut chief.0, "half", "set tag 7", "").0, 200);
     world.list(2, &[7]);
-    guarded.log_has("1 certificates are revoked");
+    guarded.log_has("identity: certificate revocation list applied count=1");
     let (status, head, _) = ask(&mut stream.0, "whole", "find", "");
     assert!(
         status == 401 && head.contains("the certificate is revoked"),
@@ -385,7 +385,7 @@
     send(&mut stream.0, "whole", "find", "");
     let frame = guarded.nodes[0].frame('q');
     world.list(2, &[7]);
-    guarded.log_has("1 certificates are revoked");
+    guarded.log_has("identity: certificate revocation list applied count=1");
     for id in frame
         .split("find")
         .filter_map(|line| line.split(' ').next())
@@ -408,13 +408,13 @@
     assert_eq!(ask(&mut stream.0, "whole", "find", "").0, 200);
     // Half of the files, then spoilt ones: those in use stay.
     world.write("server.pem", "-----BEGIN CERTIFICATE-----\nAAAA\n");
-    guarded.log_has("tls: the files in use stay");
+    guarded.log_has("tls: files unusable, keeping the ones in use");
     assert_eq!(
         ask(&mut guarded.secure(&client).0, "whole", "find", "").0,
         200
     );
     world.renew_server(50);
-    guarded.log_has("tls: new files are in use");
+    guarded.log_has("tls: new files in use");
     within(
         || of(&guarded.secure(&world.client(None))) != first,
         "the new certificate",
@@ -431,7 +431,7 @@
         &std::fs::read_to_string(other.path("authorities.pem")).expect("PEM"),
     );
     within(
-        || guarded.log().matches("tls: new files are in use").count() >= 2,
+        || guarded.log().matches("tls: new files in use").count() >= 2,
         "new authorities",
     );
     assert_eq!(ask(&mut stream.0, "whole", "find", "").0, 401);
@@ -683,7 +683,7 @@
         &text.replace("{index: \"half\"}", "{index: \"half\", acts: [\"fly\"]}"),
     );
     guarded.router.signal("-HUP");
-    guarded.log_has("the terms of identity stay as they were");
+    guarded.log_has("reload: identity settings unusable, keeping the running ones");
     assert_eq!(ask(&mut stream, "half", "find", &token).0, 200);
     world.write(
         "settings.cue",
@@ -693,7 +693,7 @@
         ),
     );
     guarded.router.signal("-HUP");
-    guarded.log_has("the terms of identity are read anew");
+    guarded.log_has("reload: identity settings applied");
     assert_eq!(ask(&mut stream, "half", "set tag 7", &token).0, 200);
 }
 
