--- a/router/src/state/mod.rs
+++ b/router/src/state/mod.rs
@@ -1,11 +1,13 @@
 //! The state of a running router, one owner to a file. Nothing here does I/O or decides.
 
-pub mod budget;
+pub(crate) mod budget;
 pub(crate) mod client_transfer;
-pub mod clients;
-pub mod descriptors;
+pub(crate) mod clients;
+pub(crate) mod connection;
+pub(crate) mod descriptors;
 pub(crate) mod discovery;
-pub mod in_flight;
+pub(crate) mod ids;
+pub(crate) mod in_flight;
 pub(crate) mod listener;
-pub mod nodes;
+pub(crate) mod nodes;
 pub(crate) mod shutdown;
