--- /dev/null
+++ b/router/src/fleet/admission.rs
@@ -0,0 +1,85 @@
+//! Whether a query may be admitted now under the fleet's policy. The lease holder decides; admission of queries asks here.
+
+use futures_lite::future;
+use ternpick::types::Micros;
+use ternpick_fleet_policy::{Admission, Version};
+
+use super::{sleep_until, Fleet};
+use crate::router::Router;
+use crate::stages::admission;
+use crate::stages::completion::retry_after;
+use crate::state::clients::Answer;
+
+/// The policy under which a query was admitted, as its answer tells it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Mark {
+    /// The policy's version.
+    pub(crate) version: Version,
+    /// Whether it was admitted without a lease.
+    pub(crate) unguarded: bool,
+}
+
+impl Mark {
+    /// Header lines of the answer.
+    pub(crate) fn headers(self) -> String {
+        let guard = if self.unguarded {
+            "Policy-Guard: none\r\n"
+        } else {
+            ""
+        };
+        format!("Policy-Version: {}\r\n{guard}", self.version)
+    }
+}
+
+impl Fleet {
+    /// Has queries that wait for admission ask again.
+    pub(crate) fn look_again(&self) {
+        self.admission_changed.notify(usize::MAX);
+    }
+
+    /// Waits while a policy change takes effect; what holds then is for [`Fleet::admit`], in the same turn.
+    pub(crate) async fn settled(&self, router: &Router) {
+        loop {
+            let changed = self.admission_changed.listen();
+            let Admission::Wait(until) = self
+                .node
+                .borrow()
+                .lease_holder
+                .admission(router.clock.now())
+            else {
+                return;
+            };
+            // In a shutdown the rejection that follows is owed in time too.
+            let until = router
+                .before_shutdown(Some(until), |schedule| schedule.answers_by)
+                .unwrap_or(until);
+            if until <= router.clock.now() {
+                return;
+            }
+            future::or(changed, sleep_until(router, until)).await;
+        }
+    }
+
+    /// The policy under which a query is admitted now, or else its answer.
+    pub(crate) fn admit(&self, now: Micros) -> Result<Mark, Answer> {
+        match self.node.borrow().lease_holder.admission(now) {
+            Admission::Leased(version) => Ok(Mark {
+                version,
+                unguarded: false,
+            }),
+            Admission::Unguarded(version) => Ok(Mark {
+                version,
+                unguarded: true,
+            }),
+            Admission::Wait(until) => {
+                Err(rejection("a change of policy takes hold", until.since(now)))
+            }
+            Admission::Rejected { why, come_back } => Err(rejection(why.description(), come_back)),
+        }
+    }
+}
+
+fn rejection(reason: &str, come_back: Micros) -> Answer {
+    let (status, _, body) = admission::line(503, &format!("refused: {reason}"));
+    (status, retry_after(come_back), body)
+}
--- /dev/null
+++ b/router/src/fleet/cli/fleet_status.rs
@@ -0,0 +1,80 @@
+//! `ternpick fleet status`: what one router holds, and what the leader sees of each member.
+
+use serde_json::{json, Value};
+
+use super::client::inspect_leader;
+use super::fleet_members::print_members;
+use super::policy_propose::describe_progress;
+use super::{ask_fleet, field, finish_without_line, CommandResult, ExitStatus};
+use crate::lifecycle::control::Socket;
+
+pub(super) fn run(socket: &Socket) -> CommandResult {
+    let answer = ask_fleet(socket, json!({"ask": "status"}))?;
+    if answer["unknown"] == true {
+        return finish_without_line(socket, &answer);
+    }
+    let view = inspect_leader(socket, "members")?;
+    if socket.json {
+        println!("{}", json!({"own": answer["fleet"], "leader": view}));
+        return Ok(ExitStatus::Done);
+    }
+    print_own_state(&answer["fleet"]);
+    let Some(view) = view else {
+        println!("nobody that leads is reached");
+        return Ok(ExitStatus::Unknown);
+    };
+    print_leader_view(&view);
+    Ok(ExitStatus::Done)
+}
+
+fn print_own_state(fleet: &Value) {
+    println!(
+        "fleet {}, this is {}",
+        field(&fleet["fleet"]),
+        field(&fleet["member"])
+    );
+    println!(
+        "version {} (epoch {}, up to entry {}); {}; lease left {} ms",
+        field(&fleet["version"]),
+        field(&fleet["epoch"]),
+        field(&fleet["knows_up_to"]),
+        field(&fleet["admission"]),
+        field(&fleet["lease_left_ms"])
+    );
+    match fleet["seat"].as_object() {
+        Some(replica) => println!(
+            "seat {}: {}, term {}, entries to {}, agreed to {}, played to {}",
+            replica["seat"],
+            field(&replica["standing"]),
+            replica["term"],
+            replica["last"],
+            replica["agreed"],
+            replica["played"]
+        ),
+        None => {
+            let reason = fleet["seat_words"]
+                .as_str()
+                .map_or_else(String::new, |reason| format!(": {reason}"));
+            println!("no vote{reason}");
+        }
+    }
+}
+
+fn print_leader_view(view: &Value) {
+    println!(
+        "{} leads, entry {}, version {} in force",
+        field(&view["leader"]),
+        view["index"],
+        view["in_force"]["number"]
+    );
+    let next = &view["next"];
+    if next.is_object() {
+        println!(
+            "proposal {} by {}: {}",
+            next["number"],
+            field(&next["author"]),
+            describe_progress(view)
+        );
+    }
+    print_members(view);
+}
--- /dev/null
+++ b/router/src/fleet/cli/mod.rs
@@ -0,0 +1,93 @@
+//! The commands `ternpick policy` and `ternpick fleet`, over a router's control socket. One file for each command; the
+//! commands `ternpick maintenance` share the options, the client and the output.
+//!
+//! Exit statuses are [`ExitStatus`].
+
+mod arguments;
+mod client;
+mod error;
+mod exit_status;
+mod fleet_init;
+mod fleet_members;
+mod fleet_membership;
+mod fleet_status;
+mod output;
+mod policy_check;
+mod policy_confirm;
+mod policy_diff;
+mod policy_history;
+mod policy_propose;
+mod policy_show;
+mod policy_watch;
+
+use std::process::ExitCode;
+
+pub(crate) use arguments::{FleetCommand, OperationOptions, PolicyCommand as Policy, Wait};
+pub(crate) use client::{ask_fleet, submit};
+pub(crate) use error::{CommandError, CommandResult};
+pub(crate) use exit_status::ExitStatus;
+pub(crate) use output::{field, finish, finish_without_leader, finish_without_line, rows};
+
+/// Runs a command `ternpick policy ...`; the error is one line for the operator.
+pub(crate) fn policy(command: Policy) -> Result<ExitCode, String> {
+    let result = match command {
+        Policy::Show { socket } => policy_show::run(&socket),
+        Policy::Check { socket, file } => policy_check::run(&socket, &file),
+        Policy::Diff { socket, file } => policy_diff::run(&socket, &file),
+        Policy::Propose {
+            options,
+            file,
+            base,
+            waits,
+        } => policy_propose::run(&options, &file, base, waits),
+        Policy::Confirm {
+            options,
+            number,
+            by,
+        } => policy_confirm::confirm(&options, number, &by),
+        Policy::Withdraw {
+            options,
+            number,
+            by,
+            reason,
+        } => policy_confirm::withdraw(&options, number, &by, &reason),
+        Policy::History { socket } => policy_history::run(&socket),
+        Policy::Watch { socket } => policy_watch::run(&socket),
+    };
+    exit_code(result)
+}
+
+/// Runs a command `ternpick fleet ...`; the error is one line for the operator.
+pub(crate) fn fleet(command: FleetCommand) -> Result<ExitCode, String> {
+    let result = match command {
+        FleetCommand::Init { config, settings } => fleet_init::run(&config, &settings),
+        FleetCommand::Status { socket } => fleet_status::run(&socket),
+        FleetCommand::Members { socket } => fleet_members::run(&socket),
+        FleetCommand::Add {
+            options,
+            name,
+            address,
+            zone,
+            vote,
+        } => {
+            let member = fleet_membership::NewMember {
+                name,
+                address,
+                zone,
+                vote,
+            };
+            fleet_membership::add(&options, &member)
+        }
+        FleetCommand::Remove { options, name } => fleet_membership::remove(&options, &name),
+        FleetCommand::Replace { options, name } => fleet_membership::replace(&options, &name),
+        FleetCommand::Transfer { options, name } => fleet_membership::transfer(&options, &name),
+    };
+    exit_code(result)
+}
+
+/// What the program's command line takes: an exit code, or one line that says what failed.
+pub(crate) fn exit_code(result: CommandResult) -> Result<ExitCode, String> {
+    result
+        .map(ExitCode::from)
+        .map_err(|error| error.to_string())
+}
--- a/router/src/fleet/commands.rs
+++ b/router/src/fleet/commands.rs
@@ -1,173 +1,257 @@
-//! Operators' commands as routers pass them on, and the answers to their questions.
+//! Answers the control socket's requests about the fleet. Keys and lines of the answers are read by operators' scripts and
+//! stay.
+//!
+//! A request is either answered by this router itself, or handed to the [`FleetNode`], which asks the leader.
 
 use serde_json::{json, Value};
 use ternpick::types::Micros;
 use ternpick_fleet_policy::{
-    Command, FleetNode, OperationId, OperatorRequest, OperatorResponse, Outcome, PolicyDocument,
-    PolicyState, ProposalStatus, Record,
+    Command, FleetNode, HistoryEntry, Leader, MemberStatus, OperationId, OperatorRequest,
+    OperatorResponse, Outcome, PendingProposal, PolicyDocument, PolicyState, ProposalStatus,
+    Record,
 };
 
-use crate::fleet::Fleet;
+use super::{maintenance, random_u64, Fleet};
 use crate::router::Router;
 
 /// Rows of members in an answer; of more, those that matter most come first.
-const MOST_ROWS: usize = 200;
+const MAX_ROWS: usize = 200;
+/// How long a command waits for its outcome if it does not say, in milliseconds.
+const DEFAULT_WAIT_MS: u64 = 5000;
 /// The longest that a command waits here for its outcome.
-const LONGEST_WAIT: Micros = Micros(60_000_000);
-
-fn fate(of: &ProposalStatus) -> Value {
-    match of {
-        ProposalStatus::Open => json!({"fate": "open"}),
-        ProposalStatus::InForce => json!({"fate": "in_force"}),
-        ProposalStatus::Refused(member, words) => {
-            json!({"fate": "refused", "by": member, "why": words})
+const MAX_WAIT: Micros = Micros(60_000_000);
+/// A member that the leader has not heard from for longer counts as silent.
+const SILENT_AFTER: Micros = Micros(1_000_000);
+
+/// What all requests have that go to the leader.
+#[derive(Clone, Copy)]
+pub(super) struct RequestOptions {
+    /// The operation's id; a command with the same one takes effect once.
+    pub(super) op: OperationId,
+    /// How long an answer is waited for.
+    pub(super) wait: Micros,
+}
+
+impl RequestOptions {
+    fn read(request: &Value) -> RequestOptions {
+        let wait_ms = request["wait_ms"].as_u64().unwrap_or(DEFAULT_WAIT_MS);
+        RequestOptions {
+            op: OperationId(request["op"].as_u64().unwrap_or_else(random_u64)),
+            wait: Micros(wait_ms.saturating_mul(1000)).min(MAX_WAIT),
         }
-        ProposalStatus::Withdrawn(by, reason) => {
-            json!({"fate": "withdrawn", "by": by, "why": reason})
+    }
+}
+
+/// Answers one request about this router's fleet.
+pub(crate) async fn answer(router: &Router, fleet: &Fleet, request: &Value) -> Value {
+    let options = RequestOptions::read(request);
+    match request["ask"].as_str() {
+        Some("status") => status(router, fleet),
+        Some("check") => check(fleet, request),
+        Some("show") => show(fleet),
+        Some("look") => {
+            let question = request["what"].as_str().unwrap_or("policy").to_owned();
+            ask_leader(router, fleet, options, question).await
         }
+        Some("do") => match serde_json::from_value::<Command>(request["command"].clone()) {
+            Ok(command) => submit_command(router, fleet, options, command).await,
+            Err(_) => refused("this is no command of a fleet"),
+        },
+        Some("works") => maintenance::answer(router, fleet, request, options).await,
+        _ => refused("ask for status, show, check, look, do or works"),
     }
 }
 
-fn paper(of: &PolicyDocument) -> Value {
-    json!({"number": of.number, "author": of.author, "reason": of.reason, "text": of.text})
+/// An answer: refused, and why.
+pub(super) fn refused(reason: impl Into<String>) -> Value {
+    json!({"done": true, "ok": false, "line": reason.into()})
+}
+
+/// An answer: nobody can tell whether it is done, or refused.
+fn unknown(reason: &str) -> Value {
+    json!({"done": true, "ok": false, "unknown": true, "line": reason})
 }
 
-fn policy(register: &PolicyState) -> Value {
-    let past = |past: &ternpick_fleet_policy::HistoryEntry| {
-        let mut row = json!({"number": past.number, "author": past.author, "reason": past.reason, "at": past.at});
-        if let (Value::Object(row), Value::Object(more)) = (&mut row, fate(&past.status)) {
-            row.extend(more);
+fn status(router: &Router, fleet: &Fleet) -> Value {
+    let decisions = router.decisions.borrow();
+    let status = fleet.status(&decisions.engine, router.clock.now());
+    json!({"done": true, "ok": true, "fleet": status})
+}
+
+fn check(fleet: &Fleet, request: &Value) -> Value {
+    let name = request["name"].as_str().unwrap_or("policy");
+    let text = request["text"].as_str().unwrap_or_default();
+    match Record::read_within(name, text, &fleet.platform_defaults.limits()) {
+        Ok(record) => json!({"done": true, "ok": true, "figures": record.lines()}),
+        Err(error) => refused(error.to_string()),
+    }
+}
+
+fn show(fleet: &Fleet) -> Value {
+    let node = fleet.node.borrow();
+    match node.lease_holder.view() {
+        Some(view) => json!({
+            "done": true,
+            "ok": true,
+            "in_force": document(&view.in_force),
+            "epoch": view.epoch,
+        }),
+        None => refused("this router has yet to learn the policy in force"),
+    }
+}
+
+/// Has the leader answer a question.
+pub(super) async fn ask_leader(
+    router: &Router,
+    fleet: &Fleet,
+    options: RequestOptions,
+    question: String,
+) -> Value {
+    let request = OperatorRequest::Inspect(question);
+    match fleet
+        .submit(router, options.op, request, options.wait)
+        .await
+    {
+        Some(OperatorResponse::Inspection(answer)) => {
+            json!({"done": true, "ok": true, "look": serde_json::from_str::<Value>(&answer).ok()})
         }
-        row
-    };
-    let next = register.proposal.as_ref().map(|next| {
-        let mut of = paper(&next.document);
-        of["takes_hold"] = next.barrier.is_some().into();
-        of["round"] = next.round.0.into();
-        of["unconfirmed"] = next.unconfirmed.into();
-        of["fit"] = next.accepted_by.len().into();
-        of
-    });
-    json!({"index": register.index, "epoch": register.epoch, "in_force": paper(&register.in_force), "next": next,
-        "newest": register.newest_version, "members": register.members.len(),
-        "history": register.history.iter().map(past).collect::<Vec<_>>()})
+        _ => unknown("nobody that leads is reached"),
+    }
+}
+
+/// Has the leader carry out a command.
+pub(super) async fn submit_command(
+    router: &Router,
+    fleet: &Fleet,
+    options: RequestOptions,
+    command: Command,
+) -> Value {
+    let request = OperatorRequest::Command(command);
+    match fleet.submit(router, options.op, request, options.wait).await {
+        Some(OperatorResponse::Outcome(outcome)) => outcome_answer(outcome),
+        _ => unknown(
+            "no outcome was heard: it may be done yet, or have been done. Said again with the same --op it is done once",
+        ),
+    }
 }
 
-/// What the one that leads says to a question; none: this one does not lead.
-pub fn look(council: &FleetNode, what: &str, now: Micros) -> Option<String> {
-    let (chair, register) = council.leader_state()?;
-    if let Some(answer) = council.extension.inspect(now, what) {
+fn outcome_answer(outcome: Outcome) -> Value {
+    match outcome {
+        Outcome::Proposed(number) => json!({"done": true, "ok": true, "number": number}),
+        Outcome::MemberInfo(replica) => json!({"done": true, "ok": true, "seat": replica}),
+        Outcome::Numbered(number) => json!({"done": true, "ok": true, "number": number}),
+        Outcome::Done => json!({"done": true, "ok": true}),
+        Outcome::Refused(reason) => refused(reason),
+    }
+}
+
+/// The leader's answer to a question, as JSON; none: this router does not lead.
+pub(super) fn inspect(node: &FleetNode, question: &str, now: Micros) -> Option<String> {
+    let (leader, state) = node.leader_state()?;
+    if let Some(answer) = node.extension.inspect(now, question) {
         return Some(answer);
     }
-    let mut answer = policy(register);
-    let mut seen = chair.member_status(now, register);
-    let is_silent = |of: &ternpick_fleet_policy::MemberStatus| {
-        of.since_last_contact.is_none_or(|ago| ago.0 > 1_000_000)
-    };
-    let waits_for = |of: &ternpick_fleet_policy::MemberStatus| {
-        of.fits == Some(false) || of.stopped == Some(false)
-    };
-    answer["silent"] = seen.iter().filter(|of| is_silent(of)).count().into();
-    answer["latest_ms"] = (chair.remaining_lease_bound(now, register).0 / 1000).into();
-    answer["leader"] = json!(council.leader());
-    if what == "members" {
-        seen.sort_by_key(|of| (!waits_for(of), !is_silent(of)));
-        let rows = seen.iter().take(MOST_ROWS).map(|of| {
-            let seated = register.members.get(&of.member);
-            json!({"member": of.member, "heard_ms_ago": of.since_last_contact.map(|ago| ago.0 / 1000), "knows_up_to": of.known_index,
-                "lease_over": of.lease_over, "fits": of.fits, "stopped": of.stopped,
-                "address": seated.map(|of| &of.address), "zone": seated.map(|of| &of.zone),
-                "seat": seated.and_then(|of| of.replica), "learns": seated.is_some_and(|of| of.is_learner)})
-        });
-        answer["rows"] = rows.collect();
+    let mut members = leader.member_status(now, state);
+    let mut answer = policy(state);
+    answer["silent"] = members
+        .iter()
+        .filter(|member| is_silent(member))
+        .count()
+        .into();
+    answer["latest_ms"] = latest_ms(leader, state, now);
+    answer["leader"] = json!(node.leader());
+    if question == "members" {
+        members.sort_by_key(|member| (!is_awaited(member), !is_silent(member)));
+        let rows = members.iter().take(MAX_ROWS);
+        answer["rows"] = rows.map(|member| member_row(member, state)).collect();
         answer["in_force"]["text"] = Value::Null;
     }
     Some(answer.to_string())
 }
 
-/// Answers the control socket: what an operator asks of this router's fleet.
-pub async fn answer(router: &Router, fleet: &Fleet, asked: &Value) -> Value {
-    let wait = Micros(
-        asked["wait_ms"]
-            .as_u64()
-            .unwrap_or(5000)
-            .saturating_mul(1000),
-    )
-    .min(LONGEST_WAIT);
-    let op = OperationId(asked["op"].as_u64().unwrap_or_else(crate::fleet::chance));
-    match asked["ask"].as_str() {
-        Some("status") => {
-            let (now, desk) = (router.clock.now(), router.decisions.borrow());
-            json!({"done": true, "ok": true, "fleet": fleet.status(&desk.engine, now)})
-        }
-        Some("check") => {
-            let (name, text) = (
-                asked["name"].as_str().unwrap_or("policy"),
-                asked["text"].as_str().unwrap_or_default(),
-            );
-            match Record::read_within(name, text, &fleet.platform()) {
-                Ok(record) => json!({"done": true, "ok": true, "figures": record.lines()}),
-                Err(words) => json!({"done": true, "ok": false, "line": words}),
-            }
-        }
-        Some("show") => {
-            let text = fleet
-                .node
-                .borrow()
-                .lease_holder
-                .view()
-                .map(|view| (view.in_force.clone(), view.epoch));
-            match text {
-                Some((of, epoch)) => {
-                    json!({"done": true, "ok": true, "in_force": paper(&of), "epoch": epoch})
-                }
-                None => {
-                    json!({"done": true, "ok": false, "line": "this router has yet to learn the policy in force"})
-                }
-            }
-        }
-        Some("look") => {
-            let what = asked["what"].as_str().unwrap_or("policy").to_owned();
-            match fleet
-                .ask(router, op, OperatorRequest::Inspect(what), wait)
-                .await
-            {
-                Some(OperatorResponse::Inspection(json)) => {
-                    json!({"done": true, "ok": true, "look": serde_json::from_str::<Value>(&json).ok()})
-                }
-                _ => unknown("nobody that leads is reached"),
-            }
-        }
-        Some("do") => {
-            let Ok(command) = serde_json::from_value::<Command>(asked["command"].clone()) else {
-                return json!({"done": true, "ok": false, "line": "this is no command of a fleet"});
-            };
-            match fleet.ask(router, op, OperatorRequest::Command(command), wait).await {
-                Some(OperatorResponse::Outcome(Outcome::Proposed(number))) => {
-                    json!({"done": true, "ok": true, "number": number})
-                }
-                Some(OperatorResponse::Outcome(Outcome::MemberInfo(seat))) => json!({"done": true, "ok": true, "seat": seat}),
-                Some(OperatorResponse::Outcome(Outcome::Numbered(number))) => {
-                    json!({"done": true, "ok": true, "number": number})
-                }
-                Some(OperatorResponse::Outcome(Outcome::Done)) => json!({"done": true, "ok": true}),
-                Some(OperatorResponse::Outcome(Outcome::Refused(words))) => {
-                    json!({"done": true, "ok": false, "line": words})
-                }
-                _ => unknown(
-                    "no outcome was heard: it may be done yet, or have been done. Said again with the same \
-                    --op it is done once",
-                ),
-            }
+/// The milliseconds until a change is in force at the latest, without silent members.
+fn latest_ms(leader: &Leader, state: &PolicyState, now: Micros) -> Value {
+    (leader.remaining_lease_bound(now, state).0 / 1000).into()
+}
+
+fn is_silent(member: &MemberStatus) -> bool {
+    member
+        .since_last_contact
+        .is_none_or(|since| since > SILENT_AFTER)
+}
+
+/// Whether a change waits for the member.
+fn is_awaited(member: &MemberStatus) -> bool {
+    member.fits == Some(false) || member.stopped == Some(false)
+}
+
+fn member_row(status: &MemberStatus, state: &PolicyState) -> Value {
+    let info = state.members.get(&status.member);
+    json!({
+        "member": status.member,
+        "heard_ms_ago": status.since_last_contact.map(|since| since.0 / 1000),
+        "knows_up_to": status.known_index,
+        "lease_over": status.lease_over,
+        "fits": status.fits,
+        "stopped": status.stopped,
+        "address": info.map(|info| &info.address),
+        "zone": info.map(|info| &info.zone),
+        "seat": info.and_then(|info| info.replica),
+        "learns": info.is_some_and(|info| info.is_learner),
+    })
+}
+
+fn policy(state: &PolicyState) -> Value {
+    let history: Vec<Value> = state.history.iter().map(history_entry).collect();
+    json!({
+        "index": state.index,
+        "epoch": state.epoch,
+        "in_force": document(&state.in_force),
+        "next": state.proposal.as_ref().map(proposal),
+        "newest": state.newest_version,
+        "members": state.members.len(),
+        "history": history,
+    })
+}
+
+fn document(document: &PolicyDocument) -> Value {
+    json!({
+        "number": document.number,
+        "author": document.author,
+        "reason": document.reason,
+        "text": document.text,
+    })
+}
+
+fn proposal(proposal: &PendingProposal) -> Value {
+    let mut row = document(&proposal.document);
+    row["takes_hold"] = proposal.barrier.is_some().into();
+    row["round"] = proposal.round.0.into();
+    row["unconfirmed"] = proposal.unconfirmed.into();
+    row["fit"] = proposal.accepted_by.len().into();
+    row
+}
+
+fn history_entry(entry: &HistoryEntry) -> Value {
+    let mut row = json!({
+        "number": entry.number,
+        "author": entry.author,
+        "reason": entry.reason,
+        "at": entry.at,
+    });
+    match &entry.status {
+        ProposalStatus::Open => row["fate"] = "open".into(),
+        ProposalStatus::InForce => row["fate"] = "in_force".into(),
+        ProposalStatus::Refused(member, reason) => {
+            row["fate"] = "refused".into();
+            row["by"] = json!(member);
+            row["why"] = json!(reason);
         }
-        Some("works") => crate::fleet::maintenance::answer(router, fleet, asked, op, wait).await,
-        _ => {
-            json!({"done": true, "ok": false, "line": "ask for status, show, check, look, do or works"})
+        ProposalStatus::Withdrawn(by, reason) => {
+            row["fate"] = "withdrawn".into();
+            row["by"] = json!(by);
+            row["why"] = json!(reason);
         }
     }
-}
-
-/// Nobody can tell: neither done nor refused.
-pub fn unknown(words: &str) -> Value {
-    json!({"done": true, "ok": false, "unknown": true, "line": words})
+    row
 }
--- /dev/null
+++ b/router/src/fleet/effects.rs
@@ -0,0 +1,118 @@
+//! Carries out what the [`FleetNode`](ternpick_fleet_policy::FleetNode) asks for, in its order.
+
+use std::rc::Rc;
+
+use ternpick::types::Micros;
+use ternpick_fleet_policy::{
+    Effect, LeaseEffect, LogLevel, Member, PeerMessage, PolicyDocument, Verdict,
+};
+
+use super::peer_transport::PeerTransport;
+use super::{commands, replica_file, Fleet};
+use crate::router::Router;
+
+impl Fleet {
+    /// Carries out one effect.
+    pub(super) fn apply_effect(self: &Rc<Self>, router: &Rc<Router>, effect: Effect, now: Micros) {
+        match effect {
+            Effect::Send(to, message) => self.send(router, &to, *message),
+            Effect::Persist(image) => self.persist(router, image),
+            Effect::Lease(effect) => self.apply_lease_effect(router, effect),
+            Effect::Inspect(to, op, question) => {
+                let answer = commands::inspect(&self.node.borrow(), &question, now);
+                if let Some(answer) = answer {
+                    let mut node = self.node.borrow_mut();
+                    node.inspection_answered(&to, op, answer);
+                }
+            }
+            Effect::OperatorResponse(op, response) => {
+                self.pending_requests.borrow_mut().answer(op, response);
+            }
+            Effect::Log(level, line) => log(level, &line),
+        }
+    }
+
+    fn apply_lease_effect(&self, router: &Router, effect: LeaseEffect) {
+        match effect {
+            LeaseEffect::CheckPolicy(document) => self.answer_policy_check(&document),
+            LeaseEffect::ApplyPolicy(document) => self.apply_policy(router, &document),
+            LeaseEffect::Members(_) => {}
+            LeaseEffect::MachinesOut(index, machines) => {
+                self.machines_out_changed(router, index, &machines);
+            }
+            LeaseEffect::Log(line) => tracing::info!("{line}"),
+        }
+    }
+
+    fn answer_policy_check(&self, document: &PolicyDocument) {
+        let proposal = document.number;
+        let author = &document.author;
+        let verdict = self.check_policy(document);
+        match &verdict {
+            Verdict::Fits => tracing::info!(%proposal, %author, "policy: proposal accepted"),
+            Verdict::Refused(reason) => {
+                tracing::info!(%proposal, %author, %reason, "policy: proposal rejected");
+            }
+        }
+        self.node.borrow_mut().policy_checked(proposal, verdict);
+    }
+
+    fn send(self: &Rc<Self>, router: &Rc<Router>, to: &Member, message: PeerMessage) {
+        let address = self
+            .node
+            .borrow()
+            .members
+            .get(to)
+            .and_then(|member| member.address.parse().ok());
+        let Some(address) = address else { return };
+        let mut peers = self.peers.borrow_mut();
+        let peer = peers
+            .entry(to.clone())
+            .or_insert_with(|| PeerTransport::open(router, self, to.clone(), address));
+        peer.set_address(address);
+        peer.send(message);
+    }
+
+    /// Closes connections to routers that are no longer members.
+    pub(super) fn close_removed_peers(&self) {
+        let node = self.node.borrow();
+        self.peers.borrow_mut().retain(|member, peer| {
+            let is_member = node.members.contains_key(member);
+            if !is_member {
+                peer.close();
+            }
+            is_member
+        });
+    }
+
+    /// Writes the replica's state in another thread: the router does not wait for the disk.
+    fn persist(self: &Rc<Self>, router: &Router, image: Vec<u8>) {
+        let version = self.persisted_version.get() + 1;
+        self.persisted_version.set(version);
+        let fleet = Rc::clone(self);
+        let folder = self.folder.clone();
+        let clock = router.clock;
+        let mut journal = self.journal.borrow_mut().take();
+        let task = async move {
+            let write = move || {
+                let result = replica_file::persist(&folder, &mut journal, version, &image);
+                (result, journal)
+            };
+            let (result, journal) = blocking::unblock(write).await;
+            *fleet.journal.borrow_mut() = journal;
+            let result = result.map_err(|error| error.to_string());
+            fleet.node.borrow_mut().persisted(clock.now(), result);
+            fleet.wake.notify(1);
+        };
+        router.executor.spawn(task).detach();
+    }
+}
+
+/// The state machines have no logger: their lines come as effects.
+fn log(level: LogLevel, line: &str) {
+    match level {
+        LogLevel::Error => tracing::error!("{line}"),
+        LogLevel::Info => tracing::info!("{line}"),
+        LogLevel::Debug => tracing::debug!("{line}"),
+    }
+}
--- /dev/null
+++ b/router/src/fleet/endpoints.rs
@@ -0,0 +1,99 @@
+//! States of endpoints, where the fleet makes them stricter than discovery has them: a ready endpoint is draining while a
+//! policy drains it, or while it is out of service for maintenance.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use ternpick::types::{Endpoint, EndpointState};
+
+use super::Fleet;
+use crate::router::Router;
+use crate::stages::completion::EffectQueue;
+
+/// What discovery and the policy say of endpoints, by name.
+#[derive(Default)]
+pub(super) struct EndpointOverrides {
+    /// Each endpoint as discovery last listed it; one that discovery removes is removed.
+    listed: BTreeMap<String, Endpoint>,
+    /// Endpoints that the policy in force drains.
+    drained: BTreeSet<String>,
+}
+
+impl EndpointOverrides {
+    /// Endpoints as discovery lists them.
+    pub(super) fn listed(&self) -> &BTreeMap<String, Endpoint> {
+        &self.listed
+    }
+
+    /// Replaces the drained endpoints; those that were added or removed are returned.
+    pub(super) fn set_drained(&mut self, drained: BTreeSet<String>) -> Vec<String> {
+        let before = std::mem::replace(&mut self.drained, drained);
+        before
+            .symmetric_difference(&self.drained)
+            .cloned()
+            .collect()
+    }
+}
+
+impl Fleet {
+    /// Takes an endpoint that discovery lists, and makes its state the stricter of discovery's and the fleet's.
+    pub(crate) fn lists(&self, name: &str, endpoint: &mut Endpoint) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        if endpoint.state == EndpointState::Gone {
+            endpoints.listed.remove(name);
+        } else {
+            endpoints.listed.insert(name.to_owned(), *endpoint);
+        }
+        endpoint.state = self.stricter_state(&endpoints, name, endpoint.state);
+    }
+
+    /// Discovery's whole list has these names: others are removed.
+    pub(crate) fn lists_only(&self, names: &BTreeSet<&str>) {
+        self.endpoints
+            .borrow_mut()
+            .listed
+            .retain(|name, _| names.contains(name.as_str()));
+    }
+
+    /// The state in which discovery itself last listed an endpoint.
+    pub(crate) fn discovery_says(&self, name: &str) -> Option<EndpointState> {
+        let endpoints = self.endpoints.borrow();
+        endpoints.listed.get(name).map(|endpoint| endpoint.state)
+    }
+
+    /// Gives the decision module the states of endpoints that operators drain, or take out of service.
+    pub(super) fn update_endpoints(&self, router: &Router, names: &[String]) {
+        router.apply(|engine, now, effects| {
+            let endpoints: Vec<Endpoint> = names
+                .iter()
+                .filter_map(|name| self.endpoint(name, effects))
+                .collect();
+            engine.operator_drains_changed(now, &endpoints, effects);
+        });
+    }
+
+    fn endpoint(&self, name: &str, effects: &EffectQueue) -> Option<Endpoint> {
+        let endpoints = self.endpoints.borrow();
+        let listed = *endpoints.listed.get(name)?;
+        Some(Endpoint {
+            node: effects.nodes.number(name)?,
+            state: self.stricter_state(&endpoints, name, listed.state),
+            ..listed
+        })
+    }
+
+    fn stricter_state(
+        &self,
+        endpoints: &EndpointOverrides,
+        name: &str,
+        state: EndpointState,
+    ) -> EndpointState {
+        let is_out = self
+            .maintenance
+            .as_ref()
+            .is_some_and(|maintenance| maintenance.is_out(name));
+        if state == EndpointState::Ready && (is_out || endpoints.drained.contains(name)) {
+            return EndpointState::Draining;
+        }
+        state
+    }
+}
--- /dev/null
+++ b/router/src/fleet/maintenance/report.rs
@@ -0,0 +1,182 @@
+//! This router's report to the coordinator: which machines are busy, unhealthy or back under load, and how queries fare.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use ternpick::routing::RoutingEngine;
+use ternpick::types::{Endpoint, EndpointState, Micros, Node};
+use ternpick_maintenance::RouterReport;
+
+use super::MaintenanceParticipant;
+use crate::router::Decisions;
+use crate::stages::completion::{Counts, EffectQueue};
+
+/// The report's figures are those since the oldest of so many reports.
+const MAX_SAMPLES: usize = 20;
+/// Names in one list of a report.
+const MAX_NAMES: usize = 64;
+/// Rates are not computed over less time than this.
+const MIN_SECONDS: f64 = 0.1;
+
+/// The router's counters at one time.
+#[derive(Clone, Copy)]
+struct Sample {
+    at: Micros,
+    /// Queries that are finished.
+    finished: u64,
+    /// Of those, the late, failed and rejected ones.
+    failed: u64,
+    /// Attempts sent to machines.
+    attempts: u64,
+}
+
+impl Sample {
+    fn new(at: Micros, counts: &Counts) -> Sample {
+        Sample {
+            at,
+            finished: counts.satisfied + counts.nacked + counts.aborted,
+            failed: counts.late + counts.nacked + counts.aborted,
+            attempts: counts.calls,
+        }
+    }
+}
+
+/// The counters at the last reports, the oldest first; at most [`MAX_SAMPLES`].
+#[derive(Default)]
+pub(super) struct RecentCounts(VecDeque<Sample>);
+
+/// How queries have fared since the oldest sample.
+struct RecentFigures {
+    attempts_per_second: u32,
+    finished: u32,
+    failed: u32,
+}
+
+impl RecentCounts {
+    fn add(&mut self, sample: Sample) -> RecentFigures {
+        self.0.push_back(sample);
+        if self.0.len() > MAX_SAMPLES {
+            self.0.pop_front();
+        }
+        let oldest = self.0.front().copied().unwrap_or(sample);
+        let seconds = (sample.at.since(oldest.at).0 as f64 / 1e6).max(MIN_SECONDS);
+        RecentFigures {
+            attempts_per_second: ((sample.attempts - oldest.attempts) as f64 / seconds) as u32,
+            finished: (sample.finished - oldest.finished) as u32,
+            failed: (sample.failed - oldest.failed) as u32,
+        }
+    }
+}
+
+/// What the router sees of machines, by name.
+struct Machines<'a> {
+    engine: &'a RoutingEngine,
+    effects: &'a EffectQueue,
+    /// Endpoints as discovery lists them.
+    listed: &'a BTreeMap<String, Endpoint>,
+    now: Micros,
+}
+
+impl Machines<'_> {
+    fn node(&self, name: &str) -> Option<&Node> {
+        let id = self.effects.nodes.number(name)?;
+        self.engine.nodes.get(&id)
+    }
+
+    fn is_busy(&self, name: &str) -> bool {
+        self.node(name)
+            .is_some_and(|node| node.all_in_flight(self.now).next().is_some())
+    }
+
+    /// By this router's own clock: the start that discovery claims is by another's.
+    fn is_warming_up(&self, node: &Node) -> bool {
+        node.started.at.0 != 0
+            && self.now.since(node.started.at) < self.engine.config.slow_start_duration
+    }
+
+    fn is_healthy(&self, name: &str) -> bool {
+        let is_ready = self
+            .listed
+            .get(name)
+            .is_some_and(|endpoint| endpoint.state == EndpointState::Ready);
+        let is_suspected_or_cold = self
+            .node(name)
+            .is_some_and(|node| node.suspected_for.is_some() || self.is_warming_up(node));
+        is_ready && !is_suspected_or_cold
+    }
+
+    /// Whether a machine has answered since a time.
+    fn has_answered_since(&self, name: &str, since: Micros) -> bool {
+        self.node(name)
+            .is_some_and(|node| node.latency_updated_at > since)
+    }
+}
+
+impl MaintenanceParticipant {
+    /// What this router now sees.
+    pub(super) fn report(
+        &self,
+        decisions: &Decisions,
+        listed: &BTreeMap<String, Endpoint>,
+        now: Micros,
+    ) -> RouterReport {
+        let machines = Machines {
+            engine: &decisions.engine,
+            effects: &decisions.effects,
+            listed,
+            now,
+        };
+        let out = self.out.borrow();
+        let busy = out.iter().filter(|name| machines.is_busy(name));
+        let known = self.known.borrow();
+        let unhealthy: Vec<&String> = known
+            .keys()
+            .filter(|name| !machines.is_healthy(name))
+            .collect();
+        let returning = self.returning_machines(&machines);
+        let sample = Sample::new(now, &decisions.effects.counts);
+        let figures = self.recent_counts.borrow_mut().add(sample);
+        RouterReport {
+            goes_by: self.applied_index.get(),
+            busy: busy.cloned().collect(),
+            more: unhealthy.len().saturating_sub(MAX_NAMES) as u32,
+            unsound: unhealthy.into_iter().take(MAX_NAMES).cloned().collect(),
+            bear: returning.serving,
+            idle: returning.idle,
+            calls: figures.attempts_per_second,
+            answered: figures.finished,
+            late: figures.failed,
+        }
+    }
+
+    fn returning_machines(&self, machines: &Machines<'_>) -> ReturningMachines {
+        let mut returning = ReturningMachines::default();
+        for (name, since) in self.returning.borrow().iter() {
+            if !machines.is_healthy(name) {
+                continue;
+            }
+            if machines.has_answered_since(name, *since) {
+                returning.serving.push(name.clone());
+            } else if !machines.is_busy(name) {
+                returning.idle.push(name.clone());
+            }
+        }
+        returning
+    }
+}
+
+/// Healthy machines that return to service.
+#[derive(Default)]
+struct ReturningMachines {
+    /// They have answered since they may be used again.
+    serving: Vec<String>,
+    /// Nothing is in flight to them.
+    idle: Vec<String>,
+}
+
+/// Whether a report has anything that the coordinator waits for; figures alone have not.
+pub(super) fn differs(before: &RouterReport, after: &RouterReport) -> bool {
+    before.goes_by != after.goes_by
+        || before.busy != after.busy
+        || before.unsound != after.unsound
+        || before.bear != after.bear
+}
--- /dev/null
+++ b/router/src/fleet/maintenance_cli/client.rs
@@ -0,0 +1,86 @@
+//! Requests about maintenance over the control socket.
+
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use serde_json::{json, Value};
+
+use super::arguments::MachineSelection;
+use crate::fleet::cli::{ask_fleet, rows, submit, OperationOptions};
+use crate::lifecycle::control::{ControlError, Socket};
+
+/// How often a command that waits asks again.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// How long the router waits for the leader's answer, in milliseconds.
+pub(super) const INSPECTION_WAIT_MS: u64 = 3000;
+
+/// What the leader's coordinator answers to an inspection.
+pub(super) enum Inspection {
+    /// The state of maintenance.
+    View(Value),
+    /// The router's answer without a view: it was refused, or no leader is reached.
+    NoView(Value),
+}
+
+/// Asks the leader for the state of maintenance.
+pub(super) fn inspect(socket: &Socket) -> Result<Inspection, ControlError> {
+    let question = json!({"ask": "works", "what": "works", "wait_ms": INSPECTION_WAIT_MS});
+    let answer = ask_fleet(socket, question)?;
+    let view = &answer["look"];
+    Ok(if view.is_object() {
+        Inspection::View(view.clone())
+    } else {
+        Inspection::NoView(answer)
+    })
+}
+
+/// Sends one entry for the log, and returns its outcome.
+pub(super) fn submit_entry(
+    options: &OperationOptions,
+    entry: Value,
+) -> Result<Value, ControlError> {
+    submit(options, json!({"ask": "works", "entry": entry}))
+}
+
+/// A request for machines. Machines of groups and zones are looked up by the router.
+pub(super) fn machine_request(which: &MachineSelection, why: &str, by: &str) -> Value {
+    let request = json!({
+        "machines": [],
+        "why": why,
+        "by": by,
+        "lasts": as_micros(which.lasts),
+        "not_before": which.after.map(wall_clock_in_ms),
+        "by_when": which.within.map(wall_clock_in_ms),
+        "priority": which.priority,
+        "together": which.together,
+    });
+    json!({
+        "ask": "works",
+        "request": request,
+        "machines": which.machines,
+        "groups": which.group,
+        "zones": which.zone,
+        "up_for": which.up_for.map(as_micros),
+    })
+}
+
+/// Whether a request has machines that are not finished.
+pub(super) fn is_open(view: &Value, request: u64) -> bool {
+    rows(&view["rows"]).any(|row| row["request"] == request)
+}
+
+/// The answer to a command about a request that is not open.
+pub(super) fn not_open(request: u64) -> Value {
+    json!({"ok": false, "line": format!("request {request} is not open")})
+}
+
+/// The wall clock's milliseconds since the epoch, after so much time from now.
+pub(super) fn wall_clock_in_ms(delay: Duration) -> u64 {
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    u64::try_from(now.saturating_add(delay).as_millis()).unwrap_or(u64::MAX)
+}
+
+fn as_micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
+}
--- /dev/null
+++ b/router/src/fleet/maintenance_cli/plan.rs
@@ -0,0 +1,51 @@
+//! `ternpick maintenance plan`: in which rounds machines would go out, and what keeps others from it.
+
+use serde_json::Value;
+
+use super::arguments::MachineSelection;
+use super::client::{machine_request, INSPECTION_WAIT_MS};
+use super::list::{format_ms, join_names};
+use crate::fleet::cli::{ask_fleet, field, finish_without_line, rows, CommandResult, ExitStatus};
+use crate::lifecycle::control::Socket;
+
+pub(super) fn run(socket: &Socket, which: &MachineSelection) -> CommandResult {
+    let mut question = machine_request(which, "", "");
+    question["what"] = "works-plan".into();
+    question["wait_ms"] = INSPECTION_WAIT_MS.into();
+    let answer = ask_fleet(socket, question)?;
+    let plan = &answer["look"];
+    if !plan.is_object() {
+        return finish_without_line(socket, &answer);
+    }
+    if socket.json {
+        println!("{plan}");
+    } else {
+        print_plan(plan);
+    }
+    Ok(ExitStatus::Done)
+}
+
+fn print_plan(plan: &Value) {
+    let rounds: Vec<&Value> = rows(&plan["rounds"]).collect();
+    println!(
+        "{} rounds (at least {}), {} of work",
+        rounds.len(),
+        field(&plan["bound"]),
+        format_ms(&plan["lasts_ms"])
+    );
+    for (at, round) in rounds.iter().enumerate() {
+        println!(
+            "{:>4}  {:<10} {}",
+            at + 1,
+            format_ms(&round["lasts_ms"]),
+            join_names(&round["machines"])
+        );
+    }
+    for impossible in rows(&plan["cannot"]) {
+        println!(
+            "never  {}: {}",
+            join_names(&impossible["machines"]),
+            field(&impossible["binds"])
+        );
+    }
+}
--- /dev/null
+++ b/router/src/fleet/peer_listener.rs
@@ -0,0 +1,179 @@
+//! The fleet's own listener: connections on which other routers send their batches.
+
+use std::cell::Cell;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+
+use async_io::Async;
+use futures_lite::future;
+use ternpick::types::Micros;
+use ternpick_wire::http::{self, Reader, HEAD_BOUND};
+use ternpick_wire::ring::Ring;
+
+use super::peer_batch::{BatchError, PeerBatch, PATH};
+use super::peer_transport::{CALL_TIMEOUT, RETRY_DELAY};
+use super::{sleep_until, Fleet};
+use crate::router::Router;
+use crate::state::descriptors::Peer;
+
+/// A connection on which nothing is received for so long is closed.
+const IDLE_TIMEOUT: Micros = Micros(30_000_000);
+/// Connections that other routers may hold here.
+const MAX_CONNECTIONS: usize = 1200;
+
+/// Binds the fleet's own address, once whoever has it has closed it.
+pub(super) async fn bind(router: &Router, address: SocketAddr) -> Async<TcpListener> {
+    let mut is_logged = false;
+    loop {
+        match Async::<TcpListener>::bind(address) {
+            Ok(listener) => return listener,
+            Err(error) if !is_logged => {
+                tracing::warn!(%address, %error, "fleet: cannot listen yet");
+                is_logged = true;
+            }
+            Err(_) => {}
+        }
+        sleep_until(router, router.clock.now() + RETRY_DELAY).await;
+    }
+}
+
+/// Accepts connections of other routers, until it is dropped.
+pub(super) async fn serve(router: Rc<Router>, fleet: Rc<Fleet>, listener: Async<TcpListener>) {
+    let open_connections = Rc::new(Cell::new(0));
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => accept(&router, &fleet, &open_connections, stream),
+            Err(error) => {
+                tracing::warn!(%error, "fleet: cannot accept");
+                sleep_until(&router, router.clock.now() + RETRY_DELAY).await;
+            }
+        }
+    }
+}
+
+/// Reads a connection in a task of its own; one beyond the limits is closed.
+fn accept(
+    router: &Rc<Router>,
+    fleet: &Rc<Fleet>,
+    open_connections: &Rc<Cell<usize>>,
+    stream: Async<TcpStream>,
+) {
+    let permit = router
+        .descriptors
+        .take(Peer::Node)
+        .filter(|_| open_connections.get() < MAX_CONNECTIONS);
+    let Some(permit) = permit else { return };
+    open_connections.set(open_connections.get() + 1);
+    let fleet = Rc::clone(fleet);
+    let open_connections = Rc::clone(open_connections);
+    let reader = Rc::clone(router);
+    let task = async move {
+        let ended = fleet.participation_ended.listen();
+        future::or(read_batches(&reader, &fleet, stream), ended).await;
+        open_connections.set(open_connections.get() - 1);
+        drop(permit);
+    };
+    router.executor.spawn(task).detach();
+}
+
+async fn read_batches(router: &Router, fleet: &Fleet, stream: Async<TcpStream>) {
+    // The answers are small, and the other end waits for them. Without the option they only come later.
+    let _ = stream.get_ref().set_nodelay(true);
+    let mut input = Ring::new(HEAD_BOUND);
+    let mut request = Reader::of_requests();
+    loop {
+        let idle_deadline = router.clock.now() + IDLE_TIMEOUT;
+        let read = router
+            .with_deadline(
+                Some(idle_deadline),
+                read_request(&stream, &mut input, &mut request),
+            )
+            .await;
+        if read != Some(true) {
+            return;
+        }
+        let answer = receive(fleet, &request);
+        request.forget_body();
+        let is_last = answer.status != 200;
+        let bytes = http::answer(answer.status, "", &answer.body, is_last);
+        let write_deadline = router.clock.now() + CALL_TIMEOUT;
+        let written = router
+            .with_deadline(Some(write_deadline), write(&stream, &bytes))
+            .await;
+        if written != Some(true) || is_last {
+            return;
+        }
+    }
+}
+
+/// The answer to one request.
+struct PeerAnswer {
+    status: u16,
+    body: String,
+}
+
+impl PeerAnswer {
+    fn rejected(error: &BatchError) -> PeerAnswer {
+        PeerAnswer {
+            status: 409,
+            body: error.to_string(),
+        }
+    }
+}
+
+/// Takes the batch in a request.
+fn receive(fleet: &Fleet, request: &Reader) -> PeerAnswer {
+    if request.method() != "POST" || request.path() != PATH {
+        return PeerAnswer {
+            status: 404,
+            body: "routers of a fleet speak here".into(),
+        };
+    }
+    match PeerBatch::decode(request.body(), fleet.id, &fleet.me) {
+        Ok(batch) => {
+            fleet.count_received(request.body().len());
+            fleet.receive(batch);
+            PeerAnswer {
+                status: 200,
+                body: String::new(),
+            }
+        }
+        Err(error) => {
+            tracing::debug!(%error, "fleet: batch rejected");
+            PeerAnswer::rejected(&error)
+        }
+    }
+}
+
+/// Reads one request; false: the connection has ended, or what was received is no request.
+async fn read_request(stream: &Async<TcpStream>, input: &mut Ring, request: &mut Reader) -> bool {
+    use std::io::{ErrorKind, Read};
+    loop {
+        match request.read(input) {
+            Ok(true) => return true,
+            Ok(false) => {}
+            Err(_) => return false,
+        }
+        if stream.readable().await.is_err() {
+            return false;
+        }
+        match stream.get_ref().read(input.free()) {
+            Ok(0) => return false,
+            Ok(count) => input.filled_more(count),
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
+            Err(_) => return false,
+        }
+    }
+}
+
+/// Writes all bytes; false: the connection has ended.
+async fn write(stream: &Async<TcpStream>, mut rest: &[u8]) -> bool {
+    use std::io::Write;
+    while !rest.is_empty() {
+        match stream.write_with(|mut stream| stream.write(rest)).await {
+            Ok(count) if count > 0 => rest = &rest[count..],
+            _ => return false,
+        }
+    }
+    true
+}
--- a/router/src/fleet/peer_transport.rs
+++ b/router/src/fleet/peer_transport.rs
@@ -1,299 +1,226 @@
-//! Ways to the other routers: one connection out to each, one request at a time, and those that come in. What cannot go
-//! out is dropped, as on any network; whoever needs it says it again.
+//! The connection out to another router of the fleet: one request at a time. A message that cannot be sent is dropped, as on
+//! any network; the state machines send again what still matters.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-use async_io::{Async, Timer};
+use async_io::Async;
 use event_listener::Event;
-use futures_lite::future;
 use ternpick::types::Micros;
 use ternpick_fleet_policy::{Member, PeerMessage};
-use ternpick_wire::http::{self, Reader, HEAD_BOUND};
-use ternpick_wire::ring::Ring;
+use ternpick_wire::http::HEAD_BOUND;
 
-use crate::fleet::fragments::{in_pieces, PeerBatch, PARCEL_BYTES, PATH};
-use crate::fleet::{chance, Fleet};
+use super::fragments::split;
+use super::peer_batch::{PeerBatch, MAX_BATCH_BYTES, PATH};
+use super::{random_u64, sleep_until, Fleet};
 use crate::lifecycle::http_client;
 use crate::router::Router;
 use crate::stages::upstream_writer;
 use crate::state::descriptors::Peer;
 
-/// What waits for one router; the oldest goes first.
-const MOST_WAITING: usize = 64;
-/// How long one request may take; then its connection is given up.
-const CALL_WITHIN: Micros = Micros(1_000_000);
-/// After a failure the next try waits so long.
-const AGAIN: Micros = Micros(50_000);
-/// A connection on which nothing comes for so long is closed.
-const IDLE: Micros = Micros(30_000_000);
-/// Connections that others may hold here.
-const MOST_CONNECTIONS: usize = 1200;
+/// Messages that wait for one router; of more, the oldest are dropped.
+const MAX_QUEUED: usize = 64;
+/// How long one request may take; then its connection is closed.
+pub(super) const CALL_TIMEOUT: Micros = Micros(1_000_000);
+/// The pause after a failure.
+pub(super) const RETRY_DELAY: Micros = Micros(50_000);
 
-/// The way to one other router.
-pub struct PeerTransport {
+/// The connection to one other router, and what waits for it.
+pub(super) struct PeerTransport {
     to: Member,
-    pub address: Cell<SocketAddr>,
-    waiting: RefCell<VecDeque<PeerMessage>>,
-    more: Event,
-    pub ends: Cell<bool>,
+    address: Cell<SocketAddr>,
+    queue: RefCell<VecDeque<PeerMessage>>,
+    /// Notified when a message is queued, or the transport closes.
+    changed: Event,
+    is_closed: Cell<bool>,
+}
+
+/// A connection that can carry a further request.
+struct Connection {
+    stream: Async<TcpStream>,
+    address: SocketAddr,
+}
+
+/// Why a request to another router has failed.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    #[error("no answer in time")]
+    Timeout,
+    #[error("the connection could not be made")]
+    Connect,
+    #[error("{0}")]
+    SocketOption(#[from] std::io::Error),
+    #[error("{0}")]
+    Exchange(String),
 }
 
 impl PeerTransport {
-    pub fn open(
+    /// Makes a transport, whose task runs until [`PeerTransport::close`]; it connects with the first message.
+    pub(super) fn open(
         router: &Rc<Router>,
         fleet: &Rc<Fleet>,
         to: Member,
         address: SocketAddr,
     ) -> Rc<PeerTransport> {
-        let (waiting, more, ends) = (RefCell::default(), Event::new(), Cell::new(false));
-        let post = Rc::new(PeerTransport {
+        let transport = Rc::new(PeerTransport {
             to,
             address: Cell::new(address),
-            waiting,
-            more,
-            ends,
+            queue: RefCell::default(),
+            changed: Event::new(),
+            is_closed: Cell::new(false),
         });
-        let task = carry(Rc::clone(router), Rc::clone(fleet), Rc::clone(&post));
+        let task = run(Rc::clone(router), Rc::clone(fleet), Rc::clone(&transport));
         router.executor.spawn(task).detach();
-        post
+        transport
+    }
+
+    /// Where the router is from now on.
+    pub(super) fn set_address(&self, address: SocketAddr) {
+        self.address.set(address);
     }
 
-    pub fn say(&self, said: PeerMessage) {
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() >= MOST_WAITING {
-            waiting.pop_front();
+    /// Queues a message.
+    pub(super) fn send(&self, message: PeerMessage) {
+        let mut queue = self.queue.borrow_mut();
+        if queue.len() >= MAX_QUEUED {
+            queue.pop_front();
         }
-        waiting.push_back(said);
-        self.more.notify(1);
+        queue.push_back(message);
+        self.changed.notify(1);
     }
 
-    pub fn end(&self) {
-        self.ends.set(true);
-        self.more.notify(1);
+    /// Ends the transport's task; what is queued is dropped.
+    pub(super) fn close(&self) {
+        self.is_closed.set(true);
+        self.changed.notify(1);
     }
 
-    /// As much of what waits as goes into one parcel.
-    fn take(&self, fleet: &Fleet) -> Option<Vec<u8>> {
-        let mut waiting = self.waiting.borrow_mut();
-        let (mut said, mut size) = (Vec::new(), 0);
-        while let Some(next) = waiting.front() {
-            let length = postcard::to_stdvec(next).map_or(0, |bytes| bytes.len());
-            if length > PARCEL_BYTES {
-                let long = waiting.pop_front();
-                match long.and_then(|said| in_pieces(&said, chance())) {
-                    Some(pieces) => pieces
-                        .into_iter()
-                        .rev()
-                        .for_each(|piece| waiting.push_front(piece)),
-                    None => tracing::warn!(
-                        "fleet: {length} bytes for {} are more than is ever sent, and dropped",
-                        self.to
-                    ),
-                }
-                continue;
-            }
-            if size + length > PARCEL_BYTES {
-                break;
-            }
-            size += length;
-            said.extend(waiting.pop_front());
+    /// The body of the next request: as many queued messages as fit into a batch.
+    fn next_body(&self, fleet: &Fleet) -> Option<Vec<u8>> {
+        let messages = self.next_messages();
+        if messages.is_empty() {
+            return None;
         }
-        let parcel = PeerBatch {
+        let batch = PeerBatch {
             fleet: fleet.id,
             from: fleet.me.clone(),
             to: self.to.clone(),
-            said,
+            messages,
         };
-        (!parcel.said.is_empty()).then(|| parcel.bytes())
+        Some(batch.encode())
+    }
+
+    fn next_messages(&self) -> Vec<PeerMessage> {
+        let mut queue = self.queue.borrow_mut();
+        let mut messages = Vec::new();
+        let mut batch_bytes = 0;
+        while let Some(next) = queue.front() {
+            let bytes = postcard::to_stdvec(next).map_or(0, |bytes| bytes.len());
+            if bytes > MAX_BATCH_BYTES {
+                self.split_first(&mut queue, bytes);
+                continue;
+            }
+            if batch_bytes + bytes > MAX_BATCH_BYTES {
+                break;
+            }
+            batch_bytes += bytes;
+            messages.extend(queue.pop_front());
+        }
+        messages
+    }
+
+    /// Replaces the first message by its fragments; one that is too long for that is dropped.
+    fn split_first(&self, queue: &mut VecDeque<PeerMessage>, bytes: usize) {
+        let first = queue.pop_front();
+        match first.and_then(|message| split(&message, random_u64())) {
+            Some(fragments) => {
+                for fragment in fragments.into_iter().rev() {
+                    queue.push_front(fragment);
+                }
+            }
+            None => {
+                tracing::warn!(bytes, to = %self.to, "fleet: message too long, dropped");
+            }
+        }
     }
 }
 
-async fn carry(router: Rc<Router>, fleet: Rc<Fleet>, post: Rc<PeerTransport>) {
-    let mut kept: Option<(Async<TcpStream>, SocketAddr)> = None;
+async fn run(router: Rc<Router>, fleet: Rc<Fleet>, transport: Rc<PeerTransport>) {
+    let mut idle: Option<Connection> = None;
     loop {
-        let more = post.more.listen();
-        if post.ends.get() {
+        let changed = transport.changed.listen();
+        if transport.is_closed.get() {
             return;
         }
-        let Some(body) = post.take(&fleet) else {
-            more.await;
+        let Some(body) = transport.next_body(&fleet) else {
+            changed.await;
             continue;
         };
-        let address = post.address.get();
-        kept = kept.filter(|(_, at)| *at == address);
-        // A connection to another router counts as one to a node; where none is left, what waits is lost.
+        let address = transport.address.get();
+        idle = idle.filter(|connection| connection.address == address);
+        // A connection to another router counts as one to a node; where no descriptor is left, the batch is lost.
         let Some(_permit) = router.descriptors.take(Peer::Node) else {
-            kept = None;
-            Timer::at(router.clock.instant(router.clock.now() + AGAIN)).await;
+            idle = None;
+            sleep_until(&router, router.clock.now() + RETRY_DELAY).await;
             continue;
         };
-        let called = router.with_deadline(
-            Some(router.clock.now() + CALL_WITHIN),
-            call(&router, &fleet, &mut kept, address, &body),
-        );
-        match called.await {
-            Some(Ok(())) => fleet.counts((1, body.len() as u64), (0, 0)),
-            failed => {
-                let words = failed
-                    .and_then(Result::err)
-                    .unwrap_or_else(|| "no answer in time".into());
-                tracing::debug!("fleet: {} is not reached, {words}", post.to);
-                kept = None;
-                Timer::at(router.clock.instant(router.clock.now() + AGAIN)).await;
+        match call_with_timeout(&router, &fleet, idle.take(), address, &body).await {
+            Ok(connection) => {
+                fleet.count_sent(body.len());
+                idle = connection;
+            }
+            Err(error) => {
+                tracing::debug!(to = %transport.to, %error, "fleet: peer not reached");
+                sleep_until(&router, router.clock.now() + RETRY_DELAY).await;
             }
         }
     }
 }
 
+async fn call_with_timeout(
+    router: &Router,
+    fleet: &Fleet,
+    idle: Option<Connection>,
+    address: SocketAddr,
+    body: &[u8],
+) -> Result<Option<Connection>, CallError> {
+    let deadline = router.clock.now() + CALL_TIMEOUT;
+    router
+        .with_deadline(Some(deadline), call(router, fleet, idle, address, body))
+        .await
+        .unwrap_or(Err(CallError::Timeout))
+}
+
+/// Sends one request and reads its answer. Returns the connection if it can carry a further one.
 async fn call(
     router: &Router,
     fleet: &Fleet,
-    kept: &mut Option<(Async<TcpStream>, SocketAddr)>,
+    idle: Option<Connection>,
     address: SocketAddr,
     body: &[u8],
-) -> Result<(), String> {
-    let stream = match kept.take() {
-        Some((stream, _)) => stream,
-        None => {
-            let stream = upstream_writer::dial(router, address)
-                .await
-                .map_err(|_| "the connection could not be made")?;
-            stream
-                .get_ref()
-                .set_nodelay(true)
-                .map_err(|e| e.to_string())?;
-            stream
-        }
+) -> Result<Option<Connection>, CallError> {
+    let connection = match idle {
+        Some(connection) => connection,
+        None => connect(router, address).await?,
     };
-    let (from, length) = (&fleet.me, body.len());
+    let from = &fleet.me;
+    let length = body.len();
     let head = format!(
         "POST {PATH} HTTP/1.1\r\nHost: {address}\r\nFleet-From: {from}\r\nContent-Length: {length}\r\n\r\n"
     );
-    let answer =
-        http_client::exchange(&stream, &[head.as_bytes(), body].concat(), HEAD_BOUND).await?;
-    if !answer.closes() {
-        *kept = Some((stream, address));
-    }
-    Ok(())
-}
-
-/// Takes what others send, until it is dropped.
-pub async fn listen(router: Rc<Router>, fleet: Rc<Fleet>, listener: Async<TcpListener>) {
-    let open = Rc::new(Cell::new(0));
-    loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                let permit = router
-                    .descriptors
-                    .take(Peer::Node)
-                    .filter(|_| open.get() < MOST_CONNECTIONS);
-                let Some(permit) = permit else { continue };
-                open.set(open.get() + 1);
-                let (of, fleet, open) = (Rc::clone(&router), Rc::clone(&fleet), Rc::clone(&open));
-                let task = async move {
-                    let leaves = fleet.leaves.listen();
-                    future::or(hear(&of, &fleet, stream), leaves).await;
-                    open.set(open.get() - 1);
-                    drop(permit);
-                };
-                router.executor.spawn(task).detach();
-            }
-            Err(e) => {
-                tracing::warn!("fleet: cannot accept, {e}");
-                Timer::at(router.clock.instant(router.clock.now() + AGAIN)).await;
-            }
-        }
-    }
+    let request = [head.as_bytes(), body].concat();
+    let answer = http_client::exchange(&connection.stream, &request, HEAD_BOUND)
+        .await
+        .map_err(|error| CallError::Exchange(error.to_string()))?;
+    Ok(Some(connection).filter(|_| !answer.closes()))
 }
 
-async fn hear(router: &Router, fleet: &Fleet, stream: Async<TcpStream>) {
-    // What the other end answers is small, and waited for.
-    let _ = stream.get_ref().set_nodelay(true);
-    let (mut input, mut request) = (Ring::new(HEAD_BOUND), Reader::of_requests());
-    loop {
-        let read = router
-            .with_deadline(
-                Some(router.clock.now() + IDLE),
-                read(&stream, &mut input, &mut request),
-            )
-            .await;
-        let Some(Ok(())) = read else { return };
-        let length = request.body().len() as u64;
-        let (status, words) = match (request.method(), request.path()) {
-            ("POST", PATH) => match PeerBatch::parse(request.body(), fleet.id, &fleet.me) {
-                Ok(parcel) => {
-                    fleet.counts((0, 0), (1, length));
-                    fleet.has_come(parcel);
-                    (200, String::new())
-                }
-                Err(words) => {
-                    tracing::debug!("fleet: something is not taken, {words}");
-                    (409, words)
-                }
-            },
-            _ => (404, "routers of a fleet speak here".into()),
-        };
-        request.forget_body();
-        let answer = http::answer(status, "", &words, status != 200);
-        let written = router
-            .with_deadline(
-                Some(router.clock.now() + CALL_WITHIN),
-                write(&stream, &answer),
-            )
-            .await;
-        if written != Some(true) || status != 200 {
-            return;
-        }
-    }
-}
-
-async fn read(stream: &Async<TcpStream>, input: &mut Ring, request: &mut Reader) -> Result<(), ()> {
-    use std::io::Read;
-    while !request.read(input).map_err(|_| ())? {
-        stream.readable().await.map_err(|_| ())?;
-        match stream.get_ref().read(input.free()) {
-            Ok(0) => return Err(()),
-            Ok(count) => input.filled_more(count),
-            Err(e)
-                if matches!(
-                    e.kind(),
-                    std::io::ErrorKind::WouldBlock | std::io::ErrorKind::Interrupted
-                ) => {}
-            Err(_) => return Err(()),
-        }
-    }
-    Ok(())
-}
-
-async fn write(stream: &Async<TcpStream>, mut rest: &[u8]) -> bool {
-    use std::io::Write;
-    while !rest.is_empty() {
-        match stream.write_with(|mut stream| stream.write(rest)).await {
-            Ok(count) if count > 0 => rest = &rest[count..],
-            _ => return false,
-        }
-    }
-    true
-}
-
-/// Binds the fleet's own address, once whoever had it has let it go.
-pub async fn bind(router: &Router, address: SocketAddr) -> Async<TcpListener> {
-    let mut said = false;
-    loop {
-        match Async::<TcpListener>::bind(address) {
-            Ok(listener) => return listener,
-            Err(e) if !said => {
-                tracing::warn!("fleet: cannot listen on {address} yet, {e}");
-                said = true;
-            }
-            Err(_) => {}
-        }
-        let again = async {
-            Timer::at(router.clock.instant(router.clock.now() + AGAIN)).await;
-        };
-        future::or(again, future::pending()).await;
-    }
+async fn connect(router: &Router, address: SocketAddr) -> Result<Connection, CallError> {
+    let stream = upstream_writer::dial(router, address)
+        .await
+        .map_err(|_| CallError::Connect)?;
+    stream.get_ref().set_nodelay(true)?;
+    Ok(Connection { stream, address })
 }
--- a/router/src/fleet/replica_file.rs
+++ b/router/src/fleet/replica_file.rs
@@ -1,4 +1,4 @@
-//! The fleet's folder: one file, replaced whole, with all that this router's seat has promised.
+//! The fleet's folder: one file, replaced whole, with the state of this router's replica and all that it has promised.
 
 use std::path::{Path, PathBuf};
 
@@ -6,46 +6,56 @@
 use ternpick_fleet_policy::LoadedReplica;
 use ternpick_store::Journal;
 
-/// The name of the file, and the kind of what is in it.
+/// The file's name. Folders of earlier versions have it.
 const FILE: &str = "seat";
+/// The kind of content that the file names itself by. Files of earlier versions have it.
 const KIND: &str = "fleet-seat";
 
-pub fn path(folder: &Path) -> PathBuf {
+/// The replica's state could not be written.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub(crate) struct PersistError(#[from] ternpick_store::StoreError);
+
+/// The replica's file in a folder.
+pub(super) fn path(folder: &Path) -> PathBuf {
     folder.join(FILE)
 }
 
-pub fn find(
+/// Reads the replica's state, and opens its file for writing where that can be used.
+pub(super) fn load(
     folder: &Path,
     fleet: FleetId,
-    terms: RaftConfig,
+    raft_config: RaftConfig,
     seed: u64,
 ) -> (LoadedReplica, Option<Journal>) {
-    let (journal, kept) = match Journal::open(&path(folder), KIND) {
-        Ok((journal, Some(kept))) => (journal, kept),
+    let (journal, stored) = match Journal::open(&path(folder), KIND) {
+        Ok((journal, Some(stored))) => (journal, stored),
         Ok((journal, None)) => return (LoadedReplica::Missing, Some(journal)),
-        Err(fault) => return (LoadedReplica::Unusable(fault.to_string()), None),
+        Err(error) => return (LoadedReplica::Unusable(error.to_string()), None),
     };
-    match Replica::open(&kept.bytes, fleet, terms, seed) {
-        Ok(seat) => (LoadedReplica::Replica(Box::new(seat)), Some(journal)),
-        Err(refused) => (
-            LoadedReplica::Unusable(format!("{}: {refused}", path(folder).display())),
-            None,
-        ),
+    match Replica::open(&stored.bytes, fleet, raft_config, seed) {
+        Ok(replica) => (LoadedReplica::Replica(Box::new(replica)), Some(journal)),
+        Err(error) => {
+            let reason = format!("{}: {error}", path(folder).display());
+            (LoadedReplica::Unusable(reason), None)
+        }
     }
 }
 
-/// Keeps an image; it lasts once this returns. A journal that failed is begun anew, and what is there is replaced whole.
-pub fn keep(
+/// Writes a state of the replica, which is durable once this returns. After a failed write the journal is begun anew, and
+/// the file is replaced whole.
+pub(super) fn persist(
     folder: &Path,
     journal: &mut Option<Journal>,
     version: u64,
     image: &[u8],
-) -> Result<(), String> {
-    let since = std::time::SystemTime::now()
+) -> Result<(), PersistError> {
+    let since_epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
-    let now = u64::try_from(since.as_micros()).unwrap_or(u64::MAX);
-    let of = journal.get_or_insert_with(|| Journal::replacing(&path(folder), KIND));
-    of.append(version, now, image)
-        .map_err(|fault| fault.to_string())
+    let written_at = u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX);
+    journal
+        .get_or_insert_with(|| Journal::replacing(&path(folder), KIND))
+        .append(version, written_at, image)?;
+    Ok(())
 }
--- /dev/null
+++ b/router/src/fleet/settings.rs
@@ -0,0 +1,59 @@
+//! What the settings `fleet` mean for the fleet's state machines.
+
+use std::collections::BTreeMap;
+
+use ternpick_consensus::{FleetId, RaftConfig};
+use ternpick_fleet_policy::{LeaseConfig, Member, MemberInfo, ReplicaId};
+
+use crate::lifecycle::settings::FleetTerms;
+
+/// The fleet's id: the first eight bytes of its name's SHA-256.
+pub(super) fn fleet_id(name: &str) -> FleetId {
+    let digest = ring::digest::digest(&ring::digest::SHA256, name.as_bytes());
+    let first_bytes = digest
+        .as_ref()
+        .first_chunk::<8>()
+        .copied()
+        .unwrap_or_default();
+    FleetId(u64::from_le_bytes(first_bytes))
+}
+
+/// The timing of leases.
+pub(super) fn lease_config(settings: &FleetTerms) -> LeaseConfig {
+    LeaseConfig {
+        lease: settings.lease,
+        renew: settings.renew,
+        drift_ppm: settings.drift_ppm,
+        hold: settings.hold,
+        patience: settings.patience,
+        serve_without: settings.without_lease == "serve-and-mark",
+        confirm: settings.confirm,
+    }
+}
+
+/// The timing of consensus.
+pub(super) fn raft_config(settings: &FleetTerms) -> RaftConfig {
+    ternpick_fleet_policy::raft_config(settings.election)
+}
+
+/// The members at the bootstrap of the fleet. Voters get replica ids from 1, in the order of their names.
+pub(super) fn initial_members(settings: &FleetTerms) -> BTreeMap<Member, MemberInfo> {
+    let mut members = BTreeMap::new();
+    let mut last_replica = 0;
+    for (name, member) in &settings.members {
+        let replica = if member.vote {
+            last_replica += 1;
+            Some(ReplicaId(last_replica))
+        } else {
+            None
+        };
+        let info = MemberInfo {
+            address: member.address.clone(),
+            zone: member.zone.clone(),
+            replica,
+            is_learner: false,
+        };
+        members.insert(Member::from(name.as_str()), info);
+    }
+    members
+}
--- /dev/null
+++ b/router/src/lifecycle/control/client.rs
@@ -0,0 +1,95 @@
+//! The command line's side of the control socket: sends one request and reads its answer. What the answer means is up to the
+//! commands.
+
+use std::io::{BufRead, BufReader, ErrorKind, Write};
+use std::os::unix::net::UnixStream;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use clap::Args;
+use serde_json::{json, Value};
+
+/// Which router a command speaks to, and how it prints.
+#[derive(Args, Clone)]
+pub(crate) struct Socket {
+    /// The control socket of the router, as its settings name it
+    #[arg(long, env = "TERNPICK_SOCKET")]
+    pub(crate) socket: PathBuf,
+    /// Prints JSON, for scripts
+    #[arg(long)]
+    pub(crate) json: bool,
+}
+
+/// Why the control socket could not be bound, or a request could not be answered.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum ControlError {
+    /// The socket could not be bound, reached, written or read.
+    #[error("control socket {path}: {source}")]
+    Socket {
+        path: PathBuf,
+        source: std::io::Error,
+    },
+    /// A line of the answer is not JSON.
+    #[error("{0}")]
+    Answer(#[from] serde_json::Error),
+    /// The connection was closed before the last line of the answer.
+    #[error("the router has ended before it answered")]
+    Closed,
+}
+
+impl ControlError {
+    /// A function that adds the socket's path to what the system says.
+    pub(super) fn at(path: &Path) -> impl Fn(std::io::Error) -> ControlError + Copy + '_ {
+        |source| ControlError::Socket {
+            path: path.to_owned(),
+            source,
+        }
+    }
+}
+
+impl From<ControlError> for String {
+    fn from(error: ControlError) -> String {
+        error.to_string()
+    }
+}
+
+/// Sends a request without a limit of time; `on_progress` gets each line before the last, which is returned.
+pub(super) fn request(
+    socket: &Path,
+    request: &Value,
+    on_progress: &mut dyn FnMut(&Value),
+) -> Result<Value, ControlError> {
+    request_with_timeout(socket, request, None, on_progress)
+}
+
+/// Sends a request and returns the last line of its answer; `on_progress` gets each line before it. If the router sends
+/// nothing for `timeout`, nobody can tell what became of the request: the answer then has `unknown`.
+pub(crate) fn request_with_timeout(
+    socket: &Path,
+    request: &Value,
+    timeout: Option<Duration>,
+    on_progress: &mut dyn FnMut(&Value),
+) -> Result<Value, ControlError> {
+    let at_socket = ControlError::at(socket);
+    let mut stream = UnixStream::connect(socket).map_err(at_socket)?;
+    stream.set_read_timeout(timeout).map_err(at_socket)?;
+    stream
+        .write_all(format!("{request}\n").as_bytes())
+        .map_err(at_socket)?;
+    for line in BufReader::new(stream).lines() {
+        if line.as_ref().is_err_and(is_timeout) {
+            let line = format!("the router at {} does not answer", socket.display());
+            return Ok(json!({"done": true, "ok": false, "unknown": true, "line": line}));
+        }
+        let answer: Value = serde_json::from_str(&line.map_err(at_socket)?)?;
+        if answer["done"] == true {
+            return Ok(answer);
+        }
+        on_progress(&answer);
+    }
+    Err(ControlError::Closed)
+}
+
+fn is_timeout(error: &std::io::Error) -> bool {
+    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
+}
--- /dev/null
+++ b/router/src/lifecycle/control/command.rs
@@ -0,0 +1,245 @@
+//! The commands `ternpick status`, `upgrade` and `drain`.
+
+use std::path::PathBuf;
+use std::process::{Command, ExitCode};
+use std::time::Duration;
+
+use clap::Subcommand;
+use serde_json::{json, Value};
+
+use super::client::{request, ControlError, Socket};
+use crate::fleet::cli::ExitStatus;
+
+/// Commands to one router.
+#[derive(Subcommand)]
+pub(crate) enum ControlCommand {
+    /// Tells what a router has in hand, what it believes of its nodes, and its versions
+    Status {
+        #[command(flatten)]
+        socket: Socket,
+        /// Again every so often, until it is interrupted
+        #[arg(long, value_name = "EVERY", num_args = 0..=1, default_missing_value = "1s", value_parser = humantime::parse_duration)]
+        watch: Option<Duration>,
+    },
+    /// Starts a new process that takes the router's place; exits with 0 once it serves, 1 if the old one goes on
+    Upgrade {
+        #[command(flatten)]
+        socket: Socket,
+        /// The program; the one that runs if left out
+        #[arg(long)]
+        program: Option<PathBuf>,
+        #[arg(long)]
+        config: Option<PathBuf>,
+        #[arg(long)]
+        settings: Option<PathBuf>,
+        /// Only has the new program check its files
+        #[arg(long)]
+        dry_run: bool,
+    },
+    /// Has a router answer what it has taken, and leave
+    Drain {
+        #[command(flatten)]
+        socket: Socket,
+    },
+}
+
+/// Why a command has failed.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Control(#[from] ControlError),
+    #[error("{path}: {source}")]
+    Path {
+        path: PathBuf,
+        source: std::io::Error,
+    },
+    #[error("{0}")]
+    CurrentProgram(std::io::Error),
+    #[error("{program} does not take these files")]
+    FilesRejected { program: PathBuf },
+    /// The router's own line.
+    #[error("{0}")]
+    Refused(String),
+}
+
+/// The program and files that an upgrade starts; what is left out is the running router's.
+struct NewProcess {
+    program: Option<PathBuf>,
+    config: Option<PathBuf>,
+    settings: Option<PathBuf>,
+}
+
+/// Runs a command; the error is one line for the operator.
+pub(crate) fn run(command: ControlCommand) -> Result<ExitCode, String> {
+    let status = match command {
+        ControlCommand::Status { socket, watch } => show_status(&socket, watch),
+        ControlCommand::Drain { socket } => drain(&socket),
+        ControlCommand::Upgrade {
+            socket,
+            program,
+            config,
+            settings,
+            dry_run,
+        } => {
+            let start = NewProcess {
+                program,
+                config,
+                settings,
+            };
+            upgrade(&socket, start, dry_run)
+        }
+    };
+    status
+        .map(ExitCode::from)
+        .map_err(|error| error.to_string())
+}
+
+fn show_status(socket: &Socket, watch: Option<Duration>) -> Result<ExitStatus, CommandError> {
+    loop {
+        let answer = request(&socket.socket, &json!({"do": "status"}), &mut |_| ())?;
+        if socket.json {
+            println!("{}", answer["status"]);
+        } else {
+            print_status(&answer["status"]);
+        }
+        match watch {
+            Some(interval) => std::thread::sleep(interval),
+            None => return Ok(ExitStatus::Done),
+        }
+    }
+}
+
+fn drain(socket: &Socket) -> Result<ExitStatus, CommandError> {
+    let answer = request(&socket.socket, &json!({"do": "drain"}), &mut |_| ())?;
+    finish(socket, &answer)
+}
+
+fn upgrade(socket: &Socket, start: NewProcess, dry_run: bool) -> Result<ExitStatus, CommandError> {
+    let start = NewProcess {
+        program: absolute(start.program)?,
+        config: absolute(start.config)?,
+        settings: absolute(start.settings)?,
+    };
+    if dry_run {
+        return check_files(start);
+    }
+    let question = json!({"do": "upgrade", "program": start.program, "config": start.config, "settings": start.settings});
+    let answer = request(&socket.socket, &question, &mut |step| {
+        print_step(socket, step);
+    })?;
+    finish(socket, &answer)
+}
+
+fn print_step(socket: &Socket, step: &Value) {
+    if socket.json {
+        println!("{step}");
+        return;
+    }
+    let line = step["line"].as_str().unwrap_or_default();
+    println!("{:>6} ms  {line}", step["after_ms"]);
+}
+
+fn finish(socket: &Socket, answer: &Value) -> Result<ExitStatus, CommandError> {
+    let is_done = answer["ok"] == true;
+    if socket.json {
+        println!("{answer}");
+        return Ok(if is_done {
+            ExitStatus::Done
+        } else {
+            ExitStatus::Refused
+        });
+    }
+    let line = answer["line"].as_str().unwrap_or_default();
+    if !is_done {
+        return Err(CommandError::Refused(line.to_owned()));
+    }
+    println!("{line}");
+    Ok(ExitStatus::Done)
+}
+
+fn print_status(status: &Value) {
+    let field = |key: &str| text(&status[key]);
+    println!(
+        "{} {}, process {}, {}",
+        field("name"),
+        field("version"),
+        field("process"),
+        field("step")
+    );
+    println!(
+        "lookups {} in hand, {} taken, {} satisfied, {} nacked, {} aborted; clients {}, descriptors {} of {}",
+        field("lookups"),
+        field("taken"),
+        field("satisfied"),
+        field("nacked"),
+        field("aborted"),
+        field("clients"),
+        field("descriptors"),
+        field("descriptors_may")
+    );
+    println!("roster version {}", field("roster_version"));
+    for node in status["nodes"].as_array().into_iter().flatten() {
+        print_node(node);
+    }
+    if let Some(keys) = status["identity"]["keys"].as_array() {
+        println!(
+            "identity: {} keys, revocations up to {}",
+            keys.len(),
+            status["identity"]["revocations"]
+        );
+    }
+}
+
+fn print_node(node: &Value) {
+    let field = |key: &str| text(&node[key]);
+    let suspected = node["doubted"]
+        .as_str()
+        .map_or_else(String::new, |index| format!(", doubted for {index}"));
+    println!(
+        "  {:<4} {:<20} {:<22} {:<9} {} ms, {} out{suspected}",
+        field("node"),
+        field("name"),
+        field("address"),
+        field("phase"),
+        field("latency_ms"),
+        field("parts_out")
+    );
+}
+
+/// A string without its quotes, and everything else as JSON writes it.
+fn text(value: &Value) -> String {
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_owned)
+}
+
+fn absolute(path: Option<PathBuf>) -> Result<Option<PathBuf>, CommandError> {
+    let canonical = |path: PathBuf| match std::fs::canonicalize(&path) {
+        Ok(absolute) => Ok(absolute),
+        Err(source) => Err(CommandError::Path { path, source }),
+    };
+    path.map(canonical).transpose()
+}
+
+/// Has the new program check the files that it would be started with.
+fn check_files(start: NewProcess) -> Result<ExitStatus, CommandError> {
+    let program = match start.program {
+        Some(program) => program,
+        None => std::env::current_exe().map_err(CommandError::CurrentProgram)?,
+    };
+    let mut command = Command::new(&program);
+    command.arg("check");
+    for (flag, path) in [("--config", start.config), ("--settings", start.settings)] {
+        if let Some(path) = path {
+            command.arg(flag).arg(path);
+        }
+    }
+    match command.status() {
+        Ok(status) if status.success() => Ok(ExitStatus::Done),
+        Ok(_) => Err(CommandError::FilesRejected { program }),
+        Err(source) => Err(CommandError::Path {
+            path: program,
+            source,
+        }),
+    }
+}
--- /dev/null
+++ b/router/src/lifecycle/control/server.rs
@@ -0,0 +1,245 @@
+//! The router's side of the control socket: accepts connections of the router's owner, reads one request from each, and
+//! answers it. Requests about the fleet go to `fleet::commands`, upgrades to `lifecycle::upgrade`.
+
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::io::{ErrorKind, Read, Write};
+use std::os::unix::fs::FileTypeExt;
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_io::Async;
+use event_listener::Event;
+use futures_lite::future;
+use rustix::fs::Mode;
+use rustix::net::sockopt::socket_peercred;
+use rustix::process::{geteuid, umask};
+use serde_json::{json, Value};
+use ternpick::types::Micros;
+
+use super::client::ControlError;
+use super::status::status;
+use super::Control;
+use crate::fleet::commands;
+use crate::lifecycle::upgrade::{self, Start};
+use crate::router::Router;
+
+/// The longest request, in bytes.
+const MAX_REQUEST_BYTES: usize = 32 * 1024;
+/// How long a request may take to arrive.
+const REQUEST_TIMEOUT: Micros = Micros(2_000_000);
+/// Connections that are answered at a time: commands of a fleet wait for their outcome.
+const MAX_CONNECTIONS: usize = 32;
+/// The pause after a failed accept.
+const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+
+/// Binds the socket for its owner alone. One that a dead process has left, or that the process before holds, is replaced.
+pub(crate) fn bind(path: &Path) -> Result<Async<UnixListener>, ControlError> {
+    let at_path = ControlError::at(path);
+    match std::fs::symlink_metadata(path) {
+        Ok(found) if found.file_type().is_socket() => {
+            std::fs::remove_file(path).map_err(at_path)?;
+        }
+        Ok(_) => return Err(at_path(std::io::Error::other("something else is there"))),
+        Err(e) if e.kind() == ErrorKind::NotFound => {}
+        Err(e) => return Err(at_path(e)),
+    }
+    // The mode is set by the mask and not afterwards: from its first moment nobody else may open it.
+    let previous_mask = umask(Mode::from_raw_mode(0o177));
+    let bound = UnixListener::bind(path);
+    umask(previous_mask);
+    Async::new(bound.map_err(at_path)?).map_err(at_path)
+}
+
+/// Answers each connection in a task of its own, until it is dropped.
+pub(crate) async fn serve(router: Rc<Router>, control: Rc<Control>, listener: Async<UnixListener>) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => accept(&router, &control, stream),
+            Err(error) => {
+                tracing::warn!(%error, "control: cannot accept");
+                async_io::Timer::after(ACCEPT_RETRY).await;
+            }
+        }
+    }
+}
+
+fn accept(router: &Rc<Router>, control: &Rc<Control>, stream: Async<UnixStream>) {
+    if !is_owner(&stream) {
+        tracing::warn!(reason = "not the owner", "control: connection rejected");
+        return;
+    }
+    if control.open_connections.get() >= MAX_CONNECTIONS {
+        tracing::warn!(
+            reason = "too many connections",
+            "control: connection rejected"
+        );
+        return;
+    }
+    control
+        .open_connections
+        .set(control.open_connections.get() + 1);
+    let router = Rc::clone(router);
+    let control = Rc::clone(control);
+    let executor = Rc::clone(&router.executor);
+    let task = async move {
+        answer(&router, &control, stream).await;
+        control
+            .open_connections
+            .set(control.open_connections.get() - 1);
+    };
+    executor.spawn(task).detach();
+}
+
+/// Whether the peer runs as this process's user, or as root.
+fn is_owner(stream: &Async<UnixStream>) -> bool {
+    socket_peercred(stream.get_ref()).is_ok_and(|peer| peer.uid == geteuid() || peer.uid.is_root())
+}
+
+async fn read_request(stream: &Async<UnixStream>) -> Option<Value> {
+    let mut line = Vec::new();
+    while !line.ends_with(b"\n") {
+        if line.len() > MAX_REQUEST_BYTES {
+            return None;
+        }
+        let mut chunk = [0; 1024];
+        let count = stream
+            .read_with(|mut stream| stream.read(&mut chunk))
+            .await
+            .ok()?;
+        if count == 0 {
+            return None;
+        }
+        line.extend_from_slice(&chunk[..count]);
+    }
+    serde_json::from_slice(&line).ok()
+}
+
+async fn write_line(stream: &Async<UnixStream>, line: &Value) {
+    let text = format!("{line}\n");
+    let mut rest = text.as_bytes();
+    while !rest.is_empty() {
+        match stream.write_with(|mut stream| stream.write(rest)).await {
+            Ok(count) if count > 0 => rest = &rest[count..],
+            _ => return,
+        }
+    }
+}
+
+async fn answer(router: &Rc<Router>, control: &Control, stream: Async<UnixStream>) {
+    let deadline = router.clock.now() + REQUEST_TIMEOUT;
+    let Some(request) = router
+        .with_deadline(Some(deadline), read_request(&stream))
+        .await
+        .flatten()
+    else {
+        return;
+    };
+    let last_line = match request["do"].as_str() {
+        Some("status") => json!({"done": true, "ok": true, "status": status(router, control)}),
+        Some("fleet") => answer_fleet(router, &request).await,
+        Some("drain") => drain(router),
+        Some("upgrade") => return answer_upgrade(router, control, &stream, &request).await,
+        _ => refused("ask for status, fleet, upgrade or drain"),
+    };
+    write_line(&stream, &last_line).await;
+}
+
+fn refused(line: &str) -> Value {
+    json!({"done": true, "ok": false, "line": line})
+}
+
+async fn answer_fleet(router: &Router, request: &Value) -> Value {
+    match &router.fleet {
+        Some(fleet) => commands::answer(router, fleet, request).await,
+        None => refused("this router belongs to no fleet: none is in its settings"),
+    }
+}
+
+fn drain(router: &Router) -> Value {
+    router.shutdown.request();
+    json!({"done": true, "ok": true, "line": "this process answers what it has taken, and leaves"})
+}
+
+async fn answer_upgrade(
+    router: &Rc<Router>,
+    control: &Control,
+    stream: &Async<UnixStream>,
+    request: &Value,
+) {
+    if !control.terms.upgrade {
+        let line = refused("upgrades are off: control.upgrade is not set");
+        return write_line(stream, &line).await;
+    }
+    let path = |key: &str, own: &PathBuf| {
+        request[key]
+            .as_str()
+            .map_or_else(|| own.clone(), PathBuf::from)
+    };
+    let start = Start {
+        program: path("program", &control.start.program),
+        config: path("config", &control.start.config),
+        settings: path("settings", &control.start.settings),
+    };
+    match upgrade_with_progress(router, control, stream, &start).await {
+        Ok(()) => {
+            let line = json!({"done": true, "ok": true, "line": "upgraded"});
+            write_line(stream, &line).await;
+            mark_handed_over(router);
+        }
+        Err(reason) => write_line(stream, &refused(&reason)).await,
+    }
+}
+
+/// Runs an upgrade and writes its steps as they happen. Whoever asked may have left: the upgrade goes on.
+async fn upgrade_with_progress(
+    router: &Rc<Router>,
+    control: &Control,
+    stream: &Async<UnixStream>,
+    start: &Start,
+) -> Result<(), String> {
+    let steps = RefCell::new(VecDeque::new());
+    let step_added = Event::new();
+    let began = router.clock.now();
+    let mut note = |line: &str| {
+        let after_ms = router.clock.now().since(began).0 / 1000;
+        steps
+            .borrow_mut()
+            .push_back(json!({"line": line, "after_ms": after_ms}));
+        step_added.notify(1);
+    };
+    let upgrade = upgrade::upgrade(router, &control.upgrades, start, &mut note);
+    let outcome = future::or(upgrade, write_steps_forever(stream, &steps, &step_added)).await;
+    write_steps(stream, &steps).await;
+    outcome.map_err(|reason| reason.to_string())
+}
+
+/// Writes steps as they are added. It never returns; `T` is whatever the future beside it returns.
+async fn write_steps_forever<T>(
+    stream: &Async<UnixStream>,
+    steps: &RefCell<VecDeque<Value>>,
+    step_added: &Event,
+) -> T {
+    loop {
+        let added = step_added.listen();
+        write_steps(stream, steps).await;
+        added.await;
+    }
+}
+
+async fn write_steps(stream: &Async<UnixStream>, steps: &RefCell<VecDeque<Value>>) {
+    loop {
+        let Some(step) = steps.borrow_mut().pop_front() else {
+            return;
+        };
+        write_line(stream, &step).await;
+    }
+}
+
+/// Nothing is left here: the process ends, or stays as the parent of the process that took its place.
+fn mark_handed_over(router: &Router) {
+    router.shutdown.mark_handed_over();
+    router.shutdown.request();
+}
