--- /dev/null
+++ b/router/src/lifecycle/key_commands/key_folder.rs
@@ -0,0 +1,97 @@
+//! A folder of keys: the private keys, and the key set that is published for routers.
+
+use std::path::PathBuf;
+
+use clap::Args;
+use serde_json::{json, Value};
+use ternpick_identity::key_manager::{KeyManager, OwnKey, Stage};
+
+use super::error::KeyCommandError;
+use super::format_time;
+
+/// The kind of content that the file of private keys names itself by. Stored files have it.
+const PRIVATE_KEYS_KIND: &str = "private-keys";
+/// The names of the two files in the folder.
+const PRIVATE_KEYS_FILE: &str = "private.keys";
+const PUBLISHED_FILE: &str = "jwks.json";
+
+/// Which folder of keys a command uses, and how it prints.
+#[derive(Args)]
+pub(crate) struct KeyFolder {
+    /// The folder that holds private.keys and the published jwks.json
+    #[arg(long, env = "TERNPICK_KEYS")]
+    keys: PathBuf,
+    /// Prints JSON, for scripts
+    #[arg(long)]
+    pub(super) json: bool,
+}
+
+impl KeyFolder {
+    /// The keys in the folder, none where there is no file yet. A file that cannot be read is an error: it is never
+    /// written over.
+    pub(super) fn load(&self) -> Result<KeyManager, KeyCommandError> {
+        match ternpick_store::load(&self.keys.join(PRIVATE_KEYS_FILE), PRIVATE_KEYS_KIND) {
+            Ok(stored) => Ok(serde_json::from_slice(&stored.bytes)?),
+            Err(error) if error.is_missing() => Ok(KeyManager::default()),
+            Err(error) => Err(error.into()),
+        }
+    }
+
+    /// Writes the keys at a time (seconds). The private keys are first: what is published can be made from them again.
+    pub(super) fn save(&self, keys: &KeyManager, now: u64) -> Result<(), KeyCommandError> {
+        std::fs::create_dir_all(&self.keys).map_err(KeyCommandError::at(&self.keys))?;
+        let private = serde_json::to_vec(keys)?;
+        ternpick_store::save(
+            &self.keys.join(PRIVATE_KEYS_FILE),
+            PRIVATE_KEYS_KIND,
+            keys.serial,
+            now * 1_000_000,
+            &private,
+        )?;
+        let published = serde_json::to_vec_pretty(&keys.public(now)?)?;
+        ternpick_store::replace_file(&self.published_file(), &published)?;
+        Ok(())
+    }
+
+    /// The file that is published for routers.
+    pub(super) fn published_file(&self) -> PathBuf {
+        self.keys.join(PUBLISHED_FILE)
+    }
+
+    /// Prints each key and what it does at a time (seconds).
+    pub(super) fn print(&self, keys: &KeyManager, now: u64) {
+        if self.json {
+            let rows: Vec<Value> = keys.keys.iter().map(|key| json_row(key, now)).collect();
+            println!("{}", json!({"serial": keys.serial, "keys": rows}));
+            return;
+        }
+        for key in &keys.keys {
+            let stage = describe_stage(key, now);
+            println!("{:<24} {:<6} {stage}", key.id, key.algorithm);
+        }
+    }
+}
+
+fn json_row(key: &OwnKey, now: u64) -> Value {
+    json!({
+        "id": key.id,
+        "algorithm": key.algorithm,
+        "stage": key.stage(now),
+        "made": key.made,
+        "signs": key.signs,
+        "retired": key.retired,
+        "until": key.until,
+    })
+}
+
+fn describe_stage(key: &OwnKey, now: u64) -> String {
+    match key.stage(now) {
+        Stage::Published => format!("published, signs from {}", format_time(key.signs)),
+        Stage::Signing => "signing".into(),
+        Stage::Retired => {
+            let until = key.until.map_or_else(|| "-".into(), format_time);
+            format!("retired, published until {until}")
+        }
+        Stage::Gone => "gone".into(),
+    }
+}
--- /dev/null
+++ b/router/src/lifecycle/key_commands/revoke.rs
@@ -0,0 +1,128 @@
+//! `ternpick revoke`: adds an entry to the revocation feed that routers read.
+
+use std::io::ErrorKind;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use clap::Args;
+use serde_json::{json, Value};
+
+use super::error::KeyCommandError;
+use super::wall_clock_seconds;
+
+/// What is revoked.
+#[derive(Args)]
+#[group(id = "revoked", required = true, multiple = false)]
+pub(crate) struct RevokedWhat {
+    /// A token, by its id (jti)
+    #[arg(long)]
+    token: Option<String>,
+    /// All that a subject has
+    #[arg(long)]
+    subject: Option<String>,
+    /// All that a key has signed
+    #[arg(long)]
+    key: Option<String>,
+    /// A certificate, by its SHA-256 fingerprint in hexadecimal
+    #[arg(long)]
+    certificate: Option<String>,
+}
+
+/// The command `ternpick revoke`.
+#[derive(Args)]
+pub(crate) struct Revoke {
+    /// The feed file that routers read
+    #[arg(long, env = "TERNPICK_REVOCATIONS")]
+    feed: PathBuf,
+    #[command(flatten)]
+    what: RevokedWhat,
+    /// How long it matters: as long as the longest token lasts. Without it, for good
+    #[arg(long, value_parser = humantime::parse_duration)]
+    matters: Option<Duration>,
+    /// Takes a revocation back
+    #[arg(long)]
+    lift: bool,
+    #[arg(long)]
+    json: bool,
+}
+
+/// The subject of an entry, as the feed names it.
+struct Target {
+    kind: &'static str,
+    name: String,
+}
+
+impl RevokedWhat {
+    /// What is named; none: nothing is.
+    fn target(self) -> Option<Target> {
+        let target = |kind| move |name| Target { kind, name };
+        let fingerprint = self
+            .certificate
+            .map(|fingerprint| fingerprint.replace(':', "").to_ascii_lowercase());
+        self.token
+            .map(target("token"))
+            .or(self.subject.map(target("subject")))
+            .or(self.key.map(target("key")))
+            .or(fingerprint.map(target("certificate")))
+    }
+}
+
+/// Runs the command `ternpick revoke`.
+pub(crate) fn revoke(command: Revoke) -> Result<(), String> {
+    run(command).map_err(|error| error.to_string())
+}
+
+fn run(command: Revoke) -> Result<(), KeyCommandError> {
+    let mut feed = load_feed(&command.feed)?;
+    let not_a_feed = || KeyCommandError::NotAFeed {
+        path: command.feed.clone(),
+    };
+    let now = wall_clock_seconds();
+    let number = feed["to"].as_u64().ok_or_else(not_a_feed)? + 1;
+    let Target { kind, name } = command
+        .what
+        .target()
+        .ok_or(KeyCommandError::NothingToRevoke)?;
+    let mut entry = json!({"number": number, kind: name});
+    if command.lift {
+        entry["lifted"] = true.into();
+    }
+    if let Some(matters) = command.matters {
+        entry["until"] = (now + matters.as_secs()).into();
+    }
+    let entries = feed["entries"].as_array_mut().ok_or_else(not_a_feed)?;
+    entries.retain(|entry| entry["until"].as_u64().is_none_or(|until| until > now));
+    entries.push(entry.clone());
+    feed["to"] = number.into();
+    feed["whole"] = true.into();
+    save_feed(&command.feed, &feed)?;
+    if command.json {
+        println!("{entry}");
+        return Ok(());
+    }
+    let action = if command.lift { "lifted" } else { "revoked" };
+    println!("{kind} {name} is {action}, as number {number}");
+    Ok(())
+}
+
+/// The feed in a file; an empty one where there is no file.
+fn load_feed(path: &Path) -> Result<Value, KeyCommandError> {
+    match std::fs::read(path) {
+        Ok(text) => serde_json::from_slice(&text).map_err(|source| KeyCommandError::FileContent {
+            path: path.to_owned(),
+            source,
+        }),
+        Err(e) if e.kind() == ErrorKind::NotFound => {
+            Ok(json!({"to": 0, "whole": true, "entries": []}))
+        }
+        Err(e) => Err(KeyCommandError::at(path)(e)),
+    }
+}
+
+/// Replaces the file. A feed that a router would refuse is not written.
+fn save_feed(path: &Path, feed: &Value) -> Result<(), KeyCommandError> {
+    let text = serde_json::to_vec_pretty(feed)?;
+    ternpick_identity::Page::parse(&text)?;
+    ternpick_store::replace_file(path, &text)?;
+    Ok(())
+}
