--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -1,183 +1,209 @@
-//! Admit: checks a whole request, and writes a lookup in if the limits leave room for it.
+//! Admission: decides what becomes of a complete request, and enters a query in the in-flight table.
+//!
+//! The order of the checks is part of the behaviour: health, authorisation (`auth_filter.rs`), the fields of the request
+//! (`query_request.rs`), duplicates, the limit on what is in flight, the fleet's lease, the tenant's limits. Called by
+//! `client_connection.rs`; what is admitted goes to `dispatch.rs`.
 
 use std::rc::Rc;
 
 use serde_json::Value;
 use ternpick::types::{CustomerNo, IndexNo, Micros, QueryId, RetrySemantics};
-use ternpick_identity::Certificate;
+use ternpick_identity::{Ask, Certificate};
+use ternpick_wire::http::Reader;
+use ternpick_wire::query;
 
+use crate::fleet::Mark;
 use crate::router::Router;
-use crate::stages::{auth_filter, dispatch};
+use crate::stages::auth_filter;
+use crate::stages::dispatch::{self, NewQuery, NewShardRequest};
+use crate::stages::query_request::{self, QueryRequest};
 use crate::state::clients::{Answer, Reply};
 use crate::state::in_flight::Taken;
-use ternpick_wire::http::Reader;
-use ternpick_wire::query;
 
-/// What becomes of a request: an answer at once, or a lookup in hand.
-pub enum Admitted {
+/// What becomes of a request.
+pub(crate) enum Admitted {
+    /// It is answered at once.
     Answer(Answer),
-    Held(QueryId, Rc<Reply>),
+    /// It is a query in flight, whose answer comes in the reply.
+    InFlight(QueryId, Rc<Reply>),
+}
+
+/// Who sends a request, as far as its connection and its first byte tell.
+struct Arrival {
+    /// When its first byte arrived.
+    began: Micros,
+    /// The certificate that its client has shown.
+    certificate: Option<Rc<Certificate>>,
 }
 
-/// An answer of one line.
-pub fn line(status: u16, what: &str) -> Answer {
-    (status, String::new(), format!("{what}\n"))
+/// An answer whose body is one line of text.
+pub(crate) fn line(status: u16, text: &str) -> Answer {
+    (status, String::new(), format!("{text}\n"))
 }
 
-/// Whether a request begins nothing.
-pub fn is_health(request: &Reader) -> bool {
+/// Whether a request asks for the router's health, and so begins nothing.
+pub(crate) fn is_health(request: &Reader) -> bool {
     request.path() == "/_health"
 }
 
-/// Takes a request whose first byte came at `began`, on a connection that has shown `certificate`.
-pub fn admit(
+/// Admits a request whose first byte came at `began`, on a connection that has shown `certificate`.
+pub(crate) fn admit(
     router: &Router,
     request: &Reader,
     began: Micros,
     certificate: Option<Rc<Certificate>>,
 ) -> Admitted {
-    match (request.method(), request.path()) {
-        ("GET" | "HEAD", "/_health") if router.is_stopping() => {
-            Admitted::Answer(line(503, "stopping"))
-        }
-        ("GET" | "HEAD", "/_health") => Admitted::Answer(line(200, "{}")),
-        (_, "/_health") => {
-            Admitted::Answer((405, "Allow: GET, HEAD\r\n".into(), "only GET\n".into()))
-        }
-        _ => lookup(router, request, began, certificate).unwrap_or_else(Admitted::Answer),
+    if is_health(request) {
+        return Admitted::Answer(health(router, request));
+    }
+    let arrival = Arrival { began, certificate };
+    admit_query(router, request, &arrival).unwrap_or_else(Admitted::Answer)
+}
+
+fn health(router: &Router, request: &Reader) -> Answer {
+    if !matches!(request.method(), "GET" | "HEAD") {
+        return (405, "Allow: GET, HEAD\r\n".into(), "only GET\n".into());
+    }
+    if router.is_stopping() {
+        return line(503, "stopping");
     }
+    line(200, "{}")
 }
 
-/// Asks the gate, if there is one, before anything is told of what exists; the tenant comes back.
-fn gate(
+fn admit_query(router: &Router, request: &Reader, arrival: &Arrival) -> Result<Admitted, Answer> {
+    let index = query_request::find_index(&router.bounds, query_request::index_name(request));
+    let fields = query::parse(request.body());
+    // Before anything is told of what exists.
+    let tenant = authorise(
+        router,
+        request,
+        arrival.certificate.as_ref(),
+        index,
+        fields.as_ref().ok(),
+    )?;
+    let checked = query_request::check(router, request, index, &fields)?;
+    let now = router.clock.now();
+    let mark = check_capacity(router, checked.request_id)?;
+    let time_left = checked.deadline.since(now.since(arrival.began));
+    reserve_for_tenant(router, now, tenant, checked.is_retry)?;
+    Ok(enter(router, now, time_left, tenant, mark, checked))
+}
+
+/// Asks the authorisation filter, if there is one; returns the tenant.
+fn authorise(
     router: &Router,
     request: &Reader,
     certificate: Option<&Rc<Certificate>>,
-    segment: &str,
     index: Option<IndexNo>,
     fields: Option<&Value>,
 ) -> Result<Option<CustomerNo>, Answer> {
-    let Some(gate) = &router.auth else {
+    let Some(auth) = &router.auth else {
         return Ok(None);
     };
-    let token = auth_filter::token(request)?;
-    let repeat = |index: IndexNo| {
-        router.decisions.borrow().engine.config.indexes[index.at()].retry_semantics
-    };
-    let idempotent = index
-        .map(repeat)
-        .is_none_or(|repeat| repeat == RetrySemantics::Idempotent);
+    let token = auth_filter::bearer_token(request)?;
+    let idempotent = index.is_none_or(|index| {
+        let decisions = router.decisions.borrow();
+        decisions.engine.config.indexes[index.at()].retry_semantics == RetrySemantics::Idempotent
+    });
     let statement = fields
         .and_then(|fields| query::statement(fields).ok())
         .unwrap_or_default();
-    let ask = auth_filter::ask(token, certificate, request, segment, idempotent, statement);
-    gate.check(router, request, &ask)
+    let asked = Ask {
+        token,
+        certificate: certificate.map(Rc::as_ref),
+        behalf: request.header("on-behalf-of"),
+        index: query_request::index_name(request),
+        idempotent,
+        statement,
+    };
+    auth.check(router, request, &asked)
         .map(|pass| Some(pass.tenant))
 }
 
-fn lookup(
-    router: &Router,
-    request: &Reader,
-    began: Micros,
-    certificate: Option<Rc<Certificate>>,
-) -> Result<Admitted, Answer> {
-    let bounds = &router.bounds;
-    let segment = request.path().split('/').nth(1).unwrap_or_default();
-    let at = bounds.index_names.iter().position(|name| name == segment);
-    let (index, fields) = (at.map(|at| IndexNo(at as u8)), query::parse(request.body()));
-    let tenant = gate(
-        router,
-        request,
-        certificate.as_ref(),
-        segment,
-        index,
-        fields.as_ref().ok(),
-    )?;
-    let index = index.ok_or_else(|| line(404, "no such index"))?;
-    if request.method() != "POST" {
-        return Err((405, "Allow: POST\r\n".into(), "only POST\n".into()));
-    }
-    let bad = |what: &str| line(400, what);
-    if request
-        .header("req-kind")
-        .is_some_and(|kind| kind != segment)
-    {
-        return Err(bad("Req-Kind is not the path's"));
-    }
-    let word = |name: &str| request.header(name).filter(|word| plain(word));
-    let name = word("req-id").ok_or_else(|| bad("Req-Id is missing or malformed"))?;
-    let deadline = request
-        .header("req-deadline-ms")
-        .and_then(|ms| ms.parse::<u32>().ok());
-    let deadline = deadline
-        .filter(|ms| *ms > 0)
-        .ok_or_else(|| bad("Req-Deadline-Ms makes no sense"))?;
-    // Nobody waits longer than the settings say, whatever a client claims.
-    let deadline =
-        Micros(u64::from(deadline) * 1000).min(bounds.longest_deadline.unwrap_or(Micros(u64::MAX)));
-    let now = router.clock.now();
-    let left = deadline.since(now.since(began));
-    let repeat = request.header("req-retry") == Some("1");
-    let fields = fields.map_err(bad)?;
-    let parts = query::parts(&fields, bounds.shards).map_err(bad)?;
-    let statement = query::statement(&fields).map_err(bad)?;
-    let mut desk = router.decisions.borrow_mut();
-    let row = &desk.engine.config.indexes[index.at()];
-    let (fingerprinted, soft) = (
-        matches!(row.retry_semantics, RetrySemantics::Fingerprinted(_)),
-        row.latency_objective,
-    );
-    let key = fingerprinted
-        .then(|| word("idempotency-key").ok_or_else(|| bad("Idempotency-Key is missing")));
-    let key = key.transpose()?;
-    if desk.effects.in_flight.knows(name) {
-        return Err(bad("Req-Id is in hand already"));
+/// Checks a well-formed query against what is in flight and the fleet's lease; returns the policy that it is decided under.
+fn check_capacity(router: &Router, request_id: &str) -> Result<Option<Mark>, Answer> {
+    let mut decisions = router.decisions.borrow_mut();
+    if decisions.effects.in_flight.knows(request_id) {
+        return Err(line(400, "Req-Id is in hand already"));
     }
-    if desk.effects.is_full() {
+    if decisions.effects.is_full() {
         return Err(line(503, "too many lookups in hand"));
     }
-    // By the clock as it stands in this very turn: a process that was stopped finds its lease over.
-    let mark = router
+    // By the clock as it stands in this very turn: a process that was stopped finds its lease expired.
+    router
         .fleet
         .as_ref()
         .map(|fleet| fleet.admit(router.clock.now()))
-        .transpose()?;
-    // From here on the place is the lookup's, and is given back where it closes.
-    if let (Some(limits), Some(tenant)) = (&mut desk.effects.limits, tenant) {
-        auth_filter::place(limits, now, tenant, repeat)?;
+        .transpose()
+}
+
+/// Reserves a place among the tenant's queries. From here on it belongs to the query, and is released where that is closed.
+fn reserve_for_tenant(
+    router: &Router,
+    now: Micros,
+    tenant: Option<CustomerNo>,
+    is_retry: bool,
+) -> Result<(), Answer> {
+    let mut decisions = router.decisions.borrow_mut();
+    match (&mut decisions.effects.limits, tenant) {
+        (Some(limits), Some(tenant)) => auth_filter::reserve(limits, now, tenant, is_retry),
+        _ => Ok(()),
     }
-    let span = tracing::debug_span!("lookup", id = name, index = segment);
+}
+
+/// Enters a query in the in-flight table, and hands it to the decision module.
+fn enter(
+    router: &Router,
+    now: Micros,
+    time_left: Micros,
+    tenant: Option<CustomerNo>,
+    mark: Option<Mark>,
+    checked: QueryRequest,
+) -> Admitted {
+    let reply = Rc::new(Reply::default());
+    let mut decisions = router.decisions.borrow_mut();
+    let latency_objective = decisions.engine.config.indexes[checked.index.at()].latency_objective;
     let taken = Taken {
         tenant,
         at: now,
-        soft,
+        soft: latency_objective,
         mark,
-        span,
+        span: tracing::debug_span!(
+            "query",
+            request_id = checked.request_id,
+            index = checked.index_name
+        ),
     };
-    let reply = Rc::new(Reply::default());
-    let shards = parts.iter().map(|(shard, _, _)| *shard);
-    let (id, ids) =
-        desk.effects
-            .in_flight
-            .open(name, statement, key, shards, Rc::clone(&reply), taken);
-    drop(desk);
-    let parts = ids
+    let shards = checked.shard_requests.iter().map(|(shard, _, _)| *shard);
+    let (query, ids) = decisions.effects.in_flight.open(
+        checked.request_id,
+        checked.statement,
+        checked.idempotency_key,
+        shards,
+        Rc::clone(&reply),
+        taken,
+    );
+    drop(decisions);
+    let shard_requests = ids
         .into_iter()
-        .zip(parts)
-        .map(|(id, (shard, weight, hint))| (id, shard, weight, hint));
-    dispatch::take(
+        .zip(checked.shard_requests)
+        .map(|(id, (shard, weight, hint))| NewShardRequest {
+            id,
+            shard,
+            weight,
+            hint,
+        })
+        .collect();
+    dispatch::start_query(
         router,
-        id,
-        index,
-        tenant.unwrap_or_default(),
-        left,
-        repeat,
-        parts.collect(),
+        NewQuery {
+            id: query,
+            index: checked.index,
+            tenant: tenant.unwrap_or_default(),
+            time_left,
+            is_retry: checked.is_retry,
+            shard_requests,
+        },
     );
-    Ok(Admitted::Held(id, reply))
-}
-
-/// What may stand in a frame's line, and is not endless.
-fn plain(word: &str) -> bool {
-    (1..=128).contains(&word.len()) && word.bytes().all(|b| b.is_ascii_graphic() && b != b',')
+    Admitted::InFlight(query, reply)
 }
--- /dev/null
+++ b/router/src/stages/auth_filter/answers.rs
@@ -0,0 +1,45 @@
+//! What a client is told whose request is not authorised, or exceeds its tenant's limits: why, and nothing of what exists.
+
+use ternpick::types::{CustomerNo, Micros};
+use ternpick_identity::{Refusal, Refused};
+use ternpick_tenant_limits::Limits;
+
+use crate::stages::admission::line;
+use crate::stages::completion::retry_after;
+use crate::state::clients::Answer;
+
+/// When to retry where revocations are not known well enough: the feed may be back by then.
+const UNSURE_RETRY_AFTER: Micros = Micros(1_000_000);
+
+/// The answer to a request that is refused (RFC 6750, section 3).
+pub(super) fn refusal(refusal: &Refusal) -> Answer {
+    let (status, error) = match refusal.refused {
+        Refused::NoProof => (401, String::new()),
+        Refused::Unproved => (401, challenge_error("invalid_token", &refusal.why)),
+        Refused::Forbidden => (403, challenge_error("insufficient_scope", &refusal.why)),
+        Refused::Unsure => {
+            let (status, _, body) = line(503, &refusal.why);
+            return (status, retry_after(UNSURE_RETRY_AFTER), body);
+        }
+    };
+    let (_, _, body) = line(status, &refusal.why);
+    let challenge = format!("WWW-Authenticate: Bearer realm=\"ternpick\"{error}\r\n");
+    (status, challenge, body)
+}
+
+fn challenge_error(code: &str, description: &str) -> String {
+    format!(", error=\"{code}\", error_description=\"{description}\"")
+}
+
+/// Reserves a place among the tenant's queries; the error is the answer that says why there is none.
+pub(crate) fn reserve(
+    limits: &mut Limits,
+    now: Micros,
+    tenant: CustomerNo,
+    is_retry: bool,
+) -> Result<(), Answer> {
+    limits.admit(now, tenant, is_retry).map_err(|rejection| {
+        let (status, _, body) = line(429, &rejection.to_string());
+        (status, retry_after(rejection.retry_after()), body)
+    })
+}
--- /dev/null
+++ b/router/src/stages/auth_filter/status.rs
@@ -0,0 +1,45 @@
+//! What the authorisation filter tells of itself: to the control socket, to the snapshot, and to key sources.
+
+use crate::router::Router;
+use crate::stages::auth_filter::{Aged, AuthFilter};
+
+impl AuthFilter {
+    /// Keys and revocations for another process or the next start, each with its age.
+    pub(crate) fn kept(&self, router: &Router) -> [Option<Aged>; 2] {
+        let now = self.now(router);
+        let keys = self
+            .published_keys
+            .borrow()
+            .as_ref()
+            .map(|(at, text)| (now.since(*at).0, text.clone()));
+        let identity = self.identity.borrow();
+        let revocations = identity.revocations.as_ref().and_then(|revocations| {
+            let (updated_at, page) = revocations.page();
+            Some((now.since(updated_at?).0, page))
+        });
+        [keys, revocations]
+    }
+
+    /// For operators: keys, the number of revocations known, how far they are trusted, tokens cached.
+    pub(crate) fn status(&self, router: &Router) -> serde_json::Value {
+        let now = self.now(router);
+        let identity = self.identity.borrow();
+        let keys: Vec<String> = identity.ring.ids().map(ToString::to_string).collect();
+        let revocations = identity.revocations.as_ref();
+        let trust =
+            revocations.map(|revocations| format!("{:?}", revocations.trust(now)).to_lowercase());
+        let number = revocations.map(|revocations| revocations.number());
+        serde_json::json!({
+            "keys": keys, "revocations": number, "trust": trust, "remembered": identity.known()
+        })
+    }
+
+    /// The number up to which revocations are known.
+    pub(crate) fn revocations_known(&self) -> u64 {
+        let identity = self.identity.borrow();
+        identity
+            .revocations
+            .as_ref()
+            .map_or(0, |revocations| revocations.number())
+    }
+}
--- /dev/null
+++ b/router/src/stages/auth_filter/updates.rs
@@ -0,0 +1,131 @@
+//! What the authorisation filter takes in while it runs: keys, revocations, lists of revoked certificates, new terms, and time.
+//!
+//! Called by `lifecycle/`: the key sources, the snapshot, TLS and reload. Fetches nothing itself.
+
+use rustls::pki_types::CertificateDer;
+use ternpick::types::Micros;
+use ternpick_identity::{Change, Identity, KeyId, KeySet, Page, TermsFault, Trust};
+use ternpick_tenant_limits::Limits;
+
+use crate::lifecycle::settings::IdentityTerms;
+use crate::stages::auth_filter::{tenant_limits, AuthFilter};
+
+impl AuthFilter {
+    /// Takes a set of keys as the key service published it at `now` (Unix time).
+    pub(crate) fn told_of_keys(&self, now: Micros, text: &[u8]) -> Result<(), String> {
+        let set = KeySet::parse(text).map_err(|fault| fault.to_string())?;
+        for reason in &set.skipped {
+            tracing::warn!(%reason, "identity: a published key is skipped");
+        }
+        let mut identity = self.identity.borrow_mut();
+        let change = identity
+            .told_of_keys(now, &set)
+            .map_err(|fault| fault.to_string())?;
+        let published = String::from_utf8_lossy(text).into_owned();
+        self.published_keys.replace(Some((now, published)));
+        log_key_change(&identity, &change);
+        Ok(())
+    }
+
+    /// Takes a page of revocations as it was at `then` (Unix time).
+    pub(crate) fn told_of_revocations(&self, then: Micros, text: &[u8]) -> Result<(), String> {
+        let page = Page::parse(text).map_err(|fault| fault.to_string())?;
+        let mut identity = self.identity.borrow_mut();
+        let new_entries = identity
+            .told_of_revocations(then, page)
+            .map_err(|fault| fault.to_string())?;
+        if let Some(revocations) = identity.revocations.as_ref().filter(|_| new_entries > 0) {
+            tracing::info!(
+                new_entries,
+                in_force = revocations.count(),
+                number = revocations.number(),
+                "identity: revocations received"
+            );
+        }
+        Ok(())
+    }
+
+    /// Takes a list of revoked certificates that one of the authorities has signed; returns how many it holds.
+    pub(crate) fn told_of_list(
+        &self,
+        list: &[u8],
+        authorities: &[CertificateDer],
+    ) -> Result<usize, String> {
+        let mut identity = self.identity.borrow_mut();
+        let mut error = "no authority of clients is known".to_owned();
+        for authority in authorities {
+            match identity.told_of_list(list, authority) {
+                Ok(count) => return Ok(count),
+                Err(fault) => error = fault.to_string(),
+            }
+        }
+        Err(error)
+    }
+
+    /// Takes new terms; those of tenants go to `limits`.
+    pub(crate) fn told_of_terms(
+        &self,
+        new: IdentityTerms,
+        limits: &mut Limits,
+    ) -> Result<(), TermsFault> {
+        let mut identity = self.identity.borrow_mut();
+        identity.told_of_terms(new.terms.clone())?;
+        limits.update(tenant_limits(&identity, &new), new.whole);
+        Ok(())
+    }
+
+    /// Time has gone by, to `now` (Unix time): logs what has changed with it.
+    pub(crate) fn elapsed(&self, now: Micros) {
+        let mut identity = self.identity.borrow_mut();
+        for key in identity.elapsed(now) {
+            tracing::info!(%key, "identity: a key is no longer in use");
+        }
+        log_trust_change(&mut identity, now);
+        let overdue = identity.lists.overdue(now);
+        let was_overdue = self.certificate_list_overdue.replace(overdue);
+        if overdue && !was_overdue {
+            tracing::warn!(
+                "identity: a list of revoked certificates is past the time of its next update"
+            );
+        }
+    }
+}
+
+fn log_key_change(identity: &Identity, change: &Change) {
+    for key in &change.clashed {
+        tracing::warn!(
+            %key,
+            "identity: a key is published with other coordinates than it has, the known key stays"
+        );
+    }
+    if !change.came.is_empty() || !change.missed.is_empty() {
+        tracing::info!(
+            keys = identity.ring.ids().count(),
+            new = join(&change.came),
+            no_longer_published = join(&change.missed),
+            "identity: keys changed"
+        );
+    }
+}
+
+fn join(keys: &[KeyId]) -> String {
+    let keys: Vec<String> = keys.iter().map(ToString::to_string).collect();
+    keys.join(" ")
+}
+
+fn log_trust_change(identity: &mut Identity, now: Micros) {
+    let change = identity
+        .revocations
+        .as_mut()
+        .and_then(|revocations| revocations.changed(now));
+    match change {
+        Some(Trust::Full) => tracing::info!("identity: revocations are known again"),
+        Some(Trust::Reads) => {
+            tracing::warn!("identity: revocations are out of date, only reads are admitted");
+        }
+        Some(Trust::None) => {
+            tracing::warn!("identity: revocations are too far out of date, nothing is admitted");
+        }
+        None => {}
+    }
+}
--- /dev/null
+++ b/router/src/stages/client_connection.rs
@@ -0,0 +1,252 @@
+//! The life of one client connection: it waits for a request, reads it, has it admitted, waits for its answer, writes that,
+//! and begins again, until the connection ends.
+//!
+//! The listener and a hot restart start one task for each connection here. The steps themselves are in `request_reader.rs`
+//! (waiting and reading), `admission.rs` (what becomes of a request), `answer_wait.rs` and `answer_writer.rs`;
+//! `graceful_close.rs` ends a connection whose client may still be reading.
+
+use std::fmt;
+use std::net::TcpStream;
+use std::rc::Rc;
+
+use async_io::Async;
+use ternpick::types::Micros;
+use ternpick_wire::http::Reader;
+
+use crate::router::Router;
+use crate::stages::admission::{self, Admitted};
+use crate::stages::client_io::ClientIo;
+use crate::stages::request_reader::ReadFailure;
+use crate::stages::stream::Stream;
+use crate::stages::{dispatch, graceful_close};
+use crate::state::client_transfer::PassedClient;
+use crate::state::clients::Answer;
+use crate::state::descriptors::{Peer, Permit};
+
+/// Why a client connection ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ConnectionEnd {
+    /// It goes on in another process, by a hot restart; one with TLS is closed, as its TLS state cannot go.
+    Migrated,
+    /// It was idle and its descriptor or memory was wanted, or the process stops.
+    ClosedWhileIdle,
+    /// The client closed it between requests.
+    ClientLeft,
+    /// The client closed it before its request was complete.
+    ClientLeftDuringRequest,
+    /// The client closed it before anything was begun for its request.
+    ClientLeftBeforeAdmission,
+    /// The client closed it before its answer.
+    ClientLeftBeforeAnswer,
+    /// The answer that was written is the last one.
+    LastAnswerWritten,
+    /// The answer could not be written whole.
+    AnswerNotWritten,
+    /// The answer is longer than its bound.
+    AnswerTooLong,
+}
+
+impl fmt::Display for ConnectionEnd {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ConnectionEnd::Migrated => "it goes to the new process",
+            ConnectionEnd::ClosedWhileIdle => "closed while idle",
+            ConnectionEnd::ClientLeft => "the client left",
+            ConnectionEnd::ClientLeftDuringRequest => {
+                "the client left before its request was complete"
+            }
+            ConnectionEnd::ClientLeftBeforeAdmission => {
+                "the client left before its request was begun"
+            }
+            ConnectionEnd::ClientLeftBeforeAnswer => "the client left before its answer",
+            ConnectionEnd::LastAnswerWritten => "its last answer is written",
+            ConnectionEnd::AnswerNotWritten => "the answer could not be written",
+            ConnectionEnd::AnswerTooLong => "an answer is longer than its bound",
+        })
+    }
+}
+
+/// Why a connection from another process cannot be taken over; it is closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum AdoptError {
+    /// Clients hold as many descriptors as they may.
+    #[error("no descriptor is left")]
+    NoDescriptor,
+    /// The socket cannot be registered with the poller.
+    #[error("it cannot be used")]
+    Unusable,
+}
+
+/// One client connection. Its buffers and then its descriptor are given back, in the order of the fields, when its task ends.
+pub(crate) struct ClientConnection {
+    pub(super) router: Rc<Router>,
+    pub(super) io: ClientIo,
+    /// Reads the current request, and holds its head until the next one begins.
+    pub(super) request: Reader,
+    /// When the connection was accepted, until it has brought its first byte of a request.
+    pub(super) awaiting_first_request: Option<Micros>,
+    /// Identifies the connection in the log.
+    number: u64,
+    opened_at: Micros,
+    requests: u64,
+    _permit: Permit,
+}
+
+/// Starts the task of a connection on which `unread` has been received already.
+pub(crate) fn spawn(router: &Rc<Router>, stream: Stream, permit: Permit, unread: Vec<u8>) {
+    let task = serve(Rc::clone(router), stream, permit, unread);
+    router.executor.spawn(task).detach();
+}
+
+/// Takes over a connection that another process has passed on, with what its client has sent already.
+pub(crate) fn adopt(
+    router: &Rc<Router>,
+    socket: TcpStream,
+    unread: &[u8],
+) -> Result<(), AdoptError> {
+    let permit = router
+        .descriptors
+        .take(Peer::Client)
+        .ok_or(AdoptError::NoDescriptor)?;
+    let stream = Async::new(socket).map_err(|_| AdoptError::Unusable)?;
+    spawn(router, Stream::Plain(stream), permit, unread.to_vec());
+    Ok(())
+}
+
+/// Serves one connection from its first request to its end.
+async fn serve(router: Rc<Router>, stream: Stream, permit: Permit, unread: Vec<u8>) {
+    stream.set_nodelay();
+    let Some(io) = ClientIo::new(stream, router.budget.share(), &unread) else {
+        tracing::warn!("a client connection from another process has sent more than its bound");
+        return;
+    };
+    let opened_at = router.clock.now();
+    let mut connection = ClientConnection {
+        number: router.clients.number(),
+        router,
+        io,
+        request: Reader::of_requests(),
+        awaiting_first_request: Some(opened_at),
+        opened_at,
+        requests: 0,
+        _permit: permit,
+    };
+    tracing::debug!(client = connection.number, "client connection accepted");
+    let end = loop {
+        if let Err(end) = connection.serve_request().await {
+            break end;
+        }
+    };
+    tracing::debug!(
+        client = connection.number,
+        reason = %end,
+        requests = connection.requests,
+        age_ms = connection.age_ms(),
+        "client connection ends"
+    );
+    connection.finish(end).await;
+}
+
+impl ClientConnection {
+    /// Identifies the connection in the log.
+    pub(super) fn number(&self) -> u64 {
+        self.number
+    }
+
+    fn age_ms(&self) -> u64 {
+        self.router.clock.now().since(self.opened_at).0 / 1000
+    }
+
+    /// Reads and answers one request; an error is the connection's end.
+    async fn serve_request(&mut self) -> Result<(), ConnectionEnd> {
+        if self.router.client_transfer.is_active() {
+            return Err(ConnectionEnd::Migrated);
+        }
+        let sent_ahead_at = self.io.take_sent_ahead();
+        if self.io.input.is_empty() {
+            self.wait_for_first_byte().await?;
+        }
+        let now = self.router.clock.now();
+        let awaited_since = self.awaiting_first_request.take().unwrap_or(now);
+        match self.read_request(awaited_since).await {
+            Ok(()) => {
+                let answer = self
+                    .answer_request(now, sent_ahead_at.unwrap_or(now))
+                    .await?;
+                let client_closes = self.request.closes();
+                self.write_answer(answer, client_closes).await
+            }
+            Err(ReadFailure::ClientGone) => Err(ConnectionEnd::ClientLeftDuringRequest),
+            Err(ReadFailure::Fault(fault)) => {
+                let (status, text) = fault.status();
+                self.write_answer(admission::line(status, text), true).await
+            }
+        }
+    }
+
+    /// Has a complete request admitted, and waits for its answer. Its first byte was seen at `seen_at`, and had arrived at
+    /// `began`.
+    async fn answer_request(
+        &mut self,
+        seen_at: Micros,
+        began: Micros,
+    ) -> Result<Answer, ConnectionEnd> {
+        if let Some(fleet) = &self.router.fleet {
+            fleet.settled(&self.router).await;
+        }
+        self.requests += 1;
+        self.io.restart_sent_ahead(began);
+        tracing::debug!(
+            client = self.number,
+            request = self.requests,
+            request_id = self.request.header("req-id").unwrap_or("-"),
+            connection_age_ms = self.age_ms(),
+            "request complete"
+        );
+        // The client of a request that was sent ahead, or waited to be accepted, may have left meanwhile: nothing is begun
+        // for it. A client that asks for health alone may have shut its side of the connection and still listen.
+        let client_there = self.io.is_client_there();
+        self.io.note_sent_ahead(seen_at);
+        if !client_there && !admission::is_health(&self.request) {
+            return Err(ConnectionEnd::ClientLeftBeforeAdmission);
+        }
+        let certificate = self.io.stream.certificate();
+        let admitted = admission::admit(&self.router, &self.request, began, certificate);
+        self.io.account_memory(self.request.body().len());
+        self.request.forget_body();
+        match admitted {
+            Admitted::Answer(answer) => Ok(answer),
+            Admitted::InFlight(query, reply) => match self.wait_for_answer(&reply).await {
+                Some(answer) => Ok(answer),
+                None => {
+                    dispatch::client_left(&self.router, query);
+                    Err(ConnectionEnd::ClientLeftBeforeAnswer)
+                }
+            },
+        }
+    }
+
+    /// Ends the connection: passed on to the new process, closed at once where the client is gone, else gracefully.
+    async fn finish(mut self, end: ConnectionEnd) {
+        if end == ConnectionEnd::Migrated && matches!(self.io.stream, Stream::Plain(_)) {
+            self.pass_to_new_process();
+        } else if self.io.is_client_gone() {
+            self.io.stream.finish();
+        } else {
+            graceful_close::close(&self.router, &mut self.io).await;
+        }
+    }
+
+    /// Complete requests that wait and idle connections go on in the new process.
+    fn pass_to_new_process(self) {
+        let unread = self.io.input.to_vec();
+        let Stream::Plain(socket) = self.io.stream else {
+            return;
+        };
+        if let Ok(socket) = socket.into_inner() {
+            self.router
+                .client_transfer
+                .push(PassedClient { socket, unread });
+        }
+    }
+}
--- /dev/null
+++ b/router/src/stages/completion/tests.rs
@@ -0,0 +1,227 @@
+//! Tests of what the effects do with queries and attempts in flight.
+
+use ternpick::types::{EndpointState, ShardNo};
+use test_case::test_case;
+
+use super::*;
+use crate::state::clients::Reply;
+use crate::state::descriptors::{Descriptors, Peer};
+use crate::state::in_flight::Taken;
+
+const MS: u64 = 1000;
+
+/// How far an attempt has come towards its node.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Progress {
+    Ordered,
+    WaitingForConnection,
+    InBuffer,
+    HalfWritten,
+    Written,
+}
+
+/// A query of two shard requests, with an attempt in flight for the first.
+struct Fixture {
+    effects: EffectQueue,
+    query: QueryId,
+    attempt: CallKey,
+    connection: ConnectionId,
+    reply: Rc<Reply>,
+}
+
+impl Fixture {
+    /// The attempt has come as far as `progress` on the connection.
+    fn new(progress: Progress) -> Self {
+        let bounds = Bounds {
+            dial_timeout: Some(Micros(250 * MS)),
+            ..Bounds::default()
+        };
+        let mut effects = EffectQueue {
+            bounds: Rc::new(bounds),
+            ..EffectQueue::default()
+        };
+        let (node, _) = effects
+            .nodes
+            .list("n", ([127, 0, 0, 1], 9).into(), EndpointState::Ready);
+        let permit = Descriptors::new(100)
+            .take(Peer::Node)
+            .expect("a descriptor");
+        let connection = effects
+            .nodes
+            .connect(node, Micros(0), 1 << 10, permit)
+            .expect("a connection");
+        let reply = Rc::new(Reply::default());
+        let (query, shard_requests) = effects.in_flight.open(
+            "r",
+            "text",
+            None,
+            [ShardNo(0), ShardNo(1)].into_iter(),
+            Rc::clone(&reply),
+            Taken::default(),
+        );
+        effects.send_attempt(shard_requests[0], node, Micros(900 * MS));
+        let mut fixture = Fixture {
+            effects,
+            query,
+            attempt: (shard_requests[0], AttemptNo(0)),
+            connection,
+            reply,
+        };
+        fixture.advance(progress);
+        fixture
+    }
+
+    fn advance(&mut self, progress: Progress) {
+        if progress == Progress::Ordered {
+            return;
+        }
+        self.effects.ordered_attempts.clear();
+        let waiting = Place::Waiting(self.connection);
+        self.effects.in_flight.place(self.attempt, waiting);
+        let attempt = self.attempt;
+        let connection = self
+            .effects
+            .nodes
+            .connection_mut(self.connection)
+            .expect("a connection");
+        let written = match progress {
+            Progress::Ordered | Progress::WaitingForConnection => {
+                connection.waiting.push_back(vec![attempt]);
+                return;
+            }
+            Progress::InBuffer => 0,
+            Progress::HalfWritten => 5,
+            Progress::Written => 10,
+        };
+        connection.carries.insert("r.0".into(), attempt);
+        connection.queued = 10;
+        connection.written = written;
+        let queued = Place::Queued(self.connection, 10);
+        self.effects.in_flight.place(attempt, queued);
+    }
+
+    fn connection(&self) -> &crate::state::nodes::Connection {
+        self.effects
+            .nodes
+            .connection(self.connection)
+            .expect("a connection")
+    }
+
+    fn nothing_is_in_flight(&self) -> bool {
+        let connection = self.connection();
+        let carries = !connection.carries.is_empty() || !connection.waiting.is_empty();
+        self.effects.in_flight.next_due().is_none()
+            && self.effects.ordered_attempts.is_empty()
+            && !carries
+    }
+}
+
+#[test_case(Progress::Ordered; "ordered")]
+#[test_case(Progress::WaitingForConnection; "waiting")]
+#[test_case(Progress::InBuffer; "in the buffer")]
+#[test_case(Progress::HalfWritten; "half written")]
+#[test_case(Progress::Written; "written")]
+fn an_attempt_that_ends_releases_everything_once(progress: Progress) {
+    let mut fixture = Fixture::new(progress);
+    let attempt = fixture.attempt;
+    fixture
+        .effects
+        .end_attempt(attempt, AttemptOutcome::Cancelled);
+    fixture.effects.end_attempt(attempt, AttemptOutcome::Broken);
+    assert!(fixture.nothing_is_in_flight());
+    let outcomes: Vec<AttemptOutcome> = fixture
+        .effects
+        .finished_attempts
+        .iter()
+        .map(|finished| finished.outcome)
+        .collect();
+    assert_eq!(outcomes, [AttemptOutcome::Cancelled]);
+    // A frame that is not to be finished ends its connection.
+    assert_eq!(
+        fixture.connection().abandoned,
+        matches!(progress, Progress::InBuffer | Progress::HalfWritten)
+    );
+}
+
+#[test_case(Progress::Ordered, true; "ordered")]
+#[test_case(Progress::WaitingForConnection, true; "waiting")]
+#[test_case(Progress::HalfWritten, true; "half written")]
+#[test_case(Progress::Written, false; "written: it returns in its own time")]
+fn nothing_is_sent_after_the_final_answer(progress: Progress, taken_off: bool) {
+    let mut fixture = Fixture::new(progress);
+    fixture.effects.reject(fixture.query, Micros(1500 * MS));
+    let answer = fixture.reply.answer.borrow().clone().expect("an answer");
+    assert_eq!(
+        (answer.0, answer.1.as_str()),
+        (503, "Retry-After: 1.500\r\n")
+    );
+    assert_eq!(fixture.effects.in_flight.held(), 0);
+    assert!(!fixture.effects.in_flight.knows("r"));
+    assert_eq!(fixture.nothing_is_in_flight(), taken_off);
+    // A second decision on a query that is closed changes nothing.
+    fixture.effects.fail(fixture.query);
+    assert_eq!(
+        fixture
+            .reply
+            .answer
+            .borrow()
+            .as_ref()
+            .map(|answer| answer.0),
+        Some(503)
+    );
+}
+
+#[test_case(Progress::InBuffer, false; "not written")]
+#[test_case(Progress::Written, true; "written")]
+fn a_cancelled_attempt_is_named_to_a_node_that_has_it(progress: Progress, named: bool) {
+    let mut fixture = Fixture::new(progress);
+    let (shard_request, number) = fixture.attempt;
+    fixture.effects.cancel_attempt(shard_request, number);
+    assert_eq!(
+        fixture.connection().out.filled(),
+        if named {
+            frames::give_up("r.0")
+        } else {
+            Vec::new()
+        }
+    );
+}
+
+#[test]
+fn an_answer_holds_the_first_value_of_each_shard_request_that_is_answered() {
+    let mut fixture = Fixture::new(Progress::Written);
+    let attempt = fixture
+        .effects
+        .in_flight
+        .finish(fixture.attempt)
+        .expect("an attempt");
+    fixture.effects.in_flight.keep(&attempt, "first");
+    fixture.effects.in_flight.keep(&attempt, "second");
+    assert_eq!(
+        fixture.effects.in_flight.held(),
+        2,
+        "the query, and the shard request that is not answered"
+    );
+    fixture.effects.answer(fixture.query, false);
+    let body = fixture
+        .reply
+        .answer
+        .borrow_mut()
+        .take()
+        .expect("an answer")
+        .2;
+    assert_eq!(
+        body,
+        r#"{"full":false,"pieces":[{"cell":"first","tablet":0}]}"#
+    );
+}
+
+#[test]
+fn an_attempt_is_looked_at_after_a_dial_and_when_its_time_is_up() {
+    let mut fixture = Fixture::new(Progress::Written);
+    let in_flight = &mut fixture.effects.in_flight;
+    assert_eq!(in_flight.next_due(), Some(Micros(250 * MS)));
+    in_flight.look_when_due(fixture.attempt);
+    assert_eq!(in_flight.next_due(), Some(Micros(900 * MS)));
+    assert_eq!(in_flight.overdue(Micros(900 * MS)), Some(fixture.attempt));
+}
--- a/router/src/stages/dispatch.rs
+++ b/router/src/stages/dispatch.rs
@@ -1,169 +1,174 @@
-//! Route: hands the module its inputs, and after each turn has what it wants carried out.
+//! Dispatch: gives the decision module its inputs one after another, and after each turn has its effects carried out.
+//!
+//! Inputs are new queries (from admission), clients that leave, attempts that end, and timers. [`turns`] is the loop that
+//! `lifecycle/start.rs` runs; the effects of a turn are carried out by `upstream_writer.rs`. What the deadline of an attempt
+//! means for it is in `attempt_deadline.rs`.
 
 use std::rc::Rc;
 
 use async_io::Timer;
 use futures_lite::future;
-use ternpick::io_errors::Owner;
-use ternpick::types::{
-    AttemptOutcome, CustomerNo, IndexNo, Micros, QueryId, ShardNo, ShardRequestId, WireQueryNo,
-};
+use ternpick::types::{CustomerNo, IndexNo, Micros, QueryId, ShardNo, ShardRequestId, WireQueryNo};
 
 use crate::router::Router;
-use crate::stages::completion::{EffectQueue, Return};
-use crate::stages::upstream_writer;
-use crate::state::in_flight::{CallKey, Place};
+use crate::stages::completion::{CancelFrame, FinishedAttempt};
+use crate::stages::{attempt_deadline, upstream_writer};
 
-/// Plays a lookup and all its parts.
-pub fn take(
-    router: &Router,
-    id: QueryId,
-    index: IndexNo,
-    customer: CustomerNo,
-    left: Micros,
-    repeat: bool,
-    parts: Vec<(ShardRequestId, ShardNo, f64, Option<Micros>)>,
-) {
-    let query = WireQueryNo(id.0);
-    router.apply(|brain, now, out| {
-        out.counts.taken += 1;
-        if let Some(held) = out.in_flight.lookup(id) {
-            held.taken
-                .span
-                .in_scope(|| tracing::debug!("route: {} parts, {} us left", parts.len(), left.0));
+/// A query that admission has entered in the in-flight table.
+pub(super) struct NewQuery {
+    /// Its id in the table.
+    pub(super) id: QueryId,
+    /// The index that it asks.
+    pub(super) index: IndexNo,
+    /// On whose account it is.
+    pub(super) tenant: CustomerNo,
+    /// What is left until its client's deadline.
+    pub(super) time_left: Micros,
+    /// The client has sent it before.
+    pub(super) is_retry: bool,
+    /// Its requests to shards.
+    pub(super) shard_requests: Vec<NewShardRequest>,
+}
+
+/// One shard's request of a new query.
+pub(super) struct NewShardRequest {
+    /// Its id in the table.
+    pub(super) id: ShardRequestId,
+    /// The shard.
+    pub(super) shard: ShardNo,
+    /// Its share of a complete answer.
+    pub(super) weight: f64,
+    /// The client's estimate of the work, if it gave one.
+    pub(super) hint: Option<Micros>,
+}
+
+/// Gives the decision module a query and all its shard requests.
+pub(super) fn start_query(router: &Router, query: NewQuery) {
+    let number = WireQueryNo(query.id.0);
+    let count = query.shard_requests.len();
+    router.apply(|engine, now, effects| {
+        effects.counts.taken += 1;
+        if let Some(held) = effects.in_flight.lookup(query.id) {
+            let time_left_us = query.time_left.0;
+            held.taken.span.in_scope(|| {
+                tracing::debug!(shard_requests = count, time_left_us, "query dispatched")
+            });
         }
-        brain.query_received(
+        engine.query_received(
             now,
-            id,
-            query,
-            index,
-            customer,
-            parts.len(),
-            left,
-            repeat,
-            out,
+            query.id,
+            number,
+            query.index,
+            query.tenant,
+            count,
+            query.time_left,
+            query.is_retry,
+            effects,
         );
-        for (part, shard, weight, hint) in parts {
-            brain.shard_request_received(now, part, query, shard, weight, hint, out);
+        for request in query.shard_requests {
+            engine.shard_request_received(
+                now,
+                request.id,
+                number,
+                request.shard,
+                request.weight,
+                request.hint,
+                effects,
+            );
         }
     });
 }
 
-/// A client has left before its answer.
-pub fn lapse(router: &Router, id: QueryId) {
-    router.apply(|brain, now, out| {
-        if out.in_flight.lookup(id).is_some() {
-            out.client_left(id);
-            brain.client_left(now, id, out);
+/// The client of a query has left before its answer.
+pub(super) fn client_left(router: &Router, query: QueryId) {
+    router.apply(|engine, now, effects| {
+        if effects.in_flight.lookup(query).is_some() {
+            effects.client_left(query);
+            engine.client_left(now, query, effects);
         }
     });
 }
 
-/// Tells the module of one call's end.
-pub fn returned(router: &Router, back: Return, report: &[f64]) {
-    let Return {
-        key: (part, number),
-        call,
-        ending,
-    } = back;
-    router.apply(|brain, now, out| {
-        brain.attempt_finished(
+/// Tells the decision module of an attempt's end, with the load report that came with it.
+pub(super) fn attempt_finished(router: &Router, finished: FinishedAttempt, load_report: &[f64]) {
+    let (shard_request, number) = finished.key;
+    let attempt = finished.attempt;
+    router.apply(|engine, now, effects| {
+        engine.attempt_finished(
             now,
-            part,
+            shard_request,
             number,
-            call.node,
-            now.since(call.sent),
-            ending,
-            report,
-            out,
+            attempt.node,
+            now.since(attempt.sent),
+            finished.outcome,
+            load_report,
+            effects,
         );
     });
 }
 
-/// Plays what time and the module's own word have brought about.
-fn play_due(router: &Router) {
-    loop {
-        let (now, mut desk) = (router.clock.now(), router.decisions.borrow_mut());
-        desk.effects.now = now;
-        let cancels = desk.engine.config.cancellation;
-        let office = &mut desk.effects;
-        if let Some(back) = office.finished_attempts.pop_front() {
-            drop(desk);
-            returned(router, back, &[]);
-        } else if let Some(key) = office.in_flight.overdue(now) {
-            call_is_late(office, key, cancels);
-        } else if office.timers.first().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, timer)) = office.timers.pop_first() else {
-                return;
-            };
-            drop(desk);
-            router.apply(|brain, now, out| brain.timer_fired(now, timer, out));
-        } else {
-            return;
-        }
-    }
+/// Applies what is due by time, and the ends of attempts that the last turn has found, until nothing of either is left.
+fn apply_due(router: &Router) {
+    while apply_next_due(router) {}
 }
 
-/// A call whose frame has not gone out in the time of a dial was not made; one that has waits out its limit.
-/// A connection that has brought nothing since is not trusted with more: its peer may have vanished, and on
-/// its return would reset what is written to it.
-fn call_is_late(office: &mut EffectQueue, key: CallKey, cancels: bool) {
-    let Some(call) = office.in_flight.call(key) else {
-        return;
+/// Applies the next input that is due; false if there is none.
+fn apply_next_due(router: &Router) -> bool {
+    let now = router.clock.now();
+    let mut decisions = router.decisions.borrow_mut();
+    let cancel_frame = if decisions.engine.config.cancellation {
+        CancelFrame::Send
+    } else {
+        CancelFrame::Omit
     };
-    let (written, sent, place) = (
-        upstream_writer::is_written(&office.nodes, call),
-        call.sent,
-        call.place,
-    );
-    if written && call.due > office.now {
-        return office.in_flight.look_when_due(key);
+    let effects = &mut decisions.effects;
+    effects.now = now;
+    if let Some(finished) = effects.finished_attempts.pop_front() {
+        drop(decisions);
+        attempt_finished(router, finished, &[]);
+        return true;
     }
-    if let (Place::Queued(id, _), true) = (place, written) {
-        office.nodes.retire_silent(id, sent);
+    if let Some(key) = effects.in_flight.overdue(now) {
+        attempt_deadline::check(effects, key, cancel_frame);
+        return true;
     }
-    // A dial that this machine could not make, though it tried up to now, is not held against the node.
-    let dials = |id| {
-        office
-            .nodes
-            .connection(id)
-            .map(|connection| connection.dials.get())
-    };
-    let ours = matches!(place, Place::Waiting(id) if dials(id) == Some(Owner::Machine));
-    let ending = match (written, ours) {
-        (true, _) => AttemptOutcome::MayHaveRun,
-        (false, true) => AttemptOutcome::Unsent,
-        (false, false) => AttemptOutcome::NeverRan,
+    if effects.timers.first().is_none_or(|(at, _)| *at > now) {
+        return false;
+    }
+    let Some((_, timer)) = effects.timers.pop_first() else {
+        return false;
     };
-    office.give_up(key, ending, cancels);
+    drop(decisions);
+    router.apply(|engine, now, effects| engine.timer_fired(now, timer, effects));
+    true
 }
 
 fn next_due(router: &Router) -> Option<Micros> {
-    let desk = router.decisions.borrow();
-    let timer = desk.effects.timers.first().map(|(at, _)| *at);
+    let decisions = router.decisions.borrow();
+    let timer = decisions.effects.timers.first().map(|(at, _)| *at);
     timer
         .into_iter()
-        .chain(desk.effects.in_flight.next_due())
+        .chain(decisions.effects.in_flight.next_due())
         .min()
 }
 
-/// The turns of a router: wakes on inputs and on time, lets the inputs that are ready be played first, then
-/// has all orders carried out together, so that parts for one node share a call.
-pub async fn turns(router: Rc<Router>) {
+/// The turns of a router, for as long as it runs: wakes on inputs and on time, lets all inputs that are ready be applied first,
+/// then has all effects carried out together, so that shard requests for one node share a frame.
+pub(crate) async fn turns(router: Rc<Router>) {
     loop {
-        let turn = router.input_applied.listen();
+        let input_applied = router.input_applied.listen();
         future::yield_now().await;
-        play_due(&router);
+        apply_due(&router);
         upstream_writer::carry_out(&router);
         match next_due(&router) {
             Some(at) => {
                 let timer = Timer::at(router.clock.instant(at));
-                let time = async {
+                let due = async {
                     timer.await;
                 };
-                future::or(turn, time).await;
+                future::or(input_applied, due).await;
             }
-            None => turn.await,
+            None => input_applied.await,
         }
     }
 }
--- /dev/null
+++ b/router/src/stages/query_request.rs
@@ -0,0 +1,119 @@
+//! The fields of a query as a client's HTTP request holds them, checked one by one.
+//!
+//! Called by admission. Decides nothing that depends on what is in flight.
+
+use serde_json::Value;
+use ternpick::types::{IndexNo, Micros, RetrySemantics};
+use ternpick_platform_config::Bounds;
+use ternpick_wire::http::Reader;
+use ternpick_wire::query::{self, PartFields};
+
+use crate::router::Router;
+use crate::stages::admission::line;
+use crate::state::clients::Answer;
+
+/// A query that is well-formed, and names an index that exists.
+pub(super) struct QueryRequest<'a> {
+    /// The client's id of the request.
+    pub(super) request_id: &'a str,
+    /// The index, as its path names it.
+    pub(super) index_name: &'a str,
+    /// The index.
+    pub(super) index: IndexNo,
+    /// How long the client waits from the first byte of its request on, at most the longest deadline of the settings.
+    pub(super) deadline: Micros,
+    /// The client has sent it before.
+    pub(super) is_retry: bool,
+    /// The shards that it asks, with their weights and hints.
+    pub(super) shard_requests: Vec<PartFields>,
+    /// What each shard is asked.
+    pub(super) statement: &'a str,
+    /// The idempotency key, where the index wants one.
+    pub(super) idempotency_key: Option<&'a str>,
+}
+
+/// The part of a path that names the index.
+pub(super) fn index_name(request: &Reader) -> &str {
+    request.path().split('/').nth(1).unwrap_or_default()
+}
+
+/// The index of a name, if there is one.
+pub(super) fn find_index(bounds: &Bounds, name: &str) -> Option<IndexNo> {
+    let at = bounds.index_names.iter().position(|known| known == name);
+    at.map(|at| IndexNo(at as u8))
+}
+
+/// Checks a request for an index; `fields` is its body. The error is the answer to the client.
+pub(super) fn check<'a>(
+    router: &Router,
+    request: &'a Reader,
+    index: Option<IndexNo>,
+    fields: &'a Result<Value, &'static str>,
+) -> Result<QueryRequest<'a>, Answer> {
+    let index_name = index_name(request);
+    let index = index.ok_or_else(|| line(404, "no such index"))?;
+    if request.method() != "POST" {
+        return Err((405, "Allow: POST\r\n".into(), "only POST\n".into()));
+    }
+    if request
+        .header("req-kind")
+        .is_some_and(|kind| kind != index_name)
+    {
+        return Err(bad_request("Req-Kind is not the path's"));
+    }
+    let request_id = plain_header(request, "req-id")
+        .ok_or_else(|| bad_request("Req-Id is missing or malformed"))?;
+    let deadline = deadline(request, &router.bounds)?;
+    let is_retry = request.header("req-retry") == Some("1");
+    let fields = fields.as_ref().map_err(|error| bad_request(error))?;
+    let shard_requests = query::parts(fields, router.bounds.shards).map_err(bad_request)?;
+    let statement = query::statement(fields).map_err(bad_request)?;
+    let idempotency_key = idempotency_key(router, request, index)?;
+    Ok(QueryRequest {
+        request_id,
+        index_name,
+        index,
+        deadline,
+        is_retry,
+        shard_requests,
+        statement,
+        idempotency_key,
+    })
+}
+
+/// The client's deadline; nobody waits longer than the settings say, whatever a client asks for.
+fn deadline(request: &Reader, bounds: &Bounds) -> Result<Micros, Answer> {
+    let deadline_ms = request
+        .header("req-deadline-ms")
+        .and_then(|ms| ms.parse::<u32>().ok())
+        .filter(|ms| *ms > 0)
+        .ok_or_else(|| bad_request("Req-Deadline-Ms makes no sense"))?;
+    let longest = bounds.longest_deadline.unwrap_or(Micros(u64::MAX));
+    Ok(Micros(u64::from(deadline_ms) * 1000).min(longest))
+}
+
+fn idempotency_key<'a>(
+    router: &Router,
+    request: &'a Reader,
+    index: IndexNo,
+) -> Result<Option<&'a str>, Answer> {
+    let decisions = router.decisions.borrow();
+    let semantics = &decisions.engine.config.indexes[index.at()].retry_semantics;
+    if !matches!(semantics, RetrySemantics::Fingerprinted(_)) {
+        return Ok(None);
+    }
+    plain_header(request, "idempotency-key")
+        .map(Some)
+        .ok_or_else(|| bad_request("Idempotency-Key is missing"))
+}
+
+fn bad_request(text: &str) -> Answer {
+    line(400, text)
+}
+
+/// A header whose value may stand in the line of a frame, and is of limited length.
+fn plain_header<'a>(request: &'a Reader, name: &str) -> Option<&'a str> {
+    request.header(name).filter(|value| {
+        (1..=128).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_graphic() && b != b',')
+    })
+}
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -1,82 +1,166 @@
-//! Relay: reads what nodes send, and matches it to the calls out by connection and id.
+//! Reads what nodes send, and matches answers to attempts by connection and id.
+//!
+//! The reading half of a connection's task in `upstream_connection.rs`. A value goes to the in-flight table, the end of its
+//! attempt to the decision module through `dispatch.rs`.
 
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 
 use async_io::Async;
 use ternpick::types::{AttemptOutcome, Micros};
+use ternpick_wire::frames::{self, BadFrame, End};
+use ternpick_wire::ring::Ring;
 
 use crate::router::Router;
-use crate::stages::completion::Return;
+use crate::stages::completion::FinishedAttempt;
 use crate::stages::dispatch;
+use crate::stages::upstream_connection::UpstreamEnd;
+use crate::state::budget::Share;
 use crate::state::nodes::ConnectionId;
-use ternpick_wire::frames::{self, End};
-use ternpick_wire::ring::Ring;
 
-/// Bytes of a node's that may wait to be read on.
-const IN_BOUND: usize = 16 * 1024;
-/// Bytes of a node's words that are logged.
-const WORDS: usize = 200;
-/// Reads in a row before other connections have their turn.
-const READS: usize = 16;
+/// Bytes of a node that may wait to be parsed.
+const INPUT_BOUND: usize = 16 * 1024;
+/// Bytes of a node's error text that are logged.
+const LOGGED_BYTES: usize = 200;
+/// Reads in a row before other connections get their turn.
+const READS_IN_A_ROW: usize = 16;
 
-/// Reads a connection until it ends or sends what cannot be used: also a frame that is begun and not finished
-/// in the time of a dial, which would take in all that comes behind it.
-pub async fn read(router: &Router, id: ConnectionId, stream: &Async<TcpStream>) -> &'static str {
-    let (mut input, mut frame, mut begun) = (Ring::new(IN_BOUND), Vec::new(), None::<Micros>);
-    let mut share = router.budget.share();
+/// What a node has sent cannot be used; its connection ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum UnusableInput {
+    /// A frame, or the answer in it, is malformed.
+    #[error("{0}")]
+    Malformed(BadFrame),
+    /// A frame is begun and not finished in the time of a dial.
+    #[error("a frame is not finished")]
+    Unfinished,
+    /// The node says that it could not use a frame of the router's.
+    #[error("the node could not use a frame")]
+    RejectedByNode,
+    /// A frame of a kind that nodes do not send.
+    #[error("a frame of unknown letter")]
+    UnknownKind,
+    /// An answer to an attempt that never was on this connection.
+    #[error("an answer of unknown id")]
+    UnknownAttempt,
+    /// A load report is not UTF-8.
+    #[error("a report is not text")]
+    ReportNotText,
+    /// The connection's record is gone already.
+    #[error("its connection is gone")]
+    ConnectionRemoved,
+}
+
+/// Reads a connection until it ends or sends what cannot be used: also a frame that is begun and not finished in the time of a
+/// dial, which would take in all that comes behind it.
+pub(super) async fn read(
+    router: &Router,
+    id: ConnectionId,
+    stream: &Async<TcpStream>,
+) -> UpstreamEnd {
+    let mut reader = UpstreamReader {
+        router,
+        id,
+        input: Ring::new(INPUT_BOUND),
+        frame: Vec::new(),
+        frame_begun: None,
+        memory: router.budget.share(),
+    };
     loop {
-        let stalled = begun
-            .zip(router.bounds.dial_timeout)
-            .map(|(at, limit)| at + limit);
-        match router.with_deadline(stalled, stream.readable()).await {
+        if let Err(end) = reader.read_when_ready(stream).await {
+            return end;
+        }
+    }
+}
+
+/// The bytes of one connection that are not yet whole frames.
+struct UpstreamReader<'a> {
+    router: &'a Router,
+    id: ConnectionId,
+    input: Ring,
+    frame: Vec<u8>,
+    /// When the first byte of the frame that is not finished was read.
+    frame_begun: Option<Micros>,
+    memory: Share,
+}
+
+impl UpstreamReader<'_> {
+    /// Waits for bytes, and reads until there are none or others have their turn.
+    async fn read_when_ready(&mut self, stream: &Async<TcpStream>) -> Result<(), UpstreamEnd> {
+        let unfinished_until = self
+            .frame_begun
+            .zip(self.router.bounds.dial_timeout)
+            .map(|(begun, limit)| begun + limit);
+        let ready = self
+            .router
+            .with_deadline(unfinished_until, stream.readable())
+            .await;
+        match ready {
             Some(Ok(())) => {}
-            Some(Err(_)) => return "cannot be read",
-            None => return spoilt(router, id, "a frame is not finished", &frame),
+            Some(Err(_)) => return Err(UpstreamEnd::ReadFailed),
+            None => return Err(self.unusable(UnusableInput::Unfinished)),
         }
-        for _ in 0..READS {
-            match stream.get_ref().read(input.free()) {
-                Ok(0) => return "ended by the node",
-                Ok(count) => input.filled_more(count),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => return "broke",
+        for _ in 0..READS_IN_A_ROW {
+            match stream.get_ref().read(self.input.free()) {
+                Ok(0) => return Err(UpstreamEnd::ClosedByNode),
+                Ok(count) => self.input.filled_more(count),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                Err(_) => return Err(UpstreamEnd::ReadFailed),
             }
-            loop {
-                match frames::next(&mut input, &mut frame) {
-                    Ok(None) => break,
-                    Ok(Some(letter)) => {
-                        if let Err(what) = take_frame(router, id, letter, &frame) {
-                            return spoilt(router, id, what, &frame);
-                        }
-                        heard(router, id);
-                        begun = None;
-                        frame = Vec::new();
+            self.take_frames()?;
+        }
+        self.input.rest();
+        Ok(())
+    }
+
+    /// Takes all whole frames off the input.
+    fn take_frames(&mut self) -> Result<(), UpstreamEnd> {
+        loop {
+            match frames::next(&mut self.input, &mut self.frame) {
+                Ok(None) => break,
+                Ok(Some(letter)) => {
+                    if let Err(error) = take_frame(self.router, self.id, letter, &self.frame) {
+                        return Err(self.unusable(error));
                     }
-                    Err(what) => return spoilt(router, id, what, &[]),
+                    self.note_heard();
+                    self.frame_begun = None;
+                    self.frame = Vec::new();
+                }
+                Err(error) => {
+                    // What is there of the frame is no frame, and names no attempt.
+                    self.frame.clear();
+                    return Err(self.unusable(UnusableInput::Malformed(error)));
                 }
             }
-            share.set(frame.capacity());
-            begun = begun
-                .or(Some(router.clock.now()))
-                .filter(|_| !frame.is_empty());
         }
-        input.rest();
+        self.memory.set(self.frame.capacity());
+        self.frame_begun = if self.frame.is_empty() {
+            None
+        } else {
+            self.frame_begun.or(Some(self.router.clock.now()))
+        };
+        Ok(())
     }
-}
 
-fn spoilt(router: &Router, id: ConnectionId, what: &'static str, frame: &[u8]) -> &'static str {
-    let (now, mut desk) = (router.clock.now(), router.decisions.borrow_mut());
-    desk.effects.now = now;
-    desk.effects.spoil(id, what, frames::id(frame));
-    what
-}
+    /// Ends the connection over what the node has sent; the attempt that the frame names is the one that has failed.
+    fn unusable(&self, error: UnusableInput) -> UpstreamEnd {
+        let now = self.router.clock.now();
+        let mut decisions = self.router.decisions.borrow_mut();
+        decisions.effects.now = now;
+        let named = frames::id(&self.frame);
+        decisions.effects.abandon_connection(self.id, error, named);
+        UpstreamEnd::UnusableInput(error)
+    }
 
-fn heard(router: &Router, id: ConnectionId) {
-    let (now, mut desk) = (router.clock.now(), router.decisions.borrow_mut());
-    desk.effects.nodes.heard = now;
-    if let Some(connection) = desk.effects.nodes.connection_mut(id) {
-        (connection.used, connection.heard) = (now, now);
+    fn note_heard(&self) {
+        let now = self.router.clock.now();
+        let mut decisions = self.router.decisions.borrow_mut();
+        decisions.effects.nodes.heard = now;
+        if let Some(connection) = decisions.effects.nodes.connection_mut(self.id) {
+            connection.used = now;
+            connection.heard = now;
+        }
     }
 }
 
@@ -85,74 +169,90 @@
     id: ConnectionId,
     letter: u8,
     rest: &[u8],
-) -> Result<(), frames::BadFrame> {
+) -> Result<(), UnusableInput> {
     match letter {
-        b'a' => answer(router, id, rest),
-        b'l' => load(router, id, rest),
+        b'a' => take_answer(router, id, rest),
+        b'l' => take_load_report(router, id, rest),
         b'p' => Ok(()),
         b'e' => {
-            tracing::debug!(
-                "a node's words: {}",
-                String::from_utf8_lossy(&rest[..rest.len().min(WORDS)])
-            );
-            Err("the node could not use a frame")
+            let text = String::from_utf8_lossy(&rest[..rest.len().min(LOGGED_BYTES)]);
+            tracing::debug!(%text, "a node reports an error");
+            Err(UnusableInput::RejectedByNode)
         }
-        _ => Err("a frame of unknown letter"),
+        _ => Err(UnusableInput::UnknownKind),
     }
 }
 
-fn answer(router: &Router, id: ConnectionId, rest: &[u8]) -> Result<(), frames::BadFrame> {
-    let (name, end, report, value) = frames::answer(rest)?;
-    let ending = match end {
+fn take_answer(router: &Router, id: ConnectionId, rest: &[u8]) -> Result<(), UnusableInput> {
+    let (name, end, report, value) = frames::answer(rest).map_err(UnusableInput::Malformed)?;
+    let outcome = match end {
         End::Served => AttemptOutcome::Satisfied,
         End::Broke => AttemptOutcome::MayHaveRun,
         End::Skipped => AttemptOutcome::NeverRan,
     };
-    let back = {
-        let (now, mut desk) = (router.clock.now(), router.decisions.borrow_mut());
-        let office = &mut desk.effects;
-        let Some(connection) = office.nodes.connection_mut(id) else {
-            return Err("gone");
-        };
-        let Some(key) = connection.carries.remove(name) else {
-            // An answer to a call given up is ordinary, and a second copy harmless. One to a call that never was
-            // on this connection belongs to one that is: that one would wait for its time to be up.
-            return if connection.is_over(name) {
-                Ok(())
-            } else {
-                Err("an answer of unknown id")
-            };
-        };
-        let Some(call) = office.in_flight.finish(key) else {
-            return Ok(());
-        };
-        connection.over(&call.id, now);
-        if let Some((held, _)) = office.in_flight.part(&call) {
-            held.taken
-                .span
-                .in_scope(|| tracing::debug!("relay: part {} {ending:?}", call.id));
-        }
-        if ending == AttemptOutcome::Satisfied {
-            office.in_flight.keep(&call, value);
-        }
-        office.nodes.stir_retired(id);
-        Return { key, call, ending }
+    let Some(finished) = finish_attempt(router, id, name, outcome, value)? else {
+        return Ok(());
     };
-    dispatch::returned(
-        router,
-        back,
-        &frames::report(report, &router.bounds.columns),
-    );
+    let load_report = frames::report(report, &router.bounds.columns);
+    dispatch::attempt_finished(router, finished, &load_report);
     Ok(())
 }
 
-fn load(router: &Router, id: ConnectionId, rest: &[u8]) -> Result<(), frames::BadFrame> {
-    let text = std::str::from_utf8(rest).map_err(|_| "a report is not text")?;
+/// Takes the attempt that an answer names off its connection and the in-flight table; none if it is over already.
+fn finish_attempt(
+    router: &Router,
+    id: ConnectionId,
+    name: &str,
+    outcome: AttemptOutcome,
+    value: &str,
+) -> Result<Option<FinishedAttempt>, UnusableInput> {
+    let now = router.clock.now();
+    let mut decisions = router.decisions.borrow_mut();
+    let effects = &mut decisions.effects;
+    let connection = effects
+        .nodes
+        .connection_mut(id)
+        .ok_or(UnusableInput::ConnectionRemoved)?;
+    let Some(key) = connection.carries.remove(name) else {
+        // An answer to an attempt that was given up is ordinary, and a second answer harmless. One to an attempt that never
+        // was on this connection belongs to another one, which would wait until its time is up.
+        return if connection.is_over(name) {
+            Ok(None)
+        } else {
+            Err(UnusableInput::UnknownAttempt)
+        };
+    };
+    let Some(attempt) = effects.in_flight.finish(key) else {
+        return Ok(None);
+    };
+    connection.over(&attempt.id, now);
+    if let Some((query, _)) = effects.in_flight.part(&attempt) {
+        query
+            .taken
+            .span
+            .in_scope(|| tracing::debug!(attempt = &*attempt.id, ?outcome, "attempt answered"));
+    }
+    if outcome == AttemptOutcome::Satisfied {
+        effects.in_flight.keep(&attempt, value);
+    }
+    effects.nodes.stir_retired(id);
+    Ok(Some(FinishedAttempt {
+        key,
+        attempt,
+        outcome,
+    }))
+}
+
+fn take_load_report(router: &Router, id: ConnectionId, rest: &[u8]) -> Result<(), UnusableInput> {
+    let text = std::str::from_utf8(rest).map_err(|_| UnusableInput::ReportNotText)?;
     let node = {
-        let desk = router.decisions.borrow();
-        desk.effects.nodes.connection(id).ok_or("gone")?.node
+        let decisions = router.decisions.borrow();
+        let connection = decisions.effects.nodes.connection(id);
+        connection.ok_or(UnusableInput::ConnectionRemoved)?.node
     };
     let report = frames::report(text.trim_end(), &router.bounds.columns);
-    router.apply(|brain, now, out| brain.health_check_finished(now, node, &report, out));
+    router.apply(|engine, now, effects| {
+        engine.health_check_finished(now, node, &report, effects);
+    });
     Ok(())
 }
--- a/router/tests/identity.rs
+++ b/router/tests/identity.rs
@@ -589,8 +589,13 @@
         .collect();
     let of = |word: &str| lines.iter().filter(|line| line.contains(word)).count();
     assert_eq!(
-        (lines.len(), of("half allowed"), of("half denied")),
-        (4, 2, 2),
+        (
+            lines.len(),
+            of("index=\"half\""),
+            of("allowed=true"),
+            of("allowed=false")
+        ),
+        (4, 4, 2, 2),
         "{lines:#?}"
     );
     assert!(
@@ -598,8 +603,8 @@
         "{lines:#?}"
     );
     assert!(
-        log.contains("lookup{id=\"q"),
-        "spans follow a lookup: {log}"
+        log.contains("query{request_id=\"q"),
+        "spans follow a query: {log}"
     );
 }
 
