--- a/consensus/tests/release_bytes.rs
+++ b/consensus/tests/release_bytes.rs
@@ -121,10 +121,8 @@
     // A new seat learns; the state goes in the place of the log, and it is sent that.
     let fresh = Replica::join(FLEET, ReplicaId(4), TERMS, 68).expect("a seat");
     fleet.seats.insert(ReplicaId(4), fresh);
-    assert_eq!(
-        fleet.leader().propose_membership(&voters, &[ReplicaId(4)]),
-        Ok(true)
-    );
+    let proposed = fleet.leader().propose_membership(&voters, &[ReplicaId(4)]);
+    assert!(matches!(proposed, Ok(true)), "{proposed:?}");
     fleet.settle();
     assert!(fleet.leader().needs_compaction());
     fleet.leader().compact(b"later state".to_vec());
--- a/fleet_policy/tests/release_bytes.rs
+++ b/fleet_policy/tests/release_bytes.rs
@@ -69,7 +69,7 @@
             Entry::Propose {
                 op,
                 base: Some(Version(400)),
-                paper: paper(403),
+                document: paper(403),
                 confirm: true,
             },
         ),
@@ -78,17 +78,11 @@
             Entry::Propose {
                 op,
                 base: None,
-                paper: paper(404),
+                document: paper(404),
                 confirm: false,
             },
         ),
-        (
-            "verdicts",
-            Entry::Verdicts {
-                number,
-                said: verdicts,
-            },
-        ),
+        ("verdicts", Entry::Verdicts { number, verdicts }),
         (
             "confirm",
             Entry::Confirm {
@@ -99,7 +93,7 @@
         ),
         (
             "begin",
-            Entry::Begin {
+            Entry::BeginBarrier {
                 number,
                 round,
                 without: BTreeSet::from(["n1".into(), "n2".into()]),
@@ -118,7 +112,7 @@
         ),
         (
             "enter",
-            Entry::Enter {
+            Entry::AddMember {
                 op,
                 member: member.clone(),
                 address,
@@ -127,23 +121,23 @@
         ),
         (
             "leave",
-            Entry::Leave {
+            Entry::RemoveMember {
                 op,
                 member: member.clone(),
             },
         ),
         (
             "seat",
-            Entry::Seat {
+            Entry::AssignReplica {
                 op,
                 member: member.clone(),
             },
         ),
-        ("unseat", Entry::Unseat { op, member }),
+        ("unseat", Entry::RemoveReplica { op, member }),
         (
             "learnt",
-            Entry::Learnt {
-                seat: ReplicaId(405),
+            Entry::PromoteLearner {
+                replica: ReplicaId(405),
             },
         ),
         (
@@ -178,7 +172,7 @@
     let mut register = PolicyState::bootstrap(members());
     for (at, (_, outcome)) in outcomes().into_iter().enumerate() {
         if let Outcome::Numbered(number) = outcome {
-            register.annexed(
+            register.extension_applied(
                 Index(2),
                 Some(OperationId(600 + at as u64)),
                 Ok(number),
@@ -186,7 +180,7 @@
             );
         }
     }
-    register.annexed(
+    register.extension_applied(
         Index(3),
         Some(OperationId(611)),
         Err("no such request".into()),
@@ -197,7 +191,7 @@
         Entry::Propose {
             op: OperationId(612),
             base: None,
-            paper: paper(9),
+            document: paper(9),
             confirm: true,
         },
     );
@@ -211,7 +205,7 @@
     );
     register.apply(
         Index(6),
-        Entry::Seat {
+        Entry::AssignReplica {
             op: OperationId(614),
             member: "n2".into(),
         },
@@ -233,7 +227,8 @@
             at: Index(630 + at as u64),
         });
     register.history = history.collect::<VecDeque<HistoryEntry>>();
-    (register.index, register.changed, register.members_at) = (Index(641), Index(642), Index(643));
+    (register.index, register.changed_at, register.members_at) =
+        (Index(641), Index(642), Index(643));
     (
         register.epoch,
         register.newest_version,
@@ -252,7 +247,7 @@
         round: Round(655),
         barrier: Some(BTreeSet::from(["n1".into(), "n2".into()])),
     });
-    register.left = BTreeSet::from(["n8".into(), "n9".into()]);
+    register.departed_members = BTreeSet::from(["n8".into(), "n9".into()]);
     register
 }
 
@@ -344,8 +339,8 @@
             },
         ),
         ("remove", Command::Remove { member: member() }),
-        ("seat", Command::Seat { member: member() }),
-        ("unseat", Command::Unseat { member: member() }),
+        ("seat", Command::AssignReplica { member: member() }),
+        ("unseat", Command::RemoveReplica { member: member() }),
         ("transfer", Command::Transfer { to: "n2".into() }),
         (
             "annex",
--- a/maintenance/tests/release_bytes.rs
+++ b/maintenance/tests/release_bytes.rs
@@ -11,8 +11,8 @@
 use serde::Serialize;
 use ternpick_fleet_policy::{Extension, Index, Member};
 use ternpick_maintenance::{
-    Coordinator, Entry, Fence, HistoryEntry, Limits, MaintenanceConfig, MaintenanceState,
-    Operation, Pause, PermitNo, Phase, Request, RequestNo, RouterReport,
+    Coordinator, CoordinatorTerm, Entry, Fence, HistoryEntry, Limits, MaintenanceConfig,
+    MaintenanceState, Operation, Pause, PermitNo, Phase, Request, RequestNo, RouterReport,
 };
 
 fn postcard<T: Serialize + DeserializeOwned>(recorded: &mut Recorded, name: &str, value: &T) {
@@ -30,13 +30,13 @@
 fn request() -> Request {
     Request {
         machines: vec!["s-1".into(), "router:n2".into()],
-        why: "new disks".into(),
-        by: "ann".into(),
-        lasts: 1_800_000_001,
-        not_before: Some(1_790_000_000_002),
-        by_when: Some(1_790_000_000_003),
+        reason: "new disks".into(),
+        requested_by: "ann".into(),
+        duration_us: 1_800_000_001,
+        not_before_ms: Some(1_790_000_000_002),
+        deadline_ms: Some(1_790_000_000_003),
         priority: 4,
-        together: true,
+        all_at_once: true,
     }
 }
 
@@ -51,7 +51,7 @@
             "change",
             Entry::Change {
                 request: request_no,
-                by_when: Some(1_790_000_000_506),
+                deadline_ms: Some(1_790_000_000_506),
                 priority: 7,
                 by: by(),
             },
@@ -67,22 +67,22 @@
             "hold",
             Entry::Pause {
                 by: by(),
-                why: "a storm".into(),
+                reason: "a storm".into(),
             },
         ),
         ("resume", Entry::Resume { by: by() }),
-        ("begin", Entry::Begin { permit, by: by() }),
+        ("begin", Entry::StartWork { permit, by: by() }),
         (
             "done",
-            Entry::Done {
+            Entry::FinishWork {
                 permit,
                 by: by(),
-                failed: Some("no disk".into()),
+                unfit_reason: Some("no disk".into()),
             },
         ),
         (
             "carry",
-            Entry::Carry {
+            Entry::BecomeCoordinator {
                 member: "n1".into(),
                 term: 508,
             },
@@ -91,39 +91,55 @@
             "take-out",
             Entry::TakeOut {
                 fence,
-                jobs: vec![job.clone(), (RequestNo(509), "s-4".into())],
-                now,
+                operations: vec![
+                    job.clone().into(),
+                    (RequestNo(509), "s-4".to_owned()).into(),
+                ],
+                wall_ms: now,
             },
         ),
         (
             "permit",
-            Entry::Permit {
+            Entry::GrantPermit {
                 fence,
-                job: job.clone(),
-                now,
+                operation: job.clone().into(),
+                wall_ms: now,
             },
         ),
         (
             "back",
-            Entry::Back {
+            Entry::ReturnToService {
                 fence,
-                job: job.clone(),
-                now,
+                operation: job.clone().into(),
+                wall_ms: now,
+            },
+        ),
+        (
+            "keep",
+            Entry::KeepOut {
+                fence,
+                operation: job.into(),
+                wall_ms: now,
             },
         ),
-        ("keep", Entry::Keep { fence, job, now }),
         (
             "own-hold",
-            Entry::OwnHold {
+            Entry::AutoPause {
                 fence,
-                why: "s-4 failing without work".into(),
+                reason: "s-4 failing without work".into(),
+            },
+        ),
+        ("go-on", Entry::AutoResume { fence }),
+        (
+            "load",
+            Entry::SetLoad {
+                fence,
+                calls_per_second: 510,
             },
         ),
-        ("go-on", Entry::GoOn { fence }),
-        ("load", Entry::Load { fence, calls: 510 }),
         (
             "forget",
-            Entry::Forget {
+            Entry::ForgetMember {
                 fence,
                 member: "n3".into(),
             },
@@ -138,8 +154,8 @@
         Phase::Out,
         Phase::Permitted {
             permit,
-            begun: Some("ann".into()),
-            failed: Some("no disk".into()),
+            started_by: Some("ann".into()),
+            unfit_reason: Some("no disk".into()),
         },
         Phase::Returning {
             permit: PermitNo(602),
@@ -153,27 +169,30 @@
     let jobs = stages.into_iter().enumerate().map(|(at, stage)| {
         let job = Operation {
             phase: stage,
-            at: Index(610 + at as u64),
-            since: 1_790_000_000_620 + at as u64,
+            since_index: Index(610 + at as u64),
+            since_ms: 1_790_000_000_620 + at as u64,
         };
-        ((RequestNo(604), format!("s-{at}")), job)
+        ((RequestNo(604), format!("s-{at}")).into(), job)
     });
     MaintenanceState {
         fence: Fence(605),
-        coordinator: Some(("n0".into(), 606)),
+        coordinator: Some(CoordinatorTerm {
+            member: "n0".into(),
+            term: 606,
+        }),
         requests: BTreeMap::from([(RequestNo(604), request())]),
         operations: jobs.collect(),
         pause: Some(Pause {
-            by: "the fleet".into(),
-            why: "s-4 failing without work".into(),
-            own: true,
+            paused_by: "the fleet".into(),
+            reason: "s-4 failing without work".into(),
+            automatic: true,
         }),
         load: 607,
         members: BTreeSet::from([Member::from("n0"), Member::from("n1")]),
         departed_members: BTreeSet::from([Member::from("n9")]),
         history: VecDeque::from([HistoryEntry {
-            at: Index(608),
-            words: "s-0 of request 604: waits".into(),
+            index: Index(608),
+            text: "s-0 of request 604: waits".into(),
         }]),
     }
 }
@@ -219,17 +238,17 @@
 fn the_terms_are_read_from_the_names_that_released_settings_have() {
     let terms = MaintenanceConfig {
         limits: Limits {
-            keep: 3,
-            zone_share: 0.25,
-            most_out: 0.125,
-            per_node: Some(40.5),
-            growth: 0.75,
-            reserve: 2,
+            min_holders: 3,
+            min_zone_share: 0.25,
+            max_out_share: 0.125,
+            node_capacity: Some(40.5),
+            load_growth: 0.75,
+            reserve_nodes: 2,
         },
         lingers: 11_000_000,
-        back_within: 12_000_000,
-        calm: 13_000_000,
-        late_over: 0.0625,
+        return_timeout_us: 12_000_000,
+        stabilization_us: 13_000_000,
+        max_late_share: 0.0625,
     };
     let mut recorded = Recorded::parse(include_str!("release_bytes/terms.txt"));
     json(&mut recorded, "terms.json", &terms);
--- a/router/src/fleet/fragments.rs
+++ b/router/src/fleet/fragments.rs
@@ -4,6 +4,8 @@
 
 use ternpick_fleet_policy::{Member, PeerMessage};
 
+#[cfg(test)]
+mod release_bytes;
 #[cfg(test)]
 mod tests;
 
@@ -86,6 +88,3 @@
         postcard::from_bytes(&bytes).ok()
     }
 }
-
-#[cfg(test)]
-mod release_bytes;
--- a/router/src/fleet/fragments/release_bytes.rs
+++ b/router/src/fleet/fragments/release_bytes.rs
@@ -1,15 +1,18 @@
-//! Routers of two releases exchange parcels: the envelope keeps the bytes that released programs write and read. What may
-//! stand in it is guarded beside its types, in `policy/tests/release_bytes.rs`.
+//! Routers of two releases exchange batches of messages: the envelope keeps the bytes that released programs write and read.
+//! The messages in it are guarded beside their types, in `fleet_policy/tests/release_bytes.rs`.
 
-use ternpick_fleet_policy::{OperationId, ReplicaId};
+use ternpick_consensus::FleetId;
+use ternpick_fleet_policy::{OperationId, PeerMessage, ReplicaId};
 
-use super::*;
+use super::split;
+use crate::fleet::peer_batch::{PeerBatch, PATH};
+use crate::fleet::settings::fleet_id;
 use crate::recorded::Recorded;
 
 #[test]
-fn a_parcel_has_the_bytes_of_the_release() {
+fn a_batch_has_the_bytes_of_the_release() {
     let fleet = FleetId(0x0102_0304_0506_0708);
-    let said = vec![
+    let messages = vec![
         PeerMessage::Inspect {
             op: OperationId(1_001),
             what: "members".into(),
@@ -20,31 +23,28 @@
             word: vec![4, 5],
         },
     ];
-    let parcel = PeerBatch {
+    let batch = PeerBatch {
         fleet,
         from: "n1".into(),
         to: "n2".into(),
-        said,
+        messages,
     };
     let mut recorded = Recorded::parse(include_str!("release_bytes.txt"));
-    recorded.value("parcel", &parcel, PeerBatch::bytes, |bytes| {
-        PeerBatch::parse(bytes, fleet, &"n2".into()).ok()
+    recorded.value("parcel", &batch, PeerBatch::encode, |bytes| {
+        PeerBatch::decode(bytes, fleet, &"n2".into()).ok()
     });
     let long = PeerMessage::InspectionResult {
         op: OperationId(1_004),
         json: "x".repeat(20),
     };
-    for piece in in_pieces(&long, 1_005).expect("it may be sent") {
+    for fragment in split(&long, 1_005).expect("it may be sent") {
         let alone = PeerBatch {
-            said: vec![piece],
-            ..parcel.clone()
+            messages: vec![fragment],
+            ..batch.clone()
         };
-        recorded.bytes("piece", &alone.bytes());
+        recorded.bytes("piece", &alone.encode());
     }
     recorded.bytes("path", PATH.as_bytes());
-    recorded.bytes(
-        "fleet-number",
-        &crate::fleet::number_of("kestrel-plains").0.to_be_bytes(),
-    );
+    recorded.bytes("fleet-number", &fleet_id("kestrel-plains").0.to_be_bytes());
     recorded.finish();
 }
--- a/router/src/lifecycle/snapshot/release_bytes.rs
+++ b/router/src/lifecycle/snapshot/release_bytes.rs
@@ -37,9 +37,9 @@
     };
     Snapshot {
         form: FORM,
-        roster: r#"{"index":44}"#.into(),
-        names: vec![(22, "s-1".into()), (23, "s-2".into())],
-        beliefs,
+        endpoint_list: r#"{"index":44}"#.into(),
+        node_names: vec![(22, "s-1".into()), (23, "s-2".into())],
+        engine: beliefs,
         limits: Some(limits),
         keys: Some((45, r#"{"keys":[]}"#.into())),
         revocations: Some((46, r#"{"to":0}"#.into())),
@@ -50,7 +50,7 @@
 fn a_snapshot_has_the_bytes_of_the_release() {
     let mut recorded = Recorded::parse(include_str!("release_bytes.txt"));
     let bare = Snapshot {
-        beliefs: EngineSnapshot::default(),
+        engine: EngineSnapshot::default(),
         limits: None,
         keys: None,
         revocations: None,
--- a/tests/common/recorded.rs
+++ b/tests/common/recorded.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-pub struct Recorded<'a> {
+pub(crate) struct Recorded<'a> {
     lines: BTreeMap<&'a str, &'a str>,
     compared: BTreeSet<String>,
     differences: Vec<String>,
@@ -34,7 +34,7 @@
 
 impl<'a> Recorded<'a> {
     /// Reads the lines; empty ones and those that begin with `#` say nothing.
-    pub fn parse(text: &'a str) -> Recorded<'a> {
+    pub(crate) fn parse(text: &'a str) -> Recorded<'a> {
         let mut lines = BTreeMap::new();
         for line in text.lines() {
             if line.is_empty() || line.starts_with('#') {
@@ -54,7 +54,7 @@
     }
 
     /// The bytes that were recorded under a name.
-    pub fn recorded_bytes(&self, name: &str) -> Vec<u8> {
+    pub(crate) fn recorded_bytes(&self, name: &str) -> Vec<u8> {
         let line = self.lines.get(name).copied().and_then(bytes_of);
         line.unwrap_or_else(|| panic!("no bytes are recorded as {name}"))
     }
@@ -75,13 +75,13 @@
     }
 
     /// Bytes that the present code wrote are those that were recorded.
-    pub fn bytes(&mut self, name: &str, written: &[u8]) {
+    pub(crate) fn bytes(&mut self, name: &str, written: &[u8]) {
         self.compare(name, &hexadecimal(written));
     }
 
     /// A value is written as was recorded, and what was recorded is read back as the same value: `decode` reads bytes,
     /// and `encode` writes the same bytes from what it has read.
-    pub fn value<T>(
+    pub(crate) fn value<T>(
         &mut self,
         name: &str,
         value: &T,
@@ -100,7 +100,7 @@
     }
 
     /// As [`Recorded::value`], of a value that is written as JSON on one line.
-    pub fn json<T>(
+    pub(crate) fn json<T>(
         &mut self,
         name: &str,
         value: &T,
@@ -118,7 +118,7 @@
     }
 
     /// All that is recorded was compared, and nothing differs.
-    pub fn finish(self) {
+    pub(crate) fn finish(self) {
         let names = self.lines.keys();
         let missing: Vec<&&str> = names
             .filter(|name| !self.compared.contains(**name))
