--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -1,5 +1,5 @@
-//! What deciding costs, by nodes known and lookups in hand: `cargo bench -p ternpick`. Four parts a lookup, three holders a
-//! shard, a report with every answer; the time is of all inputs of one lookup.
+//! What decisions cost, by nodes known and queries in hand: `cargo bench -p ternpick`. Four requests a query, three
+//! nodes a shard, a load report with every answer; the time is of all inputs of one query.
 
 use std::collections::VecDeque;
 
@@ -8,16 +8,16 @@
 use ternpick::routing::RoutingEngine;
 use ternpick::types::*;
 
-const PARTS: u64 = 4;
-const HOLDERS: u32 = 3;
+const REQUESTS: u64 = 4;
+const NODES_PER_SHARD: u32 = 3;
 
-/// Calls that are out, in order.
+/// Attempts in flight, in order.
 #[derive(Default)]
-struct Out(VecDeque<(ShardRequestId, NodeId)>);
+struct InFlight(VecDeque<(ShardRequestId, NodeId)>);
 
-impl Actions for Out {
-    fn send_attempt(&mut self, part: ShardRequestId, node: NodeId, _: Micros) {
-        self.0.push_back((part, node));
+impl Actions for InFlight {
+    fn send_attempt(&mut self, request: ShardRequestId, node: NodeId, _: Micros) {
+        self.0.push_back((request, node));
     }
     fn answer(&mut self, _: QueryId, _: bool) {}
     fn reject(&mut self, _: QueryId, _: Micros) {}
@@ -31,28 +31,28 @@
 }
 
 struct Router {
-    brain: RoutingEngine,
-    out: Out,
+    engine: RoutingEngine,
+    in_flight: InFlight,
     now: Micros,
     next: u64,
-    cells: u32,
+    groups: u32,
 }
 
 impl Router {
     fn new(nodes: u64) -> Router {
-        let cells = (nodes as u32 / HOLDERS).max(1);
-        let soft = Micros(10_000_000);
+        let groups = (nodes as u32 / NODES_PER_SHARD).max(1);
+        let objective = Micros(10_000_000);
         let index = IndexConfig {
-            latency_objective: soft,
+            latency_objective: objective,
             priority_weight: 1.0,
             required_weight: 1.0,
             min_weight: 1.0,
             ..IndexConfig::default()
         };
-        let tariff = PlatformConfig {
+        let config = PlatformConfig {
             indexes: vec![index],
             router_count: 1.0,
-            shard_group_count: cells,
+            shard_group_count: groups,
             groups_per_shard: 1,
             load_metrics: vec![LoadMetric::Queue],
             load_reporting: LoadReporting::InAnswers,
@@ -61,92 +61,92 @@
             tick: Micros(1000),
             ..PlatformConfig::default()
         };
-        let (mut brain, mut out, now) = (
-            RoutingEngine::new(tariff, 1),
-            Out::default(),
-            Micros(1_000_000_000),
-        );
-        let listing = |id| Endpoint {
+        let mut engine = RoutingEngine::new(config, 1);
+        let mut in_flight = InFlight::default();
+        let now = Micros(1_000_000_000);
+        let endpoint = |id| Endpoint {
             node: NodeId(id),
-            shard_group: ShardGroupNo(id as u32 % cells),
+            shard_group: ShardGroupNo(id as u32 % groups),
             ..Endpoint::default()
         };
-        let list: Vec<Endpoint> = (0..nodes).map(listing).collect();
-        brain.endpoints_changed(now, &list, true, &mut out);
+        let list: Vec<Endpoint> = (0..nodes).map(endpoint).collect();
+        engine.endpoints_changed(now, &list, true, &mut in_flight);
         Router {
-            brain,
-            out,
+            engine,
+            in_flight,
             now,
             next: 0,
-            cells,
+            groups,
         }
     }
 
-    /// A lookup comes in.
-    fn takes(&mut self) {
+    /// A query comes in.
+    fn query_comes(&mut self) {
         self.now += Micros(50);
         self.next += 1;
-        let (id, left) = (self.next, Micros(20_000_000));
+        let id = self.next;
+        let time_allowed = Micros(20_000_000);
         let query = WireQueryNo(id);
-        self.brain.query_received(
+        self.engine.query_received(
             self.now,
             QueryId(id),
             query,
             IndexNo(0),
             CustomerNo(0),
-            PARTS as usize,
-            left,
+            REQUESTS as usize,
+            time_allowed,
             false,
-            &mut self.out,
+            &mut self.in_flight,
         );
-        for at in 0..PARTS {
-            // Shards in an order that visits all cells.
-            let shard = ShardNo(((id * PARTS + at) * 7919 % u64::from(self.cells)) as u32);
-            let part = ShardRequestId(id * PARTS + at);
-            self.brain.shard_request_received(
+        for at in 0..REQUESTS {
+            // Shards in an order that visits all groups.
+            let shard = ShardNo(((id * REQUESTS + at) * 7919 % u64::from(self.groups)) as u32);
+            let request = ShardRequestId(id * REQUESTS + at);
+            self.engine.shard_request_received(
                 self.now,
-                part,
+                request,
                 query,
                 shard,
-                1.0 / PARTS as f64,
+                1.0 / REQUESTS as f64,
                 Some(Micros(900)),
-                &mut self.out,
+                &mut self.in_flight,
             );
         }
     }
 
-    /// As many answers as a lookup has parts.
-    fn hears(&mut self) {
-        for _ in 0..PARTS {
-            let Some((part, node)) = self.out.0.pop_front() else {
+    /// As many answers as a query has requests.
+    fn answers_come(&mut self) {
+        for _ in 0..REQUESTS {
+            let Some((request, node)) = self.in_flight.0.pop_front() else {
                 return;
             };
-            let (lag, report) = (Micros(900), [2.0]);
-            self.brain.attempt_finished(
+            let latency = Micros(900);
+            let report = [2.0];
+            self.engine.attempt_finished(
                 self.now,
-                part,
+                request,
                 AttemptNo(0),
                 node,
-                lag,
+                latency,
                 AttemptOutcome::Satisfied,
                 &report,
-                &mut self.out,
+                &mut self.in_flight,
             );
         }
     }
 }
 
 fn cost(criterion: &mut Criterion) {
-    let mut group = criterion.benchmark_group("lookup");
+    let mut group = criterion.benchmark_group("query");
     group.sample_size(10);
     for (nodes, in_hand) in [(12, 4), (12, 256), (120, 64), (1_200, 4), (12_000, 4)] {
         let mut router = Router::new(nodes);
-        (0..in_hand).for_each(|_| router.takes());
+        (0..in_hand).for_each(|_| router.query_comes());
         let name = format!("{nodes} nodes, {in_hand} in hand");
         group.bench_function(BenchmarkId::from_parameter(name), |bencher| {
             bencher.iter(|| {
-                router.takes();
-                router.hears();
+                router.query_comes();
+                router.answers_come();
             });
         });
     }
