--- a/src/config.rs
+++ b/src/config.rs
@@ -84,7 +84,7 @@
     pub zone: ZoneNo,
     /// Cost of a request that crosses zones, as a share of its gain.
     pub cross_zone_cost: f64,
-    /// Cost of queries that all end late, and of wasted work, as shares of the gain; where they are told.
+    /// Cost of queries that all end late, and of wasted work, as shares of the gain; where they are set.
     pub wasted_work_cost: Option<f64>,
     /// Groups into which the nodes are divided.
     pub shard_group_count: u32,
--- a/src/node.rs
+++ b/src/node.rs
@@ -54,7 +54,7 @@
 /// What another process of this router has in flight to a node.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightElsewhere {
-    /// When that was told: ages are known up to then.
+    /// When that was reported: ages are known up to then.
     pub reported_at: Micros,
     /// The attempts. Emptied when the other process is done.
     pub attempts: Vec<InFlightAttempt>,
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: lists and watch events as they come, lost watches, and drains by operators.
 //!
-//! Draining and gone nodes get nothing new from the moment that is told. A new start voids what was known of
+//! Draining and gone nodes get nothing new from the moment that is known. A new start voids what was known of
 //! the old process. When discovery is called, and how long a call waits, is [`crate::watch_schedule`].
 
 use nanorand::Rng;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -107,7 +107,7 @@
     extra_attempts: VecDeque<Micros>,
     /// The whole retry budget, while this process serves a share of it.
     saved_budget: Option<SavedBudget>,
-    /// When a node last failed, as its connections or the endpoint list told.
+    /// When a node last failed, as its connections or the endpoint list showed.
     last_node_failure: Option<Micros>,
     /// Queries of death, to know their repeats by. Bounded; emptied by later ones, once the clients have
     /// left.
--- a/src/routing/partial_response/tests.rs
+++ b/src/routing/partial_response/tests.rs
@@ -126,7 +126,7 @@
     assert_eq!(recorder.0, [Action::Answer(complete)]);
 }
 
-/// A first answer just before the soft deadline leaves the second phase no time: most of the gain came late.
+/// A first answer just before the latency objective leaves the second phase no time: most of the gain came late.
 #[test_case(770, false; "there is time yet")]
 #[test_case(810, true; "the second phase needs the rest")]
 fn a_first_phase_leaves_the_second_its_time(later: u64, answered: bool) {
--- a/src/routing/placement.rs
+++ b/src/routing/placement.rs
@@ -201,8 +201,8 @@
             let seen = node.latency.map(|micros| micros / 1e3);
             return node.reported_load.or(seen);
         }
-        // A queue of none is no free ride: a call costs a node work of its own, told in mean requests. Queues
-        // are often all empty; then o and m would be 0 and every node alike.
+        // A queue of none is no free ride: a call costs a node work of its own, counted in mean requests.
+        // Queues are often all empty; then o and m would be 0 and every node alike.
         node.reported_load.map(|queue| {
             queue
                 + self
--- a/src/routing/slow_start/tests.rs
+++ b/src/routing/slow_start/tests.rs
@@ -7,7 +7,7 @@
 use crate::routing::test_support::*;
 use crate::types::*;
 
-// A core does ten parts of 100 ms a second; a quarter of twice that, less a tenth, is 4.5.
+// A core does ten requests of 100 ms a second; a quarter of twice that, less a tenth, is 4.5.
 
 #[test_case(1, 4, true; "within the allowance")]
 #[test_case(1, 5, false; "beyond it")]
--- a/src/start_time.rs
+++ b/src/start_time.rs
@@ -1,19 +1,19 @@
 //! When a node started, by this router's own clock. [`crate::routing`] derives from it what a node that warms
 //! up may be sent (slow start).
 //!
-//! What discovery says of a start is a claim of another clock, and the wall clock that it is compared with may
-//! have been stepped: by an hour forward a cold node counted as warm, by an hour back a warm one as cold for
-//! that hour, and a start told after a step back was none.
+//! What discovery says of a start is a claim of another clock, and the wall clock that it is compared with
+//! may have been stepped: by an hour forward a cold node counted as warm, by an hour back a warm one as cold
+//! for that hour, and a start reported after a step back counted as none.
 
 use crate::time::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// Before when a start that is told now did not come. `last_list_at` is when the last list came, without it.
-/// The first list has nothing before it; there the newest claim is one by the same clock, and is over by now: a
-/// node that claims to have started so much earlier is at least so old, whatever this machine's clock reads. No
-/// more can be known, as after a restart.
+/// Before when a start that is reported now did not come. `last_list_at` is when the last list came, without
+/// it. The first list has nothing before it; there the newest claim is one by the same clock, and is over by
+/// now: a node that claims to have started so much earlier is at least so old, whatever this machine's clock
+/// reads. No more can be known, as after a restart.
 pub fn not_before(
     last_list_at: Option<Micros>,
     now: Micros,
