--- a/router/src/fleet/cli/client.rs
+++ b/router/src/fleet/cli/client.rs
@@ -11,7 +11,7 @@
 /// A router that has sent nothing for so long after the time in which it was to answer stands still.
 const GRACE: Duration = Duration::from_secs(2);
 /// How long the router waits for the leader's answer to an inspection, in milliseconds.
-pub(super) const INSPECTION_WAIT_MS: u64 = 3000;
+pub(crate) const INSPECTION_WAIT_MS: u64 = 3000;
 
 /// Asks the router about its fleet. One that stands still is given up a little after the time in which it was to answer.
 pub(crate) fn ask_fleet(socket: &Socket, question: Value) -> Result<Value, ControlError> {
--- a/router/src/fleet/cli/mod.rs
+++ b/router/src/fleet/cli/mod.rs
@@ -22,37 +22,41 @@
 
 use std::process::ExitCode;
 
-pub(crate) use arguments::{FleetCommand, OperationOptions, PolicyCommand as Policy, Wait};
-pub(crate) use client::{ask_fleet, submit};
+use arguments::PolicyCommand;
+
+/// The name by which the program's command line has it.
+pub(crate) use arguments::PolicyCommand as Policy;
+pub(crate) use arguments::{FleetCommand, OperationOptions, Wait};
+pub(crate) use client::{ask_fleet, submit, INSPECTION_WAIT_MS};
 pub(crate) use error::{CommandError, CommandResult};
 pub(crate) use exit_status::ExitStatus;
 pub(crate) use output::{field, finish, finish_without_leader, finish_without_line, rows};
 
 /// Runs a command `ternpick policy ...`; the error is one line for the operator.
-pub(crate) fn policy(command: Policy) -> Result<ExitCode, String> {
+pub(crate) fn policy(command: PolicyCommand) -> Result<ExitCode, String> {
     let result = match command {
-        Policy::Show { socket } => policy_show::run(&socket),
-        Policy::Check { socket, file } => policy_check::run(&socket, &file),
-        Policy::Diff { socket, file } => policy_diff::run(&socket, &file),
-        Policy::Propose {
+        PolicyCommand::Show { socket } => policy_show::run(&socket),
+        PolicyCommand::Check { socket, file } => policy_check::run(&socket, &file),
+        PolicyCommand::Diff { socket, file } => policy_diff::run(&socket, &file),
+        PolicyCommand::Propose {
             options,
             file,
             base,
             waits,
         } => policy_propose::run(&options, &file, base, waits),
-        Policy::Confirm {
+        PolicyCommand::Confirm {
             options,
             number,
             by,
         } => policy_confirm::confirm(&options, number, &by),
-        Policy::Withdraw {
+        PolicyCommand::Withdraw {
             options,
             number,
             by,
             reason,
         } => policy_confirm::withdraw(&options, number, &by, &reason),
-        Policy::History { socket } => policy_history::run(&socket),
-        Policy::Watch { socket } => policy_watch::run(&socket),
+        PolicyCommand::History { socket } => policy_history::run(&socket),
+        PolicyCommand::Watch { socket } => policy_watch::run(&socket),
     };
     exit_code(result)
 }
--- a/router/src/fleet/event_loop.rs
+++ b/router/src/fleet/event_loop.rs
@@ -71,9 +71,12 @@
 /// Acts for the member until this process no longer accepts clients.
 async fn participate(router: &Rc<Router>, fleet: &Rc<Fleet>, address: SocketAddr) {
     let raft_config = settings::raft_config(&fleet.settings);
-    let (replica, journal) = replica_file::load(&fleet.folder, fleet.id, raft_config, random_u64());
-    *fleet.journal.borrow_mut() = journal;
-    fleet.node.borrow_mut().start(router.clock.now(), replica);
+    let file = replica_file::load(&fleet.folder, fleet.id, raft_config, random_u64());
+    *fleet.journal.borrow_mut() = file.journal;
+    fleet
+        .node
+        .borrow_mut()
+        .start(router.clock.now(), file.replica);
     let listener = peer_listener::bind(router, address).await;
     tracing::info!(member = %fleet.me, %address, fleet = %fleet.settings.name, "fleet: listening for peers");
     let listening = router.executor.spawn(peer_listener::serve(
--- a/router/src/fleet/maintenance_cli/client.rs
+++ b/router/src/fleet/maintenance_cli/client.rs
@@ -5,13 +5,11 @@
 use serde_json::{json, Value};
 
 use super::arguments::MachineSelection;
-use crate::fleet::cli::{ask_fleet, rows, submit, OperationOptions};
+use crate::fleet::cli::{ask_fleet, rows, submit, OperationOptions, INSPECTION_WAIT_MS};
 use crate::lifecycle::control::{ControlError, Socket};
 
 /// How often a command that waits asks again.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long the router waits for the leader's answer, in milliseconds.
-pub(super) const INSPECTION_WAIT_MS: u64 = 3000;
 
 /// What the leader's coordinator answers to an inspection.
 pub(super) enum Inspection {
--- a/router/src/fleet/maintenance_cli/mod.rs
+++ b/router/src/fleet/maintenance_cli/mod.rs
@@ -11,8 +11,11 @@
 
 use std::process::ExitCode;
 
+/// The name by which the program's command line has it.
 pub(crate) use arguments::MaintenanceCommand as Works;
 
+use arguments::MaintenanceCommand;
+
 use crate::fleet::cli::{exit_code, CommandResult};
 
 /// Runs a command `ternpick maintenance ...`; the error is one line for the operator.
@@ -20,45 +23,45 @@
     exit_code(run(command))
 }
 
-fn run(command: Works) -> CommandResult {
+fn run(command: MaintenanceCommand) -> CommandResult {
     match command {
-        Works::Ask {
+        MaintenanceCommand::Ask {
             options,
             which,
             why,
             by,
         } => operations::ask(&options, &which, &why, &by),
-        Works::Plan { socket, which } => plan::run(&socket, &which),
-        Works::List { socket } => list::list(&socket),
-        Works::Show { socket, request } => list::show(&socket, request),
-        Works::Next { options, request } => next::run(&options, request),
-        Works::Begin {
+        MaintenanceCommand::Plan { socket, which } => plan::run(&socket, &which),
+        MaintenanceCommand::List { socket } => list::list(&socket),
+        MaintenanceCommand::Show { socket, request } => list::show(&socket, request),
+        MaintenanceCommand::Next { options, request } => next::run(&options, request),
+        MaintenanceCommand::Begin {
             options,
             permit,
             by,
         } => operations::begin(&options, permit, &by),
-        Works::Done {
+        MaintenanceCommand::Done {
             options,
             permit,
             by,
             failed,
         } => operations::done(&options, permit, &by, failed.as_deref()),
-        Works::Hold { options, by, why } => operations::pause(&options, &by, &why),
-        Works::Resume { options, by } => operations::resume(&options, &by),
-        Works::Change {
+        MaintenanceCommand::Hold { options, by, why } => operations::pause(&options, &by, &why),
+        MaintenanceCommand::Resume { options, by } => operations::resume(&options, &by),
+        MaintenanceCommand::Change {
             options,
             request,
             within,
             priority,
             by,
         } => operations::change(&options, request, within, priority, &by),
-        Works::Cancel {
+        MaintenanceCommand::Cancel {
             options,
             request,
             by,
         } => operations::cancel(&options, request, &by),
-        Works::History { socket } => list::history(&socket),
-        Works::Exec {
+        MaintenanceCommand::History { socket } => list::history(&socket),
+        MaintenanceCommand::Exec {
             options,
             request,
             by,
--- a/router/src/fleet/maintenance_cli/plan.rs
+++ b/router/src/fleet/maintenance_cli/plan.rs
@@ -3,9 +3,11 @@
 use serde_json::Value;
 
 use super::arguments::MachineSelection;
-use super::client::{machine_request, INSPECTION_WAIT_MS};
+use super::client::machine_request;
 use super::list::{format_ms, join_names};
-use crate::fleet::cli::{ask_fleet, field, finish_without_line, rows, CommandResult, ExitStatus};
+use crate::fleet::cli::{
+    ask_fleet, field, finish_without_line, rows, CommandResult, ExitStatus, INSPECTION_WAIT_MS,
+};
 use crate::lifecycle::control::Socket;
 
 pub(super) fn run(socket: &Socket, which: &MachineSelection) -> CommandResult {
--- a/router/src/fleet/peer_transport.rs
+++ b/router/src/fleet/peer_transport.rs
@@ -166,7 +166,10 @@
             sleep_until(&router, router.clock.now() + RETRY_DELAY).await;
             continue;
         };
-        match call_with_timeout(&router, &fleet, idle.take(), address, &body).await {
+        let deadline = router.clock.now() + CALL_TIMEOUT;
+        let call = call(&router, &fleet, idle.take(), address, &body);
+        let outcome = router.with_deadline(Some(deadline), call).await;
+        match outcome.unwrap_or(Err(CallError::Timeout)) {
             Ok(connection) => {
                 fleet.count_sent(body.len());
                 idle = connection;
@@ -179,20 +182,6 @@
     }
 }
 
-async fn call_with_timeout(
-    router: &Router,
-    fleet: &Fleet,
-    idle: Option<Connection>,
-    address: SocketAddr,
-    body: &[u8],
-) -> Result<Option<Connection>, CallError> {
-    let deadline = router.clock.now() + CALL_TIMEOUT;
-    router
-        .with_deadline(Some(deadline), call(router, fleet, idle, address, body))
-        .await
-        .unwrap_or(Err(CallError::Timeout))
-}
-
 /// Sends one request and reads its answer. Returns the connection if it can carry a further one.
 async fn call(
     router: &Router,
--- a/router/src/fleet/replica_file.rs
+++ b/router/src/fleet/replica_file.rs
@@ -21,24 +21,45 @@
     folder.join(FILE)
 }
 
+/// What the folder holds at the start.
+pub(super) struct LoadedFile {
+    pub(super) replica: LoadedReplica,
+    /// The file, open for writing; none where it cannot be used.
+    pub(super) journal: Option<Journal>,
+}
+
+impl LoadedFile {
+    fn unusable(reason: String) -> LoadedFile {
+        LoadedFile {
+            replica: LoadedReplica::Unusable(reason),
+            journal: None,
+        }
+    }
+}
+
 /// Reads the replica's state, and opens its file for writing where that can be used.
 pub(super) fn load(
     folder: &Path,
     fleet: FleetId,
     raft_config: RaftConfig,
     seed: u64,
-) -> (LoadedReplica, Option<Journal>) {
+) -> LoadedFile {
     let (journal, stored) = match Journal::open(&path(folder), KIND) {
-        Ok((journal, Some(stored))) => (journal, stored),
-        Ok((journal, None)) => return (LoadedReplica::Missing, Some(journal)),
-        Err(error) => return (LoadedReplica::Unusable(error.to_string()), None),
+        Ok(opened) => opened,
+        Err(error) => return LoadedFile::unusable(error.to_string()),
+    };
+    let Some(stored) = stored else {
+        return LoadedFile {
+            replica: LoadedReplica::Missing,
+            journal: Some(journal),
+        };
     };
     match Replica::open(&stored.bytes, fleet, raft_config, seed) {
-        Ok(replica) => (LoadedReplica::Replica(Box::new(replica)), Some(journal)),
-        Err(error) => {
-            let reason = format!("{}: {error}", path(folder).display());
-            (LoadedReplica::Unusable(reason), None)
-        }
+        Ok(replica) => LoadedFile {
+            replica: LoadedReplica::Replica(Box::new(replica)),
+            journal: Some(journal),
+        },
+        Err(error) => LoadedFile::unusable(format!("{}: {error}", path(folder).display())),
     }
 }
 
