--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -174,7 +174,7 @@
             index = checked.index_name
         ),
     };
-    let shards = checked.shard_requests.iter().map(|(shard, _, _)| *shard);
+    let shards = checked.shard_requests.iter().map(|fields| fields.shard);
     let (query, ids) = decisions.effects.in_flight.open(
         checked.request_id,
         checked.statement,
@@ -187,12 +187,7 @@
     let shard_requests = ids
         .into_iter()
         .zip(checked.shard_requests)
-        .map(|(id, (shard, weight, hint))| NewShardRequest {
-            id,
-            shard,
-            weight,
-            hint,
-        })
+        .map(|(id, fields)| NewShardRequest { id, fields })
         .collect();
     dispatch::start_query(
         router,
--- a/router/src/stages/client_connection.rs
+++ b/router/src/stages/client_connection.rs
@@ -177,9 +177,9 @@
                 self.write_answer(answer, client_closes).await
             }
             Err(ReadFailure::ClientGone) => Err(ConnectionEnd::ClientLeftDuringRequest),
-            Err(ReadFailure::Fault(fault)) => {
-                let (status, text) = fault.status();
-                self.write_answer(admission::line(status, text), true).await
+            Err(ReadFailure::Http(error)) => {
+                let answer = admission::line(error.status(), &error.to_string());
+                self.write_answer(answer, true).await
             }
         }
     }
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -172,7 +172,7 @@
         let written = upstream_writer::is_written(&self.nodes, attempt);
         if let Place::Queued(id, _) = attempt.place {
             if written && cancel_frame == CancelFrame::Send {
-                let frame = frames::give_up(&attempt.id);
+                let frame = frames::cancel(&attempt.id);
                 if let Some(connection) = self.nodes.connection_mut(id) {
                     // A buffer too full for it: the node is not reading, and drops the shard request when its time is up.
                     let _ = connection.push(&frame, self.now);
--- a/router/src/stages/completion/tests.rs
+++ b/router/src/stages/completion/tests.rs
@@ -180,7 +180,7 @@
     assert_eq!(
         fixture.connection().out.filled(),
         if named {
-            frames::give_up("r.0")
+            frames::cancel("r.0")
         } else {
             Vec::new()
         }
--- a/router/src/stages/dispatch.rs
+++ b/router/src/stages/dispatch.rs
@@ -8,7 +8,9 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use ternpick::types::{CustomerNo, IndexNo, Micros, QueryId, ShardNo, ShardRequestId, WireQueryNo};
+use ternpick::types::{CustomerNo, IndexNo, Micros, QueryId, ShardRequestId, WireQueryNo};
+
+use ternpick_wire::query::ShardFields;
 
 use crate::router::Router;
 use crate::stages::completion::{CancelFrame, FinishedAttempt};
@@ -34,12 +36,8 @@
 pub(super) struct NewShardRequest {
     /// Its id in the table.
     pub(super) id: ShardRequestId,
-    /// The shard.
-    pub(super) shard: ShardNo,
-    /// Its share of a complete answer.
-    pub(super) weight: f64,
-    /// The client's estimate of the work, if it gave one.
-    pub(super) hint: Option<Micros>,
+    /// What the client says of the shard.
+    pub(super) fields: ShardFields,
 }
 
 /// Gives the decision module a query and all its shard requests.
@@ -70,9 +68,9 @@
                 now,
                 request.id,
                 number,
-                request.shard,
-                request.weight,
-                request.hint,
+                request.fields.shard,
+                request.fields.weight,
+                request.fields.work_hint,
                 effects,
             );
         }
--- a/router/src/stages/query_request.rs
+++ b/router/src/stages/query_request.rs
@@ -6,7 +6,7 @@
 use ternpick::types::{IndexNo, Micros, RetrySemantics};
 use ternpick_platform_config::Bounds;
 use ternpick_wire::http::Reader;
-use ternpick_wire::query::{self, PartFields};
+use ternpick_wire::query::{self, BadQuery, ShardFields};
 
 use crate::router::Router;
 use crate::stages::admission::line;
@@ -25,7 +25,7 @@
     /// The client has sent it before.
     pub(super) is_retry: bool,
     /// The shards that it asks, with their weights and hints.
-    pub(super) shard_requests: Vec<PartFields>,
+    pub(super) shard_requests: Vec<ShardFields>,
     /// What each shard is asked.
     pub(super) statement: &'a str,
     /// The idempotency key, where the index wants one.
@@ -48,7 +48,7 @@
     router: &Router,
     request: &'a Reader,
     index: Option<IndexNo>,
-    fields: &'a Result<Value, &'static str>,
+    fields: &'a Result<Value, BadQuery>,
 ) -> Result<QueryRequest<'a>, Answer> {
     let index_name = index_name(request);
     let index = index.ok_or_else(|| line(404, "no such index"))?;
@@ -65,9 +65,9 @@
         .ok_or_else(|| bad_request("Req-Id is missing or malformed"))?;
     let deadline = deadline(request, &router.bounds)?;
     let is_retry = request.header("req-retry") == Some("1");
-    let fields = fields.as_ref().map_err(|error| bad_request(error))?;
-    let shard_requests = query::parts(fields, router.bounds.shards).map_err(bad_request)?;
-    let statement = query::statement(fields).map_err(bad_request)?;
+    let fields = fields.as_ref().map_err(|error| bad_query(*error))?;
+    let shard_requests = query::shards(fields, router.bounds.shards).map_err(bad_query)?;
+    let statement = query::statement(fields).map_err(bad_query)?;
     let idempotency_key = idempotency_key(router, request, index)?;
     Ok(QueryRequest {
         request_id,
@@ -107,6 +107,10 @@
         .ok_or_else(|| bad_request("Idempotency-Key is missing"))
 }
 
+fn bad_query(error: BadQuery) -> Answer {
+    bad_request(&error.to_string())
+}
+
 fn bad_request(text: &str) -> Answer {
     line(400, text)
 }
--- a/router/src/stages/request_reader.rs
+++ b/router/src/stages/request_reader.rs
@@ -6,7 +6,7 @@
 use event_listener::EventListener;
 use futures_lite::future;
 use ternpick::types::Micros;
-use ternpick_wire::http::Fault;
+use ternpick_wire::http::HttpError;
 
 use crate::stages::client_connection::{ClientConnection, ConnectionEnd};
 use crate::stages::client_io::{ClientGone, Received};
@@ -22,7 +22,7 @@
     /// Nobody is left to answer.
     ClientGone,
     /// The request cannot be used, or has to make room for others; the client is told.
-    Fault(Fault),
+    Http(HttpError),
 }
 
 impl From<ClientGone> for ReadFailure {
@@ -109,7 +109,7 @@
         router
             .with_deadline(Some(awaited_since + limit), read)
             .await
-            .unwrap_or(Err(ReadFailure::Fault(Fault::TooSlow)))
+            .unwrap_or(Err(ReadFailure::Http(HttpError::TooSlow)))
     }
 
     async fn read_until_complete(&mut self, awaited_since: Micros) -> Result<(), ReadFailure> {
@@ -119,7 +119,7 @@
             let complete = self
                 .request
                 .read(&mut self.io.input)
-                .map_err(ReadFailure::Fault)?;
+                .map_err(ReadFailure::Http)?;
             if complete {
                 return Ok(());
             }
@@ -131,7 +131,7 @@
             let readable = async { stream.readable().await.map_err(|_| ReadFailure::ClientGone) };
             let asked_to_close = async {
                 (&mut close_wanted).await;
-                Err(ReadFailure::Fault(Fault::NoRoom))
+                Err(ReadFailure::Http(HttpError::NoRoom))
             };
             future::or(asked_to_close, readable).await?;
             self.io.receive()?;
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -8,7 +8,7 @@
 
 use async_io::Async;
 use ternpick::types::{AttemptOutcome, Micros};
-use ternpick_wire::frames::{self, BadFrame, End};
+use ternpick_wire::frames::{self, Answer, BadFrame, End};
 use ternpick_wire::ring::Ring;
 
 use crate::router::Router;
@@ -184,16 +184,16 @@
 }
 
 fn take_answer(router: &Router, id: ConnectionId, rest: &[u8]) -> Result<(), UnusableInput> {
-    let (name, end, report, value) = frames::answer(rest).map_err(UnusableInput::Malformed)?;
-    let outcome = match end {
+    let answer = frames::answer(rest).map_err(UnusableInput::Malformed)?;
+    let outcome = match answer.end {
         End::Served => AttemptOutcome::Satisfied,
         End::Broke => AttemptOutcome::MayHaveRun,
         End::Skipped => AttemptOutcome::NeverRan,
     };
-    let Some(finished) = finish_attempt(router, id, name, outcome, value)? else {
+    let Some(finished) = finish_attempt(router, id, &answer, outcome)? else {
         return Ok(());
     };
-    let load_report = frames::report(report, &router.bounds.columns);
+    let load_report = frames::report(answer.report, &router.bounds.columns);
     dispatch::attempt_finished(router, finished, &load_report);
     Ok(())
 }
@@ -202,9 +202,8 @@
 fn finish_attempt(
     router: &Router,
     id: ConnectionId,
-    name: &str,
+    answer: &Answer,
     outcome: AttemptOutcome,
-    value: &str,
 ) -> Result<Option<FinishedAttempt>, UnusableInput> {
     let now = router.clock.now();
     let mut decisions = router.decisions.borrow_mut();
@@ -213,10 +212,10 @@
         .nodes
         .connection_mut(id)
         .ok_or(UnusableInput::ConnectionRemoved)?;
-    let Some(key) = connection.carries.remove(name) else {
+    let Some(key) = connection.carries.remove(answer.id) else {
         // An answer to an attempt that was given up is ordinary, and a second answer harmless. One to an attempt that never
         // was on this connection belongs to another one, which would wait until its time is up.
-        return if connection.is_over(name) {
+        return if connection.is_over(answer.id) {
             Ok(None)
         } else {
             Err(UnusableInput::UnknownAttempt)
@@ -233,7 +232,7 @@
             .in_scope(|| tracing::debug!(attempt = &*attempt.id, ?outcome, "attempt answered"));
     }
     if outcome == AttemptOutcome::Satisfied {
-        effects.in_flight.keep(&attempt, value);
+        effects.in_flight.keep(&attempt, answer.value);
     }
     effects.nodes.stir_retired(id);
     Ok(Some(FinishedAttempt {
--- a/router/src/stages/upstream_writer.rs
+++ b/router/src/stages/upstream_writer.rs
@@ -12,15 +12,14 @@
 use async_io::Async;
 use event_listener::EventListener;
 use futures_lite::future;
-use ternpick::types::{AttemptOutcome, NodeId};
-use ternpick_wire::frames;
+use ternpick::types::{AttemptOutcome, Micros, NodeId};
+use ternpick_wire::frames::{self, ShardRequest};
 
 use crate::router::Router;
 use crate::stages::completion::EffectQueue;
 use crate::stages::upstream_connection::{self, UpstreamEnd};
 use crate::state::in_flight::{CallKey, CallOut, InFlightTable, Place};
 use crate::state::nodes::{ConnectionId, Nodes};
-use ternpick::types::Micros;
 
 pub(crate) use crate::stages::upstream_dial::dial;
 
@@ -136,7 +135,7 @@
         let now = effects.now;
         if let Some(connection) = effects.nodes.connection_mut(id) {
             // A buffer too full for it: the node is not reading, and would not answer.
-            let _ = connection.push(&frames::load_probe(), now);
+            let _ = connection.push(&frames::load_report_request(), now);
         }
     }
 }
@@ -173,11 +172,9 @@
 
 /// The frame of some attempts, as it is sent at `now`.
 fn encode_frame(in_flight: &InFlightTable, keys: &[CallKey], now: Micros) -> Vec<u8> {
-    let mut rest = Vec::new();
-    for attempt in keys.iter().filter_map(|key| in_flight.call(*key)) {
-        let Some((query, shard_request)) = in_flight.part(attempt) else {
-            continue;
-        };
+    let attempts = keys.iter().filter_map(|key| in_flight.call(*key));
+    let requests = attempts.filter_map(|attempt| {
+        let (query, shard_request) = in_flight.part(attempt)?;
         query.taken.span.in_scope(|| {
             tracing::debug!(
                 attempt = &*attempt.id,
@@ -185,18 +182,16 @@
                 "attempt sent"
             );
         });
-        // Rounded down: a node is never told more than is left.
-        let wait_ms = (attempt.due.since(now).0 / 1000).max(1);
-        frames::add_part(
-            &mut rest,
-            &attempt.id,
-            shard_request.shard.0,
-            wait_ms,
-            query.key.as_deref(),
-            &query.statement,
-        );
-    }
-    frames::call(&rest)
+        Some(ShardRequest {
+            id: &attempt.id,
+            shard: shard_request.shard.0,
+            // Rounded down: a node is never told more than is left.
+            wait_ms: (attempt.due.since(now).0 / 1000).max(1),
+            idempotency_key: query.key.as_deref(),
+            statement: &query.statement,
+        })
+    });
+    frames::shard_requests(requests)
 }
 
 /// The writing half of a connection's task: writes what the socket could not take at once, until the connection ends.
--- a/router/tests/common/guarded.rs
+++ b/router/tests/common/guarded.rs
@@ -345,7 +345,7 @@
             tls,
         };
         if keys.is_none() {
-            guarded.log_has("1 keys, new");
+            guarded.log_has("identity: keys changed keys=1 new=");
         }
         guarded
     }
--- a/router/tests/identity.rs
+++ b/router/tests/identity.rs
@@ -82,7 +82,7 @@
         .filter(|id| !id.is_empty())
         .collect();
     world.revoke("token", &id);
-    guarded.log_has("1 words on revocations");
+    guarded.log_has("identity: revocations received new_entries=1 ");
     ids.iter().for_each(|id| guarded.nodes[0].answer(id));
     assert_eq!(receive(&mut stream).0, 200, "taken before");
     *guarded.nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
@@ -108,7 +108,7 @@
     send(&mut stream, "whole", "find", &bearer(&old));
     let frame = guarded.nodes[0].frame('q');
     world.rotate("k2", 0, 60);
-    guarded.log_has("2 keys, new: k2");
+    guarded.log_has("identity: keys changed keys=2 new=\"k2\"");
     for id in frame
         .split("find")
         .filter_map(|line| line.split(' ').next())
@@ -122,7 +122,7 @@
         assert_eq!(ask(&mut stream, "whole", "find", &bearer(token)).0, 200);
     }
     world.revoke("key", "k1");
-    guarded.log_has("1 words on revocations");
+    guarded.log_has("identity: revocations received new_entries=1 ");
     assert_eq!(ask(&mut stream, "whole", "find", &bearer(&old)).0, 401);
 }
 
@@ -138,7 +138,7 @@
     let world = World::new();
     let service = Service::start(Serves::Text(world.public()));
     let guarded = Guarded::with(&world, Some(&service.source(None)), None, "info", 1024);
-    guarded.log_has("1 keys, new: k1");
+    guarded.log_has("identity: keys changed keys=1 new=\"k1\"");
     let token = world.token(&["crew"]);
     let other = {
         let mut other = ternpick_identity::key_manager::KeyManager::default();
@@ -176,7 +176,7 @@
     service.set(Serves::Text(world.public()));
     world.rotate("k2", 0, 60);
     service.set(Serves::Text(world.public()));
-    guarded.log_has("new: k2");
+    guarded.log_has("new=\"k2\"");
     assert_eq!(
         ask(
             &mut stream,
@@ -280,7 +280,7 @@
         "not told yet"
     );
     feed.set(Serves::Text(world.page(None)));
-    guarded.log_has("2 words on revocations");
+    guarded.log_has("identity: revocations received new_entries=2 ");
     assert_eq!(
         ask(
             &mut guarded.router.connect(),
--- /dev/null
+++ b/wire/src/http/reader.rs
@@ -0,0 +1,342 @@
+//! The incremental parser of one connection's messages.
+
+use crate::http::{HttpError, BODY_BOUND, HEADERS_BOUND, HEAD_BOUND};
+use crate::ring::Ring;
+
+/// What the parser expects next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum State {
+    StartLine,
+    Headers,
+    /// So many bytes of a body of known length.
+    Body(usize),
+    /// All that comes until the connection ends.
+    UntilEnd,
+    /// So many bytes of a chunk.
+    Chunk(usize),
+    /// The line end behind a chunk.
+    ChunkEnd,
+    ChunkSize,
+    Trailer,
+    Complete,
+}
+
+/// Which side's messages are read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Kind {
+    Requests,
+    /// One without a length or chunks lasts until its connection ends.
+    Answers,
+}
+
+/// Reads one message after another; between messages it holds next to nothing.
+pub struct Reader {
+    kind: Kind,
+    state: State,
+    /// The line that is not complete yet.
+    line: Vec<u8>,
+    head_bytes: usize,
+    body_bound: usize,
+    start_line: String,
+    /// Names in lower case, and values.
+    headers: Vec<(String, String)>,
+    body: Vec<u8>,
+}
+
+impl Reader {
+    /// A reader of clients' requests.
+    pub fn of_requests() -> Self {
+        Reader::new(Kind::Requests, BODY_BOUND)
+    }
+
+    /// A reader of answers whose bodies have at most `body_bound` bytes.
+    pub fn of_answers(body_bound: usize) -> Self {
+        Reader::new(Kind::Answers, body_bound)
+    }
+
+    fn new(kind: Kind, body_bound: usize) -> Self {
+        Reader {
+            kind,
+            state: State::StartLine,
+            line: Vec::new(),
+            head_bytes: 0,
+            body_bound,
+            start_line: String::new(),
+            headers: Vec::new(),
+            body: Vec::new(),
+        }
+    }
+
+    /// Takes bytes off `input`; true once a message is complete. The next call begins the message after it.
+    pub fn read(&mut self, input: &mut Ring) -> Result<bool, HttpError> {
+        if self.state == State::Complete {
+            *self = Reader::new(self.kind, self.body_bound);
+        }
+        while self.state != State::Complete {
+            if input.is_empty() {
+                return Ok(false);
+            }
+            match self.state {
+                State::UntilEnd => self.read_until_end(input)?,
+                State::Body(left) => {
+                    let left = self.read_body(input, left);
+                    self.state = if left == 0 {
+                        State::Complete
+                    } else {
+                        State::Body(left)
+                    };
+                }
+                State::Chunk(left) => {
+                    let left = self.read_body(input, left);
+                    self.state = if left == 0 {
+                        State::ChunkEnd
+                    } else {
+                        State::Chunk(left)
+                    };
+                }
+                _ => self.read_line(input)?,
+            }
+        }
+        Ok(true)
+    }
+
+    fn read_until_end(&mut self, input: &mut Ring) -> Result<(), HttpError> {
+        let run = input.filled();
+        let taken = run.len();
+        if taken > self.body_bound - self.body.len() {
+            return Err(HttpError::BodyTooLarge);
+        }
+        self.body.extend_from_slice(run);
+        input.consume(taken);
+        Ok(())
+    }
+
+    /// Takes at most `left` bytes of the body; returns how many are left then.
+    fn read_body(&mut self, input: &mut Ring, left: usize) -> usize {
+        let run = input.filled();
+        let taken = run.len().min(left);
+        self.body.extend_from_slice(&run[..taken]);
+        input.consume(taken);
+        left - taken
+    }
+
+    /// Takes bytes up to the end of a line, and interprets the line once it is complete.
+    fn read_line(&mut self, input: &mut Ring) -> Result<(), HttpError> {
+        let run = input.filled();
+        let end = run.iter().position(|byte| *byte == b'\n');
+        let taken = end.map_or(run.len(), |at| at + 1);
+        self.head_bytes += taken;
+        if self.head_bytes > HEAD_BOUND {
+            return Err(HttpError::HeadTooLarge);
+        }
+        self.line.extend_from_slice(&run[..taken]);
+        input.consume(taken);
+        if end.is_none() {
+            return Ok(());
+        }
+        let line = std::mem::take(&mut self.line);
+        let line = line
+            .strip_suffix(b"\r\n")
+            .ok_or(HttpError::Malformed("a line does not end in CRLF"))?;
+        let text = std::str::from_utf8(line)
+            .ok()
+            .filter(|text| !text.bytes().any(|b| b < b' ' && b != b'\t'))
+            .ok_or(HttpError::Malformed("a line is not plain text"))?;
+        self.line_ended(text)
+    }
+
+    fn line_ended(&mut self, text: &str) -> Result<(), HttpError> {
+        match self.state {
+            // Empty lines before a request are passed over (RFC 9112, section 2.2).
+            State::StartLine if text.is_empty() && self.kind == Kind::Requests => {}
+            State::StartLine => self.start_line_ended(text)?,
+            State::Headers if text.is_empty() => self.head_ended()?,
+            State::Headers => self.header_ended(text)?,
+            State::ChunkSize => self.chunk_size_ended(text)?,
+            State::ChunkEnd if text.is_empty() => self.state = State::ChunkSize,
+            State::ChunkEnd => {
+                return Err(HttpError::Malformed("a chunk is longer than its size"));
+            }
+            State::Trailer if text.is_empty() => self.state = State::Complete,
+            State::Trailer
+            | State::Body(_)
+            | State::UntilEnd
+            | State::Chunk(_)
+            | State::Complete => {}
+        }
+        Ok(())
+    }
+
+    fn start_line_ended(&mut self, text: &str) -> Result<(), HttpError> {
+        self.start_line = text.to_owned();
+        let mut words = self.start_line.split(' ');
+        let first = words.next();
+        let second = words.next();
+        let third = words.next();
+        let version = match self.kind {
+            Kind::Answers => first,
+            Kind::Requests => {
+                let no_method = first == Some("");
+                let no_target = second.is_none_or(str::is_empty);
+                if no_method || no_target || words.next().is_some() {
+                    return Err(HttpError::Malformed("the request line is malformed"));
+                }
+                third
+            }
+        };
+        match version {
+            Some("HTTP/1.1" | "HTTP/1.0") => {}
+            Some(other) if other.starts_with("HTTP/") => return Err(HttpError::UnknownVersion),
+            _ => return Err(HttpError::Malformed("the start line is malformed")),
+        }
+        self.state = State::Headers;
+        Ok(())
+    }
+
+    fn header_ended(&mut self, text: &str) -> Result<(), HttpError> {
+        let (name, value) = text
+            .split_once(':')
+            .ok_or(HttpError::Malformed("a header has no colon"))?;
+        let is_token_byte = |b: u8| b.is_ascii_alphanumeric() || b"-_.~!#$%&'*+^`|".contains(&b);
+        if name.is_empty() || !name.bytes().all(is_token_byte) {
+            return Err(HttpError::Malformed("a header's name is malformed"));
+        }
+        if self.headers.len() >= HEADERS_BOUND {
+            return Err(HttpError::HeadTooLarge);
+        }
+        self.headers
+            .push((name.to_ascii_lowercase(), value.trim().to_owned()));
+        Ok(())
+    }
+
+    fn chunk_size_ended(&mut self, text: &str) -> Result<(), HttpError> {
+        let digits = text.split(';').next().unwrap_or_default().trim_end();
+        if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
+            return Err(HttpError::Malformed("a chunk's size is malformed"));
+        }
+        let size = usize::from_str_radix(digits, 16).unwrap_or(usize::MAX);
+        if size > self.body_bound - self.body.len() {
+            return Err(HttpError::BodyTooLarge);
+        }
+        self.state = if size == 0 {
+            State::Trailer
+        } else {
+            State::Chunk(size)
+        };
+        Ok(())
+    }
+
+    /// Finds out how the body is delimited (RFC 9112, section 6.3).
+    fn head_ended(&mut self) -> Result<(), HttpError> {
+        let lengths = self.headers("content-length").count();
+        let codings = self.headers("transfer-encoding").count();
+        let has_no_body = matches!(self.status(), Some(204 | 304));
+        self.state = match (lengths, codings) {
+            (0, 0) if self.kind == Kind::Answers && !has_no_body => State::UntilEnd,
+            (0, 0) => State::Complete,
+            (1, 0) => self.state_of_length()?,
+            (0, 1) => self.state_of_coding()?,
+            _ => return Err(HttpError::Malformed("lengths conflict")),
+        };
+        Ok(())
+    }
+
+    fn state_of_length(&self) -> Result<State, HttpError> {
+        let digits = self.header("content-length").unwrap_or_default();
+        if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) {
+            return Err(HttpError::Malformed("the body's length is malformed"));
+        }
+        let length = digits.parse().unwrap_or(usize::MAX);
+        if length > self.body_bound {
+            return Err(HttpError::BodyTooLarge);
+        }
+        Ok(if length == 0 {
+            State::Complete
+        } else {
+            State::Body(length)
+        })
+    }
+
+    fn state_of_coding(&self) -> Result<State, HttpError> {
+        let coding = self.header("transfer-encoding").unwrap_or_default();
+        if coding.eq_ignore_ascii_case("chunked") {
+            Ok(State::ChunkSize)
+        } else {
+            Err(HttpError::UnknownCoding)
+        }
+    }
+
+    /// The connection has ended in order, which a reset is not; true if that makes the message complete.
+    pub fn ended(&mut self) -> bool {
+        if self.state == State::UntilEnd {
+            self.state = State::Complete;
+        }
+        self.state == State::Complete
+    }
+
+    /// A request's method.
+    pub fn method(&self) -> &str {
+        self.start_line.split(' ').next().unwrap_or_default()
+    }
+
+    /// The path of a request's target, without what follows a question mark.
+    pub fn path(&self) -> &str {
+        let target = self.start_line.split(' ').nth(1).unwrap_or_default();
+        target.split('?').next().unwrap_or_default()
+    }
+
+    /// An answer's status.
+    pub fn status(&self) -> Option<u16> {
+        self.start_line.split(' ').nth(1)?.parse().ok()
+    }
+
+    /// All values of a header, by its name in lower case.
+    pub fn headers<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+        self.headers
+            .iter()
+            .filter(move |(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
+    }
+
+    /// The first value of a header, by its name in lower case.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
+    }
+
+    /// The body, as far as it has arrived.
+    pub fn body(&self) -> &[u8] {
+        &self.body
+    }
+
+    /// Gives the body's memory back while its answer is awaited.
+    pub fn forget_body(&mut self) {
+        self.body = Vec::new();
+    }
+
+    /// The memory that a message takes up while it arrives, in bytes.
+    pub fn size(&self) -> usize {
+        self.head_bytes + self.line.capacity() + self.body.capacity()
+    }
+
+    /// Whether its sender ends the connection after this message (RFC 9112, section 9.3).
+    pub fn closes(&self) -> bool {
+        let has_option = |wanted: &str| {
+            let options = self.header("connection").unwrap_or_default();
+            options
+                .split(',')
+                .any(|option| option.trim().eq_ignore_ascii_case(wanted))
+        };
+        let version_word = match self.kind {
+            Kind::Answers => 0,
+            Kind::Requests => 2,
+        };
+        let is_http_1_0 = self.start_line.split(' ').nth(version_word) == Some("HTTP/1.0");
+        let lasts_until_end = self.kind == Kind::Answers
+            && self.header("content-length").is_none()
+            && self.header("transfer-encoding").is_none();
+        has_option("close") || is_http_1_0 && !has_option("keep-alive") || lasts_until_end
+    }
+}
--- a/wire/src/http/tests.rs
+++ b/wire/src/http/tests.rs
@@ -1,4 +1,7 @@
+//! Tests of the HTTP parser: split input, malformed messages, bounds, answers.
+
 use super::*;
+use crate::ring::Ring;
 use test_case::test_case;
 
 const PLAIN: &str =
@@ -7,7 +10,7 @@
                       2;x=y\r\nbo\r\n2\r\ndy\r\n0\r\nTrailer: t\r\n\r\n";
 
 /// Feeds a message piece by piece.
-fn read(reader: &mut Reader, pieces: &[&[u8]]) -> Result<bool, Fault> {
+fn read(reader: &mut Reader, pieces: &[&[u8]]) -> Result<bool, HttpError> {
     let mut ring = Ring::new(1 << 20);
     let mut whole = false;
     for piece in pieces {
@@ -70,8 +73,8 @@
 #[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 400; "a long chunk")]
 #[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\n", 413; "endless chunk")]
 fn refuses_what_makes_no_sense(message: &str, status: u16) {
-    let fault = read(&mut Reader::of_requests(), &[message.as_bytes()]);
-    assert_eq!(fault.map_err(|fault| fault.status().0), Err(status));
+    let result = read(&mut Reader::of_requests(), &[message.as_bytes()]);
+    assert_eq!(result.map_err(|error| error.status()), Err(status));
 }
 
 #[test]
@@ -88,7 +91,7 @@
         &mut Reader::of_requests(),
         &[head(HEADERS_BOUND + 1).as_bytes()],
     );
-    assert_eq!(more, Err(Fault::HeadTooLarge));
+    assert_eq!(more, Err(HttpError::HeadTooLarge));
 }
 
 #[test_case("A: b\r\n"; "many short headers")]
@@ -97,7 +100,7 @@
     let message = format!("GET / HTTP/1.1\r\n{}", piece.repeat(HEAD_BOUND));
     assert_eq!(
         read(&mut Reader::of_requests(), &[message.as_bytes()]),
-        Err(Fault::HeadTooLarge)
+        Err(HttpError::HeadTooLarge)
     );
 }
 
@@ -108,7 +111,7 @@
         format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{chunk}1\r\n");
     assert_eq!(
         read(&mut Reader::of_requests(), &[message.as_bytes()]),
-        Err(Fault::BodyTooLarge)
+        Err(HttpError::BodyTooLarge)
     );
 }
 
@@ -118,7 +121,7 @@
 #[test_case("HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n", Ok(None); "no status")]
 fn reads_answers(message: &str, status: Result<Option<u16>, u16>) {
     let mut reader = Reader::of_answers(BODY_BOUND);
-    let read = read(&mut reader, &[message.as_bytes()]).map_err(|fault| fault.status().0);
+    let read = read(&mut reader, &[message.as_bytes()]).map_err(|error| error.status());
     assert_eq!(read.map(|whole| reader.status().filter(|_| whole)), status);
 }
 
@@ -150,5 +153,5 @@
         &mut Reader::of_answers(BODY_BOUND),
         &[head.as_bytes(), endless.as_bytes()],
     );
-    assert_eq!(read, Err(Fault::BodyTooLarge));
+    assert_eq!(read, Err(HttpError::BodyTooLarge));
 }
--- a/wire/src/query.rs
+++ b/wire/src/query.rs
@@ -1,109 +1,106 @@
-//! A lookup as a client's body words it, and the body that answers it.
+//! A query as a client's body holds it, and the body that answers it. JSON; its keys are the clients' protocol.
+
+#[cfg(test)]
+mod tests;
+
+use std::collections::BTreeSet;
 
 use serde_json::{json, Value};
 use ternpick::types::{Micros, ShardNo};
+use thiserror::Error;
+
+/// Why a body is not a query. Displays as the text that the client is told.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum BadQuery {
+    /// It is not JSON.
+    #[error("the body is not JSON")]
+    NotJson,
+    /// It names no shards.
+    #[error("no tablets")]
+    NoShards,
+    /// It names a shard that does not exist, or that is not a number.
+    #[error("an unknown tablet")]
+    UnknownShard,
+    /// It names a shard twice.
+    #[error("a tablet stands twice")]
+    RepeatedShard,
+    /// The weight of a shard is missing, or not within 0 and 1.
+    #[error("a fraction that is none")]
+    BadWeight,
+    /// The weights do not sum to 1.
+    #[error("the fractions do not sum to 1")]
+    WeightSum,
+    /// It has no statement.
+    #[error("no statement")]
+    NoStatement,
+}
 
-pub fn parse(body: &[u8]) -> Result<Value, &'static str> {
-    serde_json::from_slice(body).map_err(|_| "the body is not JSON")
+/// What a query says of one shard.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShardFields {
+    /// The shard.
+    pub shard: ShardNo,
+    /// Its share of a complete answer, within 0 and 1.
+    pub weight: f64,
+    /// The client's estimate of the work, if it gives one.
+    pub work_hint: Option<Micros>,
 }
 
-/// A part's shard, its weight and, where it is there, a guess at the work.
-pub type PartFields = (ShardNo, f64, Option<Micros>);
+/// The weights of one query may sum to so much more or less than 1: clients round them.
+const WEIGHT_TOLERANCE: f64 = 0.01;
 
-/// Shares of one answer may sum to so much more or less than the whole: clients round them.
-const ROUNDED: f64 = 0.01;
+/// Parses a body.
+pub fn parse(body: &[u8]) -> Result<Value, BadQuery> {
+    serde_json::from_slice(body).map_err(|_| BadQuery::NotJson)
+}
 
-pub fn parts(body: &Value, shards: Option<u32>) -> Result<Vec<PartFields>, &'static str> {
-    let listed = body["tablets"]
+/// The shards that a query asks, of `shard_count` if that is known.
+pub fn shards(body: &Value, shard_count: Option<u32>) -> Result<Vec<ShardFields>, BadQuery> {
+    let rows = body["tablets"]
         .as_array()
         .filter(|rows| !rows.is_empty())
-        .ok_or("no tablets")?;
-    let mut parts: Vec<PartFields> = Vec::with_capacity(listed.len());
-    let mut seen = std::collections::BTreeSet::new();
-    for row in listed {
+        .ok_or(BadQuery::NoShards)?;
+    let mut shards: Vec<ShardFields> = Vec::with_capacity(rows.len());
+    let mut seen = BTreeSet::new();
+    for row in rows {
         let shard = row["tablet"]
             .as_u64()
-            .and_then(|shard| u32::try_from(shard).ok());
-        let shard = shard
-            .filter(|shard| shards.is_none_or(|all| *shard < all))
-            .ok_or("an unknown tablet")?;
+            .and_then(|shard| u32::try_from(shard).ok())
+            .filter(|shard| shard_count.is_none_or(|count| *shard < count))
+            .ok_or(BadQuery::UnknownShard)?;
         if !seen.insert(shard) {
-            return Err("a tablet stands twice");
+            return Err(BadQuery::RepeatedShard);
         }
-        let fraction = row["fraction"]
+        let weight = row["fraction"]
             .as_f64()
-            .filter(|share| (0.0..=1.0).contains(share));
-        let guess = row["guess"]
+            .filter(|weight| (0.0..=1.0).contains(weight))
+            .ok_or(BadQuery::BadWeight)?;
+        let work_hint = row["guess"]
             .as_f64()
-            .filter(|guess| *guess >= 1.0)
-            .map(|guess| Micros(guess as u64));
-        parts.push((
-            ShardNo(shard),
-            fraction.ok_or("a fraction that is none")?,
-            guess,
-        ));
+            .filter(|micros| *micros >= 1.0)
+            .map(|micros| Micros(micros as u64));
+        shards.push(ShardFields {
+            shard: ShardNo(shard),
+            weight,
+            work_hint,
+        });
     }
-    let sum = parts.iter().map(|(_, share, _)| share).sum::<f64>();
-    if (sum - 1.0).abs() > ROUNDED {
-        return Err("the fractions do not sum to 1");
+    let sum: f64 = shards.iter().map(|fields| fields.weight).sum();
+    if (sum - 1.0).abs() > WEIGHT_TOLERANCE {
+        return Err(BadQuery::WeightSum);
     }
-    Ok(parts)
+    Ok(shards)
 }
 
-/// What each part has to carry.
-pub fn statement(body: &Value) -> Result<&str, &'static str> {
-    body["statement"].as_str().ok_or("no statement")
+/// What each shard is asked.
+pub fn statement(body: &Value) -> Result<&str, BadQuery> {
+    body["statement"].as_str().ok_or(BadQuery::NoStatement)
 }
 
-pub fn answer<'a>(whole: bool, values: impl Iterator<Item = (ShardNo, &'a str)>) -> String {
+/// The body of an answer; `complete` if all shards have a value.
+pub fn answer<'a>(complete: bool, values: impl Iterator<Item = (ShardNo, &'a str)>) -> String {
     let pieces: Vec<Value> = values
         .map(|(shard, value)| json!({"tablet": shard.0, "cell": value}))
         .collect();
-    json!({"full": whole, "pieces": pieces}).to_string()
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use test_case::test_case;
-
-    #[test_case(r#"{"tablets":[{"tablet":3,"fraction":0.5,"guess":9000},{"tablet":1,"fraction":0.5}]}"#, Some(2); "good")]
-    #[test_case(r#"{"tablets":[]}"#, None; "no parts")]
-    #[test_case(r#"[]"#, None; "not an object")]
-    #[test_case(r#"{"tablets":[{"tablet":3,"fraction":0.5},{"tablet":3,"fraction":0.5}]}"#, None; "doubled")]
-    #[test_case(r#"{"tablets":[{"tablet":8,"fraction":1}]}"#, None; "beyond the shards")]
-    #[test_case(r#"{"tablets":[{"tablet":-1,"fraction":1}]}"#, None; "below the shards")]
-    #[test_case(r#"{"tablets":[{"tablet":1.5,"fraction":1}]}"#, None; "between shards")]
-    #[test_case(r#"{"tablets":[{"tablet":1}]}"#, None; "no fraction")]
-    #[test_case(r#"{"tablets":[{"tablet":1,"fraction":"1"}]}"#, None; "a fraction that is no number")]
-    #[test_case(r#"{"tablets":[{"tablet":1,"fraction":0.3333},{"tablet":2,"fraction":0.3333},{"tablet":3,"fraction":0.3333}]}"#, Some(3); "rounded")]
-    #[test_case(r#"{"tablets":[{"tablet":1,"fraction":0.5},{"tablet":2,"fraction":0.4}]}"#, None; "less than the whole")]
-    #[test_case(r#"{"tablets":[{"tablet":1,"fraction":0.8},{"tablet":2,"fraction":0.8}]}"#, None; "more than the whole")]
-    #[test_case(r#"{"tablets":[{"tablet":1,"fraction":-0.5}]}"#, None; "a negative fraction")]
-    #[test_case(r#"{"tablets":[{"tablet":1,"fraction":1e300}]}"#, None; "more than all")]
-    fn reads_parts(body: &str, count: Option<usize>) {
-        let fields = parse(body.as_bytes()).expect("JSON");
-        assert_eq!(parts(&fields, Some(8)).ok().map(|parts| parts.len()), count);
-    }
-
-    #[test_case(r#"9000"#, Some(Micros(9000)); "a guess")]
-    #[test_case(r#"null"#, None; "nothing")]
-    #[test_case(r#"-4"#, None; "below nothing")]
-    #[test_case(r#""9""#, None; "not a number")]
-    fn reads_guesses(guess: &str, hint: Option<Micros>) {
-        let body = format!(r#"{{"tablets":[{{"tablet":0,"fraction":1,"guess":{guess}}}]}}"#);
-        assert_eq!(
-            parts(&parse(body.as_bytes()).unwrap(), None),
-            Ok(vec![(ShardNo(0), 1.0, hint)])
-        );
-    }
-
-    #[test]
-    fn answers_with_values_as_they_came() {
-        let text = answer(false, [(ShardNo(3), "5b\"e2")].into_iter());
-        assert_eq!(
-            parse(text.as_bytes()),
-            Ok(json!({"full": false, "pieces": [{"tablet": 3, "cell": "5b\"e2"}]}))
-        );
-    }
+    json!({"full": complete, "pieces": pieces}).to_string()
 }
--- a/wire/src/ring.rs
+++ b/wire/src/ring.rs
@@ -1,11 +1,18 @@
-//! A ring buffer: one stands at each connection for each direction. It starts without memory, grows by
-//! doubling up to its bound, and gives its memory back when it has been emptied.
+//! A ring buffer: each connection has one for each direction. It starts without memory, grows by doubling up to its bound, and
+//! gives its memory back when it has been emptied.
 
-const LEAST: usize = 1024;
+#[cfg(test)]
+mod tests;
+
+/// The memory that a buffer begins with, in bytes.
+const INITIAL_SIZE: usize = 1024;
 
+/// A bounded buffer of bytes, first in, first out.
 pub struct Ring {
     bytes: Box<[u8]>,
+    /// Where the first byte is.
     head: usize,
+    /// How many bytes are held; they wrap around the end.
     len: usize,
     bound: usize,
 }
@@ -21,11 +28,12 @@
         }
     }
 
+    /// Whether it holds no byte.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The memory that it takes up.
+    /// The memory that it takes up, in bytes.
     pub fn size(&self) -> usize {
         self.bytes.len()
     }
@@ -48,12 +56,13 @@
         [first, rest].concat()
     }
 
-    /// Gives up the first `count` bytes.
+    /// Removes the first `count` bytes, or all if there are fewer.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
         if self.len == 0 {
-            (self.bytes, self.head) = (Box::default(), 0);
+            self.bytes = Box::default();
+            self.head = 0;
         } else {
             self.head = (self.head + count) % self.bytes.len();
         }
@@ -64,7 +73,8 @@
         if self.len == self.bytes.len() {
             self.grow(self.len + 1);
         }
-        let (size, tail) = (self.bytes.len(), self.head + self.len);
+        let size = self.bytes.len();
+        let tail = self.head + self.len;
         let run = if tail < size {
             tail..size
         } else {
@@ -73,7 +83,7 @@
         &mut self.bytes[run]
     }
 
-    /// Says that `count` bytes of [`Ring::free`] have been filled.
+    /// Counts `count` bytes in that a caller has written to the front of [`Ring::free`].
     pub fn filled_more(&mut self, count: usize) {
         self.len = (self.len + count).min(self.bytes.len());
     }
@@ -108,53 +118,13 @@
         if wanted <= self.bytes.len() {
             return;
         }
-        let size = wanted.next_power_of_two().max(LEAST).min(self.bound);
+        let size = wanted.next_power_of_two().max(INITIAL_SIZE).min(self.bound);
         let mut bytes = vec![0; size].into_boxed_slice();
         let first = self.filled();
         let count = first.len();
         bytes[..count].copy_from_slice(first);
         bytes[count..self.len].copy_from_slice(&self.bytes[..self.len - count]);
-        (self.bytes, self.head) = (bytes, 0);
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use test_case::test_case;
-
-    #[test_case(&[3, 5, 1], 2; "small steps")]
-    #[test_case(&[900, 400, 700], 650; "growing while it wraps")]
-    #[test_case(&[1500], 1500; "more than the least at once")]
-    fn gives_back_what_it_took(pushes: &[usize], taken: usize) {
-        let (mut ring, mut sent, mut got) = (Ring::new(2000), Vec::new(), Vec::new());
-        let mut take = |ring: &mut Ring, mut count: usize| {
-            while count > 0 && !ring.is_empty() {
-                let run = ring.filled().len().min(count);
-                got.extend_from_slice(&ring.filled()[..run]);
-                ring.consume(run);
-                count -= run;
-            }
-        };
-        for (round, count) in pushes.iter().cycle().take(12).enumerate() {
-            let bytes: Vec<u8> = (0..*count).map(|at| (at * 7 + round) as u8).collect();
-            if ring.push(&bytes) {
-                sent.extend(bytes);
-            }
-            take(&mut ring, taken);
-        }
-        take(&mut ring, usize::MAX);
-        assert_eq!(got, sent);
-        assert!(ring.bytes.is_empty(), "an empty buffer holds no memory");
-    }
-
-    #[test]
-    fn refuses_what_goes_over_its_bound() {
-        let mut ring = Ring::new(10);
-        assert!(ring.push(b"12345678"));
-        assert!(!ring.push(b"123"));
-        assert_eq!((ring.len, ring.room()), (8, 2));
-        assert!(ring.push(b"90"));
-        assert!(ring.free().is_empty());
+        self.bytes = bytes;
+        self.head = 0;
     }
 }
