--- a/router/src/stages/client_connection.rs
+++ b/router/src/stages/client_connection.rs
@@ -40,7 +40,7 @@
     ClientLeftBeforeAnswer,
     /// The answer that was written is the last one.
     LastAnswerWritten,
-    /// The answer could not be written whole.
+    /// The answer could not be written in full.
     AnswerNotWritten,
     /// The answer is longer than its bound.
     AnswerTooLong,
--- a/router/src/stages/client_io.rs
+++ b/router/src/stages/client_io.rs
@@ -42,7 +42,7 @@
     pub(crate) output: Ring,
     memory: Share,
     /// Since when the first of the bytes that were sent ahead wait: a client's deadline counts from when it sent them. A
-    /// request behind a slow one was otherwise passed on with the whole of its deadline.
+    /// request behind a slow one was otherwise passed on with its full deadline.
     sent_ahead_at: Option<Micros>,
     /// The client has sent more ahead than may wait: that is read and discarded, and the connection ends with the next
     /// answer.
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -203,7 +203,7 @@
         query.reply.set(status, headers + &mark, body);
     }
 
-    /// Ends the attempts of a shard request whose frames are not written whole.
+    /// Ends the attempts of a shard request whose frames are not written in full.
     fn end_unsent(&mut self, shard_request: ShardRequestId) {
         let unsent: Vec<CallKey> = self
             .in_flight
@@ -236,10 +236,10 @@
     }
 
     fn answer(&mut self, id: QueryId, complete: bool) {
-        let Some(held) = self.in_flight.lookup(id) else {
+        let Some(record) = self.in_flight.lookup(id) else {
             return;
         };
-        let values = held
+        let values = record
             .parts
             .iter()
             .filter_map(|part| Some((part.shard, part.value.as_deref()?)));
@@ -285,8 +285,9 @@
     }
 
     fn record_reason(&mut self, query: QueryId, reason: DecisionReason) {
-        if let Some(held) = self.in_flight.lookup(query) {
-            held.taken
+        if let Some(record) = self.in_flight.lookup(query) {
+            record
+                .taken
                 .span
                 .in_scope(|| tracing::debug!(?reason, "decision"));
         }
--- a/router/src/stages/dispatch.rs
+++ b/router/src/stages/dispatch.rs
@@ -46,9 +46,9 @@
     let count = query.shard_requests.len();
     router.apply(|engine, now, effects| {
         effects.counts.taken += 1;
-        if let Some(held) = effects.in_flight.lookup(query.id) {
+        if let Some(record) = effects.in_flight.lookup(query.id) {
             let time_left_us = query.time_left.0;
-            held.taken.span.in_scope(|| {
+            record.taken.span.in_scope(|| {
                 tracing::debug!(shard_requests = count, time_left_us, "query dispatched")
             });
         }
--- a/router/src/stages/upstream_connection.rs
+++ b/router/src/stages/upstream_connection.rs
@@ -25,7 +25,7 @@
 /// Why a connection to a node ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum UpstreamEnd {
-    /// Its record is gone already.
+    /// Its record is removed already.
     #[error("removed")]
     Removed,
     /// The router ends it itself: a frame on it is not to be finished, or the node has sent what cannot be used.
@@ -148,7 +148,7 @@
     }
 }
 
-/// Removes a connection, and ends the attempts on it. What was not written whole has never run. A connection that the router
+/// Removes a connection, and ends the attempts on it. What was not written in full has never run. A connection that the router
 /// ends itself says nothing of its node but for the attempt whose answer could not be used: the node has not failed.
 fn close(router: &Router, id: ConnectionId) {
     let mut decisions = router.decisions.borrow_mut();
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -47,7 +47,7 @@
     #[error("a report is not text")]
     ReportNotText,
     /// The connection's record is gone already.
-    #[error("its connection is gone")]
+    #[error("its connection is removed")]
     ConnectionRemoved,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// The bytes of one connection that are not yet whole frames.
+/// The bytes of one connection that are not yet complete frames.
 struct UpstreamReader<'a> {
     router: &'a Router,
     id: ConnectionId,
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    /// Takes all whole frames off the input.
+    /// Takes all complete frames off the input.
     fn take_frames(&mut self) -> Result<(), UpstreamEnd> {
         loop {
             match frames::next(&mut self.input, &mut self.frame) {
