--- a/router/src/lifecycle/http_client.rs
+++ b/router/src/lifecycle/http_client.rs
@@ -7,7 +7,7 @@
 
 use async_io::Async;
 use ternpick::types::Micros;
-use ternpick_wire::http::{HttpError, Reader};
+use ternpick_wire::http::{HttpError as MalformedResponse, Reader};
 use ternpick_wire::ring::Ring;
 
 use crate::router::Router;
@@ -27,7 +27,7 @@
     Io(#[from] io::Error),
     /// The response is not HTTP, or larger than allowed.
     #[error("{0:?}")]
-    Malformed(HttpError),
+    Malformed(MalformedResponse),
     /// The connection was closed in the middle of the response.
     #[error("the connection ended")]
     Truncated,
