--- a/fleet_policy/src/leader/tests.rs
+++ b/fleet_policy/src/leader/tests.rs
@@ -4,6 +4,7 @@
 
 use super::*;
 use crate::messages::LastLeaderContact;
+use crate::state_machine::MemberInfo;
 
 const MS: u64 = 1000;
 const NOW: Micros = Micros(10_000 * MS);
@@ -55,3 +56,50 @@
         "a lease may still be valid"
     );
 }
+
+/// Whether a process of the only member gets a lease at this time.
+fn gets_lease(leader: &mut Leader, state: &PolicyState, now: Micros, process: u64) -> bool {
+    let request = LeaseRequest {
+        member: "a".into(),
+        incarnation: Incarnation(process),
+        seq: Seq(now.0),
+        index: Index(0),
+        members_at: Index(0),
+        verdict: None,
+        paused_for: None,
+        is_only_process: true,
+        unfit: None,
+        last_leader_contact: None,
+        machines_out_at: Index(0),
+        extension_report: Vec::new(),
+    };
+    let actions = leader.handle_request(now, state, request);
+    let [LeaderAction::ConfirmLeadership(number)] = &actions[..] else {
+        panic!("no lease is granted unless the leadership is confirmed: {actions:?}");
+    };
+    let answers = leader.leadership_confirmed(now, state, *number);
+    let [LeaderAction::Reply(_, reply)] = &answers[..] else {
+        panic!("one reply: {answers:?}");
+    };
+    reply.grant.is_some()
+}
+
+#[test]
+fn a_ninth_process_of_a_member_gets_no_lease_before_an_earlier_one_has_expired() {
+    let config = LeaseConfig::default();
+    let info = MemberInfo {
+        address: String::new(),
+        zone: String::new(),
+        replica: None,
+        is_learner: false,
+    };
+    let state = PolicyState::bootstrap(BTreeMap::from([("a".into(), info)]));
+    let mut leader = Leader::new(config, NOW, &state);
+    for process in 1..=8 {
+        assert!(gets_lease(&mut leader, &state, NOW, process), "{process}");
+    }
+    assert!(!gets_lease(&mut leader, &state, NOW, 9));
+    let expired = NOW + config.certainly_expired_after();
+    assert!(!gets_lease(&mut leader, &state, expired, 9));
+    assert!(gets_lease(&mut leader, &state, expired + Micros(1), 9));
+}
--- a/fleet_policy/src/lease_holder.rs
+++ b/fleet_policy/src/lease_holder.rs
@@ -7,6 +7,9 @@
 mod admission;
 mod reply;
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::{BTreeMap, VecDeque};
 
 use ternpick::types::Micros;
--- a/fleet_policy/src/policy.cue
+++ b/fleet_policy/src/policy.cue
@@ -5,22 +5,22 @@
 	reason: string & =~"."
 	// By the index's name.
 	indexes: {[string]: #PolicyIndex} | *{}
-	// Nodes that get no new work, by name.
+	// Nodes that get no new queries (draining), by name.
 	drained: [...string] | *[]
-	// Lookups a second within each customer's share, over all routers, by name.
+	// Queries a second within each customer's quota, over all routers, by name.
 	customers: {[string]: {per_second: number & >0}} | *{}
-	// Further calls for parts, over all indexes: within each window so many, and this share of what was taken.
+	// The retry budget, over all indexes: so many retries in each window, and this share of the admitted queries.
 	further?: #Further
 }
 
 #PolicyIndex: {
-	// The least share of parts that an answer may rest on.
+	// The completeness threshold: the least share of shards that an answer may rest on.
 	least?: number & >=0 & <=1
-	// When to answer with what is in, from the lookup's coming on.
+	// The partial-response deadline, from the query's arrival.
 	partly_at?: duration & >=1ms
-	// Calls for a part, the first included.
+	// Attempts for a shard request, the first included.
 	calls?: int & >=1
-	// Whether a late part may have a second call beside the first.
+	// Whether a late shard request may have a hedged request beside it.
 	copies?: bool
 }
 
--- a/fleet_policy/tests/far_behind.rs
+++ b/fleet_policy/tests/far_behind.rs
@@ -83,7 +83,7 @@
     assert_eq!(holder.version(), Some(Version(0)));
     holder.handle_reply(Micros(2), reply(&state));
     assert_eq!(holder.version(), Some(Version(2500)));
-    // What it was told before says nothing new: it never goes back.
+    // An older view changes nothing: a version never goes back.
     holder.handle_reply(Micros(3), reply(&PolicyState::bootstrap(BTreeMap::new())));
     assert_eq!(holder.version(), Some(Version(2500)));
 }
