--- a/router/src/stages/client_connection.rs
+++ b/router/src/stages/client_connection.rs
@@ -40,7 +40,7 @@
     ClientLeftBeforeAnswer,
     /// The answer that was written is the last one.
     LastAnswerWritten,
-    /// The answer could not be written whole.
+    /// The answer could not be written in full.
     AnswerNotWritten,
     /// The answer is longer than its bound.
     AnswerTooLong,
@@ -177,9 +177,9 @@
                 self.write_answer(answer, client_closes).await
             }
             Err(ReadFailure::ClientGone) => Err(ConnectionEnd::ClientLeftDuringRequest),
-            Err(ReadFailure::Fault(fault)) => {
-                let (status, text) = fault.status();
-                self.write_answer(admission::line(status, text), true).await
+            Err(ReadFailure::Http(error)) => {
+                let answer = admission::line(error.status(), &error.to_string());
+                self.write_answer(answer, true).await
             }
         }
     }
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -172,7 +172,7 @@
         let written = upstream_writer::is_written(&self.nodes, attempt);
         if let Place::Queued(id, _) = attempt.place {
             if written && cancel_frame == CancelFrame::Send {
-                let frame = frames::give_up(&attempt.id);
+                let frame = frames::cancel(&attempt.id);
                 if let Some(connection) = self.nodes.connection_mut(id) {
                     // A buffer too full for it: the node is not reading, and drops the shard request when its time is up.
                     let _ = connection.push(&frame, self.now);
@@ -203,7 +203,7 @@
         query.reply.set(status, headers + &mark, body);
     }
 
-    /// Ends the attempts of a shard request whose frames are not written whole.
+    /// Ends the attempts of a shard request whose frames are not written in full.
     fn end_unsent(&mut self, shard_request: ShardRequestId) {
         let unsent: Vec<CallKey> = self
             .in_flight
@@ -236,10 +236,10 @@
     }
 
     fn answer(&mut self, id: QueryId, complete: bool) {
-        let Some(held) = self.in_flight.lookup(id) else {
+        let Some(record) = self.in_flight.lookup(id) else {
             return;
         };
-        let values = held
+        let values = record
             .parts
             .iter()
             .filter_map(|part| Some((part.shard, part.value.as_deref()?)));
@@ -285,8 +285,9 @@
     }
 
     fn record_reason(&mut self, query: QueryId, reason: DecisionReason) {
-        if let Some(held) = self.in_flight.lookup(query) {
-            held.taken
+        if let Some(record) = self.in_flight.lookup(query) {
+            record
+                .taken
                 .span
                 .in_scope(|| tracing::debug!(?reason, "decision"));
         }
