--- a/router/src/lifecycle/cli.rs
+++ b/router/src/lifecycle/cli.rs
@@ -29,7 +29,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves lookups until it is told to stop (SIGTERM)
+    /// Serves queries until it is asked to stop (SIGTERM)
     Serve {
         /// The configuration file
         #[arg(long, env = "ROUTER_CONFIG")]
@@ -67,7 +67,7 @@
     #[command(subcommand)]
     Fleet(fleet::FleetCommand),
     /// Takes machines out for work, in an order that the routers settle, and back again
-    #[command(subcommand)]
+    #[command(subcommand, alias = "maintenance")]
     Works(maintenance_cli::Works),
     /// Tells what callers may do
     #[command(subcommand)]
--- a/router/src/lifecycle/start.rs
+++ b/router/src/lifecycle/start.rs
@@ -46,7 +46,7 @@
     #[error("{0}")]
     Listen(#[from] ListenError),
     /// A listener cannot be duplicated.
-    #[error("a listener is spoilt: {0}")]
+    #[error("a listener cannot be duplicated: {0}")]
     DuplicateListener(io::Error),
     /// The place of another process cannot be taken.
     #[error("{0}")]
@@ -99,7 +99,7 @@
         Origin::Replaces(previous) => ListenerSource::Previous(previous),
     };
     let known_endpoints = config.known_endpoints.take();
-    let polled = config.platform.discovery_is_polled;
+    let discovery_is_polled = config.platform.discovery_is_polled;
     let schedule = WatchSchedule::new(config.bounds.ask_within, !config.seed);
     let name = config.name.clone();
     let builder = RouterBuilder {
@@ -120,13 +120,14 @@
         descriptor_limit,
         tls,
         known_endpoints,
+        discovery_is_polled,
         source,
         digest,
     };
-    let serving = serving.run(listeners, schedule, polled, settings.control, signals);
+    let serving = serving.run(listeners, schedule, settings.control, signals);
     // The executor stays until the process ends, with the tasks that are left on it.
     match future::block_on(executor.run(serving))? {
-        Some(heir) => Ok(parent::stay(heir)?),
+        Some(successor) => Ok(parent::stay(successor)?),
         None => Ok(()),
     }
 }
@@ -153,6 +154,8 @@
     tls: Option<Rc<Tls>>,
     /// The endpoint list of the configuration; null if there is none.
     known_endpoints: Value,
+    /// Whether the decision module asks for the endpoint list itself, rather than having it watched from the start on.
+    discovery_is_polled: bool,
     source: Source,
     digest: u64,
 }
@@ -163,7 +166,6 @@
         self,
         listeners: ListenerSource,
         schedule: WatchSchedule,
-        polled: bool,
         control: Option<ControlTerms>,
         signals: Signals,
     ) -> Result<Option<Child>, StartError> {
@@ -180,7 +182,7 @@
                 self.take_over(previous, control.as_ref()).await?
             }
         };
-        if !polled {
+        if !self.discovery_is_polled {
             self.router.discovery.request_watch();
         }
         let nodes = self.router.decisions.borrow().effects.nodes.count();
@@ -198,7 +200,7 @@
         let stays = control.filter(|control| {
             control.terms.stays_as_parent && self.router.shutdown.is_handed_over()
         });
-        Ok(stays.and_then(|control| control.upgrades.heir.take()))
+        Ok(stays.and_then(|control| control.upgrades.successor.take()))
     }
 
     fn spawn(&self, task: impl std::future::Future<Output = ()> + 'static) {
--- a/router/src/lifecycle/upgrade.rs
+++ b/router/src/lifecycle/upgrade.rs
@@ -67,7 +67,7 @@
     /// Duplicates of the listeners, which go to the new process; the plain one first.
     pub(crate) listeners: Vec<OwnedFd>,
     /// The process that has taken over, for who stays as its parent.
-    pub(crate) heir: RefCell<Option<Child>>,
+    pub(crate) successor: RefCell<Option<Child>>,
     /// Upgrades begun so far.
     pub(crate) begun: Cell<u32>,
 }
@@ -85,7 +85,7 @@
             machine: RefCell::new(machine),
             share: Rc::clone(share),
             listeners,
-            heir: RefCell::default(),
+            successor: RefCell::default(),
             begun: Cell::new(0),
         }
     }
@@ -107,6 +107,6 @@
     upgrades.begun.set(upgrades.begun.get() + 1);
     let driver = driver::Driver::new(router, upgrades, start, report);
     let new_process = driver.run(effects).await?;
-    upgrades.heir.replace(new_process);
+    upgrades.successor.replace(new_process);
     Ok(())
 }
--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -87,23 +87,23 @@
         result
     }
 
-    /// What comes of `what`, or nothing once the time is up; without a time it is waited for.
+    /// The outcome of `operation`, or nothing once `deadline` has come; without a deadline it is waited for.
     pub(crate) async fn with_deadline<T>(
         &self,
-        at: Option<Micros>,
-        what: impl Future<Output = T>,
+        deadline: Option<Micros>,
+        operation: impl Future<Output = T>,
     ) -> Option<T> {
-        let Some(at) = at else {
-            return Some(what.await);
+        let Some(deadline) = deadline else {
+            return Some(operation.await);
         };
         let late = async {
-            Timer::at(self.clock.instant(at)).await;
+            Timer::at(self.clock.instant(deadline)).await;
             None
         };
-        future::or(async { Some(what.await) }, late).await
+        future::or(async { Some(operation.await) }, late).await
     }
 
-    /// A time that the process may not be there to keep: sooner in a stop.
+    /// The earlier of `at` and, in a shutdown, the instant that `by` picks of its schedule: later the process may be gone.
     pub(crate) fn before_shutdown(
         &self,
         at: Option<Micros>,
@@ -112,6 +112,7 @@
         at.into_iter().chain(self.shutdown.schedule().map(by)).min()
     }
 
+    /// Whether a shutdown is under way.
     pub(crate) fn is_stopping(&self) -> bool {
         self.shutdown.schedule().is_some()
     }
--- a/router/src/state/discovery.rs
+++ b/router/src/state/discovery.rs
@@ -61,7 +61,7 @@
         self.list_version.get()
     }
 
-    /// Notes the version of the endpoint list that has been taken in.
+    /// Notes the version of the endpoint list that has been applied.
     pub(crate) fn set_list_version(&self, version: u64) {
         self.list_version.set(version);
     }
--- a/router/src/state/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -174,11 +174,11 @@
         taken: Taken,
     ) -> (QueryId, Vec<ShardRequestId>) {
         let query = QueryId(self.next_number());
-        let parts: Vec<InFlightShardRequest> = shards
+        let shard_requests: Vec<InFlightShardRequest> = shards
             .enumerate()
             .map(|(position, shard)| self.add_shard_request(query, position, shard))
             .collect();
-        let ids = parts.iter().map(|part| part.id).collect();
+        let ids = shard_requests.iter().map(|request| request.id).collect();
         let name = Rc::<str>::from(name);
         self.request_ids.insert(Rc::clone(&name));
         let in_flight = InFlightQuery {
@@ -186,7 +186,7 @@
             name,
             statement: statement.into(),
             key: key.map(Rc::from),
-            parts,
+            parts: shard_requests,
             reply,
         };
         self.queries.insert(query, in_flight);
@@ -220,9 +220,9 @@
     pub(crate) fn close(&mut self, id: QueryId) -> Option<InFlightQuery> {
         let query = self.queries.remove(&id)?;
         self.request_ids.remove(&query.name);
-        for part in &query.parts {
-            self.shard_requests.remove(&part.id);
-            self.answered -= usize::from(part.value.is_some());
+        for shard_request in &query.parts {
+            self.shard_requests.remove(&shard_request.id);
+            self.answered -= usize::from(shard_request.value.is_some());
         }
         Some(query)
     }
@@ -231,16 +231,16 @@
     /// to be dialled, the attempt is examined after `dial` already. Nothing if the shard request is not in flight.
     pub(crate) fn order(
         &mut self,
-        part: ShardRequestId,
+        id: ShardRequestId,
         node: NodeId,
         now: Micros,
         limit: Micros,
         dial: Option<Micros>,
     ) -> Option<CallKey> {
-        let ShardRequestLocation { query, position } = *self.shard_requests.get(&part)?;
+        let ShardRequestLocation { query, position } = *self.shard_requests.get(&id)?;
         let in_flight = self.queries.get_mut(&query)?;
         let shard_request = &mut in_flight.parts[position];
-        let key = (part, AttemptNo(shard_request.calls));
+        let key = (id, AttemptNo(shard_request.calls));
         shard_request.calls = shard_request.calls.checked_add(1)?;
         let due = now + limit;
         let next_check = dial.map_or(due, |dial| due.min(now + dial));
@@ -276,8 +276,8 @@
     /// Whether a connection has carried an attempt of the same shard request.
     pub(crate) fn carried(&self, key: CallKey, connection: ConnectionId) -> bool {
         let attempt = self.attempts.get(&key);
-        let part = attempt.and_then(|attempt| self.part(attempt));
-        part.is_some_and(|(_, part)| part.carried.contains(&connection))
+        let found = attempt.and_then(|attempt| self.part(attempt));
+        found.is_some_and(|(_, shard_request)| shard_request.carried.contains(&connection))
     }
 
     /// Notes that an attempt has been given to a connection, and how far it has come there.
@@ -290,9 +290,10 @@
             return;
         };
         let query = self.queries.get_mut(&attempt.lookup);
-        if let Some(part) = query.and_then(|query| query.parts.get_mut(attempt.at)) {
-            if !part.carried.contains(&connection) {
-                part.carried.push(connection);
+        let shard_request = query.and_then(|query| query.parts.get_mut(attempt.at));
+        if let Some(shard_request) = shard_request {
+            if !shard_request.carried.contains(&connection) {
+                shard_request.carried.push(connection);
             }
         }
     }
@@ -326,9 +327,10 @@
     /// Stores a shard request's value as a node gave it; only the first one counts.
     pub(crate) fn keep(&mut self, call: &CallOut, value: &str) {
         let query = self.queries.get_mut(&call.lookup);
-        if let Some(part) = query.and_then(|query| query.parts.get_mut(call.at)) {
-            self.answered += usize::from(part.value.is_none());
-            part.value.get_or_insert_with(|| value.into());
+        let shard_request = query.and_then(|query| query.parts.get_mut(call.at));
+        if let Some(shard_request) = shard_request {
+            self.answered += usize::from(shard_request.value.is_none());
+            shard_request.value.get_or_insert_with(|| value.into());
         }
     }
 
@@ -344,9 +346,9 @@
     }
 
     /// Attempts of a shard request that are still out.
-    pub(crate) fn out_of(&self, part: ShardRequestId) -> impl Iterator<Item = (CallKey, &CallOut)> {
+    pub(crate) fn out_of(&self, id: ShardRequestId) -> impl Iterator<Item = (CallKey, &CallOut)> {
         self.attempts
-            .range((part, AttemptNo(0))..=(part, AttemptNo(u8::MAX)))
-            .map(|(key, call)| (*key, call))
+            .range((id, AttemptNo(0))..=(id, AttemptNo(u8::MAX)))
+            .map(|(key, attempt)| (*key, attempt))
     }
 }
