--- a/tenant_limits/examples/fairness.rs
+++ b/tenant_limits/examples/fairness.rs
@@ -7,74 +7,132 @@
 use ternpick_tenant_limits::{Limits, Terms, Whole};
 
 const TENANTS: u16 = 1000;
-/// What there is: so many lookups in hand, each for 10 ms, so 10,000 a second.
-const ROOM: usize = 100;
-const TAKES_MS: u64 = 10;
+/// Queries that may be in flight, each for 10 ms, so 10,000 a second.
+const CAPACITY: usize = 100;
+const QUERY_MS: u64 = 10;
 const RUN_MS: u64 = 20_000;
 
+#[derive(Clone, Copy)]
+enum Admission {
+    /// Whoever comes first, up to the capacity.
+    FirstCome,
+    TenantLimits,
+}
+
+struct InFlight {
+    ends_ms: u64,
+    tenant: u16,
+}
+
+struct Fairness {
+    worst_share: f64,
+    mean_share: f64,
+    flooding_per_second: f64,
+}
+
+struct Run {
+    admission: Admission,
+    limits: Limits,
+    in_flight: VecDeque<InFlight>,
+    /// By tenant.
+    sent: Vec<u64>,
+    admitted: Vec<u64>,
+}
+
+impl Run {
+    fn new(admission: Admission) -> Run {
+        let config = Terms {
+            weight: 1.0,
+            in_hand: 100_000,
+            per_second: 1e9,
+            burst: 1e9,
+            repeats: 1.0,
+        };
+        let shared = Whole {
+            begins: CAPACITY,
+            least: CAPACITY,
+            most: CAPACITY,
+        };
+        Run {
+            admission,
+            limits: Limits::new(vec![config; usize::from(TENANTS)], shared),
+            in_flight: VecDeque::new(),
+            sent: vec![0; usize::from(TENANTS)],
+            admitted: vec![0; usize::from(TENANTS)],
+        }
+    }
+
+    fn end_queries(&mut self, ms: u64) {
+        while let Some(query) = self.in_flight.pop_front_if(|query| query.ends_ms <= ms) {
+            let now = Micros(ms * 1000);
+            let duration = Micros(QUERY_MS * 1000);
+            self.limits
+                .release(now, CustomerNo(query.tenant), duration, false);
+        }
+    }
+
+    fn send(&mut self, ms: u64, tenant: u16) {
+        self.sent[usize::from(tenant)] += 1;
+        let is_admitted = match self.admission {
+            Admission::FirstCome => self.in_flight.len() < CAPACITY,
+            Admission::TenantLimits => {
+                let now = Micros(ms * 1000);
+                self.limits.admit(now, CustomerNo(tenant), false).is_ok()
+            }
+        };
+        if is_admitted {
+            self.admitted[usize::from(tenant)] += 1;
+            self.in_flight.push_back(InFlight {
+                ends_ms: ms + QUERY_MS,
+                tenant,
+            });
+        }
+    }
+
+    fn fairness(&self) -> Fairness {
+        let shares: Vec<f64> = (1..usize::from(TENANTS))
+            .map(|at| self.admitted[at] as f64 / self.sent[at].max(1) as f64)
+            .collect();
+        Fairness {
+            worst_share: shares.iter().copied().fold(f64::MAX, f64::min),
+            mean_share: shares.iter().sum::<f64>() / shares.len() as f64,
+            flooding_per_second: self.admitted[0] as f64 / (RUN_MS as f64 / 1000.0),
+        }
+    }
+}
+
+/// A fair share is 10 queries a second, and the others send just that; tenant 0 sends so many times as much.
+fn run(flood_factor: usize, admission: Admission) -> Fairness {
+    let mut run = Run::new(admission);
+    let mut due = 0.0;
+    for ms in 0..RUN_MS {
+        run.end_queries(ms);
+        due += flood_factor as f64 * 0.01;
+        let flood = due as usize;
+        due -= flood as f64;
+        for _ in 0..flood {
+            run.send(ms, 0);
+        }
+        for tenant in (1..TENANTS).filter(|tenant| (ms + u64::from(*tenant)).is_multiple_of(100)) {
+            run.send(ms, tenant);
+        }
+    }
+    run.fairness()
+}
+
 fn main() {
     println!("| floods at, times a fair share | limits | least and mean share of the others | flooding one gets, a second |");
-    for times in [1usize, 10, 100, 1000] {
-        for limited in [false, true] {
-            // A fair share is 10 a second, and the others ask just that.
-            let (mut got, mut asked) = (
-                vec![0u64; usize::from(TENANTS)],
-                vec![0u64; usize::from(TENANTS)],
-            );
-            let terms = Terms {
-                weight: 1.0,
-                in_hand: 100_000,
-                per_second: 1e9,
-                burst: 1e9,
-                repeats: 1.0,
-            };
-            let mut limits = Limits::new(
-                vec![terms; usize::from(TENANTS)],
-                Whole {
-                    begins: ROOM,
-                    least: ROOM,
-                    most: ROOM,
-                },
+    for flood_factor in [1, 10, 100, 1000] {
+        for admission in [Admission::FirstCome, Admission::TenantLimits] {
+            let is_limited = matches!(admission, Admission::TenantLimits);
+            let Fairness {
+                worst_share,
+                mean_share,
+                flooding_per_second,
+            } = run(flood_factor, admission);
+            println!(
+                "| {flood_factor} | {is_limited} | {worst_share:.3}, {mean_share:.3} | {flooding_per_second:.0} |"
             );
-            let (mut out, mut owed): (VecDeque<(u64, u16)>, f64) = (VecDeque::new(), 0.0);
-            for ms in 0..RUN_MS {
-                while out.front().is_some_and(|(end, _)| *end <= ms) {
-                    let Some((_, tenant)) = out.pop_front() else {
-                        break;
-                    };
-                    limits.release(
-                        Micros(ms * 1000),
-                        CustomerNo(tenant),
-                        Micros(TAKES_MS * 1000),
-                        false,
-                    );
-                }
-                owed += times as f64 * 0.01;
-                let flood = owed as usize;
-                owed -= flood as f64;
-                let others = (1..TENANTS).filter(|of| (ms + u64::from(*of)).is_multiple_of(100));
-                for tenant in std::iter::repeat_n(0, flood).chain(others) {
-                    asked[usize::from(tenant)] += 1;
-                    let room = if limited {
-                        limits
-                            .admit(Micros(ms * 1000), CustomerNo(tenant), false)
-                            .is_ok()
-                    } else {
-                        out.len() < ROOM
-                    };
-                    if room {
-                        got[usize::from(tenant)] += 1;
-                        out.push_back((ms + TAKES_MS, tenant));
-                    }
-                }
-            }
-            let shares: Vec<f64> = (1..usize::from(TENANTS))
-                .map(|at| got[at] as f64 / asked[at].max(1) as f64)
-                .collect();
-            let least = shares.iter().copied().fold(f64::MAX, f64::min);
-            let mean = shares.iter().sum::<f64>() / shares.len() as f64;
-            let flooding = got[0] as f64 / (RUN_MS as f64 / 1000.0);
-            println!("| {times} | {limited} | {least:.3}, {mean:.3} | {flooding:.0} |");
         }
     }
 }
--- /dev/null
+++ b/tenant_limits/src/limits.rs
@@ -0,0 +1,212 @@
+//! All tenants together: who is admitted, and what ends.
+
+use serde::{Deserialize, Serialize};
+use ternpick::types::{CustomerNo, Micros};
+
+use crate::adaptive_limit::AdaptiveLimit;
+use crate::config::{Terms, Whole};
+use crate::rejection::Rejection;
+use crate::tenant::Tenant;
+
+/// What is counted, for the process that replaces this one. Without it, bursts and retry budgets start anew.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Counted {
+    /// By tenant number.
+    pub tenants: Vec<TenantCounts>,
+    /// The shared limit.
+    pub limit: f64,
+    /// Queries that this process still has in flight, by tenant number.
+    #[serde(rename = "in_hand")]
+    pub in_flight: Vec<usize>,
+}
+
+/// What is counted of one tenant. It is stored as the pair (tokens, retries).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub struct TenantCounts {
+    /// Queries that it may start at once.
+    pub tokens: f64,
+    /// Retries that its clients may still make.
+    pub retries: f64,
+}
+
+impl From<(f64, f64)> for TenantCounts {
+    fn from((tokens, retries): (f64, f64)) -> Self {
+        TenantCounts { tokens, retries }
+    }
+}
+
+impl From<TenantCounts> for (f64, f64) {
+    fn from(counts: TenantCounts) -> Self {
+        (counts.tokens, counts.retries)
+    }
+}
+
+/// All tenants by number, as many as the settings name; nothing grows with the queries.
+pub struct Limits {
+    tenants: Vec<Tenant>,
+    shared: AdaptiveLimit,
+    in_flight: usize,
+    /// The sum of the weights of all tenants that have queries in flight.
+    active_weight: f64,
+}
+
+impl Limits {
+    /// `tenants` by number, from 0.
+    pub fn new(tenants: Vec<Terms>, shared: Whole) -> Self {
+        Limits {
+            tenants: tenants.into_iter().map(Tenant::new).collect(),
+            shared: AdaptiveLimit::new(shared),
+            in_flight: 0,
+            active_weight: 0.0,
+        }
+    }
+
+    /// Takes another configuration while queries are in flight; what is counted stays counted. A tenant that is left
+    /// out keeps what it has in flight, and may have nothing more.
+    pub fn update(&mut self, tenants: Vec<Terms>, shared: Whole) {
+        let count = tenants.len().max(self.tenants.len());
+        let mut configs = tenants.into_iter();
+        for number in 0..count {
+            let config = configs.next().unwrap_or(Terms::NOTHING);
+            match self.tenants.get_mut(number) {
+                Some(tenant) => tenant.reconfigure(config),
+                None => self.tenants.push(Tenant::new(config)),
+            }
+        }
+        self.shared.reconfigure(shared);
+        self.active_weight = self
+            .tenants
+            .iter()
+            .filter(|tenant| tenant.in_flight > 0)
+            .map(|tenant| tenant.config.weight)
+            .sum();
+    }
+
+    /// What is counted, for the process that replaces this one.
+    pub fn counted(&mut self, now: Micros) -> Counted {
+        for tenant in &mut self.tenants {
+            tenant.fill_tokens(now);
+        }
+        let counts = |tenant: &Tenant| TenantCounts {
+            tokens: tenant.tokens,
+            retries: tenant.retries,
+        };
+        Counted {
+            tenants: self.tenants.iter().map(counts).collect(),
+            limit: self.shared.limit(),
+            in_flight: self.tenants.iter().map(|tenant| tenant.in_flight).collect(),
+        }
+    }
+
+    /// Continues from what another process counted, on the same tenants. What that has in flight counts here too, until
+    /// [`Limits::other_done`].
+    pub fn go_on(&mut self, now: Micros, from: &Counted) {
+        let counts = from.tenants.iter().zip(&from.in_flight);
+        for (tenant, (counts, in_flight)) in self.tenants.iter_mut().zip(counts) {
+            tenant.restore(now, *counts, *in_flight);
+        }
+        self.shared.restore(from.limit);
+    }
+
+    /// The other process has nothing left in flight.
+    pub fn other_done(&mut self) {
+        for tenant in &mut self.tenants {
+            tenant.in_flight_elsewhere = 0;
+        }
+    }
+
+    /// Queries in flight, of all tenants.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
+    }
+
+    /// How many queries may be in flight before shares count.
+    pub fn limit(&self) -> usize {
+        self.shared.limit() as usize
+    }
+
+    /// Queries in flight of one tenant; `None` for a number that is not known.
+    pub fn tenant_in_flight(&self, tenant: CustomerNo) -> Option<usize> {
+        self.tenants
+            .get(usize::from(tenant.0))
+            .map(|tenant| tenant.in_flight)
+    }
+
+    /// Admits a query, or says why not. A rejected one changes no count.
+    pub fn admit(
+        &mut self,
+        now: Micros,
+        tenant: CustomerNo,
+        is_retry: bool,
+    ) -> Result<(), Rejection> {
+        let number = usize::from(tenant.0);
+        let Some(tenant) = self.tenants.get_mut(number) else {
+            return Err(Rejection::InFlight {
+                retry_after: Micros(0),
+            });
+        };
+        tenant.fill_tokens(now);
+        tenant.check_own_limits(is_retry, self.shared.typical_duration())?;
+        self.check_share(number)?;
+        let tenant = &mut self.tenants[number];
+        if tenant.in_flight == 0 {
+            self.active_weight += tenant.config.weight;
+        }
+        tenant.start_query(is_retry);
+        self.in_flight += 1;
+        Ok(())
+    }
+
+    /// A tenant below its share is admitted even where the shared limit is reached: those above theirs wait until it has
+    /// drained. All together stay below twice the limit, since the shares sum to it.
+    fn check_share(&mut self, number: usize) -> Result<(), Rejection> {
+        let limit = self.shared.limit();
+        let in_flight = self.in_flight as f64;
+        if in_flight < limit {
+            return Ok(());
+        }
+        self.shared.note_reached();
+        let tenant = &self.tenants[number];
+        let share = self.share(tenant).max(1.0);
+        if tenant.in_flight as f64 + 1.0 > share || in_flight >= 2.0 * limit {
+            return Err(Rejection::Share {
+                retry_after: self.shared.typical_duration(),
+            });
+        }
+        Ok(())
+    }
+
+    /// A tenant's share of the limit, among those that have queries in flight.
+    fn share(&self, tenant: &Tenant) -> f64 {
+        let own_weight = tenant.config.weight;
+        let counted_weight = if tenant.in_flight > 0 {
+            own_weight
+        } else {
+            0.0
+        };
+        let other_weight = self.active_weight - counted_weight;
+        self.shared.limit() * own_weight / (other_weight + own_weight).max(f64::MIN_POSITIVE)
+    }
+
+    /// A query has ended. `late`: its answer came after the latency objective.
+    pub fn release(&mut self, now: Micros, tenant: CustomerNo, duration: Micros, late: bool) {
+        let Some(tenant) = self
+            .tenants
+            .get_mut(usize::from(tenant.0))
+            .filter(|tenant| tenant.in_flight > 0)
+        else {
+            return;
+        };
+        tenant.in_flight -= 1;
+        self.in_flight -= 1;
+        if tenant.in_flight == 0 {
+            self.active_weight = (self.active_weight - tenant.config.weight).max(0.0);
+        }
+        if self.in_flight == 0 {
+            // Rounding may have left something.
+            self.active_weight = 0.0;
+        }
+        self.shared.query_ended(now, duration, late);
+    }
+}
--- a/tenant_limits/tests/fairness.rs
+++ b/tenant_limits/tests/fairness.rs
@@ -1,16 +1,16 @@
-//! The rules of limits over sequences of lookups, in virtual time.
+//! The rules of tenant limits over sequences of queries, in virtual time.
 
 use std::collections::VecDeque;
 
 use proptest::prelude::*;
 use ternpick::types::{CustomerNo, Micros};
-use ternpick_tenant_limits::{Limits, Refused, Terms, Whole};
+use ternpick_tenant_limits::{Limits, Rejection, Terms, Whole};
 use test_case::test_case;
 
 const MS: u64 = 1000;
 const S: u64 = 1_000_000;
 
-fn terms() -> Terms {
+fn tenant_config() -> Terms {
     Terms {
         weight: 1.0,
         in_hand: 1000,
@@ -20,7 +20,7 @@
     }
 }
 
-fn whole(limit: usize) -> Whole {
+fn fixed_limit(limit: usize) -> Whole {
     Whole {
         begins: limit,
         least: limit,
@@ -28,10 +28,13 @@
     }
 }
 
-/// Plays lookups that each take 10 ms: tenants 1.. ask once in `every`, tenant 0 floods as `flood` lookups a
-/// millisecond. Tells the share of their lookups that the others and the flooding one got in.
+/// Plays queries that each take 10 ms: tenants 1.. send one in `every` milliseconds, tenant 0 floods with `flood` at a
+/// time. Returns the shares of queries that were admitted: of the others, of the worst of them, of the flooding one.
 fn play(tenants: u16, every: u64, flood: usize, limit: usize) -> (f64, f64, f64) {
-    let mut limits = Limits::new(vec![terms(); usize::from(tenants)], whole(limit));
+    let mut limits = Limits::new(
+        vec![tenant_config(); usize::from(tenants)],
+        fixed_limit(limit),
+    );
     let mut out: VecDeque<(u64, CustomerNo)> = VecDeque::new();
     let (mut asked, mut got) = ([0u64; 2], vec![0u64; usize::from(tenants)]);
     for ms in 0..2000 {
@@ -56,7 +59,7 @@
         }
         assert!(
             limits.in_flight() <= 2 * limit,
-            "{} in hand",
+            "{} in flight",
             limits.in_flight()
         );
     }
@@ -73,8 +76,8 @@
 }
 
 #[test]
-fn a_thousand_tenants_keep_theirs_beside_one_that_floods_a_hundredfold() {
-    // The others have 5 a millisecond, 50 in hand; the flooding one tries 100 times its fair 0.05.
+fn a_thousand_tenants_keep_their_share_beside_one_that_floods_a_hundredfold() {
+    // The others have 5 a millisecond, 50 in flight; the flooding one tries 100 times its fair 0.05.
     let (others, least, flooding) = play(1000, 200, 50, 100);
     assert!(
         others > 0.99 && least >= 0.9,
@@ -83,13 +86,13 @@
 }
 
 #[test]
-fn what_others_leave_is_used() {
-    let mut limits = Limits::new(vec![terms(); 10], whole(100));
+fn what_others_leave_unused_is_used() {
+    let mut limits = Limits::new(vec![tenant_config(); 10], fixed_limit(100));
     let taken = (0..300)
         .filter(|_| limits.admit(Micros(0), CustomerNo(3), false).is_ok())
         .count();
     assert_eq!(taken, 100);
-    // And yet the next tenant finds room, up to its half.
+    // And yet the next tenant is admitted, up to its half.
     let taken = (0..300)
         .filter(|_| limits.admit(Micros(0), CustomerNo(4), false).is_ok())
         .count();
@@ -99,24 +102,33 @@
 #[test_case(2.0, 66; "twice the weight")]
 #[test_case(1.0, 50; "the same")]
 #[test_case(0.25, 20; "a quarter")]
-fn a_part_goes_by_weight(weight: f64, part: usize) {
-    let mut limits = Limits::new(vec![terms(), Terms { weight, ..terms() }], whole(100));
+fn a_share_goes_by_weight(weight: f64, share: usize) {
+    let mut limits = Limits::new(
+        vec![
+            tenant_config(),
+            Terms {
+                weight,
+                ..tenant_config()
+            },
+        ],
+        fixed_limit(100),
+    );
     while limits.admit(Micros(0), CustomerNo(0), false).is_ok() {}
     let taken = (0..300)
         .filter(|_| limits.admit(Micros(0), CustomerNo(1), false).is_ok())
         .count();
-    assert_eq!(taken, part);
+    assert_eq!(taken, share);
 }
 
 #[test]
-fn a_rate_is_kept_with_its_burst_and_the_time_to_come_back_is_right() {
+fn a_rate_is_kept_with_its_burst_and_its_retry_after_is_right() {
     let mut limits = Limits::new(
         vec![Terms {
             per_second: 10.0,
             burst: 3.0,
-            ..terms()
+            ..tenant_config()
         }],
-        whole(100),
+        fixed_limit(100),
     );
     let now = Micros(5 * S);
     assert_eq!(
@@ -125,27 +137,29 @@
             .count(),
         3
     );
-    let Err(Refused::Rate { come_back }) = limits.admit(now, CustomerNo(0), false) else {
-        panic!("refused")
+    let Err(Rejection::Rate { retry_after }) = limits.admit(now, CustomerNo(0), false) else {
+        panic!("admitted")
     };
-    assert_eq!(come_back, Micros(100 * MS));
+    assert_eq!(retry_after, Micros(100 * MS));
     assert!(limits
-        .admit(Micros(now.0 + come_back.0 - 1000), CustomerNo(0), false)
+        .admit(Micros(now.0 + retry_after.0 - 1000), CustomerNo(0), false)
         .is_err());
-    assert!(limits.admit(now + come_back, CustomerNo(0), false).is_ok());
+    assert!(limits
+        .admit(now + retry_after, CustomerNo(0), false)
+        .is_ok());
 }
 
 #[test]
-fn a_storm_of_repeats_ends_with_its_budget() {
+fn a_retry_storm_ends_with_its_budget() {
     let mut limits = Limits::new(
         vec![
             Terms {
                 repeats: 0.1,
-                ..terms()
+                ..tenant_config()
             },
-            terms(),
+            tenant_config(),
         ],
-        whole(1000),
+        fixed_limit(1000),
     );
     let mut got = 0;
     for _ in 0..1000 {
@@ -159,7 +173,7 @@
             }
         }
     }
-    assert!((100..=103).contains(&got), "{got} repeats of 3000");
+    assert!((100..=103).contains(&got), "{got} retries of 3000");
     assert!(
         limits.admit(Micros(0), CustomerNo(1), true).is_ok(),
         "another tenant's are its own"
@@ -169,7 +183,7 @@
 #[test]
 fn the_limit_shrinks_while_answers_are_late_and_grows_while_it_is_used_up() {
     let mut limits = Limits::new(
-        vec![terms()],
+        vec![tenant_config()],
         Whole {
             begins: 50,
             least: 5,
@@ -194,11 +208,11 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn counts_are_given_back_whole_whatever_comes(
+    fn all_that_is_admitted_is_released_whatever_the_order(
         steps in proptest::collection::vec((0u16..6, any::<bool>(), 0u64..200, any::<bool>()), 1..300)
     ) {
         let tenants: Vec<Terms> =
-            (0..5).map(|at| Terms { weight: 1.0 + f64::from(at), in_hand: 4 + at as usize, ..terms() }).collect();
+            (0..5).map(|at| Terms { weight: 1.0 + f64::from(at), in_hand: 4 + at as usize, ..tenant_config() }).collect();
         let mut limits = Limits::new(tenants.clone(), Whole { begins: 10, least: 2, most: 30 });
         let (mut now, mut held) = (Micros(0), Vec::new());
         for (tenant, takes, later, late) in steps {
@@ -207,7 +221,7 @@
             if takes {
                 match limits.admit(now, tenant, late) {
                     Ok(()) => held.push((tenant, now)),
-                    Err(refused) => prop_assert!(refused.retry_after().0 <= 60 * S),
+                    Err(rejection) => prop_assert!(rejection.retry_after().0 <= 60 * S),
                 }
             } else if !held.is_empty() {
                 let (tenant, since) = held.swap_remove(later as usize % held.len());
@@ -217,7 +231,7 @@
             for (at, of) in tenants.iter().enumerate() {
                 let count = held.iter().filter(|(tenant, _)| usize::from(tenant.0) == at).count();
                 prop_assert!(count <= of.in_hand);
-                prop_assert_eq!(limits.of_tenant(CustomerNo(at as u16)), Some(count));
+                prop_assert_eq!(limits.tenant_in_flight(CustomerNo(at as u16)), Some(count));
             }
         }
         for (tenant, since) in held {
--- /dev/null
+++ b/tenant_limits/tests/hot_restart.rs
@@ -0,0 +1,51 @@
+//! What a process hands over to the one that replaces it.
+
+use ternpick::types::{CustomerNo, Micros};
+use ternpick_tenant_limits::{Counted, Limits, TenantCounts, Terms, Whole};
+
+fn limits() -> Limits {
+    let config = Terms {
+        weight: 1.0,
+        in_hand: 2,
+        per_second: 1.0,
+        burst: 10.0,
+        repeats: 0.5,
+    };
+    let shared = Whole {
+        begins: 8,
+        least: 2,
+        most: 100,
+    };
+    Limits::new(vec![config], shared)
+}
+
+#[test]
+fn counts_are_stored_as_pairs_by_position() {
+    let counted = Counted {
+        tenants: vec![TenantCounts {
+            tokens: 1.5,
+            retries: 2.5,
+        }],
+        limit: 7.0,
+        in_flight: vec![3],
+    };
+    let pairs = (vec![(1.5, 2.5)], 7.0, vec![3_usize]);
+    let bytes = postcard::to_stdvec(&counted).expect("bytes");
+    assert_eq!(bytes, postcard::to_stdvec(&pairs).expect("bytes"));
+    let read: Counted = postcard::from_bytes(&bytes).expect("counts");
+    assert_eq!(read, counted);
+}
+
+#[test]
+fn queries_of_the_other_process_count_until_it_is_done() {
+    let tenant = CustomerNo(0);
+    let now = Micros(0);
+    let mut old = limits();
+    assert!(old.admit(now, tenant, false).is_ok());
+    assert!(old.admit(now, tenant, false).is_ok());
+    let mut new = limits();
+    new.go_on(now, &old.counted(now));
+    assert!(new.admit(now, tenant, false).is_err());
+    new.other_done();
+    assert!(new.admit(now, tenant, false).is_ok());
+}
