--- a/router/src/lifecycle/cli.rs
+++ b/router/src/lifecycle/cli.rs
@@ -66,8 +66,8 @@
     /// Tells and changes who belongs to the fleet, and who votes
     #[command(subcommand)]
     Fleet(fleet::FleetCommand),
-    /// Takes machines out for work, in an order that the routers settle, and back again
-    #[command(subcommand, alias = "maintenance")]
+    /// Takes machines out of service for maintenance, in an order that the routers agree on, and back
+    #[command(subcommand, name = "maintenance", visible_alias = "works")]
     Works(maintenance_cli::Works),
     /// Tells what callers may do
     #[command(subcommand)]
--- a/router/src/lifecycle/snapshot/release_bytes.rs
+++ b/router/src/lifecycle/snapshot/release_bytes.rs
@@ -31,9 +31,9 @@
         shed: Some(38),
     };
     let limits = Counted {
-        tenants: vec![(39.5, 40.5)],
+        tenants: vec![(39.5, 40.5).into()],
         limit: 41.5,
-        in_hand: vec![42, 43],
+        in_flight: vec![42, 43],
     };
     Snapshot {
         form: FORM,
