--- a/fleet_policy/src/leader.rs
+++ b/fleet_policy/src/leader.rs
@@ -18,11 +18,11 @@
 
 pub use status::MemberStatus;
 
-use crate::ids::{Incarnation, Index, Member, ReplicaId, Round, Seq, Version};
+use crate::ids::{Incarnation, Index, Member, ReplicaId, Seq};
 use crate::lease_config::LeaseConfig;
-use crate::messages::{LeaseReply, LeaseRequest};
+use crate::messages::{BarrierId, LeaseReply, LeaseRequest, ProposalVerdict};
 use crate::planted::InLeader;
-use crate::state_machine::{Entry, PolicyState, Verdict};
+use crate::state_machine::{Entry, PolicyState};
 use leases::{Process, WaitingRequest};
 
 /// How long an entry or a confirmation may be in flight before it is proposed or requested again.
@@ -47,8 +47,8 @@
     incarnation: Incarnation,
     seq: Seq,
     received_at: Micros,
-    verdict: Option<(Version, Verdict)>,
-    paused_for: Option<(Version, Round)>,
+    verdict: Option<ProposalVerdict>,
+    paused_for: Option<BarrierId>,
     is_only_process: bool,
     index: Index,
     members_at: Index,
@@ -84,8 +84,7 @@
 /// A barrier, and when this leader first saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct BarrierSeen {
-    number: Version,
-    round: Round,
+    barrier: BarrierId,
     at: Micros,
 }
 
--- a/fleet_policy/src/leader/proposal.rs
+++ b/fleet_policy/src/leader/proposal.rs
@@ -6,12 +6,21 @@
 
 use super::{BarrierSeen, Leader, LeaderAction, ProposedEntry};
 use crate::ids::{Member, Round};
+use crate::messages::BarrierId;
 use crate::planted::InLeader;
 use crate::state_machine::{Entry, PendingProposal, PolicyState};
 
 /// The patience doubles with each barrier of a proposal, so many times at most.
 const MOST_DOUBLINGS: u64 = 5;
 
+/// The latest barrier of a proposal.
+fn barrier_of(next: &PendingProposal) -> BarrierId {
+    BarrierId {
+        number: next.document.number,
+        round: next.round,
+    }
+}
+
 impl Leader {
     /// Proposes one entry at a time.
     pub(super) fn propose_next_step(
@@ -53,16 +62,9 @@
             self.barrier_seen = None;
             return;
         }
-        let (number, round) = (next.document.number, next.round);
-        let is_known = self
-            .barrier_seen
-            .is_some_and(|seen| seen.number == number && seen.round == round);
-        if !is_known {
-            self.barrier_seen = Some(BarrierSeen {
-                number,
-                round,
-                at: now,
-            });
+        let barrier = barrier_of(next);
+        if self.barrier_seen.map(|seen| seen.barrier) != Some(barrier) {
+            self.barrier_seen = Some(BarrierSeen { barrier, at: now });
         }
     }
 
@@ -71,11 +73,11 @@
         let number = next.document.number;
         let mut verdicts = Vec::new();
         for (member, report) in &self.reports {
-            let Some((checked, verdict)) = &report.verdict else {
+            let Some(checked) = &report.verdict else {
                 continue;
             };
-            if *checked == number && !next.accepted_by.contains(member) {
-                verdicts.push((member.clone(), verdict.clone()));
+            if checked.number == number && !next.accepted_by.contains(member) {
+                verdicts.push((member.clone(), checked.verdict.clone()));
             }
         }
         (!verdicts.is_empty()).then_some(Entry::Verdicts { number, verdicts })
@@ -125,9 +127,11 @@
 
     /// Whether this member certainly admits nothing more during this barrier.
     pub(super) fn has_paused(&self, now: Micros, member: &Member, next: &PendingProposal) -> bool {
-        let round = Some((next.document.number, next.round));
+        let barrier = Some(barrier_of(next));
         match self.reports.get(member) {
-            Some(report) if report.paused_for == round => self.speaks_for_whole_member(now, member),
+            Some(report) if report.paused_for == barrier => {
+                self.speaks_for_whole_member(now, member)
+            }
             _ => self.leases_expired(now, member, None),
         }
     }
--- a/fleet_policy/src/lease_holder.rs
+++ b/fleet_policy/src/lease_holder.rs
@@ -16,9 +16,9 @@
 
 pub use admission::{Admission, RejectReason};
 
-use crate::ids::{Epoch, Incarnation, Index, Member, Round, Seq, Version};
+use crate::ids::{Epoch, Incarnation, Index, Member, Seq, Version};
 use crate::lease_config::LeaseConfig;
-use crate::messages::{LeaseRequest, View};
+use crate::messages::{BarrierId, LeaseRequest, ProposalVerdict, View};
 use crate::planted::InLeaseHolder;
 use crate::state_machine::{MemberInfo, PolicyDocument, Verdict};
 
@@ -82,7 +82,7 @@
     /// Bounded by [`MOST_PENDING_REQUESTS`].
     sent_requests: VecDeque<SentRequest>,
     last_seq: Seq,
-    verdict: Option<(Version, Verdict)>,
+    verdict: Option<ProposalVerdict>,
     /// A version that cannot be used here.
     unfit: Option<Version>,
     not_a_member: bool,
@@ -168,10 +168,13 @@
     }
 
     /// The barrier that is in progress as far as is known here.
-    fn paused_for(&self) -> Option<(Version, Round)> {
+    fn paused_for(&self) -> Option<BarrierId> {
         let view = self.view.as_ref()?;
         let next = view.proposal.as_ref().filter(|next| next.barrier)?;
-        Some((next.document.number, next.round))
+        Some(BarrierId {
+            number: next.document.number,
+            round: next.round,
+        })
     }
 
     /// The next request, if one is due; it counts as sent at `now`.
@@ -253,7 +256,7 @@
 
     /// The answer to [`LeaseEffect::CheckPolicy`].
     pub fn policy_checked(&mut self, number: Version, verdict: Verdict) {
-        self.verdict = Some((number, verdict));
+        self.verdict = Some(ProposalVerdict { number, verdict });
         self.request_now = true;
     }
 
--- a/fleet_policy/src/lease_holder/reply.rs
+++ b/fleet_policy/src/lease_holder/reply.rs
@@ -79,7 +79,8 @@
         }
         let before = self.view.replace(view.clone());
         if before.as_ref().map(|before| before.epoch) != Some(view.epoch) {
-            self.enter_epoch(now, before.is_none());
+            let is_first_view = before.is_none();
+            self.enter_epoch(now, is_first_view);
         }
         let version_before = before.as_ref().map(|before| before.in_force.number);
         self.apply_version(version_before, &view, effects);
@@ -136,7 +137,7 @@
             )));
             return;
         }
-        let checked = self.verdict.as_ref().map(|(number, _)| *number);
+        let checked = self.verdict.as_ref().map(|checked| checked.number);
         if checked != Some(next.document.number) {
             effects.push(LeaseEffect::CheckPolicy(next.document.clone()));
         }
--- a/fleet_policy/src/lib.rs
+++ b/fleet_policy/src/lib.rs
@@ -47,7 +47,8 @@
 pub use lease_config::LeaseConfig;
 pub use lease_holder::{Admission, LeaseEffect, LeaseHolder, RejectReason};
 pub use messages::{
-    LastLeaderContact, LeaseGrant, LeaseReply, LeaseRequest, PeerMessage, ProposalView, View,
+    BarrierId, LastLeaderContact, LeaseGrant, LeaseReply, LeaseRequest, PeerMessage,
+    ProposalVerdict, ProposalView, View,
 };
 pub use node::{raft_config, FleetNode, TICK};
 pub use record::{
--- a/fleet_policy/src/messages.rs
+++ b/fleet_policy/src/messages.rs
@@ -26,9 +26,9 @@
     /// Up to where it knows the members.
     pub members_at: Index,
     /// Its verdict on the pending proposal.
-    pub verdict: Option<(Version, Verdict)>,
+    pub verdict: Option<ProposalVerdict>,
     /// It has stopped admitting for this barrier, and will not admit before it learns of the barrier's end.
-    pub paused_for: Option<(Version, Round)>,
+    pub paused_for: Option<BarrierId>,
     /// No other process of this member can still have a lease.
     pub is_only_process: bool,
     /// It cannot use the policy in force, this version: it wants no lease.
@@ -41,6 +41,24 @@
     pub extension_report: Vec<u8>,
 }
 
+/// A router's verdict on a proposal.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct ProposalVerdict {
+    /// The proposal.
+    pub number: Version,
+    /// Whether it can be used there.
+    pub verdict: Verdict,
+}
+
+/// One barrier.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct BarrierId {
+    /// The proposal that is to take effect.
+    pub number: Version,
+    /// Counts the barriers of this proposal.
+    pub round: Round,
+}
+
 /// A voter can no longer accept messages of a leader of a term before `term`, and last did so `ago` microseconds before
 /// this was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/fleet_policy/tests/encoding.rs
+++ b/fleet_policy/tests/encoding.rs
@@ -7,10 +7,10 @@
 use serde::Serialize;
 use ternpick::types::Micros;
 use ternpick_fleet_policy::{
-    Command, Entry, Epoch, HistoryEntry, Incarnation, Index, LastLeaderContact, LeaseConfig,
-    LeaseGrant, LeaseReply, LeaseRequest, Member, MemberInfo, MemberStatus, OperationId, Outcome,
-    PeerMessage, PolicyDocument, PolicyState, ProposalStatus, Record, ReplicaId, Round, Seq,
-    Verdict, Version, View,
+    BarrierId, Command, Entry, Epoch, HistoryEntry, Incarnation, Index, LastLeaderContact,
+    LeaseConfig, LeaseGrant, LeaseReply, LeaseRequest, Member, MemberInfo, MemberStatus,
+    OperationId, Outcome, PeerMessage, PolicyDocument, PolicyState, ProposalStatus,
+    ProposalVerdict, Record, ReplicaId, Round, Seq, Verdict, Version, View,
 };
 
 /// Written by the release that first stored these types.
@@ -216,8 +216,14 @@
         seq: Seq(5),
         index: Index(6),
         members_at: Index(4),
-        verdict: Some((Version(2), Verdict::Fits)),
-        paused_for: Some((Version(2), Round(1))),
+        verdict: Some(ProposalVerdict {
+            number: Version(2),
+            verdict: Verdict::Fits,
+        }),
+        paused_for: Some(BarrierId {
+            number: Version(2),
+            round: Round(1),
+        }),
         is_only_process: true,
         unfit: Some(Version(1)),
         last_leader_contact: Some(LastLeaderContact {
