--- a/fleet_policy/tests/release_bytes.rs
+++ b/fleet_policy/tests/release_bytes.rs
@@ -11,10 +11,10 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use ternpick_fleet_policy::{
-    Command, Entry, Epoch, HistoryEntry, Incarnation, Index, LastLeaderContact, LeaseGrant,
-    LeaseReply, LeaseRequest, Member, MemberInfo, OperationId, Outcome, PeerMessage,
-    PendingProposal, PolicyDocument, PolicyState, ProposalStatus, ProposalView, Record, ReplicaId,
-    Round, Seq, Verdict, Version, View,
+    BarrierId, Command, Entry, Epoch, HistoryEntry, Incarnation, Index, LastLeaderContact,
+    LeaseGrant, LeaseReply, LeaseRequest, Member, MemberInfo, OperationId, Outcome, PeerMessage,
+    PendingProposal, PolicyDocument, PolicyState, ProposalStatus, ProposalVerdict, ProposalView,
+    Record, ReplicaId, Round, Seq, Verdict, Version, View,
 };
 
 fn postcard<T: Serialize + DeserializeOwned>(recorded: &mut Recorded, name: &str, value: &T) {
@@ -258,8 +258,14 @@
         seq: Seq(702),
         index: Index(703),
         members_at: Index(704),
-        verdict: Some((Version(705), Verdict::Refused("calls is 9".into()))),
-        paused_for: Some((Version(706), Round(707))),
+        verdict: Some(ProposalVerdict {
+            number: Version(705),
+            verdict: Verdict::Refused("calls is 9".into()),
+        }),
+        paused_for: Some(BarrierId {
+            number: Version(706),
+            round: Round(707),
+        }),
         is_only_process: true,
         unfit: Some(Version(708)),
         last_leader_contact: Some(LastLeaderContact {
