--- a/router/tests/faults.rs
+++ b/router/tests/faults.rs
@@ -157,9 +157,9 @@
     of.all_struck();
     let log = of.log();
     let lines = |what: &str| log.lines().filter(|line| line.contains(what)).count();
-    assert_eq!(lines("stopping: "), 3, "{log}");
+    assert_eq!(lines("INFO stopping"), 3, "{log}");
     assert_eq!(
-        (lines("passed over"), lines("could not be read")),
+        (lines("signal ignored"), lines("could not be read")),
         (0, 0),
         "{log}"
     );
