--- a/consensus/src/participation.rs
+++ b/consensus/src/participation.rs
@@ -8,7 +8,7 @@
 ///
 /// A replica starts in [`Participation::Proving`], where it neither votes nor acknowledges entries. It moves to
 /// [`Participation::TakesPart`] once enough peers have confirmed that its state is not older than what they received
-/// from it. From either it moves to [`Participation::Spoilt`] for good when its state turns out to be unusable.
+/// from it. From either it moves to [`Participation::Faulted`] for good when its state turns out to be unusable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Participation {
     /// Waits for peers to confirm its state; contains those that have.
@@ -16,7 +16,7 @@
     /// Votes and replicates.
     TakesPart,
     /// Its state cannot be used. It sends nothing more and has to be replaced.
-    Spoilt(ReplicaFault),
+    Faulted(ReplicaFault),
 }
 
 /// The form that [`crate::Status`] carries; simulation and operators' scripts match on its beginning.
@@ -29,7 +29,7 @@
                 confirmed_by.len()
             ),
             Participation::TakesPart => f.write_str("takes part"),
-            Participation::Spoilt(fault) => write!(f, "spoilt: {fault}"),
+            Participation::Faulted(fault) => write!(f, "spoilt: {fault}"),
         }
     }
 }
--- a/consensus/src/replica.rs
+++ b/consensus/src/replica.rs
@@ -125,7 +125,7 @@
     pub fn tick(&mut self) {
         self.ticks += 1;
         match &self.participation {
-            Participation::Spoilt(_) => {}
+            Participation::Faulted(_) => {}
             Participation::Proving(_) => self.send_promise_queries(),
             Participation::TakesPart => {
                 self.apply_input(Input::Tick);
@@ -208,7 +208,7 @@
 
     /// Ends this replica's participation for good. What it has not sent yet is dropped.
     fn disable(&mut self, fault: ReplicaFault) {
-        self.participation = Participation::Spoilt(fault);
+        self.participation = Participation::Faulted(fault);
         self.outbox.clear();
     }
 
--- a/consensus/src/replica/inbound.rs
+++ b/consensus/src/replica/inbound.rs
@@ -12,7 +12,7 @@
     /// Handles a message from a peer. Bytes that are not a message are ignored. Returns the term of a leader whose message
     /// this replica accepts as a follower.
     pub fn step(&mut self, from: ReplicaId, bytes: &[u8]) -> Option<u64> {
-        if matches!(self.participation, Participation::Spoilt(_)) {
+        if matches!(self.participation, Participation::Faulted(_)) {
             return None;
         }
         match PeerMessage::decode(bytes)? {
--- a/consensus/src/replica/ready.rs
+++ b/consensus/src/replica/ready.rs
@@ -13,7 +13,7 @@
 /// A state to store before [`Replica::advance`].
 pub struct Ready {
     /// The whole state to store in place of the last one, or None if it has not changed.
-    pub image: Option<Vec<u8>>,
+    pub persisted_state: Option<Vec<u8>>,
 }
 
 /// What depends on the state that was stored.
@@ -61,7 +61,9 @@
         let image = state_changed.then(|| {
             persisted_state::encode(self.identity, self.raft.store(), &self.peer_promises)
         });
-        Some(Ready { image })
+        Some(Ready {
+            persisted_state: image,
+        })
     }
 
     /// Writes what raft-rs wants durable to the log in memory. A commit index alone need not be durable: a replica that
--- a/consensus/tests/common/mod.rs
+++ b/consensus/tests/common/mod.rs
@@ -200,7 +200,7 @@
             };
             if !node.storing {
                 let Some(ready) = replica.ready() else { break };
-                node.state_being_stored = ready.image;
+                node.state_being_stored = ready.persisted_state;
             }
             // A slow disk: inputs arrive while the state is being stored.
             node.storing = self.rng.generate::<f64>() < self.slow_disk_probability;
--- a/consensus/tests/persisted_state.rs
+++ b/consensus/tests/persisted_state.rs
@@ -78,7 +78,7 @@
         world.start(id);
         world.steps(200);
         let participation = world.replica(id).participation().clone();
-        let Participation::Spoilt(fault) = participation else {
+        let Participation::Faulted(fault) = participation else {
             panic!("{id} takes part: {participation:?}")
         };
         assert!(matches!(fault, ReplicaFault::Outdated(_)), "{fault:?}");
--- a/consensus/tests/release_bytes.rs
+++ b/consensus/tests/release_bytes.rs
@@ -45,7 +45,7 @@
         loop {
             for (no, seat) in &mut self.seats {
                 while let Some(work) = seat.ready() {
-                    if let Some(image) = work.image {
+                    if let Some(image) = work.persisted_state {
                         self.kept += 1;
                         self.recorded
                             .bytes(&format!("image-{}-of-seat-{no}", self.kept), &image);
--- a/fleet_policy/src/lease_holder.rs
+++ b/fleet_policy/src/lease_holder.rs
@@ -154,7 +154,7 @@
     }
 
     /// Whether the policy in force cannot be used here.
-    pub fn unfit(&self) -> bool {
+    pub fn is_unfit(&self) -> bool {
         self.view.is_some() && self.unfit == self.version()
     }
 
@@ -246,7 +246,7 @@
 
     /// This router acts on the extension's state up to this place, and this is its report. With `news` the report is sent
     /// at once.
-    pub fn goes_by(&mut self, machines_out_at: Index, report: Vec<u8>, news: bool) {
+    pub fn set_extension_report(&mut self, machines_out_at: Index, report: Vec<u8>, news: bool) {
         self.request_now |= news;
         self.extension_report = ExtensionReport {
             machines_out_at,
--- a/fleet_policy/src/lease_holder/admission.rs
+++ b/fleet_policy/src/lease_holder/admission.rs
@@ -18,9 +18,9 @@
     /// Not now.
     Rejected {
         /// The reason.
-        why: RejectReason,
+        reason: RejectReason,
         /// How long a client waits before it retries (Retry-After).
-        come_back: Micros,
+        retry_after: Micros,
     },
 }
 
@@ -92,8 +92,8 @@
 
     fn reject(&self, why: RejectReason) -> Admission {
         Admission::Rejected {
-            why,
-            come_back: Micros(self.config.renew),
+            reason: why,
+            retry_after: Micros(self.config.renew),
         }
     }
 
--- a/fleet_policy/src/messages.rs
+++ b/fleet_policy/src/messages.rs
@@ -162,7 +162,7 @@
         /// The recipient.
         to: ReplicaId,
         /// The message, encoded by `ternpick-consensus`.
-        word: Vec<u8>,
+        message: Vec<u8>,
     },
     /// To the leader.
     LeaseRequest(LeaseRequest),
--- a/fleet_policy/src/node.rs
+++ b/fleet_policy/src/node.rs
@@ -211,7 +211,7 @@
             PeerMessage::Raft {
                 from: sender,
                 to,
-                word,
+                message: word,
             } => self.step_replica(now, sender, to, &word),
             PeerMessage::LeaseRequest(request) => self.handle_lease_request(now, from, request),
             PeerMessage::LeaseReply(reply) => self.handle_lease_reply(now, from, reply),
--- a/fleet_policy/src/node/leadership.rs
+++ b/fleet_policy/src/node/leadership.rs
@@ -87,7 +87,7 @@
         if replica.is_leader() {
             self.leader_contact.accepted(now, term);
         }
-        let is_unusable = matches!(replica.participation(), Participation::Spoilt(_));
+        let is_unusable = matches!(replica.participation(), Participation::Faulted(_));
         if replica.is_confirmed_leader() && !is_unusable && self.state.is_some() {
             self.lead(now, term);
         } else {
--- a/fleet_policy/src/node/replication.rs
+++ b/fleet_policy/src/node/replication.rs
@@ -141,7 +141,7 @@
             let Some(ready) = self.replica.as_mut().and_then(Replica::ready) else {
                 return;
             };
-            if let Some(image) = ready.image {
+            if let Some(image) = ready.persisted_state {
                 return self.persist(image);
             }
             self.advance_replica(now);
@@ -171,7 +171,7 @@
                 let message = PeerMessage::Raft {
                     from: own,
                     to,
-                    word,
+                    message: word,
                 };
                 self.send(&member, message);
             }
--- a/fleet_policy/src/state_machine/membership.rs
+++ b/fleet_policy/src/state_machine/membership.rs
@@ -80,7 +80,7 @@
         info.is_learner = true;
         self.last_replica_id = replica;
         self.members_at = self.index;
-        Ok(Outcome::MemberInfo(replica))
+        Ok(Outcome::ReplicaAssigned(replica))
     }
 
     pub(super) fn promote_learner(&mut self, replica: ReplicaId) {
--- a/fleet_policy/src/state_machine/outcome.rs
+++ b/fleet_policy/src/state_machine/outcome.rs
@@ -11,7 +11,7 @@
     /// The proposal was accepted for checking, under this number.
     Proposed(Version),
     /// The member was assigned this replica.
-    MemberInfo(ReplicaId),
+    ReplicaAssigned(ReplicaId),
     /// A command of the extension succeeded, with this number.
     Numbered(u64),
     /// The command succeeded.
--- a/fleet_policy/tests/encoding.rs
+++ b/fleet_policy/tests/encoding.rs
@@ -285,7 +285,7 @@
             PeerMessage::Raft {
                 from: ReplicaId(1),
                 to: ReplicaId(2),
-                word: vec![4, 5],
+                message: vec![4, 5],
             },
         ),
         ("lease-request", PeerMessage::LeaseRequest(lease_request())),
@@ -353,7 +353,7 @@
     }
     let outcomes = [
         Outcome::Proposed(Version(3)),
-        Outcome::MemberInfo(ReplicaId(4)),
+        Outcome::ReplicaAssigned(ReplicaId(4)),
         Outcome::Numbered(5),
         Outcome::Done,
     ];
--- a/fleet_policy/tests/one_router.rs
+++ b/fleet_policy/tests/one_router.rs
@@ -201,10 +201,10 @@
     assert!(!router.node.is_leader() && router.node.replica_status().is_none());
     assert!(router.node.replica_error.is_some());
     assert_eq!(router.errors.len(), 1, "{:?}", router.errors);
-    let Admission::Rejected { why, .. } = router.admission() else {
+    let Admission::Rejected { reason, .. } = router.admission() else {
         panic!("{:?}", router.admission());
     };
-    assert_eq!(why, RejectReason::PolicyUnknown);
+    assert_eq!(reason, RejectReason::PolicyUnknown);
 }
 
 #[test]
--- a/fleet_policy/tests/release_bytes.rs
+++ b/fleet_policy/tests/release_bytes.rs
@@ -160,7 +160,7 @@
 fn outcomes() -> Vec<(&'static str, Outcome)> {
     vec![
         ("proposed", Outcome::Proposed(Version(501))),
-        ("seated", Outcome::MemberInfo(ReplicaId(502))),
+        ("seated", Outcome::ReplicaAssigned(ReplicaId(502))),
         ("numbered", Outcome::Numbered(503)),
         ("done", Outcome::Done),
         ("refused", Outcome::Refused("it is open".into())),
@@ -387,7 +387,7 @@
             PeerMessage::Raft {
                 from: ReplicaId(901),
                 to: ReplicaId(902),
-                word: vec![3, 4],
+                message: vec![3, 4],
             },
         ),
         ("renew".to_owned(), PeerMessage::LeaseRequest(renew())),
--- a/router/src/fleet/admission.rs
+++ b/router/src/fleet/admission.rs
@@ -74,7 +74,10 @@
             Admission::Wait(until) => {
                 Err(rejection("a change of policy takes hold", until.since(now)))
             }
-            Admission::Rejected { why, come_back } => Err(rejection(why.description(), come_back)),
+            Admission::Rejected {
+                reason: why,
+                retry_after: come_back,
+            } => Err(rejection(why.description(), come_back)),
         }
     }
 }
--- a/router/src/fleet/commands.rs
+++ b/router/src/fleet/commands.rs
@@ -138,7 +138,7 @@
 fn outcome_answer(outcome: Outcome) -> Value {
     match outcome {
         Outcome::Proposed(number) => json!({"done": true, "ok": true, "number": number}),
-        Outcome::MemberInfo(replica) => json!({"done": true, "ok": true, "seat": replica}),
+        Outcome::ReplicaAssigned(replica) => json!({"done": true, "ok": true, "seat": replica}),
         Outcome::Numbered(number) => json!({"done": true, "ok": true, "number": number}),
         Outcome::Done => json!({"done": true, "ok": true}),
         Outcome::Refused(reason) => refused(reason),
--- a/router/src/fleet/endpoints.rs
+++ b/router/src/fleet/endpoints.rs
@@ -75,7 +75,7 @@
         let endpoints = self.endpoints.borrow();
         let listed = *endpoints.listed.get(name)?;
         Some(Endpoint {
-            node: effects.nodes.number(name)?,
+            node: effects.nodes.id_of(name)?,
             state: self.stricter_state(&endpoints, name, listed.state),
             ..listed
         })
--- a/router/src/fleet/fragments/release_bytes.rs
+++ b/router/src/fleet/fragments/release_bytes.rs
@@ -20,7 +20,7 @@
         PeerMessage::Raft {
             from: ReplicaId(1_002),
             to: ReplicaId(1_003),
-            word: vec![4, 5],
+            message: vec![4, 5],
         },
     ];
     let batch = PeerBatch {
--- a/router/src/fleet/fragments/tests.rs
+++ b/router/src/fleet/fragments/tests.rs
@@ -8,7 +8,7 @@
     PeerMessage::Raft {
         from: ternpick_fleet_policy::ReplicaId(1),
         to: ternpick_fleet_policy::ReplicaId(2),
-        word: vec![7; bytes],
+        message: vec![7; bytes],
     }
 }
 
--- a/router/src/fleet/maintenance/mod.rs
+++ b/router/src/fleet/maintenance/mod.rs
@@ -173,10 +173,11 @@
         let report = maintenance.report(&decisions, listed, now);
         let before = maintenance.last_report.replace(report.clone());
         let is_news = report::differs(&before, &report);
-        self.node
-            .borrow_mut()
-            .lease_holder
-            .goes_by(report.goes_by, report.encode(), is_news);
+        self.node.borrow_mut().lease_holder.set_extension_report(
+            report.goes_by,
+            report.encode(),
+            is_news,
+        );
         Some(maintenance.next_report.get())
     }
 
--- a/router/src/fleet/maintenance/report.rs
+++ b/router/src/fleet/maintenance/report.rs
@@ -33,9 +33,9 @@
     fn new(at: Micros, counts: &Counts) -> Sample {
         Sample {
             at,
-            finished: counts.satisfied + counts.nacked + counts.aborted,
-            failed: counts.late + counts.nacked + counts.aborted,
-            attempts: counts.calls,
+            finished: counts.satisfied + counts.rejected + counts.failed,
+            failed: counts.late + counts.rejected + counts.failed,
+            attempts: counts.attempts,
         }
     }
 }
@@ -78,7 +78,7 @@
 
 impl Machines<'_> {
     fn node(&self, name: &str) -> Option<&Node> {
-        let id = self.effects.nodes.number(name)?;
+        let id = self.effects.nodes.id_of(name)?;
         self.engine.nodes.get(&id)
     }
 
--- a/router/src/fleet/status.rs
+++ b/router/src/fleet/status.rs
@@ -63,7 +63,7 @@
             "knows_up_to": view.map(|view| view.index),
             "lease_left_ms": lease_holder.lease_left(now).map(|left| left.0 / 1000),
             "admission": describe_admission(lease_holder.admission(now)),
-            "unfit": lease_holder.unfit(),
+            "unfit": lease_holder.is_unfit(),
             "next": proposal,
             "leader": node.leader(),
             "leads": node.is_leader(),
@@ -85,6 +85,6 @@
             "admits without a lease, and marks it: the rule is given up".to_owned()
         }
         Admission::Wait(_) => "waits while a change takes hold".to_owned(),
-        Admission::Rejected { why, .. } => format!("refuses: {}", why.description()),
+        Admission::Rejected { reason: why, .. } => format!("refuses: {}", why.description()),
     }
 }
--- a/router/src/lifecycle/capacity_share.rs
+++ b/router/src/lifecycle/capacity_share.rs
@@ -68,7 +68,7 @@
     pub(crate) fn in_use(&self, router: &Router) -> Lease {
         // Requests that are half read here are admitted here.
         let half_read = HELD_A_CLIENT * router.descriptors.clients();
-        let held = router.decisions.borrow().effects.in_flight.held() + half_read;
+        let held = router.decisions.borrow().effects.in_flight.load() + half_read;
         Lease {
             held: saturating_u32(held),
             extra: 0,
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -198,7 +198,7 @@
         apply_start_times(decisions, list, now);
         let Decisions { engine, effects } = decisions;
         let names: HashMap<u64, String> = self.node_names.drain(..).collect();
-        let known = |id: &u64| effects.nodes.number(names.get(id)?);
+        let known = |id: &u64| effects.nodes.id_of(names.get(id)?);
         let nodes = std::mem::take(&mut self.engine.nodes);
         self.engine.nodes = nodes
             .into_iter()
@@ -245,7 +245,7 @@
 fn apply_start_times(decisions: &mut Decisions, list: &Value, now: Micros) {
     for entry in list["endpoints"].as_array().into_iter().flatten() {
         let name = entry["name"].as_str();
-        let id = name.and_then(|name| decisions.effects.nodes.number(name));
+        let id = name.and_then(|name| decisions.effects.nodes.id_of(name));
         let node = id.and_then(|id| decisions.engine.nodes.get_mut(&id));
         if let (Some(node), Some(age_ms)) = (node, entry["age_ms"].as_u64()) {
             node.started.at = now.since(Micros(age_ms.saturating_mul(1000)));
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -44,7 +44,7 @@
     let decisions = router.decisions.borrow();
     let in_flight = &decisions.effects.in_flight;
     tracing::info!(
-        queries = in_flight.lookups(),
+        queries = in_flight.query_count(),
         oldest_query_ms = age_ms(in_flight.oldest_admission()),
         attempts = in_flight.attempts(),
         clients = router.descriptors.clients(),
@@ -64,13 +64,13 @@
     let decisions = router.decisions.borrow();
     let counts = &decisions.effects.counts;
     tracing::info!(
-        admitted = counts.taken,
+        admitted = counts.admitted,
         satisfied = counts.satisfied,
-        rejected = counts.nacked,
-        aborted = counts.aborted,
-        lapsed = counts.lapsed,
-        shed = counts.turned_away,
-        attempts = counts.calls,
+        rejected = counts.rejected,
+        aborted = counts.failed,
+        lapsed = counts.client_left,
+        shed = counts.over_capacity,
+        attempts = counts.attempts,
         node_connections = decisions.effects.nodes.opened,
         peers_at_peak = router.descriptors.highest(),
         "stopped"
--- a/router/src/lifecycle/upgrade/driver.rs
+++ b/router/src/lifecycle/upgrade/driver.rs
@@ -343,7 +343,7 @@
     async fn finish_if_drained(&mut self) {
         let router = self.router;
         let no_clients = router.descriptors.clients() == 0 && router.client_transfer.is_empty();
-        if no_clients && router.decisions.borrow().effects.in_flight.lookups() == 0 {
+        if no_clients && router.decisions.borrow().effects.in_flight.query_count() == 0 {
             let effects = self.upgrades.machine.borrow_mut().drain_finished();
             self.carry_out(effects).await;
         }
--- a/router/src/lifecycle/watch.rs
+++ b/router/src/lifecycle/watch.rs
@@ -96,7 +96,7 @@
             tracing::warn!(%error, %entry, "endpoint list: entry skipped");
             // A complete list that names a node and spoils the rest does not say that it is gone: it stays as it was.
             let name = entry["name"].as_str().filter(|_| complete)?;
-            let node = engine.nodes.get(&effects.nodes.number(name)?)?;
+            let node = engine.nodes.get(&effects.nodes.id_of(name)?)?;
             Some(node.endpoint)
         }
     }
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -18,7 +18,7 @@
 use crate::stages::dispatch::{self, NewQuery, NewShardRequest};
 use crate::stages::query_request::{self, QueryRequest};
 use crate::state::clients::{Answer, Reply};
-use crate::state::in_flight::Taken;
+use crate::state::in_flight::AdmittedAs;
 
 /// What becomes of a request.
 pub(crate) enum Admitted {
@@ -163,10 +163,10 @@
     let reply = Rc::new(Reply::default());
     let mut decisions = router.decisions.borrow_mut();
     let latency_objective = decisions.engine.config.indexes[checked.index.at()].latency_objective;
-    let taken = Taken {
+    let taken = AdmittedAs {
         tenant,
         at: now,
-        soft: latency_objective,
+        latency_objective: latency_objective,
         mark,
         span: tracing::debug_span!(
             "query",
--- a/router/src/stages/attempt_deadline.rs
+++ b/router/src/stages/attempt_deadline.rs
@@ -5,7 +5,7 @@
 
 use crate::stages::completion::{CancelFrame, EffectQueue};
 use crate::stages::upstream_writer;
-use crate::state::in_flight::{CallKey, CallOut, Place};
+use crate::state::in_flight::{AttemptKey, AttemptProgress, OutgoingAttempt};
 
 /// Whether the frame of an attempt has been written in time.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -23,20 +23,20 @@
 ///
 /// A connection that has brought nothing since is not trusted with more: its peer may have vanished, and on its return would
 /// reset what is written to it.
-pub(super) fn check(effects: &mut EffectQueue, key: CallKey, cancel_frame: CancelFrame) {
-    let Some(attempt) = effects.in_flight.call(key) else {
+pub(super) fn check(effects: &mut EffectQueue, key: AttemptKey, cancel_frame: CancelFrame) {
+    let Some(attempt) = effects.in_flight.attempt(key) else {
         return;
     };
     let progress = progress(effects, attempt);
     let due = attempt.due;
     let sent_at = attempt.sent;
-    let place = attempt.place;
+    let place = attempt.progress;
     if progress == Progress::Written {
         if due > effects.now {
-            effects.in_flight.look_when_due(key);
+            effects.in_flight.check_when_due(key);
             return;
         }
-        if let Place::Queued(connection, _) = place {
+        if let AttemptProgress::Queued(connection, _) = place {
             effects.nodes.retire_silent(connection, sent_at);
         }
     }
@@ -48,11 +48,11 @@
     effects.give_up_attempt(key, outcome, cancel_frame);
 }
 
-fn progress(effects: &EffectQueue, attempt: &CallOut) -> Progress {
+fn progress(effects: &EffectQueue, attempt: &OutgoingAttempt) -> Progress {
     if upstream_writer::is_written(&effects.nodes, attempt) {
         return Progress::Written;
     }
-    let Place::Waiting(connection) = attempt.place else {
+    let AttemptProgress::Waiting(connection) = attempt.progress else {
         return Progress::NotWritten;
     };
     let dial_waits_for = effects
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -25,7 +25,7 @@
 use crate::fleet::Mark;
 use crate::stages::upstream_reader::UnusableInput;
 use crate::stages::upstream_writer;
-use crate::state::in_flight::{CallKey, CallOut, InFlightTable, Place};
+use crate::state::in_flight::{AttemptKey, AttemptProgress, InFlightTable, OutgoingAttempt};
 use crate::state::nodes::{ConnectionId, Nodes};
 
 /// Log lines on what peers do wrong come no closer than this; they hold the count.
@@ -34,9 +34,9 @@
 /// The end of an attempt that the decision module has yet to be told.
 pub(crate) struct FinishedAttempt {
     /// Its shard request and number.
-    pub(crate) key: CallKey,
+    pub(crate) key: AttemptKey,
     /// Its record, which is out of the in-flight table.
-    pub(crate) attempt: CallOut,
+    pub(crate) attempt: OutgoingAttempt,
     /// How it ended.
     pub(crate) outcome: AttemptOutcome,
 }
@@ -65,7 +65,7 @@
     /// How many queries there were, and how they ended.
     pub(crate) counts: Counts,
     /// Attempts wanted since the last turn, in order; emptied by `upstream_writer.rs`.
-    pub(crate) ordered_attempts: Vec<CallKey>,
+    pub(crate) ordered_attempts: Vec<AttemptKey>,
     /// Nodes to be asked for a load report; emptied by `upstream_writer.rs`.
     pub(crate) health_checks: Vec<NodeId>,
     /// Attempts that have ended; emptied by the next turn of `dispatch.rs`.
@@ -85,7 +85,7 @@
 impl EffectQueue {
     /// Whether as many queries and shard requests are in flight as may be; the query that asks is then rejected, and counted.
     pub(crate) fn is_full(&mut self) -> bool {
-        let in_flight = self.in_flight.held();
+        let in_flight = self.in_flight.load();
         let limit = self
             .bounds
             .most_held
@@ -93,10 +93,10 @@
             .chain(self.shared_limit)
             .min();
         let at_capacity = limit.is_some_and(|limit| in_flight >= limit);
-        self.counts.turned_away += u64::from(at_capacity);
+        self.counts.over_capacity += u64::from(at_capacity);
         if self.at_capacity != at_capacity {
             self.at_capacity = at_capacity;
-            let rejected = self.counts.turned_away;
+            let rejected = self.counts.over_capacity;
             if at_capacity {
                 tracing::info!(in_flight, rejected, "at capacity, rejecting queries");
             } else {
@@ -132,14 +132,16 @@
 
     /// Ends an attempt: the one way in which it leaves the in-flight table without an answer. The decision module is told in
     /// the next turn.
-    pub(crate) fn end_attempt(&mut self, key: CallKey, outcome: AttemptOutcome) {
+    pub(crate) fn end_attempt(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         let Some(attempt) = self.in_flight.finish(key) else {
             return;
         };
-        match attempt.place {
-            Place::Ordered => self.ordered_attempts.retain(|ordered| *ordered != key),
-            Place::Waiting(id) => self.remove_waiting(id, key),
-            Place::Queued(id, end) => self.nodes.unload(id, &attempt.id, end, self.now),
+        match attempt.progress {
+            AttemptProgress::Ordered => self.ordered_attempts.retain(|ordered| *ordered != key),
+            AttemptProgress::Waiting(id) => self.remove_waiting(id, key),
+            AttemptProgress::Queued(id, end) => {
+                self.nodes.remove_attempt(id, &attempt.id, end, self.now)
+            }
         }
         self.finished_attempts.push_back(FinishedAttempt {
             key,
@@ -149,7 +151,7 @@
     }
 
     /// Takes an attempt out of the frames that wait for a connection.
-    fn remove_waiting(&mut self, id: ConnectionId, key: CallKey) {
+    fn remove_waiting(&mut self, id: ConnectionId, key: AttemptKey) {
         let Some(connection) = self.nodes.connection_mut(id) else {
             return;
         };
@@ -162,15 +164,15 @@
     /// Gives an attempt up: at the node too, if it may have received it.
     pub(crate) fn give_up_attempt(
         &mut self,
-        key: CallKey,
+        key: AttemptKey,
         outcome: AttemptOutcome,
         cancel_frame: CancelFrame,
     ) {
-        let Some(attempt) = self.in_flight.call(key) else {
+        let Some(attempt) = self.in_flight.attempt(key) else {
             return;
         };
         let written = upstream_writer::is_written(&self.nodes, attempt);
-        if let Place::Queued(id, _) = attempt.place {
+        if let AttemptProgress::Queued(id, _) = attempt.progress {
             if written && cancel_frame == CancelFrame::Send {
                 let frame = frames::cancel(&attempt.id);
                 if let Some(connection) = self.nodes.connection_mut(id) {
@@ -187,27 +189,27 @@
         let Some(query) = self.in_flight.close(id) else {
             return;
         };
-        let took = self.now.since(query.taken.at);
-        query.taken.span.in_scope(|| {
+        let took = self.now.since(query.admitted.at);
+        query.admitted.span.in_scope(|| {
             tracing::debug!(status, took_us = took.0, "query completed");
         });
-        let late = took > query.taken.soft;
+        let late = took > query.admitted.latency_objective;
         self.counts.late += u64::from(status == 200 && late);
-        if let (Some(limits), Some(tenant)) = (&mut self.limits, query.taken.tenant) {
+        if let (Some(limits), Some(tenant)) = (&mut self.limits, query.admitted.tenant) {
             limits.release(self.now, tenant, took, late);
         }
-        for shard_request in &query.parts {
+        for shard_request in &query.shard_requests {
             self.end_unsent(shard_request.id);
         }
-        let mark = query.taken.mark.map(Mark::headers).unwrap_or_default();
+        let mark = query.admitted.mark.map(Mark::headers).unwrap_or_default();
         query.reply.set(status, headers + &mark, body);
     }
 
     /// Ends the attempts of a shard request whose frames are not written in full.
     fn end_unsent(&mut self, shard_request: ShardRequestId) {
-        let unsent: Vec<CallKey> = self
+        let unsent: Vec<AttemptKey> = self
             .in_flight
-            .out_of(shard_request)
+            .attempts_of(shard_request)
             .filter(|(_, attempt)| !upstream_writer::is_written(&self.nodes, attempt))
             .map(|(key, _)| key)
             .collect();
@@ -218,7 +220,7 @@
 
     /// The client of a query has left: no answer is due.
     pub(crate) fn client_left(&mut self, id: QueryId) {
-        self.counts.lapsed += 1;
+        self.counts.client_left += 1;
         self.close(id, 503, String::new(), String::new());
     }
 }
@@ -226,21 +228,21 @@
 impl Actions for EffectQueue {
     fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, limit: Micros) {
         let dial_timeout = self.bounds.dial_timeout;
-        if let Some(key) = self
-            .in_flight
-            .order(shard_request, node, self.now, limit, dial_timeout)
+        if let Some(key) =
+            self.in_flight
+                .add_attempt(shard_request, node, self.now, limit, dial_timeout)
         {
-            self.counts.calls += 1;
+            self.counts.attempts += 1;
             self.ordered_attempts.push(key);
         }
     }
 
     fn answer(&mut self, id: QueryId, complete: bool) {
-        let Some(record) = self.in_flight.lookup(id) else {
+        let Some(record) = self.in_flight.query(id) else {
             return;
         };
         let values = record
-            .parts
+            .shard_requests
             .iter()
             .filter_map(|part| Some((part.shard, part.value.as_deref()?)));
         let body = query::answer(complete, values);
@@ -249,13 +251,13 @@
     }
 
     fn reject(&mut self, query: QueryId, retry_after: Micros) {
-        self.counts.nacked += 1;
+        self.counts.rejected += 1;
         let body = "refused: asking again is harmless\n".to_owned();
         self.close(query, 503, self::retry_after(retry_after), body);
     }
 
     fn fail(&mut self, query: QueryId) {
-        self.counts.aborted += 1;
+        self.counts.failed += 1;
         let body = "failed: it may have had its effect\n".to_owned();
         self.close(query, 502, String::new(), body);
     }
@@ -285,9 +287,9 @@
     }
 
     fn record_reason(&mut self, query: QueryId, reason: DecisionReason) {
-        if let Some(record) = self.in_flight.lookup(query) {
+        if let Some(record) = self.in_flight.query(query) {
             record
-                .taken
+                .admitted
                 .span
                 .in_scope(|| tracing::debug!(?reason, "decision"));
         }
--- a/router/src/stages/completion/counts.rs
+++ b/router/src/stages/completion/counts.rs
@@ -6,21 +6,21 @@
 #[derive(Default)]
 pub(crate) struct Counts {
     /// Queries admitted.
-    pub(crate) taken: u64,
+    pub(crate) admitted: u64,
     /// Queries answered.
     pub(crate) satisfied: u64,
     /// Queries rejected by the decision module: a retry is harmless.
-    pub(crate) nacked: u64,
+    pub(crate) rejected: u64,
     /// Queries that failed, with no promise about their effect.
-    pub(crate) aborted: u64,
+    pub(crate) failed: u64,
     /// Queries whose client left before the answer.
-    pub(crate) lapsed: u64,
+    pub(crate) client_left: u64,
     /// Queries answered after their latency objective.
     pub(crate) late: u64,
     /// Queries rejected beyond the most that may be in flight, before the decision module saw them.
-    pub(crate) turned_away: u64,
+    pub(crate) over_capacity: u64,
     /// Attempts sent to nodes.
-    pub(crate) calls: u64,
+    pub(crate) attempts: u64,
     /// Connections to nodes that were ended over what the node had sent.
     pub(super) unusable_inputs: u64,
     /// When that was last logged.
--- a/router/src/stages/completion/tests.rs
+++ b/router/src/stages/completion/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::state::clients::Reply;
 use crate::state::descriptors::{Descriptors, Peer};
-use crate::state::in_flight::Taken;
+use crate::state::in_flight::AdmittedAs;
 
 const MS: u64 = 1000;
 
@@ -24,7 +24,7 @@
 struct Fixture {
     effects: EffectQueue,
     query: QueryId,
-    attempt: CallKey,
+    attempt: AttemptKey,
     connection: ConnectionId,
     reply: Rc<Reply>,
 }
@@ -57,7 +57,7 @@
             None,
             [ShardNo(0), ShardNo(1)].into_iter(),
             Rc::clone(&reply),
-            Taken::default(),
+            AdmittedAs::default(),
         );
         effects.send_attempt(shard_requests[0], node, Micros(900 * MS));
         let mut fixture = Fixture {
@@ -76,8 +76,8 @@
             return;
         }
         self.effects.ordered_attempts.clear();
-        let waiting = Place::Waiting(self.connection);
-        self.effects.in_flight.place(self.attempt, waiting);
+        let waiting = AttemptProgress::Waiting(self.connection);
+        self.effects.in_flight.set_progress(self.attempt, waiting);
         let attempt = self.attempt;
         let connection = self
             .effects
@@ -93,11 +93,11 @@
             Progress::HalfWritten => 5,
             Progress::Written => 10,
         };
-        connection.carries.insert("r.0".into(), attempt);
+        connection.attempts.insert("r.0".into(), attempt);
         connection.queued = 10;
         connection.written = written;
-        let queued = Place::Queued(self.connection, 10);
-        self.effects.in_flight.place(attempt, queued);
+        let queued = AttemptProgress::Queued(self.connection, 10);
+        self.effects.in_flight.set_progress(attempt, queued);
     }
 
     fn connection(&self) -> &crate::state::nodes::Connection {
@@ -109,8 +109,8 @@
 
     fn nothing_is_in_flight(&self) -> bool {
         let connection = self.connection();
-        let carries = !connection.carries.is_empty() || !connection.waiting.is_empty();
-        self.effects.in_flight.next_due().is_none()
+        let carries = !connection.attempts.is_empty() || !connection.waiting.is_empty();
+        self.effects.in_flight.next_check().is_none()
             && self.effects.ordered_attempts.is_empty()
             && !carries
     }
@@ -155,7 +155,7 @@
         (answer.0, answer.1.as_str()),
         (503, "Retry-After: 1.500\r\n")
     );
-    assert_eq!(fixture.effects.in_flight.held(), 0);
+    assert_eq!(fixture.effects.in_flight.load(), 0);
     assert!(!fixture.effects.in_flight.knows("r"));
     assert_eq!(fixture.nothing_is_in_flight(), taken_off);
     // A second decision on a query that is closed changes nothing.
@@ -195,10 +195,10 @@
         .in_flight
         .finish(fixture.attempt)
         .expect("an attempt");
-    fixture.effects.in_flight.keep(&attempt, "first");
-    fixture.effects.in_flight.keep(&attempt, "second");
+    fixture.effects.in_flight.store_value(&attempt, "first");
+    fixture.effects.in_flight.store_value(&attempt, "second");
     assert_eq!(
-        fixture.effects.in_flight.held(),
+        fixture.effects.in_flight.load(),
         2,
         "the query, and the shard request that is not answered"
     );
@@ -220,8 +220,8 @@
 fn an_attempt_is_looked_at_after_a_dial_and_when_its_time_is_up() {
     let mut fixture = Fixture::new(Progress::Written);
     let in_flight = &mut fixture.effects.in_flight;
-    assert_eq!(in_flight.next_due(), Some(Micros(250 * MS)));
-    in_flight.look_when_due(fixture.attempt);
-    assert_eq!(in_flight.next_due(), Some(Micros(900 * MS)));
-    assert_eq!(in_flight.overdue(Micros(900 * MS)), Some(fixture.attempt));
+    assert_eq!(in_flight.next_check(), Some(Micros(250 * MS)));
+    in_flight.check_when_due(fixture.attempt);
+    assert_eq!(in_flight.next_check(), Some(Micros(900 * MS)));
+    assert_eq!(in_flight.due_check(Micros(900 * MS)), Some(fixture.attempt));
 }
--- a/router/src/stages/dispatch.rs
+++ b/router/src/stages/dispatch.rs
@@ -45,10 +45,10 @@
     let number = WireQueryNo(query.id.0);
     let count = query.shard_requests.len();
     router.apply(|engine, now, effects| {
-        effects.counts.taken += 1;
-        if let Some(record) = effects.in_flight.lookup(query.id) {
+        effects.counts.admitted += 1;
+        if let Some(record) = effects.in_flight.query(query.id) {
             let time_left_us = query.time_left.0;
-            record.taken.span.in_scope(|| {
+            record.admitted.span.in_scope(|| {
                 tracing::debug!(shard_requests = count, time_left_us, "query dispatched")
             });
         }
@@ -80,7 +80,7 @@
 /// The client of a query has left before its answer.
 pub(super) fn client_left(router: &Router, query: QueryId) {
     router.apply(|engine, now, effects| {
-        if effects.in_flight.lookup(query).is_some() {
+        if effects.in_flight.query(query).is_some() {
             effects.client_left(query);
             engine.client_left(now, query, effects);
         }
@@ -126,7 +126,7 @@
         attempt_finished(router, finished, &[]);
         return true;
     }
-    if let Some(key) = effects.in_flight.overdue(now) {
+    if let Some(key) = effects.in_flight.due_check(now) {
         attempt_deadline::check(effects, key, cancel_frame);
         return true;
     }
@@ -146,7 +146,7 @@
     let timer = decisions.effects.timers.first().map(|(at, _)| *at);
     timer
         .into_iter()
-        .chain(decisions.effects.in_flight.next_due())
+        .chain(decisions.effects.in_flight.next_check())
         .min()
 }
 
--- a/router/src/stages/upstream_connection.rs
+++ b/router/src/stages/upstream_connection.rs
@@ -19,7 +19,7 @@
 use crate::stages::upstream_reader::UnusableInput;
 use crate::stages::{upstream_dial, upstream_reader, upstream_writer};
 use crate::state::descriptors::Peer;
-use crate::state::in_flight::CallKey;
+use crate::state::in_flight::AttemptKey;
 use crate::state::nodes::{Connection, ConnectionId};
 
 /// Why a connection to a node ends.
@@ -168,9 +168,9 @@
 fn outcomes_of_loss(
     effects: &EffectQueue,
     id: ConnectionId,
-) -> Option<Vec<(CallKey, AttemptOutcome)>> {
+) -> Option<Vec<(AttemptKey, AttemptOutcome)>> {
     let connection = effects.nodes.connection(id)?;
-    let mut carried: Vec<CallKey> = connection.carries.values().copied().collect();
+    let mut carried: Vec<AttemptKey> = connection.attempts.values().copied().collect();
     carried.sort();
     let waiting = connection.waiting.iter().flatten().copied();
     let outcomes = waiting
@@ -180,10 +180,14 @@
 }
 
 /// The outcome of an attempt whose connection is lost.
-fn outcome_of_loss(effects: &EffectQueue, connection: &Connection, key: CallKey) -> AttemptOutcome {
+fn outcome_of_loss(
+    effects: &EffectQueue,
+    connection: &Connection,
+    key: AttemptKey,
+) -> AttemptOutcome {
     let written = effects
         .in_flight
-        .call(key)
+        .attempt(key)
         .is_some_and(|attempt| upstream_writer::is_written(&effects.nodes, attempt));
     match (written, connection.abandoned) {
         (true, true) if connection.spoilt == Some(key) => AttemptOutcome::MayHaveRun,
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -159,7 +159,7 @@
         decisions.effects.nodes.heard = now;
         if let Some(connection) = decisions.effects.nodes.connection_mut(self.id) {
             connection.used = now;
-            connection.heard = now;
+            connection.last_received = now;
         }
     }
 }
@@ -212,10 +212,10 @@
         .nodes
         .connection_mut(id)
         .ok_or(UnusableInput::ConnectionRemoved)?;
-    let Some(key) = connection.carries.remove(answer.id) else {
+    let Some(key) = connection.attempts.remove(answer.id) else {
         // An answer to an attempt that was given up is ordinary, and a second answer harmless. One to an attempt that never
         // was on this connection belongs to another one, which would wait until its time is up.
-        return if connection.is_over(answer.id) {
+        return if connection.is_finished(answer.id) {
             Ok(None)
         } else {
             Err(UnusableInput::UnknownAttempt)
@@ -224,17 +224,17 @@
     let Some(attempt) = effects.in_flight.finish(key) else {
         return Ok(None);
     };
-    connection.over(&attempt.id, now);
-    if let Some((query, _)) = effects.in_flight.part(&attempt) {
+    connection.mark_finished(&attempt.id, now);
+    if let Some((query, _)) = effects.in_flight.shard_request(&attempt) {
         query
-            .taken
+            .admitted
             .span
             .in_scope(|| tracing::debug!(attempt = &*attempt.id, ?outcome, "attempt answered"));
     }
     if outcome == AttemptOutcome::Satisfied {
-        effects.in_flight.keep(&attempt, answer.value);
+        effects.in_flight.store_value(&attempt, answer.value);
     }
-    effects.nodes.stir_retired(id);
+    effects.nodes.wake_retired(id);
     Ok(Some(FinishedAttempt {
         key,
         attempt,
--- a/router/src/stages/upstream_writer.rs
+++ b/router/src/stages/upstream_writer.rs
@@ -3,7 +3,7 @@
 //!
 //! [`carry_out`] is called once in each turn by `dispatch.rs`; [`write`] is the writing half of a connection's task in
 //! `upstream_connection.rs`. An attempt moves from `ordered_attempts` to the `waiting` queue of a connection, and from there
-//! into its buffer once the connection is up ([`Place`]).
+//! into its buffer once the connection is up ([`AttemptProgress`]).
 
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -18,7 +18,7 @@
 use crate::router::Router;
 use crate::stages::completion::EffectQueue;
 use crate::stages::upstream_connection::{self, UpstreamEnd};
-use crate::state::in_flight::{CallKey, CallOut, InFlightTable, Place};
+use crate::state::in_flight::{AttemptKey, AttemptProgress, InFlightTable, OutgoingAttempt};
 use crate::state::nodes::{ConnectionId, Nodes};
 
 pub(crate) use crate::stages::upstream_dial::dial;
@@ -33,12 +33,12 @@
 }
 
 /// Whether the last byte of an attempt's frame has been written to the socket.
-pub(super) fn is_written(nodes: &Nodes, attempt: &CallOut) -> bool {
-    match attempt.place {
-        Place::Queued(id, end) => nodes
+pub(super) fn is_written(nodes: &Nodes, attempt: &OutgoingAttempt) -> bool {
+    match attempt.progress {
+        AttemptProgress::Queued(id, end) => nodes
             .connection(id)
             .is_none_or(|connection| connection.written >= end),
-        Place::Ordered | Place::Waiting(_) => false,
+        AttemptProgress::Ordered | AttemptProgress::Waiting(_) => false,
     }
 }
 
@@ -65,17 +65,17 @@
     }
 }
 
-fn first_node(effects: &EffectQueue, ordered: &[CallKey]) -> Option<NodeId> {
-    let attempt = effects.in_flight.call(*ordered.first()?)?;
+fn first_node(effects: &EffectQueue, ordered: &[AttemptKey]) -> Option<NodeId> {
+    let attempt = effects.in_flight.attempt(*ordered.first()?)?;
     Some(attempt.node)
 }
 
 /// The attempts of the next frame for a node, and those left over.
 fn split_frame(
     effects: &EffectQueue,
-    ordered: Vec<CallKey>,
+    ordered: Vec<AttemptKey>,
     node: NodeId,
-) -> (Vec<CallKey>, Vec<CallKey>) {
+) -> (Vec<AttemptKey>, Vec<AttemptKey>) {
     let mut room = effects
         .bounds
         .parts_a_call
@@ -84,7 +84,7 @@
         let in_frame = room > 0
             && effects
                 .in_flight
-                .call(*key)
+                .attempt(*key)
                 .is_some_and(|attempt| attempt.node == node);
         room -= usize::from(in_frame);
         in_frame
@@ -92,7 +92,12 @@
 }
 
 /// Gives the attempts of a frame to the first connection with room for them, or to a new one.
-fn send_frame(router: &Rc<Router>, effects: &mut EffectQueue, node: NodeId, frame: Vec<CallKey>) {
+fn send_frame(
+    router: &Rc<Router>,
+    effects: &mut EffectQueue,
+    node: NodeId,
+    frame: Vec<AttemptKey>,
+) {
     let connection = find_connection(effects, node, &frame)
         .or_else(|| upstream_connection::open(router, effects, node));
     let Some(id) = connection else {
@@ -103,23 +108,29 @@
         return;
     };
     for key in &frame {
-        effects.in_flight.place(*key, Place::Waiting(id));
+        effects
+            .in_flight
+            .set_progress(*key, AttemptProgress::Waiting(id));
     }
     if let Some(connection) = effects.nodes.connection_mut(id) {
         connection.waiting.push_back(frame);
         // What the socket does not take now, the connection's task writes; it also finds what is wrong.
-        connection.stirred.notify(1);
+        connection.wake.notify(1);
     }
     let _ = write_available(effects, id);
 }
 
 /// The first usable connection that may carry so many more attempts, and has carried none of the same shard requests: an
 /// answer is matched by its connection and the shard request.
-fn find_connection(effects: &EffectQueue, node: NodeId, frame: &[CallKey]) -> Option<ConnectionId> {
+fn find_connection(
+    effects: &EffectQueue,
+    node: NodeId,
+    frame: &[AttemptKey],
+) -> Option<ConnectionId> {
     let usable = effects.nodes.usable(node);
     let mut fitting = usable.filter(|(id, connection)| {
         let waiting: usize = connection.waiting.iter().map(Vec::len).sum();
-        let carried = connection.carries.len() + waiting;
+        let carried = connection.attempts.len() + waiting;
         carried + frame.len() <= effects.bounds.parts_a_connection
             && !frame.iter().any(|key| effects.in_flight.carried(*key, *id))
     });
@@ -162,20 +173,20 @@
         }
         let end = connection.queued;
         for key in keys {
-            if let Some(attempt) = in_flight.call(key) {
-                connection.carries.insert(Rc::clone(&attempt.id), key);
-                in_flight.place(key, Place::Queued(id, end));
+            if let Some(attempt) = in_flight.attempt(key) {
+                connection.attempts.insert(Rc::clone(&attempt.id), key);
+                in_flight.set_progress(key, AttemptProgress::Queued(id, end));
             }
         }
     }
 }
 
 /// The frame of some attempts, as it is sent at `now`.
-fn encode_frame(in_flight: &InFlightTable, keys: &[CallKey], now: Micros) -> Vec<u8> {
-    let attempts = keys.iter().filter_map(|key| in_flight.call(*key));
+fn encode_frame(in_flight: &InFlightTable, keys: &[AttemptKey], now: Micros) -> Vec<u8> {
+    let attempts = keys.iter().filter_map(|key| in_flight.attempt(*key));
     let requests = attempts.filter_map(|attempt| {
-        let (query, shard_request) = in_flight.part(attempt)?;
-        query.taken.span.in_scope(|| {
+        let (query, shard_request) = in_flight.shard_request(attempt)?;
+        query.admitted.span.in_scope(|| {
             tracing::debug!(
                 attempt = &*attempt.id,
                 node = format_args!("{:x}", attempt.node.0),
@@ -187,7 +198,7 @@
             shard: shard_request.shard.0,
             // Rounded down: a node is never told more than is left.
             wait_ms: (attempt.due.since(now).0 / 1000).max(1),
-            idempotency_key: query.key.as_deref(),
+            idempotency_key: query.idempotency_key.as_deref(),
             statement: &query.statement,
         })
     });
@@ -235,7 +246,7 @@
         .nodes
         .connection(id)
         .ok_or(UpstreamEnd::Removed)?;
-    let woken = connection.stirred.listen();
+    let woken = connection.wake.listen();
     let written = write_available(&mut decisions.effects, id)?;
     Ok((woken, written))
 }
--- a/router/src/state/connection.rs
+++ b/router/src/state/connection.rs
@@ -15,7 +15,7 @@
 use ternpick_wire::ring::Ring;
 
 use crate::state::descriptors::Permit;
-use crate::state::ids::CallKey;
+use crate::state::ids::AttemptKey;
 
 /// How long a finished attempt is remembered: a response that comes later ends the connection.
 pub(crate) const FINISHED_REMEMBERED_FOR: Micros = Micros(10_000_000);
@@ -47,21 +47,21 @@
     /// Bytes ever taken off `out` by the socket.
     pub(crate) written: u64,
     /// Attempts out on it, by the id that their responses name.
-    pub(crate) carries: HashMap<Rc<str>, CallKey>,
+    pub(crate) attempts: HashMap<Rc<str>, AttemptKey>,
     /// Attempts that share a frame each, for when it is up or has room.
-    pub(crate) waiting: VecDeque<Vec<CallKey>>,
+    pub(crate) waiting: VecDeque<Vec<AttemptKey>>,
     /// Attempts that are over; bounded by age and by number.
     pub(crate) finished: VecDeque<FinishedAttempt>,
     /// When it last carried something.
     pub(crate) used: Micros,
     /// When it last brought a frame that could be used.
-    pub(crate) heard: Micros,
+    pub(crate) last_received: Micros,
     /// Ended by the router itself: a frame on it is not to be finished, or it has brought what cannot be used.
     pub(crate) abandoned: bool,
     /// The attempt whose response could not be used.
-    pub(crate) spoilt: Option<CallKey>,
+    pub(crate) spoilt: Option<AttemptKey>,
     /// Wakes its task: there is something to write, or it is retired.
-    pub(crate) stirred: Rc<Event>,
+    pub(crate) wake: Rc<Event>,
     _permit: Permit,
 }
 
@@ -83,21 +83,21 @@
             out: Ring::new(out_bound),
             queued: 0,
             written: 0,
-            carries: HashMap::new(),
+            attempts: HashMap::new(),
             waiting: VecDeque::new(),
             finished: VecDeque::new(),
             used: now,
-            heard: Micros(0),
+            last_received: Micros(0),
             abandoned: false,
             spoilt: None,
-            stirred: Rc::new(Event::new()),
+            wake: Rc::new(Event::new()),
             _permit: permit,
         }
     }
 
     /// Whether it carries nothing and has nothing to write.
     pub(crate) fn idle(&self) -> bool {
-        self.carries.is_empty() && self.waiting.is_empty() && self.out.is_empty()
+        self.attempts.is_empty() && self.waiting.is_empty() && self.out.is_empty()
     }
 
     /// Whether it may carry more attempts.
@@ -108,19 +108,19 @@
     /// It carries no more attempts; its task is woken, and closes it once it carries none.
     pub(crate) fn retire(&mut self) {
         self.retired = true;
-        self.stirred.notify(1);
+        self.wake.notify(1);
     }
 
     /// Ends it since its node has sent what cannot be used. The attempt whose response could not be used is the one that the
     /// bytes name, or the one out longest; of the others it is only known that they may have run.
     pub(crate) fn spoil(&mut self, named: Option<&str>) {
-        let named = named.and_then(|name| self.carries.get(name));
-        self.spoilt = named.or_else(|| self.carries.values().min()).copied();
+        let named = named.and_then(|name| self.attempts.get(name));
+        self.spoilt = named.or_else(|| self.attempts.values().min()).copied();
         self.abandoned = true;
     }
 
     /// Remembers that an attempt which it carried is over.
-    pub(crate) fn over(&mut self, name: &Rc<str>, now: Micros) {
+    pub(crate) fn mark_finished(&mut self, name: &Rc<str>, now: Micros) {
         while self.forgets_oldest(now) {
             self.finished.pop_front();
         }
@@ -138,7 +138,7 @@
     }
 
     /// Whether it has carried an attempt of this name that is over and remembered.
-    pub(crate) fn is_over(&self, name: &str) -> bool {
+    pub(crate) fn is_finished(&self, name: &str) -> bool {
         self.finished.iter().any(|attempt| *attempt.name == *name)
     }
 
@@ -148,7 +148,7 @@
         if pushed {
             self.queued += frame.len() as u64;
             self.used = now;
-            self.stirred.notify(1);
+            self.wake.notify(1);
         }
         pushed
     }
--- a/router/src/state/ids.rs
+++ b/router/src/state/ids.rs
@@ -7,4 +7,4 @@
 pub(crate) struct ConnectionId(pub u64);
 
 /// Names an attempt: its shard request, and its number among that one's attempts.
-pub(crate) type CallKey = (ShardRequestId, AttemptNo);
+pub(crate) type AttemptKey = (ShardRequestId, AttemptNo);
--- a/router/src/state/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -11,7 +11,7 @@
 
 use crate::fleet::Mark;
 use crate::state::clients::Reply;
-pub(crate) use crate::state::ids::CallKey;
+pub(crate) use crate::state::ids::AttemptKey;
 use crate::state::ids::ConnectionId;
 
 /// One shard's part of a query, and its value once a node has answered it.
@@ -21,7 +21,7 @@
     /// The shard that is asked.
     pub(crate) shard: ShardNo,
     /// Attempts made so far.
-    pub(crate) calls: u8,
+    pub(crate) attempt_count: u8,
     /// Connections that have carried an attempt of it. A response names the shard request alone, so no connection may carry
     /// two attempts of one.
     pub(crate) carried: Vec<ConnectionId>,
@@ -30,26 +30,26 @@
 }
 
 /// On whose account a query was admitted, and when.
-pub(crate) struct Taken {
+pub(crate) struct AdmittedAs {
     /// The tenant that it counts for; none where tenants are not told apart.
     pub(crate) tenant: Option<CustomerNo>,
     /// When it was admitted.
     pub(crate) at: Micros,
     /// Its soft deadline.
-    pub(crate) soft: Micros,
+    pub(crate) latency_objective: Micros,
     /// The policy that it is decided under; none where the fleet agrees on none.
     pub(crate) mark: Option<Mark>,
     /// Follows the query through the stages.
     pub(crate) span: tracing::Span,
 }
 
-impl Default for Taken {
+impl Default for AdmittedAs {
     /// A query of nobody, at the epoch, without a soft deadline.
     fn default() -> Self {
-        Taken {
+        AdmittedAs {
             tenant: None,
             at: Micros(0),
-            soft: Micros(u64::MAX),
+            latency_objective: Micros(u64::MAX),
             mark: None,
             span: tracing::Span::none(),
         }
@@ -59,22 +59,22 @@
 /// A query that has been admitted and has no final response yet.
 pub(crate) struct InFlightQuery {
     /// On whose account, and when.
-    pub(crate) taken: Taken,
+    pub(crate) admitted: AdmittedAs,
     /// The client's id of the request.
-    pub(crate) name: Rc<str>,
+    pub(crate) request_id: Rc<str>,
     /// What nodes are asked.
     pub(crate) statement: Rc<str>,
     /// The idempotency key.
-    pub(crate) key: Option<Rc<str>>,
+    pub(crate) idempotency_key: Option<Rc<str>>,
     /// Its shard requests, in the order in which they are answered.
-    pub(crate) parts: Vec<InFlightShardRequest>,
+    pub(crate) shard_requests: Vec<InFlightShardRequest>,
     /// Where the client's connection waits for the response.
     pub(crate) reply: Rc<Reply>,
 }
 
 /// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum AttemptProgress {
     /// Wanted by the decision module, not yet given to a connection.
     Ordered,
     /// Waits for its connection to come up or to have room.
@@ -84,11 +84,11 @@
 }
 
 /// One attempt of a shard request, from the decision to make it until its outcome is known.
-pub(crate) struct CallOut {
+pub(crate) struct OutgoingAttempt {
     /// The query that it is made for.
-    pub(crate) lookup: QueryId,
+    pub(crate) query: QueryId,
     /// Position of its shard request in [`InFlightQuery::parts`].
-    pub(crate) at: usize,
+    pub(crate) position: usize,
     /// The node that is asked.
     pub(crate) node: NodeId,
     /// The shard request's id on the wire.
@@ -100,7 +100,7 @@
     /// When it is examined next: first to see whether it has been sent, then at `due`.
     next_check: Micros,
     /// How far it has come.
-    pub(crate) place: Place,
+    pub(crate) progress: AttemptProgress,
 }
 
 /// Where a shard request is: its query, and its position there.
@@ -114,7 +114,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledCheck {
     at: Micros,
-    attempt: CallKey,
+    attempt: AttemptKey,
 }
 
 /// All queries in flight and all attempts out.
@@ -128,24 +128,24 @@
     shard_requests: HashMap<ShardRequestId, ShardRequestLocation>,
     /// How many shard requests have their value.
     answered: usize,
-    attempts: BTreeMap<CallKey, CallOut>,
+    attempts: BTreeMap<AttemptKey, OutgoingAttempt>,
     checks: BTreeSet<ScheduledCheck>,
 }
 
 impl InFlightTable {
     /// Queries and unanswered shard requests, which the limit on what is in flight counts.
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn load(&self) -> usize {
         self.queries.len() + self.shard_requests.len() - self.answered
     }
 
     /// Queries in flight.
-    pub(crate) fn lookups(&self) -> usize {
+    pub(crate) fn query_count(&self) -> usize {
         self.queries.len()
     }
 
     /// When the query longest in flight was admitted.
     pub(crate) fn oldest_admission(&self) -> Option<Micros> {
-        self.queries.values().map(|query| query.taken.at).min()
+        self.queries.values().map(|query| query.admitted.at).min()
     }
 
     /// Attempts out.
@@ -171,7 +171,7 @@
         key: Option<&str>,
         shards: impl Iterator<Item = ShardNo>,
         reply: Rc<Reply>,
-        taken: Taken,
+        taken: AdmittedAs,
     ) -> (QueryId, Vec<ShardRequestId>) {
         let query = QueryId(self.next_number());
         let shard_requests: Vec<InFlightShardRequest> = shards
@@ -182,11 +182,11 @@
         let name = Rc::<str>::from(name);
         self.request_ids.insert(Rc::clone(&name));
         let in_flight = InFlightQuery {
-            taken,
-            name,
+            admitted: taken,
+            request_id: name,
             statement: statement.into(),
-            key: key.map(Rc::from),
-            parts: shard_requests,
+            idempotency_key: key.map(Rc::from),
+            shard_requests: shard_requests,
             reply,
         };
         self.queries.insert(query, in_flight);
@@ -205,22 +205,22 @@
         InFlightShardRequest {
             id,
             shard,
-            calls: 0,
+            attempt_count: 0,
             carried: Vec::new(),
             value: None,
         }
     }
 
     /// The query with this id, while it is in flight.
-    pub(crate) fn lookup(&self, id: QueryId) -> Option<&InFlightQuery> {
+    pub(crate) fn query(&self, id: QueryId) -> Option<&InFlightQuery> {
         self.queries.get(&id)
     }
 
     /// Removes a query with its shard requests; the one place that does.
     pub(crate) fn close(&mut self, id: QueryId) -> Option<InFlightQuery> {
         let query = self.queries.remove(&id)?;
-        self.request_ids.remove(&query.name);
-        for shard_request in &query.parts {
+        self.request_ids.remove(&query.request_id);
+        for shard_request in &query.shard_requests {
             self.shard_requests.remove(&shard_request.id);
             self.answered -= usize::from(shard_request.value.is_some());
         }
@@ -229,30 +229,30 @@
 
     /// Adds an attempt that the decision module wants made, with `limit` from `now` to its end. Where the connection may have
     /// to be dialled, the attempt is examined after `dial` already. Nothing if the shard request is not in flight.
-    pub(crate) fn order(
+    pub(crate) fn add_attempt(
         &mut self,
         id: ShardRequestId,
         node: NodeId,
         now: Micros,
         limit: Micros,
         dial: Option<Micros>,
-    ) -> Option<CallKey> {
+    ) -> Option<AttemptKey> {
         let ShardRequestLocation { query, position } = *self.shard_requests.get(&id)?;
         let in_flight = self.queries.get_mut(&query)?;
-        let shard_request = &mut in_flight.parts[position];
-        let key = (id, AttemptNo(shard_request.calls));
-        shard_request.calls = shard_request.calls.checked_add(1)?;
+        let shard_request = &mut in_flight.shard_requests[position];
+        let key = (id, AttemptNo(shard_request.attempt_count));
+        shard_request.attempt_count = shard_request.attempt_count.checked_add(1)?;
         let due = now + limit;
         let next_check = dial.map_or(due, |dial| due.min(now + dial));
-        let attempt = CallOut {
-            lookup: query,
-            at: position,
+        let attempt = OutgoingAttempt {
+            query: query,
+            position: position,
             node,
-            id: format!("{}.{}", in_flight.name, shard_request.shard.0).into(),
+            id: format!("{}.{}", in_flight.request_id, shard_request.shard.0).into(),
             sent: now,
             due,
             next_check,
-            place: Place::Ordered,
+            progress: AttemptProgress::Ordered,
         };
         self.attempts.insert(key, attempt);
         self.checks.insert(ScheduledCheck {
@@ -263,34 +263,38 @@
     }
 
     /// The attempt with this key, while it is out.
-    pub(crate) fn call(&self, key: CallKey) -> Option<&CallOut> {
+    pub(crate) fn attempt(&self, key: AttemptKey) -> Option<&OutgoingAttempt> {
         self.attempts.get(&key)
     }
 
     /// The query and the shard request that an attempt is made for, while they are in flight.
-    pub(crate) fn part(&self, call: &CallOut) -> Option<(&InFlightQuery, &InFlightShardRequest)> {
-        let query = self.queries.get(&call.lookup)?;
-        Some((query, query.parts.get(call.at)?))
+    pub(crate) fn shard_request(
+        &self,
+        call: &OutgoingAttempt,
+    ) -> Option<(&InFlightQuery, &InFlightShardRequest)> {
+        let query = self.queries.get(&call.query)?;
+        Some((query, query.shard_requests.get(call.position)?))
     }
 
     /// Whether a connection has carried an attempt of the same shard request.
-    pub(crate) fn carried(&self, key: CallKey, connection: ConnectionId) -> bool {
+    pub(crate) fn carried(&self, key: AttemptKey, connection: ConnectionId) -> bool {
         let attempt = self.attempts.get(&key);
-        let found = attempt.and_then(|attempt| self.part(attempt));
+        let found = attempt.and_then(|attempt| self.shard_request(attempt));
         found.is_some_and(|(_, shard_request)| shard_request.carried.contains(&connection))
     }
 
     /// Notes that an attempt has been given to a connection, and how far it has come there.
-    pub(crate) fn place(&mut self, key: CallKey, place: Place) {
+    pub(crate) fn set_progress(&mut self, key: AttemptKey, place: AttemptProgress) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
-        attempt.place = place;
-        let (Place::Waiting(connection) | Place::Queued(connection, _)) = place else {
+        attempt.progress = place;
+        let (AttemptProgress::Waiting(connection) | AttemptProgress::Queued(connection, _)) = place
+        else {
             return;
         };
-        let query = self.queries.get_mut(&attempt.lookup);
-        let shard_request = query.and_then(|query| query.parts.get_mut(attempt.at));
+        let query = self.queries.get_mut(&attempt.query);
+        let shard_request = query.and_then(|query| query.shard_requests.get_mut(attempt.position));
         if let Some(shard_request) = shard_request {
             if !shard_request.carried.contains(&connection) {
                 shard_request.carried.push(connection);
@@ -299,7 +303,7 @@
     }
 
     /// Removes an attempt; the one place that does.
-    pub(crate) fn finish(&mut self, key: CallKey) -> Option<CallOut> {
+    pub(crate) fn finish(&mut self, key: AttemptKey) -> Option<OutgoingAttempt> {
         let attempt = self.attempts.remove(&key)?;
         self.checks.remove(&ScheduledCheck {
             at: attempt.next_check,
@@ -309,7 +313,7 @@
     }
 
     /// Examines an attempt again when its time is up.
-    pub(crate) fn look_when_due(&mut self, key: CallKey) {
+    pub(crate) fn check_when_due(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
@@ -325,9 +329,9 @@
     }
 
     /// Stores a shard request's value as a node gave it; only the first one counts.
-    pub(crate) fn keep(&mut self, call: &CallOut, value: &str) {
-        let query = self.queries.get_mut(&call.lookup);
-        let shard_request = query.and_then(|query| query.parts.get_mut(call.at));
+    pub(crate) fn store_value(&mut self, call: &OutgoingAttempt, value: &str) {
+        let query = self.queries.get_mut(&call.query);
+        let shard_request = query.and_then(|query| query.shard_requests.get_mut(call.position));
         if let Some(shard_request) = shard_request {
             self.answered += usize::from(shard_request.value.is_none());
             shard_request.value.get_or_insert_with(|| value.into());
@@ -335,18 +339,21 @@
     }
 
     /// When the next attempt is to be examined.
-    pub(crate) fn next_due(&self) -> Option<Micros> {
+    pub(crate) fn next_check(&self) -> Option<Micros> {
         self.checks.first().map(|check| check.at)
     }
 
     /// An attempt that is to be examined by `now`.
-    pub(crate) fn overdue(&self, now: Micros) -> Option<CallKey> {
+    pub(crate) fn due_check(&self, now: Micros) -> Option<AttemptKey> {
         let check = self.checks.first().filter(|check| check.at <= now)?;
         Some(check.attempt)
     }
 
     /// Attempts of a shard request that are still out.
-    pub(crate) fn out_of(&self, id: ShardRequestId) -> impl Iterator<Item = (CallKey, &CallOut)> {
+    pub(crate) fn attempts_of(
+        &self,
+        id: ShardRequestId,
+    ) -> impl Iterator<Item = (AttemptKey, &OutgoingAttempt)> {
         self.attempts
             .range((id, AttemptNo(0))..=(id, AttemptNo(u8::MAX)))
             .map(|(key, attempt)| (*key, attempt))
--- a/router/src/state/nodes.rs
+++ b/router/src/state/nodes.rs
@@ -20,7 +20,7 @@
     /// Where it listens.
     pub(crate) address: SocketAddr,
     /// Its state in the endpoint list.
-    pub(crate) phase: EndpointState,
+    pub(crate) state: EndpointState,
     connections: Vec<ConnectionId>,
 }
 
@@ -53,12 +53,12 @@
         let node = self.nodes.entry(id).or_insert_with(|| Node {
             name: name.to_owned(),
             address,
-            phase: state,
+            state: state,
             connections: Vec::new(),
         });
         let moved = node.address != address;
         node.address = address;
-        node.phase = state;
+        node.state = state;
         if moved || state == EndpointState::Gone {
             self.retire_all(id);
         }
@@ -80,7 +80,7 @@
     }
 
     /// The id of a node by its name.
-    pub(crate) fn number(&self, name: &str) -> Option<NodeId> {
+    pub(crate) fn id_of(&self, name: &str) -> Option<NodeId> {
         self.ids.get(name).copied()
     }
 
@@ -94,7 +94,7 @@
             .collect();
         for id in unlisted {
             if let Some(node) = self.nodes.get_mut(&id) {
-                node.phase = EndpointState::Gone;
+                node.state = EndpointState::Gone;
             }
             self.retire_all(id);
         }
@@ -123,7 +123,7 @@
     pub(crate) fn forget_gone(&mut self) {
         let Nodes { nodes, ids, .. } = self;
         nodes.retain(|_, node| {
-            let kept = node.phase != EndpointState::Gone || !node.connections.is_empty();
+            let kept = node.state != EndpointState::Gone || !node.connections.is_empty();
             if !kept {
                 ids.remove(&node.name);
             }
@@ -190,30 +190,36 @@
 
     /// Takes an attempt off its connection; `end` counts the connection's bytes up to the end of its frame. A frame that has
     /// not left completely may neither be finished, since the attempt is over, nor be left half: that connection ends.
-    pub(crate) fn unload(&mut self, id: ConnectionId, name: &Rc<str>, end: u64, now: Micros) {
+    pub(crate) fn remove_attempt(
+        &mut self,
+        id: ConnectionId,
+        name: &Rc<str>,
+        end: u64,
+        now: Micros,
+    ) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.carries.remove(name);
+        connection.attempts.remove(name);
         connection.abandoned |= connection.written < end;
-        connection.over(name, now);
+        connection.mark_finished(name, now);
         if !connection.is_usable() {
-            connection.stirred.notify(1);
+            connection.wake.notify(1);
         }
     }
 
     /// Retires a connection that has brought nothing since `since`.
     pub(crate) fn retire_silent(&mut self, id: ConnectionId, since: Micros) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.retired |= connection.heard < since;
+            connection.retired |= connection.last_received < since;
         }
     }
 
     /// Wakes the task of a retired connection, which closes it if it carries nothing any more.
-    pub(crate) fn stir_retired(&self, id: ConnectionId) {
+    pub(crate) fn wake_retired(&self, id: ConnectionId) {
         let connection = self.connections.get(&id);
         if let Some(connection) = connection.filter(|connection| connection.retired) {
-            connection.stirred.notify(1);
+            connection.wake.notify(1);
         }
     }
 
--- a/router/src/state/nodes/tests.rs
+++ b/router/src/state/nodes/tests.rs
@@ -74,7 +74,10 @@
 #[test_case(9, true; "silent since")]
 fn a_silent_connection_carries_no_more(since: u64, retired: bool) {
     let (mut nodes, _, id) = connected();
-    nodes.connection_mut(id).expect("a connection").heard = Micros(6);
+    nodes
+        .connection_mut(id)
+        .expect("a connection")
+        .last_received = Micros(6);
     nodes.retire_silent(id, Micros(since));
     assert_eq!(nodes.connection(id).map(|of| of.retired), Some(retired));
 }
@@ -121,11 +124,12 @@
 fn calls_that_are_over_are_known_for_a_while() {
     let (mut nodes, _, id) = connected();
     let name = |number: usize| Rc::<str>::from(format!("x.{number}"));
-    (0..2 * FINISHED_REMEMBERED).for_each(|number| nodes.unload(id, &name(number), 0, Micros(7)));
+    (0..2 * FINISHED_REMEMBERED)
+        .for_each(|number| nodes.remove_attempt(id, &name(number), 0, Micros(7)));
     let known = |nodes: &Nodes, number| {
         nodes
             .connection(id)
-            .is_some_and(|of| of.is_over(&name(number)))
+            .is_some_and(|of| of.is_finished(&name(number)))
     };
     assert_eq!(
         [
@@ -137,7 +141,7 @@
         .map(|n| known(&nodes, n)),
         [false, false, true, true]
     );
-    nodes.unload(id, &name(0), 0, Micros(8) + FINISHED_REMEMBERED_FOR);
+    nodes.remove_attempt(id, &name(0), 0, Micros(8) + FINISHED_REMEMBERED_FOR);
     assert_eq!(nodes.connection(id).map(|of| of.finished.len()), Some(1));
 }
 
@@ -153,7 +157,7 @@
             ternpick::types::AttemptNo(0),
         )
     };
-    connection.carries.extend([
+    connection.attempts.extend([
         ("x.2".into(), key(2)),
         ("x.1".into(), key(1)),
         ("x.3".into(), key(3)),
--- a/src/routing/outlier_detection.rs
+++ b/src/routing/outlier_detection.rs
@@ -79,7 +79,7 @@
         latency: Micros,
         outcome: AttemptOutcome,
     ) -> Option<Evidence> {
-        let longest = self.shortest_objective_us();
+        let objective_us = self.shortest_objective_us();
         let median = self.statistics.median_latency.unwrap_or(f64::MAX);
         let semantics = self.config.indexes[index.at()].retry_semantics;
         let cost = match outcome {
@@ -88,10 +88,10 @@
             // Where it may be repeated: for the time that it took and another attempt's. A node that fails at
             // once does a part of its work, which others could not carry.
             AttemptOutcome::MayHaveRun if semantics != RetrySemantics::OnceOnly => {
-                longest.min(latency.0 as f64 + median)
+                objective_us.min(latency.0 as f64 + median)
             }
             AttemptOutcome::MayHaveRun | AttemptOutcome::NeverRan | AttemptOutcome::Broken => {
-                longest
+                objective_us
             }
         };
         let failed = outcome != AttemptOutcome::Satisfied;
