--- a/consensus/tests/release_bytes.rs
+++ b/consensus/tests/release_bytes.rs
@@ -92,6 +92,10 @@
 }
 
 #[test]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one value for each recorded form, in one list"
+)]
 fn every_image_and_every_word_between_seats_has_the_bytes_of_the_release() {
     let voters = [ReplicaId(1), ReplicaId(2), ReplicaId(3)];
     let founded = voters.map(|no| {
--- a/fleet_policy/tests/release_bytes.rs
+++ b/fleet_policy/tests/release_bytes.rs
@@ -55,6 +55,10 @@
     ])
 }
 
+#[allow(
+    clippy::too_many_lines,
+    reason = "one value for each recorded form, in one list"
+)]
 fn entries() -> Vec<(&'static str, Entry)> {
     let (op, number, round) = (OperationId(0x1234_5678_9abc_def0), Version(401), Round(402));
     let member = Member::from("n3");
@@ -168,6 +172,10 @@
 }
 
 /// A register in which nothing is empty. What became of commands is its own: entries make it.
+#[allow(
+    clippy::too_many_lines,
+    reason = "one value for each recorded form, in one list"
+)]
 fn register() -> PolicyState {
     let mut register = PolicyState::bootstrap(members());
     for (at, (_, outcome)) in outcomes().into_iter().enumerate() {
@@ -379,6 +387,10 @@
 }
 
 #[test]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one value for each recorded form, in one list"
+)]
 fn everything_that_routers_say_to_each_other_has_the_bytes_of_the_release() {
     let op = OperationId(0x0fed_cba9_8765_4321);
     let mut said = vec![
--- a/hot_restart/tests/release_bytes.rs
+++ b/hot_restart/tests/release_bytes.rs
@@ -15,6 +15,10 @@
 }
 
 #[test]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one value for each recorded form, in one list"
+)]
 fn every_message_of_a_hand_over_has_the_frame_of_the_release() {
     let lease = Lease {
         held: 301,
--- a/maintenance/tests/release_bytes.rs
+++ b/maintenance/tests/release_bytes.rs
@@ -40,6 +40,10 @@
     }
 }
 
+#[allow(
+    clippy::too_many_lines,
+    reason = "one value for each recorded form, in one list"
+)]
 fn entries() -> Vec<(&'static str, Entry)> {
     let (fence, now) = (Fence(501), 1_790_000_000_502);
     let job = (RequestNo(503), "s-3".to_owned());
--- a/router/examples/upgrade_standin.rs
+++ b/router/examples/upgrade_standin.rs
@@ -26,6 +26,10 @@
     }
 }
 
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn main() {
     let how = std::env::var("STANDIN").unwrap_or_default();
     let (what, at) = how.split_once(':').unwrap_or(("die", "1"));
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -166,7 +166,7 @@
     let taken = AdmittedAs {
         tenant,
         at: now,
-        latency_objective: latency_objective,
+        latency_objective,
         mark,
         span: tracing::debug_span!(
             "query",
--- a/router/src/state/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -186,7 +186,7 @@
             request_id: name,
             statement: statement.into(),
             idempotency_key: key.map(Rc::from),
-            shard_requests: shard_requests,
+            shard_requests,
             reply,
         };
         self.queries.insert(query, in_flight);
@@ -245,8 +245,8 @@
         let due = now + limit;
         let next_check = dial.map_or(due, |dial| due.min(now + dial));
         let attempt = OutgoingAttempt {
-            query: query,
-            position: position,
+            query,
+            position,
             node,
             id: format!("{}.{}", in_flight.request_id, shard_request.shard.0).into(),
             sent: now,
--- a/router/src/state/nodes.rs
+++ b/router/src/state/nodes.rs
@@ -53,7 +53,7 @@
         let node = self.nodes.entry(id).or_insert_with(|| Node {
             name: name.to_owned(),
             address,
-            state: state,
+            state,
             connections: Vec::new(),
         });
         let moved = node.address != address;
--- a/router/tests/common/cold.rs
+++ b/router/tests/common/cold.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 /// What a node bears in a second at this age, of parts of 100 ms: twice what it can do, from a fifth of its ten on.
-pub const RAMP: &str =
+pub(crate) const RAMP: &str =
     r#""rules":{"coldFrom":0.2,"warmWithin":6000000,"fallMultiple":2,"fall":1000000,"#;
 
 /// The first second with more than is borne in it, 2 roots of that and 2: when, how many, how many are borne.
-pub fn overrun(sent: &[Duration]) -> Option<(Duration, usize, f64)> {
+pub(crate) fn overrun(sent: &[Duration]) -> Option<(Duration, usize, f64)> {
     sent.iter().enumerate().find_map(|(at, first)| {
         let end = *first + Duration::from_secs(1);
         let count = sent[at..].iter().take_while(|other| **other < end).count();
--- a/router/tests/common/faulty.rs
+++ b/router/tests/common/faulty.rs
@@ -23,17 +23,17 @@
     library
 }
 
-pub struct Faulty {
-    pub router: Router,
-    pub nodes: Vec<Node>,
-    pub discovery: Discovery,
-    pub strikes: Strikes,
-    pub folder: tempfile::TempDir,
+pub(crate) struct Faulty {
+    pub(crate) router: Router,
+    pub(crate) nodes: Vec<Node>,
+    pub(crate) discovery: Discovery,
+    pub(crate) strikes: Strikes,
+    pub(crate) folder: tempfile::TempDir,
     rules: usize,
 }
 
 impl Faulty {
-    pub fn start(settings: &str, nodes: &[Act], plan: &Plan) -> Faulty {
+    pub(crate) fn start(settings: &str, nodes: &[Act], plan: &Plan) -> Faulty {
         let nodes: Vec<Node> = nodes.iter().map(|act| Node::start([*act; 2])).collect();
         let listed = nodes
             .iter()
@@ -44,7 +44,7 @@
         Faulty::with(settings, nodes, discovery, address, &listed, plan)
     }
 
-    pub fn with(
+    pub(crate) fn with(
         settings: &str,
         nodes: Vec<Node>,
         discovery: Discovery,
@@ -76,12 +76,12 @@
         }
     }
 
-    pub fn log(&self) -> String {
+    pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("log")).expect("a log")
     }
 
     /// A fault that never struck has shown nothing.
-    pub fn all_struck(&self) {
+    pub(crate) fn all_struck(&self) {
         let counts: Vec<u64> = (0..self.rules).map(|rule| self.strikes.of(rule)).collect();
         assert!(
             counts.iter().all(|count| *count > 0),
--- a/router/tests/common/fleets.rs
+++ b/router/tests/common/fleets.rs
@@ -7,15 +7,15 @@
 use ternpick_simulation::fleet::{play, Change, FleetPlan, Kind, Outcome, Schedule, Step};
 
 /// So many fleets at a time: each has processes and clients enough for its cores.
-pub static TURNS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
+pub(crate) static TURNS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 
-pub fn turn() -> std::sync::MutexGuard<'static, ()> {
+pub(crate) fn turn() -> std::sync::MutexGuard<'static, ()> {
     static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let at = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % TURNS.len();
     TURNS[at].lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-pub fn program() -> PathBuf {
+pub(crate) fn program() -> PathBuf {
     env!("CARGO_BIN_EXE_ternpick").into()
 }
 
@@ -23,7 +23,7 @@
     "name: \"hard\"\nrouters: 3\nvoters: 3\nnodes: 3\nrate: 60\nclients: 48\nseconds: 4\nlease: 1s\n\
                      renew: 250ms\nfaults: []\n";
 
-pub fn plan(more: &str) -> FleetPlan {
+pub(crate) fn plan(more: &str) -> FleetPlan {
     // What `more` says goes before.
     let own = |line: &&str| {
         !more
@@ -47,7 +47,7 @@
     FleetPlan::parse("hard.cue", &format!("{}\n{more}\n", rest.join("\n"))).expect("a plan")
 }
 
-pub fn change(at: u64, through: usize) -> Change {
+pub(crate) fn change(at: u64, through: usize) -> Change {
     Change {
         at,
         through,
@@ -57,7 +57,7 @@
     }
 }
 
-pub fn step(at: u64, lasts: u64, kind: Kind, whom: usize) -> Step {
+pub(crate) fn step(at: u64, lasts: u64, kind: Kind, whom: usize) -> Step {
     Step {
         at,
         lasts,
@@ -68,7 +68,7 @@
 }
 
 /// Plays a schedule; its history has to keep all rules, and the fleet has to be well again.
-pub fn played(plan: FleetPlan, steps: Vec<Step>, changes: Vec<Change>) -> (Outcome, Counts) {
+pub(crate) fn played(plan: FleetPlan, steps: Vec<Step>, changes: Vec<Change>) -> (Outcome, Counts) {
     let _turn = turn();
     let folder = tempfile::tempdir().expect("a folder");
     let schedule = Schedule {
@@ -80,12 +80,12 @@
     judged(&schedule, folder.path())
 }
 
-pub fn judged(schedule: &Schedule, folder: &Path) -> (Outcome, Counts) {
+pub(crate) fn judged(schedule: &Schedule, folder: &Path) -> (Outcome, Counts) {
     judged_of(schedule, &program(), folder)
 }
 
 /// The same with another program in the place of the router, which starts it under a plan of faults.
-pub fn judged_of(schedule: &Schedule, program: &Path, folder: &Path) -> (Outcome, Counts) {
+pub(crate) fn judged_of(schedule: &Schedule, program: &Path, folder: &Path) -> (Outcome, Counts) {
     let outcome = play(schedule, program, folder, false).expect("the rig runs");
     let Verdict::Accepted(counts) = outcome.verdict.clone() else {
         let logs = std::env::temp_dir().join(format!("ternpick-fleet-{}", std::process::id()));
--- a/router/tests/common/guarded.rs
+++ b/router/tests/common/guarded.rs
@@ -38,7 +38,7 @@
 whole: {}
 "##;
 
-pub fn now() -> u64 {
+pub(crate) fn now() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("a clock")
@@ -46,9 +46,9 @@
 }
 
 /// A folder with keys, a feed and settings; its files are what the router watches.
-pub struct World {
-    pub folder: tempfile::TempDir,
-    pub shop: Mutex<KeyManager>,
+pub(crate) struct World {
+    pub(crate) folder: tempfile::TempDir,
+    pub(crate) shop: Mutex<KeyManager>,
     feed: Mutex<Vec<Value>>,
     tokens: AtomicU64,
     authority: Authority,
@@ -106,7 +106,7 @@
 }
 
 impl World {
-    pub fn new() -> World {
+    pub(crate) fn new() -> World {
         let mut shop = KeyManager::default();
         shop.new_key("k1", Algorithm::EdDsa, now(), 0, &SystemRandom::new())
             .expect("a key");
@@ -127,29 +127,32 @@
         world
     }
 
-    pub fn path(&self, name: &str) -> PathBuf {
+    pub(crate) fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    pub fn write(&self, name: &str, text: &str) {
+    pub(crate) fn write(&self, name: &str, text: &str) {
         ternpick_store::replace_file(&self.path(name), text.as_bytes()).expect("written");
     }
 
-    pub fn public(&self) -> String {
+    pub(crate) fn public(&self) -> String {
         self.shop
             .lock()
-            .unwrap()
+            .expect("no test thread panicked with the lock held")
             .public(now())
             .expect("a set")
             .to_string()
     }
 
-    pub fn publish(&self) {
+    pub(crate) fn publish(&self) {
         self.write("jwks.json", &self.public());
     }
 
-    pub fn rotate(&self, id: &str, lead: u64, overlap: u64) {
-        let mut shop = self.shop.lock().unwrap();
+    pub(crate) fn rotate(&self, id: &str, lead: u64, overlap: u64) {
+        let mut shop = self
+            .shop
+            .lock()
+            .expect("no test thread panicked with the lock held");
         shop.rotate(
             id,
             Algorithm::EdDsa,
@@ -165,8 +168,11 @@
     }
 
     /// The feed as a page of what comes after a number.
-    pub fn page(&self, after: Option<u64>) -> String {
-        let feed = self.feed.lock().unwrap();
+    pub(crate) fn page(&self, after: Option<u64>) -> String {
+        let feed = self
+            .feed
+            .lock()
+            .expect("no test thread panicked with the lock held");
         let from = after.unwrap_or(0).min(feed.len() as u64);
         json!({"after": from, "to": feed.len(), "whole": after.is_none(), "entries": feed[from as usize..]})
             .to_string()
@@ -176,20 +182,23 @@
         self.write("feed.json", &self.page(None));
     }
 
-    pub fn revoke(&self, kind: &str, name: &str) {
+    pub(crate) fn revoke(&self, kind: &str, name: &str) {
         // One at a time, or an older feed may be written over a newer one.
         static ONE: Mutex<()> = Mutex::new(());
         let _one = ONE
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        let mut feed = self.feed.lock().unwrap();
+        let mut feed = self
+            .feed
+            .lock()
+            .expect("no test thread panicked with the lock held");
         let number = feed.len() + 1;
         feed.push(json!({"number": number, kind: name}));
         drop(feed);
         self.write_feed();
     }
 
-    pub fn claims(&self, subject: &str, tenant: &str, roles: &[&str], life: u64) -> Claims {
+    pub(crate) fn claims(&self, subject: &str, tenant: &str, roles: &[&str], life: u64) -> Claims {
         let (now, number) = (now(), self.tokens.fetch_add(1, Ordering::Relaxed));
         Claims {
             iss: "sign-on".into(),
@@ -204,32 +213,32 @@
         }
     }
 
-    pub fn mint(&self, claims: &Claims) -> String {
+    pub(crate) fn mint(&self, claims: &Claims) -> String {
         self.shop
             .lock()
-            .unwrap()
+            .expect("no test thread panicked with the lock held")
             .mint(claims, now())
             .expect("a token")
     }
 
-    pub fn token(&self, roles: &[&str]) -> String {
+    pub(crate) fn token(&self, roles: &[&str]) -> String {
         self.mint(&self.claims("dispatcher-1", "north", roles, 300))
     }
 
     /// Revokes certificates by number, from the list numbered so on.
-    pub fn list(&self, number: u64, serials: &[u64]) {
+    pub(crate) fn list(&self, number: u64, serials: &[u64]) {
         self.write("revoked.pem", &self.authority.list(number, serials));
     }
 
     /// New server files, by the same authority.
-    pub fn renew_server(&self, serial: u64) {
+    pub(crate) fn renew_server(&self, serial: u64) {
         let (certificate, key) = self.authority.issue("localhost", serial);
         self.write("server.key", &key);
         self.write("server.pem", &certificate);
     }
 
     /// The settings: sources as told, or files that are looked at every 100 ms; TLS on `tls`.
-    pub fn settings(
+    pub(crate) fn settings(
         &self,
         keys: Option<&str>,
         feed: Option<&str>,
@@ -256,7 +265,7 @@
     }
 
     /// A client's side of TLS, with a certificate for `name` of that number, or without.
-    pub fn client(&self, shows: Option<(&str, u64)>) -> Arc<rustls::ClientConfig> {
+    pub(crate) fn client(&self, shows: Option<(&str, u64)>) -> Arc<rustls::ClientConfig> {
         let mut roots = rustls::RootCertStore::empty();
         roots
             .add(CertificateDer::from_pem_slice(self.authority.pem.as_bytes()).expect("PEM"))
@@ -284,20 +293,20 @@
 }
 
 /// The router that it guards, its one node that serves, and its log on the way.
-pub struct Guarded {
-    pub router: Router,
-    pub nodes: Vec<Node>,
+pub(crate) struct Guarded {
+    pub(crate) router: Router,
+    pub(crate) nodes: Vec<Node>,
     _discovery: Discovery,
-    pub log: PathBuf,
-    pub tls: SocketAddr,
+    pub(crate) log: PathBuf,
+    pub(crate) tls: SocketAddr,
 }
 
 impl Guarded {
-    pub fn start(world: &World) -> Guarded {
+    pub(crate) fn start(world: &World) -> Guarded {
         Guarded::with(world, None, None, "info", 1024)
     }
 
-    pub fn with(
+    pub(crate) fn with(
         world: &World,
         keys: Option<&str>,
         feed: Option<&str>,
@@ -307,7 +316,7 @@
         Guarded::sized(world, keys, feed, log, sockets, 32)
     }
 
-    pub fn sized(
+    pub(crate) fn sized(
         world: &World,
         keys: Option<&str>,
         feed: Option<&str>,
@@ -350,24 +359,24 @@
         guarded
     }
 
-    pub fn log(&self) -> String {
+    pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(&self.log).expect("a log")
     }
 
-    pub fn log_has(&self, words: &str) {
+    pub(crate) fn log_has(&self, words: &str) {
         within(
             || self.log().contains(words),
             &format!("'{words}' in {}", self.log()),
         );
     }
 
-    pub fn secure(&self, config: &Arc<rustls::ClientConfig>) -> Secure {
+    pub(crate) fn secure(&self, config: &Arc<rustls::ClientConfig>) -> Secure {
         Secure::over(self.tls, config).expect("a handshake")
     }
 }
 
 /// Waits until something is so.
-pub fn within(so: impl Fn() -> bool, what: &str) {
+pub(crate) fn within(so: impl Fn() -> bool, what: &str) {
     let late = Instant::now() + BOUND;
     while !so() {
         assert!(Instant::now() < late, "in time: {what}");
@@ -375,10 +384,10 @@
     }
 }
 
-pub struct Secure(pub rustls::StreamOwned<rustls::ClientConnection, TcpStream>);
+pub(crate) struct Secure(pub rustls::StreamOwned<rustls::ClientConnection, TcpStream>);
 
 impl Secure {
-    pub fn over(
+    pub(crate) fn over(
         address: SocketAddr,
         config: &Arc<rustls::ClientConfig>,
     ) -> std::io::Result<Secure> {
@@ -396,10 +405,10 @@
 }
 
 /// Either kind of connection.
-pub trait Talks: Read + Write {}
+pub(crate) trait Talks: Read + Write {}
 impl<T: Read + Write> Talks for T {}
 
-pub fn with_headers(index: &str, id: &str, statement: &str, headers: &str) -> String {
+pub(crate) fn with_headers(index: &str, id: &str, statement: &str, headers: &str) -> String {
     let body = request(index, id)
         .split("\r\n\r\n")
         .nth(1)
@@ -412,11 +421,11 @@
     )
 }
 
-pub fn bearer(token: &str) -> String {
+pub(crate) fn bearer(token: &str) -> String {
     format!("Authorization: Bearer {token}\r\n")
 }
 
-pub fn send(stream: &mut dyn Talks, index: &str, statement: &str, headers: &str) {
+pub(crate) fn send(stream: &mut dyn Talks, index: &str, statement: &str, headers: &str) {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let id = format!("q{}", NUMBER.fetch_add(1, Ordering::Relaxed));
     stream
@@ -425,7 +434,7 @@
 }
 
 /// Asks; the status, head and body come back.
-pub fn ask(
+pub(crate) fn ask(
     stream: &mut dyn Talks,
     index: &str,
     statement: &str,
@@ -435,7 +444,7 @@
     receive(stream)
 }
 
-pub fn receive(stream: &mut dyn Talks) -> (u16, String, String) {
+pub(crate) fn receive(stream: &mut dyn Talks) -> (u16, String, String) {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut byte).expect("an answer");
@@ -458,7 +467,7 @@
 
 /// What a service does with a call.
 #[derive(Clone)]
-pub enum Serves {
+pub(crate) enum Serves {
     Text(String),
     /// By turns.
     Turns(Vec<String>),
@@ -473,14 +482,14 @@
 
 /// A service on HTTP that counts its calls.
 #[derive(Clone)]
-pub struct Service {
-    pub serves: Arc<Mutex<Serves>>,
-    pub calls: Arc<AtomicUsize>,
-    pub address: SocketAddr,
+pub(crate) struct Service {
+    pub(crate) serves: Arc<Mutex<Serves>>,
+    pub(crate) calls: Arc<AtomicUsize>,
+    pub(crate) address: SocketAddr,
 }
 
 impl Service {
-    pub fn start(serves: Serves) -> Service {
+    pub(crate) fn start(serves: Serves) -> Service {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let service = Service {
@@ -498,8 +507,11 @@
         service
     }
 
-    pub fn set(&self, serves: Serves) {
-        *self.serves.lock().unwrap() = serves;
+    pub(crate) fn set(&self, serves: Serves) {
+        *self
+            .serves
+            .lock()
+            .expect("no test thread panicked with the lock held") = serves;
     }
 
     fn serve(&self, mut stream: TcpStream) {
@@ -507,7 +519,11 @@
             return;
         };
         let count = self.calls.fetch_add(1, Ordering::Relaxed);
-        let serves = self.serves.lock().unwrap().clone();
+        let serves = self
+            .serves
+            .lock()
+            .expect("no test thread panicked with the lock held")
+            .clone();
         let ok = |text: &str, length: usize| {
             format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{text}")
         };
@@ -537,7 +553,7 @@
     }
 
     /// As a source in settings.
-    pub fn source(&self, kept: Option<&Path>) -> String {
+    pub(crate) fn source(&self, kept: Option<&Path>) -> String {
         let kept = kept.map_or(String::new(), |path| {
             format!(", kept: {:?}", path.display().to_string())
         });
@@ -548,6 +564,6 @@
     }
 }
 
-pub fn status_of(stream: &mut TcpStream) -> u16 {
+pub(crate) fn status_of(stream: &mut TcpStream) -> u16 {
     answer(stream).0
 }
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -4,12 +4,12 @@
 // Each test program uses a part of them.
 #![allow(dead_code)]
 
-pub mod cold;
-pub mod faulty;
-pub mod guarded;
-pub mod release;
+pub(crate) mod cold;
+pub(crate) mod faulty;
+pub(crate) mod guarded;
+pub(crate) mod release;
 
-pub use ternpick_simulation::standins::{entry, read_head, Act, Discovery, Node};
+pub(crate) use ternpick_simulation::standins::{entry, read_head, Act, Discovery, Node};
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,10 +18,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub const BOUND: Duration = Duration::from_secs(10);
+pub(crate) const BOUND: Duration = Duration::from_secs(10);
 
 /// An address where nobody listens: nobody else uses it, so that its port stays free.
-pub fn free() -> SocketAddr {
+pub(crate) fn free() -> SocketAddr {
     static NUMBER: AtomicUsize = AtomicUsize::new(1);
     let (pid, number) = (std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
     let own = [
@@ -36,7 +36,7 @@
 }
 
 /// Three indexes: whole answers only; half is enough; never to run twice.
-pub const SETTINGS: &str = r#"{"areas":["a"],"balancers":1,"zone":0,"tick":1000,"discovery":"on_request",
+pub(crate) const SETTINGS: &str = r#"{"areas":["a"],"balancers":1,"zone":0,"tick":1000,"discovery":"on_request",
     "classes":[{"name":"whole","semantics":"idempotent","onTime":600000,"deadline":3000000},
                {"name":"half","semantics":"deduplicated","window":5000000,"onTime":600000,"deadline":3000000},
                {"name":"once","semantics":"at_most_once","onTime":600000,"deadline":3000000}],
@@ -46,20 +46,20 @@
              "reach":1,"shards":2},
     "report":{"via":"inline","columns":["depth"]},"rules":{"askWithin":9000000}}"#;
 
-pub struct Router {
-    pub child: Child,
-    pub address: SocketAddr,
-    pub discovery: SocketAddr,
-    pub config: std::path::PathBuf,
+pub(crate) struct Router {
+    pub(crate) child: Child,
+    pub(crate) address: SocketAddr,
+    pub(crate) discovery: SocketAddr,
+    pub(crate) config: std::path::PathBuf,
 }
 
 impl Router {
-    pub fn start(discovery: SocketAddr, known: &str, sockets: usize) -> Router {
+    pub(crate) fn start(discovery: SocketAddr, known: &str, sockets: usize) -> Router {
         Router::start_with(discovery, known, sockets, 1, SETTINGS, |_| ())
     }
 
     /// A router on `settings` of the platform's, whose command `more` may change.
-    pub fn start_with(
+    pub(crate) fn start_with(
         discovery: SocketAddr,
         known: &str,
         sockets: usize,
@@ -71,7 +71,7 @@
     }
 
     /// One of many, each with chance of its own.
-    pub fn start_seeded(
+    pub(crate) fn start_seeded(
         seed: usize,
         discovery: SocketAddr,
         known: &str,
@@ -119,7 +119,7 @@
     }
 
     /// Starts the program again in the place of one that has ended.
-    pub fn again(&mut self) {
+    pub(crate) fn again(&mut self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ternpick"));
         command
             .args(["serve", "--config"])
@@ -129,7 +129,7 @@
     }
 
     /// A router of one or two nodes that are listed, each with what it does.
-    pub fn with(nodes: &[Act]) -> (Router, Vec<Node>, Discovery) {
+    pub(crate) fn with(nodes: &[Act]) -> (Router, Vec<Node>, Discovery) {
         let nodes: Vec<Node> = nodes.iter().map(|act| Node::start([*act; 2])).collect();
         let listed = nodes
             .iter()
@@ -143,13 +143,13 @@
         )
     }
 
-    pub fn connect(&self) -> TcpStream {
+    pub(crate) fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).expect("a connection");
         stream.set_read_timeout(Some(BOUND)).expect("a time-out");
         stream
     }
 
-    pub fn signal(&self, signal: &str) {
+    pub(crate) fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill")
             .args([signal, &pid])
@@ -159,13 +159,13 @@
     }
 
     /// Replaces the configuration, and has it read.
-    pub fn reload(&self, change: impl FnOnce(String) -> String) {
+    pub(crate) fn reload(&self, change: impl FnOnce(String) -> String) {
         let text = std::fs::read_to_string(&self.config).expect("a configuration");
         std::fs::write(&self.config, change(text)).expect("a configuration");
         self.signal("-HUP");
     }
 
-    pub fn ended(&mut self) -> bool {
+    pub(crate) fn ended(&mut self) -> bool {
         let late = Instant::now() + BOUND;
         while Instant::now() < late {
             if let Some(status) = self.child.try_wait().expect("a child") {
@@ -185,7 +185,7 @@
     }
 }
 
-pub fn request(index: &str, id: &str) -> String {
+pub(crate) fn request(index: &str, id: &str) -> String {
     request_of(
         index,
         id,
@@ -193,7 +193,7 @@
     )
 }
 
-pub fn request_of(index: &str, id: &str, parts: &str) -> String {
+pub(crate) fn request_of(index: &str, id: &str, parts: &str) -> String {
     let body = format!(r#"{{"tablets":[{parts}],"statement":"find"}}"#);
     format!(
         "POST /{index} HTTP/1.1\r\nHost: x\r\nReq-Id: {id}\r\nReq-Kind: {index}\r\nReq-Deadline-Ms: 2000\r\n\
@@ -203,7 +203,7 @@
 }
 
 /// An answer's status, head and body.
-pub fn answer(stream: &mut TcpStream) -> (u16, String, String) {
+pub(crate) fn answer(stream: &mut TcpStream) -> (u16, String, String) {
     let head = read_head(stream).expect("an answer");
     let of = |name: &str| {
         head.split(name)
@@ -224,7 +224,7 @@
 }
 
 /// Whether the other side has ended a connection, as a client sees it before it writes.
-pub fn has_ended(stream: &TcpStream) -> bool {
+pub(crate) fn has_ended(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("a socket");
     let ended = !matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
     stream.set_nonblocking(false).expect("a socket");
@@ -232,7 +232,7 @@
 }
 
 /// Reads up to the last byte of an answer: its status; if the connection ends before, whether not one byte came.
-pub fn status_of(stream: &mut TcpStream) -> Result<u16, bool> {
+pub(crate) fn status_of(stream: &mut TcpStream) -> Result<u16, bool> {
     let (mut bytes, mut some) = (Vec::new(), [0; 4096]);
     loop {
         match stream.read(&mut some) {
@@ -262,14 +262,14 @@
     }
 }
 
-pub fn ask(stream: &mut TcpStream, index: &str, id: &str) -> (u16, String, String) {
+pub(crate) fn ask(stream: &mut TcpStream, index: &str, id: &str) -> (u16, String, String) {
     stream
         .write_all(request(index, id).as_bytes())
         .expect("written");
     answer(stream)
 }
 
-pub fn health(router: &Router) -> u16 {
+pub(crate) fn health(router: &Router) -> u16 {
     let mut stream = router.connect();
     stream
         .write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
@@ -277,5 +277,5 @@
     answer(&mut stream).0
 }
 
-pub const WHOLE: &str =
+pub(crate) const WHOLE: &str =
     r#"{"full":true,"pieces":[{"cell":"v0","tablet":0},{"cell":"v1","tablet":1}]}"#;
--- a/router/tests/common/release.rs
+++ b/router/tests/common/release.rs
@@ -17,7 +17,7 @@
 }
 
 /// What the released program said to a question, as JSON.
-pub fn said(name: &str) -> Value {
+pub(crate) fn said(name: &str) -> Value {
     let path = fixtures().join("said").join(format!("{name}.json"));
     let text = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     serde_json::from_slice(&text).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
@@ -36,13 +36,13 @@
 }
 
 /// A copy of the released files, and the program under test that serves from them.
-pub struct Released {
-    pub folder: tempfile::TempDir,
+pub(crate) struct Released {
+    pub(crate) folder: tempfile::TempDir,
     child: Option<Child>,
 }
 
 impl Released {
-    pub fn copied() -> Released {
+    pub(crate) fn copied() -> Released {
         let folder = tempfile::tempdir().expect("a folder");
         copy(&fixtures(), folder.path());
         let seat = folder.path().join("fleet-n0");
@@ -64,13 +64,13 @@
     }
 
     /// Starts the program under test on a copy, with the settings of this name.
-    pub fn serves(settings: &str) -> Released {
+    pub(crate) fn serves(settings: &str) -> Released {
         let mut released = Released::copied();
         released.start(settings);
         released
     }
 
-    pub fn start(&mut self, settings: &str) {
+    pub(crate) fn start(&mut self, settings: &str) {
         let log = std::fs::File::create(self.path("log")).expect("a log");
         let mut command = self.command(&["serve", "--config", "n0.json", "--settings", settings]);
         let child = command
@@ -82,19 +82,19 @@
         self.until("it answers", |of| !of.says(&["status"]).is_null());
     }
 
-    pub fn path(&self, name: &str) -> PathBuf {
+    pub(crate) fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
     /// The program under test, where the released files are.
-    pub fn command(&self, words: &[&str]) -> Command {
+    pub(crate) fn command(&self, words: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ternpick"));
         command.args(words).current_dir(self.folder.path());
         command
     }
 
     /// A question to the router by the command line.
-    pub fn asks(&self, words: &[&str]) -> Output {
+    pub(crate) fn asks(&self, words: &[&str]) -> Output {
         let mut command = self.command(words);
         command
             .args(["--socket", "run-n0.sock", "--json"])
@@ -103,11 +103,11 @@
     }
 
     /// Its answer; null where there is none.
-    pub fn says(&self, words: &[&str]) -> Value {
+    pub(crate) fn says(&self, words: &[&str]) -> Value {
         serde_json::from_slice(&self.asks(words).stdout).unwrap_or_default()
     }
 
-    pub fn until(&self, what: &str, is: impl Fn(&Released) -> bool) {
+    pub(crate) fn until(&self, what: &str, is: impl Fn(&Released) -> bool) {
         let began = Instant::now();
         while !is(self) {
             let log = std::fs::read_to_string(self.path("log")).unwrap_or_default();
--- a/router/tests/drawn.rs
+++ b/router/tests/drawn.rs
@@ -67,7 +67,10 @@
     }
 
     fn saw(&self, saw: Saw) {
-        self.events.lock().unwrap().push((self.now(), saw));
+        self.events
+            .lock()
+            .expect("no test thread panicked with the lock held")
+            .push((self.now(), saw));
     }
 }
 
@@ -162,6 +165,10 @@
 }
 
 /// A client: asks again and again as its kind does, up to the end of the load or of the router.
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn client(number: u64, seed: u64, address: SocketAddr, router: &str, record: &Record) {
     let mut draw = Draw::new(seed * 1000 + number);
     let (kind, mut kept) = (number % 5, None::<TcpStream>);
@@ -216,7 +223,11 @@
             deadline: deadline * 1000,
             effect,
         };
-        record.events.lock().unwrap().push((at, sent));
+        record
+            .events
+            .lock()
+            .expect("no test thread panicked with the lock held")
+            .push((at, sent));
         if kind == 2 && draw.below(2) == 0 {
             thread::sleep(Duration::from_millis(draw.between(1, 80)));
             drop(stream);
@@ -261,6 +272,10 @@
 }
 
 /// One play: the kinds of fault that struck, by number of strikes, and what was broken.
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn play(seed: u64) -> (BTreeMap<usize, u64>, Vec<String>) {
     let mut draw = Draw::new(seed);
     let routers = if draw.below(8) == 0 { 5 } else { 1 };
@@ -347,7 +362,9 @@
         scope.spawn(move || {
             until(hang_at);
             for acts in acts {
-                *acts.lock().unwrap() = [Act::Silent; 2];
+                *acts
+                    .lock()
+                    .expect("no test thread panicked with the lock held") = [Act::Silent; 2];
             }
         });
         scope.spawn(move || {
@@ -389,7 +406,10 @@
     }
     // A step always comes.
     strikes.entry(6).and_modify(|count| *count = 1);
-    let events = record.events.lock().unwrap();
+    let events = record
+        .events
+        .lock()
+        .expect("no test thread panicked with the lock held");
     // A write that is held up begins its attempt so much later than it was decided: nobody can look in between.
     let held = rules.iter().filter_map(|rule| match rule.effect {
         Does::HeldUp(ms) => Some(ms * 1000),
@@ -472,15 +492,24 @@
     thread::scope(|scope| {
         for _ in 0..abreast {
             scope.spawn(|| loop {
-                let Some(seed) = next.lock().unwrap().next() else {
+                let Some(seed) = next
+                    .lock()
+                    .expect("no test thread panicked with the lock held")
+                    .next()
+                else {
                     return;
                 };
                 let (strikes, breaks) = play(seed);
-                results.lock().unwrap().push((seed, strikes, breaks));
+                results
+                    .lock()
+                    .expect("no test thread panicked with the lock held")
+                    .push((seed, strikes, breaks));
             });
         }
     });
-    let results = results.into_inner().unwrap();
+    let results = results
+        .into_inner()
+        .expect("no test thread panicked with the lock held");
     let mut by_kind: BTreeMap<usize, (usize, usize, u64)> = BTreeMap::new();
     for (_, strikes, breaks) in &results {
         for (kind, count) in strikes {
--- a/router/tests/endings.rs
+++ b/router/tests/endings.rs
@@ -28,7 +28,7 @@
             node.watch(Some(Arc::new(move |letter, rest| {
                 into.0
                     .lock()
-                    .unwrap()
+                    .expect("no test thread panicked with the lock held")
                     .push((Instant::now(), letter, rest.to_owned()));
             })));
         }
@@ -39,7 +39,7 @@
     fn calls_after(&self, then: Instant) -> usize {
         self.0
             .lock()
-            .unwrap()
+            .expect("no test thread panicked with the lock held")
             .iter()
             .filter(|(at, letter, _)| *letter == 'q' && *at > then)
             .count()
@@ -51,7 +51,7 @@
         while !self
             .0
             .lock()
-            .unwrap()
+            .expect("no test thread panicked with the lock held")
             .iter()
             .any(|(_, letter, _)| *letter == wanted)
         {
@@ -262,7 +262,11 @@
     router.signal("-CONT");
     assert_eq!(ask(&mut router.connect(), "whole", "last").0, 200);
     thread::sleep(100 * MS);
-    let calls = record.0.lock().unwrap().clone();
+    let calls = record
+        .0
+        .lock()
+        .expect("no test thread panicked with the lock held")
+        .clone();
     let calls: Vec<_> = calls
         .into_iter()
         .filter(|(at, letter, _)| *letter == 'q' && *at > left)
@@ -536,6 +540,10 @@
 /// its start late and all at once, and some are restarted in the window. A part of it is used, and no window is overrun.
 #[test_case(20)]
 #[test_case(30)]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn a_cold_node_bears_the_sum_of_what_all_processes_send(processes: usize) {
     let settings = SETTINGS
         .replace(r#""rules":{"#, RAMP)
@@ -594,7 +602,10 @@
             router.again();
         }
     });
-    let calls = record.0.lock().unwrap();
+    let calls = record
+        .0
+        .lock()
+        .expect("no test thread panicked with the lock held");
     let sent: Vec<Duration> = calls
         .iter()
         .filter(|call| call.1 == 'q')
--- a/router/tests/faults.rs
+++ b/router/tests/faults.rs
@@ -242,6 +242,10 @@
 #[test_case(8000, false; "some seconds ahead")]
 #[test_case(HOUR, true; "an hour ahead, and it started before the router")]
 #[test_case(-HOUR, true; "an hour behind, and it started before the router")]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn a_cold_node_is_known_to_be_cold_whatever_the_wall_clock_reads(by_ms: i64, before: bool) {
     let settings = SETTINGS
         .replace(r#""rules":{"#, RAMP)
@@ -287,7 +291,9 @@
     let into = sent.clone();
     of.nodes[1].watch(Some(std::sync::Arc::new(move |letter, _: &str| {
         if letter == 'q' {
-            into.lock().unwrap().push(started.elapsed());
+            into.lock()
+                .expect("no test thread panicked with the lock held")
+                .push(started.elapsed());
         }
     })));
     of.discovery.set(|roster| {
@@ -311,7 +317,9 @@
             });
         }
     });
-    let sent = sent.lock().unwrap();
+    let sent = sent
+        .lock()
+        .expect("no test thread panicked with the lock held");
     // While it is cold; each window of a second that begins and ends in that time.
     let cold: Vec<Duration> = sent.iter().copied().filter(|at| *at < 6000 * MS).collect();
     assert_eq!(overrun(&cold), None);
@@ -342,14 +350,18 @@
     for node in &of.nodes {
         let into = calls.clone();
         node.watch(Some(std::sync::Arc::new(move |letter, _: &str| {
-            into.lock().unwrap().push((left.elapsed(), letter))
+            into.lock()
+                .expect("no test thread panicked with the lock held")
+                .push((left.elapsed(), letter))
         })));
     }
     // The break is met where the connection is read.
     std::io::Write::write_all(&mut client, b"x").expect("written");
     thread::sleep(1200 * MS);
     of.all_struck();
-    let calls = calls.lock().unwrap();
+    let calls = calls
+        .lock()
+        .expect("no test thread panicked with the lock held");
     assert!(
         calls
             .iter()
@@ -384,7 +396,7 @@
             .and_then(|rest| rest.split([',', ' ']).next()?.parse::<u64>().ok());
         if let ('q', Some(told)) = (letter, told) {
             into.lock()
-                .unwrap()
+                .expect("no test thread panicked with the lock held")
                 .push((sent.elapsed().as_millis() as u64, rest.to_owned(), told));
         }
     })));
@@ -392,7 +404,10 @@
     std::io::Write::write_all(&mut client, both.as_bytes()).expect("written");
     // The first call hangs, the next one is served.
     thread::sleep(400 * MS);
-    *of.nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
+    *of.nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Serve; 2];
     answer(&mut client);
     answer(&mut client);
     assert!(
@@ -400,7 +415,9 @@
         "both are answered in their time, after {:?}",
         sent.elapsed()
     );
-    let told = told.lock().unwrap();
+    let told = told
+        .lock()
+        .expect("no test thread panicked with the lock held");
     let behind: Vec<_> = told
         .iter()
         .filter(|(_, text, _)| text.starts_with("b."))
--- a/router/tests/identity.rs
+++ b/router/tests/identity.rs
@@ -67,7 +67,10 @@
 fn what_was_taken_before_a_revocation_gets_its_answer_and_nothing_new_is_taken() {
     let world = World::new();
     let guarded = Guarded::start(&world);
-    *guarded.nodes[0].acts.lock().unwrap() = [Act::Silent; 2];
+    *guarded.nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Silent; 2];
     let (token, other) = (
         world.claims("a", "north", &["crew"], 300),
         world.token(&["crew"]),
@@ -85,7 +88,10 @@
     guarded.log_has("identity: revocations received new_entries=1 ");
     ids.iter().for_each(|id| guarded.nodes[0].answer(id));
     assert_eq!(receive(&mut stream).0, 200, "taken before");
-    *guarded.nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
+    *guarded.nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Serve; 2];
     assert_eq!(
         ask(&mut stream, "whole", "find", &bearer(&token)).0,
         401,
@@ -102,7 +108,10 @@
 fn a_rotation_in_the_middle_of_a_request_refuses_nobody() {
     let world = World::new();
     let guarded = Guarded::start(&world);
-    *guarded.nodes[0].acts.lock().unwrap() = [Act::Silent; 2];
+    *guarded.nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Silent; 2];
     let old = world.token(&["crew"]);
     let mut stream = guarded.router.connect();
     send(&mut stream, "whole", "find", &bearer(&old));
@@ -117,7 +126,10 @@
         guarded.nodes[0].answer(id);
     }
     assert_eq!(receive(&mut stream).0, 200);
-    *guarded.nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
+    *guarded.nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Serve; 2];
     for token in [&old, &world.token(&["crew"])] {
         assert_eq!(ask(&mut stream, "whole", "find", &bearer(token)).0, 200);
     }
@@ -380,7 +392,10 @@
 fn a_certificate_revoked_under_a_request_gets_that_answer_and_no_other() {
     let world = World::new();
     let guarded = Guarded::start(&world);
-    *guarded.nodes[0].acts.lock().unwrap() = [Act::Silent; 2];
+    *guarded.nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Silent; 2];
     let mut stream = guarded.secure(&world.client(Some(("crew-7.example", 7))));
     send(&mut stream.0, "whole", "find", "");
     let frame = guarded.nodes[0].frame('q');
@@ -609,6 +624,10 @@
 }
 
 #[test]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn audit_goes_out_in_json_whatever_the_level() {
     let world = World::new();
     let (guarded, log) = {
@@ -726,6 +745,10 @@
 }
 
 #[test]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn the_commands_make_keys_tokens_and_revocations_that_a_router_takes() {
     let folder = tempfile::tempdir().expect("a folder");
     let keys = folder.path().join("keys");
--- a/router/tests/identity_load.rs
+++ b/router/tests/identity_load.rs
@@ -114,9 +114,10 @@
         if ask(&token) != 200 {
             add(&counts.valid_refused);
         }
-        match by_subject {
-            true => world.revoke("subject", &claims.sub),
-            false => world.revoke("token", &claims.jti),
+        if by_subject {
+            world.revoke("subject", &claims.sub);
+        } else {
+            world.revoke("token", &claims.jti);
         }
         let (told, mut last) = (Instant::now(), Duration::ZERO);
         add(&counts.revoked);
@@ -143,6 +144,10 @@
 }
 
 #[test]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn keys_rotate_and_no_valid_caller_is_refused_nor_a_revoked_one_admitted() {
     let (whole, every) = (
         seconds("IDENTITY_LOAD_S", 8),
--- a/router/tests/sockets.rs
+++ b/router/tests/sockets.rs
@@ -35,7 +35,10 @@
 #[test_case("half", [Act::Serve, Act::Broke], 200; "in part where that is enough")]
 fn a_part_that_fails_everywhere(index: &str, acts: [Act; 2], status: u16) {
     let (router, nodes, _discovery) = Router::with(&[Act::Serve]);
-    *nodes[0].acts.lock().unwrap() = acts;
+    *nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = acts;
     let (got, _, body) = ask(&mut router.connect(), index, "r1");
     let part = r#"{"full":false,"pieces":[{"cell":"v0","tablet":0}]}"#;
     assert_eq!(
@@ -144,7 +147,10 @@
     assert_eq!(given_up, ["r1.0", "r1.1"]);
     // An answer that crosses is dropped, and the connection goes on.
     nodes[0].answer("r1.0");
-    *nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
+    *nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Serve; 2];
     assert_eq!(ask(&mut router.connect(), "whole", "r2").2, WHOLE);
 }
 
@@ -161,7 +167,7 @@
     assert!(nodes[0]
         .frames
         .lock()
-        .unwrap()
+        .expect("no test thread panicked with the lock held")
         .try_iter()
         .all(|(letter, _)| letter != 'q'));
 }
@@ -215,14 +221,19 @@
     router.reload(|text| text[..text.len() / 2].to_owned());
     new.set(|roster| roster.down = false);
     new.wait_until(|roster| roster.calls >= 3 && roster.asked == 0);
-    nodes[0].frames.lock().unwrap().try_iter().for_each(drop);
+    nodes[0]
+        .frames
+        .lock()
+        .expect("no test thread panicked with the lock held")
+        .try_iter()
+        .for_each(drop);
     for id in 0..8 {
         assert_eq!(ask(&mut client, "whole", &format!("r{id}")).0, 200);
     }
     assert!(nodes[0]
         .frames
         .lock()
-        .unwrap()
+        .expect("no test thread panicked with the lock held")
         .try_iter()
         .all(|(letter, _)| letter != 'q'));
     old.set(|roster| assert_eq!(roster.calls, 1));
@@ -374,7 +385,10 @@
     }
     router.signal("-HUP");
     // Connections still come, and idle ones are closed in the end.
-    *nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
+    *nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Serve; 2];
     let (status, head, _) = ask(&mut router.connect(), "whole", "r2");
     assert_eq!((status, head.contains("Connection: close")), (200, true));
     assert_eq!(idle.read(&mut [0]).expect("an end"), 0);
--- a/router/tests/upgrade.rs
+++ b/router/tests/upgrade.rs
@@ -186,6 +186,10 @@
 }
 
 #[test]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn connections_go_over_and_so_does_what_was_read_of_them() {
     let of = Upgradable::start(&[Act::Serve], "");
     let (mut idle, mut half) = (of.router.connect(), of.router.connect());
@@ -195,7 +199,10 @@
     let (first, second) = text.as_bytes().split_at(text.len() / 2);
     half.write_all(first).expect("written");
     // In flight over the commit, with a second request behind it.
-    *of.nodes[0].acts.lock().unwrap() = [Act::Silent; 2];
+    *of.nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Silent; 2];
     busy.write_all(format!("{}{}", request("half", "a3"), request("half", "a4")).as_bytes())
         .expect("written");
     assert!(of.nodes[0].frame('q').contains("a1."));
@@ -206,7 +213,10 @@
         let upgrade = scope.spawn(|| of.upgrade(&[]));
         within(|| of.pid() != before, "the new process serves");
         // It serves while the old one waits for its answer.
-        *of.nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
+        *of.nodes[0]
+            .acts
+            .lock()
+            .expect("no test thread panicked with the lock held") = [Act::Serve; 2];
         served(of.router.address, "a5");
         assert_eq!(
             common::ask(&mut idle, "half", "a6").0,
@@ -220,7 +230,10 @@
             "half a request before and half after"
         );
         for id in ["a3.0", "a3.1"] {
-            let mut streams = of.nodes[0].streams.lock().unwrap();
+            let mut streams = of.nodes[0]
+                .streams
+                .lock()
+                .expect("no test thread panicked with the lock held");
             let text = format!("{id} served 1 -\nlate");
             let frame = [
                 &(1 + text.len() as u32).to_le_bytes()[..],
@@ -248,7 +261,12 @@
     of.settled();
     assert_eq!(common::ask(&mut half, "half", "a7").0, 200);
     // A part that was out at the old process was sent once.
-    let frames: Vec<(char, String)> = of.nodes[0].frames.lock().unwrap().try_iter().collect();
+    let frames: Vec<(char, String)> = of.nodes[0]
+        .frames
+        .lock()
+        .expect("no test thread panicked with the lock held")
+        .try_iter()
+        .collect();
     assert!(
         !frames.iter().any(|(_, rest)| rest.contains("a3.")),
         "{frames:?}"
@@ -518,7 +536,10 @@
     thread::scope(|scope| {
         let upgrade = scope.spawn(|| of.upgrade(&[]));
         within(|| of.pid() != before, "the new process serves");
-        *of.nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
+        *of.nodes[0]
+            .acts
+            .lock()
+            .expect("no test thread panicked with the lock held") = [Act::Serve; 2];
         let (done, text) = of.upgrade(&[]);
         assert!(!done && text.contains("still has a part"), "{text}");
         let serving = of.pid().to_string();
@@ -560,7 +581,10 @@
     thread::scope(|scope| {
         let upgrade = scope.spawn(|| of.upgrade(&[]));
         within(|| of.pid() != before, "the new process serves");
-        *of.nodes[0].acts.lock().unwrap() = [Act::Serve; 2];
+        *of.nodes[0]
+            .acts
+            .lock()
+            .expect("no test thread panicked with the lock held") = [Act::Serve; 2];
         // The same mark, under an id of its own.
         let again = request(index, "r2")
             .replace("keyr2", "keyr1")
@@ -575,7 +599,12 @@
         );
         assert!(upgrade.join().expect("it ends").0);
     });
-    let frames: Vec<(char, String)> = of.nodes[0].frames.lock().unwrap().try_iter().collect();
+    let frames: Vec<(char, String)> = of.nodes[0]
+        .frames
+        .lock()
+        .expect("no test thread panicked with the lock held")
+        .try_iter()
+        .collect();
     let asks = || {
         frames
             .iter()
@@ -607,7 +636,7 @@
             .map(|node| {
                 node.frames
                     .lock()
-                    .unwrap()
+                    .expect("no test thread panicked with the lock held")
                     .try_iter()
                     .filter(|(of, _)| *of == 'q')
                     .count()
@@ -643,15 +672,25 @@
     )
     .expect("a configuration");
     assert!(of.upgrade(&["--config", other.to_str().expect("a path")]).0);
-    of.nodes
-        .iter()
-        .for_each(|node| node.frames.lock().unwrap().try_iter().for_each(drop));
+    of.nodes.iter().for_each(|node| {
+        node.frames
+            .lock()
+            .expect("no test thread panicked with the lock held")
+            .try_iter()
+            .for_each(drop)
+    });
     let repeat = request("other", "k2").replace("Req-Kind", "Req-Retry: 1\r\nReq-Kind");
     assert_eq!(ask(&repeat), 503);
     let calls = of
         .nodes
         .iter()
-        .map(|node| node.frames.lock().unwrap().try_iter().count())
+        .map(|node| {
+            node.frames
+                .lock()
+                .expect("no test thread panicked with the lock held")
+                .try_iter()
+                .count()
+        })
         .sum::<usize>();
     let _ = std::fs::remove_file(&other);
     assert!(calls > 0, "it is tried");
@@ -662,6 +701,10 @@
     r#""rules":{"coldFrom":0.3,"warmWithin":60000000,"fallMultiple":1.5,"fall":1000000,"#;
 
 #[test]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn a_node_that_starts_cold_bears_both_processes_together() {
     let settings = common::SETTINGS
         .replace(r#""rules":{"#, COLD)
@@ -716,12 +759,12 @@
                 let count = of.nodes[1]
                     .frames
                     .lock()
-                    .unwrap()
+                    .expect("no test thread panicked with the lock held")
                     .try_iter()
                     .filter(|(of, _)| *of == 'q')
                     .count();
                 sent.lock()
-                    .unwrap()
+                    .expect("no test thread panicked with the lock held")
                     .extend(std::iter::repeat_n(Instant::now(), count));
                 thread::sleep(2 * MS);
             }
@@ -733,7 +776,9 @@
         }
         thread::sleep(500 * MS);
     });
-    let sent = sent.into_inner().unwrap();
+    let sent = sent
+        .into_inner()
+        .expect("no test thread panicked with the lock held");
     let within = |at: &Instant| {
         sent.iter()
             .filter(|other| *other >= at && **other < *at + 1000 * MS)
@@ -856,9 +901,17 @@
         let mut first = [0; 1];
         if asked.is_ok() && open.peek(&mut first).is_ok_and(|count| count > 0) {
             let (status, head, _) = common::answer(&mut open);
-            *seen.answers.lock().unwrap().entry(status).or_default() += 1;
+            *seen
+                .answers
+                .lock()
+                .expect("no test thread panicked with the lock held")
+                .entry(status)
+                .or_default() += 1;
             if !kept {
-                let mut gap = seen.gap.lock().unwrap();
+                let mut gap = seen
+                    .gap
+                    .lock()
+                    .expect("no test thread panicked with the lock held");
                 *gap = gap.max(began.elapsed());
             }
             *stream = (!head.contains("Connection: close")).then_some(open);
@@ -869,7 +922,10 @@
         }
         seen.again.fetch_add(1, Ordering::Relaxed);
     }
-    seen.lost.lock().unwrap().push(id.to_owned());
+    seen.lost
+        .lock()
+        .expect("no test thread panicked with the lock held")
+        .push(id.to_owned());
 }
 
 /// Processes that run on a configuration, and the descriptors and resident KiB of all of them.
@@ -904,6 +960,10 @@
     }
 }
 
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn under_load(upgrades: usize, failing: usize) {
     let of = Upgradable::start(&[Act::Serve, Act::Serve, Act::Serve], "");
     let (seen, stop) = (Seen::default(), AtomicBool::new(false));
@@ -930,7 +990,7 @@
                 let now = sampled_processes(&config);
                 program
                     .lock()
-                    .unwrap()
+                    .expect("no test thread panicked with the lock held")
                     .iter_mut()
                     .zip(now)
                     .for_each(|(most, now)| *most = now.max(*most));
@@ -964,7 +1024,9 @@
                     );
                     let when = when || upgrading.load(Ordering::Relaxed);
                     let took = due.elapsed().as_micros() as u64;
-                    let mut to = if when { during } else { steady }.lock().unwrap();
+                    let mut to = if when { during } else { steady }
+                        .lock()
+                        .expect("no test thread panicked with the lock held");
                     to.record(took).expect("recorded");
                 }
             });
@@ -975,9 +1037,10 @@
             let fails = at * failing / upgrades != (at + 1) * failing / upgrades;
             upgrading.store(true, Ordering::Relaxed);
             let began = Instant::now();
-            let (done, text) = match fails {
-                true => of.upgrade(&["--program", &standin(&of, hows[bad % hows.len()])]),
-                false => of.upgrade(&[]),
+            let (done, text) = if fails {
+                of.upgrade(&["--program", &standin(&of, hows[bad % hows.len()])])
+            } else {
+                of.upgrade(&[])
             };
             assert_eq!(done, !fails, "{text}");
             if done {
@@ -993,7 +1056,12 @@
     // From the nodes' side: how often each part was asked for.
     let mut parts: BTreeMap<String, usize> = BTreeMap::new();
     for node in &of.nodes {
-        for (letter, rest) in node.frames.lock().unwrap().try_iter() {
+        for (letter, rest) in node
+            .frames
+            .lock()
+            .expect("no test thread panicked with the lock held")
+            .try_iter()
+        {
             for line in rest.split("find").filter(|_| letter == 'q') {
                 if let Some((id, _)) = line.split_once(' ') {
                     *parts.entry(id.to_owned()).or_default() += 1;
@@ -1005,18 +1073,30 @@
     let twice = parts.values().filter(|count| **count > 1).count();
     let (asked, answers) = (
         seen.asked.load(Ordering::Relaxed),
-        seen.answers.lock().unwrap().clone(),
+        seen.answers
+            .lock()
+            .expect("no test thread panicked with the lock held")
+            .clone(),
     );
     println!("| upgrades | failed on purpose | lookups | answers by status | lost | sent once more | parts | sent more than once | most sends | longest connect and answer, ms |");
     println!(
         "| {good} | {bad} | {asked} | {answers:?} | {} | {} | {} | {twice} | {most} | {:.1} |",
-        seen.lost.lock().unwrap().len(),
+        seen.lost
+            .lock()
+            .expect("no test thread panicked with the lock held")
+            .len(),
         seen.again.load(Ordering::Relaxed),
         parts.len(),
-        seen.gap.lock().unwrap().as_secs_f64() * 1e3
+        seen.gap
+            .lock()
+            .expect("no test thread panicked with the lock held")
+            .as_secs_f64()
+            * 1e3
     );
     for (name, of) in [("steady", &steady), ("during upgrades", &during)] {
-        let of = of.lock().unwrap();
+        let of = of
+            .lock()
+            .expect("no test thread panicked with the lock held");
         let at = |q| of.value_at_quantile(q) as f64 / 1000.0;
         println!(
             "| {name} | {} | p50 {:.2} ms | p99 {:.2} ms | p99.9 {:.2} ms | most {:.2} ms |",
@@ -1032,10 +1112,16 @@
         println!(
             "middle upgrade {:.0} ms:\n{text}at the highest: {:?} processes, descriptors and KiB of them together",
             took.as_secs_f64() * 1e3,
-            highest.lock().unwrap()
+            highest.lock().expect("no test thread panicked with the lock held")
         );
     }
-    assert_eq!(*seen.lost.lock().unwrap(), Vec::<String>::new());
+    assert_eq!(
+        *seen
+            .lost
+            .lock()
+            .expect("no test thread panicked with the lock held"),
+        Vec::<String>::new()
+    );
     assert_eq!(answers.values().sum::<u64>(), asked, "one answer each");
     assert_eq!(
         answers.keys().copied().collect::<Vec<u16>>(),
@@ -1060,6 +1146,10 @@
 /// are answered within their soft deadline. A measurement of half a minute.
 #[test]
 #[ignore = "a measurement"]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn the_first_seconds_after_an_upgrade_and_after_a_restart() {
     println!("| change | lookups | in time | late | turned away | failed | no connection | p50, ms | p99 | p99.9 | most |");
     for (word, restart) in [
@@ -1117,8 +1207,8 @@
                             }
                         }
                         if counted {
-                            *counts.lock().unwrap().entry(outcome).or_default() += 1;
-                            times.lock().unwrap().record(due.elapsed().as_micros() as u64).expect("recorded");
+                            *counts.lock().expect("no test thread panicked with the lock held").entry(outcome).or_default() += 1;
+                            times.lock().expect("no test thread panicked with the lock held").record(due.elapsed().as_micros() as u64).expect("recorded");
                         }
                     }
                 });
@@ -1143,10 +1233,14 @@
             }
             thread::sleep(10_000 * MS);
         });
-        let counts = counts.into_inner().unwrap();
+        let counts = counts
+            .into_inner()
+            .expect("no test thread panicked with the lock held");
         let of = |name: &str| counts.get(name).copied().unwrap_or(0);
         let all: u64 = counts.values().sum();
-        let times = times.into_inner().unwrap();
+        let times = times
+            .into_inner()
+            .expect("no test thread panicked with the lock held");
         let at = |q| times.value_at_quantile(q) as f64 / 1000.0;
         println!(
             "| {word} | {all} | {} | {} | {} | {} | {} | {:.1} | {:.1} | {:.1} | {:.1} |",
--- a/router/tests/works.rs
+++ b/router/tests/works.rs
@@ -324,6 +324,10 @@
 }
 
 #[test]
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario, told in the order in which it happens"
+)]
 fn an_operator_asks_looks_holds_cancels_and_is_told_why_not() {
     let one = Small::start(1, 3);
     let (_, status, words) = one.works(&["ask", "s-9", "--why", "disks", "--by", "ann"]);
