--- a/maintenance/src/entry.rs
+++ b/maintenance/src/entry.rs
@@ -69,6 +69,7 @@
     /// Cancels what has no permit yet.
     Cancel { request: RequestNo, by: String },
     /// Nothing more goes out until an operator resumes.
+    #[serde(rename = "hold")]
     Pause {
         by: String,
         #[serde(rename = "why")]
--- a/maintenance/tests/frozen_forms.rs
+++ b/maintenance/tests/frozen_forms.rs
@@ -17,7 +17,7 @@
 #[test_case(r#"{"ask":{"request":{"machines":["s0","s1"],"why":"disks","by":"ann","lasts":60000000,"not_before":5,"by_when":null,"priority":3,"together":true}}}"#, "0002027330027331056469736b7303616e6e808ece1c0105000301"; "ask")]
 #[test_case(r#"{"change":{"request":300,"by_when":7,"priority":2,"by":"ann"}}"#, "01ac0201070203616e6e"; "change")]
 #[test_case(r#"{"cancel":{"request":1,"by":"ann"}}"#, "020103616e6e"; "cancel")]
-#[test_case(r#"{"pause":{"by":"ann","why":"a storm"}}"#, "0303616e6e07612073746f726d"; "pause")]
+#[test_case(r#"{"hold":{"by":"ann","why":"a storm"}}"#, "0303616e6e07612073746f726d"; "hold")]
 #[test_case(r#"{"resume":{"by":"ann"}}"#, "0403616e6e"; "resume")]
 #[test_case(r#"{"begin":{"permit":4,"by":"ann"}}"#, "050403616e6e"; "begin")]
 #[test_case(r#"{"done":{"permit":4,"by":"ann","failed":"no disk"}}"#, "060403616e6e01076e6f206469736b"; "done")]
