--- a/router/tests/identity.rs
+++ b/router/tests/identity.rs
@@ -244,6 +244,8 @@
         .0,
         401
     );
+    // A service that is back before its first failed call has never been away for this router.
+    third.log_has("identity: source failed kind=\"keys\"");
     service.set(Serves::Text(world.public()));
     third.log_has("identity: source answers again kind=\"keys\"");
     assert_eq!(
