--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -9,7 +9,7 @@
 use ternpick::types::Micros;
 
 use crate::router::Router;
-use crate::state::clients::{State, StateCount};
+use crate::state::clients::{ClientState, StateCount};
 
 /// How often it is checked whether all is answered.
 const CHECK_INTERVAL: Micros = Micros(5_000);
@@ -38,9 +38,9 @@
     let now = router.clock.now();
     let age_ms = |since: Option<Micros>| since.map(|since| now.since(since).0 / 1000);
     let clients = |state| -> StateCount { router.clients.count(state) };
-    let new = clients(State::New);
-    let partial = clients(State::Partial);
-    let idle = clients(State::Resting);
+    let new = clients(ClientState::New);
+    let partial = clients(ClientState::Partial);
+    let idle = clients(ClientState::Idle);
     let decisions = router.decisions.borrow();
     let in_flight = &decisions.effects.in_flight;
     tracing::info!(
@@ -54,7 +54,7 @@
         oldest_partial_ms = age_ms(partial.oldest),
         idle = idle.count,
         oldest_idle_ms = age_ms(idle.oldest),
-        closing = clients(State::Closing).count,
+        closing = clients(ClientState::Closing).count,
         "{phase}"
     );
 }
@@ -81,23 +81,23 @@
 async fn wait_until_nothing_owed(router: &Router, schedule: Shutdown) {
     router.listener.mark_closed();
     // Only those that are idle: one that closes in order has a response on its way.
-    router.clients.end(State::Resting, |_| true);
+    router.clients.end(ClientState::Idle, |_| true);
     loop {
         let now = router.clock.now();
         let clients = router.descriptors.clients();
-        let owed = clients.saturating_sub(router.clients.waiting());
+        let owed = clients.saturating_sub(router.clients.count_owed_nothing());
         // A process that hands over leaves when that is done: whoever asked for it is owed the outcome.
         let handing_over = router.client_transfer.is_active() && !router.shutdown.is_handed_over();
         if schedule.may_exit(now, clients + usize::from(handing_over), owed) {
             return;
         }
         // Connections that had brought no request yet were left open, and got first requests up to the kill.
+        router.clients.end(ClientState::New, |accepted| {
+            schedule.closes_new(accepted) <= now
+        });
         router
             .clients
-            .end(State::New, |accepted| schedule.closes_new(accepted) <= now);
-        router
-            .clients
-            .end(State::Partial, |_| schedule.answers_by <= now);
+            .end(ClientState::Partial, |_| schedule.answers_by <= now);
         Timer::at(router.clock.instant(now + CHECK_INTERVAL)).await;
     }
 }
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -17,7 +17,7 @@
 use crate::stages::auth_filter;
 use crate::stages::dispatch::{self, NewQuery, NewShardRequest};
 use crate::stages::query_request::{self, QueryRequest};
-use crate::state::clients::{Answer, Reply};
+use crate::state::clients::{Answer, PendingResponse};
 use crate::state::in_flight::AdmittedAs;
 
 /// What becomes of a request.
@@ -25,7 +25,7 @@
     /// It is answered at once.
     Answer(Answer),
     /// It is a query in flight, whose answer comes in the reply.
-    InFlight(QueryId, Rc<Reply>),
+    InFlight(QueryId, Rc<PendingResponse>),
 }
 
 /// Who sends a request, as far as its connection and its first byte tell.
@@ -160,7 +160,7 @@
     mark: Option<Mark>,
     checked: QueryRequest,
 ) -> Admitted {
-    let reply = Rc::new(Reply::default());
+    let reply = Rc::new(PendingResponse::default());
     let mut decisions = router.decisions.borrow_mut();
     let latency_objective = decisions.engine.config.indexes[checked.index.at()].latency_objective;
     let taken = AdmittedAs {
--- a/router/src/stages/answer_wait.rs
+++ b/router/src/stages/answer_wait.rs
@@ -8,14 +8,14 @@
 use crate::router::Router;
 use crate::stages::client_connection::ClientConnection;
 use crate::stages::client_io::ClientIo;
-use crate::state::clients::{Answer, Reply};
+use crate::state::clients::{Answer, PendingResponse};
 
 /// Between the reads of bytes that are discarded.
 const OVERRUN_PAUSE: Duration = Duration::from_millis(1);
 
 impl ClientConnection {
     /// The answer of a query; none if the client leaves before it.
-    pub(super) async fn wait_for_answer(&mut self, reply: &Reply) -> Option<Answer> {
+    pub(super) async fn wait_for_answer(&mut self, reply: &PendingResponse) -> Option<Answer> {
         let answer = async { Some(reply.wait().await) };
         let client_left = async {
             watch_client(&self.router, &mut self.io).await;
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -1,7 +1,7 @@
 //! Completion: carries out what the decision module wants done with queries and attempts, and closes them.
 //!
 //! [`EffectQueue`] implements the module's [`Actions`]. Attempts and health checks are queued here until
-//! `upstream_writer.rs` sends them at the end of the turn; answers go to the client's [`Reply`](crate::state::clients::Reply)
+//! `upstream_writer.rs` sends them at the end of the turn; answers go to the client's [`PendingResponse`](crate::state::clients::Reply)
 //! at once. A query's record, its shard requests and its reply are released in [`EffectQueue::close`], an attempt's record in
 //! [`InFlightTable::finish`].
 
--- a/router/src/stages/completion/tests.rs
+++ b/router/src/stages/completion/tests.rs
@@ -4,7 +4,7 @@
 use test_case::test_case;
 
 use super::*;
-use crate::state::clients::Reply;
+use crate::state::clients::PendingResponse;
 use crate::state::descriptors::{Descriptors, Peer};
 use crate::state::in_flight::AdmittedAs;
 
@@ -26,7 +26,7 @@
     query: QueryId,
     attempt: AttemptKey,
     connection: ConnectionId,
-    reply: Rc<Reply>,
+    reply: Rc<PendingResponse>,
 }
 
 impl Fixture {
@@ -50,7 +50,7 @@
             .nodes
             .connect(node, Micros(0), 1 << 10, permit)
             .expect("a connection");
-        let reply = Rc::new(Reply::default());
+        let reply = Rc::new(PendingResponse::default());
         let (query, shard_requests) = effects.in_flight.open(
             "r",
             "text",
--- a/router/src/stages/graceful_close.rs
+++ b/router/src/stages/graceful_close.rs
@@ -8,7 +8,7 @@
 
 use crate::router::Router;
 use crate::stages::client_io::{ClientIo, Received};
-use crate::state::clients::State;
+use crate::state::clients::ClientState;
 use ternpick::types::Micros;
 
 /// How many bytes are read at most behind the last answer.
@@ -22,8 +22,8 @@
 /// here is begun: a client that sees the end before an answer asks again elsewhere. The connection gives its descriptor up
 /// earlier when one is wanted.
 pub(super) async fn close(router: &Router, io: &mut ClientIo) {
-    let place = router.clients.wait(Micros(0), State::Closing);
-    let close_wanted = place.told.listen();
+    let place = router.clients.register(Micros(0), ClientState::Closing);
+    let close_wanted = place.close_requested.listen();
     io.stream.finish();
     io.discard_input();
     io.account_memory(0);
--- a/router/src/stages/request_reader.rs
+++ b/router/src/stages/request_reader.rs
@@ -10,7 +10,7 @@
 
 use crate::stages::client_connection::{ClientConnection, ConnectionEnd};
 use crate::stages::client_io::{ClientGone, Received};
-use crate::state::clients::State;
+use crate::state::clients::ClientState;
 
 /// A request that is not complete so long after its connection was accepted, or after its first byte on a connection that has
 /// had requests before, gets an error; a connection that has sent nothing by then is closed.
@@ -36,11 +36,11 @@
     pub(super) async fn wait_for_first_byte(&mut self) -> Result<(), ConnectionEnd> {
         // A connection that has sent nothing yet counts with the requests that are not complete, by its age.
         let (state, since) = match self.awaiting_first_request {
-            Some(accepted_at) => (State::New, accepted_at),
-            None => (State::Resting, self.router.clock.now()),
+            Some(accepted_at) => (ClientState::New, accepted_at),
+            None => (ClientState::Idle, self.router.clock.now()),
         };
-        let place = self.router.clients.wait(since, state);
-        let mut close_wanted = place.told.listen();
+        let place = self.router.clients.register(since, state);
+        let mut close_wanted = place.close_requested.listen();
         let idle_limit = self.router.descriptors.kept_idle();
         self.router.clients.keep_idle(idle_limit);
         loop {
@@ -113,8 +113,11 @@
     }
 
     async fn read_until_complete(&mut self, awaited_since: Micros) -> Result<(), ReadFailure> {
-        let place = self.router.clients.wait(awaited_since, State::Partial);
-        let mut close_wanted = place.told.listen();
+        let place = self
+            .router
+            .clients
+            .register(awaited_since, ClientState::Partial);
+        let mut close_wanted = place.close_requested.listen();
         loop {
             let complete = self
                 .request
--- a/router/src/state/clients.rs
+++ b/router/src/state/clients.rs
@@ -18,14 +18,14 @@
 
 /// Where a query's one response waits for its client.
 #[derive(Default)]
-pub(crate) struct Reply {
+pub(crate) struct PendingResponse {
     /// The response, from when it is known until the client's connection takes it.
     pub(crate) answer: RefCell<Option<Answer>>,
     /// Notified once there is a response.
     pub(crate) ready: Event,
 }
 
-impl Reply {
+impl PendingResponse {
     /// Stores the response and wakes the client's connection.
     pub(crate) fn set(&self, status: u16, headers: String, body: String) {
         *self.answer.borrow_mut() = Some((status, headers, body));
@@ -46,9 +46,9 @@
 
 /// The state of a client's connection that has no complete request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum State {
+pub(crate) enum ClientState {
     /// Kept alive after a response.
-    Resting,
+    Idle,
     /// Shut for writing, and read to its end.
     Closing,
     /// It has brought no byte yet.
@@ -57,10 +57,10 @@
     Partial,
 }
 
-impl State {
+impl ClientState {
     /// Whether nothing is owed on it: such connections are closed first.
     pub(crate) fn is_idle(self) -> bool {
-        matches!(self, State::Resting | State::Closing)
+        matches!(self, ClientState::Idle | ClientState::Closing)
     }
 }
 
@@ -74,8 +74,8 @@
 }
 
 /// A connection that may be closed: it is idle, or its request is incomplete.
-struct Waiting {
-    state: State,
+struct Registered {
+    state: ClientState,
     since: Micros,
     /// What it holds of its request.
     bytes: usize,
@@ -89,33 +89,33 @@
     next_key: Cell<u64>,
     last_number: Cell<u64>,
     /// An entry goes when its request is complete, or its connection is closed or asked to close.
-    waiting: RefCell<BTreeMap<u64, Waiting>>,
+    waiting: RefCell<BTreeMap<u64, Registered>>,
 }
 
 /// A connection's entry among those that may be closed; removed when it is dropped.
-pub(crate) struct Place {
+pub(crate) struct Registration {
     clients: Rc<Clients>,
     key: u64,
     /// Notified when the connection is to close.
-    pub(crate) told: Rc<Event>,
+    pub(crate) close_requested: Rc<Event>,
 }
 
 impl Clients {
     /// Registers a connection that has been in `state` since `since`.
-    pub(crate) fn wait(self: &Rc<Self>, since: Micros, state: State) -> Place {
+    pub(crate) fn register(self: &Rc<Self>, since: Micros, state: ClientState) -> Registration {
         let key = self.next_key.replace(self.next_key.get() + 1);
         let close = Rc::new(Event::new());
-        let waiting = Waiting {
+        let waiting = Registered {
             state,
             since,
             bytes: 0,
             close: Rc::clone(&close),
         };
         self.waiting.borrow_mut().insert(key, waiting);
-        Place {
+        Registration {
             clients: Rc::clone(self),
             key,
-            told: close,
+            close_requested: close,
         }
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Asks the connection to close whose rank is lowest, of those that have a rank; false if none has.
-    fn close_first<T: Ord>(&self, rank: impl Fn(&Waiting) -> Option<T>) -> bool {
+    fn close_first<T: Ord>(&self, rank: impl Fn(&Registered) -> Option<T>) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         let ranked = waiting
             .iter()
@@ -166,8 +166,8 @@
     }
 
     /// Closes all connections in `state` for which `wanted` holds of the instant since which they are in it.
-    pub(crate) fn end(&self, state: State, wanted: impl Fn(Micros) -> bool) {
-        let rank = |connection: &Waiting| {
+    pub(crate) fn end(&self, state: ClientState, wanted: impl Fn(Micros) -> bool) {
+        let rank = |connection: &Registered| {
             let ends = connection.state == state && wanted(connection.since);
             ends.then_some(connection.since)
         };
@@ -175,16 +175,16 @@
     }
 
     /// How many connections have no request and are owed no response; an incomplete request is owed one.
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn count_owed_nothing(&self) -> usize {
         self.waiting
             .borrow()
             .values()
-            .filter(|connection| connection.state != State::Partial)
+            .filter(|connection| connection.state != ClientState::Partial)
             .count()
     }
 
     /// How many connections are in `state`, and since when the first of them is.
-    pub(crate) fn count(&self, state: State) -> StateCount {
+    pub(crate) fn count(&self, state: ClientState) -> StateCount {
         let waiting = self.waiting.borrow();
         let in_state = waiting
             .values()
@@ -196,7 +196,7 @@
     }
 }
 
-impl Place {
+impl Registration {
     /// Notes how many bytes of its request the connection holds.
     pub(crate) fn holds(&self, bytes: usize) {
         if let Some(waiting) = self.clients.waiting.borrow_mut().get_mut(&self.key) {
@@ -205,7 +205,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Registration {
     fn drop(&mut self) {
         self.clients.waiting.borrow_mut().remove(&self.key);
     }
--- a/router/src/state/clients/tests.rs
+++ b/router/src/state/clients/tests.rs
@@ -3,14 +3,17 @@
 #[test]
 fn the_idle_give_way_first_then_what_is_longest_in_coming() {
     let clients = Rc::new(Clients::default());
-    let at = |at, state| clients.wait(Micros(at), state);
+    let at = |at, state| clients.register(Micros(at), state);
     let places = [
-        at(1, State::Partial),
-        at(3, State::Resting),
-        at(2, State::Closing),
-        at(0, State::New),
+        at(1, ClientState::Partial),
+        at(3, ClientState::Idle),
+        at(2, ClientState::Closing),
+        at(0, ClientState::New),
     ];
-    let mut closed: Vec<_> = places.iter().map(|place| place.told.listen()).collect();
+    let mut closed: Vec<_> = places
+        .iter()
+        .map(|place| place.close_requested.listen())
+        .collect();
     for first in [2, 1, 3, 0] {
         assert!(clients.close_longest());
         let notified = closed.iter_mut().position(|closed| {
@@ -26,8 +29,8 @@
 #[test]
 fn only_so_many_stay_idle() {
     let clients = Rc::new(Clients::default());
-    let _places = [5, 3, 4].map(|at| clients.wait(Micros(at), State::Resting));
-    let _partial = clients.wait(Micros(0), State::Partial);
+    let _places = [5, 3, 4].map(|at| clients.register(Micros(at), ClientState::Idle));
+    let _partial = clients.register(Micros(0), ClientState::Partial);
     clients.keep_idle(2);
     let left: Vec<u64> = clients
         .waiting
@@ -41,8 +44,8 @@
 #[test]
 fn the_largest_request_gives_way_and_no_query_in_flight() {
     let clients = Rc::new(Clients::default());
-    let small = clients.wait(Micros(0), State::Partial);
-    let large = clients.wait(Micros(1), State::Partial);
+    let small = clients.register(Micros(0), ClientState::Partial);
+    let large = clients.register(Micros(1), ClientState::Partial);
     small.holds(10);
     large.holds(20);
     assert!(clients.close_largest());
--- a/router/src/state/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -10,7 +10,7 @@
 use ternpick::types::{AttemptNo, CustomerNo, Micros, NodeId, QueryId, ShardNo, ShardRequestId};
 
 use crate::fleet::Mark;
-use crate::state::clients::Reply;
+use crate::state::clients::PendingResponse;
 pub(crate) use crate::state::ids::AttemptKey;
 use crate::state::ids::ConnectionId;
 
@@ -69,7 +69,7 @@
     /// Its shard requests, in the order in which they are answered.
     pub(crate) shard_requests: Vec<InFlightShardRequest>,
     /// Where the client's connection waits for the response.
-    pub(crate) reply: Rc<Reply>,
+    pub(crate) reply: Rc<PendingResponse>,
 }
 
 /// How far an attempt has come.
@@ -170,7 +170,7 @@
         statement: &str,
         key: Option<&str>,
         shards: impl Iterator<Item = ShardNo>,
-        reply: Rc<Reply>,
+        reply: Rc<PendingResponse>,
         taken: AdmittedAs,
     ) -> (QueryId, Vec<ShardRequestId>) {
         let query = QueryId(self.next_number());
