--- a/deploy/fleet.cue
+++ b/deploy/fleet.cue
@@ -34,7 +34,7 @@
 	// "serve-and-mark" gives the rule up knowingly: status and each answer say so.
 	without_lease: "refuse"
 	confirm:       false
-	// Machines go out for work in an order that the routers settle (docs/ops/works.md); off without this.
+	// Machines go out for work in an order that the routers settle (docs/ops/maintenance.md); off without this.
 	works: {
 		keep:       2
 		zone_share: 0.5
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! The safety rule: a permit exists only once every router either has reported that it applies the machine's being out
 //! and has no shard request in flight there, or can no longer act on anything it admitted before.
-//! `docs/design/works.md` says why that holds.
+//! `docs/design/maintenance.md` says why that holds.
 
 mod coordinator;
 mod disruption_budget;
