--- /dev/null
+++ b/router/tests/upgrade/main.rs
@@ -0,0 +1,11 @@
+//! Upgrades on loopback: under load, with new processes that fail at each step, with the old one killed.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod failures;
+mod handover;
+mod load;
+mod measures;
+mod overlap;
+mod state;
+mod support;
