--- /dev/null
+++ b/router/tests/identity/main.rs
@@ -0,0 +1,13 @@
+//! A guarded router on loopback: each hard case of identity caused in front of the program.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod audit;
+mod certificates;
+mod commands;
+mod key_service;
+mod reload;
+mod revocations;
+mod tls;
+mod tokens;
--- /dev/null
+++ b/router/tests/identity/revocations.rs
@@ -0,0 +1,92 @@
+//! Tokens revoked under a request, and a feed that leaves numbers out.
+
+use crate::common::guarded::*;
+use crate::common::Act;
+
+#[test]
+fn what_was_taken_before_a_revocation_gets_its_answer_and_nothing_new_is_taken() {
+    let world = World::new();
+    let guarded = Guarded::start(&world);
+    *guarded.nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Silent; 2];
+    let (token, other) = (
+        world.claims("a", "north", &["crew"], 300),
+        world.token(&["crew"]),
+    );
+    let (id, token) = (token.jti.clone(), world.mint(&token));
+    let mut stream = guarded.router.connect();
+    send(&mut stream, "whole", "find", &bearer(&token));
+    let frame = guarded.nodes[0].frame('q');
+    let ids: Vec<&str> = frame
+        .split("find")
+        .filter_map(|line| line.split(' ').next())
+        .filter(|id| !id.is_empty())
+        .collect();
+    world.revoke("token", &id);
+    guarded.log_has("identity: revocations received new_entries=1 ");
+    ids.iter().for_each(|id| guarded.nodes[0].answer(id));
+    assert_eq!(receive(&mut stream).0, 200, "taken before");
+    *guarded.nodes[0]
+        .acts
+        .lock()
+        .expect("no test thread panicked with the lock held") = [Act::Serve; 2];
+    assert_eq!(
+        ask(&mut stream, "whole", "find", &bearer(&token)).0,
+        401,
+        "on the same connection"
+    );
+    assert_eq!(
+        ask(&mut stream, "whole", "find", &bearer(&other)).0,
+        200,
+        "another's token"
+    );
+}
+
+#[test]
+fn a_feed_with_a_gap_is_asked_for_whole() {
+    let world = World::new();
+    let feed = Service::start(Serves::Text(world.page(None)));
+    let guarded = Guarded::with(&world, None, Some(&feed.source(None)), "info", 1024);
+    let claims = world.claims("a", "north", &["crew"], 300);
+    let (id, token) = (claims.jti.clone(), world.mint(&claims));
+    assert_eq!(
+        ask(
+            &mut guarded.router.connect(),
+            "whole",
+            "find",
+            &bearer(&token)
+        )
+        .0,
+        200
+    );
+    world.revoke("token", "x");
+    world.revoke("token", &id);
+    // Only the second word is served, then the whole list.
+    feed.set(Serves::Text(world.page(Some(1))));
+    guarded.log_has("numbers are missing");
+    assert_eq!(
+        ask(
+            &mut guarded.router.connect(),
+            "whole",
+            "find",
+            &bearer(&token)
+        )
+        .0,
+        200,
+        "not told yet"
+    );
+    feed.set(Serves::Text(world.page(None)));
+    guarded.log_has("identity: revocations received new_entries=2 ");
+    assert_eq!(
+        ask(
+            &mut guarded.router.connect(),
+            "whole",
+            "find",
+            &bearer(&token)
+        )
+        .0,
+        401
+    );
+}
