--- /dev/null
+++ b/router/tests/endings/discovery.rs
@@ -0,0 +1,170 @@
+//! What discovery says, and what holds while it says nothing: changes, lists, full descriptors, restarted processes.
+
+use std::io::Write;
+use std::net::TcpStream;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use test_case::test_case;
+
+use crate::common::*;
+use crate::support::*;
+
+// Term 1: a change counts as told 6 s after discovery had it and could be reached.
+
+const TOLD: Duration = Duration::from_secs(6);
+
+#[derive(Clone, Copy, PartialEq)]
+enum Outage {
+    /// The open watch falls silent, discovery goes on.
+    Watch,
+    /// Calls are taken and not answered for so many seconds, then the way is back.
+    Silent(u64),
+    /// Calls are refused for so many seconds.
+    Refused(u64),
+    /// The open watch is cut off, as are calls for so many seconds.
+    Cut(u64),
+}
+
+/// The settings let a call wait for 9 s.
+#[test_case(Outage::Watch; "an open watch falls silent")]
+#[test_case(Outage::Silent(5); "calls stay unanswered for a while")]
+#[test_case(Outage::Refused(3); "calls are refused for a while")]
+#[test_case(Outage::Cut(1); "an open watch is cut off, and calls for a while")]
+fn a_change_is_known_within_six_seconds_of_when_discovery_had_it_and_could_be_reached(
+    outage: Outage,
+) {
+    let (router, nodes, discovery) = Router::with(&[Act::Serve, Act::Serve]);
+    discovery.set(|roster| roster.version = 1);
+    discovery.wait_until(|roster| roster.calls >= 1 && roster.asked == 1);
+    let change = entry("s0", nodes[0].address, "Terminating");
+    match outage {
+        Outage::Watch | Outage::Silent(_) => discovery.set(|roster| roster.silent = true),
+        Outage::Refused(_) => discovery.set(|roster| roster.down = true),
+        Outage::Cut(_) => discovery.set(|roster| roster.cut = true),
+    }
+    // The call that was open has seen it.
+    thread::sleep(50 * MS);
+    let seconds = match outage {
+        Outage::Watch => 0,
+        Outage::Silent(seconds) | Outage::Refused(seconds) | Outage::Cut(seconds) => seconds,
+    };
+    thread::sleep(Duration::from_secs(seconds));
+    discovery.set(|roster| {
+        (roster.silent, roster.down, roster.cut) = (false, false, false);
+        (roster.version, roster.changes) = (2, change);
+    });
+    let had = Instant::now();
+    // Its next call says that it has the change.
+    eventually("the change is known", || {
+        let mut known = false;
+        discovery.set(|roster| known = roster.asked == 2);
+        assert!(had.elapsed() < TOLD, "after {:?}", had.elapsed());
+        known
+    });
+    let record = Record::of(&nodes[..1]);
+    let then = Instant::now();
+    for id in 0..8 {
+        assert_eq!(
+            ask(&mut router.connect(), "whole", &format!("r{id}")).0,
+            200
+        );
+    }
+    assert_eq!(
+        record.calls_after(then),
+        0,
+        "the node that drains gets nothing new"
+    );
+}
+
+/// An answer of discovery's without a length is whole when its connection ends, and the next call is made on a new one.
+#[test]
+fn a_list_without_a_length_is_taken_when_its_connection_ends() {
+    let node = Node::start([Act::Serve; 2]);
+    let discovery = Discovery::default();
+    let change = entry("s0", node.address, "Ready");
+    discovery.set(|roster| (roster.version, roster.changes, roster.endless) = (2, change, true));
+    let router = Router::start(discovery.start(), "", 1024);
+    discovery.wait_until(|roster| roster.asked == 2);
+    assert_eq!(ask(&mut router.connect(), "whole", "r1").2, WHOLE);
+}
+
+/// A whole list that names a node and spoils its line does not say that it is gone.
+#[test]
+fn a_spoilt_line_in_a_whole_list_leaves_its_node_as_it_was() {
+    let nodes = [Node::start([Act::Serve; 2]), Node::start([Act::Serve; 2])];
+    let discovery = Discovery::default();
+    let known = entry("s0", nodes[0].address, "Ready");
+    let router = Router::start(discovery.start(), &known, 1024);
+    discovery.wait_until(|roster| roster.calls >= 1);
+    // The whole list comes from where discovery has moved to.
+    let new = Discovery::default();
+    let listed =
+        entry("s0", nodes[0].address, "Ready").replace("\"group\":0", "\"group\":\"none\"");
+    new.set(|roster| (roster.version, roster.changes) = (7, listed));
+    let address = new.start().to_string();
+    router.reload(|text| text.replace(&router.discovery.to_string(), &address));
+    new.wait_until(|roster| roster.asked == 7);
+    assert_eq!(ask(&mut router.connect(), "whole", "r1").2, WHOLE);
+}
+
+// Term 4: idle clients may fill the descriptors while discovery is down.
+
+#[test]
+fn clients_that_rest_on_every_descriptor_keep_neither_discovery_nor_requests_out() {
+    let (node, discovery) = (Node::start([Act::Serve; 2]), Discovery::default());
+    discovery.set(|roster| roster.down = true);
+    let router = Router::start(discovery.start(), "", 64);
+    discovery.wait_until(|roster| roster.calls >= 1);
+    // Some say nothing, some half of something, some rest behind an answer.
+    let mut resting: Vec<TcpStream> = (0..150).map(|_| router.connect()).collect();
+    for (at, stream) in resting.iter_mut().enumerate() {
+        let text = [
+            "",
+            "POST /whole HTTP/1.1\r\n",
+            "GET /_health HTTP/1.1\r\n\r\n",
+        ][at % 3];
+        // Those that gave way already are gone.
+        let _ = stream.write_all(text.as_bytes());
+    }
+    let change = entry("s0", node.address, "Ready");
+    discovery.set(|roster| (roster.version, roster.changes, roster.down) = (5, change, false));
+    let had = Instant::now();
+    discovery.wait_until(|roster| roster.asked == 5);
+    assert!(had.elapsed() < TOLD, "known after {:?}", had.elapsed());
+    assert_eq!(ask(&mut router.connect(), "whole", "r1").2, WHOLE);
+}
+
+// Term 5: nine in ten restarted processes are ready within 10 s.
+
+#[test_case("silent"; "discovery takes calls and answers none")]
+#[test_case("down"; "discovery refuses all")]
+fn restarted_processes_are_ready_while_discovery_is_not(how: &str) {
+    let (node, discovery) = (Node::start([Act::Serve; 2]), Discovery::default());
+    discovery.set(|roster| (roster.silent, roster.down) = (how == "silent", how == "down"));
+    let (address, known) = (discovery.start(), entry("s0", node.address, "Ready"));
+    let mut routers: Vec<Router> = (0..20)
+        .map(|_| Router::start(address, &known, 256))
+        .collect();
+    for router in &mut routers {
+        router.signal("-KILL");
+        router.child.wait().expect("it ends");
+    }
+    let began = Instant::now();
+    let started: Vec<_> = routers.iter_mut().map(Router::again).collect();
+    assert_eq!(started.len(), 20);
+    let mut ready = Vec::new();
+    for (at, router) in routers.iter().enumerate() {
+        eventually("a restarted router is ready", || {
+            TcpStream::connect(router.address).is_ok()
+        });
+        assert_eq!(health(router), 200);
+        assert_eq!(
+            ask(&mut router.connect(), "whole", &format!("r{at}")).2,
+            WHOLE
+        );
+        ready.push(began.elapsed());
+    }
+    ready.sort();
+    assert!(ready[17] < Duration::from_secs(10), "{ready:?}");
+}
