--- /dev/null
+++ b/router/tests/drawn/main.rs
@@ -0,0 +1,12 @@
+//! Faults drawn by seed in twos and threes, under load and over a stop: real processes, stand-in nodes and discovery, clients that
+//! keep connections, leave, stop halfway, send first requests late. Everybody writes down what he saw; `ternpick-history` judges.
+//! A few seeds here; many by command:
+//!
+//!     DRAWN=1..101 cargo test -p ternpick-router --test drawn -- --ignored --nocapture
+
+mod clients;
+#[path = "../common/mod.rs"]
+mod common;
+mod faults;
+mod plays;
+mod seeds;
--- /dev/null
+++ b/router/tests/drawn/seeds.rs
@@ -0,0 +1,77 @@
+//! Plays of many seeds, judged together.
+
+use std::collections::BTreeMap;
+use std::sync::Mutex;
+use std::thread;
+
+use crate::faults::KINDS;
+use crate::plays::play;
+
+/// Plays some seeds, a few at a time; every kind of fault that was drawn has to have struck, and no rule may be broken.
+fn plays(seeds: std::ops::Range<u64>, abreast: usize) {
+    let (next, results) = (Mutex::new(seeds.clone()), Mutex::new(Vec::new()));
+    thread::scope(|scope| {
+        for _ in 0..abreast {
+            scope.spawn(|| loop {
+                let Some(seed) = next
+                    .lock()
+                    .expect("no test thread panicked with the lock held")
+                    .next()
+                else {
+                    return;
+                };
+                let (strikes, breaks) = play(seed);
+                results
+                    .lock()
+                    .expect("no test thread panicked with the lock held")
+                    .push((seed, strikes, breaks));
+            });
+        }
+    });
+    let results = results
+        .into_inner()
+        .expect("no test thread panicked with the lock held");
+    let mut by_kind: BTreeMap<usize, (usize, usize, u64)> = BTreeMap::new();
+    for (_, strikes, breaks) in &results {
+        for (kind, count) in strikes {
+            let of = by_kind.entry(*kind).or_default();
+            *of = (
+                of.0 + 1,
+                of.1 + usize::from(!breaks.is_empty()),
+                of.2 + count,
+            );
+        }
+    }
+    for (kind, (drawn, broken, struck)) in &by_kind {
+        println!("| {} | {drawn} | {struck} | {broken} |", KINDS[*kind]);
+    }
+    let broken: Vec<u64> = results
+        .iter()
+        .filter(|of| !of.2.is_empty())
+        .map(|of| of.0)
+        .collect();
+    assert!(broken.is_empty(), "seeds with broken rules: {broken:?}");
+    let idle: Vec<&str> = by_kind
+        .iter()
+        .filter(|of| of.1 .2 == 0)
+        .map(|of| KINDS[*of.0])
+        .collect();
+    assert!(idle.is_empty(), "faults that never struck: {idle:?}");
+    assert_eq!(results.len() as u64, seeds.end - seeds.start);
+}
+
+#[test]
+fn no_rule_is_broken_under_faults_drawn_by_a_few_seeds() {
+    plays(1..13, 4);
+}
+
+#[test]
+#[ignore = "long: by command, with DRAWN=1..101"]
+fn no_rule_is_broken_under_faults_drawn_by_many_seeds() {
+    let range = std::env::var("DRAWN").unwrap_or_else(|_| "1..101".into());
+    let (from, to) = range.split_once("..").expect("DRAWN=FROM..TO");
+    plays(
+        from.parse().expect("a number")..to.parse().expect("a number"),
+        6,
+    );
+}
