--- a/platform_config/src/platform.rs
+++ b/platform_config/src/platform.rs
@@ -96,7 +96,7 @@
 fn load_reporting(report: &Value) -> LoadReporting {
     match report["via"].as_str() {
         Some("inline") => LoadReporting::InAnswers,
-        Some("on_probe") => LoadReporting::OnProbe,
+        Some("on_probe") => LoadReporting::InHealthChecks,
         _ => LoadReporting::Off,
     }
 }
--- a/router/src/fleet/maintenance/report.rs
+++ b/router/src/fleet/maintenance/report.rs
@@ -89,8 +89,8 @@
 
     /// By this router's own clock: the start that discovery claims is by another's.
     fn is_warming_up(&self, node: &Node) -> bool {
-        node.started.at.0 != 0
-            && self.now.since(node.started.at) < self.engine.config.slow_start_duration
+        node.started.by_local_clock.0 != 0
+            && self.now.since(node.started.by_local_clock) < self.engine.config.slow_start_duration
     }
 
     fn is_healthy(&self, name: &str) -> bool {
--- a/router/src/lifecycle/control/status.rs
+++ b/router/src/lifecycle/control/status.rs
@@ -51,7 +51,7 @@
         let latency_ms = node.latency.map(|micros| (micros / 10.0).round() / 100.0);
         let suspected_index = node
             .suspected_for
-            .and_then(|index| effects.bounds.index_names.get(index.at()));
+            .and_then(|index| effects.bounds.index_names.get(index.as_usize()));
         let seen_ms_ago = node
             .latency
             .map(|_| now.since(node.latency_updated_at).0 / 1000);
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -89,7 +89,7 @@
             EndpointState::Gone => continue,
         };
         // How long it has been up by this process's clock: the next one's may read another wall clock.
-        let started_at = Some(node.started.at).filter(|at| at.0 > 0);
+        let started_at = Some(node.started.by_local_clock).filter(|at| at.0 > 0);
         let age_ms = started_at.map(|at| now.since(at).0 / 1000);
         let zone_names = &decisions.effects.bounds.zone_names;
         let zone = zone_names.get(usize::from(endpoint.zone.0));
@@ -145,7 +145,7 @@
         let limits = decisions.effects.limits.as_mut();
         let limits = limits.map(|limits| limits.counted(now));
         let mut engine = decisions.engine.snapshot(now);
-        engine.terms = engine.terms.map(|terms| terms + &owners(router));
+        engine.settings = engine.settings.map(|terms| terms + &owners(router));
         Snapshot {
             form: FORM,
             endpoint_list: list.to_string(),
@@ -204,9 +204,9 @@
             .into_iter()
             .filter_map(|(id, node)| Some((known(&id)?.0, node)))
             .collect();
-        let own = own_terms(self.engine.terms.as_deref(), &owners(router));
-        self.engine.terms = Some(own.terms);
-        let applied = engine.believe(now, &self.engine);
+        let own = own_terms(self.engine.settings.as_deref(), &owners(router));
+        self.engine.settings = Some(own.terms);
+        let applied = engine.restore(now, &self.engine);
         if let (Some(limits), Some(counted)) = (&mut effects.limits, &self.limits) {
             if own.is_own {
                 limits.go_on(now, counted);
@@ -248,7 +248,7 @@
         let id = name.and_then(|name| decisions.effects.nodes.id_of(name));
         let node = id.and_then(|id| decisions.engine.nodes.get_mut(&id));
         if let (Some(node), Some(age_ms)) = (node, entry["age_ms"].as_u64()) {
-            node.started.at = now.since(Micros(age_ms.saturating_mul(1000)));
+            node.started.by_local_clock = now.since(Micros(age_ms.saturating_mul(1000)));
         }
     }
 }
--- a/router/src/lifecycle/snapshot/tests.rs
+++ b/router/src/lifecycle/snapshot/tests.rs
@@ -12,15 +12,15 @@
     let endpoint_list = json!({"index": 7, "snapshot": true, "endpoints": entries}).to_string();
     let node = NodeSnapshot {
         started: 1_790_000_000_000_000,
-        report: Some(3.25),
-        best_rate: 41.5,
+        reported_load: Some(3.25),
+        max_reported_rate: 41.5,
         latency: Some(90_210.0),
-        seen: 12_000,
-        standings: vec![(0.5, 10_000.0, 70_000, 12_000); 3],
-        pace: Some(31_000.0),
-        doubted: None,
-        sends: Vec::new(),
-        out: vec![(1, 40_000, 1.0, 2.0)],
+        latency_age: 12_000,
+        index_health: vec![(0.5, 10_000.0, 70_000, 12_000); 3],
+        latency_per_request: Some(31_000.0),
+        suspected_for: None,
+        recent_sends: Vec::new(),
+        in_flight: vec![(1, 40_000, 1.0, 2.0)],
     };
     let engine = EngineSnapshot {
         nodes: (0..nodes).map(|at| (at, node.clone())).collect(),
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -1,11 +1,11 @@
 //! A graceful shutdown: on SIGTERM, SIGINT or a command a router goes on accepting and serving for a while, then leaves by
 //! itself once nothing that it has admitted is unanswered.
 //!
-//! The instants are [`Shutdown`]'s; the decision module ends queries early enough for them.
+//! The instants are [`ShutdownSchedule`]'s; the decision module ends queries early enough for them.
 
 use async_executor::Task;
 use async_io::Timer;
-use ternpick::shutdown::Shutdown;
+use ternpick::shutdown::ShutdownSchedule;
 use ternpick::types::Micros;
 
 use crate::router::Router;
@@ -18,7 +18,7 @@
 /// ends once the listener is closed. The stop was requested at `requested_at`, and whoever asked for it kills the process by that:
 /// a router that is held up then keeps to the same instants.
 pub(crate) async fn stop(router: &Router, accepting: Task<()>, requested_at: Micros) {
-    let schedule = Shutdown::new(requested_at, router.bounds.longest_deadline);
+    let schedule = ShutdownSchedule::new(requested_at, router.bounds.longest_deadline);
     router.shutdown.begin(schedule);
     router.apply(|engine, now, effects| engine.shutdown_started(now, schedule.answers_by, effects));
     if let Some(fleet) = &router.fleet {
@@ -82,7 +82,7 @@
 }
 
 /// Closes connections without a request and waits until nothing is owed, or until the process may be killed.
-async fn wait_until_nothing_owed(router: &Router, schedule: Shutdown) {
+async fn wait_until_nothing_owed(router: &Router, schedule: ShutdownSchedule) {
     router.listener.mark_closed();
     // Only those that are idle: one that closes in order has a response on its way.
     router.clients.end(ClientState::Idle, |_| true);
@@ -97,7 +97,7 @@
         }
         // Connections that had brought no request yet were left open, and got first requests up to the kill.
         router.clients.end(ClientState::New, |accepted| {
-            schedule.closes_new(accepted) <= now
+            schedule.unused_connection_closes_at(accepted) <= now
         });
         router
             .clients
--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -12,7 +12,7 @@
 use event_listener::Event;
 use futures_lite::future;
 use ternpick::routing::RoutingEngine;
-use ternpick::shutdown::Shutdown;
+use ternpick::shutdown::ShutdownSchedule;
 use ternpick::types::Micros;
 use ternpick_platform_config::Bounds;
 
@@ -110,7 +110,7 @@
     pub(crate) fn before_shutdown(
         &self,
         at: Option<Micros>,
-        by: impl Fn(Shutdown) -> Micros,
+        by: impl Fn(ShutdownSchedule) -> Micros,
     ) -> Option<Micros> {
         at.into_iter().chain(self.shutdown.schedule().map(by)).min()
     }
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -131,7 +131,8 @@
     let token = auth_filter::bearer_token(request)?;
     let idempotent = index.is_none_or(|index| {
         let decisions = router.decisions.borrow();
-        decisions.engine.config.indexes[index.at()].retry_semantics == RetrySemantics::Idempotent
+        decisions.engine.config.indexes[index.as_usize()].retry_semantics
+            == RetrySemantics::Idempotent
     });
     let statement = fields
         .and_then(|fields| query::statement(fields).ok())
@@ -188,7 +189,8 @@
 ) -> Admitted {
     let reply = Rc::new(PendingResponse::default());
     let mut decisions = router.decisions.borrow_mut();
-    let latency_objective = decisions.engine.config.indexes[checked.index.at()].latency_objective;
+    let latency_objective =
+        decisions.engine.config.indexes[checked.index.as_usize()].latency_objective;
     let taken = AdmittedAs {
         tenant,
         at: now,
--- a/router/src/stages/attempt_deadline.rs
+++ b/router/src/stages/attempt_deadline.rs
@@ -1,6 +1,6 @@
 //! What becomes of an attempt whose time to be sent, or to be answered, is up. Called by the turns in `dispatch.rs`.
 
-use ternpick::io_errors::Owner;
+use ternpick::io_errors::FailureOwner;
 use ternpick::types::AttemptOutcome;
 
 use crate::stages::completion::{CancelFrame, EffectQueue};
@@ -59,7 +59,7 @@
         .nodes
         .connection(connection)
         .map(|connection| connection.dials.get());
-    if dial_waits_for == Some(Owner::Machine) {
+    if dial_waits_for == Some(FailureOwner::Machine) {
         Progress::NotWrittenByThisMachine
     } else {
         Progress::NotWritten
--- a/router/src/stages/listener.rs
+++ b/router/src/stages/listener.rs
@@ -123,7 +123,7 @@
                 Ok((stream, _)) => match Async::new(stream) {
                     Ok(stream) => self.start_connection(stream, permit),
                     Err(error) => {
-                        self.failures.passed();
+                        self.failures.reset();
                         tracing::warn!(%error, "cannot accept a client connection, it cannot be polled");
                     }
                 },
@@ -131,7 +131,7 @@
                 // Abandoned at the first failure, the connections behind it were reset with their requests.
                 Err(error) => {
                     self.back_off(&error).await;
-                    if self.failures.lasts() {
+                    if self.failures.is_persistent() {
                         return;
                     }
                 }
@@ -154,7 +154,7 @@
     }
 
     fn start_connection(&mut self, stream: Async<TcpStream>, permit: Permit) {
-        self.failures.passed();
+        self.failures.reset();
         let stream = match &self.tls {
             None => Stream::Plain(stream),
             Some(tls) => match Stream::secure(stream, tls) {
@@ -178,9 +178,9 @@
     /// still get their turn: a failure that repeats at once must not starve them.
     async fn back_off(&mut self, error: &std::io::Error) {
         let errno = error.raw_os_error().unwrap_or(0);
-        let (pause, unreported) = self.failures.next(errno, self.router.clock.now());
+        let (pause, unreported) = self.failures.record(errno, self.router.clock.now());
         if let Some(count) = unreported {
-            let owner = io_errors::accept(errno);
+            let owner = io_errors::accept_failure_owner(errno);
             tracing::warn!(%error, ?owner, count, "cannot accept a client connection");
         }
         if pause == Micros(0) {
--- a/router/src/stages/query_request.rs
+++ b/router/src/stages/query_request.rs
@@ -103,7 +103,7 @@
     index: IndexNo,
 ) -> Result<Option<&'a str>, Answer> {
     let decisions = router.decisions.borrow();
-    let semantics = &decisions.engine.config.indexes[index.at()].retry_semantics;
+    let semantics = &decisions.engine.config.indexes[index.as_usize()].retry_semantics;
     if !matches!(semantics, RetrySemantics::Fingerprinted(_)) {
         return Ok(None);
     }
--- a/router/src/stages/upstream_connection.rs
+++ b/router/src/stages/upstream_connection.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::future;
-use ternpick::io_errors::Owner;
+use ternpick::io_errors::FailureOwner;
 use ternpick::types::{AttemptOutcome, NodeId};
 use ternpick_wire::frames::LINE_BOUND;
 use ternpick_wire::http::BODY_BOUND;
@@ -92,7 +92,7 @@
         }
         Err(owner) => {
             tracing::debug!(%address, ?owner, "node connection cannot be made");
-            if owner == Owner::Machine {
+            if owner == FailureOwner::Machine {
                 mark_abandoned(&router, id);
             }
         }
--- a/router/src/stages/upstream_dial.rs
+++ b/router/src/stages/upstream_dial.rs
@@ -9,14 +9,17 @@
 
 use async_io::{Async, Timer};
 use futures_lite::future;
-use ternpick::io_errors::{self, Owner};
+use ternpick::io_errors::{self, FailureOwner};
 use ternpick::types::Micros;
 
 use crate::router::Router;
 
 /// A new connection, if it comes up in time; else whom the failure concerns.
-pub(crate) async fn dial(router: &Router, address: SocketAddr) -> Result<Async<TcpStream>, Owner> {
-    dial_reporting(router, address, &Cell::new(Owner::Peer)).await
+pub(crate) async fn dial(
+    router: &Router,
+    address: SocketAddr,
+) -> Result<Async<TcpStream>, FailureOwner> {
+    dial_reporting(router, address, &Cell::new(FailureOwner::Peer)).await
 }
 
 /// The same; `waits_for` says at any moment whom the dial waits for. What fails for a moment on this machine, or on the way, is
@@ -24,25 +27,26 @@
 pub(super) async fn dial_reporting(
     router: &Router,
     address: SocketAddr,
-    waits_for: &Cell<Owner>,
-) -> Result<Async<TcpStream>, Owner> {
+    waits_for: &Cell<FailureOwner>,
+) -> Result<Async<TcpStream>, FailureOwner> {
     let began = router.clock.now();
     let give_up_at = router.bounds.dial_timeout.map(|limit| began + limit);
     let attempts = async {
         let mut failures_in_a_row = 0;
         loop {
-            waits_for.set(Owner::Peer);
+            waits_for.set(FailureOwner::Peer);
             let failed = match Async::<TcpStream>::connect(address).await {
                 Ok(stream) => return Ok(stream),
-                Err(error) => io_errors::dial(error.raw_os_error().unwrap_or(0)),
+                Err(error) => io_errors::connect_failure_owner(error.raw_os_error().unwrap_or(0)),
             };
             waits_for.set(concerns(router, failed, began));
-            let is_final = failed == Owner::Peer || give_up_at.is_none() && failed != Owner::Nobody;
+            let is_final = failed == FailureOwner::Peer
+                || give_up_at.is_none() && failed != FailureOwner::None;
             if is_final {
                 return Err(waits_for.get());
             }
             failures_in_a_row += 1;
-            pause(io_errors::pause(failures_in_a_row)).await;
+            pause(io_errors::retry_delay(failures_in_a_row)).await;
         }
     };
     let stream = router
@@ -55,14 +59,14 @@
 }
 
 /// Whom the dial is held against if it gets no further than this failure.
-fn concerns(router: &Router, failed: Owner, began: Micros) -> Owner {
+fn concerns(router: &Router, failed: FailureOwner, began: Micros) -> FailureOwner {
     match failed {
-        Owner::Route => {
+        FailureOwner::Route => {
             let others_heard = router.decisions.borrow().effects.nodes.heard >= began;
-            io_errors::route(others_heard)
+            io_errors::route_failure_owner(others_heard)
         }
         // Interrupted up to the end: that concerns nobody, so it is not held against the node.
-        Owner::Nobody => Owner::Machine,
+        FailureOwner::None => FailureOwner::Machine,
         owner => owner,
     }
 }
--- a/router/src/state/connection.rs
+++ b/router/src/state/connection.rs
@@ -10,7 +10,7 @@
 
 use async_io::Async;
 use event_listener::Event;
-use ternpick::io_errors::Owner;
+use ternpick::io_errors::FailureOwner;
 use ternpick::types::{Micros, NodeId};
 use ternpick_wire::ring::Ring;
 
@@ -35,7 +35,7 @@
     /// Where the node listened when the connection was opened.
     pub(crate) address: SocketAddr,
     /// For whom its dial waits: the node, or this machine.
-    pub(crate) dials: Rc<Cell<Owner>>,
+    pub(crate) dials: Rc<Cell<FailureOwner>>,
     /// Its socket, once it is up.
     pub(crate) stream: Option<Rc<Async<TcpStream>>>,
     /// Carries no more attempts, and is closed once it carries none.
@@ -77,7 +77,7 @@
         Connection {
             node,
             address,
-            dials: Rc::new(Cell::new(Owner::Peer)),
+            dials: Rc::new(Cell::new(FailureOwner::Peer)),
             stream: None,
             retired: false,
             out: Ring::new(out_bound),
--- a/router/src/state/shutdown.rs
+++ b/router/src/state/shutdown.rs
@@ -3,24 +3,24 @@
 use std::cell::Cell;
 
 use event_listener::{Event, EventListener};
-use ternpick::shutdown::Shutdown;
+use ternpick::shutdown::ShutdownSchedule;
 
 /// What a stop of this process has come to.
 #[derive(Default)]
 pub(crate) struct ShutdownState {
-    schedule: Cell<Option<Shutdown>>,
+    schedule: Cell<Option<ShutdownSchedule>>,
     requested: Event,
     handed_over: Cell<bool>,
 }
 
 impl ShutdownState {
     /// The instants of the shutdown that is under way.
-    pub(crate) fn schedule(&self) -> Option<Shutdown> {
+    pub(crate) fn schedule(&self) -> Option<ShutdownSchedule> {
         self.schedule.get()
     }
 
     /// The shutdown begins, with these instants.
-    pub(crate) fn begin(&self, schedule: Shutdown) {
+    pub(crate) fn begin(&self, schedule: ShutdownSchedule) {
         self.schedule.set(Some(schedule));
     }
 
--- a/simulation/src/plan.rs
+++ b/simulation/src/plan.rs
@@ -319,7 +319,7 @@
             load_metrics: n.columns.iter().map(gauge).collect(),
             load_reporting: match n.reports.as_str() {
                 "answers" => LoadReporting::InAnswers,
-                "probes" => LoadReporting::OnProbe,
+                "probes" => LoadReporting::InHealthChecks,
                 _ => LoadReporting::Off,
             },
             health_checks: n.reports == "probes",
--- a/simulation/src/policy.rs
+++ b/simulation/src/policy.rs
@@ -251,7 +251,7 @@
     }
 
     fn row(&self, of: &Held) -> &IndexConfig {
-        &self.tariff.indexes[of.index.at()]
+        &self.tariff.indexes[of.index.as_usize()]
     }
 
     /// Ready holders of a shard that have no call of the part out, untried ones if there are any.
@@ -506,7 +506,10 @@
         _: bool,
         out: &mut dyn Actions,
     ) {
-        let soft = now + self.tariff.indexes[index.at()].latency_objective.min(left);
+        let soft = now
+            + self.tariff.indexes[index.as_usize()]
+                .latency_objective
+                .min(left);
         self.lookups.insert(
             id,
             Held {
--- a/src/config.rs
+++ b/src/config.rs
@@ -35,7 +35,7 @@
     /// With each answer.
     InAnswers,
     /// In answers to health checks alone.
-    OnProbe,
+    InHealthChecks,
     /// Not at all.
     #[default]
     Off,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -38,8 +38,8 @@
 }
 
 impl IndexNo {
-    /// Its place in a table by index.
-    pub fn at(self) -> usize {
+    /// The position of this index in a table that has one entry per index.
+    pub fn as_usize(self) -> usize {
         self.0.into()
     }
 }
--- a/src/io_errors.rs
+++ b/src/io_errors.rs
@@ -9,53 +9,55 @@
 
 /// Whom a failure concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owner {
+pub enum FailureOwner {
     /// Nobody: the same call again, at once.
-    Nobody,
+    None,
     /// The other side, or the route to it: that connection alone suffers.
     Peer,
     /// This machine, for want of something: again in a little while, and no peer is blamed.
     Machine,
-    /// The route to the other side: again in a little while; in the end [`route`] says whom it concerns.
+    /// The route to the other side: again in a little while; in the end [`route_failure_owner`] says whom it concerns.
     Route,
 }
 
 /// accept(2): errors of the network that waits in the new connection are that peer's. It has been taken off
 /// the queue, so the next one can be accepted at once.
-pub fn accept(errno: i32) -> Owner {
+pub fn accept_failure_owner(errno: i32) -> FailureOwner {
     match errno {
-        libc::EINTR | libc::EAGAIN => Owner::Nobody,
-        libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM => Owner::Machine,
-        libc::ECONNABORTED | libc::EPROTO | libc::EPERM => Owner::Peer,
-        libc::ENETDOWN | libc::ENOPROTOOPT | libc::EHOSTDOWN | libc::ENONET => Owner::Peer,
-        libc::EHOSTUNREACH | libc::EOPNOTSUPP | libc::ENETUNREACH | libc::ETIMEDOUT => Owner::Peer,
+        libc::EINTR | libc::EAGAIN => FailureOwner::None,
+        libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM => FailureOwner::Machine,
+        libc::ECONNABORTED | libc::EPROTO | libc::EPERM => FailureOwner::Peer,
+        libc::ENETDOWN | libc::ENOPROTOOPT | libc::EHOSTDOWN | libc::ENONET => FailureOwner::Peer,
+        libc::EHOSTUNREACH | libc::EOPNOTSUPP | libc::ENETUNREACH | libc::ETIMEDOUT => {
+            FailureOwner::Peer
+        }
         // What it does not document may last.
-        _ => Owner::Machine,
+        _ => FailureOwner::Machine,
     }
 }
 
 /// socket(2) and connect(2).
-pub fn dial(errno: i32) -> Owner {
+pub fn connect_failure_owner(errno: i32) -> FailureOwner {
     match errno {
-        libc::EINTR => Owner::Nobody,
+        libc::EINTR => FailureOwner::None,
         libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::EADDRNOTAVAIL => {
-            Owner::Machine
+            FailureOwner::Machine
         }
         libc::EAGAIN | libc::EPERM | libc::EACCES | libc::ENETDOWN | libc::EADDRINUSE => {
-            Owner::Machine
+            FailureOwner::Machine
         }
-        libc::ENETUNREACH | libc::EHOSTUNREACH => Owner::Route,
-        _ => Owner::Peer,
+        libc::ENETUNREACH | libc::EHOSTUNREACH => FailureOwner::Route,
+        _ => FailureOwner::Peer,
     }
 }
 
 /// Whom a missing route concerns: that peer if others were heard from meanwhile, else this machine. When its
 /// network is gone for a moment, all nodes are out of reach at once, and none of them has failed.
-pub fn route(others_heard: bool) -> Owner {
+pub fn route_failure_owner(others_heard: bool) -> FailureOwner {
     if others_heard {
-        Owner::Peer
+        FailureOwner::Peer
     } else {
-        Owner::Machine
+        FailureOwner::Machine
     }
 }
 
@@ -66,7 +68,7 @@
 
 /// How long to wait after so many failures in a row that concern this machine (or may): not at all after the
 /// first, so that one that passes costs no more than its call, then twice as long each time.
-pub fn pause(in_a_row: u32) -> Micros {
+pub fn retry_delay(in_a_row: u32) -> Micros {
     match in_a_row {
         0 | 1 => Micros(0),
         more => Micros(FIRST_PAUSE.0 << (more - 2).min(16)).min(LONGEST_PAUSE),
@@ -91,16 +93,16 @@
 
 impl AcceptFailures {
     /// Counts one. Returns how long to wait, and how many failures to log, if it is time to.
-    pub fn next(&mut self, errno: i32, now: Micros) -> (Micros, Option<u64>) {
-        let owner = accept(errno);
-        if owner == Owner::Nobody {
+    pub fn record(&mut self, errno: i32, now: Micros) -> (Micros, Option<u64>) {
+        let owner = accept_failure_owner(errno);
+        if owner == FailureOwner::None {
             return (Micros(0), None);
         }
         self.not_logged += 1;
         // A failure that concerns a peer has taken it off the queue, and says nothing of the next.
-        let wait = if owner == Owner::Machine {
+        let wait = if owner == FailureOwner::Machine {
             self.in_a_row += 1;
-            pause(self.in_a_row)
+            retry_delay(self.in_a_row)
         } else {
             Micros(0)
         };
@@ -117,12 +119,12 @@
     }
 
     /// An accept has succeeded.
-    pub fn passed(&mut self) {
+    pub fn reset(&mut self) {
         self.in_a_row = 0;
     }
 
     /// Whether this machine's fault has lasted.
-    pub fn lasts(&self) -> bool {
+    pub fn is_persistent(&self) -> bool {
         self.in_a_row >= LASTING_FAILURES
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`routing::RoutingEngine`] takes in what the router sees and acts through [`actions::Actions`]. Beside it
 //! stand tables and schedules that the router reads itself: [`watch_schedule::WatchSchedule`] says how the watch
-//! of the endpoint list is kept, [`shutdown::Shutdown`] by when a shutdown has done what, and [`io_errors`] whom
+//! of the endpoint list is kept, [`shutdown::ShutdownSchedule`] by when a shutdown has done what, and [`io_errors`] whom
 //! a failed system call concerns.
 
 pub mod actions;
--- a/src/node.rs
+++ b/src/node.rs
@@ -153,7 +153,7 @@
     /// How it serves an index.
     pub fn health(&self, index: IndexNo) -> IndexHealth {
         self.index_health
-            .get(index.at())
+            .get(index.as_usize())
             .copied()
             .unwrap_or_default()
     }
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -145,7 +145,7 @@
 fn reset_for_new_process(node: &mut Node, now: Micros) {
     let started = node.started;
     let mut recent_sends = std::mem::take(&mut node.recent_sends);
-    drop_old(&mut recent_sends, |send| send.at < started.at);
+    drop_old(&mut recent_sends, |send| send.at < started.by_local_clock);
     *node = Node {
         tie_breaker: node.tie_breaker,
         notified_at: now,
--- a/src/routing/health_check.rs
+++ b/src/routing/health_check.rs
@@ -29,7 +29,8 @@
     }
 
     pub(super) fn health_check_is_due(&self) -> Option<RuleMatch> {
-        if self.config.load_reporting != LoadReporting::OnProbe || !self.config.health_checks {
+        if self.config.load_reporting != LoadReporting::InHealthChecks || !self.config.health_checks
+        {
             return None;
         }
         let is_recent = |at: Micros| self.now.since(at) < HEALTH_CHECK_INTERVAL;
--- a/src/routing/health_check/tests.rs
+++ b/src/routing/health_check/tests.rs
@@ -9,7 +9,7 @@
 fn nodes_in_use_are_checked_once_a_second_where_only_health_checks_report() {
     let mut engine = engine_with(
         PlatformConfig {
-            load_reporting: LoadReporting::OnProbe,
+            load_reporting: LoadReporting::InHealthChecks,
             health_checks: true,
             ..platform()
         },
--- a/src/routing/inputs.rs
+++ b/src/routing/inputs.rs
@@ -32,7 +32,7 @@
         let time_allowed = self
             .shutdown_answers_by
             .map_or(time_allowed, |by| time_allowed.min(by.since(now)));
-        let row = &mut self.config.indexes[index.at()];
+        let row = &mut self.config.indexes[index.as_usize()];
         row.has_queries = true;
         let config = row.clone();
         let soft_deadline = now + config.latency_objective.min(time_allowed);
--- a/src/routing/outlier_detection.rs
+++ b/src/routing/outlier_detection.rs
@@ -64,7 +64,7 @@
         }
         node.index_health.resize(indexes, IndexHealth::default());
         for (at, health) in node.index_health.iter_mut().enumerate() {
-            if at == index.at() || evidence.shows_process_down {
+            if at == index.as_usize() || evidence.shows_process_down {
                 update_health(health, &evidence, now);
             }
         }
@@ -81,7 +81,7 @@
     ) -> Option<Evidence> {
         let objective_us = self.shortest_objective_us();
         let median = self.statistics.median_latency.unwrap_or(f64::MAX);
-        let semantics = self.config.indexes[index.at()].retry_semantics;
+        let semantics = self.config.indexes[index.as_usize()].retry_semantics;
         let cost = match outcome {
             AttemptOutcome::Satisfied => 0.0,
             AttemptOutcome::Cancelled | AttemptOutcome::Unsent => return None,
--- a/src/routing/outlier_detection/tests.rs
+++ b/src/routing/outlier_detection/tests.rs
@@ -102,7 +102,7 @@
 fn a_node_in_slow_start_is_predicted_slower_than_the_median() {
     let mut engine = engine_with(platform(), 2);
     let now = engine.now;
-    node(&mut engine, 1).started.at = now;
+    node(&mut engine, 1).started.by_local_clock = now;
     node(&mut engine, 2).latency_per_request = Some(50_000.0);
     let engine = refreshed(engine);
     let predicted = engine.predicted_latency(&engine.nodes[&NodeId(1)], IndexNo(0), 1.0);
--- a/src/routing/placement.rs
+++ b/src/routing/placement.rs
@@ -189,7 +189,7 @@
         let config = &self.config;
         let nothing_is_reported = match config.load_reporting {
             LoadReporting::Off => true,
-            LoadReporting::OnProbe => !config.health_checks,
+            LoadReporting::InHealthChecks => !config.health_checks,
             LoadReporting::InAnswers => false,
         };
         let says_no_load =
--- a/src/routing/slow_start.rs
+++ b/src/routing/slow_start.rs
@@ -25,8 +25,8 @@
     /// The share of its capacity that a node surely had when the window up to a time began.
     pub(super) fn warm_share(&self, node: &Node, at: Micros) -> f64 {
         let config = &self.config;
-        let age = at.since(node.started.at);
-        if node.started.at.0 == 0 || age >= config.slow_start_duration {
+        let age = at.since(node.started.by_local_clock);
+        if node.started.by_local_clock.0 == 0 || age >= config.slow_start_duration {
             return 1.0;
         }
         let initial = config.slow_start_initial_share;
@@ -51,8 +51,9 @@
             .map(|send| send.cost)
             .sum();
         // A router that has just started does not know what it sent before.
-        let just_started =
-            |started: Micros| started > node.started.at && self.now.since(started) <= window;
+        let just_started = |started: Micros| {
+            started > node.started.by_local_clock && self.now.since(started) <= window
+        };
         !self.first_list_at.is_some_and(just_started) && sent + more <= share.max(LARGE_REQUEST)
     }
 
--- a/src/routing/slow_start/tests.rs
+++ b/src/routing/slow_start/tests.rs
@@ -21,7 +21,7 @@
         1,
     );
     let now = engine.now;
-    node(&mut engine, 1).started.at = now;
+    node(&mut engine, 1).started.by_local_clock = now;
     node(&mut engine, 1).recent_sends = (1..requests)
         .map(|_| RecentSend { at: now, cost: 1.0 })
         .collect();
@@ -35,7 +35,7 @@
 fn a_warm_node_is_not_limited() {
     let mut engine = engine_with(platform(), 1);
     let now = engine.now;
-    node(&mut engine, 1).started.at = Micros(now.0 - ms(10_000).0 + 1);
+    node(&mut engine, 1).started.by_local_clock = Micros(now.0 - ms(10_000).0 + 1);
     engine.now += ms(1);
     node(&mut engine, 1).recent_sends = (1..100)
         .map(|_| RecentSend { at: now, cost: 1.0 })
@@ -47,7 +47,7 @@
 fn a_reported_rate_raises_the_allowance() {
     let mut engine = engine_with(platform(), 2);
     let now = engine.now;
-    node(&mut engine, 1).started.at = now;
+    node(&mut engine, 1).started.by_local_clock = now;
     node(&mut engine, 2).max_reported_rate = 20.0;
     let engine = refreshed(engine);
     assert!(engine.slow_start_allows(&engine.nodes[&NodeId(1)], 8.0));
@@ -63,7 +63,7 @@
         },
         1,
     );
-    node(&mut engine, 1).started.at = engine.now;
+    node(&mut engine, 1).started.by_local_clock = engine.now;
     node(&mut engine, 1).tie_breaker = u32::MAX / 2;
     node(&mut engine, 1).notified_at = engine.now;
     engine.now += ms(seconds * 1000);
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -26,25 +26,33 @@
     /// holds.
     pub started: u64,
     /// Smoothed load report (milliseconds or requests). Without it: the mean.
-    pub report: Option<f64>,
+    #[serde(rename = "report")]
+    pub reported_load: Option<f64>,
     /// The highest reported rate, requests a second.
-    pub best_rate: f64,
+    #[serde(rename = "best_rate")]
+    pub max_reported_rate: f64,
     /// Smoothed answer latency, microseconds. Without it: the median node's.
     pub latency: Option<f64>,
     /// Age of that.
-    pub seen: u64,
+    #[serde(rename = "seen")]
+    pub latency_age: u64,
     /// By index: share failed, microseconds lost, ages of the last change and the last answer. Without:
     /// healthy.
-    pub standings: Vec<(f64, f64, u64, u64)>,
+    #[serde(rename = "standings")]
+    pub index_health: Vec<(f64, f64, u64, u64)>,
     /// Smoothed latency for each request in flight, microseconds.
-    pub pace: Option<f64>,
+    #[serde(rename = "pace")]
+    pub latency_per_request: Option<f64>,
     /// The index for which it is suspected.
-    pub doubted: Option<u8>,
+    #[serde(rename = "doubted")]
+    pub suspected_for: Option<u8>,
     /// Ages and costs of requests sent within a warm-up. Without it a cold node may get its allowance twice.
-    pub sends: Vec<(u64, f64)>,
+    #[serde(rename = "sends")]
+    pub recent_sends: Vec<(u64, f64)>,
     /// Attempts in flight: index, age, cost and depth. Without it: the node counts as idle, and one that
     /// hangs as healthy.
-    pub out: Vec<(u8, u64, f64, f64)>,
+    #[serde(rename = "out")]
+    pub in_flight: Vec<(u8, u64, f64, f64)>,
 }
 
 /// All that was learnt, nodes by whatever number the writer gave them.
@@ -53,24 +61,30 @@
     /// What is known of each node.
     pub nodes: Vec<(u64, NodeSnapshot)>,
     /// Smoothed cost hint of a request, microseconds.
-    pub mean_hint: Option<f64>,
+    #[serde(rename = "mean_hint")]
+    pub mean_cost_hint: Option<f64>,
     /// By customer: queries left within its quota, and the age of that count. Without it: a new quota.
     pub quota_left: Vec<(f64, u64)>,
     /// Ages of what was admitted within the retry budget's window. Without: a budget of none.
-    pub taken: Vec<u64>,
+    #[serde(rename = "taken")]
+    pub admitted: Vec<u64>,
     /// Ages of the retries and hedged requests sent within it.
-    pub extras: Vec<u64>,
+    #[serde(rename = "extras")]
+    pub extra_attempts: Vec<u64>,
     /// Age of the last failure of a node.
-    pub alarm: Option<u64>,
+    #[serde(rename = "alarm")]
+    pub last_node_failure: Option<u64>,
     /// Queries of death: time ahead until which they are known, index, customer, shards. Without: learnt by
     /// further failures.
-    pub fatal: Vec<(u64, u8, u16, Vec<u32>)>,
+    #[serde(rename = "fatal")]
+    pub queries_of_death: Vec<(u64, u8, u16, Vec<u32>)>,
     /// The settings that these figures rest on, for one that reads them under others. Without: the same
     /// settings.
-    #[serde(default)]
-    pub terms: Option<String>,
+    #[serde(default, rename = "terms")]
+    pub settings: Option<String>,
     /// Age of the last shed query, while queries are shed.
-    pub shed: Option<u64>,
+    #[serde(rename = "shed")]
+    pub last_shed: Option<u64>,
 }
 
 impl NodeSnapshot {
@@ -88,19 +102,19 @@
             |of: &InFlightAttempt| (of.index.0, age(of.sent_at), of.z, of.depth_when_sent);
         NodeSnapshot {
             started: node.endpoint.started_at.0,
-            report: node.reported_load,
-            best_rate: node.max_reported_rate,
+            reported_load: node.reported_load,
+            max_reported_rate: node.max_reported_rate,
             latency: node.latency,
-            seen: age(node.latency_updated_at),
-            standings: node.index_health.iter().map(health).collect(),
-            pace: node.latency_per_request,
-            doubted: node.suspected_for.map(|index| index.0),
-            sends: node
+            latency_age: age(node.latency_updated_at),
+            index_health: node.index_health.iter().map(health).collect(),
+            latency_per_request: node.latency_per_request,
+            suspected_for: node.suspected_for.map(|index| index.0),
+            recent_sends: node
                 .recent_sends
                 .iter()
                 .map(|send| (age(send.at), send.cost))
                 .collect(),
-            out: node
+            in_flight: node
                 .all_in_flight(now)
                 .map(|(attempt, _)| in_flight(attempt))
                 .collect(),
@@ -117,15 +131,15 @@
             updated_at: at(updated),
             last_answer: at(answered),
         };
-        node.reported_load = valid(self.report);
+        node.reported_load = valid(self.reported_load);
         node.latency = valid(self.latency);
-        node.latency_per_request = valid(self.pace);
-        node.max_reported_rate = valid(Some(self.best_rate)).unwrap_or(0.0);
-        node.latency_updated_at = at(self.seen);
-        node.index_health = self.standings.iter().map(health).collect();
-        node.suspected_for = self.doubted.map(IndexNo);
+        node.latency_per_request = valid(self.latency_per_request);
+        node.max_reported_rate = valid(Some(self.max_reported_rate)).unwrap_or(0.0);
+        node.latency_updated_at = at(self.latency_age);
+        node.index_health = self.index_health.iter().map(health).collect();
+        node.suspected_for = self.suspected_for.map(IndexNo);
         node.recent_sends = self
-            .sends
+            .recent_sends
             .iter()
             .map(|&(age, cost)| RecentSend { at: at(age), cost })
             .collect();
@@ -134,7 +148,7 @@
         node.in_flight_elsewhere = InFlightElsewhere {
             reported_at: now,
             attempts: self
-                .out
+                .in_flight
                 .iter()
                 .filter(|(_, _, cost, depth)| (0.0..1e9).contains(cost) && *depth >= 0.0)
                 .map(|&(index, age, cost, depth)| InFlightAttempt {
@@ -173,40 +187,42 @@
                 .iter()
                 .map(|(id, node)| (id.0, NodeSnapshot::of(node, now)))
                 .collect(),
-            mean_hint: self.mean_cost_hint,
+            mean_cost_hint: self.mean_cost_hint,
             quota_left: self
                 .quota_left
                 .iter()
                 .map(|left| (left.queries, age(&left.counted_at)))
                 .collect(),
-            taken: ages(&self.admitted),
-            extras: ages(&self.extra_attempts),
-            alarm: self.last_node_failure.as_ref().map(age),
-            fatal: self.queries_of_death.iter().map(known_query).collect(),
-            terms: Some(self.settings_text()),
-            shed: self.last_shed.as_ref().map(age),
+            admitted: ages(&self.admitted),
+            extra_attempts: ages(&self.extra_attempts),
+            last_node_failure: self.last_node_failure.as_ref().map(age),
+            queries_of_death: self.queries_of_death.iter().map(known_query).collect(),
+            settings: Some(self.settings_text()),
+            last_shed: self.last_shed.as_ref().map(age),
         }
     }
 
     /// Takes on what another engine has learnt about the nodes that the endpoint list has named, by this
     /// engine's numbers. What is said of others, or of another start of a node, is passed over. Returns how
     /// many nodes were taken.
-    pub fn believe(&mut self, now: Micros, of: &EngineSnapshot) -> usize {
+    pub fn restore(&mut self, now: Micros, of: &EngineSnapshot) -> usize {
         self.now = now;
         // What was sent to nodes that warm up is known from here on, as if this process had been there.
         self.first_list_at = Some(Micros(0));
         let of = &self.applicable(of);
         let taken = self.restore_nodes(of);
         let at = |age: &u64| now.since(Micros(*age));
-        self.mean_cost_hint = of.mean_hint.filter(|hint| hint.is_finite() && *hint > 0.0);
+        self.mean_cost_hint = of
+            .mean_cost_hint
+            .filter(|hint| hint.is_finite() && *hint > 0.0);
         for (own, (queries, age)) in self.quota_left.iter_mut().zip(&of.quota_left) {
             own.queries = *queries;
             own.counted_at = at(age);
         }
-        self.admitted = of.taken.iter().map(at).collect();
-        self.extra_attempts = of.extras.iter().map(at).collect();
-        self.last_node_failure = of.alarm.as_ref().map(at);
-        self.last_shed = of.shed.as_ref().map(at);
+        self.admitted = of.admitted.iter().map(at).collect();
+        self.extra_attempts = of.extra_attempts.iter().map(at).collect();
+        self.last_node_failure = of.last_node_failure.as_ref().map(at);
+        self.last_shed = of.last_shed.as_ref().map(at);
         let known_query =
             |(ahead, index, customer, shards): &(u64, u8, u16, Vec<u32>)| KnownQueryOfDeath {
                 until: now + Micros(*ahead),
@@ -216,7 +232,7 @@
                     shards: shards.iter().map(|shard| ShardNo(*shard)).collect(),
                 },
             };
-        self.queries_of_death = of.fatal.iter().map(known_query).collect();
+        self.queries_of_death = of.queries_of_death.iter().map(known_query).collect();
         self.statistics_are_stale = true;
         taken
     }
@@ -230,7 +246,7 @@
                 .nodes
                 .get_mut(&id)
                 .filter(|node| node.endpoint.started_at.0 == known.started);
-            let Some(node) = node.filter(|_| known.standings.len() <= indexes) else {
+            let Some(node) = node.filter(|_| known.index_health.len() <= indexes) else {
                 continue;
             };
             known.apply_to(node, self.now);
@@ -246,22 +262,22 @@
     /// What of another's snapshot means the same here. Under other indexes, customers, metrics or shards what
     /// was learnt by them starts anew; how nodes answer, what they were sent, and what was spent go on.
     fn applicable(&self, of: &EngineSnapshot) -> EngineSnapshot {
-        let settings = of.terms.as_ref();
+        let settings = of.settings.as_ref();
         if settings.is_none_or(|settings| *settings == self.settings_text()) {
             return of.clone();
         }
         let mut nodes = of.nodes.clone();
         for (_, node) in &mut nodes {
-            node.report = None;
-            node.best_rate = 0.0;
-            node.doubted = None;
-            node.standings.clear();
+            node.reported_load = None;
+            node.max_reported_rate = 0.0;
+            node.suspected_for = None;
+            node.index_health.clear();
         }
         EngineSnapshot {
             nodes,
-            taken: of.taken.clone(),
-            extras: of.extras.clone(),
-            alarm: of.alarm,
+            admitted: of.admitted.clone(),
+            extra_attempts: of.extra_attempts.clone(),
+            last_node_failure: of.last_node_failure,
             ..EngineSnapshot::default()
         }
     }
--- a/src/routing/snapshot/tests.rs
+++ b/src/routing/snapshot/tests.rs
@@ -46,7 +46,7 @@
     let snapshot = old.snapshot(here);
     let mut new = engine_with_started_nodes(there);
     new.config.indexes = vec![Default::default()];
-    assert_eq!(new.believe(there, &snapshot), 3);
+    assert_eq!(new.restore(there, &snapshot), 3);
     assert_eq!(new.snapshot(there), snapshot);
     assert_eq!(
         new.nodes[&NodeId(2)].recent_sends[0],
@@ -63,16 +63,16 @@
 fn requests_in_flight_elsewhere_count_until_that_process_is_done(later: u64, z: f64, age: f64) {
     let now = Micros(1_000_000_000);
     let mut new = engine_with_started_nodes(now);
-    let out = vec![(0, 300_000, 2.0, 1.0), (0, 1, f64::NAN, 1.0)];
+    let in_flight = vec![(0, 300_000, 2.0, 1.0), (0, 1, f64::NAN, 1.0)];
     let nodes = vec![(
         2,
         NodeSnapshot {
             started: 2,
-            out,
+            in_flight,
             ..NodeSnapshot::default()
         },
     )];
-    new.believe(
+    new.restore(
         now,
         &EngineSnapshot {
             nodes,
@@ -127,7 +127,7 @@
     let mut new = engine_with_started_nodes(now);
     new.config.indexes = vec![Default::default()];
     new.config.groups_per_shard = if same { 0 } else { 3 };
-    new.believe(now, &old.snapshot(now));
+    new.restore(now, &old.snapshot(now));
     let node = &new.nodes[&NodeId(2)];
     let counts = (
         node.index_health.len(),
@@ -163,7 +163,7 @@
         (8, known(8, 1.0)),
     ];
     assert_eq!(
-        new.believe(
+        new.restore(
             Micros(1_000_000),
             &EngineSnapshot {
                 nodes,
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -22,7 +22,7 @@
 
 /// What a shutdown keeps to, from the signal on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shutdown {
+pub struct ShutdownSchedule {
     /// The signal.
     pub requested_at: Micros,
     /// Until then connections are accepted; then those without a request on them are closed.
@@ -34,10 +34,10 @@
     /// longer.
     pub exit_by: Micros,
     /// A process that was held up over all that, and was not killed, still answers, up to here.
-    pub gives_up_at: Micros,
+    pub final_exit_at: Micros,
 }
 
-impl Shutdown {
+impl ShutdownSchedule {
     /// The instants of a shutdown that was requested at `requested_at`, where no client has a longer deadline
     /// than `longest_deadline`.
     pub fn new(requested_at: Micros, longest_deadline: Option<Micros>) -> Self {
@@ -47,12 +47,12 @@
         let accepts_until = requested_at + ACCEPT_TIME;
         let kill = accepts_until + counted;
         let spare = (STALL_ALLOWANCE + WRITE_ALLOWANCE).min(counted.times(0.5));
-        Shutdown {
+        ShutdownSchedule {
             requested_at,
             accepts_until,
             answers_by: Micros(kill.0 - spare.0),
             exit_by: Micros(kill.0 - spare.times(0.25).0),
-            gives_up_at: kill + LATE_KILL_ALLOWANCE,
+            final_exit_at: kill + LATE_KILL_ALLOWANCE,
         }
     }
 
@@ -60,12 +60,12 @@
     /// answer.
     pub fn may_exit(&self, now: Micros, clients: usize, unanswered: usize) -> bool {
         let all_are_answered = now >= self.exit_by && unanswered == 0;
-        clients == 0 || all_are_answered || now >= self.gives_up_at
+        clients == 0 || all_are_answered || now >= self.final_exit_at
     }
 
     /// When a connection accepted at `accepted` that has brought no byte yet is closed. One that stays open gets
     /// first requests up to the kill (connections of the incident were 1.1 to 1.5 s old at their first).
-    pub fn closes_new(&self, accepted: Micros) -> Micros {
+    pub fn unused_connection_closes_at(&self, accepted: Micros) -> Micros {
         self.accepts_until
             .max(accepted + FIRST_BYTE_TIME)
             .min(self.answers_by)
--- a/src/shutdown/tests.rs
+++ b/src/shutdown/tests.rs
@@ -14,35 +14,43 @@
 #[test_case(Some(8000), 3700; "a longer one")]
 #[test_case(None, 3700; "not known")]
 fn all_is_answered_and_left_before_the_earliest_kill(longest: Option<u64>, kill: u64) {
-    let of = Shutdown::new(REQUESTED_AT, longest.map(|ms| Micros(ms * MS)));
-    assert_eq!(after(of.accepts_until), 700);
-    assert_eq!(after(of.answers_by), kill - 200);
-    assert!(of.answers_by < of.exit_by && after(of.exit_by) < kill);
+    let schedule = ShutdownSchedule::new(REQUESTED_AT, longest.map(|ms| Micros(ms * MS)));
+    assert_eq!(after(schedule.accepts_until), 700);
+    assert_eq!(after(schedule.answers_by), kill - 200);
+    assert!(schedule.answers_by < schedule.exit_by && after(schedule.exit_by) < kill);
 }
 
 /// Very short deadlines leave no room for the whole spare time; half of it is left for answers.
 #[test]
 fn very_short_deadlines_keep_their_order() {
-    let of = Shutdown::new(REQUESTED_AT, Some(Micros(100 * MS)));
-    assert!(of.accepts_until < of.answers_by && of.answers_by < of.exit_by);
-    assert_eq!(after(of.answers_by), 750);
+    let schedule = ShutdownSchedule::new(REQUESTED_AT, Some(Micros(100 * MS)));
+    assert!(schedule.accepts_until < schedule.answers_by && schedule.answers_by < schedule.exit_by);
+    assert_eq!(after(schedule.answers_by), 750);
 }
 
 #[test]
 fn connections_without_a_byte_close_with_the_listener_or_shortly_after_they_came() {
-    let of = Shutdown::new(REQUESTED_AT, Some(Micros(1900 * MS)));
-    assert_eq!(after(of.closes_new(Micros(0))), 700);
-    assert_eq!(after(of.closes_new(REQUESTED_AT + Micros(690 * MS))), 890);
-    assert_eq!(of.closes_new(of.exit_by), of.answers_by);
+    let schedule = ShutdownSchedule::new(REQUESTED_AT, Some(Micros(1900 * MS)));
+    assert_eq!(after(schedule.unused_connection_closes_at(Micros(0))), 700);
+    assert_eq!(
+        after(schedule.unused_connection_closes_at(REQUESTED_AT + Micros(690 * MS))),
+        890
+    );
+    assert_eq!(
+        schedule.unused_connection_closes_at(schedule.exit_by),
+        schedule.answers_by
+    );
 }
 
 #[test]
 fn no_process_leaves_with_a_client_unanswered_before_the_kill_is_long_due() {
-    let of = Shutdown::new(REQUESTED_AT, Some(Micros(1900 * MS)));
+    let schedule = ShutdownSchedule::new(REQUESTED_AT, Some(Micros(1900 * MS)));
     let at = |ms: u64| REQUESTED_AT + Micros(ms * MS);
-    assert!(of.may_exit(at(700), 0, 0) && !of.may_exit(at(2500), 1, 0));
+    assert!(schedule.may_exit(at(700), 0, 0) && !schedule.may_exit(at(2500), 1, 0));
     assert!(
-        of.may_exit(at(2560), 1, 0) && !of.may_exit(at(2560), 1, 1) && !of.may_exit(at(3500), 1, 1)
+        schedule.may_exit(at(2560), 1, 0)
+            && !schedule.may_exit(at(2560), 1, 1)
+            && !schedule.may_exit(at(3500), 1, 1)
     );
-    assert!(of.may_exit(at(3600), 1, 1));
+    assert!(schedule.may_exit(at(3600), 1, 1));
 }
--- a/src/start_time.rs
+++ b/src/start_time.rs
@@ -30,7 +30,7 @@
     /// compared with this router's clock.
     pub claimed: Micros,
     /// By the router's own clock, never before it really was as far as can be told; 0: long ago.
-    pub at: Micros,
+    pub by_local_clock: Micros,
     /// The claim of the start before this one: a list that comes late still makes it.
     previous_claim: Option<Micros>,
 }
@@ -47,7 +47,7 @@
         }
         *self = StartTime {
             claimed,
-            at: claimed.min(now).max(not_before),
+            by_local_clock: claimed.min(now).max(not_before),
             previous_claim: Some(self.claimed).filter(|claim| claim.0 > 0),
         };
         true
--- a/src/start_time/tests.rs
+++ b/src/start_time/tests.rs
@@ -21,7 +21,7 @@
 ) {
     let mut of = StartTime::default();
     assert!(of.observe(claimed, NOW, at(2 * S)));
-    assert_eq!(of.at, started);
+    assert_eq!(of.by_local_clock, started);
 }
 
 /// In the first list the newest start may be this moment's; others are as much older as they claim to be, by the same clock.
@@ -40,7 +40,7 @@
         old.observe(at(HOUR), NOW, Micros(0))
             && ahead.observe(Micros(NOW.0 + HOUR), NOW, Micros(0))
     );
-    assert_eq!((old.at, ahead.at), (at(HOUR), NOW));
+    assert_eq!((old.by_local_clock, ahead.by_local_clock), (at(HOUR), NOW));
 }
 
 /// After a step back at the node a new start is claimed to be earlier than the one before.
@@ -49,7 +49,7 @@
     let mut of = StartTime::default();
     assert!(of.observe(at(60 * S), at(59 * S), Micros(0)));
     assert!(of.observe(at(HOUR), NOW, at(2 * S)));
-    assert_eq!(of.at, at(2 * S));
+    assert_eq!(of.by_local_clock, at(2 * S));
 }
 
 /// Lists come late and by turns; the start before is old news.
@@ -73,7 +73,7 @@
     ) {
         let mut of = StartTime::default();
         of.observe(Micros(claimed), NOW, at(gap));
-        prop_assert!(of.at >= at(gap) && of.at <= NOW);
+        prop_assert!(of.by_local_clock >= at(gap) && of.by_local_clock <= NOW);
         let known = of;
         prop_assert!(!of.observe(Micros(claimed), NOW + Micros(later), NOW));
         prop_assert_eq!(of, known);
@@ -84,7 +84,7 @@
 #[test]
 fn a_claim_of_long_ago_makes_no_seen_start_older() {
     let mut of = StartTime::default();
-    assert!(!of.observe(Micros(0), NOW, at(S)) && of.at == Micros(0));
+    assert!(!of.observe(Micros(0), NOW, at(S)) && of.by_local_clock == Micros(0));
     assert!(of.observe(at(S), NOW, at(2 * S)));
     let known = of;
     assert!(!of.observe(Micros(0), NOW, at(S)) && !of.observe(at(S), NOW, at(S)));
--- a/tests/recorded/operations.rs
+++ b/tests/recorded/operations.rs
@@ -155,7 +155,7 @@
             let beliefs = engine.snapshot(now);
             let mut reader = ternpick::routing::RoutingEngine::new(other, 1);
             reader.endpoints_changed(now, &list, true, &mut Recorder::default());
-            let taken = reader.believe(now, &beliefs);
+            let taken = reader.restore(now, &beliefs);
             let texts = [describe(&beliefs), describe(&reader.snapshot(now))];
             digest = super::hash(format!("{taken} {}", texts.join("\n")).as_bytes());
         });
@@ -171,7 +171,7 @@
         self.watch_result(new);
         let mut taken = 0;
         self.input(new, "restore", "", |engine, now, _| {
-            taken = engine.believe(now, &beliefs);
+            taken = engine.restore(now, &beliefs);
             engine.serve_share(3.0, true);
         });
         self.amend_step(&taken.to_string());
@@ -210,20 +210,30 @@
             (
                 id,
                 node.started,
-                node.report,
-                node.best_rate,
+                node.reported_load,
+                node.max_reported_rate,
                 node.latency,
-                node.seen,
-                &node.standings,
-                node.pace,
-                node.doubted,
-                &node.sends,
-                &node.out
+                node.latency_age,
+                &node.index_health,
+                node.latency_per_request,
+                node.suspected_for,
+                &node.recent_sends,
+                &node.in_flight
             )
         ));
     }
-    lines.push(format!("{:?}", (of.mean_hint, &of.quota_left, &of.taken)));
-    lines.push(format!("{:?}", (&of.extras, of.alarm, &of.fatal)));
-    lines.push(format!("{:?}", (&of.terms, of.shed)));
+    lines.push(format!(
+        "{:?}",
+        (of.mean_cost_hint, &of.quota_left, &of.admitted)
+    ));
+    lines.push(format!(
+        "{:?}",
+        (
+            &of.extra_attempts,
+            of.last_node_failure,
+            &of.queries_of_death
+        )
+    ));
+    lines.push(format!("{:?}", (&of.settings, of.last_shed)));
     lines.join("\n")
 }
--- a/tests/recorded/scenario.rs
+++ b/tests/recorded/scenario.rs
@@ -149,7 +149,7 @@
     };
     let config = PlatformConfig {
         load_metrics: vec![LoadMetric::Queue, LoadMetric::Unread],
-        load_reporting: LoadReporting::OnProbe,
+        load_reporting: LoadReporting::InHealthChecks,
         health_checks: true,
         attempt_cost: ms(2),
         wasted_work_cost: Some(0.1),
--- a/tests/recorded/workload.rs
+++ b/tests/recorded/workload.rs
@@ -143,7 +143,7 @@
         let Some(of) = self.queries.get_mut(&id) else {
             return;
         };
-        let index = &self.scenario.config.indexes[of.spec.index.at()];
+        let index = &self.scenario.config.indexes[of.spec.index.as_usize()];
         if of.in_second_phase || index.second_phase_size == 0 {
             of.ended = true;
             return;
@@ -155,7 +155,7 @@
     /// Asks for the details of what the first phase has found.
     pub(super) fn second_phase(&mut self, id: QueryId) {
         let of = &self.queries[&id];
-        let size = self.scenario.config.indexes[of.spec.index.at()].second_phase_size;
+        let size = self.scenario.config.indexes[of.spec.index.as_usize()].second_phase_size;
         let count = size.min(of.answered.len());
         if of.ended || count == 0 {
             return;
