--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -1,5 +1,6 @@
-//! What decisions cost, by nodes known and queries in hand: `cargo bench -p ternpick`. Four requests a query, three
-//! nodes a shard, a load report with every answer; the time is of all inputs of one query.
+//! Measures the cost of decisions by the number of nodes and of queries in flight: `cargo bench -p ternpick`. Each
+//! query has four shard requests, each shard three nodes, and each answer a load report. The time covers all inputs
+//! of one query.
 
 use std::collections::VecDeque;
 
@@ -11,7 +12,7 @@
 const REQUESTS: u64 = 4;
 const NODES_PER_SHARD: u32 = 3;
 
-/// Attempts in flight, in order.
+/// The attempts in flight, in the order in which they were sent.
 #[derive(Default)]
 struct InFlight(VecDeque<(ShardRequestId, NodeId)>);
 
@@ -34,7 +35,7 @@
     engine: RoutingEngine,
     in_flight: InFlight,
     now: Micros,
-    next: u64,
+    last_query_number: u64,
     groups: u32,
 }
 
@@ -75,16 +76,16 @@
             engine,
             in_flight,
             now,
-            next: 0,
+            last_query_number: 0,
             groups,
         }
     }
 
-    /// A query comes in.
-    fn query_comes(&mut self) {
+    /// Feeds one query and its shard requests to the engine.
+    fn receive_query(&mut self) {
         self.now += Micros(50);
-        self.next += 1;
-        let id = self.next;
+        self.last_query_number += 1;
+        let id = self.last_query_number;
         let time_allowed = Micros(20_000_000);
         let query = WireQueryNo(id);
         self.engine.query_received(
@@ -98,10 +99,11 @@
             false,
             &mut self.in_flight,
         );
-        for at in 0..REQUESTS {
-            // Shards in an order that visits all groups.
-            let shard = ShardNo(((id * REQUESTS + at) * 7919 % u64::from(self.groups)) as u32);
-            let request = ShardRequestId(id * REQUESTS + at);
+        for position in 0..REQUESTS {
+            // The shards are chosen in an order that visits all shard groups.
+            let shard =
+                ShardNo(((id * REQUESTS + position) * 7919 % u64::from(self.groups)) as u32);
+            let request = ShardRequestId(id * REQUESTS + position);
             self.engine.shard_request_received(
                 self.now,
                 request,
@@ -114,8 +116,8 @@
         }
     }
 
-    /// As many answers as a query has requests.
-    fn answers_come(&mut self) {
+    /// Answers as many attempts as a query has shard requests.
+    fn answer_attempts(&mut self) {
         for _ in 0..REQUESTS {
             let Some((request, node)) = self.in_flight.0.pop_front() else {
                 return;
@@ -139,14 +141,15 @@
 fn cost(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("query");
     group.sample_size(10);
-    for (nodes, in_hand) in [(12, 4), (12, 256), (120, 64), (1_200, 4), (12_000, 4)] {
+    for (nodes, in_flight_queries) in [(12, 4), (12, 256), (120, 64), (1_200, 4), (12_000, 4)] {
         let mut router = Router::new(nodes);
-        (0..in_hand).for_each(|_| router.query_comes());
-        let name = format!("{nodes} nodes, {in_hand} in hand");
+        (0..in_flight_queries).for_each(|_| router.receive_query());
+        // The name identifies the benchmark in recorded results.
+        let name = format!("{nodes} nodes, {in_flight_queries} in hand");
         group.bench_function(BenchmarkId::from_parameter(name), |bencher| {
             bencher.iter(|| {
-                router.query_comes();
-                router.answers_come();
+                router.receive_query();
+                router.answer_attempts();
             });
         });
     }
--- a/src/actions.rs
+++ b/src/actions.rs
@@ -1,52 +1,54 @@
-//! The one way in which the decision module acts on the world. Every caller (the router's sockets, the
-//! simulation, the adapter) implements [`Actions`]; nothing here decides.
+//! The interface through which the decision module acts. Every caller (the router's sockets, the simulation,
+//! the adapter) implements [`Actions`]; this file makes no decisions.
 
 use crate::ids::{AttemptNo, NodeId, QueryId, ShardRequestId, TimerId};
 use crate::time::Micros;
 
-/// Why the module sends another attempt, or ends a query.
+/// The reason for which the decision module sends a further attempt or ends a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecisionReason {
-    /// A request with nothing in flight is sent again.
+    /// A shard request without an attempt in flight is sent again.
     Retry,
-    /// A late request is sent to a second node.
+    /// A late shard request is also sent to a second node.
     Hedge,
-    /// Predicted to be late: rejected at admission.
+    /// The query is predicted to be late and is rejected at admission.
     Shed,
-    /// Its time is nearly up.
+    /// The query's deadline is about to pass.
     Deadline,
-    /// What may still come is too little.
+    /// The answers that can still arrive do not reach the minimum weight.
     Exhausted,
-    /// It brings nodes down.
+    /// The query is a query of death.
     Deadly,
-    /// Complete.
+    /// The query is answered completely.
     Whole,
-    /// Answered from what is in.
+    /// The query is answered partially, from the answers received so far.
     Partial,
 }
 
-/// What the decision module asks of its caller. Effects are carried out in the order of the calls.
+/// The actions that the decision module requests from its caller. The caller carries them out in the order of
+/// the calls.
 pub trait Actions {
-    /// Sends a request to a node; the node need not begin it once `limit` has passed.
+    /// Sends a shard request to a node. The node need not start it once `limit` has passed.
     fn send_attempt(&mut self, request: ShardRequestId, node: NodeId, limit: Micros);
-    /// Answers a query, or its first phase, from the requests that are answered.
+    /// Answers a query, or its first phase, from the shard requests that have been answered.
     fn answer(&mut self, query: QueryId, complete: bool);
-    /// Rejects a query: asking again is harmless, best after `retry_after` (zero: no advice).
+    /// Rejects a query. The client can safely retry it, preferably after `retry_after` (zero: no advice).
     fn reject(&mut self, query: QueryId, retry_after: Micros);
-    /// Fails a query, with no promise about its effect.
+    /// Fails a query, without a guarantee on whether it has taken effect.
     fn fail(&mut self, query: QueryId);
     /// Stops waiting for an attempt.
     fn cancel_attempt(&mut self, request: ShardRequestId, attempt: AttemptNo);
-    /// Closes the connections to a node that carry nothing.
+    /// Closes the idle connections to a node.
     fn close_idle_connections(&mut self, node: NodeId);
-    /// Asks a node for its load report.
+    /// Sends a health check to a node, which asks for its load report.
     fn check_health(&mut self, node: NodeId);
-    /// Asks discovery for the endpoint list and its changes from now on.
+    /// Starts to watch the endpoint list: asks discovery for the list and for its subsequent changes.
     fn watch_endpoints(&mut self);
-    /// Asks to be called after `delay`.
+    /// Sets a timer that fires after `delay`.
     fn set_timer(&mut self, delay: Micros, timer: TimerId);
-    /// Says why a query's next attempt or its end comes, for who follows that query; nothing rests on it.
+    /// Reports the reason for a query's next attempt or for its end. It is for tracing alone and affects no
+    /// behaviour.
     fn record_reason(&mut self, _query: QueryId, _reason: DecisionReason) {}
-    /// Writes one line for the people on call.
+    /// Writes one line to the operators' log.
     fn log(&mut self, line: &str);
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,129 +1,132 @@
-//! What the operators set: the platform's configuration and the row of each index. Values that tune a
-//! decision are constants beside that decision, not here.
+//! The settings made by operators: the platform configuration and the settings of each index. Tuning constants
+//! of a decision are defined next to the code that uses them, not here.
 
 use crate::ids::ZoneNo;
 use crate::time::Micros;
 
-/// What a repeated shard request does.
+/// The effect of sending a shard request more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetrySemantics {
-    /// Nothing more than the first.
+    /// A repeat has no effect beyond that of the first execution.
     #[default]
     Idempotent,
-    /// It is dropped within the window that starts at the first attempt that may have run.
+    /// Nodes drop a repeat within this window, which starts at the first attempt that may have run.
     Fingerprinted(Micros),
-    /// It takes effect a second time, so it must not be sent once an attempt may have run.
+    /// A repeat takes effect again, so none may be sent once an attempt may have run.
     OnceOnly,
 }
 
-/// A figure of a load report.
+/// The metric in one position of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMetric {
-    /// Latency, in milliseconds.
+    /// The node's latency, in milliseconds.
     LatencyMs,
-    /// Length of the queue, in requests.
+    /// The length of the node's queue, in requests.
     Queue,
-    /// Requests served a second.
+    /// The number of requests that the node serves per second.
     Rate,
-    /// A figure that is not used.
+    /// A metric that the router does not use.
     Unread,
 }
 
-/// How nodes report their load.
+/// The messages in which nodes report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// With each answer.
+    /// Each answer carries a load report.
     InAnswers,
-    /// In answers to health checks alone.
+    /// Only answers to health checks carry a load report.
     InHealthChecks,
-    /// Not at all.
+    /// Nodes do not report their load.
     #[default]
     Off,
 }
 
-/// A row of the table of what differs by index.
+/// The settings of one index.
 #[derive(Clone, Debug, Default)]
 pub struct IndexConfig {
-    /// An answer after this time has lost most of its gain (the soft deadline).
+    /// The latency objective. An answer that takes longer has lost most of its value (the soft deadline).
     pub latency_objective: Micros,
-    /// The gain of one query.
+    /// The value of answering one query, relative to those of other indexes.
     pub priority_weight: f64,
-    /// What a repeat does.
+    /// The effect of sending a shard request more than once.
     pub retry_semantics: RetrySemantics,
-    /// The weight of answered requests from which an answer is complete.
+    /// The weight of answered shard requests from which a response is complete.
     pub required_weight: f64,
-    /// The least weight that may be answered from.
+    /// The least weight of answered shard requests for a partial response.
     pub min_weight: f64,
-    /// Requests of the second phase; 0: there is none.
+    /// The number of shard requests in the second phase; 0 if there is no second phase.
     pub second_phase_size: usize,
-    /// Queries of it have come to this router.
+    /// Whether this router has received queries of the index.
     pub has_queries: bool,
-    /// What a policy of the fleet says beyond the rest, never more than that allows; a `None` says nothing.
-    /// The time from a query's arrival after which it is answered from what is in.
+    /// The time from a query's arrival after which it gets a partial response. This and the following fields
+    /// are set by a policy of the fleet, which can only tighten the other settings; `None` adds no limit.
     pub partial_response_after: Option<Micros>,
-    /// Attempts for one request.
+    /// The maximum number of attempts for one shard request.
     pub max_attempts: Option<usize>,
-    /// A late request has no second attempt beside the first.
+    /// Whether late shard requests get no hedged request.
     pub hedging_disabled: bool,
-    /// Retries and hedged requests within the budget's window: so many, and a share of what was admitted.
+    /// The retry budget: the number of retries and hedged requests within its window that is always allowed, and
+    /// the additional number for each admitted query or shard request.
     pub retry_budget: Option<(f64, f64)>,
 }
 
-/// The platform's terms of service, read when the router starts. A `None` is a limit that is not set.
+/// The platform configuration, read when the router starts. A limit that is `None` is not set.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformConfig {
-    /// What differs by index.
+    /// The settings of each index.
     pub indexes: Vec<IndexConfig>,
-    /// Queries a second within each customer's quota, over all routers.
+    /// The quota of each customer, in queries per second over all routers.
     pub quotas: Vec<f64>,
-    /// The share of its gain that a query beyond its customer's quota keeps.
+    /// The factor applied to the priority weight of a query that exceeds its customer's quota.
     pub over_quota_weight: f64,
-    /// Routers that share the load.
+    /// The number of routers that share the load.
     pub router_count: f64,
     /// This router's zone.
     pub zone: ZoneNo,
-    /// Cost of a request that crosses zones, as a share of its gain.
+    /// The cost of a request that crosses zones, as a share of the value of its query.
     pub cross_zone_cost: f64,
-    /// Cost of queries that all end late, and of wasted work, as shares of the gain; where they are set.
+    /// The cost of late queries plus the cost of wasted work, as a share of the value of a query.
     pub wasted_work_cost: Option<f64>,
-    /// Groups into which the nodes are divided.
+    /// The number of shard groups into which the nodes are divided.
     pub shard_group_count: u32,
-    /// Consecutive groups that hold one shard.
+    /// The number of consecutive shard groups that hold one shard.
     pub groups_per_shard: u32,
-    /// What one attempt costs a node, whatever it asks for.
+    /// The fixed work that one attempt costs a node, regardless of its content.
     pub attempt_cost: Micros,
-    /// The figures of a load report, in their order.
+    /// The metrics of a load report, in their order.
     pub load_metrics: Vec<LoadMetric>,
-    /// How load reports come.
+    /// The messages that carry load reports.
     pub load_reporting: LoadReporting,
-    /// Nodes answer health checks.
+    /// Whether nodes answer health checks.
     pub health_checks: bool,
-    /// Discovery is polled by the router; else lists are pushed by an agent.
+    /// Whether the router polls discovery; otherwise an agent pushes endpoint lists.
     pub discovery_is_polled: bool,
-    /// Attempts for one request.
+    /// The maximum number of attempts for one shard request.
     pub max_attempts: Option<usize>,
-    /// A late request may have a second attempt beside the first.
+    /// Whether late shard requests may be hedged.
     pub hedging: bool,
-    /// Attempts can be cancelled.
+    /// Whether nodes support the cancellation of attempts.
     pub cancellation: bool,
-    /// The longest Retry-After that clients heed.
+    /// The longest Retry-After that clients respect.
     pub max_retry_after: Option<Micros>,
-    /// How often the caller lets time pass.
+    /// The interval at which the caller advances time.
     pub tick: Micros,
-    /// How long an attempt may wait for its connection.
+    /// The longest time that an attempt may wait for its connection.
     pub connect_timeout: Micros,
-    /// The share of its capacity that a node surely has as it starts.
+    /// The share of its capacity that a node is guaranteed to have when it starts.
     pub slow_start_initial_share: f64,
-    /// How long a node warms up.
+    /// The time for which a node is warming up after its start.
     pub slow_start_duration: Micros,
-    /// A node falls when it is sent this many times what it can do, within the window.
+    /// A node that is warming up fails when it is sent more than this multiple of its capacity within
+    /// [`overload_window`](Self::overload_window).
     pub overload_multiple: f64,
-    /// The window of that rule.
+    /// The window over which the work sent to a node that is warming up is limited.
     pub overload_window: Micros,
-    /// Retries and hedged requests within the window, whatever was admitted.
+    /// The number of retries and hedged requests within the window that is allowed regardless of the load.
     pub retry_budget_min: f64,
-    /// The same for each query and request admitted within the window.
+    /// The additional number of retries and hedged requests for each query and shard request admitted within the
+    /// window.
     pub retry_budget_ratio: f64,
-    /// The window of the retry budget; `None`: there is no budget.
+    /// The window of the retry budget; `None` if there is no budget.
     pub retry_budget_window: Option<Micros>,
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,23 +1,23 @@
-//! The numbers by which queries, requests, nodes and the rest are known. Each is a type of its own, so that
-//! one cannot be passed for another.
+//! Identifiers of queries, shard requests, nodes and other entities. Each has its own type, so that one cannot be
+//! passed in place of another.
 
 macro_rules! id {
     ($($(#[$doc:meta])* $name:ident($inner:ty)),* $(,)?) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(
-            /// The number itself.
+            /// The identifier as a plain number.
             pub $inner,
         );
     )*};
 }
 
 id! {
-    /// A query in hand, by the number that the caller gave it.
+    /// A query in flight, identified by a number that the caller assigns.
     QueryId(u64),
-    /// The number by which a query's shard requests name their query.
+    /// The number by which shard requests refer to their query.
     WireQueryNo(u64),
-    /// A shard request in hand, by the number that the caller gave it.
+    /// A shard request in flight, identified by a number that the caller assigns.
     ShardRequestId(u64),
     /// A node's address and port, as one opaque number.
     NodeId(u64),
@@ -25,15 +25,15 @@
     ShardNo(u32),
     /// A group of nodes that hold the same shards.
     ShardGroupNo(u32),
-    /// An index, by its place in the configuration.
+    /// An index, identified by its position in the configuration.
     IndexNo(u8),
-    /// A customer, by its place in the configuration.
+    /// A customer, identified by its position in the configuration.
     CustomerNo(u16),
     /// An availability zone.
     ZoneNo(u16),
-    /// The number of an attempt among those of its shard request, from 0.
+    /// The number of an attempt among the attempts of its shard request, starting at 0.
     AttemptNo(u8),
-    /// A timer that was asked for.
+    /// A timer set through [`Actions::set_timer`](crate::actions::Actions::set_timer).
     TimerId(u64),
 }
 
--- a/src/io_errors.rs
+++ b/src/io_errors.rs
@@ -1,27 +1,31 @@
-//! Whom a failed system call concerns, and what follows: the one table of it (errors by their numbers on
-//! Linux). Without it a failure of one peer stopped all accepting for 50 ms; a connect that this machine could
-//! not make counted against its node, and a query's attempts were used up within a millisecond.
+//! Classifies failed system calls by the party at fault and derives the delay before the next attempt. This is
+//! the only such table; it maps the error numbers of Linux.
+//!
+//! Without the classification, a failure of one peer stopped all accepts for 50 ms, and a connect that failed for
+//! lack of local resources counted against the node and used up a query's attempts within a millisecond.
 
 use crate::time::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// Whom a failure concerns.
+/// The party at fault for a failed system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureOwner {
-    /// Nobody: the same call again, at once.
+    /// No party: the call can be repeated immediately.
     None,
-    /// The other side, or the route to it: that connection alone suffers.
+    /// The peer or the route to it: only that connection is affected.
     Peer,
-    /// This machine, for want of something: again in a little while, and no peer is blamed.
+    /// This machine, which lacks a resource: the call is retried after a delay and does not count against the peer.
     Machine,
-    /// The route to the other side: again in a little while; in the end [`route_failure_owner`] says whom it concerns.
+    /// The route to the peer: the call is retried after a delay. If it still fails, [`route_failure_owner`]
+    /// decides between the peer and this machine.
     Route,
 }
 
-/// accept(2): errors of the network that waits in the new connection are that peer's. It has been taken off
-/// the queue, so the next one can be accepted at once.
+/// Returns the party at fault for a failed accept(2). Network errors that are already pending on the new
+/// connection belong to that peer. The failed connection has left the queue, so the next one can be accepted
+/// immediately.
 pub fn accept_failure_owner(errno: i32) -> FailureOwner {
     match errno {
         libc::EINTR | libc::EAGAIN => FailureOwner::None,
@@ -31,12 +35,12 @@
         libc::EHOSTUNREACH | libc::EOPNOTSUPP | libc::ENETUNREACH | libc::ETIMEDOUT => {
             FailureOwner::Peer
         }
-        // What it does not document may last.
+        // An undocumented error may persist.
         _ => FailureOwner::Machine,
     }
 }
 
-/// socket(2) and connect(2).
+/// Returns the party at fault for a failed socket(2) or connect(2).
 pub fn connect_failure_owner(errno: i32) -> FailureOwner {
     match errno {
         libc::EINTR => FailureOwner::None,
@@ -51,58 +55,60 @@
     }
 }
 
-/// Whom a missing route concerns: that peer if others were heard from meanwhile, else this machine. When its
-/// network is gone for a moment, all nodes are out of reach at once, and none of them has failed.
-pub fn route_failure_owner(others_heard: bool) -> FailureOwner {
-    if others_heard {
+/// Returns the party at fault for a missing route: the peer if other peers answered in the meantime, otherwise
+/// this machine. When this machine briefly loses its network, all nodes are unreachable at once although none
+/// of them has failed.
+pub fn route_failure_owner(other_peers_answered: bool) -> FailureOwner {
+    if other_peers_answered {
         FailureOwner::Peer
     } else {
         FailureOwner::Machine
     }
 }
 
-/// The pause after the second failure in a row that concerns this machine.
-const FIRST_PAUSE: Micros = Micros(1_000);
-/// Pauses do not grow beyond this.
-const LONGEST_PAUSE: Micros = Micros(50_000);
+/// The delay after the second consecutive failure of this machine.
+const FIRST_RETRY_DELAY: Micros = Micros(1_000);
+/// The upper bound of the delay between retries.
+const MAX_RETRY_DELAY: Micros = Micros(50_000);
 
-/// How long to wait after so many failures in a row that concern this machine (or may): not at all after the
-/// first, so that one that passes costs no more than its call, then twice as long each time.
-pub fn retry_delay(in_a_row: u32) -> Micros {
-    match in_a_row {
+/// Returns the delay after a number of consecutive failures that are, or may be, this machine's fault. There is
+/// no delay after the first, so that a transient failure costs only its call; then the delay doubles each time.
+pub fn retry_delay(consecutive_failures: u32) -> Micros {
+    match consecutive_failures {
         0 | 1 => Micros(0),
-        more => Micros(FIRST_PAUSE.0 << (more - 2).min(16)).min(LONGEST_PAUSE),
+        more => Micros(FIRST_RETRY_DELAY.0 << (more - 2).min(16)).min(MAX_RETRY_DELAY),
     }
 }
 
-/// The shortest time between two log lines on failed accepts.
+/// The minimum time between two log lines about failed accepts.
 const LOG_INTERVAL: Micros = Micros(1_000_000);
-/// Failures of this machine in a row, with their pauses a third of a second, after which the listener that is
-/// about to close no longer waits for it.
-const LASTING_FAILURES: u32 = 12;
+/// The number of consecutive failures of this machine after which a listener that is about to close stops
+/// retrying. Their delays add up to a third of a second.
+const PERSISTENT_FAILURES: u32 = 12;
 
-/// Failed accepts of one listener.
+/// The failed accepts of one listener.
 #[derive(Default)]
 pub struct AcceptFailures {
-    /// Those in a row that concern this machine.
-    in_a_row: u32,
-    last_logged: Option<Micros>,
-    /// Those since the last log line.
-    not_logged: u64,
+    /// The number of consecutive failures that are this machine's fault.
+    consecutive_failures: u32,
+    last_logged_at: Option<Micros>,
+    /// The number of failures since the last log line.
+    unlogged: u64,
 }
 
 impl AcceptFailures {
-    /// Counts one. Returns how long to wait, and how many failures to log, if it is time to.
+    /// Records a failed accept. Returns the delay before the next accept and, if a log line is due, the number of
+    /// failures that it reports.
     pub fn record(&mut self, errno: i32, now: Micros) -> (Micros, Option<u64>) {
         let owner = accept_failure_owner(errno);
         if owner == FailureOwner::None {
             return (Micros(0), None);
         }
-        self.not_logged += 1;
-        // A failure that concerns a peer has taken it off the queue, and says nothing of the next.
+        self.unlogged += 1;
+        // The failed connection of a peer has left the queue, and the next one may succeed.
         let wait = if owner == FailureOwner::Machine {
-            self.in_a_row += 1;
-            retry_delay(self.in_a_row)
+            self.consecutive_failures += 1;
+            retry_delay(self.consecutive_failures)
         } else {
             Micros(0)
         };
@@ -110,21 +116,21 @@
     }
 
     fn failures_to_log(&mut self, now: Micros) -> Option<u64> {
-        let last = self.last_logged;
+        let last = self.last_logged_at;
         if last.is_some_and(|last| now.since(last) < LOG_INTERVAL) {
             return None;
         }
-        self.last_logged = Some(now);
-        Some(std::mem::take(&mut self.not_logged))
+        self.last_logged_at = Some(now);
+        Some(std::mem::take(&mut self.unlogged))
     }
 
-    /// An accept has succeeded.
+    /// Resets the count of consecutive failures after a successful accept.
     pub fn reset(&mut self) {
-        self.in_a_row = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// Whether this machine's fault has lasted.
+    /// Whether accepts keep failing because of this machine.
     pub fn is_persistent(&self) -> bool {
-        self.in_a_row >= LASTING_FAILURES
+        self.consecutive_failures >= PERSISTENT_FAILURES
     }
 }
--- a/src/io_errors/tests.rs
+++ b/src/io_errors/tests.rs
@@ -51,7 +51,7 @@
     );
 }
 
-/// One that passes costs its call; one that lasts is met twenty times a second.
+/// A transient failure costs only its call; a persistent one is retried twenty times per second.
 #[test]
 fn pauses_grow_to_their_bound() {
     let all: Vec<u64> = (1..10).map(|count| retry_delay(count).0).collect();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of ternpick, the root node of a sharded search service, free of any protocol and I/O.
+//! The decision logic of ternpick, the root node of a sharded search service, without any protocol or I/O.
 //!
-//! [`routing::RoutingEngine`] takes in what the router sees and acts through [`actions::Actions`]. Beside it
-//! stand tables and schedules that the router reads itself: [`watch_schedule::WatchSchedule`] says how the watch
-//! of the endpoint list is kept, [`shutdown::ShutdownSchedule`] by when a shutdown has done what, and [`io_errors`] whom
-//! a failed system call concerns.
+//! [`routing::RoutingEngine`] receives the router's events and acts through [`actions::Actions`]. The router
+//! also uses some tables and schedules directly: [`watch_schedule::WatchSchedule`] schedules the calls that
+//! watch the endpoint list, [`shutdown::ShutdownSchedule`] gives the deadlines of a graceful shutdown, and
+//! [`io_errors`] classifies failed system calls by the party at fault.
 
 pub mod actions;
 mod config;
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,5 +1,5 @@
-//! A node as this router knows it: its endpoint, what is in flight to it, and what its answers have shown.
-//! The figures are interpreted in [`crate::routing`].
+//! The state that this router keeps for each node: its endpoint, the attempts in flight to it, and statistics of
+//! its answers. [`crate::routing`] interprets the figures.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,120 +7,120 @@
 use crate::start_time::StartTime;
 use crate::time::Micros;
 
-/// A node's state in the endpoint list.
+/// The state of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The node accepts requests.
     #[default]
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The node finishes the requests that it has and accepts no new ones.
     Draining,
-    /// It is no longer listed.
+    /// The node is no longer listed.
     Gone,
 }
 
-/// One row of the endpoint list.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// The node.
+    /// The node at this endpoint.
     pub node: NodeId,
-    /// Where it runs.
+    /// The zone in which the node runs.
     pub zone: ZoneNo,
-    /// The group whose shards it holds.
+    /// The shard group whose shards the node holds.
     pub shard_group: ShardGroupNo,
-    /// Whether it takes requests.
+    /// Whether the node accepts requests.
     pub state: EndpointState,
-    /// Its last start; zero: long ago.
+    /// The node's last start; zero if it was long ago.
     pub started_at: Micros,
 }
 
 /// An attempt that is in flight.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InFlightAttempt {
-    /// Its query.
+    /// The query that the attempt belongs to.
     pub query: QueryId,
-    /// The place of its request among those of the query.
+    /// The position of the shard request within the query.
     pub request_index: usize,
-    /// The index that it asks.
+    /// The index that the query asks.
     pub index: IndexNo,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// Its cost, in requests of the mean cost (z of the cost model).
-    pub z: f64,
-    /// The cost in flight from this router to the node when it was sent, its own included.
+    /// The cost of the shard request relative to the mean cost of requests (z of the cost model).
+    pub relative_cost: f64,
+    /// The cost in flight from this router to the node when the attempt was sent, including the attempt itself.
     pub depth_when_sent: f64,
 }
 
-/// What another process of this router has in flight to a node.
+/// The attempts that another process of this router has in flight to a node.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightElsewhere {
-    /// When that was reported: ages are known up to then.
+    /// When the attempts were reported. Their ages are known only up to this time.
     pub reported_at: Micros,
-    /// The attempts. Emptied when the other process is done.
+    /// The attempts; cleared when the other process has finished.
     pub attempts: Vec<InFlightAttempt>,
 }
 
-/// How a node serves one index, as this router has seen it.
+/// How well a node serves one index, as observed by this router.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IndexHealth {
-    /// Smoothed share of attempts that failed.
+    /// The smoothed share of attempts that failed.
     pub failure_rate: f64,
-    /// Smoothed time that an attempt loses to failures, in microseconds.
+    /// The smoothed time that an attempt loses to failures, in microseconds.
     pub failure_cost: f64,
-    /// When these last changed.
+    /// When the failure rate and the failure cost were last updated.
     pub updated_at: Micros,
-    /// Its last answer.
+    /// When the node last answered an attempt for the index.
     pub last_answer: Micros,
 }
 
-/// A request that was sent to a node not long ago.
+/// An attempt recently sent to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecentSend {
-    /// When.
-    pub at: Micros,
-    /// Its cost, in requests of the mean cost.
+    /// When the attempt was sent.
+    pub sent_at: Micros,
+    /// The cost of the shard request relative to the mean cost, at least 1.
     pub cost: f64,
 }
 
-/// A node as this router knows it.
+/// The state that this router keeps for one node.
 #[derive(Clone, Debug, Default)]
 pub struct Node {
-    /// Its row of the endpoint list.
+    /// The node's entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// Its start as claimed, and by this router's clock.
+    /// The node's last start, as claimed by discovery and by this router's clock.
     pub started: StartTime,
-    /// When this router was notified of its last start.
+    /// When this router was notified of the node's last start.
     pub notified_at: Micros,
-    /// Breaks ties between equal costs.
+    /// A random number that breaks ties between nodes of equal cost.
     pub tie_breaker: u32,
-    /// Smoothed reported latency or queue length.
+    /// The smoothed latency (in milliseconds) or queue length from load reports.
     pub reported_load: Option<f64>,
-    /// The highest rate that it has reported, in requests a second.
+    /// The highest rate that the node has reported, in requests per second.
     pub max_reported_rate: f64,
-    /// Smoothed answer latency as this router has seen it, in microseconds.
+    /// The smoothed answer latency observed by this router, in microseconds.
     pub latency: Option<f64>,
-    /// When that last changed.
+    /// When `latency` was last updated.
     pub latency_updated_at: Micros,
-    /// How it serves each index; filled when its first attempt ends.
+    /// How well the node serves each index; empty until its first attempt ends.
     pub index_health: Vec<IndexHealth>,
-    /// Smoothed answer latency for each request of this router's that was in flight, in microseconds.
+    /// The smoothed answer latency divided by the number of this router's requests in flight, in microseconds.
     pub latency_per_request: Option<f64>,
-    /// The index for which it is suspected to be an outlier.
+    /// The index for which the node is suspected to be an outlier.
     pub suspected_for: Option<IndexNo>,
-    /// When it was last sent a health check.
+    /// When the last health check was sent to the node.
     pub last_health_check: Option<Micros>,
-    /// Attempts in flight; each is taken off when it ends.
+    /// The attempts in flight; each is removed when it ends.
     pub in_flight: BTreeMap<(ShardRequestId, AttemptNo), InFlightAttempt>,
-    /// What another process of this router has in flight to it.
+    /// The attempts that another process of this router has in flight to the node.
     pub in_flight_elsewhere: InFlightElsewhere,
-    /// The attempt that went on an idle connection, while nothing is known of it.
+    /// The attempt that was sent on an idle connection and whose outcome is still unknown.
     pub attempt_on_idle_connection: Option<(ShardRequestId, AttemptNo)>,
-    /// What was sent within the time of a warm-up; emptied by age.
+    /// The attempts sent within the duration of slow start; old entries are removed.
     pub recent_sends: VecDeque<RecentSend>,
 }
 
 impl Node {
-    /// What is in flight to it, and up to when that is known.
+    /// Returns all attempts in flight to the node, each with the time up to which its state is known.
     pub fn all_in_flight(&self, now: Micros) -> impl Iterator<Item = (&InFlightAttempt, Micros)> {
         let elsewhere = &self.in_flight_elsewhere;
         let of_others = elsewhere
@@ -133,24 +133,25 @@
             .chain(of_others)
     }
 
-    /// For how long nothing has passed between this router and the node; zero if nothing ever has.
+    /// Returns how long nothing has been exchanged between this router and the node; zero if an attempt is in flight
+    /// or if none was ever sent.
     pub fn idle_time(&self, now: Micros) -> Micros {
         let last = self
             .recent_sends
             .back()
-            .map(|send| send.at.max(self.latency_updated_at));
+            .map(|send| send.sent_at.max(self.latency_updated_at));
         last.filter(|_| self.in_flight.is_empty())
             .map_or(Micros(0), |last| now.since(last))
     }
 
-    /// What this router has in flight to it, in requests of the mean cost.
+    /// Returns the total cost that this router has in flight to the node, in requests of the mean cost.
     pub fn in_flight_cost(&self) -> f64 {
         self.all_in_flight(Micros(0))
-            .map(|(attempt, _)| attempt.z)
+            .map(|(attempt, _)| attempt.relative_cost)
             .sum()
     }
 
-    /// How it serves an index.
+    /// Returns how well the node serves an index.
     pub fn health(&self, index: IndexNo) -> IndexHealth {
         self.index_health
             .get(index.as_usize())
--- a/src/query.rs
+++ b/src/query.rs
@@ -1,4 +1,4 @@
-//! A query in hand: its shard requests, the attempts of each, and how they ended.
+//! A query in flight: its shard requests, their attempts, and the outcomes of these.
 
 use std::collections::BTreeSet;
 
@@ -9,33 +9,33 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered.
+    /// The node answered.
     Satisfied,
-    /// Failed; it may have run.
+    /// The attempt failed and may have run.
     MayHaveRun,
-    /// The connection broke while it was in flight; it may have run.
+    /// The connection broke while the attempt was in flight; it may have run.
     Broken,
-    /// Cancelled by this router; it may have run and says nothing about the node.
+    /// This router cancelled the attempt. It may have run, and its end says nothing about the node's health.
     Cancelled,
-    /// Failed at the node and certainly never ran.
+    /// The attempt failed at the node and certainly never ran.
     NeverRan,
-    /// Never left the router.
+    /// The attempt never left the router.
     Unsent,
 }
 
-/// One sending of a shard request to one node.
+/// One transmission of a shard request to one node.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Where it went.
+    /// The node that the attempt was sent to.
     pub node: NodeId,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// `None` while it is in flight.
+    /// The outcome; `None` while the attempt is in flight.
     pub outcome: Option<AttemptOutcome>,
 }
 
 impl Attempt {
-    /// Whether the node may have begun it.
+    /// Whether the node may have started to run the attempt.
     pub fn may_have_run(&self) -> bool {
         !matches!(
             self.outcome,
@@ -43,37 +43,38 @@
         )
     }
 
-    /// Whether its end is not known yet.
+    /// Whether the outcome is still unknown.
     pub fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 }
 
-/// What a query asks of one shard.
+/// The part of a query that asks one shard.
 #[derive(Clone, Debug, Default)]
 pub struct ShardRequest {
-    /// Its number.
+    /// The identifier of the shard request.
     pub id: ShardRequestId,
-    /// The shard that it asks.
+    /// The shard that the request asks.
     pub shard: ShardNo,
-    /// Its share of the query's answer; those of a query add up to 1.
+    /// The share of this request in the query's answer; the weights of a query add up to 1.
     pub weight: f64,
-    /// The work that the client expects it to be.
+    /// The work that the client expects the request to take.
     pub cost_hint: Option<Micros>,
-    /// All its attempts, by their numbers.
+    /// All attempts, in the order of their numbers.
     pub attempts: Vec<Attempt>,
-    /// One of its attempts was answered.
+    /// Whether an attempt was answered.
     pub answered: bool,
-    /// No attempt before this time: the last one never left, for want of something on this machine.
+    /// The time before which no attempt is made, because the last one never left this machine for lack of a local
+    /// resource.
     pub retry_not_before: Micros,
 }
 
-/// How many attempts a shard request has had.
+/// The number of attempts that a shard request has had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// Those that left the router, or may yet.
+    /// The attempts that left the router or may still leave it.
     pub sent: usize,
-    /// Those that never did.
+    /// The attempts that never left the router.
     pub unsent: usize,
 }
 
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Attempts whose end is not known yet.
+    /// Counts the attempts whose outcome is still unknown.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts
             .iter()
@@ -100,60 +101,59 @@
     }
 }
 
-/// A query in hand.
+/// A query in flight.
 #[derive(Clone, Debug, Default)]
 pub struct Query {
-    /// Its number.
+    /// The identifier of the query.
     pub id: QueryId,
-    /// The number by which its requests name it.
+    /// The number by which shard requests refer to the query.
     pub wire_no: WireQueryNo,
-    /// A client's repeat of an earlier query, as far as clients say so.
+    /// Whether the client marked the query as a retry of an earlier one.
     pub is_client_retry: bool,
-    /// The index that it asks.
+    /// The index that the query asks.
     pub index: IndexNo,
-    /// Its index's row as it was when the query was admitted: a change of policy leaves it under the old one
-    /// to its end.
+    /// The settings of the index when the query was received. A later change of policy does not affect the query.
     pub config: IndexConfig,
-    /// When it is answered from what is in.
+    /// When the query gets a partial response.
     pub partial_response_at: Micros,
-    /// Whose quota it counts against.
+    /// The customer whose quota the query counts against.
     pub customer: CustomerNo,
-    /// When its gain falls.
+    /// When an answer loses most of its value.
     pub soft_deadline: Micros,
-    /// When its client leaves.
+    /// When the client stops waiting.
     pub deadline: Micros,
-    /// The time that its client gave it.
+    /// The time that the client allows for the query.
     pub time_allowed: Micros,
-    /// Requests of the present phase that are to come in all.
+    /// The total number of shard requests expected in the current phase.
     pub expected_requests: usize,
-    /// Requests of the present phase that have come.
+    /// The shard requests of the current phase received so far.
     pub requests: Vec<ShardRequest>,
-    /// Its requests have been sent to nodes.
+    /// Whether the shard requests have been sent to nodes.
     pub placed: bool,
-    /// Its first phase is answered.
+    /// Whether the first phase has been answered.
     pub in_second_phase: bool,
-    /// That answer was complete.
+    /// Whether the answer to the first phase was complete.
     pub first_phase_complete: bool,
 }
 
-/// What a query has in common with its repeats.
+/// The properties that a query shares with its client retries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueryFingerprint {
-    /// The index that it asks.
+    /// The index that the query asks.
     pub index: IndexNo,
-    /// Who asks.
+    /// The customer that sent the query.
     pub customer: CustomerNo,
-    /// The shards that it asks, in the order of its requests.
+    /// The shards that the query asks, in the order of its shard requests.
     pub shards: Vec<ShardNo>,
 }
 
 impl Query {
-    /// All requests of its phase have come.
+    /// Whether all shard requests of the current phase have been received.
     pub fn all_requests_received(&self) -> bool {
         self.requests.len() >= self.expected_requests && self.expected_requests > 0
     }
 
-    /// The weight of the requests that are answered.
+    /// Returns the total weight of the answered shard requests.
     pub fn answered_weight(&self) -> f64 {
         self.requests
             .iter()
@@ -162,7 +162,7 @@
             .sum()
     }
 
-    /// When each attempt that is in flight was sent.
+    /// Returns the send time of each attempt in flight.
     pub fn in_flight_since(&self) -> impl Iterator<Item = Micros> + '_ {
         let attempts = self.requests.iter().flat_map(|request| &request.attempts);
         attempts
@@ -170,7 +170,7 @@
             .map(|attempt| attempt.sent_at)
     }
 
-    /// Nodes at which connections broke under it.
+    /// Counts the nodes whose connections broke during an attempt of this query.
     pub fn nodes_with_broken_connections(&self) -> usize {
         let broken = |attempt: &&Attempt| attempt.outcome == Some(AttemptOutcome::Broken);
         let attempts = self
@@ -184,7 +184,7 @@
             .len()
     }
 
-    /// What it has in common with its repeats.
+    /// Returns the properties that the query shares with its client retries.
     pub fn fingerprint(&self) -> QueryFingerprint {
         QueryFingerprint {
             index: self.index,
@@ -193,12 +193,12 @@
         }
     }
 
-    /// No request of it, in either phase, has been answered.
+    /// Whether no shard request has been answered, in either phase.
     pub fn is_unanswered(&self) -> bool {
         self.answered_weight() == 0.0 && !self.in_second_phase
     }
 
-    /// No node has failed under it, or one has survived it.
+    /// Whether no node has failed during the query, or a node has answered it.
     pub fn is_survivable(&self) -> bool {
         !self.is_unanswered() || self.nodes_with_broken_connections() == 0
     }
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,16 +1,16 @@
-//! The random source of the decision module, seeded by its caller: the same seed and inputs give the same
+//! The random source of the decision module. The caller seeds it, so that the same seed and inputs give the same
 //! decisions.
 
 use nanorand::WyRand;
 
-/// A router's own source of random numbers.
+/// A source of random numbers that belongs to one router.
 pub struct RandomSource(
-    /// The generator itself.
+    /// The underlying generator.
     pub WyRand,
 );
 
 impl RandomSource {
-    /// A source that gives the same numbers for the same seed.
+    /// Creates a source that gives the same numbers for the same seed.
     pub fn new(seed: u64) -> Self {
         RandomSource(WyRand::new_seed(seed))
     }
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -1,6 +1,6 @@
-//! Admission: a query is taken only if enough of its weight is predicted within the time allowed; beyond its
-//! customer's quota only with time to spare. What is not taken is shed: rejected at once, with a time to come
-//! back.
+//! Admission control. A query is admitted only if enough of its weight is predicted to be answered within the time
+//! allowed; a query beyond its customer's quota is allowed less time. Other queries are shed: rejected
+//! immediately, with a Retry-After.
 
 use crate::actions::Actions;
 use crate::types::{CustomerNo, DecisionReason, Micros, NodeId, Query, QueryId};
@@ -11,20 +11,20 @@
 #[cfg(test)]
 mod tests;
 
-/// The share of its time that a query of little gain may be predicted to take.
-const LEAST_TIME_SHARE: f64 = 0.6;
-/// That share is 1 less this many times the cost of wasted work, where lateness and wasted work are cheap.
+/// The share of its time that a query of very low priority weight may be predicted to take.
+const MIN_TIME_SHARE: f64 = 0.6;
+/// Where late queries and wasted work are cheap, that share is 1 minus this multiple of their cost.
 const WASTED_WORK_FACTOR: f64 = 2.5;
-/// A customer's unused quota is kept for so many seconds.
-const QUOTA_SECONDS: f64 = 2.0;
-/// Weights as they come are rounded: sums of them may fall so much short of all that was predicted.
-const WEIGHT_ROUNDING: f64 = 0.00005;
+/// The number of seconds for which a customer's unused quota accumulates.
+const QUOTA_BURST_SECONDS: f64 = 2.0;
+/// Weights arrive rounded, so the sum of the weights in a plan may fall short of the exact value by this much.
+const WEIGHT_ROUNDING_ERROR: f64 = 0.00005;
 
-/// What a customer may still send within its quota (a token bucket).
+/// A customer's remaining quota (a token bucket).
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct QuotaLeft {
     pub(super) queries: f64,
-    /// When they were last counted.
+    /// When `queries` was last updated.
     pub(super) counted_at: Micros,
 }
 
@@ -35,7 +35,8 @@
         })
     }
 
-    /// Admits a query and sends its requests, or sheds it. A query that has run is not shed.
+    /// Admits a query and sends its shard requests, or sheds it. A query in its second phase, or with an attempt
+    /// already sent, is not shed.
     pub(super) fn place_or_shed(&mut self, found: RuleMatch, out: &mut dyn Actions) {
         let id = found.query;
         let Some(query) = self.queries.get(&id) else {
@@ -47,7 +48,7 @@
                 .iter()
                 .all(|request| request.attempts.is_empty());
         let customer = query.customer;
-        let within_quota = !is_new || self.draw_quota(customer);
+        let within_quota = !is_new || self.take_from_quota(customer);
         let Some(query) = self.queries.get(&id) else {
             return;
         };
@@ -55,7 +56,7 @@
             * self.allowed_time_share(query, within_quota);
         let plan = self.plan(query, time_left);
         let minimum = self.completeness_thresholds(query).minimum;
-        if is_new && plan.weight_in_time + WEIGHT_ROUNDING < minimum {
+        if is_new && plan.weight_in_time + WEIGHT_ROUNDING_ERROR < minimum {
             self.shed(id, &plan, time_left, out);
         } else {
             self.send_plan(id, plan, out);
@@ -77,7 +78,7 @@
         self.reject_or_fail(id, retry_after, out);
     }
 
-    /// Sends the planned requests; where a canary goes first, those to its node alone.
+    /// Sends the planned shard requests. If a canary request is needed, sends only those planned for its node.
     fn send_plan(&mut self, id: QueryId, plan: Placement, out: &mut dyn Actions) {
         let canary = self.canary_node(id, &plan);
         if let Some(query) = self.queries.get_mut(&id) {
@@ -92,8 +93,8 @@
 
     fn canary_node(&self, id: QueryId, plan: &Placement) -> Option<NodeId> {
         let query = self.queries.get(&id)?;
-        let goes_first = self.needs_canary(query) && query.in_flight_since().next().is_none();
-        let first = plan.assignments.first().filter(|_| goes_first)?;
+        let canary_is_due = self.needs_canary(query) && query.in_flight_since().next().is_none();
+        let first = plan.assignments.first().filter(|_| canary_is_due)?;
         Some(first.node)
     }
 
@@ -111,10 +112,11 @@
         ));
     }
 
-    /// The share of its time that a query may be predicted to take: all of it where the gain is the best
-    /// there is, less for others, so that they give way first when nodes are busy. It does not follow the
-    /// number of requests: where one index needs all shards and another needs one, the index between them
-    /// would have no room on a quiet day.
+    /// Returns the share of its time that a query may be predicted to take.
+    ///
+    /// Queries of the highest priority weight may take all of their time. Others get less, so that they are shed
+    /// first when nodes are busy. The share does not depend on the number of shard requests: where one index needs
+    /// all shards and another needs one, an index in between would be shed even under low load.
     fn allowed_time_share(&self, query: &Query, within_quota: bool) -> f64 {
         let indexes = self.config.indexes.iter().filter(|row| row.has_queries);
         let best = indexes.map(|row| row.priority_weight).fold(0.0, f64::max);
@@ -123,32 +125,31 @@
         } else {
             self.config.over_quota_weight
         };
-        let gives_little_time = query.time_allowed < query.config.latency_objective;
-        let rank = if gives_little_time || best <= 0.0 {
+        let deadline_precedes_objective = query.time_allowed < query.config.latency_objective;
+        let rank = if deadline_precedes_objective || best <= 0.0 {
             1.0
         } else {
             quota_weight * query.config.priority_weight / best
         };
-        let least = self
-            .config
-            .wasted_work_cost
-            .map_or(LEAST_TIME_SHARE, |cost| {
-                LEAST_TIME_SHARE.max(1.0 - WASTED_WORK_FACTOR * cost)
-            });
+        let least = self.config.wasted_work_cost.map_or(MIN_TIME_SHARE, |cost| {
+            MIN_TIME_SHARE.max(1.0 - WASTED_WORK_FACTOR * cost)
+        });
         least + (1.0 - least) * rank
     }
 
-    /// Takes one query from the customer's quota; false if that is used up.
-    fn draw_quota(&mut self, customer: CustomerNo) -> bool {
-        let at = usize::from(customer.0);
-        let (Some(quota), Some(left)) = (self.config.quotas.get(at), self.quota_left.get_mut(at))
-        else {
+    /// Takes one query from the customer's quota. Returns false if the quota is used up.
+    fn take_from_quota(&mut self, customer: CustomerNo) -> bool {
+        let position = usize::from(customer.0);
+        let (Some(quota), Some(left)) = (
+            self.config.quotas.get(position),
+            self.quota_left.get_mut(position),
+        ) else {
             return true;
         };
         let rate = quota / self.config.router_count;
-        let most = (rate * QUOTA_SECONDS).max(1.0);
+        let capacity = (rate * QUOTA_BURST_SECONDS).max(1.0);
         let elapsed = self.now.since(left.counted_at).0 as f64;
-        left.queries = (left.queries + rate * elapsed / 1e6).min(most);
+        left.queries = (left.queries + rate * elapsed / 1e6).min(capacity);
         left.counted_at = self.now;
         let is_within = left.queries >= 1.0;
         if is_within {
--- a/src/routing/admission/tests.rs
+++ b/src/routing/admission/tests.rs
@@ -23,7 +23,7 @@
 fn a_router_that_saw_all_nodes_fail_tries_again(later: u64, rejected: bool) {
     let mut engine = engine_with(platform(), 2);
     let mut recorder = Recorder::default();
-    let standing = IndexHealth {
+    let failed = IndexHealth {
         failure_cost: engine.shortest_objective_us(),
         updated_at: engine.now,
         ..IndexHealth::default()
@@ -31,7 +31,7 @@
     engine
         .nodes
         .values_mut()
-        .for_each(|n| n.index_health = vec![standing]);
+        .for_each(|node| node.index_health = vec![failed]);
     engine.now += ms(later);
     let query = query(&engine, &[1.0], &[]);
     add_query(&mut engine, query);
@@ -45,7 +45,7 @@
 #[test_case(1.0, Some(9.0), true, 0.68; "less gain, and lateness is dear")]
 #[test_case(5.0, None, false, 0.6; "beyond the customer's quota")]
 fn the_allowed_time_follows_the_gain(
-    gain: f64,
+    priority_weight: f64,
     wasted_work_cost: Option<f64>,
     within_quota: bool,
     allowed: f64,
@@ -64,7 +64,7 @@
     };
     engine.config.indexes = vec![
         IndexConfig {
-            priority_weight: gain,
+            priority_weight,
             ..row.clone()
         },
         IndexConfig {
@@ -86,10 +86,12 @@
         0,
     );
     engine.quota_left = vec![QuotaLeft::default()];
-    let drawn: Vec<bool> = (0..3).map(|_| engine.draw_quota(CustomerNo(0))).collect();
+    let within_quota: Vec<bool> = (0..3)
+        .map(|_| engine.take_from_quota(CustomerNo(0)))
+        .collect();
     engine.now += ms(1000);
     assert_eq!(
-        (drawn, engine.draw_quota(CustomerNo(0))),
+        (within_quota, engine.take_from_quota(CustomerNo(0))),
         (vec![true, true, false], true)
     );
 }
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how one is sent, how its end is taken in, and how it is cancelled.
+//! Attempts: sending, recording the outcome, and cancelling.
 
 use crate::actions::Actions;
 use crate::types::{
@@ -12,11 +12,12 @@
 #[cfg(test)]
 mod tests;
 
-/// The pause after an attempt that never left, for want of something on this machine.
-const UNSENT_PAUSE: Micros = Micros(20_000);
+/// The delay after an attempt that never left this machine for lack of a local resource.
+const UNSENT_RETRY_DELAY: Micros = Micros(20_000);
 
 impl RoutingEngine {
-    /// An attempt ended, `latency` after it was sent; `report` is the load report that came with it, if any.
+    /// Handles the end of an attempt, `latency` after it was sent. `report` is the load report that came with the
+    /// answer; it is empty if there is none.
     #[expect(
         clippy::too_many_arguments,
         reason = "a decoded field goes straight into a call"
@@ -42,7 +43,8 @@
         self.run_rules(out);
     }
 
-    /// Takes an attempt off its node. `None` if it is not known: it ended before, or another process sent it.
+    /// Removes an attempt from its node. Returns `None` if the attempt is unknown, because it ended before or
+    /// another process sent it.
     fn take_in_flight(
         &mut self,
         node: NodeId,
@@ -69,7 +71,8 @@
         Some(sent)
     }
 
-    /// Notes the end with the request. Attempts still end for queries, and for first phases, that are over.
+    /// Records the outcome with the shard request, unless the attempt belongs to a query, or a first phase, that has
+    /// already ended.
     fn record_end(
         &mut self,
         sent: &InFlightAttempt,
@@ -85,15 +88,15 @@
         };
         request.answered |= outcome == AttemptOutcome::Satisfied;
         if outcome == AttemptOutcome::Unsent {
-            request.retry_not_before = self.now + UNSENT_PAUSE;
+            request.retry_not_before = self.now + UNSENT_RETRY_DELAY;
         }
         if let Some(attempt) = request.attempts.get_mut(usize::from(attempt.0)) {
             attempt.outcome = Some(outcome);
         }
     }
 
-    /// Sends a request to a node, if it may still be sent: a plan may hold retries of many requests, and each
-    /// may use up the retry budget that the next was planned on.
+    /// Sends a shard request to a node if this is still allowed. A plan may contain retries of several requests, and
+    /// each may use up the retry budget on which the next one relied.
     pub(super) fn send_attempt(
         &mut self,
         id: QueryId,
@@ -120,7 +123,7 @@
             request_index,
             index,
             sent_at: self.now,
-            z: cost,
+            relative_cost: cost,
             depth_when_sent: node.in_flight_cost() + cost,
         };
         let on_idle_connection = self.uses_idle_connection(to, out);
@@ -128,8 +131,9 @@
         out.send_attempt(key.0, to, limit);
     }
 
-    /// Attempts time out at the soft deadline, so that nodes do not work on what is late already; after it,
-    /// when the client leaves.
+    /// Returns the time-out of an attempt sent now. Attempts time out at the soft deadline, so that nodes do not
+    /// work on requests that are already late; when that is about to pass or has passed, they time out at the
+    /// deadline.
     fn attempt_timeout(&self, query: &Query) -> Micros {
         let due = if self.is_soon(query.soft_deadline) {
             query.deadline
@@ -147,16 +151,18 @@
         on_idle_connection: bool,
     ) {
         let now = self.now;
-        let kept = self.config.slow_start_duration;
+        let retention = self.config.slow_start_duration;
         if let Some(node) = self.nodes.get_mut(&to) {
             if on_idle_connection {
                 node.attempt_on_idle_connection = Some(key);
             }
             node.in_flight.insert(key, in_flight);
-            drop_old(&mut node.recent_sends, |send| now.since(send.at) > kept);
+            drop_old(&mut node.recent_sends, |send| {
+                now.since(send.sent_at) > retention
+            });
             node.recent_sends.push_back(RecentSend {
-                at: now,
-                cost: in_flight.z.max(1.0),
+                sent_at: now,
+                cost: in_flight.relative_cost.max(1.0),
             });
         }
         self.monitored.insert(to);
@@ -180,9 +186,9 @@
             return;
         }
         for request in requests {
-            for (at, attempt) in request.attempts.iter().enumerate() {
+            for (number, attempt) in request.attempts.iter().enumerate() {
                 if attempt.is_in_flight() {
-                    out.cancel_attempt(request.id, AttemptNo(at as u8));
+                    out.cancel_attempt(request.id, AttemptNo(number as u8));
                 }
             }
         }
--- a/src/routing/attempts/tests.rs
+++ b/src/routing/attempts/tests.rs
@@ -42,10 +42,10 @@
         &[],
         &mut recorder,
     );
-    let came: Vec<bool> = engine.queries[&QueryId(1)]
+    let answered: Vec<bool> = engine.queries[&QueryId(1)]
         .requests
         .iter()
-        .map(|p| p.answered)
+        .map(|request| request.answered)
         .collect();
-    assert_eq!(came, [false, true]);
+    assert_eq!(answered, [false, true]);
 }
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -1,12 +1,13 @@
-//! The endpoint list: lists and watch events as they come, lost watches, and drains by operators.
+//! The endpoint list: full lists and updates, lost watches, and drains by operators.
 //!
-//! Draining and gone nodes get nothing new from the moment that is known. A new start voids what was known of
-//! the old process. When discovery is called, and how long a call waits, is [`crate::watch_schedule`].
+//! Draining and gone nodes get no new requests as soon as their state is known. When a node has restarted, the state
+//! of its previous process is discarded. [`crate::watch_schedule`] decides when discovery is called and how long a
+//! call waits.
 
 use nanorand::Rng;
 
 use crate::actions::Actions;
-use crate::start_time::not_before;
+use crate::start_time::earliest_start;
 use crate::types::{Endpoint, EndpointState, Micros, Node, NodeId};
 
 use super::{drop_old, RoutingEngine, RuleMatch};
@@ -14,13 +15,14 @@
 #[cfg(test)]
 mod tests;
 
-/// The pause before a lost watch is asked for again: this, and as much again by chance.
-const WATCH_RETRY: Micros = Micros(500_000);
-/// Where an agent pushes lists, the share of that pause.
-const PUSHED_LIST_SHARE: f64 = 0.1;
+/// The minimum delay before a lost watch is renewed. A random delay of up to the same length is added.
+const WATCH_RETRY_DELAY: Micros = Micros(500_000);
+/// The factor applied to [`WATCH_RETRY_DELAY`] where an agent pushes endpoint lists.
+const PUSHED_LIST_DELAY_FACTOR: f64 = 0.1;
 
 impl RoutingEngine {
-    /// Endpoints have come: the whole list if `is_full`, else those that have changed.
+    /// Handles endpoints received from discovery: the full list if `is_full`, otherwise only those that have
+    /// changed.
     pub fn endpoints_changed(
         &mut self,
         now: Micros,
@@ -39,8 +41,8 @@
             }
         }
         for endpoint in list {
-            let not_before = not_before(last_list_at, now, endpoint.started_at, newest);
-            self.update_endpoint(endpoint, not_before);
+            let earliest_start = earliest_start(last_list_at, now, endpoint.started_at, newest);
+            self.update_endpoint(endpoint, earliest_start);
         }
         self.nodes.retain(|_, node| {
             node.endpoint.state != EndpointState::Gone || !node.in_flight.is_empty()
@@ -56,17 +58,20 @@
         self.run_rules(out);
     }
 
-    fn update_endpoint(&mut self, endpoint: &Endpoint, not_before: Micros) {
+    fn update_endpoint(&mut self, endpoint: &Endpoint, earliest_start: Micros) {
         let now = self.now;
-        // Drawn for known nodes too: the numbers that follow do not depend on what is known.
+        // A number is drawn for known nodes too, so that later random numbers do not depend on which nodes are
+        // known.
         let tie_breaker = self.rng.0.generate();
         let was_known = self.nodes.contains_key(&endpoint.node);
         let node = self.nodes.entry(endpoint.node).or_insert_with(|| Node {
             tie_breaker,
             ..Node::default()
         });
-        let has_restarted = node.started.observe(endpoint.started_at, now, not_before);
-        // Gone without a drain, or back before it was missed: the node failed.
+        let has_restarted = node
+            .started
+            .observe(endpoint.started_at, now, earliest_start);
+        // A node that is gone without a drain, or that has restarted unnoticed, has failed.
         let was_ready = was_known && node.endpoint.state == EndpointState::Ready;
         if was_ready && (has_restarted || endpoint.state == EndpointState::Gone) {
             self.last_node_failure = Some(now);
@@ -77,7 +82,8 @@
         node.endpoint = *endpoint;
     }
 
-    /// Operators drain nodes, or no longer. Of their word and discovery's the caller lists the stricter.
+    /// Handles a change of the drains requested by operators. For each node, the caller passes the stricter of the
+    /// operators' and discovery's states.
     pub fn operator_drains_changed(
         &mut self,
         now: Micros,
@@ -94,18 +100,20 @@
         self.run_rules(out);
     }
 
-    /// The watch broke or could not be had. Without one the router soon counts as notified of what it has not
-    /// received, so it asks again; after a pause drawn by chance, so that not all routers ask at once.
+    /// Handles a watch that broke or could not be established. Without a watch the router soon counts as notified of
+    /// changes that it has not received, so it renews the watch, after a random delay so that not all routers call
+    /// discovery at the same time.
     pub fn endpoint_watch_failed(&mut self, now: Micros, out: &mut dyn Actions) {
         self.now = now;
-        // An agent that pushes lists is asked by nobody else, and what it has counts as notified.
-        let pause = if self.config.discovery_is_polled {
-            WATCH_RETRY
+        // An agent that pushes lists has only this router as a caller, and a change that the agent has counts as
+        // notified.
+        let delay = if self.config.discovery_is_polled {
+            WATCH_RETRY_DELAY
         } else {
-            WATCH_RETRY.times(PUSHED_LIST_SHARE)
+            WATCH_RETRY_DELAY.times(PUSHED_LIST_DELAY_FACTOR)
         };
-        let jitter = Micros(self.rng.0.generate_range(0..pause.0));
-        self.next_watch_at = Some(now + pause + jitter);
+        let jitter = Micros(self.rng.0.generate_range(0..delay.0));
+        self.next_watch_at = Some(now + delay + jitter);
         if !self.watch_is_lost {
             self.watch_is_lost = true;
             out.log(&format!(
@@ -140,12 +148,14 @@
     }
 }
 
-/// A new process is not known yet. What it was sent since its start counts, though this router is notified of
-/// the start only now.
+/// Discards the state of a node's previous process. Attempts sent since the start of the new process are kept in
+/// `recent_sends`, although this router is notified of the start only now.
 fn reset_for_new_process(node: &mut Node, now: Micros) {
     let started = node.started;
     let mut recent_sends = std::mem::take(&mut node.recent_sends);
-    drop_old(&mut recent_sends, |send| send.at < started.by_local_clock);
+    drop_old(&mut recent_sends, |send| {
+        send.sent_at < started.by_local_clock
+    });
     *node = Node {
         tie_breaker: node.tie_breaker,
         notified_at: now,
--- a/src/routing/endpoints/tests.rs
+++ b/src/routing/endpoints/tests.rs
@@ -37,11 +37,15 @@
     let now = engine.now;
     let mut recorder = Recorder::default();
     engine.endpoint_watch_failed(now, &mut recorder);
-    engine.timer_fired(now + WATCH_RETRY + WATCH_RETRY, TimerId(0), &mut recorder);
+    engine.timer_fired(
+        now + WATCH_RETRY_DELAY + WATCH_RETRY_DELAY,
+        TimerId(0),
+        &mut recorder,
+    );
     assert_eq!(recorder.0, [Action::Log, Action::Watch]);
 }
 
-// A long day: every node is replaced by a new one again and again, some with attempts in flight.
+// Every node is repeatedly replaced by a new one, with an attempt in flight.
 #[test]
 fn nothing_stays_of_nodes_that_come_and_go() {
     let mut engine = engine_with(platform(), 2);
@@ -95,19 +99,19 @@
 #[test_case(EndpointState::Draining, EndpointState::Gone, 0, false; "gone after a drain")]
 #[test_case(EndpointState::Ready, EndpointState::Ready, 9, true; "back before it was missed")]
 fn the_endpoint_list_shows_nodes_that_failed(
-    was: EndpointState,
+    previous: EndpointState,
     state: EndpointState,
-    started: u64,
+    started_at: u64,
     nodes_are_failing: bool,
 ) {
     let mut engine = engine_with(platform(), 1);
-    node(&mut engine, 1).endpoint.state = was;
+    node(&mut engine, 1).endpoint.state = previous;
     engine.last_node_failure = None;
     let now = engine.now;
     let endpoint = Endpoint {
         node: NodeId(1),
         state,
-        started_at: Micros(started),
+        started_at: Micros(started_at),
         ..Endpoint::default()
     };
     engine.endpoints_changed(now, &[endpoint], false, &mut Recorder::default());
--- a/src/routing/health_check/tests.rs
+++ b/src/routing/health_check/tests.rs
@@ -30,7 +30,7 @@
     assert_eq!(engine.nodes[&NodeId(1)].reported_load, Some(100.0));
 }
 
-/// A node that is slow and reports itself idle would draw requests by a cost of zero.
+/// A slow node that reports a latency of zero would attract requests through a cost of zero.
 #[test]
 fn a_latency_of_zero_is_no_report() {
     let mut engine = engine_with(platform(), 2);
--- a/src/routing/idle_connections.rs
+++ b/src/routing/idle_connections.rs
@@ -1,9 +1,9 @@
-//! Idle connections that are dropped silently: a device on the way forgets them and tells neither end, and
-//! what is sent on one is lost.
+//! Detection of idle connections that are dropped silently: a device on the network path discards them without
+//! notifying either end, and whatever is sent on such a connection is lost.
 //!
-//! An attempt that follows an idle time of the shortest latency objective, and is late for its node, counts
-//! as lost. Where too many are, each attempt after such an idle time gets a new connection for a while. Not
-//! always: a handshake costs nodes work, and a connect may meet a hung node.
+//! An attempt sent after an idle time of more than the shortest latency objective counts as lost if it is late for
+//! its node. While the loss rate is too high, attempts after such an idle time use a new connection. This is only
+//! done for a limited time, since a handshake costs nodes work and a connect may reach a hung node.
 
 use crate::actions::Actions;
 use crate::types::{InFlightAttempt, Micros, Node, NodeId};
@@ -14,14 +14,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Idle connections are distrusted for so many of the shortest latency objective.
+/// The time for which idle connections are distrusted, in multiples of the shortest latency objective.
 const DISTRUST_OBJECTIVES: f64 = 16.0;
-/// Share of attempts on idle connections that are lost where such are dropped: more than a slow node's.
+/// The share of lost attempts on idle connections above which such connections are distrusted: more than a slow node
+/// causes.
 const LOSS_RATE_LIMIT: f64 = 0.15;
 
 impl RoutingEngine {
-    /// Whether an attempt to a node would go on an idle connection. While such are distrusted, those of the
-    /// node are closed instead, and it goes on a new one.
+    /// Returns whether an attempt to a node is sent on an idle connection. While idle connections are distrusted,
+    /// closes those of the node, so that the attempt is sent on a new one.
     pub(super) fn uses_idle_connection(&self, to: NodeId, out: &mut dyn Actions) -> bool {
         let idle_time = self
             .nodes
@@ -35,7 +36,7 @@
         is_idle
     }
 
-    /// Seen as attempts that are late, at many nodes, after nothing had gone there for a while.
+    /// Finds a node at which an attempt on an idle connection is late.
     pub(super) fn idle_connection_was_lost(&self) -> Option<RuleMatch> {
         let median = self.statistics.median_latency?;
         let late_after = |node: &Node| {
@@ -66,8 +67,8 @@
     }
 
     pub(super) fn idle_distrust_is_over(&self) -> Option<RuleMatch> {
-        let lasts = self.shortest_objective_us() * DISTRUST_OBJECTIVES;
-        let is_over = |since: &Micros| self.now.since(*since).0 as f64 > lasts;
+        let distrust_us = self.shortest_objective_us() * DISTRUST_OBJECTIVES;
+        let is_over = |since: &Micros| self.now.since(*since).0 as f64 > distrust_us;
         self.idle_distrusted_since
             .filter(is_over)
             .map(|_| RuleMatch::default())
--- a/src/routing/idle_connections/tests.rs
+++ b/src/routing/idle_connections/tests.rs
@@ -5,7 +5,7 @@
 use crate::routing::test_support::*;
 use crate::types::*;
 
-// Idle connections may be dropped silently: attempts on such are lost, and the next go on new ones.
+// Idle connections may be dropped silently. Attempts on them are lost, and later attempts must use new connections.
 #[test_case(0.14, true, 100, 0, true; "one more after many")]
 #[test_case(0.14, false, 100, 0, false; "it was not idle")]
 #[test_case(0.14, true, 1000, 0, false; "a node that is always so late")]
@@ -25,7 +25,7 @@
     slow.latency = Some(latency as f64 * 1000.0);
     slow.attempt_on_idle_connection = slow.in_flight.keys().next().copied().filter(|_| is_idle);
     node(&mut engine, 1).recent_sends.push_back(RecentSend {
-        at: ms(1000),
+        sent_at: ms(1000),
         cost: 1.0,
     });
     engine.idle_loss_rate = loss_rate;
@@ -52,6 +52,6 @@
     assert_eq!(
         node(&mut engine, 1).attempt_on_idle_connection.is_some(),
         !closed,
-        "a new connection has not been idle"
+        "an attempt on a new connection is not on an idle one"
     );
 }
--- a/src/routing/inputs.rs
+++ b/src/routing/inputs.rs
@@ -1,4 +1,4 @@
-//! Queries and shard requests as they come, clients that leave, and the begin of a shutdown.
+//! Handlers for queries, shard requests, clients that disconnect, and the beginning of a shutdown.
 
 use crate::actions::Actions;
 use crate::types::{
@@ -8,8 +8,8 @@
 use super::{smooth, RoutingEngine, SLOW_SMOOTHING};
 
 impl RoutingEngine {
-    /// A client's query has come; `expected` shard requests follow. `time_allowed` is the time after which
-    /// the client leaves.
+    /// Handles a new query, which `expected` shard requests follow. `time_allowed` is the time after which the
+    /// client stops waiting.
     #[expect(
         clippy::too_many_arguments,
         reason = "a decoded field goes straight into a call"
@@ -28,7 +28,7 @@
     ) {
         self.now = now;
         self.count_admitted();
-        // During a shutdown nobody is given longer than the process may live.
+        // During a shutdown no query gets more time than the process has left.
         let time_allowed = self
             .shutdown_answers_by
             .map_or(time_allowed, |by| time_allowed.min(by.since(now)));
@@ -59,8 +59,8 @@
         self.run_rules(out);
     }
 
-    /// A shard request of a query has come. `weight` is its share of the query's answer, `cost_hint` the work
-    /// that the client expects it to be.
+    /// Handles a shard request of a query. `weight` is its share of the query's answer, `cost_hint` the work that
+    /// the client expects it to take.
     #[expect(
         clippy::too_many_arguments,
         reason = "a decoded field goes straight into a call"
@@ -78,7 +78,7 @@
         self.now = now;
         self.count_admitted();
         self.record_cost_hint(cost_hint);
-        // Requests come for the newest query of that number, and may still come for one that has ended in
+        // A request belongs to the newest query with that number. It may also arrive after its query has ended in
         // the same batch.
         let query = self
             .queries
@@ -97,8 +97,8 @@
         self.run_rules(out);
     }
 
-    /// The first hint makes the statistics stale at once: taken in only with the next answer or list, it made
-    /// the share of a cold node leap at all routers together.
+    /// Updates the mean cost hint. The first hint makes the statistics stale immediately: when it only took effect
+    /// with the next answer or list, the slow-start share of a cold node jumped at all routers at the same time.
     fn record_cost_hint(&mut self, hint: Option<Micros>) {
         let Some(hint) = hint else {
             return;
@@ -108,15 +108,15 @@
         self.mean_cost_hint = Some(mean);
     }
 
-    /// A client no longer waits for its query.
+    /// Handles a client that no longer waits for its query.
     pub fn client_left(&mut self, now: Micros, id: QueryId, out: &mut dyn Actions) {
         self.now = now;
         self.close_query(id, out);
         self.run_rules(out);
     }
 
-    /// The process shuts down: all queries, those in hand and those that still come, end by `answers_by`.
-    /// Failures of nodes release no admitted query from its final answer.
+    /// Handles the beginning of a shutdown: all queries, those in flight and those still to come, end by
+    /// `answers_by`. Every admitted query still gets a final answer, even if nodes fail.
     pub fn shutdown_started(&mut self, now: Micros, answers_by: Micros, out: &mut dyn Actions) {
         self.now = now;
         self.shutdown_answers_by = Some(answers_by);
@@ -128,7 +128,7 @@
         self.run_rules(out);
     }
 
-    /// Forgets a query and cancels what is in flight for it.
+    /// Removes a query and cancels its attempts in flight.
     pub(super) fn close_query(&mut self, id: QueryId, out: &mut dyn Actions) {
         let Some(query) = self.queries.remove(&id) else {
             return;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,27 +1,27 @@
-//! The decisions of a query router, all of them.
+//! The routing engine, which makes all decisions of a query router.
 //!
-//! The router calls a method of [`RoutingEngine`] for each thing that it sees: a query and its shard
-//! requests, the end of an attempt, a health check's answer, the endpoint list, a client that left, a timer.
-//! Each input updates state and ends in [`RoutingEngine::run_rules`], which goes through [`RULES`] until none
-//! applies. The engine acts through [`Actions`] alone: it has no I/O, no clock and no randomness but its
-//! seeded source. `docs/design.md` gives the reasons.
+//! The router calls a method of [`RoutingEngine`] for each event: a query and its shard requests, the end of an
+//! attempt, the answer to a health check, an endpoint list, a client that disconnects, a timer. Each method
+//! updates state and then calls [`RoutingEngine::run_rules`], which applies [`RULES`] until none applies. The
+//! engine acts only through [`Actions`]: it does no I/O, reads no clock, and its only randomness is a seeded
+//! source. `docs/design.md` gives the reasons.
 //!
-//! One file for each mechanism:
+//! Each mechanism has its own file:
 //!
 //! | file | decides |
 //! | --- | --- |
-//! | `endpoints` | when the watch of the endpoint list is renewed; what draining and gone nodes get |
-//! | `partial_response` | when a query is answered, complete or from what is in, and when it cannot be |
-//! | `idle_connections` | whether connections that were idle are used |
+//! | `endpoints` | when the watch of the endpoint list is renewed; how draining and gone nodes are treated |
+//! | `partial_response` | when a query gets a complete or partial response, and when it gets none |
+//! | `idle_connections` | whether connections that have been idle are used |
 //! | `admission` | whether a query is admitted or shed |
-//! | `placement` | which node gets each request (EC-Store's cost model) |
-//! | `query_of_death` | which queries bring nodes down; who gets a query first while nodes fail |
-//! | `retry` | retries, hedged requests and their budget |
-//! | `outlier_detection` | how late each node is expected to be, and which are suspected |
+//! | `placement` | which node gets each shard request (EC-Store's cost model) |
+//! | `query_of_death` | which queries crash nodes; which node gets a canary request while nodes fail |
+//! | `retry` | retries, hedged requests and the retry budget |
+//! | `outlier_detection` | the expected latency of each node, and which nodes are suspected |
 //! | `slow_start` | how much a node that has just started may be sent |
-//! | `health_check` | when a node is asked for its load |
-//! | `statistics` | the figures of the fleet that the others compare with |
-//! | `inputs`, `attempts` | queries, requests and attempts as they come, are sent and end |
+//! | `health_check` | when a node is asked for its load report |
+//! | `statistics` | fleet-wide figures that single nodes are compared with |
+//! | `inputs`, `attempts` | how queries, shard requests and attempts begin and end |
 //! | `shared_budget`, `snapshot` | what two processes of one router share and hand over |
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -59,66 +59,67 @@
 
 pub use snapshot::{EngineSnapshot, NodeSnapshot};
 
-/// Weight of a new load report or answer against what was known: a few answers decide.
+/// The smoothing weight of a new load report or answer: a few answers determine the result.
 const FAST_SMOOTHING: f64 = 0.3;
-/// The same for what hardly changes: the mean cost hint, the share of lost idle connections.
+/// The smoothing weight for figures that change slowly: the mean cost hint and the loss rate of idle connections.
 const SLOW_SMOOTHING: f64 = FAST_SMOOTHING * FAST_SMOOTHING;
-/// The shortest time between two runs of the rules by time alone.
+/// The minimum time between two runs of the rules that are triggered only by the timer.
 const TICK: Micros = Micros(10_000);
 
 /// The decision module of one router process.
 #[derive(Default)]
 pub struct RoutingEngine {
-    /// The settings in force. A change holds for queries that come after it.
+    /// The current settings. A change applies to queries received after it.
     pub config: PlatformConfig,
-    /// What is known of each node. Emptied by the endpoint list: a node that is gone and has nothing in
-    /// flight is dropped.
+    /// The state of each node. When an endpoint list arrives, nodes that are gone and have nothing in flight are
+    /// removed.
     pub nodes: BTreeMap<NodeId, Node>,
-    /// Queries in hand; emptied by their final answers.
+    /// The queries in flight; each is removed when it ends.
     pub queries: BTreeMap<QueryId, Query>,
     rng: RandomSource,
     now: Micros,
-    /// When its first endpoint list came.
+    /// When the first endpoint list arrived.
     first_list_at: Option<Micros>,
-    /// When the last endpoint list came.
+    /// When the last endpoint list arrived.
     last_list_at: Option<Micros>,
-    /// When the watch is asked for again, if it is not up.
+    /// When the watch of the endpoint list is renewed, if it is not active.
     next_watch_at: Option<Micros>,
     watch_is_lost: bool,
-    /// All queries end by then: the process shuts down.
+    /// The time by which all queries end, once the process is shutting down.
     shutdown_answers_by: Option<Micros>,
     timer_is_set: bool,
-    /// Nodes by shard group, made anew with each endpoint list.
+    /// The nodes of each shard group, rebuilt with each endpoint list.
     shard_groups: BTreeMap<ShardGroupNo, Vec<NodeId>>,
-    /// Nodes whose suspicion may change, that may be due a health check, or whose idle connections were used.
+    /// The nodes whose suspicion may change, that may need a health check, or whose idle connections were used.
     monitored: BTreeSet<NodeId>,
     statistics: FleetStatistics,
-    /// What the statistics rest on has changed: they are computed anew before rules run.
+    /// Whether the inputs of the statistics have changed, so that they are recomputed before the rules run.
     statistics_are_stale: bool,
-    /// Smoothed cost hint of a request, in microseconds.
+    /// The smoothed cost hint of a shard request, in microseconds.
     mean_cost_hint: Option<f64>,
-    /// What each customer may still send within its quota; one entry for each configured quota.
+    /// The remaining quota of each customer; one entry for each configured quota.
     quota_left: Vec<QuotaLeft>,
-    /// The last shed query, while queries are shed.
+    /// When the last query was shed, while load shedding is active.
     last_shed: Option<Micros>,
-    /// Queries and requests admitted within the retry budget's window; emptied by age.
+    /// The times at which queries and shard requests were admitted within the retry budget's window; old entries are
+    /// removed.
     admitted: VecDeque<Micros>,
-    /// Retries and hedged requests sent within that window; emptied by age.
+    /// The times at which retries and hedged requests were sent within that window; old entries are removed.
     extra_attempts: VecDeque<Micros>,
-    /// The whole retry budget, while this process serves a share of it.
+    /// The settings of the whole retry budget, while this process uses a share of it.
     saved_budget: Option<SavedBudget>,
-    /// When a node last failed, as its connections or the endpoint list showed.
+    /// When a node last failed, according to its connections or the endpoint list.
     last_node_failure: Option<Micros>,
-    /// Queries of death, to know their repeats by. Bounded; emptied by later ones, once the clients have
-    /// left.
+    /// The known queries of death, by which their client retries are recognized. The number is bounded. Expired
+    /// entries are removed when another query ends without an answer.
     queries_of_death: VecDeque<KnownQueryOfDeath>,
-    /// Smoothed share of attempts on idle connections that were lost.
+    /// The smoothed share of attempts on idle connections that were lost.
     idle_loss_rate: f64,
-    /// Since when idle connections are not used.
+    /// The time since which idle connections are not used.
     idle_distrusted_since: Option<Micros>,
 }
 
-/// What a rule's condition has found to act on. A rule reads what its condition fills in.
+/// The subject that a rule's condition has found. The rule's action reads the fields that its condition sets.
 #[derive(Clone, Copy, Debug, Default)]
 struct RuleMatch {
     query: QueryId,
@@ -143,13 +144,13 @@
     }
 }
 
-/// A condition, and what is done when it holds.
+/// A condition and the action that is taken when it holds.
 struct Rule {
     condition: fn(&RoutingEngine) -> Option<RuleMatch>,
     action: fn(&mut RoutingEngine, RuleMatch, &mut dyn Actions),
 }
 
-/// The rules in their order. After each that applies they are gone through from the top again.
+/// The rules in order of precedence. After each rule that applies, evaluation starts again with the first.
 static RULES: [Rule; 11] = [
     Rule {
         condition: RoutingEngine::watch_is_due,
@@ -198,7 +199,7 @@
 ];
 
 impl RoutingEngine {
-    /// An engine that knows no node yet. The same seed and inputs give the same decisions.
+    /// Creates an engine without any nodes. The same seed and inputs give the same decisions.
     pub fn new(config: PlatformConfig, seed: u64) -> Self {
         RoutingEngine {
             rng: RandomSource::new(seed),
@@ -210,7 +211,7 @@
         }
     }
 
-    /// A timer that was asked for through [`Actions::set_timer`] fired.
+    /// Handles a timer that was set through [`Actions::set_timer`].
     pub fn timer_fired(&mut self, now: Micros, _timer: TimerId, out: &mut dyn Actions) {
         self.now = now;
         self.timer_is_set = false;
@@ -220,19 +221,19 @@
 
     fn stop_monitoring_idle_nodes(&mut self) {
         let now = self.now;
-        let memory = self.shortest_objective_us();
+        let retention_us = self.shortest_objective_us();
         let nodes = &self.nodes;
         let has_in_flight = |node: &Node| node.all_in_flight(now).next().is_some();
-        let wanted = |node: &Node| {
+        let must_monitor = |node: &Node| {
             node.suspected_for.is_some()
                 || has_in_flight(node)
-                || now.since(node.latency_updated_at).0 as f64 <= memory
+                || now.since(node.latency_updated_at).0 as f64 <= retention_us
         };
         self.monitored
-            .retain(|id| nodes.get(id).is_some_and(wanted));
+            .retain(|id| nodes.get(id).is_some_and(must_monitor));
     }
 
-    /// Applies the rules until none does, then asks for a timer if time alone may make one apply.
+    /// Applies the rules until none applies, then sets a timer if the passage of time alone can make one apply.
     fn run_rules(&mut self, out: &mut dyn Actions) {
         let nothing_to_do = self.queries.is_empty() && self.monitored.is_empty();
         if self.statistics_are_stale && !nothing_to_do {
@@ -260,18 +261,18 @@
         self.statistics_are_stale = false;
     }
 
-    /// How often time alone makes the rules run.
+    /// The interval at which the timer makes the rules run.
     fn tick(&self) -> Micros {
         TICK.max(self.config.tick)
     }
 
-    /// Whether a time comes too soon to wait for another tick or two.
+    /// Whether a time is at most two ticks away, too soon to wait for another tick.
     fn is_soon(&self, at: Micros) -> bool {
         self.now + self.tick().times(2.0) >= at
     }
 
-    /// How long an opinion of a node lasts without an answer: the shortest latency objective, in
-    /// microseconds.
+    /// Returns the shortest latency objective, in microseconds. What is known about a node is retained for about
+    /// this long without an answer.
     fn shortest_objective_us(&self) -> f64 {
         self.config
             .indexes
@@ -292,12 +293,12 @@
     }
 }
 
-/// Exponential smoothing: what was known moves towards a new figure by `weight` of the difference.
+/// Exponential smoothing: moves the known value towards a new one by `weight` of the difference.
 fn smooth(known: Option<f64>, new: f64, weight: f64) -> f64 {
     known.map_or(new, |known| known + (new - known) * weight)
 }
 
-/// Takes off entries from the front while they are old. The oldest stand first.
+/// Removes old entries from the front of a queue in which the oldest come first.
 fn drop_old<T>(entries: &mut VecDeque<T>, is_old: impl Fn(&T) -> bool) {
     while entries.front().is_some_and(&is_old) {
         entries.pop_front();
--- a/src/routing/outlier_detection.rs
+++ b/src/routing/outlier_detection.rs
@@ -1,11 +1,13 @@
-//! Outlier detection: what a node's own answers and failures show outweighs a load report that says better.
+//! Outlier detection: a node's observed answers and failures outweigh a load report that looks better.
 //!
-//! The latency to expect of a node for an index has three parts: its smoothed answer latency, fading towards
-//! the median within one latency objective; what its failures cost, fading within eight, since a router among
-//! many hears from a node rarely; and the age of what is in flight to it. A node that is expected much later
-//! than the median is suspected: its cost rises (`placement`). It is not ejected, since all others may be
-//! worse. Covers hung, slow, paused and overloaded nodes, nodes that fail one index, slow links, and late,
-//! frozen or untrue load reports. Hurts when the median node is the odd one out.
+//! The expected latency of a node for an index is derived from its smoothed answer latency, which decays towards
+//! the median within one latency objective; from the cost of its failures, which decays within eight, since a
+//! router among many rarely gets an answer from a given node; and from the age of the attempts in flight to it. A
+//! node whose expected latency is much higher than the median is suspected: its cost rises (`placement`). It is
+//! not ejected, since all other nodes may be worse.
+//!
+//! This covers hung, slow, paused and overloaded nodes, nodes that fail one index, slow links, and late, frozen or
+//! false load reports. It does harm when the median node is itself abnormal.
 
 use crate::actions::Actions;
 use crate::types::{
@@ -17,29 +19,31 @@
 #[cfg(test)]
 mod tests;
 
-/// A node is suspected when it answers so many times later than the median node.
+/// The ratio of a node's expected latency to the median above which the node is suspected.
 const OUTLIER_RATIO: f64 = 2.5;
-/// An answer within this share of the shortest latency objective delays no query, whatever the median.
+/// The share of the shortest latency objective within which an answer delays no query, regardless of the median.
 const HARMLESS_OBJECTIVE_SHARE: f64 = 0.25;
-/// Failures are remembered for so many of the shortest latency objective: routers may see them rarely.
+/// The time constant with which failures decay, in multiples of the shortest latency objective. It is long because a
+/// router may see failures rarely.
 const FAILURE_MEMORY_OBJECTIVES: f64 = 8.0;
-/// Requests in flight at a node before their number shows in its answers: it has cores.
+/// The number of requests in flight at a node that do not yet affect its answer latency, since it has several cores.
 pub(super) const FREE_DEPTH: f64 = 2.0;
 
-/// What one attempt's end says about its node.
+/// The evidence about a node from the end of one attempt.
 struct Evidence {
-    /// 1 for a failure, else 0.
+    /// 1 for a failure, otherwise 0.
     failure: f64,
     /// The time that the attempt lost, in microseconds.
     cost: f64,
-    /// It shows the process down, and counts for every index.
+    /// Whether it shows that the process is down, so that it counts for every index.
     shows_process_down: bool,
 }
 
 impl RoutingEngine {
-    /// Takes in an attempt's end. Refusals, lost connections and errors are one symptom, as bad as an answer
-    /// as late as the shortest objective. What shows the process down counts for every index, an error only
-    /// for its own, since a node may fail one index and serve the others.
+    /// Records the end of an attempt in the statistics of its node. Refusals, lost connections and errors are
+    /// treated alike, as bad as an answer that takes the shortest latency objective. An outcome that shows that
+    /// the process is down counts for every index. An error counts only for its own index, since a node may fail
+    /// one index and serve the others.
     pub(super) fn record_outcome(
         &mut self,
         id: NodeId,
@@ -63,8 +67,8 @@
             node.latency_updated_at = now;
         }
         node.index_health.resize(indexes, IndexHealth::default());
-        for (at, health) in node.index_health.iter_mut().enumerate() {
-            if at == index.as_usize() || evidence.shows_process_down {
+        for (position, health) in node.index_health.iter_mut().enumerate() {
+            if position == index.as_usize() || evidence.shows_process_down {
                 update_health(health, &evidence, now);
             }
         }
@@ -72,7 +76,7 @@
         self.statistics_are_stale = true;
     }
 
-    /// `None` for an end that says nothing about the node.
+    /// Returns the evidence about the node, or `None` if the outcome says nothing about it.
     fn evidence(
         &self,
         index: IndexNo,
@@ -85,8 +89,8 @@
         let cost = match outcome {
             AttemptOutcome::Satisfied => 0.0,
             AttemptOutcome::Cancelled | AttemptOutcome::Unsent => return None,
-            // Where it may be repeated: for the time that it took and another attempt's. A node that fails at
-            // once does a part of its work, which others could not carry.
+            // If a retry is allowed, the cost is the time of this attempt plus that of another one. A node that
+            // fails fast still serves part of its load, which the other nodes could not take over.
             AttemptOutcome::MayHaveRun if semantics != RetrySemantics::OnceOnly => {
                 objective_us.min(latency.0 as f64 + median)
             }
@@ -105,14 +109,15 @@
         })
     }
 
-    /// The answer latency to expect of a node for an index, in microseconds: as smoothed, later by how often
-    /// it failed that index, both fading, and no less than the age of what is in flight.
+    /// Returns the expected answer latency of a node for an index, in microseconds: the smoothed latency plus the
+    /// cost of its failures for the index, both decaying, but at least the age of any attempt in flight.
     pub(super) fn expected_latency(&self, node: &Node, index: IndexNo) -> f64 {
         let median = self.statistics.median_latency.unwrap_or(0.0);
-        let memory = self.shortest_objective_us();
+        let time_constant_us = self.shortest_objective_us();
         let known = node.latency.unwrap_or(median);
-        let latency = median + (known - median) * self.decay(node.latency_updated_at, memory);
-        let failures = self.failure_cost(node, index, memory * FAILURE_MEMORY_OBJECTIVES);
+        let latency =
+            median + (known - median) * self.decay(node.latency_updated_at, time_constant_us);
+        let failures = self.failure_cost(node, index, time_constant_us * FAILURE_MEMORY_OBJECTIVES);
         let age = node
             .all_in_flight(self.now)
             .map(|(attempt, until)| in_flight_age(node, attempt, until, index))
@@ -120,40 +125,41 @@
         (latency + failures).max(age)
     }
 
-    /// The predicted answer latency of a request that would be the last of so many more, in microseconds: the
-    /// latency for each request goes on as it was, and the node answers no sooner than what is in flight is
-    /// old.
-    pub(super) fn predicted_latency(&self, node: &Node, index: IndexNo, more: f64) -> f64 {
-        let depth = node.in_flight_cost() + more;
-        // A node not heard from yet is no better than the median, and one that warms up is slower.
+    /// Returns the predicted answer latency in microseconds of a request sent to a node after which `added_cost`
+    /// more is in flight. It assumes that the latency per request stays the same, and that it is no lower than the
+    /// ages of the attempts in flight imply.
+    pub(super) fn predicted_latency(&self, node: &Node, index: IndexNo, added_cost: f64) -> f64 {
+        let depth = node.in_flight_cost() + added_cost;
+        // A node that has not answered yet counts as the median node, and as slower while it is warming up.
         let median = self.statistics.median_latency_per_request;
         let known = node
             .latency_per_request
             .unwrap_or(median / self.warm_share(node, self.now));
-        // Failures are remembered briefly here, or a router that saw all nodes fail would reject for good.
+        // Failures decay fast here; otherwise a router that saw all nodes fail would never admit queries again.
         let failures = self.failure_cost(node, index, self.shortest_objective_us());
-        let shown_in_flight = |(attempt, until): (&InFlightAttempt, Micros)| {
+        let latency_per_request_in_flight = |(attempt, until): (&InFlightAttempt, Micros)| {
             in_flight_age(node, attempt, until, index) / (attempt.depth_when_sent + FREE_DEPTH)
         };
         node.all_in_flight(self.now)
-            .map(shown_in_flight)
+            .map(latency_per_request_in_flight)
             .fold(known, f64::max)
             * (depth + FREE_DEPTH)
             + failures
     }
 
-    /// How much of an opinion is left, of 1; it falls to 1/e within `memory` microseconds.
-    fn decay(&self, since: Micros, memory: f64) -> f64 {
-        (-(self.now.since(since).0 as f64) / memory).exp()
+    /// Returns the remaining weight of an observation made at `since`, at most 1. It falls to 1/e within
+    /// `time_constant_us`.
+    fn decay(&self, since: Micros, time_constant_us: f64) -> f64 {
+        (-(self.now.since(since).0 as f64) / time_constant_us).exp()
     }
 
-    /// How much later its failures make a node, in microseconds.
-    fn failure_cost(&self, node: &Node, index: IndexNo, memory: f64) -> f64 {
+    /// Returns the decayed cost of a node's failures for an index, in microseconds.
+    fn failure_cost(&self, node: &Node, index: IndexNo, time_constant_us: f64) -> f64 {
         let health = node.health(index);
-        health.failure_cost * self.decay(health.updated_at, memory)
+        health.failure_cost * self.decay(health.updated_at, time_constant_us)
     }
 
-    /// How many times later than the median a node is expected for an index, if that makes it an outlier.
+    /// Returns the ratio of a node's expected latency for an index to the median, if that makes the node an outlier.
     pub(super) fn outlier_ratio(&self, node: &Node, index: IndexNo) -> Option<f64> {
         let median = self.statistics.median_latency?.max(1.0);
         let expected = self.expected_latency(node, index);
@@ -194,10 +200,10 @@
         };
         let expected_ms = self.expected_latency(node, index) / 1e3;
         let median_ms = self.statistics.median_latency.unwrap_or(0.0) / 1e3;
-        let failing = node.health(index).failure_rate * 100.0;
+        let failure_percent = node.health(index).failure_rate * 100.0;
         out.log(&format!(
             "node {:x} {change}: expected latency {expected_ms:.0} ms, median {median_ms:.0} ms, \
-             failure rate {failing:.0}%",
+             failure rate {failure_percent:.0}%",
             found.node.0
         ));
         if let Some(node) = self.nodes.get_mut(&found.node) {
@@ -215,9 +221,9 @@
     }
 }
 
-/// The age of an attempt as far as it is known, in microseconds. It counts from the node's last answer: a
-/// lost answer is not a hung node.
+/// Returns the age of an attempt at the time up to which it is known, in microseconds. The age is counted at the
+/// earliest from the node's last answer, since one lost answer does not mean that the node hangs.
 fn in_flight_age(node: &Node, attempt: &InFlightAttempt, until: Micros, index: IndexNo) -> f64 {
-    let last_sign = attempt.sent_at.max(node.health(index).last_answer);
-    until.since(last_sign).0 as f64
+    let last_sign_of_life = attempt.sent_at.max(node.health(index).last_answer);
+    until.since(last_sign_of_life).0 as f64
 }
--- a/src/routing/outlier_detection/tests.rs
+++ b/src/routing/outlier_detection/tests.rs
@@ -33,7 +33,7 @@
     assert_eq!(engine.outlier_ratio(&late, IndexNo(0)).is_some(), suspected);
 }
 
-// A node that fails one index and serves the others, against one that is down.
+// Distinguishes a node that fails one index and serves the others from a node that is down.
 #[test_case(AttemptOutcome::NeverRan, true; "no connection")]
 #[test_case(AttemptOutcome::Broken, true; "connection broke")]
 #[test_case(AttemptOutcome::MayHaveRun, false; "error")]
@@ -51,8 +51,8 @@
     );
 }
 
-// Immediate errors against errors and time-outs that take as long as the soft deadline, and what must not run
-// twice.
+// Compares immediate errors with errors and time-outs that take as long as the soft deadline, and with requests that
+// must not run twice.
 #[test_case(AttemptOutcome::MayHaveRun, 2, RetrySemantics::Idempotent, false; "an immediate error")]
 #[test_case(AttemptOutcome::MayHaveRun, 1000, RetrySemantics::Idempotent, true; "a time-out")]
 #[test_case(AttemptOutcome::MayHaveRun, 2, RetrySemantics::OnceOnly, true; "an error that cannot be repeated")]
--- a/src/routing/partial_response.rs
+++ b/src/routing/partial_response.rs
@@ -1,6 +1,6 @@
-//! When a query ends: complete, from what is in, or without an answer. Answers go out only by
-//! [`RoutingEngine::answer_is_due`], which compares weights; [`RoutingEngine::reject_or_fail`] is the only
-//! way to a rejection or a failure.
+//! The end of a query: a complete response, a partial response, or no answer. Answers are sent only if
+//! [`RoutingEngine::answer_is_due`], which compares weights, allows them. Rejections and failures are sent only by
+//! [`RoutingEngine::reject_or_fail`].
 
 use crate::actions::Actions;
 use crate::types::{Attempt, DecisionReason, Micros, Query, QueryId, RetrySemantics, ShardRequest};
@@ -10,16 +10,17 @@
 #[cfg(test)]
 mod tests;
 
-/// Median latencies that a second phase is given: few requests, yet each has to come.
-const SECOND_PHASE_LATENCIES: f64 = 2.0;
-/// A sum of fractions falls so much short of what it is, at most: eight tenths are 0.7999999999999999.
-const SUM_ERROR: f64 = 1e-9;
+/// The time reserved for a second phase, in multiples of the median latency. The phase has few shard requests, but
+/// each of them must be answered.
+const SECOND_PHASE_MEDIAN_LATENCIES: f64 = 2.0;
+/// The maximum error of a sum of weights: eight times 0.1 adds up to 0.7999999999999999.
+const WEIGHT_SUM_TOLERANCE: f64 = 1e-9;
 
-/// Weights of answered requests that decide about an answer to the present phase.
+/// The thresholds on the weight of answered shard requests that decide on the response to the current phase.
 pub(super) struct CompletenessThresholds {
-    /// From this on an answer is complete.
+    /// The weight from which a response is complete.
     complete: f64,
-    /// Nothing is answered from less.
+    /// The minimum weight of any response.
     pub(super) minimum: f64,
 }
 
@@ -33,7 +34,7 @@
                 minimum,
             };
         }
-        // The second phase asks for what the first has found, so all of it makes it complete.
+        // The second phase asks for what the first has found, so it is complete only with all of its requests.
         let partial_is_allowed = row.min_weight < row.required_weight;
         CompletenessThresholds {
             complete: 1.0,
@@ -41,49 +42,50 @@
         }
     }
 
-    /// Whether the present phase is complete.
+    /// Whether the current phase can be answered completely.
     fn is_complete(&self, query: &Query) -> bool {
         let all_answered = query.requests.iter().all(|request| request.answered);
-        let enough = || {
+        let has_required_weight = || {
             !query.in_second_phase
                 && query.answered_weight() >= self.completeness_thresholds(query).complete
         };
-        query.all_requests_received() && (all_answered || enough())
+        query.all_requests_received() && (all_answered || has_required_weight())
     }
 
-    /// When the present phase is answered from what is in: the gain is about to fall. A first phase leaves
-    /// the second its time.
+    /// Returns when the current phase gets a partial response, before an answer loses its value. A first phase is
+    /// answered early enough to leave time for the second.
     fn partial_response_deadline(&self, query: &Query) -> Micros {
         let second_phase_follows = !query.in_second_phase && query.config.second_phase_size > 0;
-        let needed = self
+        let reserved = self
             .statistics
             .median_latency
             .filter(|_| second_phase_follows)
             .map_or(Micros(0), |median| {
-                Micros((median * SECOND_PHASE_LATENCIES) as u64)
+                Micros((median * SECOND_PHASE_MEDIAN_LATENCIES) as u64)
             });
-        let at = query.partial_response_at;
-        Micros(at.0 - needed.0.min(at.since(self.now).0))
+        let due_at = query.partial_response_at;
+        Micros(due_at.0 - reserved.0.min(due_at.since(self.now).0))
     }
 
-    /// An answer is due when it is complete; a partial one when its gain is about to fall, or nothing more
-    /// can come.
+    /// Finds a query whose response is due: a complete one immediately, a partial one when it is about to lose its
+    /// value or when no further answers can arrive.
     pub(super) fn answer_is_due(&self) -> Option<RuleMatch> {
         self.find_query(|query| self.is_complete(query) || self.partial_answer_is_due(query))
     }
 
     fn partial_answer_is_due(&self, query: &Query) -> bool {
-        // Exact but for the error of sums: rounded weights are no leave to answer from too little. The
-        // simulation has found answers from 0.69996 where 0.7 was asked for.
+        // The comparison is exact except for the error of sums; rounded weights do not justify an answer from less
+        // than the minimum. The simulation found answers from 0.69996 where 0.7 was required.
         let minimum = self.completeness_thresholds(query).minimum;
-        let enough = query.all_requests_received()
-            && query.answered_weight() + SUM_ERROR >= minimum
+        let has_minimum = query.all_requests_received()
+            && query.answered_weight() + WEIGHT_SUM_TOLERANCE >= minimum
             && query.answered_weight() > 0.0;
         let nothing_more_can_come = || {
             let mut requests = query.requests.iter();
             requests.all(|request| request.answered || self.is_exhausted(query, request))
         };
-        enough && (self.is_soon(self.partial_response_deadline(query)) || nothing_more_can_come())
+        has_minimum
+            && (self.is_soon(self.partial_response_deadline(query)) || nothing_more_can_come())
     }
 
     pub(super) fn send_answer(&mut self, found: RuleMatch, out: &mut dyn Actions) {
@@ -105,7 +107,7 @@
         if query.in_second_phase || second_phase_size == 0 {
             return self.close_query(id, out);
         }
-        // The first answer brings a second phase, with requests of its own.
+        // The answer to the first phase starts the second, which has its own shard requests.
         let requests = std::mem::take(&mut query.requests);
         let answered = requests.iter().filter(|request| request.answered).count();
         query.expected_requests = second_phase_size.min(answered);
@@ -115,13 +117,13 @@
         self.cancel_in_flight(&requests, out);
     }
 
-    /// No attempt is in flight, and none may follow.
+    /// Whether an unanswered shard request has no attempt in flight and may get no further one.
     fn is_exhausted(&self, query: &Query, request: &ShardRequest) -> bool {
         !request.answered && request.attempts_in_flight() == 0 && !self.may_send(query, request)
     }
 
-    /// A query ends without an answer as soon as what is in and may still come is too little, and just before
-    /// its client leaves.
+    /// Finds a query that ends without an answer: one for which the received answers and those that can still
+    /// arrive do not reach the minimum weight, a query of death, or one whose client is about to stop waiting.
     pub(super) fn query_cannot_complete(&self) -> Option<RuleMatch> {
         self.find_query(|query| {
             self.is_soon(query.deadline)
@@ -138,15 +140,15 @@
             .map(|request| request.weight)
             .sum::<f64>();
         let minimum = self.completeness_thresholds(query).minimum;
-        exhausted > 0.0 && 1.0 - exhausted + SUM_ERROR < minimum
+        exhausted > 0.0 && 1.0 - exhausted + WEIGHT_SUM_TOLERANCE < minimum
     }
 
     pub(super) fn end_without_answer(&mut self, found: RuleMatch, out: &mut dyn Actions) {
         let id = found.query;
-        let is_deadly = self.remember_if_deadly(id);
+        let is_query_of_death = self.record_if_query_of_death(id);
         let query = self.queries.get(&id);
         let time_is_up = query.is_some_and(|query| self.is_soon(query.deadline));
-        let reason = if is_deadly {
+        let reason = if is_query_of_death {
             DecisionReason::Deadly
         } else if time_is_up {
             DecisionReason::Deadline
@@ -154,12 +156,13 @@
             DecisionReason::Exhausted
         };
         out.record_reason(id, reason);
-        // A query that brings nodes down comes back after the longest time that clients heed.
-        let retry_after = Micros(if is_deadly { u64::MAX } else { 0 });
+        // A query of death gets the longest Retry-After that clients respect.
+        let retry_after = Micros(if is_query_of_death { u64::MAX } else { 0 });
         self.reject_or_fail(id, retry_after, out);
     }
 
-    /// A rejection where a repeat is harmless, else a failure: a rejection promises that nothing ran.
+    /// Ends a query with a rejection if a retry is harmless, otherwise with a failure: a rejection guarantees that
+    /// the client can retry without a second effect.
     pub(super) fn reject_or_fail(
         &mut self,
         id: QueryId,
@@ -169,7 +172,7 @@
         let Some(query) = self.queries.get(&id) else {
             return;
         };
-        if may_be_repeated(query) {
+        if is_safe_to_repeat(query) {
             let longest = self.config.max_retry_after;
             let retry_after = longest.map_or(Micros(0), |longest| retry_after.min(longest));
             out.reject(id, retry_after);
@@ -180,8 +183,8 @@
     }
 }
 
-/// Whether a client may send a query again without harm: it is idempotent, or nothing of it has run.
-fn may_be_repeated(query: &Query) -> bool {
+/// Whether a client can safely retry a query: it is idempotent, or no part of it has run.
+fn is_safe_to_repeat(query: &Query) -> bool {
     let has_run = |request: &ShardRequest| request.attempts.iter().any(Attempt::may_have_run);
     query.config.retry_semantics == RetrySemantics::Idempotent
         || !query.in_second_phase && !query.requests.iter().any(has_run)
--- a/src/routing/partial_response/tests.rs
+++ b/src/routing/partial_response/tests.rs
@@ -30,8 +30,8 @@
 #[test_case(RetrySemantics::Fingerprinted(ms(500)), IN_FLIGHT, false, Action::Fail; "fingerprinted, still in flight")]
 fn a_rejection_promises_that_nothing_ran(
     semantics: RetrySemantics,
-    call: Option<AttemptOutcome>,
-    second: bool,
+    outcome: Option<AttemptOutcome>,
+    in_second_phase: bool,
     action: Action,
 ) {
     let mut engine = engine_with(
@@ -42,11 +42,11 @@
         1,
     );
     engine.config.indexes[0].retry_semantics = semantics;
-    let query = query(&engine, &[1.0], &[call]);
+    let query = query(&engine, &[1.0], &[outcome]);
     add_query(
         &mut engine,
         Query {
-            in_second_phase: second,
+            in_second_phase,
             ..query
         },
     );
@@ -126,7 +126,8 @@
     assert_eq!(recorder.0, [Action::Answer(complete)]);
 }
 
-/// A first answer just before the latency objective leaves the second phase no time: most of the gain came late.
+/// If the first phase is answered just before the latency objective, the second phase has no time left and most
+/// answers are late.
 #[test_case(770, false; "there is time yet")]
 #[test_case(810, true; "the second phase needs the rest")]
 fn a_first_phase_leaves_the_second_its_time(later: u64, answered: bool) {
@@ -156,7 +157,7 @@
     );
 }
 
-// The minimum weight, exactly. The simulation found answers from 0.69996 where 0.7 was asked for.
+// The minimum weight is compared exactly. The simulation found answers from 0.69996 where 0.7 was required.
 #[test_case(&[0.69996, 0.30004], false, 0.7; "a little less")]
 #[test_case(&[0.7, 0.3], true, 0.7; "as much")]
 #[test_case(&[0.1; 10], true, 0.8; "eight tenths, whose sum falls short")]
@@ -210,13 +211,16 @@
         false,
         &mut recorder,
     );
-    // Whatever is in force by now, it keeps what it was admitted under.
+    // A change of policy does not affect a query that was received before it.
     engine.config.indexes[0].partial_response_after = Some(ms(1));
     let query = query(&engine, &[0.5, 0.5], &[IN_FLIGHT]);
-    let own = engine.queries.get_mut(&QueryId(1)).expect("in hand");
-    own.requests = query.requests;
-    own.placed = true;
-    own.requests[0].answered = true;
+    let query_in_flight = engine
+        .queries
+        .get_mut(&QueryId(1))
+        .expect("query 1 is in flight");
+    query_in_flight.requests = query.requests;
+    query_in_flight.placed = true;
+    query_in_flight.requests[0].answered = true;
     engine.now = now + ms(later);
     assert_eq!(engine.answer_is_due().is_some(), due);
 }
--- a/src/routing/placement.rs
+++ b/src/routing/placement.rs
@@ -1,12 +1,13 @@
-//! Placement: which node gets each request of a query.
+//! Placement: the choice of a node for each shard request of a query.
 //!
-//! The cost model is that of "EC-Store: Bridging the Gap Between Storage and Latency in Distributed Erasure
-//! Coded Systems" (section IV-B, equation 1; the greedy form is what its section V uses while no solved plan
-//! is cached). A plan costs, summed over the nodes that it touches, a fixed cost o for the node plus m·z for
-//! each request placed there: o is [`RoutingEngine::node_cost`], z is [`RoutingEngine::relative_cost`], m is
-//! one figure for all nodes ([`super::statistics`]). Each request goes to the node of least added cost: m·z
-//! on a node that is chosen already, o + m·z on another. So chosen nodes draw further requests, and requests
-//! for one node leave in one call. `docs/design.md` says what differs from the paper, and why.
+//! The cost model is that of "EC-Store: Bridging the Gap Between Storage and Latency in Distributed Erasure Coded
+//! Systems" (section IV-B, equation 1; the greedy form is the one that its section V uses while no solved plan is
+//! cached). The cost of a plan is the sum, over the nodes in it, of a fixed cost o of the node plus m·z for each
+//! request placed there. o is [`RoutingEngine::node_cost`], z is [`RoutingEngine::relative_cost`], and m is the
+//! same for all nodes ([`super::statistics`]). Each request goes to the node with the lowest added cost: m·z for a
+//! node that is already in the plan, o + m·z for another. Nodes in the plan therefore attract further requests,
+//! and requests for one node are sent in one call. `docs/design.md` describes the differences from the paper and
+//! the reasons for them.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -21,33 +22,36 @@
 #[cfg(test)]
 mod tests;
 
-/// Mean o that the whole gain of a query is worth, when a request's crossing of zones is priced.
+/// The multiple of the mean node cost o that corresponds to the whole value of a query, for pricing requests that
+/// cross zones.
 const CROSS_ZONE_FACTOR: f64 = 20.0;
-/// Predictions are means: a request may be so much later.
+/// The margin on predicted latencies, which are means: a request may take this many times longer.
 const LATENCY_MARGIN: f64 = 1.25;
-/// A query is as late as the latest of its calls: so many times their mean latency,
-const LATEST_BASE: f64 = 0.5;
-/// and so many more with each natural logarithm of their number. Requests that share a call come together.
-const LATEST_PER_LOG: f64 = 0.9;
+/// A query takes as long as its slowest call. The predicted latency of the slowest call is the mean latency times
+/// this factor,
+const SLOWEST_CALL_BASE: f64 = 0.5;
+/// plus this factor times the natural logarithm of the number of calls. Requests that share a call are answered
+/// together.
+const SLOWEST_CALL_PER_LOG: f64 = 0.9;
 
-/// Where the requests of a query go.
+/// The nodes chosen for the shard requests of a query.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Placement {
     pub(super) assignments: Vec<Assignment>,
-    /// The weight that is predicted in time.
+    /// The weight of the requests that are predicted to be answered in time.
     pub(super) weight_in_time: f64,
     /// The highest predicted latency, in microseconds.
     pub(super) slowest_latency: f64,
 }
 
-/// A request, by its place in its query, and its node.
+/// A shard request, identified by its position in the query, and the node chosen for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Assignment {
     pub(super) request_index: usize,
     pub(super) node: NodeId,
 }
 
-/// A request that is to be placed, with what its turn depends on.
+/// A shard request to be placed, with the properties that determine its order.
 #[derive(Clone, Copy)]
 struct Candidate {
     nodes_holding: usize,
@@ -56,9 +60,9 @@
 }
 
 impl Candidate {
-    /// Requests that few nodes hold come first: they fix the nodes that the others can join. Then the
-    /// heavier.
-    fn turn(&self, other: &Candidate) -> Ordering {
+    /// Orders requests for placement. Requests whose shard few nodes hold come first, since they determine nodes
+    /// that the other requests can join; then those of higher cost.
+    fn compare(&self, other: &Candidate) -> Ordering {
         let by_nodes = self.nodes_holding.cmp(&other.nodes_holding);
         let by_cost = other.cost.total_cmp(&self.cost);
         by_nodes
@@ -71,15 +75,15 @@
 #[derive(Default)]
 struct Plan {
     placement: Placement,
-    /// The cost that goes to each node.
-    planned: BTreeMap<NodeId, f64>,
-    /// The predicted latencies without their margin, added up.
+    /// The cost of the requests planned for each node.
+    planned_cost: BTreeMap<NodeId, f64>,
+    /// The sum of the predicted latencies without their margin.
     latency_sum: f64,
 }
 
 impl Plan {
     fn planned_for(&self, node: &Node) -> f64 {
-        self.planned
+        self.planned_cost
             .get(&node.endpoint.node)
             .copied()
             .unwrap_or(0.0)
@@ -87,14 +91,14 @@
 }
 
 impl RoutingEngine {
-    /// Plans the requests of a query that have nothing in flight. `time_left` is the time within which
+    /// Plans the shard requests of a query that have no attempt in flight. `time_left` is the time within which
     /// answers are wanted, in microseconds.
     pub(super) fn plan(&self, query: &Query, time_left: f64) -> Placement {
         let mut plan = Plan::default();
         for candidate in self.placement_order(query) {
             self.place_request(query, candidate, time_left, &mut plan);
         }
-        self.account_for_latest(query, time_left, plan)
+        self.account_for_slowest_call(query, time_left, plan)
     }
 
     fn placement_order(&self, query: &Query) -> Vec<Candidate> {
@@ -108,7 +112,7 @@
                 });
             }
         }
-        order.sort_by(Candidate::turn);
+        order.sort_by(Candidate::compare);
         order
     }
 
@@ -116,7 +120,7 @@
         let request = &query.requests[candidate.request_index];
         let cost = candidate.cost;
         let added_cost = |node: &Node| {
-            let is_chosen = plan.planned.contains_key(&node.endpoint.node);
+            let is_chosen = plan.planned_cost.contains_key(&node.endpoint.node);
             let fixed = if is_chosen {
                 0.0
             } else {
@@ -125,19 +129,19 @@
             fixed + self.statistics.request_cost * cost
         };
         let latency = |node: &Node| {
-            let more = plan.planned_for(node) + cost;
-            self.predicted_latency(node, query.index, more) * LATENCY_MARGIN
+            let added_cost = plan.planned_for(node) + cost;
+            self.predicted_latency(node, query.index, added_cost) * LATENCY_MARGIN
         };
-        // The discount stacks requests behind the chosen node: nodes predicted late give way to those in
-        // time.
-        let eligible = self.eligible_nodes(request, &plan.planned);
+        // The discount for a chosen node can stack up requests there, so nodes predicted to answer in time are
+        // preferred to those predicted late.
+        let eligible = self.eligible_nodes(request, &plan.planned_cost);
         let nodes = prefer(eligible, |node| latency(node) <= time_left);
         let Some(node) = self.cheapest(&nodes, added_cost) else {
             return;
         };
         let latency = latency(node);
         let id = node.endpoint.node;
-        *plan.planned.entry(id).or_default() += cost;
+        *plan.planned_cost.entry(id).or_default() += cost;
         plan.latency_sum += latency / LATENCY_MARGIN;
         let placement = &mut plan.placement;
         placement.weight_in_time += if latency <= time_left {
@@ -152,24 +156,26 @@
         });
     }
 
-    /// A query that needs all its requests is as late as the latest of its calls, later than their mean.
-    fn account_for_latest(&self, query: &Query, time_left: f64, plan: Plan) -> Placement {
+    /// Adjusts a plan of a query that needs all its requests: such a query takes as long as its slowest call,
+    /// which is longer than the mean.
+    fn account_for_slowest_call(&self, query: &Query, time_left: f64, plan: Plan) -> Placement {
         let mut placement = plan.placement;
-        let calls = plan.planned.len().max(1) as f64;
-        let latest = plan.latency_sum / placement.assignments.len().max(1) as f64
-            * (LATEST_BASE + LATEST_PER_LOG * calls.ln()).max(1.0);
-        // Not where some may be missing; and a client that gives less than the objective is no sign of load.
+        let calls = plan.planned_cost.len().max(1) as f64;
+        let slowest_call = plan.latency_sum / placement.assignments.len().max(1) as f64
+            * (SLOWEST_CALL_BASE + SLOWEST_CALL_PER_LOG * calls.ln()).max(1.0);
+        // The adjustment does not apply if some requests may stay unanswered, nor if the client allows less than the
+        // latency objective, which is no sign of load.
         let all_are_needed = self.completeness_thresholds(query).minimum >= 1.0;
-        let gives_enough_time = query.time_allowed >= query.config.latency_objective;
-        if all_are_needed && gives_enough_time && latest > time_left {
-            placement.slowest_latency = placement.slowest_latency.max(latest);
+        let deadline_covers_objective = query.time_allowed >= query.config.latency_objective;
+        if all_are_needed && deadline_covers_objective && slowest_call > time_left {
+            placement.slowest_latency = placement.slowest_latency.max(slowest_call);
             placement.weight_in_time = 0.0;
         }
         placement
     }
 
-    /// o of the cost model: the node's reported load, what it is suspected of, its zone, and what this router
-    /// has in flight to it.
+    /// Returns o of the cost model: the node's reported load, raised if it is an outlier or in another zone, plus
+    /// the cost that this router has in flight to it.
     pub(super) fn node_cost(&self, node: &Node, index: IndexNo) -> f64 {
         let statistics = &self.statistics;
         let mut cost = self
@@ -184,25 +190,25 @@
         cost + statistics.request_cost * node.in_flight_cost()
     }
 
-    /// o as the node reports it, or from its answers where it does not.
+    /// Returns o according to the node's load reports, or according to its answers if it reports no load.
     pub(super) fn reported_cost(&self, node: &Node) -> Option<f64> {
         let config = &self.config;
-        let nothing_is_reported = match config.load_reporting {
+        let no_load_is_reported = match config.load_reporting {
             LoadReporting::Off => true,
             LoadReporting::InHealthChecks => !config.health_checks,
             LoadReporting::InAnswers => false,
         };
-        let says_no_load =
+        let is_no_load_metric =
             |metric: &LoadMetric| matches!(metric, LoadMetric::Rate | LoadMetric::Unread);
-        if nothing_is_reported || config.load_metrics.iter().all(says_no_load) {
+        if no_load_is_reported || config.load_metrics.iter().all(is_no_load_metric) {
             return node.latency;
         }
         if config.load_metrics.contains(&LoadMetric::LatencyMs) {
             let seen = node.latency.map(|micros| micros / 1e3);
             return node.reported_load.or(seen);
         }
-        // A queue of none is no free ride: a call costs a node work of its own, counted in mean requests.
-        // Queues are often all empty; then o and m would be 0 and every node alike.
+        // A call costs a node work even if its queue is empty; the fixed cost is counted in mean requests. Without
+        // it, o and m would be 0 when all queues are empty, as is common, and all nodes would look alike.
         node.reported_load.map(|queue| {
             queue
                 + self
@@ -211,7 +217,7 @@
         })
     }
 
-    /// z of the cost model: the request's hint over the mean hint, 1 without hints.
+    /// Returns z of the cost model: the request's cost hint divided by the mean hint, or 1 without hints.
     pub(super) fn relative_cost(&self, request: &ShardRequest) -> f64 {
         match (request.cost_hint, self.mean_cost_hint) {
             (Some(hint), Some(mean)) if mean > 0.0 => hint.0 as f64 / mean,
@@ -219,19 +225,20 @@
         }
     }
 
-    /// All nodes that hold a shard: those of its consecutive groups.
+    /// Returns all nodes that hold a shard: those of its consecutive shard groups.
     fn nodes_holding(&self, shard: ShardNo) -> impl Iterator<Item = &Node> {
         let groups = self.config.shard_group_count;
         let holding = self.config.groups_per_shard.min(groups);
-        let group = move |at| ShardGroupNo((shard.0 % groups + at) % groups);
+        let group = move |offset| ShardGroupNo((shard.0 % groups + offset) % groups);
         (0..holding)
-            .filter_map(move |at| self.shard_groups.get(&group(at)))
+            .filter_map(move |offset| self.shard_groups.get(&group(offset)))
             .flatten()
             .filter_map(|id| self.nodes.get(id))
     }
 
-    /// The nodes that a request may go to: those that hold its shard, are ready and may be sent more than is
-    /// `planned` for them. Those that have not been tried, if there are any.
+    /// Returns the nodes that a shard request may be sent to: those that hold its shard, are ready, have no
+    /// attempt of it in flight, and may be sent more than is already `planned` for them. If any of these have not
+    /// been tried yet, only those are returned.
     pub(super) fn eligible_nodes(
         &self,
         request: &ShardRequest,
@@ -245,10 +252,10 @@
                 .attempts
                 .iter()
                 .any(|attempt| attempt.is_in_flight() && attempt.node == id);
-            let more = planned.get(&id).copied().unwrap_or(0.0);
+            let already_planned = planned.get(&id).copied().unwrap_or(0.0);
             if node.endpoint.state == EndpointState::Ready
                 && !has_an_attempt
-                && self.slow_start_allows(node, more + cost)
+                && self.slow_start_allows(node, already_planned + cost)
             {
                 eligible.push(node);
             }
@@ -259,8 +266,8 @@
         })
     }
 
-    /// The node of least cost; among equals one of this router's zone, then by the tie breaker, which differs
-    /// from router to router: they do not all pick the same node.
+    /// Returns the node of lowest cost. Among equals, a node in this router's zone is preferred, then the tie
+    /// breaker decides, which differs between routers so that they do not all choose the same node.
     pub(super) fn cheapest<'a>(
         &self,
         nodes: &[&'a Node],
@@ -277,7 +284,7 @@
     }
 }
 
-/// Those wanted, if there are any, else all.
+/// Returns the nodes that satisfy `wanted`, or all nodes if none does.
 fn prefer(nodes: Vec<&Node>, wanted: impl Fn(&Node) -> bool) -> Vec<&Node> {
     let preferred: Vec<&Node> = nodes.iter().copied().filter(|node| wanted(node)).collect();
     if preferred.is_empty() {
--- a/src/routing/placement/tests.rs
+++ b/src/routing/placement/tests.rs
@@ -94,7 +94,7 @@
 #[test_case(3, 2, 5, true; "first group")]
 #[test_case(3, 0, 5, true; "next group, round the ring")]
 #[test_case(3, 1, 5, false; "not one of them")]
-fn a_shard_is_held_by_consecutive_groups(groups: u32, group: u32, shard: u32, query: bool) {
+fn a_shard_is_held_by_consecutive_groups(groups: u32, group: u32, shard: u32, is_held: bool) {
     let mut engine = engine_with(
         PlatformConfig {
             shard_group_count: groups,
@@ -106,7 +106,7 @@
     node(&mut engine, 1).endpoint.shard_group = ShardGroupNo(group);
     assert_eq!(
         refreshed(engine).nodes_holding(ShardNo(shard)).count() == 1,
-        query
+        is_held
     );
 }
 
--- a/src/routing/query_of_death/tests.rs
+++ b/src/routing/query_of_death/tests.rs
@@ -9,7 +9,7 @@
 #[test]
 fn the_table_of_queries_of_death_is_bounded() {
     let mut engine = engine_with(platform(), 3);
-    for id in 0..2 * MAX_KNOWN as u64 {
+    for id in 0..2 * MAX_KNOWN_QUERIES as u64 {
         let mut query = query(&engine, &[1.0], &[Some(AttemptOutcome::Broken); 2]);
         query.id = QueryId(id);
         query.placed = true;
@@ -19,18 +19,18 @@
     engine.run_rules(&mut Recorder::default());
     assert_eq!(
         (engine.queries.len(), engine.queries_of_death.len()),
-        (0, MAX_KNOWN)
+        (0, MAX_KNOWN_QUERIES)
     );
 }
 
-// Queries that bring down each node that begins a request of them.
+// A query of death crashes every node that starts one of its shard requests.
 #[test_case(&[1], false, false, false; "one node failed")]
 #[test_case(&[1, 2], false, false, true; "two nodes failed")]
 #[test_case(&[1], true, false, true; "a repeat, and one node failed")]
 #[test_case(&[1, 2], false, true, false; "a node survived it")]
 fn a_query_of_death_is_rejected(
     failed_nodes: &[u64],
-    repeat: bool,
+    is_client_retry: bool,
     survived: bool,
     rejected: bool,
 ) {
@@ -45,7 +45,7 @@
     add_query(
         &mut engine,
         Query {
-            is_client_retry: repeat,
+            is_client_retry,
             ..query
         },
     );
@@ -55,14 +55,14 @@
 
 #[test_case(true, true; "its repeat")]
 #[test_case(false, false; "a like one that is no repeat")]
-fn a_repeat_of_a_query_of_death_is_known(repeat: bool, rejected: bool) {
+fn a_repeat_of_a_query_of_death_is_known(is_client_retry: bool, rejected: bool) {
     let mut engine = engine_with(platform(), 3);
     let fresh = Query {
-        is_client_retry: repeat,
+        is_client_retry,
         ..query(&engine, &[1.0], &[])
     };
     engine.queries_of_death.push_back(KnownQueryOfDeath {
-        until: fresh.deadline,
+        expires_at: fresh.deadline,
         fingerprint: fresh.fingerprint(),
     });
     add_query(&mut engine, fresh);
@@ -73,7 +73,7 @@
 
 #[test_case(true, 1; "a canary request goes first")]
 #[test_case(false, 2; "no node has failed")]
-fn while_nodes_fail_one_gets_a_query_first(nodes_are_failing: bool, calls: usize) {
+fn while_nodes_fail_one_gets_a_query_first(nodes_are_failing: bool, attempts_sent: usize) {
     let mut engine = engine_with(
         PlatformConfig {
             shard_group_count: 2,
@@ -90,5 +90,5 @@
     query.requests[1].shard = ShardNo(1);
     add_query(&mut engine, query);
     engine.run_rules(&mut recorder);
-    assert_eq!(recorder.0.len(), calls);
+    assert_eq!(recorder.0.len(), attempts_sent);
 }
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -1,8 +1,8 @@
-//! Further attempts: retries after failures, hedged requests beside late attempts, the budget of both, and
-//! the one check that every attempt passes, [`RoutingEngine::may_send`].
+//! Further attempts: retries after failures, hedged requests for late attempts, the budget of both, and
+//! [`RoutingEngine::may_send`], the check that every attempt must pass.
 //!
-//! A request with nothing in flight is sent again, elsewhere if it can be. Hedged requests cover a single
-//! straggler or a lost request. No retry for a query that brings nodes down (`query_of_death`).
+//! A shard request without an attempt in flight is sent again, to another node if possible. Hedged requests cover a
+//! single slow node or a lost request. A query of death (`query_of_death`) is not retried.
 
 use std::collections::BTreeMap;
 
@@ -14,21 +14,22 @@
 #[cfg(test)]
 mod tests;
 
-/// An attempt is late after this many times the median latency.
+/// The multiple of the median latency after which an attempt is late.
 pub(super) const LATE_FACTOR: f64 = 4.0;
-/// Of the attempts in flight, the share that may be hedged requests.
+/// The share of the attempts in flight that may be hedged requests.
 const HEDGED_SHARE: f64 = 0.1;
-/// Attempts that never left, for want of something on this machine, that a request may have.
+/// The maximum number of attempts of a shard request that never left this machine for lack of a local resource.
 const MAX_UNSENT: usize = 16;
-/// Attempts that a request may have: their numbers are bytes on the wire.
+/// The maximum number of attempts of a shard request: attempt numbers are single bytes on the wire.
 const MAX_ATTEMPTS: usize = 255;
 
 impl RoutingEngine {
-    /// Whether the rules let a request have an attempt, first or further, now.
+    /// Whether a shard request may get an attempt now, be it the first or a further one.
     pub(super) fn may_send(&self, query: &Query, request: &ShardRequest) -> bool {
         let configured = query.config.max_attempts.or(self.config.max_attempts);
         let limit = configured.unwrap_or(MAX_ATTEMPTS).min(MAX_ATTEMPTS);
-        // What never left does not count: three attempts were gone within a millisecond of a shortage here.
+        // Attempts that never left this machine do not count: otherwise a local resource shortage used up three
+        // attempts within a millisecond.
         let counts = request.attempt_counts();
         let attempts_left = counts.sent < limit
             && counts.unsent < MAX_UNSENT
@@ -43,7 +44,7 @@
             && !self.is_soon(query.deadline)
     }
 
-    /// Whether one more attempt has no effect beyond that of the attempts before it.
+    /// Whether another attempt has no effect beyond that of the previous attempts.
     fn repeat_is_harmless(&self, query: &Query, request: &ShardRequest) -> bool {
         let first_run = request
             .attempts
@@ -52,8 +53,8 @@
             .map(|attempt| attempt.sent_at);
         match query.config.retry_semantics {
             RetrySemantics::Idempotent => true,
-            // Time for a connect and two ticks is kept back: the window is the nodes', and the attempt has
-            // yet to reach one.
+            // Time for a connect and two ticks is reserved, since the window is measured at the nodes and the
+            // attempt still has to reach one.
             RetrySemantics::Fingerprinted(window) => {
                 let usable = window.since(self.config.connect_timeout);
                 first_run.is_none_or(|first| !self.is_soon(first + usable))
@@ -62,12 +63,12 @@
         }
     }
 
-    /// Whether one more retry or hedged request fits the platform's budget, and the query's own.
+    /// Whether another retry or hedged request fits the platform's retry budget and that of the query's policy.
     fn is_within_retry_budget(&self, query: &Query) -> bool {
         let Some(window) = self.config.retry_budget_window else {
             return true;
         };
-        // At the very edge of the window an attempt may still count, an admitted query may not.
+        // Exactly at the edge of the window, an attempt may still count and an admitted query may not.
         let sent = self
             .extra_attempts
             .iter()
@@ -83,7 +84,7 @@
             && query.config.retry_budget.is_none_or(fits)
     }
 
-    /// Counts a query or request for the budget, where one is set.
+    /// Counts an admitted query or shard request for the retry budget, if one is set.
     pub(super) fn count_admitted(&mut self) {
         let Some(window) = self.config.retry_budget_window else {
             return;
@@ -95,15 +96,16 @@
         }
     }
 
-    /// A request without an attempt in flight gets one, elsewhere if it can.
+    /// Finds a shard request without an attempt in flight that is to be sent again, to another node if possible.
     pub(super) fn request_needs_retry(&self) -> Option<RuleMatch> {
         self.find_request(|query, request| {
-            let waits = request.attempts_in_flight() == 0 && request.retry_not_before <= self.now;
-            waits && (query.is_survivable() || query.in_flight_since().next().is_none())
+            let awaits_retry =
+                request.attempts_in_flight() == 0 && request.retry_not_before <= self.now;
+            awaits_retry && (query.is_survivable() || query.in_flight_since().next().is_none())
         })
     }
 
-    /// A late request holds back its query: it gets a second attempt while that may still be in time.
+    /// Finds a late shard request, which delays its query, for a second attempt that can still be in time.
     pub(super) fn request_needs_hedge(&self) -> Option<RuleMatch> {
         let median = Micros(self.statistics.median_latency? as u64);
         if self.too_many_are_hedged() {
@@ -119,9 +121,9 @@
         })
     }
 
-    /// Hedged requests are a small share of what is in flight: when everything is late, more would only add
-    /// to the load. One at a time where no budget bounds them: more cost an overloaded fleet a fifth of its
-    /// gain.
+    /// Whether no further request may be hedged. Hedged requests are limited to a small share of the attempts in
+    /// flight, since more would only add to the load when everything is late. Without a retry budget only one is
+    /// allowed at a time: more of them cost an overloaded fleet a fifth of the value of its answers.
     fn too_many_are_hedged(&self) -> bool {
         let share = self
             .config
@@ -139,12 +141,13 @@
         hedged as f64 >= (in_flight as f64 * share).max(1.0)
     }
 
-    /// The first request of a placed query that is wanted, may be sent, and has a node to go to.
+    /// Finds the first shard request of a placed query that satisfies `wanted`, may be sent, and has an eligible
+    /// node.
     fn find_request(&self, wanted: impl Fn(&Query, &ShardRequest) -> bool) -> Option<RuleMatch> {
         let mut placed = self.queries.values().filter(|query| query.placed);
         placed.find_map(|query| {
             let mut requests = query.requests.iter().enumerate();
-            requests.find_map(|(at, request)| {
+            requests.find_map(|(request_index, request)| {
                 if request.answered || !wanted(query, request) || !self.may_send(query, request) {
                     return None;
                 }
@@ -152,7 +155,7 @@
                 let node = self.cheapest(&nodes, |node| self.node_cost(node, query.index))?;
                 Some(RuleMatch {
                     query: query.id,
-                    request_index: at,
+                    request_index,
                     node: node.endpoint.node,
                     ..RuleMatch::default()
                 })
--- a/src/routing/retry/tests.rs
+++ b/src/routing/retry/tests.rs
@@ -34,7 +34,7 @@
     assert_eq!(engine.may_send(&query, &query.requests[0]), may);
 }
 
-// On sockets a repeat that waits for a connect would reach its node after the window.
+// A retry that has to wait for a connect could reach its node after the end of the window.
 #[test_case(100, 370, true; "time for a connect")]
 #[test_case(100, 390, false; "the connect would end too near the window's end")]
 #[test_case(600, 0, false; "no connect fits the window")]
@@ -85,14 +85,15 @@
     );
 }
 
-/// Requests whose canary failed are planned together, each within the budget as it stands before any is sent.
+/// After a failed canary request, the retries of several shard requests are planned together, each against the retry
+/// budget as it is before any of them is sent.
 #[test]
 fn further_attempts_that_are_planned_together_stay_within_the_budget() {
-    let spare = 2.0;
+    let retry_budget_min = 2.0;
     let window = Some(ms(5000));
     let mut engine = engine_with(
         PlatformConfig {
-            retry_budget_min: spare,
+            retry_budget_min,
             retry_budget_window: window,
             ..platform()
         },
@@ -178,7 +179,7 @@
     assert!(engine.request_needs_hedge().is_none());
 }
 
-/// A query of many requests has several late ones; without a budget, one at a time.
+/// A query with many shard requests has several late ones. Without a retry budget, they are hedged one at a time.
 #[test_case(Some(ms(5000)), 3; "under a budget, a tenth of what is in flight")]
 #[test_case(None, 1; "one at a time")]
 fn hedged_requests_are_few(window: Option<Micros>, hedged: usize) {
@@ -195,7 +196,7 @@
         .for_each(|request| request.attempts[0].sent_at = Micros(engine.now.0 - 450_000));
     add_query(&mut engine, late);
     engine.run_rules(&mut recorder);
-    let calls: Vec<ShardRequestId> = recorder
+    let sent: Vec<ShardRequestId> = recorder
         .0
         .iter()
         .filter_map(|action| match action {
@@ -203,11 +204,10 @@
             _ => None,
         })
         .collect();
-    assert_eq!(calls.len(), hedged);
+    assert_eq!(sent.len(), hedged);
 }
 
-// A policy of the fleet: stricter than the platform, never looser, and for queries that are admitted under
-// it.
+// A policy of the fleet can be stricter than the platform, never looser, and applies to queries received under it.
 #[test_case(IndexConfig { max_attempts: Some(1), ..IndexConfig::default() }, false; "no attempt beyond the first")]
 #[test_case(IndexConfig { retry_budget: Some((0.0, 0.0)), ..IndexConfig::default() }, false; "no further attempts at all")]
 #[test_case(IndexConfig { retry_budget: Some((1.0, 0.0)), ..IndexConfig::default() }, true; "a spare one")]
--- a/src/routing/shared_budget.rs
+++ b/src/routing/shared_budget.rs
@@ -1,5 +1,6 @@
-//! Two processes serve one router's share, while one takes over from the other or finishes what it has
-//! admitted: each has a share of the retry budget, and one of them sends to nodes that warm up.
+//! The split of a router's retry budget between two processes during a hot restart, while one takes over from the
+//! other or finishes the queries that it has admitted. Each process gets a share of the retry budget, and only one
+//! of them sends to nodes that are warming up.
 
 use std::collections::VecDeque;
 
@@ -10,21 +11,21 @@
 #[cfg(test)]
 mod tests;
 
-/// The whole budget, while this process serves a share of it.
+/// The settings of the whole budget, while this process uses a share of it.
 #[derive(Debug)]
 pub(super) struct SavedBudget {
     retry_budget_min: f64,
     retry_budget_ratio: f64,
     slow_start_initial_share: f64,
-    /// Retries and hedged requests that count against the whole and not against the share.
+    /// The times of retries and hedged requests that count against the whole budget but not against the share.
     extra_attempts: VecDeque<Micros>,
 }
 
 impl RoutingEngine {
-    /// Two processes serve one router's share: `spare` retries of its budget are this one's. One that only
-    /// finishes what it has admitted (`goes_on` is false) earns no more, and leaves nodes that warm up to the
-    /// other.
-    pub fn serve_share(&mut self, spare: f64, goes_on: bool) {
+    /// Limits this process to a share of the router's retry budget, with `retry_budget_min` as its minimum. A
+    /// process that only finishes what it has admitted (`admits_queries` is false) earns no further retries and
+    /// leaves nodes that are warming up to the other process.
+    pub fn serve_share(&mut self, retry_budget_min: f64, admits_queries: bool) {
         self.restore_budget();
         let config = &mut self.config;
         let mut saved = SavedBudget {
@@ -33,8 +34,8 @@
             slow_start_initial_share: config.slow_start_initial_share,
             extra_attempts: VecDeque::new(),
         };
-        config.retry_budget_min = spare;
-        if !goes_on {
+        config.retry_budget_min = retry_budget_min;
+        if !admits_queries {
             config.retry_budget_ratio = 0.0;
             config.slow_start_initial_share = 0.0;
             saved.extra_attempts = std::mem::take(&mut self.extra_attempts);
@@ -43,7 +44,8 @@
         self.statistics_are_stale = true;
     }
 
-    /// The whole share is this one's again, and nothing is in flight to nodes but its own.
+    /// Restores the whole retry budget once the other process has finished, and drops that process's attempts in
+    /// flight.
     pub fn serve_whole(&mut self) {
         for node in self.nodes.values_mut() {
             node.in_flight_elsewhere.attempts.clear();
@@ -51,7 +53,7 @@
         self.restore_budget();
     }
 
-    /// Takes back the whole budget, with all that was spent of it.
+    /// Restores the settings of the whole budget, including everything that was spent of it.
     fn restore_budget(&mut self) {
         let Some(saved) = self.saved_budget.take() else {
             return;
--- a/src/routing/shared_budget/tests.rs
+++ b/src/routing/shared_budget/tests.rs
@@ -9,7 +9,7 @@
 #[test_case(false, (2.0, 0.0, 0.0, 0); "one that finishes its queries")]
 #[test_case(true, (2.0, 0.1, 0.2, 1); "one that goes on")]
 fn a_share_of_the_budget_is_kept_and_the_whole_comes_back(
-    goes_on: bool,
+    admits_queries: bool,
     kept: (f64, f64, f64, usize),
 ) {
     let mut engine = engine_with_started_nodes(Micros(1_000_000));
@@ -17,20 +17,20 @@
     engine.config.retry_budget_ratio = 0.1;
     engine.config.slow_start_initial_share = 0.2;
     engine.extra_attempts.push_back(Micros(990_000));
-    let seen = |engine: &RoutingEngine| {
-        let of = &engine.config;
+    let budget = |engine: &RoutingEngine| {
+        let config = &engine.config;
         (
-            of.retry_budget_min,
-            of.retry_budget_ratio,
-            of.slow_start_initial_share,
+            config.retry_budget_min,
+            config.retry_budget_ratio,
+            config.slow_start_initial_share,
             engine.extra_attempts.len(),
         )
     };
-    engine.serve_share(4.0, goes_on);
-    engine.serve_share(2.0, goes_on);
-    assert_eq!(seen(&engine), kept);
+    engine.serve_share(4.0, admits_queries);
+    engine.serve_share(2.0, admits_queries);
+    assert_eq!(budget(&engine), kept);
     engine.extra_attempts.push_back(Micros(1_000_000));
     engine.serve_whole();
     engine.serve_whole();
-    assert_eq!(seen(&engine), (8.0, 0.1, 0.2, 2));
+    assert_eq!(budget(&engine), (8.0, 0.1, 0.2, 2));
 }
--- a/src/routing/slow_start/tests.rs
+++ b/src/routing/slow_start/tests.rs
@@ -7,12 +7,12 @@
 use crate::routing::test_support::*;
 use crate::types::*;
 
-// A core does ten requests of 100 ms a second; a quarter of twice that, less a tenth, is 4.5.
+// A core serves ten requests of 100 ms per second. A quarter of twice that, minus a tenth, is 4.5.
 
 #[test_case(1, 4, true; "within the allowance")]
 #[test_case(1, 5, false; "beyond it")]
 #[test_case(2, 3, false; "beyond one router's share of it")]
-fn a_cold_node_gets_its_allowance(routers: u32, requests: u32, room: bool) {
+fn a_cold_node_gets_its_allowance(routers: u32, requests: u32, allowed: bool) {
     let mut engine = engine_with(
         PlatformConfig {
             router_count: routers.into(),
@@ -23,11 +23,14 @@
     let now = engine.now;
     node(&mut engine, 1).started.by_local_clock = now;
     node(&mut engine, 1).recent_sends = (1..requests)
-        .map(|_| RecentSend { at: now, cost: 1.0 })
+        .map(|_| RecentSend {
+            sent_at: now,
+            cost: 1.0,
+        })
         .collect();
     assert_eq!(
         engine.slow_start_allows(&engine.nodes[&NodeId(1)], 1.0),
-        room
+        allowed
     );
 }
 
@@ -38,7 +41,10 @@
     node(&mut engine, 1).started.by_local_clock = Micros(now.0 - ms(10_000).0 + 1);
     engine.now += ms(1);
     node(&mut engine, 1).recent_sends = (1..100)
-        .map(|_| RecentSend { at: now, cost: 1.0 })
+        .map(|_| RecentSend {
+            sent_at: now,
+            cost: 1.0,
+        })
         .collect();
     assert!(engine.slow_start_allows(&engine.nodes[&NodeId(1)], 1.0));
 }
@@ -55,7 +61,7 @@
 
 #[test_case(0, false; "another router's turn")]
 #[test_case(2, true; "its turn")]
-fn many_routers_take_turns_at_a_cold_node(seconds: u64, room: bool) {
+fn many_routers_take_turns_at_a_cold_node(seconds: u64, allowed: bool) {
     let mut engine = engine_with(
         PlatformConfig {
             router_count: 10.0,
@@ -69,13 +75,13 @@
     engine.now += ms(seconds * 1000);
     assert_eq!(
         engine.slow_start_allows(&engine.nodes[&NodeId(1)], 1.0),
-        room
+        allowed
     );
 }
 
-/// What each of so many routers sends to one node that starts cold, as often as it may: routers hear of the
-/// start late, and all at once, or have themselves just started and know nothing of what they sent. Every
-/// window of the rule is counted.
+/// Guards against many routers together overloading one node that has just started. Each router sends as much as
+/// it is allowed to. The routers are all notified of the start at the same time, possibly late, or have themselves
+/// been restarted and do not know what they sent. The load is checked in every window of the platform's rule.
 #[test_case(20, 1.5, false; "twenty, notified late")]
 #[test_case(30, 1.5, false; "thirty, notified late")]
 #[test_case(300, 1.5, false; "three hundred, notified late")]
@@ -83,12 +89,16 @@
 #[test_case(3, 0.0, true; "three, restarted meanwhile")]
 #[test_case(20, 1.5, true; "twenty, restarted meanwhile")]
 #[test_case(300, 1.5, true; "three hundred, restarted meanwhile")]
-fn a_cold_node_bears_the_sum_of_what_all_routers_send(routers: usize, late: f64, restart: bool) {
-    let mut all = 0;
+fn a_cold_node_bears_the_sum_of_what_all_routers_send(
+    routers: usize,
+    notified_after_s: f64,
+    restart: bool,
+) {
+    let mut total = 0;
     for seed in 0..40 {
         let mut fleet = RouterFleet::new(routers, seed);
         let began = fleet.engines[0].now;
-        let notified_at = began + ms((late * 1000.0) as u64);
+        let notified_at = began + ms((notified_after_s * 1000.0) as u64);
         let mut sent: Vec<u64> = Vec::new();
         for step in 0..400u64 {
             let now = notified_at + ms(step * 10);
@@ -100,16 +110,16 @@
                 sent.extend(fleet.send_all_that_is_allowed(router, now));
             }
         }
-        assert_every_window_is_borne(seed, &fleet.engines[0], began, &sent);
-        all += sent.len();
+        assert_no_window_is_overloaded(seed, &fleet.engines[0], began, &sent);
+        total += sent.len();
     }
     assert!(
-        all > 40 * 4 * 4,
-        "it is used: {all} requests in 40 times four seconds"
+        total > 40 * 4 * 4,
+        "the allowance is hardly used: {total} requests in 40 runs of four seconds"
     );
 }
 
-/// Routers that share one node.
+/// A number of routers that share one node.
 struct RouterFleet {
     random: RandomSource,
     engines: Vec<RoutingEngine>,
@@ -145,7 +155,7 @@
         self.engines[router] = engine;
     }
 
-    /// Tells a router of the node's start, unless it knows.
+    /// Notifies a router of the node's start, unless it is known already.
     fn notify_of_start(&mut self, router: usize, started_at: Micros, now: Micros) {
         let engine = &mut self.engines[router];
         if node(engine, 1).endpoint.started_at == started_at {
@@ -158,17 +168,20 @@
         };
         let statistics = engine.statistics;
         engine.endpoints_changed(now, &[endpoint], true, &mut Recorder::default());
-        // Other nodes, warm ones, have shown the latency.
+        // The statistics stand for the answers of other, warm nodes.
         engine.statistics = statistics;
     }
 
-    /// The times of what a router sends now.
+    /// Sends as many requests as the router is allowed to send now, and returns their times.
     fn send_all_that_is_allowed(&mut self, router: usize, now: Micros) -> Vec<u64> {
         let engine = &mut self.engines[router];
         engine.now = now;
         let mut sent = Vec::new();
         while engine.slow_start_allows(&engine.nodes[&NodeId(1)], 1.0) {
-            let send = RecentSend { at: now, cost: 1.0 };
+            let send = RecentSend {
+                sent_at: now,
+                cost: 1.0,
+            };
             node(engine, 1).recent_sends.push_back(send);
             sent.push(now.0);
         }
@@ -176,23 +189,23 @@
     }
 }
 
-fn assert_every_window_is_borne(seed: u64, engine: &RoutingEngine, began: Micros, sent: &[u64]) {
+fn assert_no_window_is_overloaded(seed: u64, engine: &RoutingEngine, began: Micros, sent: &[u64]) {
     let window = engine.config.overload_window.0;
-    for (at, first) in sent.iter().enumerate() {
-        let count = sent[at..]
+    for (position, first) in sent.iter().enumerate() {
+        let count = sent[position..]
             .iter()
             .take_while(|other| **other < first + window)
             .count() as f64;
-        // What the node surely bears as the window begins: its cold share, and what it has gained by then.
+        // What the node is guaranteed to tolerate when the window begins: its initial share plus the warm-up so far.
         let age = (first - began.0) as f64 / platform().slow_start_duration.0 as f64;
         let warm_share =
             platform().slow_start_initial_share + (1.0 - platform().slow_start_initial_share) * age;
-        let bears = platform().overload_multiple * warm_share * window as f64 / 1e6
+        let tolerated = platform().overload_multiple * warm_share * window as f64 / 1e6
             * engine.statistics.warm_rate;
-        let most = bears + 2.0 * bears.sqrt() + 2.0;
+        let limit = tolerated + 2.0 * tolerated.sqrt() + 2.0;
         assert!(
-            count <= most,
-            "seed {seed}: {count} in a window at {age:.2}, {bears:.1} are borne"
+            count <= limit,
+            "seed {seed}: {count} requests in the window at {age:.2} of the warm-up, expected at most {limit:.1}"
         );
     }
 }
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -1,8 +1,9 @@
-//! What an engine has learnt, for another process that goes on in its place. All times are ages or times
-//! ahead in microseconds, so that another clock can take them in; a reader that lacks a field does as after a
-//! plain start.
+//! Snapshots of the state that an engine has learnt, for another process that takes its place.
 //!
-//! The fields are stored: their order is frozen.
+//! All times are ages, or durations from now, in microseconds, so that a process with another clock can use them.
+//! If a field is absent, the reader behaves as after a start without a snapshot.
+//!
+//! The fields are stored: their order and their serialized names are frozen.
 
 use std::collections::VecDeque;
 
@@ -19,70 +20,73 @@
 #[cfg(test)]
 mod tests;
 
-/// What is known of one node.
+/// The state learnt about one node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeSnapshot {
-    /// Its last start by the endpoint list, microseconds of Unix time. Another start: nothing else here
-    /// holds.
+    /// The node's last start according to the endpoint list, in microseconds of Unix time. If the reader knows
+    /// another start, it ignores the other fields.
     pub started: u64,
-    /// Smoothed load report (milliseconds or requests). Without it: the mean.
+    /// The smoothed load report (milliseconds or requests). If absent, the node counts as having the mean load.
     #[serde(rename = "report")]
     pub reported_load: Option<f64>,
-    /// The highest reported rate, requests a second.
+    /// The highest reported rate, in requests per second.
     #[serde(rename = "best_rate")]
     pub max_reported_rate: f64,
-    /// Smoothed answer latency, microseconds. Without it: the median node's.
+    /// The smoothed answer latency, in microseconds. If absent, that of the median node is assumed.
     pub latency: Option<f64>,
-    /// Age of that.
+    /// The age of `latency`.
     #[serde(rename = "seen")]
     pub latency_age: u64,
-    /// By index: share failed, microseconds lost, ages of the last change and the last answer. Without:
-    /// healthy.
+    /// For each index: the share of failed attempts, the microseconds lost, and the ages of the last update and
+    /// the last answer. If absent, the node counts as healthy.
     #[serde(rename = "standings")]
     pub index_health: Vec<(f64, f64, u64, u64)>,
-    /// Smoothed latency for each request in flight, microseconds.
+    /// The smoothed latency divided by the number of requests in flight, in microseconds.
     #[serde(rename = "pace")]
     pub latency_per_request: Option<f64>,
-    /// The index for which it is suspected.
+    /// The index for which the node is suspected.
     #[serde(rename = "doubted")]
     pub suspected_for: Option<u8>,
-    /// Ages and costs of requests sent within a warm-up. Without it a cold node may get its allowance twice.
+    /// The ages and costs of requests sent within the duration of slow start. If absent, a cold node may get its
+    /// allowance twice.
     #[serde(rename = "sends")]
     pub recent_sends: Vec<(u64, f64)>,
-    /// Attempts in flight: index, age, cost and depth. Without it: the node counts as idle, and one that
-    /// hangs as healthy.
+    /// The index, age, cost and depth of each attempt in flight. If absent, the node counts as idle, and a hung
+    /// node as healthy.
     #[serde(rename = "out")]
     pub in_flight: Vec<(u8, u64, f64, f64)>,
 }
 
-/// All that was learnt, nodes by whatever number the writer gave them.
+/// The state that an engine has learnt. Nodes are identified by the writer's own numbers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineSnapshot {
-    /// What is known of each node.
+    /// The state learnt about each node.
     pub nodes: Vec<(u64, NodeSnapshot)>,
-    /// Smoothed cost hint of a request, microseconds.
+    /// The smoothed cost hint of a shard request, in microseconds.
     #[serde(rename = "mean_hint")]
     pub mean_cost_hint: Option<f64>,
-    /// By customer: queries left within its quota, and the age of that count. Without it: a new quota.
+    /// For each customer, the queries left within its quota and the age of that count. If absent, the quota starts
+    /// anew.
     pub quota_left: Vec<(f64, u64)>,
-    /// Ages of what was admitted within the retry budget's window. Without: a budget of none.
+    /// The ages of queries and shard requests admitted within the retry budget's window. If absent, the budget
+    /// counts none.
     #[serde(rename = "taken")]
     pub admitted: Vec<u64>,
-    /// Ages of the retries and hedged requests sent within it.
+    /// The ages of the retries and hedged requests sent within that window.
     #[serde(rename = "extras")]
     pub extra_attempts: Vec<u64>,
-    /// Age of the last failure of a node.
+    /// The age of the last failure of a node.
     #[serde(rename = "alarm")]
     pub last_node_failure: Option<u64>,
-    /// Queries of death: time ahead until which they are known, index, customer, shards. Without: learnt by
-    /// further failures.
+    /// For each known query of death, the time until it expires, its index, customer and shards. If absent, they
+    /// are learnt again through further failures.
     #[serde(rename = "fatal")]
     pub queries_of_death: Vec<(u64, u8, u16, Vec<u32>)>,
-    /// The settings that these figures rest on, for one that reads them under others. Without: the same
-    /// settings.
+    /// The settings that the figures depend on, for a reader that may use other settings. If absent, the reader
+    /// assumes that they are the same.
     #[serde(default, rename = "terms")]
     pub settings: Option<String>,
-    /// Age of the last shed query, while queries are shed.
+    /// The age of the last shed query, while load shedding is active.
     #[serde(rename = "shed")]
     pub last_shed: Option<u64>,
 }
@@ -90,16 +94,22 @@
 impl NodeSnapshot {
     fn of(node: &Node, now: Micros) -> NodeSnapshot {
         let age = |at: Micros| now.since(at).0;
-        let health = |of: &IndexHealth| {
+        let health = |health: &IndexHealth| {
+            (
+                health.failure_rate,
+                health.failure_cost,
+                age(health.updated_at),
+                age(health.last_answer),
+            )
+        };
+        let in_flight = |attempt: &InFlightAttempt| {
             (
-                of.failure_rate,
-                of.failure_cost,
-                age(of.updated_at),
-                age(of.last_answer),
+                attempt.index.0,
+                age(attempt.sent_at),
+                attempt.relative_cost,
+                attempt.depth_when_sent,
             )
         };
-        let in_flight =
-            |of: &InFlightAttempt| (of.index.0, age(of.sent_at), of.z, of.depth_when_sent);
         NodeSnapshot {
             started: node.endpoint.started_at.0,
             reported_load: node.reported_load,
@@ -112,7 +122,7 @@
             recent_sends: node
                 .recent_sends
                 .iter()
-                .map(|send| (age(send.at), send.cost))
+                .map(|send| (age(send.sent_at), send.cost))
                 .collect(),
             in_flight: node
                 .all_in_flight(now)
@@ -121,8 +131,7 @@
         }
     }
 
-    /// Takes on what was known of the same start of the same node. Figures that make no sense are passed
-    /// over.
+    /// Restores the state of the same start of the same node. Invalid figures are ignored.
     fn apply_to(&self, node: &mut Node, now: Micros) {
         let at = |age: u64| now.since(Micros(age));
         let health = |&(rate, cost, updated, answered): &(f64, f64, u64, u64)| IndexHealth {
@@ -141,10 +150,13 @@
         node.recent_sends = self
             .recent_sends
             .iter()
-            .map(|&(age, cost)| RecentSend { at: at(age), cost })
+            .map(|&(age, cost)| RecentSend {
+                sent_at: at(age),
+                cost,
+            })
             .collect();
-        // How these end, this process does not learn; an age that went on would make a node suspected that
-        // has answered.
+        // This process does not learn how these attempts end. If their ages kept growing, a node that has answered
+        // would become suspected.
         node.in_flight_elsewhere = InFlightElsewhere {
             reported_at: now,
             attempts: self
@@ -154,7 +166,7 @@
                 .map(|&(index, age, cost, depth)| InFlightAttempt {
                     index: IndexNo(index),
                     sent_at: at(age),
-                    z: cost,
+                    relative_cost: cost,
                     depth_when_sent: depth,
                     ..InFlightAttempt::default()
                 })
@@ -168,14 +180,14 @@
 }
 
 impl RoutingEngine {
-    /// What this engine has learnt.
+    /// Returns the state that this engine has learnt.
     pub fn snapshot(&self, now: Micros) -> EngineSnapshot {
         let age = |at: &Micros| now.since(*at).0;
         let ages = |times: &VecDeque<Micros>| times.iter().map(age).collect();
         let known_query = |known: &KnownQueryOfDeath| {
             let shards = &known.fingerprint.shards;
             (
-                known.until.since(now).0,
+                known.expires_at.since(now).0,
                 known.fingerprint.index.0,
                 known.fingerprint.customer.0,
                 shards.iter().map(|shard| shard.0).collect(),
@@ -202,45 +214,46 @@
         }
     }
 
-    /// Takes on what another engine has learnt about the nodes that the endpoint list has named, by this
-    /// engine's numbers. What is said of others, or of another start of a node, is passed over. Returns how
-    /// many nodes were taken.
-    pub fn restore(&mut self, now: Micros, of: &EngineSnapshot) -> usize {
+    /// Restores the state learnt by another engine. The snapshot must identify nodes by this engine's numbers.
+    /// Entries for nodes that the endpoint list has not named, or for another start of a node, are ignored.
+    /// Returns the number of nodes restored.
+    pub fn restore(&mut self, now: Micros, snapshot: &EngineSnapshot) -> usize {
         self.now = now;
-        // What was sent to nodes that warm up is known from here on, as if this process had been there.
+        // The snapshot contains what was sent to nodes that are warming up, so this process does not count as just
+        // started.
         self.first_list_at = Some(Micros(0));
-        let of = &self.applicable(of);
-        let taken = self.restore_nodes(of);
+        let snapshot = &self.applicable(snapshot);
+        let restored = self.restore_nodes(snapshot);
         let at = |age: &u64| now.since(Micros(*age));
-        self.mean_cost_hint = of
+        self.mean_cost_hint = snapshot
             .mean_cost_hint
             .filter(|hint| hint.is_finite() && *hint > 0.0);
-        for (own, (queries, age)) in self.quota_left.iter_mut().zip(&of.quota_left) {
+        for (own, (queries, age)) in self.quota_left.iter_mut().zip(&snapshot.quota_left) {
             own.queries = *queries;
             own.counted_at = at(age);
         }
-        self.admitted = of.admitted.iter().map(at).collect();
-        self.extra_attempts = of.extra_attempts.iter().map(at).collect();
-        self.last_node_failure = of.last_node_failure.as_ref().map(at);
-        self.last_shed = of.last_shed.as_ref().map(at);
+        self.admitted = snapshot.admitted.iter().map(at).collect();
+        self.extra_attempts = snapshot.extra_attempts.iter().map(at).collect();
+        self.last_node_failure = snapshot.last_node_failure.as_ref().map(at);
+        self.last_shed = snapshot.last_shed.as_ref().map(at);
         let known_query =
             |(ahead, index, customer, shards): &(u64, u8, u16, Vec<u32>)| KnownQueryOfDeath {
-                until: now + Micros(*ahead),
+                expires_at: now + Micros(*ahead),
                 fingerprint: QueryFingerprint {
                     index: IndexNo(*index),
                     customer: CustomerNo(*customer),
                     shards: shards.iter().map(|shard| ShardNo(*shard)).collect(),
                 },
             };
-        self.queries_of_death = of.queries_of_death.iter().map(known_query).collect();
+        self.queries_of_death = snapshot.queries_of_death.iter().map(known_query).collect();
         self.statistics_are_stale = true;
-        taken
+        restored
     }
 
-    fn restore_nodes(&mut self, of: &EngineSnapshot) -> usize {
+    fn restore_nodes(&mut self, snapshot: &EngineSnapshot) -> usize {
         let indexes = self.config.indexes.len();
-        let mut taken = 0;
-        for (id, known) in &of.nodes {
+        let mut restored = 0;
+        for (id, known) in &snapshot.nodes {
             let id = NodeId(*id);
             let node = self
                 .nodes
@@ -254,19 +267,20 @@
             if node.suspected_for.is_some() || has_in_flight {
                 self.monitored.insert(id);
             }
-            taken += 1;
+            restored += 1;
         }
-        taken
+        restored
     }
 
-    /// What of another's snapshot means the same here. Under other indexes, customers, metrics or shards what
-    /// was learnt by them starts anew; how nodes answer, what they were sent, and what was spent go on.
-    fn applicable(&self, of: &EngineSnapshot) -> EngineSnapshot {
-        let settings = of.settings.as_ref();
+    /// Returns the part of another engine's snapshot that has the same meaning under this engine's settings. If
+    /// the indexes, customers, metrics or shards differ, the state that depends on them is dropped. The latencies
+    /// of nodes, what was sent to them, and what was spent of the retry budget are kept.
+    fn applicable(&self, snapshot: &EngineSnapshot) -> EngineSnapshot {
+        let settings = snapshot.settings.as_ref();
         if settings.is_none_or(|settings| *settings == self.settings_text()) {
-            return of.clone();
+            return snapshot.clone();
         }
-        let mut nodes = of.nodes.clone();
+        let mut nodes = snapshot.nodes.clone();
         for (_, node) in &mut nodes {
             node.reported_load = None;
             node.max_reported_rate = 0.0;
@@ -275,14 +289,15 @@
         }
         EngineSnapshot {
             nodes,
-            admitted: of.admitted.clone(),
-            extra_attempts: of.extra_attempts.clone(),
-            last_node_failure: of.last_node_failure,
+            admitted: snapshot.admitted.clone(),
+            extra_attempts: snapshot.extra_attempts.clone(),
+            last_node_failure: snapshot.last_node_failure,
             ..EngineSnapshot::default()
         }
     }
 
-    /// The settings that a snapshot rests on, as text that is stored: names in its `Debug` output are frozen.
+    /// Returns the settings that a snapshot depends on as text. The text is stored, so the names in its `Debug`
+    /// output are frozen.
     fn settings_text(&self) -> String {
         let config = &self.config;
         let rows: Vec<_> = config
--- a/src/routing/snapshot/tests.rs
+++ b/src/routing/snapshot/tests.rs
@@ -11,12 +11,12 @@
     let here = Micros(900_000_000);
     let there = Micros(2_000_000_000);
     let mut old = engine_with_started_nodes(here);
-    let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
+    let node = old.nodes.get_mut(&NodeId(2)).expect("node 2");
     node.latency = Some(4000.0);
     node.latency_per_request = Some(1000.0);
     node.latency_updated_at = Micros(here.0 - 7_000);
     node.recent_sends.push_back(RecentSend {
-        at: Micros(here.0 - 50_000),
+        sent_at: Micros(here.0 - 50_000),
         cost: 2.0,
     });
     node.index_health = vec![IndexHealth {
@@ -27,7 +27,7 @@
     }];
     let attempt = InFlightAttempt {
         sent_at: Micros(here.0 - 80),
-        z: 1.5,
+        relative_cost: 1.5,
         depth_when_sent: 3.0,
         ..InFlightAttempt::default()
     };
@@ -36,7 +36,7 @@
     old.config.indexes = vec![Default::default()];
     old.extra_attempts.push_back(Micros(here.0 - 1000));
     old.queries_of_death.push_back(KnownQueryOfDeath {
-        until: here + Micros(5_000_000),
+        expires_at: here + Micros(5_000_000),
         fingerprint: QueryFingerprint {
             index: IndexNo(0),
             customer: CustomerNo(0),
@@ -51,11 +51,14 @@
     assert_eq!(
         new.nodes[&NodeId(2)].recent_sends[0],
         RecentSend {
-            at: Micros(there.0 - 50_000),
+            sent_at: Micros(there.0 - 50_000),
             cost: 2.0
         }
     );
-    assert_eq!(new.queries_of_death[0].until, there + Micros(5_000_000));
+    assert_eq!(
+        new.queries_of_death[0].expires_at,
+        there + Micros(5_000_000)
+    );
 }
 
 #[test_case(0, 2.0, 300_000.0; "as old as when it was reported")]
@@ -93,9 +96,9 @@
     assert_eq!(seen(&new), (0.0, 0.0));
 }
 
-/// The first seconds under a configuration with other indexes: a node that failed one is not suspected for
-/// another that has its number, one that warms up gets no allowance twice, and no share of the retry budget
-/// is spent twice.
+/// Guards the first seconds under a configuration with other indexes: a node that failed one index must not be
+/// suspected for another index with the same number, a node that is warming up must not get its allowance twice,
+/// and no part of the retry budget may be spent twice.
 #[test_case(true, (Some(4000.0), Some(90.0), 1, 1, 1, 1); "the same settings")]
 #[test_case(false, (Some(4000.0), None, 0, 1, 1, 0); "other settings")]
 fn what_means_the_same_is_kept_under_other_settings(
@@ -105,7 +108,7 @@
     let now = Micros(900_000_000);
     let mut old = engine_with_started_nodes(now);
     old.config.indexes = vec![Default::default()];
-    let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
+    let node = old.nodes.get_mut(&NodeId(2)).expect("node 2");
     node.latency = Some(4000.0);
     node.reported_load = Some(90.0);
     node.index_health = vec![IndexHealth {
@@ -113,11 +116,13 @@
         failure_cost: 1e6,
         ..IndexHealth::default()
     }];
-    node.recent_sends
-        .push_back(RecentSend { at: now, cost: 2.0 });
+    node.recent_sends.push_back(RecentSend {
+        sent_at: now,
+        cost: 2.0,
+    });
     old.extra_attempts.push_back(now);
     old.queries_of_death.push_back(KnownQueryOfDeath {
-        until: now + Micros(5_000_000),
+        expires_at: now + Micros(5_000_000),
         fingerprint: QueryFingerprint {
             index: IndexNo(0),
             customer: CustomerNo(0),
--- a/src/routing/statistics.rs
+++ b/src/routing/statistics.rs
@@ -1,5 +1,5 @@
-//! Figures of the whole fleet, with which single nodes are compared. Computed anew before rules run if what
-//! they rest on has changed.
+//! Fleet-wide figures that single nodes are compared with. They are recomputed before the rules run if their inputs
+//! have changed.
 
 use crate::types::{EndpointState, LoadMetric};
 
@@ -8,32 +8,32 @@
 #[cfg(test)]
 mod tests;
 
-/// m over mean o (see `placement`): nodes do a few requests at a time, so one more costs nearly as much as a
-/// call.
+/// The ratio of m to the mean o (see `placement`). Nodes process few requests at a time, so another request costs
+/// nearly as much as a call.
 const REQUEST_COST_RATIO: f64 = 0.8;
 
-/// The fleet's figures at one moment, over its ready nodes.
+/// Figures over all ready nodes at one moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FleetStatistics {
-    /// Mean of the nodes' cost (o of the cost model), in the unit of the load reports.
+    /// The mean cost of the nodes (o of the cost model), in the unit of the load reports.
     pub(super) mean_node_cost: f64,
-    /// What one more request of the mean cost adds (m of the cost model), in the same unit.
+    /// The cost that another request of the mean cost adds (m of the cost model), in the same unit.
     pub(super) request_cost: f64,
-    /// The median node's answer latency, in microseconds.
+    /// The answer latency of the median node, in microseconds.
     pub(super) median_latency: Option<f64>,
-    /// The median node's answer latency for each request in flight, in microseconds.
+    /// The median over the nodes of the answer latency per request in flight, in microseconds.
     pub(super) median_latency_per_request: f64,
-    /// Requests a second that a warm node surely does.
+    /// The number of requests per second that a warm node is sure to serve.
     pub(super) warm_rate: f64,
 }
 
-/// What is known of each ready node, as far as it is known.
+/// The known figures of all ready nodes.
 #[derive(Default)]
 struct Samples {
     costs: Vec<f64>,
     latencies_per_request: Vec<f64>,
     latencies: Vec<f64>,
-    /// Time of one request, in microseconds.
+    /// The time that one request takes, in microseconds.
     work: Vec<f64>,
     rates: Vec<f64>,
 }
@@ -47,7 +47,8 @@
         } else {
             costs.iter().sum::<f64>() / costs.len() as f64
         };
-        // What a warm node surely does: one core's work, or the median reported rate; a few are always odd.
+        // A warm node is sure to serve the work of one core or, if that is more, the median reported rate. The
+        // median is used because a few nodes always report unusual rates.
         let work = self
             .mean_cost_hint
             .or_else(|| median(samples.work))
@@ -62,7 +63,8 @@
         }
     }
 
-    /// One walk: at thousands of nodes it is most of what a decision costs.
+    /// Collects all figures in a single pass over the nodes, which is most of the cost of a decision with
+    /// thousands of nodes.
     fn sample_ready_nodes(&self) -> Samples {
         let latency_is_reported = self.config.load_metrics.contains(&LoadMetric::LatencyMs);
         let mut samples = Samples::default();
@@ -87,7 +89,7 @@
     }
 }
 
-/// The upper median.
+/// Returns the upper median.
 fn median(mut figures: Vec<f64>) -> Option<f64> {
     let middle = figures.len() / 2;
     (!figures.is_empty()).then(|| *figures.select_nth_unstable_by(middle, f64::total_cmp).1)
--- a/src/routing/statistics/tests.rs
+++ b/src/routing/statistics/tests.rs
@@ -4,8 +4,8 @@
 use crate::routing::test_support::*;
 use crate::types::*;
 
-/// Taken into account only with the next answer or list, it made the share of a cold node leap at all routers
-/// together.
+/// When the first hint took effect only with the next answer or list, the slow-start share of a cold node jumped
+/// at all routers at the same time.
 #[test]
 fn the_first_cost_hint_counts_at_once() {
     let mut engine = RoutingEngine::new(platform(), 1);
--- a/src/routing/test_support.rs
+++ b/src/routing/test_support.rs
@@ -1,4 +1,4 @@
-//! State for the private tests, and a recorder of what the engine did.
+//! Test fixtures for the unit tests, and a recorder of the engine's actions.
 
 use crate::actions::Actions;
 use crate::types::*;
@@ -61,7 +61,8 @@
     Micros(n * 1000)
 }
 
-/// One shard group, one index: latency objective 1 s, complete answers only, reports of latency.
+/// A platform with one shard group and one index: latency objective 1 s, complete answers only, load reports with
+/// latency.
 pub(super) fn platform() -> PlatformConfig {
     let index = IndexConfig {
         latency_objective: ms(1000),
@@ -87,7 +88,7 @@
     }
 }
 
-/// An engine at 10 s, with nodes 1 to `nodes` that all report 100 ms and answer in 100 ms.
+/// An engine at time 10 s, with nodes 1 to `nodes` that all report 100 ms and answer in 100 ms.
 pub(super) fn engine_with(config: PlatformConfig, nodes: u64) -> RoutingEngine {
     let mut engine = RoutingEngine::new(config, 1);
     engine.now = ms(10_000);
@@ -107,7 +108,7 @@
     refreshed(engine)
 }
 
-/// An engine at `now` with nodes 1 to 3, of which it knows their starts alone, and a quota of five queries.
+/// An engine at time `now` with nodes 1 to 3, of which it knows only the start times, and a quota of five queries.
 pub(super) fn engine_with_started_nodes(now: Micros) -> RoutingEngine {
     let config = PlatformConfig {
         quotas: vec![5.0],
@@ -130,7 +131,7 @@
     engine
 }
 
-/// The engine with its statistics computed anew.
+/// The engine with its shard groups and statistics recomputed.
 pub(super) fn refreshed(mut engine: RoutingEngine) -> RoutingEngine {
     engine.rebuild_shard_groups();
     engine.refresh_statistics();
@@ -144,7 +145,7 @@
         .expect("a node of the engine")
 }
 
-/// The nodes to which so many requests of one query are planned.
+/// The nodes chosen for a query of `requests` shard requests.
 pub(super) fn placed_nodes(engine: RoutingEngine, requests: usize) -> Vec<u64> {
     let engine = refreshed(engine);
     let query = query(&engine, &vec![1.0 / requests as f64; requests], &[]);
@@ -156,8 +157,8 @@
         .collect()
 }
 
-/// Query 1 with requests 1 to n of the weights given; each has had attempts that ended as given, all to node
-/// 1 a moment ago.
+/// Query 1 with one shard request for each of `weights`, numbered from 1. Each request has had attempts with the
+/// given outcomes, all sent just now to node 1.
 pub(super) fn query(
     engine: &RoutingEngine,
     weights: &[f64],
@@ -193,14 +194,14 @@
     engine.queries.insert(query.id, query);
 }
 
-/// Adds requests that have been in flight to a node for so long.
+/// Adds `requests` attempts that have been in flight to a node for `age`.
 pub(super) fn add_in_flight(engine: &mut RoutingEngine, id: u64, requests: u64, age: Micros) {
     engine.monitored.insert(NodeId(id));
     let sent_at = Micros(engine.now.0 - age.0);
     for number in 0..requests {
         let attempt = InFlightAttempt {
             sent_at,
-            z: 1.0,
+            relative_cost: 1.0,
             depth_when_sent: 1.0,
             ..InFlightAttempt::default()
         };
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -5,7 +5,8 @@
 use crate::routing::test_support::*;
 use crate::types::*;
 
-// Odd input: the process stays alive, and the query gets one final answer before its client leaves.
+// On unusual input the process keeps running, and the query gets exactly one final answer before its client stops
+// waiting.
 #[test_case(1, 1, 0, 3000; "a plain query and no time")]
 #[test_case(1, 1, 1000, 0; "no node at all")]
 #[test_case(1, u32::MAX, 1000, 3000; "a shard out of range, thousands of nodes")]
--- a/src/shutdown/tests.rs
+++ b/src/shutdown/tests.rs
@@ -8,7 +8,8 @@
     (at.0 - REQUESTED_AT.0) / MS
 }
 
-/// The kill may come 0.7 s and the longest deadline after the signal, counted as 3 s where it is longer or not known.
+/// The kill may come 0.7 s plus the longest deadline after the signal. A deadline that is unknown or longer than 3 s
+/// counts as 3 s.
 #[test_case(Some(1900), 2600)]
 #[test_case(Some(3000), 3700)]
 #[test_case(Some(8000), 3700; "a longer one")]
@@ -20,7 +21,7 @@
     assert!(schedule.answers_by < schedule.exit_by && after(schedule.exit_by) < kill);
 }
 
-/// Very short deadlines leave no room for the whole spare time; half of it is left for answers.
+/// A very short deadline leaves no room for the whole reserve, so half of the deadline remains for answers.
 #[test]
 fn very_short_deadlines_keep_their_order() {
     let schedule = ShutdownSchedule::new(REQUESTED_AT, Some(Micros(100 * MS)));
--- a/src/start_time/tests.rs
+++ b/src/start_time/tests.rs
@@ -10,7 +10,7 @@
     Micros(NOW.0 - ago)
 }
 
-/// The last endpoint list came to this router 2 s ago; the node really started 1 s ago.
+/// This router received the last endpoint list 2 s ago; the node actually started 1 s ago.
 #[test_case(at(S), at(S); "clocks agree")]
 #[test_case(at(HOUR), at(2 * S); "this machine's clock is an hour ahead")]
 #[test_case(Micros(NOW.0 + HOUR), NOW; "this machine's clock is an hour behind")]
@@ -19,18 +19,19 @@
     claimed: Micros,
     started: Micros,
 ) {
-    let mut of = StartTime::default();
-    assert!(of.observe(claimed, NOW, at(2 * S)));
-    assert_eq!(of.by_local_clock, started);
+    let mut start = StartTime::default();
+    assert!(start.observe(claimed, NOW, at(2 * S)));
+    assert_eq!(start.by_local_clock, started);
 }
 
-/// In the first list the newest start may be this moment's; others are as much older as they claim to be, by the same clock.
+/// In the first list the newest start may have happened just now. The other nodes are older by the difference of
+/// their claims, which are made by the same clock.
 #[test_case(at(HOUR), at(HOUR), NOW; "the newest, of a clock an hour behind or of an hour ago")]
 #[test_case(at(HOUR + 5 * S), at(HOUR), at(5 * S); "five seconds older than the newest")]
 #[test_case(at(HOUR), at(0), at(HOUR); "an hour older than the newest")]
 fn the_first_list_tells_ages_among_nodes(claimed: Micros, newest: Micros, earliest: Micros) {
-    assert_eq!(not_before(None, NOW, claimed, newest), earliest);
-    assert_eq!(not_before(Some(at(S)), NOW, claimed, newest), at(S));
+    assert_eq!(earliest_start(None, NOW, claimed, newest), earliest);
+    assert_eq!(earliest_start(Some(at(S)), NOW, claimed, newest), at(S));
 }
 
 #[test]
@@ -43,50 +44,51 @@
     assert_eq!((old.by_local_clock, ahead.by_local_clock), (at(HOUR), NOW));
 }
 
-/// After a step back at the node a new start is claimed to be earlier than the one before.
+/// After the node's clock has been stepped back, a new start claims an earlier time than the previous start.
 #[test]
 fn another_start_is_one_whichever_way_its_claim_lies() {
-    let mut of = StartTime::default();
-    assert!(of.observe(at(60 * S), at(59 * S), Micros(0)));
-    assert!(of.observe(at(HOUR), NOW, at(2 * S)));
-    assert_eq!(of.by_local_clock, at(2 * S));
+    let mut start = StartTime::default();
+    assert!(start.observe(at(60 * S), at(59 * S), Micros(0)));
+    assert!(start.observe(at(HOUR), NOW, at(2 * S)));
+    assert_eq!(start.by_local_clock, at(2 * S));
 }
 
-/// Lists come late and by turns; the start before is old news.
+/// Delayed lists arrive out of order and may contain the previous start.
 #[test]
 fn a_late_list_does_not_start_a_node_again() {
-    let mut of = StartTime::default();
+    let mut start = StartTime::default();
     assert!(
-        of.observe(at(60 * S), at(59 * S), Micros(0))
-            && of.observe(at(5 * S), at(4 * S), at(6 * S))
+        start.observe(at(60 * S), at(59 * S), Micros(0))
+            && start.observe(at(5 * S), at(4 * S), at(6 * S))
     );
-    let known = of;
-    assert!(!of.observe(at(60 * S), NOW, at(S)) && !of.observe(at(5 * S), NOW, at(S)));
-    assert_eq!(of, known);
+    let known = start;
+    assert!(!start.observe(at(60 * S), NOW, at(S)) && !start.observe(at(5 * S), NOW, at(S)));
+    assert_eq!(start, known);
 }
 
 proptest! {
-    /// Whatever is claimed: never older than seen, never from the future, and the same claim changes nothing.
+    /// For any claim, the start time is neither earlier than observed nor in the future, and repeating the claim
+    /// changes nothing.
     #[test]
     fn no_claim_makes_a_start_older_than_it_was_seen_to_be(
         claimed in 1..200_000 * S, later in 0..HOUR, gap in 0..60 * S,
     ) {
-        let mut of = StartTime::default();
-        of.observe(Micros(claimed), NOW, at(gap));
-        prop_assert!(of.by_local_clock >= at(gap) && of.by_local_clock <= NOW);
-        let known = of;
-        prop_assert!(!of.observe(Micros(claimed), NOW + Micros(later), NOW));
-        prop_assert_eq!(of, known);
+        let mut start = StartTime::default();
+        start.observe(Micros(claimed), NOW, at(gap));
+        prop_assert!(start.by_local_clock >= at(gap) && start.by_local_clock <= NOW);
+        let known = start;
+        prop_assert!(!start.observe(Micros(claimed), NOW + Micros(later), NOW));
+        prop_assert_eq!(start, known);
     }
 }
 
-/// A line that leaves the start out says 0: what was seen to start runs on by this router's own clock.
+/// An entry without a start time reads as 0. The start that this router has observed by its own clock is kept.
 #[test]
 fn a_claim_of_long_ago_makes_no_seen_start_older() {
-    let mut of = StartTime::default();
-    assert!(!of.observe(Micros(0), NOW, at(S)) && of.by_local_clock == Micros(0));
-    assert!(of.observe(at(S), NOW, at(2 * S)));
-    let known = of;
-    assert!(!of.observe(Micros(0), NOW, at(S)) && !of.observe(at(S), NOW, at(S)));
-    assert_eq!(of, known);
+    let mut start = StartTime::default();
+    assert!(!start.observe(Micros(0), NOW, at(S)) && start.by_local_clock == Micros(0));
+    assert!(start.observe(at(S), NOW, at(2 * S)));
+    let known = start;
+    assert!(!start.observe(Micros(0), NOW, at(S)) && !start.observe(at(S), NOW, at(S)));
+    assert_eq!(start, known);
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,27 +1,27 @@
-//! Time in whole microseconds. The caller reads the clock; nothing here does.
+//! Time in whole microseconds. The decision module never reads a clock; the caller passes the time in.
 
 use std::ops::{Add, AddAssign};
 
-/// A point in time, or a span of time, in whole microseconds.
+/// A point in time or a duration, in whole microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(
-    /// The microseconds.
+    /// The number of microseconds.
     pub u64,
 );
 
 impl Micros {
-    /// The time from `earlier` to this one; zero if `earlier` lies ahead.
+    /// The duration from `earlier` to this time; zero if `earlier` is later than this time.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// This span so many times, rounded down.
+    /// This duration multiplied by `factor`, rounded down.
     pub fn times(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as u64)
     }
 
-    /// How many times `other` goes into this time.
-    pub fn over(self, other: Micros) -> f64 {
+    /// The ratio of this duration to `other`.
+    pub fn ratio_to(self, other: Micros) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,5 +1,4 @@
-//! The plain data of the decision module under one path, for callers that need many of its types. It defines
-//! nothing of its own.
+//! Re-exports the plain data types of the decision module, for callers that need many of them.
 
 pub use crate::actions::DecisionReason;
 pub use crate::config::{IndexConfig, LoadMetric, LoadReporting, PlatformConfig, RetrySemantics};
