--- a/src/watch_schedule.rs
+++ b/src/watch_schedule.rs
@@ -1,17 +1,18 @@
-//! When the watch of the endpoint list calls next, and when a call is given up: so that a change is known here
-//! in time also where a watch has fallen silent, by sums and not by each step alone. Pure: what to do next
-//! comes out; the clock and the calls are the caller's.
+//! The schedule of the calls that watch the endpoint list: when the next call is made and when a call times out.
 //!
-//! A change counts as known [`NOTIFIED_WITHIN`] after discovery had it and could be reached. A watch shows that
-//! it is alive by its answers alone, so a call waits only as long as leaves time for all that follows its
-//! silence:
+//! The timings are chosen so that the steps together, not only each on its own, reveal a change in time, even if
+//! a watch stops responding. The schedule only computes what to do next; the caller reads the clock and makes the
+//! calls.
+//!
+//! A change counts as known [`NOTIFIED_WITHIN`] after discovery has it and is reachable. Only an answer shows that a
+//! watch is alive, so a call waits only as long as there is time for all the steps that follow a time-out:
 //!
 //! | step | at most |
 //! | --- | --- |
-//! | a call that waits, fallen silent as it began | [`LONGEST_WAIT`] |
-//! | its answer overdue | [`OVERDUE`] |
-//! | a poll of the list at once, queued behind other callers | twice [`OVERDUE`] |
-//! | or that poll refused, within [`OVERDUE`]: a pause and another | the rest, 1 s |
+//! | a call that waits for a change and gets no response from its beginning on | [`LONGEST_WAIT`] |
+//! | the time until its answer is overdue | [`OVERDUE_AFTER`] |
+//! | an immediate poll of the list, queued behind other callers | twice [`OVERDUE_AFTER`] |
+//! | or, if that poll is refused within [`OVERDUE_AFTER`], a pause and another poll | the rest, 1 s |
 
 use nanorand::Rng;
 
@@ -21,67 +22,72 @@
 #[cfg(test)]
 mod tests;
 
-/// A change counts as known so long after discovery had it, by the platform's protocol.
+/// The time after which a change at discovery counts as known to routers, by the platform's protocol.
 pub const NOTIFIED_WITHIN: Micros = Micros(6_000_000);
-/// The longest that a call waits for a change. Each wait is drawn anew between two thirds of it and all of it:
-/// callers whose watches were answered or fell silent together come apart.
+/// The longest time that a call waits for a change. Each wait is drawn at random between two thirds of this time and
+/// all of it, so that callers whose watches were answered or timed out together spread out.
 pub const LONGEST_WAIT: Micros = Micros(3_000_000);
-/// An answer that is so much late does not come any more: discovery has rejected its call long before.
-pub const OVERDUE: Micros = Micros(1_000_000);
+/// The time past its wait after which a call times out. No answer arrives later than that, since discovery would
+/// have rejected the call long before.
+pub const OVERDUE_AFTER: Micros = Micros(1_000_000);
 
-/// How the next call is made.
+/// The timing of one call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// How long discovery may wait for a change.
+    /// The time for which discovery may wait for a change before it answers.
     pub wait: Micros,
-    /// When it is given up, from its beginning.
+    /// The time after which the call times out, from its beginning.
     pub timeout: Micros,
 }
 
-/// The schedule of one router's watch.
+/// The schedule of the calls with which one router watches the endpoint list.
 pub struct WatchSchedule {
     longest_wait: Micros,
     rng: RandomSource,
-    /// A call fell silent and none was answered since: the next asks what has changed and waits for nothing.
-    polls_at_once: bool,
+    /// Whether a call has timed out and none has been answered since. The next call then asks for changes without
+    /// waiting for one.
+    polls_without_wait: bool,
 }
 
 impl WatchSchedule {
-    /// Under settings by which a router asks within `ask_within`, with a random source of its own.
+    /// Creates a schedule for settings that require a call at least every `ask_within`, with a random source seeded
+    /// with `seed`.
     pub fn new(ask_within: Option<Micros>, seed: u64) -> Self {
         WatchSchedule {
             longest_wait: ask_within.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT),
             rng: RandomSource::new(seed),
-            polls_at_once: false,
+            polls_without_wait: false,
         }
     }
 
-    /// The next call: for what is newer than a version if `after` is known, else for the whole list.
-    pub fn next(&mut self, after: bool) -> Poll {
-        if self.polls_at_once || !after {
+    /// Returns the timing of the next call, which asks for changes since a version if `version_is_known`,
+    /// otherwise for the whole list.
+    pub fn next(&mut self, version_is_known: bool) -> Poll {
+        if self.polls_without_wait || !version_is_known {
             return Poll {
                 wait: Micros(0),
-                timeout: OVERDUE.times(2.0),
+                timeout: OVERDUE_AFTER.times(2.0),
             };
         }
         let longest = self.longest_wait.0;
         let wait = Micros(self.rng.0.generate_range(longest * 2 / 3..=longest));
         Poll {
             wait,
-            timeout: wait + OVERDUE,
+            timeout: wait + OVERDUE_AFTER,
         }
     }
 
-    /// A call was answered.
+    /// Records that a call was answered.
     pub fn answered(&mut self) {
-        self.polls_at_once = false;
+        self.polls_without_wait = false;
     }
 
-    /// A call has failed; true if another is to follow at once. Silence costs discovery nothing, so one poll
-    /// behind it may follow at once; a call that was refused or cut off keeps the pause of all.
-    pub fn failed(&mut self, silent: bool) -> bool {
-        let follows_at_once = silent && !self.polls_at_once;
-        self.polls_at_once |= silent;
+    /// Records that a call has failed and returns whether the next one follows immediately. A call that timed out
+    /// cost discovery nothing, so one immediate poll may follow it. After a call that was refused or cut off, the
+    /// usual pause applies.
+    pub fn failed(&mut self, timed_out: bool) -> bool {
+        let follows_at_once = timed_out && !self.polls_without_wait;
+        self.polls_without_wait |= timed_out;
         follows_at_once
     }
 }
--- a/src/watch_schedule/tests.rs
+++ b/src/watch_schedule/tests.rs
@@ -1,17 +1,18 @@
 use super::*;
 
-/// The longest that a change can stay unknown, whatever instant of a call the watch falls silent in: the call is given up, a
-/// poll follows at once, is refused as late as discovery refuses, and one more follows behind the pause of all.
+/// Guards the longest time for which a change can stay unknown, whenever the watch stops responding: the call
+/// times out, an immediate poll follows and is refused as late as discovery refuses calls, and another poll
+/// follows the usual pause.
 #[test]
 fn all_that_follows_a_silence_adds_up_to_less_than_the_time_by_which_a_change_counts_as_known() {
     for seed in 0..1000 {
         let mut schedule = WatchSchedule::new(Some(Micros(10_000_000)), seed);
         let call = schedule.next(true);
         assert!(call.wait <= LONGEST_WAIT && call.wait >= LONGEST_WAIT.times(0.66));
-        assert!(schedule.failed(true), "a poll follows at once");
+        assert!(schedule.failed(true), "an immediate poll follows");
         let poll = schedule.next(true);
         assert_eq!(poll.wait, Micros(0));
-        assert!(call.timeout + OVERDUE + Micros(1_000_000) <= NOTIFIED_WITHIN);
+        assert!(call.timeout + OVERDUE_AFTER + Micros(1_000_000) <= NOTIFIED_WITHIN);
         assert!(call.timeout + poll.timeout <= NOTIFIED_WITHIN);
     }
 }
@@ -24,7 +25,7 @@
     assert_eq!(
         schedule.next(true).wait,
         Micros(0),
-        "still unanswered: it waits for nothing"
+        "no call has been answered yet, so the next one does not wait"
     );
     schedule.answered();
     assert!(schedule.next(true).wait > Micros(0) && schedule.failed(true));
