--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -69,7 +69,7 @@
             let allowed_ms = time_left / 1e3;
             let requests = plan.assignments.len();
             out.log(&format!(
-                "load shedding, {requests} requests predicted in {predicted_ms:.0} ms, allowed {allowed_ms:.0}"
+                "load shedding started, {requests} requests predicted in {predicted_ms:.0} ms, allowed {allowed_ms:.0} ms"
             ));
         }
         out.record_reason(id, DecisionReason::Shed);
@@ -107,7 +107,7 @@
     pub(super) fn end_shedding(&mut self, _: RuleMatch, out: &mut dyn Actions) {
         self.last_shed = None;
         out.log(&format!(
-            "load shedding over, {} queries in hand",
+            "load shedding ended, {} queries in flight",
             self.queries.len()
         ));
     }
--- a/src/routing/idle_connections.rs
+++ b/src/routing/idle_connections.rs
@@ -61,7 +61,7 @@
             self.idle_distrusted_since = Some(self.now);
             let percent = self.idle_loss_rate * 100.0;
             out.log(&format!(
-                "idle connections not used, {percent:.0}% of attempts on them lost"
+                "idle connections no longer used, {percent:.0}% of attempts on them lost"
             ));
         }
     }
