--- a/src/io_errors/tests.rs
+++ b/src/io_errors/tests.rs
@@ -18,7 +18,7 @@
 #[test_case(libc::ENOBUFS, FailureOwner::Machine)]
 #[test_case(libc::ENOMEM, FailureOwner::Machine)]
 #[test_case(libc::EINVAL, FailureOwner::Machine; "not documented")]
-fn a_failed_accept_belongs_to(errno: i32, owner: FailureOwner) {
+fn classifies_a_failed_accept_by_error_number(errno: i32, owner: FailureOwner) {
     assert_eq!(accept_failure_owner(errno), owner);
 }
 
@@ -39,12 +39,12 @@
 #[test_case(libc::ENOMEM, FailureOwner::Machine)]
 #[test_case(libc::EPERM, FailureOwner::Machine)]
 #[test_case(libc::EACCES, FailureOwner::Machine)]
-fn a_failed_connect_belongs_to(errno: i32, owner: FailureOwner) {
+fn classifies_a_failed_connect_by_error_number(errno: i32, owner: FailureOwner) {
     assert_eq!(connect_failure_owner(errno), owner);
 }
 
 #[test]
-fn a_missing_route_concerns_the_node_where_others_are_heard() {
+fn a_missing_route_is_the_peers_fault_only_if_other_peers_answer() {
     assert_eq!(
         (route_failure_owner(true), route_failure_owner(false)),
         (FailureOwner::Peer, FailureOwner::Machine)
@@ -53,7 +53,7 @@
 
 /// A transient failure costs only its call; a persistent one is retried twenty times per second.
 #[test]
-fn pauses_grow_to_their_bound() {
+fn retry_delay_doubles_up_to_its_bound() {
     let all: Vec<u64> = (1..10).map(|count| retry_delay(count).0).collect();
     assert_eq!(
         all,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn failed_accepts_are_logged_once_a_second_and_only_this_machines_last() {
+fn logs_failed_accepts_once_a_second_and_counts_only_those_of_this_machine_as_persistent() {
     let mut failures = AcceptFailures::default();
     let ms = |ms: u64| Micros(ms * 1000);
     assert_eq!(failures.record(libc::EINTR, ms(0)), (Micros(0), None));
@@ -71,9 +71,9 @@
         failures.record(libc::ECONNABORTED, ms(0)),
         (Micros(0), Some(1))
     );
-    for at in 1..100 {
+    for elapsed_ms in 1..100 {
         assert_eq!(
-            failures.record(libc::ECONNABORTED, ms(at)),
+            failures.record(libc::ECONNABORTED, ms(elapsed_ms)),
             (Micros(0), None)
         );
     }
--- a/src/routing/admission/tests.rs
+++ b/src/routing/admission/tests.rs
@@ -7,7 +7,7 @@
 use crate::types::*;
 
 #[test]
-fn a_query_that_would_be_late_is_rejected_at_once() {
+fn rejects_a_query_predicted_late_at_admission() {
     let mut engine = engine_with(platform(), 1);
     node(&mut engine, 1).latency_per_request = Some(200_000.0);
     add_in_flight(&mut engine, 1, 4, ms(1));
@@ -18,9 +18,9 @@
     assert!(matches!(recorder.0[..], [Action::Log, Action::Reject(_)]));
 }
 
-#[test_case(100, true; "a moment ago")]
-#[test_case(1500, false; "a while ago")]
-fn a_router_that_saw_all_nodes_fail_tries_again(later: u64, rejected: bool) {
+#[test_case(100, true; "100 ms later")]
+#[test_case(1500, false; "1500 ms later")]
+fn admits_queries_again_some_time_after_all_nodes_failed(elapsed_ms: u64, rejected: bool) {
     let mut engine = engine_with(platform(), 2);
     let mut recorder = Recorder::default();
     let failed = IndexHealth {
@@ -32,19 +32,19 @@
         .nodes
         .values_mut()
         .for_each(|node| node.index_health = vec![failed]);
-    engine.now += ms(later);
+    engine.now += ms(elapsed_ms);
     let query = query(&engine, &[1.0], &[]);
     add_query(&mut engine, query);
     engine.run_rules(&mut recorder);
     assert_eq!(engine.queries.is_empty(), rejected);
 }
 
-#[test_case(5.0, None, true, 1.0; "the best gain")]
-#[test_case(1.0, None, true, 0.68; "less gain")]
-#[test_case(1.0, Some(0.08), true, 0.84; "less gain, and lateness is cheap")]
-#[test_case(1.0, Some(9.0), true, 0.68; "less gain, and lateness is dear")]
+#[test_case(5.0, None, true, 1.0; "the highest priority weight")]
+#[test_case(1.0, None, true, 0.68; "a lower priority weight")]
+#[test_case(1.0, Some(0.08), true, 0.84; "a lower priority weight, cheap wasted work")]
+#[test_case(1.0, Some(9.0), true, 0.68; "a lower priority weight, expensive wasted work")]
 #[test_case(5.0, None, false, 0.6; "beyond the customer's quota")]
-fn the_allowed_time_follows_the_gain(
+fn allowed_time_share_follows_priority_weight_and_quota(
     priority_weight: f64,
     wasted_work_cost: Option<f64>,
     within_quota: bool,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_quota_is_used_up_and_comes_back() {
+fn a_quota_is_used_up_and_refills() {
     let mut engine = engine_with(
         PlatformConfig {
             quotas: vec![1.0],
--- a/src/routing/attempts/tests.rs
+++ b/src/routing/attempts/tests.rs
@@ -4,7 +4,7 @@
 use crate::types::*;
 
 #[test]
-fn late_returns_and_unknown_clients_are_passed_over() {
+fn ignores_attempts_of_ended_queries_and_unknown_clients() {
     let mut engine = engine_with(platform(), 1);
     let mut recorder = Recorder::default();
     add_in_flight(&mut engine, 1, 1, ms(5));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_return_finds_its_request_by_the_attempt() {
+fn records_an_answer_with_the_request_of_its_attempt() {
     let mut engine = engine_with(platform(), 1);
     let mut recorder = Recorder::default();
     let query = query(&engine, &[0.5, 0.5], &[]);
--- a/src/routing/endpoints/tests.rs
+++ b/src/routing/endpoints/tests.rs
@@ -8,7 +8,7 @@
 
 #[test_case(EndpointState::Draining)]
 #[test_case(EndpointState::Gone)]
-fn nothing_goes_to_a_node_that_leaves(state: EndpointState) {
+fn sends_no_requests_to_draining_and_gone_nodes(state: EndpointState) {
     let mut engine = engine_with(platform(), 2);
     node(&mut engine, 1).endpoint.state = state;
     assert_eq!(placed_nodes(engine, 2), [2, 2]);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_broken_watch_is_asked_for_again() {
+fn renews_a_lost_watch() {
     let mut engine = engine_with(platform(), 0);
     let now = engine.now;
     let mut recorder = Recorder::default();
@@ -47,7 +47,7 @@
 
 // Every node is repeatedly replaced by a new one, with an attempt in flight.
 #[test]
-fn nothing_stays_of_nodes_that_come_and_go() {
+fn removes_all_state_of_replaced_nodes() {
     let mut engine = engine_with(platform(), 2);
     let mut recorder = Recorder::default();
     for id in 3..500 {
@@ -97,8 +97,8 @@
 
 #[test_case(EndpointState::Ready, EndpointState::Gone, 0, true; "gone without a drain")]
 #[test_case(EndpointState::Draining, EndpointState::Gone, 0, false; "gone after a drain")]
-#[test_case(EndpointState::Ready, EndpointState::Ready, 9, true; "back before it was missed")]
-fn the_endpoint_list_shows_nodes_that_failed(
+#[test_case(EndpointState::Ready, EndpointState::Ready, 9, true; "restarted unnoticed")]
+fn detects_node_failures_from_the_endpoint_list(
     previous: EndpointState,
     state: EndpointState,
     started_at: u64,
--- a/src/routing/health_check/tests.rs
+++ b/src/routing/health_check/tests.rs
@@ -24,7 +24,7 @@
 
 #[test_case(f64::NAN)]
 #[test_case(-1.0)]
-fn an_invalid_load_report_is_passed_over(figure: f64) {
+fn ignores_an_invalid_load_report(figure: f64) {
     let mut engine = engine_with(platform(), 1);
     engine.record_load_report(NodeId(1), &[figure]);
     assert_eq!(engine.nodes[&NodeId(1)].reported_load, Some(100.0));
@@ -32,7 +32,7 @@
 
 /// A slow node that reports a latency of zero would attract requests through a cost of zero.
 #[test]
-fn a_latency_of_zero_is_no_report() {
+fn a_reported_latency_of_zero_discards_the_load_report() {
     let mut engine = engine_with(platform(), 2);
     let mut recorder = Recorder::default();
     node(&mut engine, 1).latency = Some(250_000.0);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_failed_health_check_is_no_failed_attempt() {
+fn a_failed_health_check_does_not_count_as_a_failed_attempt() {
     let mut engine = engine_with(platform(), 1);
     let now = engine.now;
     engine.health_check_finished(now, NodeId(1), &[], &mut Recorder::default());
--- a/src/routing/idle_connections/tests.rs
+++ b/src/routing/idle_connections/tests.rs
@@ -6,23 +6,23 @@
 use crate::types::*;
 
 // Idle connections may be dropped silently. Attempts on them are lost, and later attempts must use new connections.
-#[test_case(0.14, true, 100, 0, true; "one more after many")]
-#[test_case(0.14, false, 100, 0, false; "it was not idle")]
-#[test_case(0.14, true, 1000, 0, false; "a node that is always so late")]
-#[test_case(0.0, true, 100, 0, false; "the first")]
-#[test_case(0.14, true, 100, 60_000, false; "long ago")]
-fn idle_connections_are_not_used_while_such_are_lost(
+#[test_case(0.14, true, 100, 0, true; "another lost attempt after many")]
+#[test_case(0.14, false, 100, 0, false; "the connection was not idle")]
+#[test_case(0.14, true, 1000, 0, false; "a node that is always this slow")]
+#[test_case(0.0, true, 100, 0, false; "the first lost attempt")]
+#[test_case(0.14, true, 100, 60_000, false; "a lost attempt long ago")]
+fn stops_using_idle_connections_after_too_many_lost_attempts(
     loss_rate: f64,
     is_idle: bool,
-    latency: u64,
-    later: u64,
+    latency_ms: u64,
+    elapsed_ms: u64,
     closed: bool,
 ) {
     let mut engine = engine_with(platform(), 3);
     let mut recorder = Recorder::default();
     add_in_flight(&mut engine, 2, 1, ms(500));
     let slow = node(&mut engine, 2);
-    slow.latency = Some(latency as f64 * 1000.0);
+    slow.latency = Some(latency_ms as f64 * 1000.0);
     slow.attempt_on_idle_connection = slow.in_flight.keys().next().copied().filter(|_| is_idle);
     node(&mut engine, 1).recent_sends.push_back(RecentSend {
         sent_at: ms(1000),
@@ -31,7 +31,7 @@
     engine.idle_loss_rate = loss_rate;
     engine.run_rules(&mut recorder);
     node(&mut engine, 2).in_flight.clear();
-    engine.now += ms(later);
+    engine.now += ms(elapsed_ms);
     node(&mut engine, 1).latency_updated_at = ms(1000);
     let query = Query {
         requests: vec![ShardRequest {
--- a/src/routing/outlier_detection/tests.rs
+++ b/src/routing/outlier_detection/tests.rs
@@ -7,7 +7,7 @@
 use crate::types::*;
 
 #[test]
-fn a_hung_node_is_judged_by_what_is_in_flight() {
+fn suspects_a_hung_node_by_the_age_of_its_attempts_in_flight() {
     let mut engine = engine_with(platform(), 2);
     node(&mut engine, 1).reported_load = Some(10.0);
     add_in_flight(&mut engine, 1, 1, ms(800));
@@ -16,9 +16,12 @@
     assert_eq!(placed_nodes(engine, 1), [2]);
 }
 
-#[test_case(300, false; "late, but not by the clock of a query")]
+#[test_case(300, false; "late, but not relative to the latency objective")]
 #[test_case(400, true; "late")]
-fn a_node_is_an_outlier_only_where_its_latency_matters(latency: u64, suspected: bool) {
+fn a_node_is_an_outlier_only_if_late_relative_to_the_latency_objective(
+    latency_ms: u64,
+    suspected: bool,
+) {
     let mut engine = engine_with(PlatformConfig::default(), 0);
     engine.statistics.median_latency = Some(100_000.0);
     engine.config.indexes = vec![IndexConfig {
@@ -26,7 +29,7 @@
         ..IndexConfig::default()
     }];
     let late = Node {
-        latency: Some(latency as f64 * 1e3),
+        latency: Some(latency_ms as f64 * 1e3),
         latency_updated_at: engine.now,
         ..Node::default()
     };
@@ -37,7 +40,10 @@
 #[test_case(AttemptOutcome::NeverRan, true; "no connection")]
 #[test_case(AttemptOutcome::Broken, true; "connection broke")]
 #[test_case(AttemptOutcome::MayHaveRun, false; "error")]
-fn a_failure_counts_for_what_it_shows(outcome: AttemptOutcome, others_too: bool) {
+fn process_failures_count_for_all_indexes_and_errors_for_one(
+    outcome: AttemptOutcome,
+    others_too: bool,
+) {
     let mut engine = engine_with(platform(), 1);
     engine.config.indexes.push(engine.config.indexes[0].clone());
     engine.record_outcome(NodeId(1), IndexNo(1), ms(2), outcome);
@@ -57,16 +63,16 @@
 #[test_case(AttemptOutcome::MayHaveRun, 1000, RetrySemantics::Idempotent, true; "a time-out")]
 #[test_case(AttemptOutcome::MayHaveRun, 2, RetrySemantics::OnceOnly, true; "an error that cannot be repeated")]
 #[test_case(AttemptOutcome::NeverRan, 2, RetrySemantics::Idempotent, true; "rejected at once")]
-fn a_node_that_fails_at_once_still_takes_its_part(
+fn a_node_that_fails_fast_is_suspected_only_if_its_failures_are_costly(
     outcome: AttemptOutcome,
-    latency: u64,
+    latency_ms: u64,
     semantics: RetrySemantics,
     suspected: bool,
 ) {
     let mut engine = engine_with(platform(), 2);
     engine.config.indexes[0].retry_semantics = semantics;
     engine.statistics.median_latency = Some(100_000.0);
-    (0..9).for_each(|_| engine.record_outcome(NodeId(1), IndexNo(0), ms(latency), outcome));
+    (0..9).for_each(|_| engine.record_outcome(NodeId(1), IndexNo(0), ms(latency_ms), outcome));
     assert_eq!(
         engine
             .outlier_ratio(&engine.nodes[&NodeId(1)], IndexNo(0))
@@ -76,7 +82,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_not_a_hung_node() {
+fn a_lost_answer_does_not_mark_a_node_as_hung() {
     let mut engine = engine_with(platform(), 1);
     add_in_flight(&mut engine, 1, 1, ms(900));
     engine.record_outcome(NodeId(1), IndexNo(0), ms(100), AttemptOutcome::Satisfied);
@@ -84,7 +90,7 @@
 }
 
 #[test]
-fn opinions_fade_without_answers() {
+fn expected_latency_decays_to_the_median_without_answers() {
     let mut engine = engine_with(platform(), 1);
     node(&mut engine, 1).latency = Some(900_000.0);
     engine.now += ms(5000);
@@ -92,7 +98,7 @@
 }
 
 #[test]
-fn predicted_latency_is_no_better_than_requests_in_flight_show() {
+fn predicted_latency_is_at_least_the_age_of_attempts_in_flight() {
     let mut engine = engine_with(platform(), 1);
     add_in_flight(&mut engine, 1, 1, ms(900));
     assert!(engine.predicted_latency(&engine.nodes[&NodeId(1)], IndexNo(0), 1.0) >= 900_000.0);
@@ -110,7 +116,7 @@
 }
 
 #[test]
-fn the_end_of_a_suspicion_names_its_index() {
+fn the_end_of_a_suspicion_reports_the_suspected_index() {
     let mut engine = engine_with(platform(), 1);
     engine.config.indexes.push(engine.config.indexes[0].clone());
     node(&mut engine, 1).suspected_for = Some(IndexNo(1));
--- a/src/routing/partial_response/tests.rs
+++ b/src/routing/partial_response/tests.rs
@@ -6,7 +6,7 @@
 use crate::types::*;
 
 #[test]
-fn a_query_ends_before_its_client_leaves() {
+fn ends_a_query_before_its_client_stops_waiting() {
     let mut engine = engine_with(platform(), 2);
     let query = query(&engine, &[1.0], &[IN_FLIGHT]);
     engine.now = Micros(query.deadline.0 - ms(15).0);
@@ -28,7 +28,7 @@
 #[test_case(RetrySemantics::OnceOnly, MAY_HAVE_RUN, false, Action::Fail; "once only, may have run")]
 #[test_case(RetrySemantics::OnceOnly, NEVER_RAN, true, Action::Fail; "once only, its first phase ran")]
 #[test_case(RetrySemantics::Fingerprinted(ms(500)), IN_FLIGHT, false, Action::Fail; "fingerprinted, still in flight")]
-fn a_rejection_promises_that_nothing_ran(
+fn rejects_a_query_only_if_a_client_retry_is_harmless(
     semantics: RetrySemantics,
     outcome: Option<AttemptOutcome>,
     in_second_phase: bool,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_rejection_advises_no_longer_than_clients_heed() {
+fn limits_retry_after_to_what_clients_respect() {
     let mut engine = engine_with(
         PlatformConfig {
             max_retry_after: Some(ms(300)),
@@ -71,11 +71,11 @@
     assert_eq!(recorder.0, [Action::Reject(ms(300))]);
 }
 
-#[test_case(1.0, 1.0, &[0.6, 0.4], Some(true); "all in")]
-#[test_case(0.9, 0.5, &[0.9], Some(true); "enough for complete")]
-#[test_case(1.0, 0.6, &[0.7], Some(false); "enough for partial")]
-#[test_case(1.0, 0.8, &[0.7], None; "too little")]
-fn answers_are_honest_at_the_soft_deadline(
+#[test_case(1.0, 1.0, &[0.6, 0.4], Some(true); "all answered")]
+#[test_case(0.9, 0.5, &[0.9], Some(true); "enough for a complete response")]
+#[test_case(1.0, 0.6, &[0.7], Some(false); "enough for a partial response")]
+#[test_case(1.0, 0.8, &[0.7], None; "not enough for a response")]
+fn response_at_the_soft_deadline_follows_the_answered_weight(
     required: f64,
     minimum: f64,
     weights: &[f64],
@@ -128,16 +128,16 @@
 
 /// If the first phase is answered just before the latency objective, the second phase has no time left and most
 /// answers are late.
-#[test_case(770, false; "there is time yet")]
-#[test_case(810, true; "the second phase needs the rest")]
-fn a_first_phase_leaves_the_second_its_time(later: u64, answered: bool) {
+#[test_case(770, false; "there is still time")]
+#[test_case(810, true; "the second phase needs the remaining time")]
+fn answers_the_first_phase_early_enough_for_the_second(elapsed_ms: u64, answered: bool) {
     let mut engine = engine_with(platform(), 3);
     engine.config.indexes[0].second_phase_size = 2;
     engine.config.indexes[0].min_weight = 0.5;
     let mut half = query(&engine, &[0.5, 0.5], &[IN_FLIGHT]);
     half.requests[0].answered = true;
     add_query(&mut engine, half);
-    engine.now += ms(later);
+    engine.now += ms(elapsed_ms);
     assert_eq!(engine.answer_is_due().is_some(), answered);
 }
 
@@ -158,9 +158,9 @@
 }
 
 // The minimum weight is compared exactly. The simulation found answers from 0.69996 where 0.7 was required.
-#[test_case(&[0.69996, 0.30004], false, 0.7; "a little less")]
-#[test_case(&[0.7, 0.3], true, 0.7; "as much")]
-#[test_case(&[0.1; 10], true, 0.8; "eight tenths, whose sum falls short")]
+#[test_case(&[0.69996, 0.30004], false, 0.7; "slightly less than the minimum")]
+#[test_case(&[0.7, 0.3], true, 0.7; "exactly the minimum")]
+#[test_case(&[0.1; 10], true, 0.8; "eight tenths, whose sum is rounded down")]
 fn no_answer_is_given_from_less_than_the_minimum_weight(
     weights: &[f64],
     answers: bool,
@@ -189,14 +189,18 @@
     );
 }
 
-#[test_case(None, 950, false; "as ever at the soft deadline")]
-#[test_case(Some(400), 350, false; "before its time")]
-#[test_case(Some(400), 400, true; "at its time")]
+#[test_case(None, 950, false; "no policy, at the soft deadline")]
+#[test_case(Some(400), 350, false; "before the time of the policy")]
+#[test_case(Some(400), 400, true; "at the time of the policy")]
 #[test_case(Some(9000), 950, false; "never after the soft deadline")]
-fn a_partial_response_goes_when_the_policy_says(at: Option<u64>, later: u64, due: bool) {
+fn sends_a_partial_response_at_the_time_set_by_the_policy(
+    policy_ms: Option<u64>,
+    elapsed_ms: u64,
+    is_due: bool,
+) {
     let mut engine = engine_with(platform(), 2);
     engine.config.indexes[0].min_weight = 0.5;
-    engine.config.indexes[0].partial_response_after = at.map(ms);
+    engine.config.indexes[0].partial_response_after = policy_ms.map(ms);
     engine.config.indexes[0].latency_objective = ms(1000);
     let now = engine.now;
     let mut recorder = Recorder::default();
@@ -221,6 +225,6 @@
     query_in_flight.requests = query.requests;
     query_in_flight.placed = true;
     query_in_flight.requests[0].answered = true;
-    engine.now = now + ms(later);
-    assert_eq!(engine.answer_is_due().is_some(), due);
+    engine.now = now + ms(elapsed_ms);
+    assert_eq!(engine.answer_is_due().is_some(), is_due);
 }
--- a/src/routing/placement/tests.rs
+++ b/src/routing/placement/tests.rs
@@ -7,7 +7,7 @@
 use crate::types::*;
 
 #[test]
-fn a_chosen_node_draws_the_other_requests() {
+fn a_chosen_node_attracts_the_other_requests() {
     let mut engine = engine_with(
         PlatformConfig {
             shard_group_count: 3,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_node_predicted_late_gives_way() {
+fn prefers_a_node_predicted_in_time_to_a_cheaper_one_predicted_late() {
     let mut engine = engine_with(platform(), 2);
     node(&mut engine, 1).reported_load = Some(50.0);
     node(&mut engine, 1).latency_per_request = Some(900_000.0);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn empty_queues_still_tell_a_busy_node_from_an_idle_one() {
+fn distinguishes_busy_from_idle_nodes_when_all_queues_are_empty() {
     let mut engine = engine_with(
         PlatformConfig {
             load_metrics: vec![LoadMetric::Queue],
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_priced_crossing_of_zones_tips_the_balance() {
+fn cross_zone_cost_can_outweigh_a_lower_load() {
     let mut engine = engine_with(
         PlatformConfig {
             cross_zone_cost: 0.04,
@@ -92,8 +92,8 @@
 }
 
 #[test_case(3, 2, 5, true; "first group")]
-#[test_case(3, 0, 5, true; "next group, round the ring")]
-#[test_case(3, 1, 5, false; "not one of them")]
+#[test_case(3, 0, 5, true; "next group, with wrap around")]
+#[test_case(3, 1, 5, false; "another group")]
 fn a_shard_is_held_by_consecutive_groups(groups: u32, group: u32, shard: u32, is_held: bool) {
     let mut engine = engine_with(
         PlatformConfig {
@@ -112,8 +112,12 @@
 
 #[test_case(4, 1000, false; "few requests")]
 #[test_case(40, 1000, true; "many requests")]
-#[test_case(40, 900, false; "many requests, and a client with little time")]
-fn a_query_is_as_late_as_the_latest_of_its_requests(requests: usize, left: u64, rejected: bool) {
+#[test_case(40, 900, false; "many requests, and a client that allows less than the objective")]
+fn a_query_is_predicted_as_late_as_its_slowest_call(
+    requests: usize,
+    time_allowed_ms: u64,
+    rejected: bool,
+) {
     let mut engine = engine_with(
         PlatformConfig {
             shard_group_count: 64,
@@ -129,7 +133,7 @@
     }
     engine = refreshed(engine);
     let mut query = Query {
-        time_allowed: ms(left),
+        time_allowed: ms(time_allowed_ms),
         ..query(&engine, &vec![1.0 / requests as f64; requests], &[])
     };
     query
--- a/src/routing/query_of_death/tests.rs
+++ b/src/routing/query_of_death/tests.rs
@@ -26,7 +26,7 @@
 // A query of death crashes every node that starts one of its shard requests.
 #[test_case(&[1], false, false, false; "one node failed")]
 #[test_case(&[1, 2], false, false, true; "two nodes failed")]
-#[test_case(&[1], true, false, true; "a repeat, and one node failed")]
+#[test_case(&[1], true, false, true; "a client retry, and one node failed")]
 #[test_case(&[1, 2], false, true, false; "a node survived it")]
 fn a_query_of_death_is_rejected(
     failed_nodes: &[u64],
@@ -53,9 +53,9 @@
     assert_eq!(engine.queries.is_empty(), rejected);
 }
 
-#[test_case(true, true; "its repeat")]
-#[test_case(false, false; "a like one that is no repeat")]
-fn a_repeat_of_a_query_of_death_is_known(is_client_retry: bool, rejected: bool) {
+#[test_case(true, true; "its client retry")]
+#[test_case(false, false; "the same query, not marked as a client retry")]
+fn rejects_only_client_retries_of_a_known_query_of_death(is_client_retry: bool, rejected: bool) {
     let mut engine = engine_with(platform(), 3);
     let fresh = Query {
         is_client_retry,
@@ -71,9 +71,12 @@
     assert_eq!(recorder.0 == [Action::Reject(Micros(0))], rejected);
 }
 
-#[test_case(true, 1; "a canary request goes first")]
+#[test_case(true, 1; "nodes are failing")]
 #[test_case(false, 2; "no node has failed")]
-fn while_nodes_fail_one_gets_a_query_first(nodes_are_failing: bool, attempts_sent: usize) {
+fn sends_a_canary_request_first_while_nodes_are_failing(
+    nodes_are_failing: bool,
+    attempts_sent: usize,
+) {
     let mut engine = engine_with(
         PlatformConfig {
             shard_group_count: 2,
--- a/src/routing/retry/tests.rs
+++ b/src/routing/retry/tests.rs
@@ -12,14 +12,14 @@
 #[test_case(RetrySemantics::Fingerprinted(ms(500)), &[MAY_HAVE_RUN], 490, false; "fingerprinted, too near its end")]
 #[test_case(RetrySemantics::Fingerprinted(ms(500)), &[NEVER_RAN], 900, true; "fingerprinted, never ran")]
 #[test_case(RetrySemantics::Idempotent, &[MAY_HAVE_RUN], 900, true; "idempotent")]
-#[test_case(RetrySemantics::Idempotent, &[ANSWERED], 0, false; "satisfied")]
+#[test_case(RetrySemantics::Idempotent, &[ANSWERED], 0, false; "answered")]
 #[test_case(RetrySemantics::Idempotent, &[MAY_HAVE_RUN, MAY_HAVE_RUN, MAY_HAVE_RUN], 0, false; "no attempts left")]
 #[test_case(RetrySemantics::Idempotent, &[MAY_HAVE_RUN], 2985, false; "no time left")]
-fn further_attempts_keep_the_rules(
+fn further_attempts_depend_on_retry_semantics_limits_and_time(
     semantics: RetrySemantics,
     outcomes: &[Option<AttemptOutcome>],
-    later: u64,
-    may: bool,
+    elapsed_ms: u64,
+    allowed: bool,
 ) {
     let mut engine = engine_with(
         PlatformConfig {
@@ -30,26 +30,30 @@
     );
     engine.config.indexes[0].retry_semantics = semantics;
     let query = query(&engine, &[1.0], outcomes);
-    engine.now += ms(later);
-    assert_eq!(engine.may_send(&query, &query.requests[0]), may);
+    engine.now += ms(elapsed_ms);
+    assert_eq!(engine.may_send(&query, &query.requests[0]), allowed);
 }
 
 // A retry that has to wait for a connect could reach its node after the end of the window.
 #[test_case(100, 370, true; "time for a connect")]
 #[test_case(100, 390, false; "the connect would end too near the window's end")]
 #[test_case(600, 0, false; "no connect fits the window")]
-fn a_fingerprinted_repeat_leaves_time_to_connect(connect_timeout: u64, later: u64, may: bool) {
+fn a_fingerprinted_retry_leaves_time_to_connect(
+    connect_timeout_ms: u64,
+    elapsed_ms: u64,
+    allowed: bool,
+) {
     let mut engine = engine_with(
         PlatformConfig {
-            connect_timeout: ms(connect_timeout),
+            connect_timeout: ms(connect_timeout_ms),
             ..platform()
         },
         2,
     );
     engine.config.indexes[0].retry_semantics = RetrySemantics::Fingerprinted(ms(500));
     let query = query(&engine, &[1.0], &[MAY_HAVE_RUN]);
-    engine.now += ms(later);
-    assert_eq!(engine.may_send(&query, &query.requests[0]), may);
+    engine.now += ms(elapsed_ms);
+    assert_eq!(engine.may_send(&query, &query.requests[0]), allowed);
 }
 
 #[test]
@@ -65,11 +69,11 @@
     assert!(!engine.may_send(&query, &query.requests[0]));
 }
 
-#[test_case(1.0, 0.0, 0, true; "a spare one")]
-#[test_case(1.0, 0.0, 1, false; "spare ones used up")]
-#[test_case(0.0, 0.5, 0, true; "a share of what was admitted")]
-#[test_case(0.0, 0.4, 0, false; "too small a share")]
-fn further_attempts_stay_within_the_budget(min: f64, ratio: f64, sent: usize, may: bool) {
+#[test_case(1.0, 0.0, 0, true; "within the minimum")]
+#[test_case(1.0, 0.0, 1, false; "minimum used up")]
+#[test_case(0.0, 0.5, 0, true; "within the ratio")]
+#[test_case(0.0, 0.4, 0, false; "ratio too small")]
+fn further_attempts_stay_within_the_retry_budget(min: f64, ratio: f64, sent: usize, allowed: bool) {
     let budget = PlatformConfig {
         retry_budget_min: min,
         retry_budget_ratio: ratio,
@@ -81,14 +85,14 @@
     engine.extra_attempts = vec![engine.now; sent].into();
     assert_eq!(
         engine.is_within_retry_budget(&query(&engine, &[1.0], &[])),
-        may
+        allowed
     );
 }
 
 /// After a failed canary request, the retries of several shard requests are planned together, each against the retry
 /// budget as it is before any of them is sent.
 #[test]
-fn further_attempts_that_are_planned_together_stay_within_the_budget() {
+fn further_attempts_planned_together_stay_within_the_retry_budget() {
     let retry_budget_min = 2.0;
     let window = Some(ms(5000));
     let mut engine = engine_with(
@@ -115,7 +119,7 @@
 }
 
 #[test]
-fn a_first_attempt_needs_no_budget() {
+fn a_first_attempt_needs_no_retry_budget() {
     let engine = engine_with(
         PlatformConfig {
             retry_budget_window: Some(ms(1000)),
@@ -132,7 +136,7 @@
 }
 
 #[test]
-fn the_budget_tables_are_emptied_by_age() {
+fn removes_old_entries_of_the_retry_budget() {
     let mut engine = engine_with(
         PlatformConfig {
             retry_budget_window: Some(ms(1000)),
@@ -146,7 +150,7 @@
 }
 
 #[test]
-fn a_failed_attempt_is_retried_elsewhere() {
+fn retries_a_failed_attempt_on_another_node() {
     let mut engine = engine_with(platform(), 2);
     let query = query(&engine, &[1.0], &[MAY_HAVE_RUN]);
     add_query(&mut engine, query);
@@ -157,16 +161,16 @@
 
 #[test_case(200, false; "not late")]
 #[test_case(450, true; "late")]
-fn a_late_request_is_hedged(age: u64, hedged: bool) {
+fn a_late_request_is_hedged(age_ms: u64, hedged: bool) {
     let mut engine = engine_with(platform(), 3);
     let query = query(&engine, &[1.0], &[IN_FLIGHT]);
-    engine.now += ms(age);
+    engine.now += ms(age_ms);
     add_query(&mut engine, query);
     assert_eq!(engine.request_needs_hedge().is_some(), hedged);
 }
 
 #[test]
-fn hedged_requests_do_not_add_to_an_overload() {
+fn hedges_no_request_while_another_is_hedged_without_a_retry_budget() {
     let mut engine = engine_with(platform(), 3);
     let mut query = query(&engine, &[0.5, 0.5], &[IN_FLIGHT]);
     query.requests[0].attempts.push(Attempt {
@@ -182,7 +186,7 @@
 /// A query with many shard requests has several late ones. Without a retry budget, they are hedged one at a time.
 #[test_case(Some(ms(5000)), 3; "under a budget, a tenth of what is in flight")]
 #[test_case(None, 1; "one at a time")]
-fn hedged_requests_are_few(window: Option<Micros>, hedged: usize) {
+fn limits_the_number_of_hedged_requests(window: Option<Micros>, hedged: usize) {
     let budget = PlatformConfig {
         retry_budget_min: 9.0,
         retry_budget_window: window,
@@ -210,9 +214,9 @@
 // A policy of the fleet can be stricter than the platform, never looser, and applies to queries received under it.
 #[test_case(IndexConfig { max_attempts: Some(1), ..IndexConfig::default() }, false; "no attempt beyond the first")]
 #[test_case(IndexConfig { retry_budget: Some((0.0, 0.0)), ..IndexConfig::default() }, false; "no further attempts at all")]
-#[test_case(IndexConfig { retry_budget: Some((1.0, 0.0)), ..IndexConfig::default() }, true; "a spare one")]
-#[test_case(IndexConfig::default(), true; "says nothing")]
-fn a_policy_limits_further_attempts(row: IndexConfig, may: bool) {
+#[test_case(IndexConfig { retry_budget: Some((1.0, 0.0)), ..IndexConfig::default() }, true; "within the minimum")]
+#[test_case(IndexConfig::default(), true; "no limit")]
+fn a_policy_limits_further_attempts(row: IndexConfig, allowed: bool) {
     let budget = PlatformConfig {
         retry_budget_min: 5.0,
         retry_budget_window: Some(ms(1000)),
@@ -229,14 +233,14 @@
         config: row,
         ..query(&engine, &[1.0], &[NEVER_RAN])
     };
-    assert_eq!(engine.may_send(&query, &query.requests[0]), may);
+    assert_eq!(engine.may_send(&query, &query.requests[0]), allowed);
 }
 
 #[test_case(true, false; "no hedging")]
 #[test_case(false, true; "hedging")]
-fn a_policy_may_forbid_hedging(hedging_disabled: bool, may: bool) {
+fn a_policy_can_disable_hedging(hedging_disabled: bool, allowed: bool) {
     let engine = engine_with(platform(), 2);
     let mut query = query(&engine, &[1.0], &[IN_FLIGHT]);
     query.config.hedging_disabled = hedging_disabled;
-    assert_eq!(engine.may_send(&query, &query.requests[0]), may);
+    assert_eq!(engine.may_send(&query, &query.requests[0]), allowed);
 }
--- a/src/routing/shared_budget/tests.rs
+++ b/src/routing/shared_budget/tests.rs
@@ -6,9 +6,9 @@
 use crate::routing::test_support::*;
 use crate::types::*;
 
-#[test_case(false, (2.0, 0.0, 0.0, 0); "one that finishes its queries")]
-#[test_case(true, (2.0, 0.1, 0.2, 1); "one that goes on")]
-fn a_share_of_the_budget_is_kept_and_the_whole_comes_back(
+#[test_case(false, (2.0, 0.0, 0.0, 0); "a process that only finishes its queries")]
+#[test_case(true, (2.0, 0.1, 0.2, 1); "a process that admits queries")]
+fn serving_a_share_limits_the_retry_budget_and_serving_the_whole_restores_it(
     admits_queries: bool,
     kept: (f64, f64, f64, usize),
 ) {
--- a/src/routing/slow_start/tests.rs
+++ b/src/routing/slow_start/tests.rs
@@ -10,9 +10,9 @@
 // A core serves ten requests of 100 ms per second. A quarter of twice that, minus a tenth, is 4.5.
 
 #[test_case(1, 4, true; "within the allowance")]
-#[test_case(1, 5, false; "beyond it")]
-#[test_case(2, 3, false; "beyond one router's share of it")]
-fn a_cold_node_gets_its_allowance(routers: u32, requests: u32, allowed: bool) {
+#[test_case(1, 5, false; "beyond the allowance")]
+#[test_case(2, 3, false; "beyond one router's share of the allowance")]
+fn limits_a_cold_node_to_its_allowance(routers: u32, requests: u32, allowed: bool) {
     let mut engine = engine_with(
         PlatformConfig {
             router_count: routers.into(),
@@ -61,7 +61,7 @@
 
 #[test_case(0, false; "another router's turn")]
 #[test_case(2, true; "its turn")]
-fn many_routers_take_turns_at_a_cold_node(seconds: u64, allowed: bool) {
+fn many_routers_take_turns_in_sending_to_a_cold_node(seconds: u64, allowed: bool) {
     let mut engine = engine_with(
         PlatformConfig {
             router_count: 10.0,
@@ -86,10 +86,10 @@
 #[test_case(30, 1.5, false; "thirty, notified late")]
 #[test_case(300, 1.5, false; "three hundred, notified late")]
 #[test_case(300, 0.0, false; "three hundred, notified at once")]
-#[test_case(3, 0.0, true; "three, restarted meanwhile")]
-#[test_case(20, 1.5, true; "twenty, restarted meanwhile")]
-#[test_case(300, 1.5, true; "three hundred, restarted meanwhile")]
-fn a_cold_node_bears_the_sum_of_what_all_routers_send(
+#[test_case(3, 0.0, true; "three, restarted in the meantime")]
+#[test_case(20, 1.5, true; "twenty, restarted in the meantime")]
+#[test_case(300, 1.5, true; "three hundred, restarted in the meantime")]
+fn all_routers_together_do_not_overload_a_cold_node(
     routers: usize,
     notified_after_s: f64,
     restart: bool,
--- a/src/routing/snapshot/tests.rs
+++ b/src/routing/snapshot/tests.rs
@@ -7,7 +7,7 @@
 use crate::types::*;
 
 #[test]
-fn a_snapshot_goes_over_to_another_clock_unchanged() {
+fn restores_a_snapshot_unchanged_under_another_clock() {
     let here = Micros(900_000_000);
     let there = Micros(2_000_000_000);
     let mut old = engine_with_started_nodes(here);
@@ -61,9 +61,13 @@
     );
 }
 
-#[test_case(0, 2.0, 300_000.0; "as old as when it was reported")]
-#[test_case(900_000, 2.0, 300_000.0; "and no older later")]
-fn requests_in_flight_elsewhere_count_until_that_process_is_done(later: u64, z: f64, age: f64) {
+#[test_case(0, 2.0, 300_000.0; "the age at which it was reported")]
+#[test_case(900_000, 2.0, 300_000.0; "the same age later")]
+fn attempts_in_flight_elsewhere_count_until_that_process_has_finished(
+    elapsed_us: u64,
+    in_flight_cost: f64,
+    expected_latency_us: f64,
+) {
     let now = Micros(1_000_000_000);
     let mut new = engine_with_started_nodes(now);
     let in_flight = vec![(0, 300_000, 2.0, 1.0), (0, 1, f64::NAN, 1.0)];
@@ -83,7 +87,7 @@
         },
     );
     new.serve_share(1.0, true);
-    new.now = now + Micros(later);
+    new.now = now + Micros(elapsed_us);
     let seen = |new: &RoutingEngine| {
         let node = &new.nodes[&NodeId(2)];
         (
@@ -91,7 +95,7 @@
             new.expected_latency(node, IndexNo(0)),
         )
     };
-    assert_eq!(seen(&new), (z, age));
+    assert_eq!(seen(&new), (in_flight_cost, expected_latency_us));
     new.serve_whole();
     assert_eq!(seen(&new), (0.0, 0.0));
 }
@@ -101,7 +105,7 @@
 /// and no part of the retry budget may be spent twice.
 #[test_case(true, (Some(4000.0), Some(90.0), 1, 1, 1, 1); "the same settings")]
 #[test_case(false, (Some(4000.0), None, 0, 1, 1, 0); "other settings")]
-fn what_means_the_same_is_kept_under_other_settings(
+fn restores_only_state_with_the_same_meaning_under_other_settings(
     same: bool,
     kept: (Option<f64>, Option<f64>, usize, usize, usize, usize),
 ) {
@@ -154,7 +158,7 @@
 }
 
 #[test]
-fn another_start_another_node_and_invalid_figures_are_passed_over() {
+fn ignores_other_starts_unknown_nodes_and_invalid_figures() {
     let mut new = engine_with_started_nodes(Micros(1_000_000));
     let known = |started, latency| NodeSnapshot {
         started,
--- a/src/routing/statistics/tests.rs
+++ b/src/routing/statistics/tests.rs
@@ -7,7 +7,7 @@
 /// When the first hint took effect only with the next answer or list, the slow-start share of a cold node jumped
 /// at all routers at the same time.
 #[test]
-fn the_first_cost_hint_counts_at_once() {
+fn the_first_cost_hint_takes_effect_immediately() {
     let mut engine = RoutingEngine::new(platform(), 1);
     let now = ms(1);
     let mut recorder = Recorder::default();
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -7,12 +7,17 @@
 
 // On unusual input the process keeps running, and the query gets exactly one final answer before its client stops
 // waiting.
-#[test_case(1, 1, 0, 3000; "a plain query and no time")]
-#[test_case(1, 1, 1000, 0; "no node at all")]
+#[test_case(1, 1, 0, 3000; "an ordinary query without time")]
+#[test_case(1, 1, 1000, 0; "no nodes")]
 #[test_case(1, u32::MAX, 1000, 3000; "a shard out of range, thousands of nodes")]
 #[test_case(0, 1, 1000, 1; "no request expected")]
 #[test_case(usize::MAX, 1, 1000, 1; "more requests expected than can come")]
-fn odd_queries_get_one_final_answer(expected: usize, shard: u32, left: u64, nodes: u64) {
+fn unusual_queries_get_exactly_one_final_answer(
+    expected: usize,
+    shard: u32,
+    time_allowed_ms: u64,
+    nodes: u64,
+) {
     let mut engine = engine_with(
         PlatformConfig {
             shard_group_count: 7,
@@ -33,7 +38,7 @@
         IndexNo(0),
         CustomerNo(9),
         expected,
-        ms(left),
+        ms(time_allowed_ms),
         false,
         out,
     );
@@ -46,7 +51,11 @@
         None,
         out,
     );
-    engine.timer_fired(now + ms(left.saturating_sub(15)), TimerId(0), out);
+    engine.timer_fired(
+        now + ms(time_allowed_ms.saturating_sub(15)),
+        TimerId(0),
+        out,
+    );
     let ends = recorder
         .0
         .iter()
--- a/src/watch_schedule/tests.rs
+++ b/src/watch_schedule/tests.rs
@@ -4,7 +4,7 @@
 /// times out, an immediate poll follows and is refused as late as discovery refuses calls, and another poll
 /// follows the usual pause.
 #[test]
-fn all_that_follows_a_silence_adds_up_to_less_than_the_time_by_which_a_change_counts_as_known() {
+fn a_change_becomes_known_in_time_after_a_call_has_timed_out() {
     for seed in 0..1000 {
         let mut schedule = WatchSchedule::new(Some(Micros(10_000_000)), seed);
         let call = schedule.next(true);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn only_one_poll_follows_at_once_and_none_a_refusal() {
+fn only_one_immediate_poll_follows_a_time_out_and_none_a_refusal() {
     let mut schedule = WatchSchedule::new(None, 7);
     assert!(!schedule.failed(false));
     assert!(schedule.failed(true) && !schedule.failed(true) && !schedule.failed(false));
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn nobody_asks_less_often_than_the_settings_say_and_a_whole_list_is_not_waited_for() {
+fn waits_no_longer_than_the_settings_allow_and_not_at_all_for_a_full_list() {
     let mut schedule = WatchSchedule::new(Some(Micros(900_000)), 7);
     assert!((0..100).all(|_| schedule.next(true).wait <= Micros(900_000)));
     assert_eq!(schedule.next(false).wait, Micros(0));
 }
 
 #[test]
-fn watches_that_were_answered_together_come_apart() {
+fn waits_of_different_routers_spread_out() {
     let waits: Vec<u64> = (0..300)
         .map(|seed| WatchSchedule::new(None, seed).next(true).wait.0)
         .collect();
