--- a/src/routing/outlier_detection.rs
+++ b/src/routing/outlier_detection.rs
@@ -125,9 +125,9 @@
         (latency + failures).max(age)
     }
 
-    /// Returns the predicted answer latency in microseconds of a request sent to a node after which `added_cost`
-    /// more is in flight. It assumes that the latency per request stays the same, and that it is no lower than the
-    /// ages of the attempts in flight imply.
+    /// Returns the predicted answer latency of a planned request, in microseconds, where this request and those
+    /// planned before it add `added_cost` to what is in flight to the node. The latency per request is assumed to
+    /// stay the same, and to be no lower than the ages of the attempts in flight imply.
     pub(super) fn predicted_latency(&self, node: &Node, index: IndexNo, added_cost: f64) -> f64 {
         let depth = node.in_flight_cost() + added_cost;
         // A node that has not answered yet counts as the median node, and as slower while it is warming up.
--- a/src/routing/placement.rs
+++ b/src/routing/placement.rs
@@ -129,8 +129,8 @@
             fixed + self.statistics.request_cost * cost
         };
         let latency = |node: &Node| {
-            let added_cost = plan.planned_for(node) + cost;
-            self.predicted_latency(node, query.index, added_cost) * LATENCY_MARGIN
+            let planned_cost = plan.planned_for(node) + cost;
+            self.predicted_latency(node, query.index, planned_cost) * LATENCY_MARGIN
         };
         // The discount for a chosen node can stack up requests there, so nodes predicted to answer in time are
         // preferred to those predicted late.
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -35,11 +35,11 @@
             && counts.unsent < MAX_UNSENT
             && request.attempts.len() < MAX_ATTEMPTS;
         let hedging = self.config.hedging && !query.config.hedging_disabled;
-        let may_be_beside_another = hedging || request.attempts_in_flight() == 0;
+        let may_run_in_parallel = hedging || request.attempts_in_flight() == 0;
         !request.answered
             && self.repeat_is_harmless(query, request)
             && attempts_left
-            && may_be_beside_another
+            && may_run_in_parallel
             && (request.attempts.is_empty() || self.is_within_retry_budget(query))
             && !self.is_soon(query.deadline)
     }
