--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -9,7 +9,6 @@
 use ternpick::types::{
     AttemptNo, AttemptOutcome, Endpoint, Micros, QueryId, ShardRequestId, TimerId,
 };
-use ternpick_platform_config as platform_config;
 
 use crate::error::AdapterError;
 use crate::fields::Fields;
@@ -116,8 +115,9 @@
     fn begin_instance(&mut self, instance: u32, fields: &mut Fields) -> Result<(), AdapterError> {
         let seed = fields.u64()?;
         let size = fields.u32()? as usize;
-        let settings = platform_config::parse(fields.bytes(size)?);
-        let config = settings.and_then(|settings| platform_config::tariff(&settings));
+        let settings = ternpick_platform_config::parse(fields.bytes(size)?);
+        let config =
+            settings.and_then(|settings| ternpick_platform_config::platform_config(&settings));
         let config = config.map_err(|error| AdapterError::Settings(error.into()))?;
         self.instances
             .insert(instance, RoutingEngine::new(config, seed));
--- a/platform_config/src/bounds.rs
+++ b/platform_config/src/bounds.rs
@@ -15,23 +15,23 @@
     /// By customer number, in the order of the quotas.
     pub customer_names: Vec<String>,
     /// The figures of a load report, in the order of the decision module's load metrics.
-    pub columns: Vec<String>,
+    pub load_metric_names: Vec<String>,
     /// How many shards an index has.
-    pub shards: Option<u32>,
+    pub shard_count: Option<u32>,
     /// Queries, and shard requests, held at a time.
-    pub most_held: Option<usize>,
+    pub max_in_flight: Option<usize>,
     /// Shard requests that one call may bundle.
-    pub parts_a_call: usize,
+    pub max_shard_requests_per_call: usize,
     /// Calls in flight on one connection.
-    pub parts_a_connection: usize,
+    pub max_attempts_per_connection: usize,
     /// How long establishing a connection may take.
     pub dial_timeout: Option<Micros>,
     /// After how long an idle connection is closed.
-    pub idle_close: Option<Micros>,
+    pub idle_timeout: Option<Micros>,
     /// The longest that any client waits for an answer.
     pub longest_deadline: Option<Micros>,
     /// How long a router may go without polling the endpoint list.
-    pub ask_within: Option<Micros>,
+    pub max_poll_interval: Option<Micros>,
 }
 
 /// Reads the bounds. Whatever the settings do not say is not limited.
@@ -42,17 +42,17 @@
         index_names: names(settings, "classes"),
         zone_names: texts(settings, "areas"),
         customer_names: names(settings, "projects"),
-        columns: texts(&settings["report"], "columns"),
-        shards: number(extra, "shards").map(|shards| shards as u32),
-        most_held: count(limits, "mostHeld"),
-        parts_a_call: count(extra, "bundleMax").unwrap_or(1),
-        parts_a_connection: count(limits, "streamsPerConn").unwrap_or(1),
+        load_metric_names: texts(&settings["report"], "columns"),
+        shard_count: number(extra, "shards").map(|count| count as u32),
+        max_in_flight: count(limits, "mostHeld"),
+        max_shard_requests_per_call: count(extra, "bundleMax").unwrap_or(1),
+        max_attempts_per_connection: count(limits, "streamsPerConn").unwrap_or(1),
         dial_timeout: micros(limits, "dialTimeout"),
-        idle_close: micros(limits, "idleClose"),
+        idle_timeout: micros(limits, "idleClose"),
         longest_deadline: list(settings, "classes")
             .iter()
             .filter_map(|row| micros(row, "deadline"))
             .max(),
-        ask_within: micros(&settings["rules"], "askWithin"),
+        max_poll_interval: micros(&settings["rules"], "askWithin"),
     }
 }
--- a/platform_config/src/lib.rs
+++ b/platform_config/src/lib.rs
@@ -2,7 +2,7 @@
 //! it. Keys are the platform's, and keys that are not known here are skipped. The settings file of the router itself is
 //! `ternpick-settings`'.
 //!
-//! [`tariff`] gives what the decision module works with, [`bounds`] what the program around it keeps to.
+//! [`platform_config`] gives what the decision module works with, [`bounds`] what the program around it keeps to.
 
 mod bounds;
 mod check;
@@ -12,7 +12,7 @@
 
 pub use bounds::{bounds, Bounds};
 pub use error::{PlatformConfigError, Range};
-pub use platform::tariff;
+pub use platform::platform_config;
 
 use serde_json::Value;
 
--- a/platform_config/src/platform.rs
+++ b/platform_config/src/platform.rs
@@ -10,7 +10,7 @@
 use crate::json::{flag, list, micros, number};
 
 /// Reads the configuration. What is absent has a default; what is wrong is named with its value.
-pub fn tariff(settings: &Value) -> Result<PlatformConfig, PlatformConfigError> {
+pub fn platform_config(settings: &Value) -> Result<PlatformConfig, PlatformConfigError> {
     if !settings.is_object() {
         return Err(PlatformConfigError::NotAnObject);
     }
--- a/platform_config/tests/wrong_settings.rs
+++ b/platform_config/tests/wrong_settings.rs
@@ -1,7 +1,7 @@
 //! Settings that cannot be used are rejected with a reason.
 
 use serde_json::{json, Value};
-use ternpick_platform_config::{parse, tariff};
+use ternpick_platform_config::{parse, platform_config};
 use test_case::test_case;
 
 #[test_case(json!({"classes": [{"worth": "much"}]}), "classes[0].worth is \"much\""; "a text")]
@@ -10,7 +10,9 @@
 #[test_case(json!({"charges": {"waste": -0.1}}), "charges.waste is -0.1"; "a price below nothing")]
 #[test_case(json!({"rules": {"extraRatio": []}}), "rules.extraRatio is []"; "a list")]
 fn a_wrong_setting_is_named_with_its_value(settings: Value, named: &str) {
-    let error = tariff(&settings).expect_err("a mistake").to_string();
+    let error = platform_config(&settings)
+        .expect_err("a mistake")
+        .to_string();
     assert!(error.contains(named), "{error}");
 }
 
@@ -18,6 +20,6 @@
 fn settings_that_are_no_json_object_are_rejected() {
     let error = parse(b"{").expect_err("no JSON").to_string();
     assert!(error.starts_with("settings that are not JSON: "), "{error}");
-    let error = tariff(&json!([])).expect_err("a list").to_string();
+    let error = platform_config(&json!([])).expect_err("a list").to_string();
     assert_eq!(error, "settings that are not a JSON object");
 }
--- a/router/src/lifecycle/capacity_share.rs
+++ b/router/src/lifecycle/capacity_share.rs
@@ -39,9 +39,9 @@
         let decisions = router.decisions.borrow();
         let descriptors = router.descriptors.total();
         let memory = router.budget.limit();
-        let most_held = decisions.effects.bounds.most_held;
+        let max_in_flight = decisions.effects.bounds.max_in_flight;
         let all = Lease {
-            held: most_held.map_or(u32::MAX, saturating_u32),
+            held: max_in_flight.map_or(u32::MAX, saturating_u32),
             extra: decisions.engine.config.retry_budget_min.clamp(0.0, 1e9) as u32,
             // The new process has descriptors of its own beside its peers', out of the same number.
             sockets: saturating_u32(descriptors.saturating_sub(OWN)),
@@ -100,7 +100,7 @@
         decisions.effects.shared_limit = None;
         decisions.engine.serve_whole();
         if let Some(limits) = &mut decisions.effects.limits {
-            limits.other_done();
+            limits.other_process_drained();
         }
         router.descriptors.set_total(self.descriptors);
         router.budget.set_limit(self.memory);
--- a/router/src/lifecycle/cli.rs
+++ b/router/src/lifecycle/cli.rs
@@ -184,19 +184,19 @@
     println!(
         "load reports: {:?}, of {}",
         platform.load_reporting,
-        bounds.columns.join(", ")
+        bounds.load_metric_names.join(", ")
     );
     println!(
         "parts: {} a call, {} a connection",
-        bounds.parts_a_call, bounds.parts_a_connection
+        bounds.max_shard_requests_per_call, bounds.max_attempts_per_connection
     );
-    let most_held = bounds
-        .most_held
+    let max_in_flight = bounds
+        .max_in_flight
         .map_or("no limit".into(), |most| most.to_string());
-    println!("held at most: {most_held}");
+    println!("held at most: {max_in_flight}");
     println!(
         "dial timeout {}, idle close {}",
         millis(bounds.dial_timeout),
-        millis(bounds.idle_close)
+        millis(bounds.idle_timeout)
     );
 }
--- a/router/src/lifecycle/config.rs
+++ b/router/src/lifecycle/config.rs
@@ -107,7 +107,8 @@
     let all: Value = serde_json::from_slice(text)?;
     let seed = u64::from_str_radix(text_of(&all, "seed")?, 16).map_err(|_| InvalidConfig::Seed)?;
     let settings = &all["settings"];
-    let platform = ternpick_platform_config::tariff(settings).map_err(InvalidConfig::Platform)?;
+    let platform =
+        ternpick_platform_config::platform_config(settings).map_err(InvalidConfig::Platform)?;
     let bounds = ternpick_platform_config::bounds(settings);
     check_classes(&platform, &bounds)?;
     let descriptor_limit = all["limits"]["sockets"]
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use ternpick_identity::Terms;
 use ternpick_settings::{Read, Refused, Schema};
-use ternpick_tenant_limits::{Terms as LimitTerms, Whole};
+use ternpick_tenant_limits::{SharedLimitConfig, TenantConfig as LimitTerms};
 
 const SCHEMA: Schema = Schema::new(
     &[
@@ -227,7 +227,7 @@
     /// Limits of tenants, by name.
     pub(crate) limits: Vec<(String, LimitTerms)>,
     /// The limit on all tenants together.
-    pub(crate) whole: Whole,
+    pub(crate) whole: SharedLimitConfig,
 }
 
 /// All settings of a router.
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use ternpick::routing::EngineSnapshot;
 use ternpick::types::{EndpointState, Micros, NodeId};
-use ternpick_tenant_limits::Counted;
+use ternpick_tenant_limits::LimitsSnapshot;
 
 use crate::lifecycle::watch::{self, MalformedList};
 use crate::router::{Decisions, Router};
@@ -36,7 +36,7 @@
     /// What the decision module has learnt.
     pub(crate) engine: EngineSnapshot,
     /// Limits of tenants. Without it: full bursts.
-    pub(crate) limits: Option<Counted>,
+    pub(crate) limits: Option<LimitsSnapshot>,
     /// The set of keys as it was served, and its age in microseconds. Without it: none until the source answers.
     pub(crate) keys: Option<AgedDocument>,
     /// All revocations, and their age. Without it: none until the source answers, and no trust before.
@@ -143,7 +143,7 @@
         let [keys, revocations] = auth.map_or([None, None], |auth| auth.kept(router));
         let mut decisions = router.decisions.borrow_mut();
         let limits = decisions.effects.limits.as_mut();
-        let limits = limits.map(|limits| limits.counted(now));
+        let limits = limits.map(|limits| limits.snapshot(now));
         let mut engine = decisions.engine.snapshot(now);
         engine.terms = engine.terms.map(|terms| terms + &owners(router));
         Snapshot {
@@ -207,9 +207,9 @@
         let own = own_terms(self.engine.terms.as_deref(), &owners(router));
         self.engine.terms = Some(own.terms);
         let applied = engine.believe(now, &self.engine);
-        if let (Some(limits), Some(counted)) = (&mut effects.limits, &self.limits) {
+        if let (Some(limits), Some(snapshot)) = (&mut effects.limits, &self.limits) {
             if own.is_own {
-                limits.go_on(now, counted);
+                limits.restore(now, snapshot);
             }
         }
         applied
--- a/router/src/lifecycle/snapshot/release_bytes.rs
+++ b/router/src/lifecycle/snapshot/release_bytes.rs
@@ -30,7 +30,7 @@
         terms: Some("soft 5 of a, b".into()),
         shed: Some(38),
     };
-    let limits = Counted {
+    let limits = LimitsSnapshot {
         tenants: vec![(39.5, 40.5).into()],
         limit: 41.5,
         in_flight: vec![42, 43],
--- a/router/src/lifecycle/start.rs
+++ b/router/src/lifecycle/start.rs
@@ -92,7 +92,7 @@
     };
     let known_endpoints = config.known_endpoints.take();
     let discovery_is_polled = config.platform.discovery_is_polled;
-    let schedule = WatchSchedule::new(config.bounds.ask_within, !config.seed);
+    let schedule = WatchSchedule::new(config.bounds.max_poll_interval, !config.seed);
     let name = config.name.clone();
     let builder = RouterBuilder {
         config,
--- a/router/src/stages/auth_filter.rs
+++ b/router/src/stages/auth_filter.rs
@@ -17,7 +17,7 @@
 use event_listener::Event;
 use ternpick::types::Micros;
 use ternpick_identity::{Ask, Calendar, Identity, Pass, Refresh, Refusal, Source, TermsFault};
-use ternpick_tenant_limits::{Limits, Terms as LimitTerms};
+use ternpick_tenant_limits::{Limits, TenantConfig as LimitTerms};
 use ternpick_wire::http::Reader;
 
 pub(crate) use crate::stages::auth_filter::answers::reserve;
@@ -31,10 +31,10 @@
 /// The limits of a tenant that nobody is any more.
 const NOTHING: LimitTerms = LimitTerms {
     weight: 0.0,
-    in_hand: 0,
+    max_in_flight: 0,
     per_second: 0.0,
     burst: 0.0,
-    repeats: 0.0,
+    retries_per_query: 0.0,
 };
 
 /// A source that is polled, and when.
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -85,7 +85,7 @@
         let in_flight = self.in_flight.load();
         let limit = self
             .bounds
-            .most_held
+            .max_in_flight
             .into_iter()
             .chain(self.shared_limit)
             .min();
--- a/router/src/stages/query_request.rs
+++ b/router/src/stages/query_request.rs
@@ -66,7 +66,7 @@
     let deadline = deadline(request, &router.bounds)?;
     let is_retry = request.header("req-retry") == Some("1");
     let fields = fields.as_ref().map_err(|error| bad_query(*error))?;
-    let shard_requests = query::shards(fields, router.bounds.shards).map_err(bad_query)?;
+    let shard_requests = query::shards(fields, router.bounds.shard_count).map_err(bad_query)?;
     let statement = query::statement(fields).map_err(bad_query)?;
     let idempotency_key = idempotency_key(router, request, index)?;
     Ok(QueryRequest {
--- a/router/src/stages/upstream_connection.rs
+++ b/router/src/stages/upstream_connection.rs
@@ -63,7 +63,7 @@
         return None;
     };
     // Room for the longest frame at least.
-    let output_bound = effects.bounds.parts_a_call * (BODY_BOUND + LINE_BOUND);
+    let output_bound = effects.bounds.max_shard_requests_per_call * (BODY_BOUND + LINE_BOUND);
     let id = effects
         .nodes
         .connect(node, effects.now, output_bound, permit)?;
@@ -124,7 +124,7 @@
 
 /// Returns when the connection has been idle so long that the node is about to close it.
 async fn idle(router: &Router, id: ConnectionId) -> UpstreamEnd {
-    let Some(node_closes_after) = router.bounds.idle_close else {
+    let Some(node_closes_after) = router.bounds.idle_timeout else {
         return future::pending().await;
     };
     let limit = node_closes_after.since(router.bounds.dial_timeout.unwrap_or_default());
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -193,7 +193,7 @@
     let Some(finished) = finish_attempt(router, id, &answer, outcome)? else {
         return Ok(());
     };
-    let load_report = frames::report(answer.report, &router.bounds.columns);
+    let load_report = frames::report(answer.report, &router.bounds.load_metric_names);
     dispatch::attempt_finished(router, finished, &load_report);
     Ok(())
 }
@@ -249,7 +249,7 @@
         let connection = decisions.effects.nodes.connection(id);
         connection.ok_or(UnusableInput::ConnectionRemoved)?.node
     };
-    let report = frames::report(text.trim_end(), &router.bounds.columns);
+    let report = frames::report(text.trim_end(), &router.bounds.load_metric_names);
     router.apply(|engine, now, effects| {
         engine.health_check_finished(now, node, &report, effects);
     });
--- a/router/src/stages/upstream_writer.rs
+++ b/router/src/stages/upstream_writer.rs
@@ -78,8 +78,8 @@
 ) -> (Vec<AttemptKey>, Vec<AttemptKey>) {
     let mut room = effects
         .bounds
-        .parts_a_call
-        .min(effects.bounds.parts_a_connection);
+        .max_shard_requests_per_call
+        .min(effects.bounds.max_attempts_per_connection);
     ordered.into_iter().partition(|key| {
         let in_frame = room > 0
             && effects
@@ -131,7 +131,7 @@
     let mut fitting = usable.filter(|(id, connection)| {
         let waiting: usize = connection.waiting.iter().map(Vec::len).sum();
         let carried = connection.attempts.len() + waiting;
-        carried + frame.len() <= effects.bounds.parts_a_connection
+        carried + frame.len() <= effects.bounds.max_attempts_per_connection
             && !frame.iter().any(|key| effects.in_flight.carried(*key, *id))
     });
     fitting.next().map(|(id, _)| id)
--- a/tenant_limits/examples/fairness.rs
+++ b/tenant_limits/examples/fairness.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use ternpick::types::{CustomerNo, Micros};
-use ternpick_tenant_limits::{Limits, Terms, Whole};
+use ternpick_tenant_limits::{Limits, SharedLimitConfig, TenantConfig};
 
 const TENANTS: u16 = 1000;
 /// Queries that may be in flight, each for 10 ms, so 10,000 a second.
@@ -41,17 +41,17 @@
 
 impl Run {
     fn new(admission: Admission) -> Run {
-        let config = Terms {
+        let config = TenantConfig {
             weight: 1.0,
-            in_hand: 100_000,
+            max_in_flight: 100_000,
             per_second: 1e9,
             burst: 1e9,
-            repeats: 1.0,
+            retries_per_query: 1.0,
         };
-        let shared = Whole {
-            begins: CAPACITY,
-            least: CAPACITY,
-            most: CAPACITY,
+        let shared = SharedLimitConfig {
+            initial: CAPACITY,
+            min: CAPACITY,
+            max: CAPACITY,
         };
         Run {
             admission,
--- a/tenant_limits/src/adaptive_limit.rs
+++ b/tenant_limits/src/adaptive_limit.rs
@@ -3,7 +3,7 @@
 
 use ternpick::types::Micros;
 
-use crate::config::Whole;
+use crate::config::SharedLimitConfig;
 
 /// The limit adapts after so many queries have ended, or after so much time.
 const WINDOW_QUERIES: u32 = 32;
@@ -17,7 +17,7 @@
 const SMOOTHING: f64 = 0.1;
 
 pub(crate) struct AdaptiveLimit {
-    bounds: Whole,
+    bounds: SharedLimitConfig,
     limit: f64,
     window: Window,
     /// How long a query takes, smoothed; none before the first has ended.
@@ -34,11 +34,11 @@
 }
 
 impl AdaptiveLimit {
-    pub(crate) fn new(bounds: Whole) -> Self {
-        let upper = bounds.most.max(bounds.least);
+    pub(crate) fn new(bounds: SharedLimitConfig) -> Self {
+        let upper = bounds.max.max(bounds.min);
         AdaptiveLimit {
             bounds,
-            limit: bounds.begins.clamp(bounds.least, upper) as f64,
+            limit: bounds.initial.clamp(bounds.min, upper) as f64,
             window: Window::default(),
             typical_duration: None,
         }
@@ -52,9 +52,9 @@
         self.typical_duration.unwrap_or_default()
     }
 
-    pub(crate) fn reconfigure(&mut self, bounds: Whole) {
+    pub(crate) fn reconfigure(&mut self, bounds: SharedLimitConfig) {
         self.bounds = bounds;
-        self.limit = self.limit.clamp(bounds.least as f64, bounds.most as f64);
+        self.limit = self.limit.clamp(bounds.min as f64, bounds.max as f64);
     }
 
     /// Continues from another process's limit; what is no number is ignored.
@@ -101,7 +101,7 @@
     }
 
     fn set(&mut self, limit: f64) {
-        let upper = self.bounds.most.max(self.bounds.least) as f64;
-        self.limit = limit.clamp(self.bounds.least as f64, upper);
+        let upper = self.bounds.max.max(self.bounds.min) as f64;
+        self.limit = limit.clamp(self.bounds.min as f64, upper);
     }
 }
--- a/tenant_limits/src/lib.rs
+++ b/tenant_limits/src/lib.rs
@@ -5,10 +5,10 @@
 //! limits, and keeps one tenant's flood or retry storm from becoming everyone's.
 //!
 //! ```
-//! use ternpick_tenant_limits::{Limits, Terms, Whole};
+//! use ternpick_tenant_limits::{Limits, TenantConfig, SharedLimitConfig};
 //! use ternpick::types::{CustomerNo, Micros};
-//! let config = Terms { weight: 1.0, in_hand: 1, per_second: 100.0, burst: 10.0, repeats: 0.2 };
-//! let mut limits = Limits::new(vec![config], Whole { begins: 8, least: 2, most: 100 });
+//! let config = TenantConfig { weight: 1.0, max_in_flight: 1, per_second: 100.0, burst: 10.0, retries_per_query: 0.2 };
+//! let mut limits = Limits::new(vec![config], SharedLimitConfig { initial: 8, min: 2, max: 100 });
 //! assert!(limits.admit(Micros(0), CustomerNo(0), false).is_ok());
 //! assert!(limits.admit(Micros(0), CustomerNo(0), false).is_err()); // It may have one in flight.
 //! limits.release(Micros(9000), CustomerNo(0), Micros(9000), false);
@@ -21,6 +21,6 @@
 mod rejection;
 mod tenant;
 
-pub use config::{Terms, Whole};
-pub use limits::{Counted, Limits, TenantCounts};
+pub use config::{SharedLimitConfig, TenantConfig};
+pub use limits::{Limits, LimitsSnapshot, TenantCounts};
 pub use rejection::Rejection;
--- a/tenant_limits/src/limits.rs
+++ b/tenant_limits/src/limits.rs
@@ -4,13 +4,13 @@
 use ternpick::types::{CustomerNo, Micros};
 
 use crate::adaptive_limit::AdaptiveLimit;
-use crate::config::{Terms, Whole};
+use crate::config::{SharedLimitConfig, TenantConfig};
 use crate::rejection::Rejection;
 use crate::tenant::Tenant;
 
 /// What is counted, for the process that replaces this one. Without it, bursts and retry budgets start anew.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Counted {
+pub struct LimitsSnapshot {
     /// By tenant number.
     pub tenants: Vec<TenantCounts>,
     /// The shared limit.
@@ -53,7 +53,7 @@
 
 impl Limits {
     /// `tenants` by number, from 0.
-    pub fn new(tenants: Vec<Terms>, shared: Whole) -> Self {
+    pub fn new(tenants: Vec<TenantConfig>, shared: SharedLimitConfig) -> Self {
         Limits {
             tenants: tenants.into_iter().map(Tenant::new).collect(),
             shared: AdaptiveLimit::new(shared),
@@ -64,11 +64,11 @@
 
     /// Takes another configuration while queries are in flight; what is counted stays counted. A tenant that is left
     /// out keeps what it has in flight, and may have nothing more.
-    pub fn update(&mut self, tenants: Vec<Terms>, shared: Whole) {
+    pub fn update(&mut self, tenants: Vec<TenantConfig>, shared: SharedLimitConfig) {
         let count = tenants.len().max(self.tenants.len());
         let mut configs = tenants.into_iter();
         for number in 0..count {
-            let config = configs.next().unwrap_or(Terms::NOTHING);
+            let config = configs.next().unwrap_or(TenantConfig::NO_QUERIES);
             match self.tenants.get_mut(number) {
                 Some(tenant) => tenant.reconfigure(config),
                 None => self.tenants.push(Tenant::new(config)),
@@ -84,7 +84,7 @@
     }
 
     /// What is counted, for the process that replaces this one.
-    pub fn counted(&mut self, now: Micros) -> Counted {
+    pub fn snapshot(&mut self, now: Micros) -> LimitsSnapshot {
         for tenant in &mut self.tenants {
             tenant.fill_tokens(now);
         }
@@ -92,7 +92,7 @@
             tokens: tenant.tokens,
             retries: tenant.retries,
         };
-        Counted {
+        LimitsSnapshot {
             tenants: self.tenants.iter().map(counts).collect(),
             limit: self.shared.limit(),
             in_flight: self.tenants.iter().map(|tenant| tenant.in_flight).collect(),
@@ -100,8 +100,8 @@
     }
 
     /// Continues from what another process counted, on the same tenants. What that has in flight counts here too, until
-    /// [`Limits::other_done`].
-    pub fn go_on(&mut self, now: Micros, from: &Counted) {
+    /// [`Limits::other_process_drained`].
+    pub fn restore(&mut self, now: Micros, from: &LimitsSnapshot) {
         let counts = from.tenants.iter().zip(&from.in_flight);
         for (tenant, (counts, in_flight)) in self.tenants.iter_mut().zip(counts) {
             tenant.restore(now, *counts, *in_flight);
@@ -110,7 +110,7 @@
     }
 
     /// The other process has nothing left in flight.
-    pub fn other_done(&mut self) {
+    pub fn other_process_drained(&mut self) {
         for tenant in &mut self.tenants {
             tenant.in_flight_elsewhere = 0;
         }
--- a/tenant_limits/src/tenant.rs
+++ b/tenant_limits/src/tenant.rs
@@ -2,7 +2,7 @@
 
 use ternpick::types::Micros;
 
-use crate::config::Terms;
+use crate::config::TenantConfig;
 use crate::limits::TenantCounts;
 use crate::rejection::Rejection;
 
@@ -10,7 +10,7 @@
 const MAX_SAVED_RETRIES: f64 = 20.0;
 
 pub(crate) struct Tenant {
-    pub(crate) config: Terms,
+    pub(crate) config: TenantConfig,
     pub(crate) in_flight: usize,
     /// In flight at the process that this one replaces, while that drains.
     pub(crate) in_flight_elsewhere: usize,
@@ -23,13 +23,13 @@
 }
 
 impl Tenant {
-    pub(crate) fn new(config: Terms) -> Self {
+    pub(crate) fn new(config: TenantConfig) -> Self {
         Tenant {
             in_flight: 0,
             in_flight_elsewhere: 0,
             tokens: config.burst,
             filled_at: Micros(0),
-            retries: MAX_SAVED_RETRIES * config.repeats,
+            retries: MAX_SAVED_RETRIES * config.retries_per_query,
             config,
         }
     }
@@ -42,7 +42,7 @@
     }
 
     /// Takes another configuration; what is counted stays counted.
-    pub(crate) fn reconfigure(&mut self, config: Terms) {
+    pub(crate) fn reconfigure(&mut self, config: TenantConfig) {
         self.tokens = self.tokens.min(config.burst);
         self.config = config;
     }
@@ -70,7 +70,7 @@
         is_retry: bool,
         typical_duration: Micros,
     ) -> Result<(), Rejection> {
-        if self.in_flight + self.in_flight_elsewhere >= self.config.in_hand {
+        if self.in_flight + self.in_flight_elsewhere >= self.config.max_in_flight {
             return Err(Rejection::InFlight {
                 retry_after: typical_duration,
             });
@@ -95,8 +95,8 @@
         if is_retry {
             self.retries -= 1.0;
         } else {
-            let max = MAX_SAVED_RETRIES * self.config.repeats.max(0.05);
-            self.retries = (self.retries + self.config.repeats).min(max);
+            let max = MAX_SAVED_RETRIES * self.config.retries_per_query.max(0.05);
+            self.retries = (self.retries + self.config.retries_per_query).min(max);
         }
         self.in_flight += 1;
     }
--- a/tenant_limits/tests/fairness.rs
+++ b/tenant_limits/tests/fairness.rs
@@ -4,27 +4,27 @@
 
 use proptest::prelude::*;
 use ternpick::types::{CustomerNo, Micros};
-use ternpick_tenant_limits::{Limits, Rejection, Terms, Whole};
+use ternpick_tenant_limits::{Limits, Rejection, SharedLimitConfig, TenantConfig};
 use test_case::test_case;
 
 const MS: u64 = 1000;
 const S: u64 = 1_000_000;
 
-fn tenant_config() -> Terms {
-    Terms {
+fn tenant_config() -> TenantConfig {
+    TenantConfig {
         weight: 1.0,
-        in_hand: 1000,
+        max_in_flight: 1000,
         per_second: 1e6,
         burst: 1e6,
-        repeats: 0.2,
+        retries_per_query: 0.2,
     }
 }
 
-fn fixed_limit(limit: usize) -> Whole {
-    Whole {
-        begins: limit,
-        least: limit,
-        most: limit,
+fn fixed_limit(limit: usize) -> SharedLimitConfig {
+    SharedLimitConfig {
+        initial: limit,
+        min: limit,
+        max: limit,
     }
 }
 
@@ -106,7 +106,7 @@
     let mut limits = Limits::new(
         vec![
             tenant_config(),
-            Terms {
+            TenantConfig {
                 weight,
                 ..tenant_config()
             },
@@ -123,7 +123,7 @@
 #[test]
 fn a_rate_is_kept_with_its_burst_and_its_retry_after_is_right() {
     let mut limits = Limits::new(
-        vec![Terms {
+        vec![TenantConfig {
             per_second: 10.0,
             burst: 3.0,
             ..tenant_config()
@@ -153,8 +153,8 @@
 fn a_retry_storm_ends_with_its_budget() {
     let mut limits = Limits::new(
         vec![
-            Terms {
-                repeats: 0.1,
+            TenantConfig {
+                retries_per_query: 0.1,
                 ..tenant_config()
             },
             tenant_config(),
@@ -184,10 +184,10 @@
 fn the_limit_shrinks_while_answers_are_late_and_grows_while_it_is_used_up() {
     let mut limits = Limits::new(
         vec![tenant_config()],
-        Whole {
-            begins: 50,
-            least: 5,
-            most: 80,
+        SharedLimitConfig {
+            initial: 50,
+            min: 5,
+            max: 80,
         },
     );
     let mut round = |now: u64, late: bool| {
@@ -211,9 +211,9 @@
     fn all_that_is_admitted_is_released_whatever_the_order(
         steps in proptest::collection::vec((0u16..6, any::<bool>(), 0u64..200, any::<bool>()), 1..300)
     ) {
-        let tenants: Vec<Terms> =
-            (0..5).map(|at| Terms { weight: 1.0 + f64::from(at), in_hand: 4 + at as usize, ..tenant_config() }).collect();
-        let mut limits = Limits::new(tenants.clone(), Whole { begins: 10, least: 2, most: 30 });
+        let tenants: Vec<TenantConfig> =
+            (0..5).map(|at| TenantConfig { weight: 1.0 + f64::from(at), max_in_flight: 4 + at as usize, ..tenant_config() }).collect();
+        let mut limits = Limits::new(tenants.clone(), SharedLimitConfig { initial: 10, min: 2, max: 30 });
         let (mut now, mut held) = (Micros(0), Vec::new());
         for (tenant, takes, later, late) in steps {
             now += Micros(later * MS);
@@ -230,7 +230,7 @@
             prop_assert_eq!(limits.in_flight(), held.len());
             for (at, of) in tenants.iter().enumerate() {
                 let count = held.iter().filter(|(tenant, _)| usize::from(tenant.0) == at).count();
-                prop_assert!(count <= of.in_hand);
+                prop_assert!(count <= of.max_in_flight);
                 prop_assert_eq!(limits.tenant_in_flight(CustomerNo(at as u16)), Some(count));
             }
         }
--- a/tenant_limits/tests/hot_restart.rs
+++ b/tenant_limits/tests/hot_restart.rs
@@ -1,27 +1,29 @@
 //! What a process hands over to the one that replaces it.
 
 use ternpick::types::{CustomerNo, Micros};
-use ternpick_tenant_limits::{Counted, Limits, TenantCounts, Terms, Whole};
+use ternpick_tenant_limits::{
+    Limits, LimitsSnapshot, SharedLimitConfig, TenantConfig, TenantCounts,
+};
 
 fn limits() -> Limits {
-    let config = Terms {
+    let config = TenantConfig {
         weight: 1.0,
-        in_hand: 2,
+        max_in_flight: 2,
         per_second: 1.0,
         burst: 10.0,
-        repeats: 0.5,
+        retries_per_query: 0.5,
     };
-    let shared = Whole {
-        begins: 8,
-        least: 2,
-        most: 100,
+    let shared = SharedLimitConfig {
+        initial: 8,
+        min: 2,
+        max: 100,
     };
     Limits::new(vec![config], shared)
 }
 
 #[test]
 fn counts_are_stored_as_pairs_by_position() {
-    let counted = Counted {
+    let counted = LimitsSnapshot {
         tenants: vec![TenantCounts {
             tokens: 1.5,
             retries: 2.5,
@@ -32,7 +34,7 @@
     let pairs = (vec![(1.5, 2.5)], 7.0, vec![3_usize]);
     let bytes = postcard::to_stdvec(&counted).expect("bytes");
     assert_eq!(bytes, postcard::to_stdvec(&pairs).expect("bytes"));
-    let read: Counted = postcard::from_bytes(&bytes).expect("counts");
+    let read: LimitsSnapshot = postcard::from_bytes(&bytes).expect("counts");
     assert_eq!(read, counted);
 }
 
@@ -44,8 +46,8 @@
     assert!(old.admit(now, tenant, false).is_ok());
     assert!(old.admit(now, tenant, false).is_ok());
     let mut new = limits();
-    new.go_on(now, &old.counted(now));
+    new.restore(now, &old.snapshot(now));
     assert!(new.admit(now, tenant, false).is_err());
-    new.other_done();
+    new.other_process_drained();
     assert!(new.admit(now, tenant, false).is_ok());
 }
