--- a/router/src/fleet/peer_listener.rs
+++ b/router/src/fleet/peer_listener.rs
@@ -7,7 +7,7 @@
 use async_io::Async;
 use futures_lite::future;
 use ternpick::types::Micros;
-use ternpick_wire::http::{self, Reader, HEAD_BOUND};
+use ternpick_wire::http::{self, Reader, MAX_HEAD_BYTES};
 use ternpick_wire::ring::Ring;
 
 use super::peer_batch::{BatchError, PeerBatch, PATH};
@@ -80,8 +80,8 @@
 async fn read_batches(router: &Router, fleet: &Fleet, stream: Async<TcpStream>) {
     // The answers are small, and the other end waits for them. Without the option they only come later.
     let _ = stream.get_ref().set_nodelay(true);
-    let mut input = Ring::new(HEAD_BOUND);
-    let mut request = Reader::of_requests();
+    let mut input = Ring::new(MAX_HEAD_BYTES);
+    let mut request = Reader::for_requests();
     loop {
         let idle_deadline = router.clock.now() + IDLE_TIMEOUT;
         let read = router
@@ -94,9 +94,9 @@
             return;
         }
         let answer = receive(fleet, &request);
-        request.forget_body();
+        request.release_body();
         let is_last = answer.status != 200;
-        let bytes = http::answer(answer.status, "", &answer.body, is_last);
+        let bytes = http::encode_response(answer.status, "", &answer.body, is_last);
         let write_deadline = router.clock.now() + CALL_TIMEOUT;
         let written = router
             .with_deadline(Some(write_deadline), write_all(&stream, &bytes))
@@ -160,7 +160,7 @@
         }
         match stream.get_ref().read(input.free()) {
             Ok(0) => return false,
-            Ok(count) => input.filled_more(count),
+            Ok(count) => input.commit(count),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
             Err(_) => return false,
         }
--- a/router/src/fleet/peer_transport.rs
+++ b/router/src/fleet/peer_transport.rs
@@ -10,7 +10,7 @@
 use event_listener::Event;
 use ternpick::types::Micros;
 use ternpick_fleet_policy::{Member, PeerMessage};
-use ternpick_wire::http::HEAD_BOUND;
+use ternpick_wire::http::MAX_HEAD_BYTES;
 
 use super::fragments::split;
 use super::peer_batch::{PeerBatch, MAX_BATCH_BYTES, PATH};
@@ -200,10 +200,10 @@
         "POST {PATH} HTTP/1.1\r\nHost: {address}\r\nFleet-From: {from}\r\nContent-Length: {length}\r\n\r\n"
     );
     let request = [head.as_bytes(), body].concat();
-    let answer = http_client::exchange(&connection.stream, &request, HEAD_BOUND)
+    let answer = http_client::exchange(&connection.stream, &request, MAX_HEAD_BYTES)
         .await
         .map_err(|error| CallError::Exchange(error.to_string()))?;
-    Ok(Some(connection).filter(|_| !answer.closes()))
+    Ok(Some(connection).filter(|_| !answer.closes_connection()))
 }
 
 async fn connect(router: &Router, address: SocketAddr) -> Result<Connection, CallError> {
--- a/router/src/lifecycle/build.rs
+++ b/router/src/lifecycle/build.rs
@@ -18,12 +18,12 @@
 use crate::router::{Decisions, Router};
 use crate::stages::auth_filter::AuthFilter;
 use crate::stages::completion::EffectQueue;
-use crate::state::budget::Budget;
 use crate::state::client_transfer::ClientTransfer;
 use crate::state::descriptors::Descriptors;
 use crate::state::discovery::DiscoveryState;
 use crate::state::listener::ListenerState;
 use crate::state::log_limit::LogLimit;
+use crate::state::memory_budget::MemoryBudget;
 use crate::state::shutdown::ShutdownState;
 
 /// Why a router cannot be made from what it was given.
@@ -90,7 +90,7 @@
         Ok(Router {
             clock,
             descriptors: Descriptors::new(self.descriptor_limit),
-            budget: Budget::new(memory_bytes),
+            budget: MemoryBudget::new(memory_bytes),
             clients: Rc::default(),
             executor: Rc::new(LocalExecutor::new()),
             decisions: RefCell::new(decisions(platform, seed, &bounds, limits)),
--- a/router/src/lifecycle/capacity_share.rs
+++ b/router/src/lifecycle/capacity_share.rs
@@ -8,7 +8,7 @@
 
 use crate::router::Router;
 use crate::state::clients::ClientState;
-use crate::state::descriptors::OWN;
+use crate::state::descriptors::RESERVED_DESCRIPTORS;
 
 /// Connections to nodes that a draining process may still open for what it has in flight.
 const SPARE_SOCKETS: usize = 8;
@@ -44,7 +44,7 @@
             held: most_held.map_or(u32::MAX, saturating_u32),
             extra: decisions.engine.config.retry_budget_min.clamp(0.0, 1e9) as u32,
             // The new process has descriptors of its own beside its peers', out of the same number.
-            sockets: saturating_u32(descriptors.saturating_sub(OWN)),
+            sockets: saturating_u32(descriptors.saturating_sub(RESERVED_DESCRIPTORS)),
             memory: memory as u64,
         };
         CapacityShare {
@@ -73,7 +73,7 @@
         // and connections that rest may bring one until the new process has taken over and they go over.
         let clients = router.descriptors.clients();
         let half_read = router.clients.count(ClientState::Partial).count;
-        let may_bring = router.clients.count_owed_nothing() + half_read;
+        let may_bring = router.clients.count_without_request() + half_read;
         let unadmitted = clients.saturating_sub(may_bring + in_flight.query_count());
         let in_use = saturating_u32(in_flight.load() + HELD_A_CLIENT * unadmitted);
         let may_come = saturating_u32(HELD_A_CLIENT * may_bring);
--- a/router/src/lifecycle/http_client.rs
+++ b/router/src/lifecycle/http_client.rs
@@ -63,14 +63,14 @@
 
 async fn read_response(stream: &Async<TcpStream>, bound: usize) -> Result<Reader, HttpError> {
     let mut input = Ring::new(INPUT_BUFFER);
-    let mut response = Reader::of_answers(bound);
+    let mut response = Reader::for_responses(bound);
     while !response.read(&mut input).map_err(HttpError::Malformed)? {
         stream.readable().await?;
         match stream.get_ref().read(input.free()) {
             // A response without a length is complete now. One that a reset cut off comes here as an error.
-            Ok(0) if response.ended() => break,
+            Ok(0) if response.end_of_input() => break,
             Ok(0) => return Err(HttpError::Truncated),
-            Ok(count) => input.filled_more(count),
+            Ok(count) => input.commit(count),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
             Err(e) => return Err(e.into()),
         }
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -85,23 +85,23 @@
 async fn wait_until_nothing_owed(router: &Router, schedule: Shutdown) {
     router.listener.mark_closed();
     // Only those that are idle: one that closes in order has a response on its way.
-    router.clients.end(ClientState::Idle, |_| true);
+    router.clients.close_in_state(ClientState::Idle, |_| true);
     loop {
         let now = router.clock.now();
         let clients = router.descriptors.clients();
-        let owed = clients.saturating_sub(router.clients.count_owed_nothing());
+        let owed = clients.saturating_sub(router.clients.count_without_request());
         // A process that hands over leaves when that is done: whoever asked for it is owed the outcome.
         let handing_over = router.client_transfer.is_active() && !router.shutdown.is_handed_over();
         if schedule.may_exit(now, clients + usize::from(handing_over), owed) {
             return;
         }
         // Connections that had brought no request yet were left open, and got first requests up to the kill.
-        router.clients.end(ClientState::New, |accepted| {
+        router.clients.close_in_state(ClientState::New, |accepted| {
             schedule.closes_new(accepted) <= now
         });
         router
             .clients
-            .end(ClientState::Partial, |_| schedule.answers_by <= now);
+            .close_in_state(ClientState::Partial, |_| schedule.answers_by <= now);
         Timer::at(router.clock.instant(now + CHECK_INTERVAL)).await;
     }
 }
--- a/router/src/lifecycle/upgrade/driver.rs
+++ b/router/src/lifecycle/upgrade/driver.rs
@@ -20,7 +20,7 @@
 use crate::lifecycle::snapshot::Snapshot;
 use crate::router::Router;
 use crate::stages::listener;
-use crate::state::client_transfer::PassedClient;
+use crate::state::client_transfer::TransferredClient;
 
 /// How often it is checked whether the new process lives, and whether anything is left here.
 const CHECK_INTERVAL: Micros = Micros(10_000);
@@ -313,11 +313,11 @@
     }
 
     /// Passes one connection on; false if the link is broken.
-    async fn pass_client(&mut self, client: PassedClient) -> bool {
+    async fn pass_client(&mut self, client: TransferredClient) -> bool {
         let Some(link) = &self.link else {
             return false;
         };
-        let PassedClient {
+        let TransferredClient {
             socket,
             unread,
             set_aside_at,
@@ -334,7 +334,7 @@
         }
         // Where nothing of it can have gone over, it stays here: its client has lost nothing.
         if let (Some(Err(_)), Message::Client { unread }) = (sent, message) {
-            self.router.client_transfer.put_back(PassedClient {
+            self.router.client_transfer.put_back(TransferredClient {
                 socket,
                 unread,
                 set_aside_at,
@@ -347,7 +347,7 @@
     /// No connection goes over any more: those that were set aside stay here.
     fn take_clients_back(&self) {
         while let Some(client) = self.router.client_transfer.pop() {
-            let PassedClient {
+            let TransferredClient {
                 socket,
                 unread,
                 set_aside_at,
--- a/router/src/lifecycle/watch.rs
+++ b/router/src/lifecycle/watch.rs
@@ -55,7 +55,7 @@
             .collect();
         if complete {
             let listed: Vec<_> = endpoints.iter().map(|endpoint| endpoint.node).collect();
-            effects.nodes.keep_only(&listed);
+            effects.nodes.retire_unlisted(&listed);
             keep_only_in_fleet(router, entries);
         }
         let gone = endpoints
@@ -78,12 +78,12 @@
     entry: &Value,
     complete: bool,
 ) -> Option<Endpoint> {
-    match discovery::entry(entry, &effects.bounds.zone_names) {
+    match discovery::parse_entry(entry, &effects.bounds.zone_names) {
         Ok((name, address, mut endpoint)) => {
             if let Some(fleet) = &router.fleet {
                 fleet.lists(&name, &mut endpoint);
             }
-            let (node, new_there) = effects.nodes.list(&name, address, endpoint.state);
+            let (node, new_there) = effects.nodes.apply_entry(&name, address, endpoint.state);
             endpoint.node = node;
             // The decision module's lines name nodes by these numbers.
             if new_there {
@@ -227,9 +227,9 @@
                 .map_err(|_| HttpError::NotConnected)?,
         };
         let host = self.discovery.to_string();
-        let request = discovery::call(&host, self.known_version, wait);
-        let response = http_client::exchange(&stream, &request, discovery::LIST_BOUND).await?;
-        if !response.closes() {
+        let request = discovery::watch_request(&host, self.known_version, wait);
+        let response = http_client::exchange(&stream, &request, discovery::MAX_LIST_BYTES).await?;
+        if !response.closes_connection() {
             self.connection = Some(stream);
         }
         let list = discovery::parse(response.body()).map_err(|error| MalformedList {
--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -20,13 +20,13 @@
 use crate::lifecycle::clock::Clock;
 use crate::stages::auth_filter::AuthFilter;
 use crate::stages::completion::EffectQueue;
-use crate::state::budget::Budget;
 use crate::state::client_transfer::ClientTransfer;
 use crate::state::clients::Clients;
 use crate::state::descriptors::Descriptors;
 use crate::state::discovery::DiscoveryState;
 use crate::state::listener::ListenerState;
 use crate::state::log_limit::LogLimit;
+use crate::state::memory_budget::MemoryBudget;
 use crate::state::shutdown::ShutdownState;
 
 /// The decision module, and the effects that it has asked for and that are yet to be carried out.
@@ -46,7 +46,7 @@
     /// File descriptors, by kind of peer.
     pub(crate) descriptors: Rc<Descriptors>,
     /// Memory that peers make this process hold.
-    pub(crate) budget: Rc<Budget>,
+    pub(crate) budget: Rc<MemoryBudget>,
     /// Connections of clients, by state.
     pub(crate) clients: Rc<Clients>,
     /// Runs all tasks, on one thread.
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -18,7 +18,7 @@
 use crate::stages::dispatch::{self, NewQuery, NewShardRequest};
 use crate::stages::query_request::{self, QueryRequest};
 use crate::state::clients::{Answer, PendingResponse};
-use crate::state::in_flight::AdmittedAs;
+use crate::state::in_flight::AdmissionRecord;
 
 /// What becomes of a request.
 pub(crate) enum Admitted {
@@ -149,7 +149,7 @@
 /// Checks a well-formed query against what is in flight and the fleet's lease; returns the policy that it is decided under.
 fn check_capacity(router: &Router, request_id: &str) -> Result<Option<Mark>, Answer> {
     let mut decisions = router.decisions.borrow_mut();
-    if decisions.effects.in_flight.knows(request_id) {
+    if decisions.effects.in_flight.has_request(request_id) {
         return Err(line(400, "Req-Id is in hand already"));
     }
     if decisions.effects.is_full() {
@@ -189,9 +189,9 @@
     let reply = Rc::new(PendingResponse::default());
     let mut decisions = router.decisions.borrow_mut();
     let latency_objective = decisions.engine.config.indexes[checked.index.at()].latency_objective;
-    let taken = AdmittedAs {
+    let taken = AdmissionRecord {
         tenant,
-        at: now,
+        admitted_at: now,
         latency_objective,
         mark,
         span: tracing::debug_span!(
--- a/router/src/stages/admission_wait.rs
+++ b/router/src/stages/admission_wait.rs
@@ -36,7 +36,7 @@
             return AdmissionWait::default();
         };
         let started = self.router.clock.now();
-        self.io.account_memory(self.request.size());
+        self.io.account_memory(self.request.memory_bytes());
         if !self.router.budget.is_over() {
             let reserve = ANSWER_RESERVE.min(deadline.times(LARGEST_RESERVE));
             let give_up_at = Micros((began + deadline).0 - reserve.0);
--- a/router/src/stages/answer_writer.rs
+++ b/router/src/stages/answer_writer.rs
@@ -32,7 +32,7 @@
         } else {
             body
         };
-        let bytes = http::answer(status, &headers, &body, is_last);
+        let bytes = http::encode_response(status, &headers, &body, is_last);
         if !self.io.output.push(&bytes) {
             tracing::warn!(bytes = body.len(), "an answer is longer than its bound");
             return Err(ConnectionEnd::AnswerTooLong);
--- a/router/src/stages/attempt_deadline.rs
+++ b/router/src/stages/attempt_deadline.rs
@@ -29,7 +29,7 @@
     };
     let progress = progress(effects, attempt);
     let due = attempt.due;
-    let sent_at = attempt.sent;
+    let sent_at = attempt.requested_at;
     let place = attempt.progress;
     if progress == Progress::Written {
         if due > effects.now {
@@ -58,7 +58,7 @@
     let dial_waits_for = effects
         .nodes
         .connection(connection)
-        .map(|connection| connection.dials.get());
+        .map(|connection| connection.dial_waits_for.get());
     if dial_waits_for == Some(Owner::Machine) {
         Progress::NotWrittenByThisMachine
     } else {
--- a/router/src/stages/client_connection.rs
+++ b/router/src/stages/client_connection.rs
@@ -19,9 +19,9 @@
 use crate::stages::request_reader::ReadFailure;
 use crate::stages::stream::Stream;
 use crate::stages::{dispatch, graceful_close, query_request};
-use crate::state::client_transfer::PassedClient;
+use crate::state::client_transfer::TransferredClient;
 use crate::state::clients::Answer;
-use crate::state::descriptors::{Peer, Permit};
+use crate::state::descriptors::{DescriptorPermit, Peer};
 
 /// Why a client connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,7 +91,7 @@
     number: u64,
     opened_at: Micros,
     requests: u64,
-    _permit: Permit,
+    _permit: DescriptorPermit,
 }
 
 /// A connection that has no task yet.
@@ -99,7 +99,7 @@
     /// The connection itself.
     pub(crate) stream: Stream,
     /// Its descriptor's.
-    pub(crate) permit: Permit,
+    pub(crate) permit: DescriptorPermit,
     /// What has been received on it already.
     pub(crate) unread: Vec<u8>,
     /// No later than when it arrived; it may have waited to be accepted.
@@ -144,10 +144,10 @@
     };
     let opened_at = router.clock.now();
     let mut connection = ClientConnection {
-        number: router.clients.number(),
+        number: router.clients.next_connection_number(),
         router,
         io,
-        request: Reader::of_requests(),
+        request: Reader::for_requests(),
         awaiting_first_request: Some(opened_at),
         arrived_at: Some(new.arrived_at),
         opened_at,
@@ -205,7 +205,7 @@
                 let answer = self
                     .answer_request(seen_at, sent_ahead_at.unwrap_or(seen_at))
                     .await?;
-                let client_closes = self.request.closes();
+                let client_closes = self.request.closes_connection();
                 self.write_answer(answer, client_closes).await
             }
             Err(ReadFailure::ClientGone) => Err(ConnectionEnd::ClientLeftDuringRequest),
@@ -243,7 +243,7 @@
         let certificate = self.io.stream.certificate();
         let admitted = admission::admit(&self.router, &self.request, began, certificate);
         self.io.account_memory(self.request.body().len());
-        self.request.forget_body();
+        self.request.release_body();
         match admitted {
             Admitted::Answer(answer) => {
                 let request_id = query_request::request_id(&self.request).unwrap_or("-");
@@ -278,7 +278,7 @@
             return;
         };
         if let Ok(socket) = socket.into_inner() {
-            self.router.client_transfer.push(PassedClient {
+            self.router.client_transfer.push(TransferredClient {
                 socket,
                 unread,
                 set_aside_at: self.router.clock.now(),
--- a/router/src/stages/client_io.rs
+++ b/router/src/stages/client_io.rs
@@ -7,17 +7,17 @@
 use std::time::Instant;
 
 use ternpick::types::Micros;
-use ternpick_wire::http::{BODY_BOUND, HEAD_BOUND};
+use ternpick_wire::http::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use ternpick_wire::ring::Ring;
 
 use crate::stages::stream::Stream;
-use crate::state::budget::Share;
+use crate::state::memory_budget::MemoryShare;
 use crate::state::wake_time::WakeTime;
 
 /// Clients send one request at a time; a complete further one may wait behind it.
-const INPUT_BOUND: usize = HEAD_BOUND + BODY_BOUND;
+const INPUT_BOUND: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 /// The longest answer: as long a body as the protocol allows, and its head.
-const OUTPUT_BOUND: usize = BODY_BOUND + HEAD_BOUND;
+const OUTPUT_BOUND: usize = MAX_BODY_BYTES + MAX_HEAD_BYTES;
 /// Reads in a row before other tasks get their turn.
 const READS_IN_A_ROW: usize = 64;
 
@@ -42,7 +42,7 @@
     pub(crate) input: Ring,
     /// Bytes of answers that the stream has not taken yet.
     pub(crate) output: Ring,
-    memory: Share,
+    memory: MemoryShare,
     readable_since: WakeTime,
     /// Since when the first of the bytes that were sent ahead wait: a client's deadline counts from when it sent them. A
     /// request behind a slow one was otherwise passed on with its full deadline.
@@ -56,7 +56,7 @@
 
 impl ClientIo {
     /// A connection on which `unread` has been received already; none if that is more than the input buffer may hold.
-    pub(crate) fn new(stream: Stream, memory: Share, unread: &[u8]) -> Option<Self> {
+    pub(crate) fn new(stream: Stream, memory: MemoryShare, unread: &[u8]) -> Option<Self> {
         let mut input = Ring::new(INPUT_BOUND);
         if !input.push(unread) {
             return None;
@@ -78,7 +78,7 @@
     /// Reports to the memory budget what is held: the buffers, `request_bytes` of a request, and what the stream takes up.
     /// Returns the bytes without the stream's.
     pub(crate) fn account_memory(&mut self, request_bytes: usize) -> usize {
-        let held = self.input.size() + self.output.size() + request_bytes;
+        let held = self.input.memory_bytes() + self.output.memory_bytes() + request_bytes;
         self.memory.set(held + self.stream.size());
         held
     }
@@ -104,12 +104,12 @@
         loop {
             match self.stream.read(free) {
                 Ok(count) if count > 0 => {
-                    self.input.filled_more(count);
+                    self.input.commit(count);
                     return Ok(Received::Bytes);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.input.rest();
+                    self.input.release_if_empty();
                     return Ok(Received::Nothing);
                 }
                 Ok(_) | Err(_) => {
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -113,7 +113,7 @@
         let Some(connection) = self.nodes.connection_mut(id) else {
             return;
         };
-        connection.spoil(named);
+        connection.abandon_on_bad_input(named);
         let node = connection.node.0;
         if let Some(count) = self.counts.unusable_inputs.count(self.now) {
             tracing::warn!(
@@ -169,7 +169,7 @@
         let written = upstream_writer::is_written(&self.nodes, attempt);
         if let AttemptProgress::Queued(id, _) = attempt.progress {
             if written && cancel_frame == CancelFrame::Send {
-                let frame = frames::cancel(&attempt.id);
+                let frame = frames::encode_cancel(&attempt.id);
                 if let Some(connection) = self.nodes.connection_mut(id) {
                     // A buffer too full for it: the node is not reading, and drops the shard request when its time is up.
                     let _ = connection.push(&frame, self.now);
@@ -184,19 +184,19 @@
         let Some(query) = self.in_flight.close(id) else {
             return;
         };
-        let took = self.now.since(query.admitted.at);
-        query.admitted.span.in_scope(|| {
+        let took = self.now.since(query.admission.admitted_at);
+        query.admission.span.in_scope(|| {
             tracing::debug!(status, took_us = took.0, "query completed");
         });
-        let late = took > query.admitted.latency_objective;
+        let late = took > query.admission.latency_objective;
         self.counts.late += u64::from(status == 200 && late);
-        if let (Some(limits), Some(tenant)) = (&mut self.limits, query.admitted.tenant) {
+        if let (Some(limits), Some(tenant)) = (&mut self.limits, query.admission.tenant) {
             limits.release(self.now, tenant, took, late);
         }
         for shard_request in &query.shard_requests {
             self.end_unsent(shard_request.id);
         }
-        let mark = query.admitted.mark.map(Mark::headers).unwrap_or_default();
+        let mark = query.admission.mark.map(Mark::headers).unwrap_or_default();
         query.reply.set(status, headers + &mark, body);
     }
 
@@ -240,7 +240,7 @@
             .shard_requests
             .iter()
             .filter_map(|part| Some((part.shard, part.value.as_deref()?)));
-        let body = query::answer(complete, values);
+        let body = query::encode_response_body(complete, values);
         self.counts.satisfied += 1;
         self.close(id, 200, String::new(), body);
     }
@@ -284,7 +284,7 @@
     fn record_reason(&mut self, query: QueryId, reason: DecisionReason) {
         if let Some(record) = self.in_flight.query(query) {
             record
-                .admitted
+                .admission
                 .span
                 .in_scope(|| tracing::debug!(?reason, "decision"));
         }
--- a/router/src/stages/completion/tests.rs
+++ b/router/src/stages/completion/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::state::clients::PendingResponse;
 use crate::state::descriptors::{Descriptors, Peer};
-use crate::state::in_flight::AdmittedAs;
+use crate::state::in_flight::AdmissionRecord;
 
 const MS: u64 = 1000;
 
@@ -40,9 +40,10 @@
             bounds: Rc::new(bounds),
             ..EffectQueue::default()
         };
-        let (node, _) = effects
-            .nodes
-            .list("n", ([127, 0, 0, 1], 9).into(), EndpointState::Ready);
+        let (node, _) =
+            effects
+                .nodes
+                .apply_entry("n", ([127, 0, 0, 1], 9).into(), EndpointState::Ready);
         let permit = Descriptors::new(100)
             .take(Peer::Node)
             .expect("a descriptor");
@@ -57,7 +58,7 @@
             None,
             [ShardNo(0), ShardNo(1)].into_iter(),
             Rc::clone(&reply),
-            AdmittedAs::default(),
+            AdmissionRecord::default(),
         );
         effects.send_attempt(shard_requests[0], node, Micros(900 * MS));
         let mut fixture = Fixture {
@@ -94,8 +95,8 @@
             Progress::Written => 10,
         };
         connection.attempts.insert("r.0".into(), attempt);
-        connection.queued = 10;
-        connection.written = written;
+        connection.queued_bytes = 10;
+        connection.written_bytes = written;
         let queued = AttemptProgress::Queued(self.connection, 10);
         self.effects.in_flight.set_progress(attempt, queued);
     }
@@ -156,7 +157,7 @@
         (503, "Retry-After: 1.500\r\n")
     );
     assert_eq!(fixture.effects.in_flight.load(), 0);
-    assert!(!fixture.effects.in_flight.knows("r"));
+    assert!(!fixture.effects.in_flight.has_request("r"));
     assert_eq!(fixture.nothing_is_in_flight(), taken_off);
     // A second decision on a query that is closed changes nothing.
     fixture.effects.fail(fixture.query);
@@ -178,9 +179,9 @@
     let (shard_request, number) = fixture.attempt;
     fixture.effects.cancel_attempt(shard_request, number);
     assert_eq!(
-        fixture.connection().out.filled(),
+        fixture.connection().output.filled(),
         if named {
-            frames::cancel("r.0")
+            frames::encode_cancel("r.0")
         } else {
             Vec::new()
         }
--- a/router/src/stages/dispatch.rs
+++ b/router/src/stages/dispatch.rs
@@ -48,7 +48,7 @@
         effects.counts.admitted += 1;
         if let Some(record) = effects.in_flight.query(query.id) {
             let time_left_us = query.time_left.0;
-            record.admitted.span.in_scope(|| {
+            record.admission.span.in_scope(|| {
                 tracing::debug!(shard_requests = count, time_left_us, "query dispatched")
             });
         }
@@ -97,7 +97,7 @@
             shard_request,
             number,
             attempt.node,
-            now.since(attempt.sent),
+            now.since(attempt.requested_at),
             finished.outcome,
             load_report,
             effects,
--- a/router/src/stages/graceful_close.rs
+++ b/router/src/stages/graceful_close.rs
@@ -4,7 +4,7 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use ternpick_wire::http::BODY_BOUND;
+use ternpick_wire::http::MAX_BODY_BYTES;
 
 use crate::router::Router;
 use crate::stages::client_io::{ClientIo, Received};
@@ -12,7 +12,7 @@
 use ternpick::types::Micros;
 
 /// How many bytes are read at most behind the last answer.
-const DRAIN_BYTES: usize = 4 * BODY_BOUND;
+const DRAIN_BYTES: usize = 4 * MAX_BODY_BYTES;
 /// How long is read at most behind the last answer.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
--- a/router/src/stages/listener.rs
+++ b/router/src/stages/listener.rs
@@ -18,7 +18,7 @@
 use crate::router::Router;
 use crate::stages::client_connection::{self, NewConnection};
 use crate::stages::stream::Stream;
-use crate::state::descriptors::{Peer, Permit};
+use crate::state::descriptors::{DescriptorPermit, Peer};
 use crate::state::wake_time::WakeTime;
 
 pub(crate) use crate::stages::client_connection::adopt;
@@ -102,7 +102,7 @@
     }
 
     /// A descriptor for the next connection.
-    async fn wait_for_permit(&mut self) -> Permit {
+    async fn wait_for_permit(&mut self) -> DescriptorPermit {
         if let Some(permit) = self.router.descriptors.take(Peer::Client) {
             return permit;
         }
@@ -153,7 +153,7 @@
         }
     }
 
-    fn start_connection(&mut self, stream: Async<TcpStream>, permit: Permit) {
+    fn start_connection(&mut self, stream: Async<TcpStream>, permit: DescriptorPermit) {
         self.failures.passed();
         let stream = match &self.tls {
             None => Stream::Plain(stream),
@@ -193,13 +193,13 @@
 
 /// Waits for a descriptor for a client. Meanwhile the connection that has been idle longest is asked to close, else the one
 /// whose request has been arriving longest: clients that send nothing, or half a request, must not shut others out.
-async fn wait_for_permit(router: &Router) -> Permit {
+async fn wait_for_permit(router: &Router) -> DescriptorPermit {
     loop {
         let freed = router.descriptors.freed();
         if let Some(permit) = router.descriptors.take(Peer::Client) {
             return permit;
         }
-        router.clients.close_longest();
+        router.clients.close_oldest();
         // A connection that is asked to close just as its request becomes complete is served, and frees nothing: then
         // another one is asked.
         let ask_another = async {
--- a/router/src/stages/request_reader.rs
+++ b/router/src/stages/request_reader.rs
@@ -44,8 +44,8 @@
         };
         let place = self.router.clients.register(since, state);
         let mut close_wanted = place.close_requested.listen();
-        let idle_limit = self.router.descriptors.kept_idle();
-        self.router.clients.keep_idle(idle_limit);
+        let idle_limit = self.router.descriptors.idle_client_limit();
+        self.router.clients.limit_idle(idle_limit);
         // What comes with the connection may have arrived as early as the connection.
         let mut arrived_at = self.arrived_at.take();
         loop {
@@ -145,7 +145,7 @@
             if complete {
                 return Ok(());
             }
-            place.holds(self.io.account_memory(self.request.size()));
+            place.set_held_bytes(self.io.account_memory(self.request.memory_bytes()));
             if self.router.budget.is_over() {
                 self.router.clients.close_largest();
             }
--- a/router/src/stages/upstream_connection.rs
+++ b/router/src/stages/upstream_connection.rs
@@ -11,8 +11,8 @@
 use futures_lite::future;
 use ternpick::io_errors::Owner;
 use ternpick::types::{AttemptOutcome, NodeId};
-use ternpick_wire::frames::LINE_BOUND;
-use ternpick_wire::http::BODY_BOUND;
+use ternpick_wire::frames::MAX_LINE_BYTES;
+use ternpick_wire::http::MAX_BODY_BYTES;
 
 use crate::router::Router;
 use crate::stages::completion::EffectQueue;
@@ -63,7 +63,7 @@
         return None;
     };
     // Room for the longest frame at least.
-    let output_bound = effects.bounds.parts_a_call * (BODY_BOUND + LINE_BOUND);
+    let output_bound = effects.bounds.parts_a_call * (MAX_BODY_BYTES + MAX_LINE_BYTES);
     let id = effects
         .nodes
         .connect(node, effects.now, output_bound, permit)?;
@@ -74,7 +74,8 @@
 
 /// Serves a connection from its dial to its end.
 async fn serve(router: Rc<Router>, id: ConnectionId) {
-    let dial_target = |connection: &Connection| (connection.address, Rc::clone(&connection.dials));
+    let dial_target =
+        |connection: &Connection| (connection.address, Rc::clone(&connection.dial_waits_for));
     let target = router
         .decisions
         .borrow()
@@ -112,7 +113,7 @@
 async fn exchange(router: &Router, id: ConnectionId, stream: Rc<Async<TcpStream>>) -> UpstreamEnd {
     {
         let mut decisions = router.decisions.borrow_mut();
-        decisions.effects.nodes.heard = router.clock.now();
+        decisions.effects.nodes.last_received = router.clock.now();
         if let Some(connection) = decisions.effects.nodes.connection_mut(id) {
             connection.stream = Some(Rc::clone(&stream));
         }
@@ -135,8 +136,8 @@
                 return UpstreamEnd::Removed;
             };
             let now = router.clock.now();
-            let close_at = connection.used + limit;
-            if !connection.idle() {
+            let close_at = connection.last_used + limit;
+            if !connection.is_idle() {
                 now + limit
             } else if close_at <= now {
                 return UpstreamEnd::Idle;
@@ -190,7 +191,7 @@
         .attempt(key)
         .is_some_and(|attempt| upstream_writer::is_written(&effects.nodes, attempt));
     match (written, connection.abandoned) {
-        (true, true) if connection.spoilt == Some(key) => AttemptOutcome::MayHaveRun,
+        (true, true) if connection.bad_input_attempt == Some(key) => AttemptOutcome::MayHaveRun,
         (true, true) => AttemptOutcome::Cancelled,
         (true, false) => AttemptOutcome::Broken,
         (false, true) => AttemptOutcome::Unsent,
--- a/router/src/stages/upstream_dial.rs
+++ b/router/src/stages/upstream_dial.rs
@@ -58,7 +58,7 @@
 fn concerns(router: &Router, failed: Owner, began: Micros) -> Owner {
     match failed {
         Owner::Route => {
-            let others_heard = router.decisions.borrow().effects.nodes.heard >= began;
+            let others_heard = router.decisions.borrow().effects.nodes.last_received >= began;
             io_errors::route(others_heard)
         }
         // Interrupted up to the end: that concerns nobody, so it is not held against the node.
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -8,14 +8,14 @@
 
 use async_io::Async;
 use ternpick::types::{AttemptOutcome, Micros};
-use ternpick_wire::frames::{self, Answer, BadFrame, End};
+use ternpick_wire::frames::{self, BadFrame, ResponseStatus, ShardResponse};
 use ternpick_wire::ring::Ring;
 
 use crate::router::Router;
 use crate::stages::completion::FinishedAttempt;
 use crate::stages::dispatch;
 use crate::stages::upstream_connection::UpstreamEnd;
-use crate::state::budget::Share;
+use crate::state::memory_budget::MemoryShare;
 use crate::state::nodes::ConnectionId;
 
 /// Bytes of a node that may wait to be parsed.
@@ -81,7 +81,7 @@
     frame: Vec<u8>,
     /// When the first byte of the frame that is not finished was read.
     frame_begun: Option<Micros>,
-    memory: Share,
+    memory: MemoryShare,
 }
 
 impl UpstreamReader<'_> {
@@ -103,21 +103,21 @@
         for _ in 0..READS_IN_A_ROW {
             match stream.get_ref().read(self.input.free()) {
                 Ok(0) => return Err(UpstreamEnd::ClosedByNode),
-                Ok(count) => self.input.filled_more(count),
+                Ok(count) => self.input.commit(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(_) => return Err(UpstreamEnd::ReadFailed),
             }
             self.take_frames()?;
         }
-        self.input.rest();
+        self.input.release_if_empty();
         Ok(())
     }
 
     /// Takes all complete frames off the input.
     fn take_frames(&mut self) -> Result<(), UpstreamEnd> {
         loop {
-            match frames::next(&mut self.input, &mut self.frame) {
+            match frames::read_frame(&mut self.input, &mut self.frame) {
                 Ok(None) => break,
                 Ok(Some(letter)) => {
                     if let Err(error) = take_frame(self.router, self.id, letter, &self.frame) {
@@ -148,7 +148,7 @@
         let now = self.router.clock.now();
         let mut decisions = self.router.decisions.borrow_mut();
         decisions.effects.now = now;
-        let named = frames::id(&self.frame);
+        let named = frames::parse_shard_request_id(&self.frame);
         decisions.effects.abandon_connection(self.id, error, named);
         UpstreamEnd::UnusableInput(error)
     }
@@ -156,9 +156,9 @@
     fn note_heard(&self) {
         let now = self.router.clock.now();
         let mut decisions = self.router.decisions.borrow_mut();
-        decisions.effects.nodes.heard = now;
+        decisions.effects.nodes.last_received = now;
         if let Some(connection) = decisions.effects.nodes.connection_mut(self.id) {
-            connection.used = now;
+            connection.last_used = now;
             connection.last_received = now;
         }
     }
@@ -184,16 +184,16 @@
 }
 
 fn take_answer(router: &Router, id: ConnectionId, rest: &[u8]) -> Result<(), UnusableInput> {
-    let answer = frames::answer(rest).map_err(UnusableInput::Malformed)?;
-    let outcome = match answer.end {
-        End::Served => AttemptOutcome::Satisfied,
-        End::Broke => AttemptOutcome::MayHaveRun,
-        End::Skipped => AttemptOutcome::NeverRan,
+    let answer = frames::parse_shard_response(rest).map_err(UnusableInput::Malformed)?;
+    let outcome = match answer.status {
+        ResponseStatus::Served => AttemptOutcome::Satisfied,
+        ResponseStatus::Failed => AttemptOutcome::MayHaveRun,
+        ResponseStatus::NotStarted => AttemptOutcome::NeverRan,
     };
     let Some(finished) = finish_attempt(router, id, &answer, outcome)? else {
         return Ok(());
     };
-    let load_report = frames::report(answer.report, &router.bounds.columns);
+    let load_report = frames::parse_load_report(answer.load_report, &router.bounds.columns);
     dispatch::attempt_finished(router, finished, &load_report);
     Ok(())
 }
@@ -202,7 +202,7 @@
 fn finish_attempt(
     router: &Router,
     id: ConnectionId,
-    answer: &Answer,
+    answer: &ShardResponse,
     outcome: AttemptOutcome,
 ) -> Result<Option<FinishedAttempt>, UnusableInput> {
     let now = router.clock.now();
@@ -227,7 +227,7 @@
     connection.mark_finished(&attempt.id, now);
     if let Some((query, _)) = effects.in_flight.shard_request(&attempt) {
         query
-            .admitted
+            .admission
             .span
             .in_scope(|| tracing::debug!(attempt = &*attempt.id, ?outcome, "attempt answered"));
     }
@@ -249,7 +249,7 @@
         let connection = decisions.effects.nodes.connection(id);
         connection.ok_or(UnusableInput::ConnectionRemoved)?.node
     };
-    let report = frames::report(text.trim_end(), &router.bounds.columns);
+    let report = frames::parse_load_report(text.trim_end(), &router.bounds.columns);
     router.apply(|engine, now, effects| {
         engine.health_check_finished(now, node, &report, effects);
     });
--- a/router/src/stages/upstream_writer.rs
+++ b/router/src/stages/upstream_writer.rs
@@ -37,7 +37,7 @@
     match attempt.progress {
         AttemptProgress::Queued(id, end) => nodes
             .connection(id)
-            .is_none_or(|connection| connection.written >= end),
+            .is_none_or(|connection| connection.written_bytes >= end),
         AttemptProgress::Ordered | AttemptProgress::Waiting(_) => false,
     }
 }
@@ -146,7 +146,7 @@
         let now = effects.now;
         if let Some(connection) = effects.nodes.connection_mut(id) {
             // A buffer too full for it: the node is not reading, and would not answer.
-            let _ = connection.push(&frames::load_report_request(), now);
+            let _ = connection.push(&frames::encode_load_report_request(), now);
         }
     }
 }
@@ -171,7 +171,7 @@
             connection.waiting.push_front(keys);
             return;
         }
-        let end = connection.queued;
+        let end = connection.queued_bytes;
         for key in keys {
             if let Some(attempt) = in_flight.attempt(key) {
                 connection.attempts.insert(Rc::clone(&attempt.id), key);
@@ -186,7 +186,7 @@
     let attempts = keys.iter().filter_map(|key| in_flight.attempt(*key));
     let requests = attempts.filter_map(|attempt| {
         let (query, shard_request) = in_flight.shard_request(attempt)?;
-        query.admitted.span.in_scope(|| {
+        query.admission.span.in_scope(|| {
             tracing::debug!(
                 attempt = &*attempt.id,
                 node = format_args!("{:x}", attempt.node.0),
@@ -202,7 +202,7 @@
             statement: &query.statement,
         })
     });
-    frames::shard_requests(requests)
+    frames::encode_shard_requests(requests)
 }
 
 /// The writing half of a connection's task: writes what the socket could not take at once, until the connection ends.
@@ -266,17 +266,17 @@
         if connection.abandoned {
             return Err(UpstreamEnd::Abandoned);
         }
-        if connection.out.is_empty() {
-            if connection.retired && connection.idle() {
+        if connection.output.is_empty() {
+            if connection.retired && connection.is_idle() {
                 return Err(UpstreamEnd::Retired);
             }
             return Ok(Written::All);
         }
-        match stream.get_ref().write(connection.out.filled()) {
+        match stream.get_ref().write(connection.output.filled()) {
             Ok(0) => return Err(UpstreamEnd::WriteFailed),
             Ok(count) => {
-                connection.out.consume(count);
-                connection.written += count as u64;
+                connection.output.consume(count);
+                connection.written_bytes += count as u64;
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(Written::UntilFull),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
--- a/router/src/state/client_transfer.rs
+++ b/router/src/state/client_transfer.rs
@@ -11,7 +11,7 @@
 use ternpick::types::Micros;
 
 /// A client's connection, with the bytes that the client has sent already and nobody has read as a request.
-pub(crate) struct PassedClient {
+pub(crate) struct TransferredClient {
     /// The connection.
     pub(crate) socket: TcpStream,
     /// What has been read from it.
@@ -25,7 +25,7 @@
 pub(crate) struct ClientTransfer {
     began_at: Cell<Option<Micros>>,
     active_changed: Event,
-    waiting: RefCell<VecDeque<PassedClient>>,
+    waiting: RefCell<VecDeque<TransferredClient>>,
     added: Event,
 }
 
@@ -58,18 +58,18 @@
     }
 
     /// Adds a connection that has become idle.
-    pub(crate) fn push(&self, client: PassedClient) {
+    pub(crate) fn push(&self, client: TransferredClient) {
         self.waiting.borrow_mut().push_back(client);
         self.added.notify(1);
     }
 
     /// Puts back the connection that could not be sent, ahead of the others.
-    pub(crate) fn put_back(&self, client: PassedClient) {
+    pub(crate) fn put_back(&self, client: TransferredClient) {
         self.waiting.borrow_mut().push_front(client);
     }
 
     /// The connection that has waited longest.
-    pub(crate) fn pop(&self) -> Option<PassedClient> {
+    pub(crate) fn pop(&self) -> Option<TransferredClient> {
         self.waiting.borrow_mut().pop_front()
     }
 
--- a/router/src/state/clients.rs
+++ b/router/src/state/clients.rs
@@ -120,14 +120,14 @@
     }
 
     /// A number of its own for each connection, from 1.
-    pub(crate) fn number(&self) -> u64 {
+    pub(crate) fn next_connection_number(&self) -> u64 {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
         number
     }
 
     /// Asks the connection to close whose rank is lowest, of those that have a rank; false if none has.
-    fn close_first<T: Ord>(&self, rank: impl Fn(&Registered) -> Option<T>) -> bool {
+    fn close_lowest<T: Ord>(&self, rank: impl Fn(&Registered) -> Option<T>) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         let ranked = waiting
             .iter()
@@ -142,40 +142,40 @@
     }
 
     /// For want of a descriptor: closes the connection idle longest, else the request that has been arriving longest.
-    pub(crate) fn close_longest(&self) -> bool {
-        self.close_first(|connection| Some((!connection.state.is_idle(), connection.since)))
+    pub(crate) fn close_oldest(&self) -> bool {
+        self.close_lowest(|connection| Some((!connection.state.is_idle(), connection.since)))
     }
 
     /// For want of memory: closes the incomplete request that holds the most.
     pub(crate) fn close_largest(&self) -> bool {
-        self.close_first(|connection| (connection.bytes > 0).then_some(Reverse(connection.bytes)))
+        self.close_lowest(|connection| (connection.bytes > 0).then_some(Reverse(connection.bytes)))
     }
 
-    /// Closes the connections idle longest until no more than `most` are idle. Some clients send one request and keep their
+    /// Closes the connections idle longest until no more than `limit` are idle. Some clients send one request and keep their
     /// connection; what clients may hold is bounded on their side too, and used up by such connections nobody else gets in.
-    pub(crate) fn keep_idle(&self, most: usize) {
+    pub(crate) fn limit_idle(&self, limit: usize) {
         let idle = self
             .waiting
             .borrow()
             .values()
             .filter(|connection| connection.state.is_idle())
             .count();
-        for _ in most..idle {
-            self.close_first(|connection| connection.state.is_idle().then_some(connection.since));
+        for _ in limit..idle {
+            self.close_lowest(|connection| connection.state.is_idle().then_some(connection.since));
         }
     }
 
     /// Closes all connections in `state` for which `wanted` holds of the instant since which they are in it.
-    pub(crate) fn end(&self, state: ClientState, wanted: impl Fn(Micros) -> bool) {
+    pub(crate) fn close_in_state(&self, state: ClientState, wanted: impl Fn(Micros) -> bool) {
         let rank = |connection: &Registered| {
             let ends = connection.state == state && wanted(connection.since);
             ends.then_some(connection.since)
         };
-        while self.close_first(rank) {}
+        while self.close_lowest(rank) {}
     }
 
     /// How many connections have no request and are owed no response; an incomplete request is owed one.
-    pub(crate) fn count_owed_nothing(&self) -> usize {
+    pub(crate) fn count_without_request(&self) -> usize {
         self.waiting
             .borrow()
             .values()
@@ -198,7 +198,7 @@
 
 impl Registration {
     /// Notes how many bytes of its request the connection holds.
-    pub(crate) fn holds(&self, bytes: usize) {
+    pub(crate) fn set_held_bytes(&self, bytes: usize) {
         if let Some(waiting) = self.clients.waiting.borrow_mut().get_mut(&self.key) {
             waiting.bytes = bytes;
         }
--- a/router/src/state/clients/tests.rs
+++ b/router/src/state/clients/tests.rs
@@ -15,7 +15,7 @@
         .map(|place| place.close_requested.listen())
         .collect();
     for first in [2, 1, 3, 0] {
-        assert!(clients.close_longest());
+        assert!(clients.close_oldest());
         let notified = closed.iter_mut().position(|closed| {
             let polled = futures_lite::future::poll_once(closed);
             futures_lite::future::block_on(polled).is_some()
@@ -23,7 +23,7 @@
         assert_eq!(notified, Some(first));
         closed[first] = Rc::new(Event::new()).listen();
     }
-    assert!(!clients.close_longest());
+    assert!(!clients.close_oldest());
 }
 
 #[test]
@@ -31,7 +31,7 @@
     let clients = Rc::new(Clients::default());
     let _places = [5, 3, 4].map(|at| clients.register(Micros(at), ClientState::Idle));
     let _partial = clients.register(Micros(0), ClientState::Partial);
-    clients.keep_idle(2);
+    clients.limit_idle(2);
     let left: Vec<u64> = clients
         .waiting
         .borrow()
@@ -46,8 +46,8 @@
     let clients = Rc::new(Clients::default());
     let small = clients.register(Micros(0), ClientState::Partial);
     let large = clients.register(Micros(1), ClientState::Partial);
-    small.holds(10);
-    large.holds(20);
+    small.set_held_bytes(10);
+    large.set_held_bytes(20);
     assert!(clients.close_largest());
     assert!(clients.waiting.borrow().contains_key(&small.key));
     assert_eq!(clients.waiting.borrow().len(), 1);
--- a/router/src/state/connection.rs
+++ b/router/src/state/connection.rs
@@ -14,7 +14,7 @@
 use ternpick::types::{Micros, NodeId};
 use ternpick_wire::ring::Ring;
 
-use crate::state::descriptors::Permit;
+use crate::state::descriptors::DescriptorPermit;
 use crate::state::ids::AttemptKey;
 
 /// How long a finished attempt is remembered: a response that comes later ends the connection.
@@ -35,17 +35,17 @@
     /// Where the node listened when the connection was opened.
     pub(crate) address: SocketAddr,
     /// For whom its dial waits: the node, or this machine.
-    pub(crate) dials: Rc<Cell<Owner>>,
+    pub(crate) dial_waits_for: Rc<Cell<Owner>>,
     /// Its socket, once it is up.
     pub(crate) stream: Option<Rc<Async<TcpStream>>>,
     /// Carries no more attempts, and is closed once it carries none.
     pub(crate) retired: bool,
     /// Frames that are yet to be written.
-    pub(crate) out: Ring,
-    /// Bytes ever put into `out`.
-    pub(crate) queued: u64,
-    /// Bytes ever taken off `out` by the socket.
-    pub(crate) written: u64,
+    pub(crate) output: Ring,
+    /// Bytes ever put into `output`.
+    pub(crate) queued_bytes: u64,
+    /// Bytes ever taken off `output` by the socket.
+    pub(crate) written_bytes: u64,
     /// Attempts out on it, by the id that their responses name.
     pub(crate) attempts: HashMap<Rc<str>, AttemptKey>,
     /// Attempts that share a frame each, for when it is up or has room.
@@ -53,51 +53,51 @@
     /// Attempts that are over; bounded by age and by number.
     pub(crate) finished: VecDeque<FinishedAttempt>,
     /// When it last carried something.
-    pub(crate) used: Micros,
+    pub(crate) last_used: Micros,
     /// When it last brought a frame that could be used.
     pub(crate) last_received: Micros,
     /// Ended by the router itself: a frame on it is not to be finished, or it has brought what cannot be used.
     pub(crate) abandoned: bool,
     /// The attempt whose response could not be used.
-    pub(crate) spoilt: Option<AttemptKey>,
+    pub(crate) bad_input_attempt: Option<AttemptKey>,
     /// Wakes its task: there is something to write, or it is retired.
     pub(crate) wake: Rc<Event>,
-    _permit: Permit,
+    _permit: DescriptorPermit,
 }
 
 impl Connection {
-    /// A connection to `node` that is to be dialled, with room for `out_bound` bytes that are yet to be written.
+    /// A connection to `node` that is to be dialled, with room for `max_output_bytes` bytes that are yet to be written.
     pub(crate) fn new(
         node: NodeId,
         address: SocketAddr,
         now: Micros,
-        out_bound: usize,
-        permit: Permit,
+        max_output_bytes: usize,
+        permit: DescriptorPermit,
     ) -> Self {
         Connection {
             node,
             address,
-            dials: Rc::new(Cell::new(Owner::Peer)),
+            dial_waits_for: Rc::new(Cell::new(Owner::Peer)),
             stream: None,
             retired: false,
-            out: Ring::new(out_bound),
-            queued: 0,
-            written: 0,
+            output: Ring::new(max_output_bytes),
+            queued_bytes: 0,
+            written_bytes: 0,
             attempts: HashMap::new(),
             waiting: VecDeque::new(),
             finished: VecDeque::new(),
-            used: now,
+            last_used: now,
             last_received: Micros(0),
             abandoned: false,
-            spoilt: None,
+            bad_input_attempt: None,
             wake: Rc::new(Event::new()),
             _permit: permit,
         }
     }
 
     /// Whether it carries nothing and has nothing to write.
-    pub(crate) fn idle(&self) -> bool {
-        self.attempts.is_empty() && self.waiting.is_empty() && self.out.is_empty()
+    pub(crate) fn is_idle(&self) -> bool {
+        self.attempts.is_empty() && self.waiting.is_empty() && self.output.is_empty()
     }
 
     /// Whether it may carry more attempts.
@@ -113,9 +113,9 @@
 
     /// Ends it since its node has sent what cannot be used. The attempt whose response could not be used is the one that the
     /// bytes name, or the one out longest; of the others it is only known that they may have run.
-    pub(crate) fn spoil(&mut self, named: Option<&str>) {
+    pub(crate) fn abandon_on_bad_input(&mut self, named: Option<&str>) {
         let named = named.and_then(|name| self.attempts.get(name));
-        self.spoilt = named.or_else(|| self.attempts.values().min()).copied();
+        self.bad_input_attempt = named.or_else(|| self.attempts.values().min()).copied();
         self.abandoned = true;
     }
 
@@ -144,10 +144,10 @@
 
     /// Puts a complete frame into its buffer, or nothing if there is no room.
     pub(crate) fn push(&mut self, frame: &[u8], now: Micros) -> bool {
-        let pushed = self.out.push(frame);
+        let pushed = self.output.push(frame);
         if pushed {
-            self.queued += frame.len() as u64;
-            self.used = now;
+            self.queued_bytes += frame.len() as u64;
+            self.last_used = now;
             self.wake.notify(1);
         }
         pushed
--- a/router/src/state/descriptors.rs
+++ b/router/src/state/descriptors.rs
@@ -1,4 +1,4 @@
-//! The one count of file descriptors. A [`Permit`] stands for one and is given back when it is dropped.
+//! The one count of file descriptors. A [`DescriptorPermit`] stands for one and is given back when it is dropped.
 //!
 //! The listener, the upstream writer and the fleet's transport take a permit before each connection. A hot restart moves the
 //! total while two processes share a router's descriptors.
@@ -10,7 +10,7 @@
 
 /// Descriptors that the process holds beside those of its peers: the standard streams, the poller and its timer, the pipe of
 /// the signals, the listener, discovery, and some to spare.
-pub(crate) const OWN: usize = 32;
+pub(crate) const RESERVED_DESCRIPTORS: usize = 32;
 
 /// The kind of peer that a descriptor is held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 }
 
 /// The right to hold one descriptor.
-pub(crate) struct Permit {
+pub(crate) struct DescriptorPermit {
     descriptors: Rc<Descriptors>,
     peer: Peer,
 }
@@ -41,7 +41,7 @@
 impl Descriptors {
     /// The descriptors of a process that may hold `limit`, its own included.
     pub(crate) fn new(limit: usize) -> Rc<Self> {
-        let total = limit.saturating_sub(OWN).max(2);
+        let total = limit.saturating_sub(RESERVED_DESCRIPTORS).max(2);
         Rc::new(Descriptors {
             total: Cell::new(total),
             clients: Cell::new(0),
@@ -66,7 +66,7 @@
     }
 
     /// A permit for one more descriptor, or nothing if this kind of peer, or all together, hold what they may.
-    pub(crate) fn take(self: &Rc<Self>, peer: Peer) -> Option<Permit> {
+    pub(crate) fn take(self: &Rc<Self>, peer: Peer) -> Option<DescriptorPermit> {
         let held_by_kind = self.held_by(peer);
         let held = self.held();
         if held_by_kind.get() >= self.limit_of(peer) || held >= self.total.get() {
@@ -74,7 +74,7 @@
         }
         held_by_kind.set(held_by_kind.get() + 1);
         self.highest.set(self.highest.get().max(held + 1));
-        Some(Permit {
+        Some(DescriptorPermit {
             descriptors: Rc::clone(self),
             peer,
         })
@@ -103,7 +103,7 @@
 
     /// Idle connections of clients that are kept open: clients may hold a third of all descriptors for their requests, so this
     /// leaves most of that to those that send some.
-    pub(crate) fn kept_idle(&self) -> usize {
+    pub(crate) fn idle_client_limit(&self) -> usize {
         self.total.get() / 8
     }
 
@@ -118,7 +118,7 @@
     }
 }
 
-impl Drop for Permit {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         let held = self.descriptors.held_by(self.peer);
         held.set(held.get().saturating_sub(1));
--- a/router/src/state/descriptors/tests.rs
+++ b/router/src/state/descriptors/tests.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn neither_kind_of_peer_shuts_the_other_out() {
-    let descriptors = Descriptors::new(OWN + 16);
+    let descriptors = Descriptors::new(RESERVED_DESCRIPTORS + 16);
     let take_all =
-        |peer| -> Vec<Permit> { std::iter::from_fn(|| descriptors.take(peer)).collect() };
+        |peer| -> Vec<DescriptorPermit> { std::iter::from_fn(|| descriptors.take(peer)).collect() };
     let clients = take_all(Peer::Client);
     let nodes = take_all(Peer::Node);
     assert_eq!(clients.len(), 12);
--- a/router/src/state/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -24,17 +24,17 @@
     pub(crate) attempt_count: u8,
     /// Connections that have carried an attempt of it. A response names the shard request alone, so no connection may carry
     /// two attempts of one.
-    pub(crate) carried: Vec<ConnectionId>,
+    pub(crate) carried_by: Vec<ConnectionId>,
     /// The first answer's value.
     pub(crate) value: Option<Box<str>>,
 }
 
 /// On whose account a query was admitted, and when.
-pub(crate) struct AdmittedAs {
+pub(crate) struct AdmissionRecord {
     /// The tenant that it counts for; none where tenants are not told apart.
     pub(crate) tenant: Option<CustomerNo>,
     /// When it was admitted.
-    pub(crate) at: Micros,
+    pub(crate) admitted_at: Micros,
     /// Its soft deadline.
     pub(crate) latency_objective: Micros,
     /// The policy that it is decided under; none where the fleet agrees on none.
@@ -43,12 +43,12 @@
     pub(crate) span: tracing::Span,
 }
 
-impl Default for AdmittedAs {
+impl Default for AdmissionRecord {
     /// A query of nobody, at the epoch, without a soft deadline.
     fn default() -> Self {
-        AdmittedAs {
+        AdmissionRecord {
             tenant: None,
-            at: Micros(0),
+            admitted_at: Micros(0),
             latency_objective: Micros(u64::MAX),
             mark: None,
             span: tracing::Span::none(),
@@ -59,7 +59,7 @@
 /// A query that has been admitted and has no final response yet.
 pub(crate) struct InFlightQuery {
     /// On whose account, and when.
-    pub(crate) admitted: AdmittedAs,
+    pub(crate) admission: AdmissionRecord,
     /// The client's id of the request.
     pub(crate) request_id: Rc<str>,
     /// What nodes are asked.
@@ -94,7 +94,7 @@
     /// The shard request's id on the wire.
     pub(crate) id: Rc<str>,
     /// When the decision module wanted it.
-    pub(crate) sent: Micros,
+    pub(crate) requested_at: Micros,
     /// When its time is up.
     pub(crate) due: Micros,
     /// When it is examined next: first to see whether it has been sent, then at `due`.
@@ -145,7 +145,10 @@
 
     /// When the query longest in flight was admitted.
     pub(crate) fn oldest_admission(&self) -> Option<Micros> {
-        self.queries.values().map(|query| query.admitted.at).min()
+        self.queries
+            .values()
+            .map(|query| query.admission.admitted_at)
+            .min()
     }
 
     /// Attempts out.
@@ -154,8 +157,8 @@
     }
 
     /// Whether a request with this id of the client is in flight.
-    pub(crate) fn knows(&self, name: &str) -> bool {
-        self.request_ids.contains(name)
+    pub(crate) fn has_request(&self, request_id: &str) -> bool {
+        self.request_ids.contains(request_id)
     }
 
     fn next_number(&mut self) -> u64 {
@@ -171,7 +174,7 @@
         key: Option<&str>,
         shards: impl Iterator<Item = ShardNo>,
         reply: Rc<PendingResponse>,
-        taken: AdmittedAs,
+        admission: AdmissionRecord,
     ) -> (QueryId, Vec<ShardRequestId>) {
         let query = QueryId(self.next_number());
         let shard_requests: Vec<InFlightShardRequest> = shards
@@ -182,7 +185,7 @@
         let name = Rc::<str>::from(name);
         self.request_ids.insert(Rc::clone(&name));
         let in_flight = InFlightQuery {
-            admitted: taken,
+            admission,
             request_id: name,
             statement: statement.into(),
             idempotency_key: key.map(Rc::from),
@@ -206,7 +209,7 @@
             id,
             shard,
             attempt_count: 0,
-            carried: Vec::new(),
+            carried_by: Vec::new(),
             value: None,
         }
     }
@@ -249,7 +252,7 @@
             position,
             node,
             id: format!("{}.{}", in_flight.request_id, shard_request.shard.0).into(),
-            sent: now,
+            requested_at: now,
             due,
             next_check,
             progress: AttemptProgress::Ordered,
@@ -280,24 +283,25 @@
     pub(crate) fn carried(&self, key: AttemptKey, connection: ConnectionId) -> bool {
         let attempt = self.attempts.get(&key);
         let found = attempt.and_then(|attempt| self.shard_request(attempt));
-        found.is_some_and(|(_, shard_request)| shard_request.carried.contains(&connection))
+        found.is_some_and(|(_, shard_request)| shard_request.carried_by.contains(&connection))
     }
 
     /// Notes that an attempt has been given to a connection, and how far it has come there.
-    pub(crate) fn set_progress(&mut self, key: AttemptKey, place: AttemptProgress) {
+    pub(crate) fn set_progress(&mut self, key: AttemptKey, progress: AttemptProgress) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
-        attempt.progress = place;
-        let (AttemptProgress::Waiting(connection) | AttemptProgress::Queued(connection, _)) = place
+        attempt.progress = progress;
+        let (AttemptProgress::Waiting(connection) | AttemptProgress::Queued(connection, _)) =
+            progress
         else {
             return;
         };
         let query = self.queries.get_mut(&attempt.query);
         let shard_request = query.and_then(|query| query.shard_requests.get_mut(attempt.position));
         if let Some(shard_request) = shard_request {
-            if !shard_request.carried.contains(&connection) {
-                shard_request.carried.push(connection);
+            if !shard_request.carried_by.contains(&connection) {
+                shard_request.carried_by.push(connection);
             }
         }
     }
--- a/router/src/state/budget.rs
+++ b/router/src/state/memory_budget.rs
@@ -1,36 +1,36 @@
 //! The one count of bytes that peers make the router hold: heads, bodies, partial frames, responses not yet read.
 //!
-//! Each connection reports what it holds through its [`Share`]. The listener compares the sum with the limit and closes the
+//! Each connection reports what it holds through its [`MemoryShare`]. The listener compares the sum with the limit and closes the
 //! largest incomplete request above it. A hot restart moves the limit while two processes share a router's memory.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// The bytes that all connections hold, and the limit on them.
-pub(crate) struct Budget {
+pub(crate) struct MemoryBudget {
     limit: Cell<usize>,
     used: Cell<usize>,
 }
 
 /// The bytes that one connection holds; given back when it is dropped.
-pub(crate) struct Share {
-    budget: Rc<Budget>,
+pub(crate) struct MemoryShare {
+    budget: Rc<MemoryBudget>,
     bytes: usize,
 }
 
-impl Budget {
+impl MemoryBudget {
     /// The budget of a process that may take up `memory` bytes. Peers get half of it: the rest is for the program, its own
     /// tables, and what parsing a message takes beside the message.
     pub(crate) fn new(memory: usize) -> Rc<Self> {
-        Rc::new(Budget {
+        Rc::new(MemoryBudget {
             limit: Cell::new(memory / 2),
             used: Cell::new(0),
         })
     }
 
     /// A share for a new connection, which holds nothing yet.
-    pub(crate) fn share(self: &Rc<Self>) -> Share {
-        Share {
+    pub(crate) fn share(self: &Rc<Self>) -> MemoryShare {
+        MemoryShare {
             budget: Rc::clone(self),
             bytes: 0,
         }
@@ -57,7 +57,7 @@
     }
 }
 
-impl Share {
+impl MemoryShare {
     /// Replaces what this connection holds by `bytes`.
     pub(crate) fn set(&mut self, bytes: usize) {
         let others = self.budget.used.get().saturating_sub(self.bytes);
@@ -66,7 +66,7 @@
     }
 }
 
-impl Drop for Share {
+impl Drop for MemoryShare {
     fn drop(&mut self) {
         self.set(0);
     }
--- a/router/src/state/budget/tests.rs
+++ b/router/src/state/memory_budget/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn what_is_held_counts_until_it_is_given_back() {
-    let budget = Budget::new(200);
+    let budget = MemoryBudget::new(200);
     let mut first = budget.share();
     let mut second = budget.share();
     first.set(60);
--- a/router/src/state/mod.rs
+++ b/router/src/state/mod.rs
@@ -1,6 +1,5 @@
 //! The state of a running router, one owner to a file. Nothing here does I/O or decides.
 
-pub(crate) mod budget;
 pub(crate) mod client_transfer;
 pub(crate) mod clients;
 pub(crate) mod connection;
@@ -10,6 +9,7 @@
 pub(crate) mod in_flight;
 pub(crate) mod listener;
 pub(crate) mod log_limit;
+pub(crate) mod memory_budget;
 pub(crate) mod nodes;
 pub(crate) mod shutdown;
 pub(crate) mod wake_time;
--- a/router/src/state/nodes.rs
+++ b/router/src/state/nodes.rs
@@ -10,7 +10,7 @@
 use ternpick::types::{EndpointState, Micros, NodeId};
 
 pub(crate) use crate::state::connection::Connection;
-use crate::state::descriptors::Permit;
+use crate::state::descriptors::DescriptorPermit;
 pub(crate) use crate::state::ids::ConnectionId;
 
 /// A node of the endpoint list, or one that is gone and still has connections.
@@ -36,13 +36,13 @@
     /// Connections ever opened.
     pub(crate) opened: u64,
     /// When any node last sent something.
-    pub(crate) heard: Micros,
+    pub(crate) last_received: Micros,
 }
 
 impl Nodes {
     /// Applies one entry of the endpoint list: the same name is the same node, wherever it listens. Returns its id, and
     /// whether it was not known at that address.
-    pub(crate) fn list(
+    pub(crate) fn apply_entry(
         &mut self,
         name: &str,
         address: SocketAddr,
@@ -85,7 +85,7 @@
     }
 
     /// Marks all nodes as gone that a complete endpoint list did not name.
-    pub(crate) fn keep_only(&mut self, listed: &[NodeId]) {
+    pub(crate) fn retire_unlisted(&mut self, listed: &[NodeId]) {
         let unlisted: Vec<NodeId> = self
             .nodes
             .keys()
@@ -115,7 +115,7 @@
     pub(crate) fn retire_idle(&mut self, node: NodeId) {
         self.connections
             .values_mut()
-            .filter(|connection| connection.node == node && connection.idle())
+            .filter(|connection| connection.node == node && connection.is_idle())
             .for_each(Connection::retire);
     }
 
@@ -165,14 +165,14 @@
         &mut self,
         node: NodeId,
         now: Micros,
-        out_bound: usize,
-        permit: Permit,
+        max_output_bytes: usize,
+        permit: DescriptorPermit,
     ) -> Option<ConnectionId> {
         self.last_number += 1;
         let id = ConnectionId(self.last_number);
         let to = self.nodes.get_mut(&node)?;
         to.connections.push(id);
-        let connection = Connection::new(node, to.address, now, out_bound, permit);
+        let connection = Connection::new(node, to.address, now, max_output_bytes, permit);
         self.connections.insert(id, connection);
         self.opened += 1;
         Some(id)
@@ -201,7 +201,7 @@
             return;
         };
         connection.attempts.remove(name);
-        connection.abandoned |= connection.written < end;
+        connection.abandoned |= connection.written_bytes < end;
         connection.mark_finished(name, now);
         if !connection.is_usable() {
             connection.wake.notify(1);
@@ -238,8 +238,8 @@
         let idle = self
             .connections
             .values_mut()
-            .filter(|connection| connection.idle() && !connection.retired);
-        let Some(connection) = idle.min_by_key(|connection| connection.used) else {
+            .filter(|connection| connection.is_idle() && !connection.retired);
+        let Some(connection) = idle.min_by_key(|connection| connection.last_used) else {
             return false;
         };
         connection.retire();
--- a/router/src/state/nodes/tests.rs
+++ b/router/src/state/nodes/tests.rs
@@ -9,7 +9,7 @@
 
 fn connected() -> (Nodes, NodeId, ConnectionId) {
     let mut nodes = Nodes::default();
-    let (node, _) = nodes.list("a", at(1), EndpointState::Ready);
+    let (node, _) = nodes.apply_entry("a", at(1), EndpointState::Ready);
     let permit = Descriptors::new(100)
         .take(Peer::Node)
         .expect("a descriptor");
@@ -29,20 +29,23 @@
     usable: usize,
 ) {
     let (mut nodes, node, _) = connected();
-    assert_eq!(nodes.list("a", address, state), (node, address != at(1)));
+    assert_eq!(
+        nodes.apply_entry("a", address, state),
+        (node, address != at(1))
+    );
     assert_eq!(nodes.usable(node).count(), usable);
 }
 
 #[test]
 fn a_node_that_a_whole_list_leaves_out_is_forgotten_with_its_last_connection() {
     let (mut nodes, node, id) = connected();
-    nodes.keep_only(&[]);
+    nodes.retire_unlisted(&[]);
     nodes.forget_gone();
     assert!(nodes.node(node).is_some() && nodes.connection(id).is_some_and(|of| of.retired));
     nodes.disconnect(id);
     assert_eq!(nodes.count(), 0);
     assert_ne!(
-        nodes.list("a", at(1), EndpointState::Ready).0,
+        nodes.apply_entry("a", at(1), EndpointState::Ready).0,
         node,
         "a name forgotten comes back as another node"
     );
@@ -52,14 +55,14 @@
 fn nothing_stays_of_nodes_that_come_and_go() {
     let (mut nodes, _, first) = connected();
     for number in 0..1000 {
-        let (node, _) = nodes.list(&format!("n{number}"), at(number), EndpointState::Ready);
+        let (node, _) = nodes.apply_entry(&format!("n{number}"), at(number), EndpointState::Ready);
         let permit = Descriptors::new(100)
             .take(Peer::Node)
             .expect("a descriptor");
         let id = nodes
             .connect(node, Micros(5), 100, permit)
             .expect("a connection");
-        nodes.list(&format!("n{number}"), at(number), EndpointState::Gone);
+        nodes.apply_entry(&format!("n{number}"), at(number), EndpointState::Gone);
         nodes.disconnect(id);
     }
     nodes.forget_gone();
@@ -162,9 +165,9 @@
         ("x.1".into(), key(1)),
         ("x.3".into(), key(3)),
     ]);
-    connection.spoil(named);
+    connection.abandon_on_bad_input(named);
     assert_eq!(
-        (connection.spoilt, connection.abandoned),
+        (connection.bad_input_attempt, connection.abandoned),
         (Some(key(call)), true)
     );
 }
--- a/router/tests/drawn/crowd.rs
+++ b/router/tests/drawn/crowd.rs
@@ -191,7 +191,7 @@
 
     /// The status of the next answer, once it is complete; none: the connection has ended before.
     fn next(&mut self) -> Option<u16> {
-        let mut answer = Reader::of_answers(ANSWER_BOUND);
+        let mut answer = Reader::for_responses(ANSWER_BOUND);
         let mut bytes = [0; 4096];
         while !answer.read(&mut self.input).ok()? {
             let room = bytes.len().min(self.input.room());
--- a/simulation/src/fleet/clients.rs
+++ b/simulation/src/fleet/clients.rs
@@ -40,7 +40,7 @@
         .and_then(|()| stream.write_all(text.as_bytes()));
     sent.map_err(|_| false)?;
     let (mut reader, mut input, mut bytes) = (
-        Reader::of_answers(ANSWER_BOUND),
+        Reader::for_responses(ANSWER_BOUND),
         Ring::new(ANSWER_BOUND),
         [0; 8192],
     );
--- a/simulation/src/fleet/relay.rs
+++ b/simulation/src/fleet/relay.rs
@@ -11,7 +11,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use ternpick_wire::http::{Reader, HEAD_BOUND};
+use ternpick_wire::http::{Reader, MAX_HEAD_BYTES};
 use ternpick_wire::ring::Ring;
 
 const BOUND: Duration = Duration::from_secs(30);
@@ -170,9 +170,9 @@
         let timed = stream
             .set_read_timeout(Some(BOUND))
             .and_then(|()| stream.set_nodelay(true));
-        let (mut input, mut bytes) = (Ring::new(HEAD_BOUND), [0; 16 * 1024]);
+        let (mut input, mut bytes) = (Ring::new(MAX_HEAD_BYTES), [0; 16 * 1024]);
         while timed.is_ok() {
-            let mut reader = Reader::of_requests();
+            let mut reader = Reader::for_requests();
             loop {
                 match reader.read(&mut input) {
                     Ok(true) => break,
--- a/simulation/src/load/clients.rs
+++ b/simulation/src/load/clients.rs
@@ -60,10 +60,10 @@
 
 /// One answer off a connection, and whether it stays open; none: it broke.
 fn answer(stream: &mut TcpStream, input: &mut Ring) -> Option<(u16, bool)> {
-    let (mut reader, mut bytes) = (Reader::of_answers(ANSWER_BOUND), [0; 16 * 1024]);
+    let (mut reader, mut bytes) = (Reader::for_responses(ANSWER_BOUND), [0; 16 * 1024]);
     loop {
         if reader.read(input).ok()? {
-            return Some((reader.status()?, !reader.closes()));
+            return Some((reader.status()?, !reader.closes_connection()));
         }
         let room = bytes.len().min(input.room());
         let count = stream
--- a/simulation/src/standins.rs
+++ b/simulation/src/standins.rs
@@ -235,7 +235,7 @@
             thread::sleep(Duration::from_millis(1));
         }
         loop {
-            match frames::next(&mut input, &mut into) {
+            match frames::read_frame(&mut input, &mut into) {
                 Ok(Some(letter)) => {
                     let text = String::from_utf8_lossy(&into).into_owned();
                     into.clear();
--- a/wire/src/discovery.rs
+++ b/wire/src/discovery.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 
 /// The longest answer that is read, in bytes: discovery is the one peer whose answers grow with the fleet.
-pub const LIST_BOUND: usize = 1024 * 1024;
+pub const MAX_LIST_BYTES: usize = 1024 * 1024;
 
 /// Why an entry of the list cannot be used; the others can.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -36,7 +36,7 @@
 
 /// The next request of a watch, which is answered with what is newer than `after`, or with nothing once `wait` has passed;
 /// without a version to go on from, a request for the whole list.
-pub fn call(host: &str, after: Option<u64>, wait: Micros) -> Vec<u8> {
+pub fn watch_request(host: &str, after: Option<u64>, wait: Micros) -> Vec<u8> {
     let query = match after {
         Some(after) => format!("?after={after}&wait_ms={}", wait.0 / 1000),
         None => String::new(),
@@ -62,17 +62,20 @@
 }
 
 /// One entry: its name, where it listens, and what the decision module is to know of it but for its id.
-pub fn entry(of: &Value, zones: &[String]) -> Result<(String, SocketAddr, Endpoint), BadEntry> {
-    let name = of["name"]
+pub fn parse_entry(
+    entry: &Value,
+    zones: &[String],
+) -> Result<(String, SocketAddr, Endpoint), BadEntry> {
+    let name = entry["name"]
         .as_str()
         .filter(|name| !name.is_empty())
         .ok_or(BadEntry::NoName)?;
-    let address = of["address"]
+    let address = entry["address"]
         .as_str()
         .and_then(|text| text.parse().ok())
         .ok_or(BadEntry::NoAddress)?;
-    let zone = of["zone"].as_str().ok_or(BadEntry::NoZone)?;
-    let group = of["group"]
+    let zone = entry["zone"].as_str().ok_or(BadEntry::NoZone)?;
+    let group = entry["group"]
         .as_u64()
         .and_then(|group| u32::try_from(group).ok())
         .ok_or(BadEntry::NoShardGroup)?;
@@ -80,8 +83,8 @@
         node: NodeId(0),
         zone: zone_number(zone, zones),
         shard_group: ShardGroupNo(group),
-        state: endpoint_state(&of["status"])?,
-        started_at: started_at(&of["since_ms"]),
+        state: endpoint_state(&entry["status"])?,
+        started_at: started_at(&entry["since_ms"]),
     };
     Ok((name.to_owned(), address, endpoint))
 }
--- a/wire/src/discovery/tests.rs
+++ b/wire/src/discovery/tests.rs
@@ -14,8 +14,8 @@
 #[test_case("s-1", "", None; "no name")]
 #[test_case("\"group\":3", "\"group\":-3", None; "no group")]
 fn reads_entries(from: &str, to: &str, read: Option<(u16, EndpointState)>) {
-    let of = parse(GOOD.replacen(from, to, 1).as_bytes()).expect("JSON");
-    let entry = entry(&of, &["a".to_owned(), "b".to_owned()]).ok();
+    let value = parse(GOOD.replacen(from, to, 1).as_bytes()).expect("JSON");
+    let entry = parse_entry(&value, &["a".to_owned(), "b".to_owned()]).ok();
     assert_eq!(
         entry
             .as_ref()
--- a/wire/src/frames.rs
+++ b/wire/src/frames.rs
@@ -7,14 +7,14 @@
 
 use thiserror::Error;
 
-use crate::http::BODY_BOUND;
+use crate::http::MAX_BODY_BYTES;
 use crate::ring::Ring;
 
 /// The longest frame that a node may send, in bytes: a value that no answer has room for is of no use.
-pub const FRAME_BOUND: usize = BODY_BOUND + LINE_BOUND;
+pub const MAX_FRAME_BYTES: usize = MAX_BODY_BYTES + MAX_LINE_BYTES;
 
 /// The longest line of a shard request, with what frames it, in bytes.
-pub const LINE_BOUND: usize = 1024;
+pub const MAX_LINE_BYTES: usize = 1024;
 
 /// The bytes of a frame's length.
 const LENGTH_BYTES: usize = 4;
@@ -32,7 +32,7 @@
     /// Its length is zero.
     #[error("a frame without a letter")]
     NoLetter,
-    /// It is longer than [`FRAME_BOUND`].
+    /// It is longer than [`MAX_FRAME_BYTES`].
     #[error("a frame longer than its bound")]
     TooLong,
     /// An answer has no line end.
@@ -49,29 +49,29 @@
     BadScore,
     /// An answer ends in a way that is not known.
     #[error("an answer of unknown end")]
-    UnknownEnd,
+    UnknownStatus,
 }
 
 /// How a node ended a shard request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ResponseStatus {
     /// It has answered.
     Served,
     /// It has failed, and may have had an effect.
-    Broke,
+    Failed,
     /// It was not begun.
-    Skipped,
+    NotStarted,
 }
 
 /// The fields of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer<'a> {
+pub struct ShardResponse<'a> {
     /// The id of the shard request, as it was sent.
     pub id: &'a str,
     /// How it ended.
-    pub end: End,
-    /// A load report for [`report`], empty if it is not UTF-8.
-    pub report: &'a str,
+    pub status: ResponseStatus,
+    /// A load report for [`parse_load_report`], empty if it is not UTF-8.
+    pub load_report: &'a str,
     /// The value, empty unless it was served.
     pub value: &'a str,
 }
@@ -92,7 +92,7 @@
 }
 
 /// Takes bytes of the next frame off `input` into `into`; its letter once it is complete, with the rest in `into`.
-pub fn next(input: &mut Ring, into: &mut Vec<u8>) -> Result<Option<u8>, BadFrame> {
+pub fn read_frame(input: &mut Ring, into: &mut Vec<u8>) -> Result<Option<u8>, BadFrame> {
     loop {
         let wanted = if into.len() < LENGTH_BYTES {
             LENGTH_BYTES - into.len()
@@ -118,19 +118,19 @@
     let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
     match length {
         0 => Err(BadFrame::NoLetter),
-        _ if length > FRAME_BOUND => Err(BadFrame::TooLong),
+        _ if length > MAX_FRAME_BYTES => Err(BadFrame::TooLong),
         _ => Ok(length),
     }
 }
 
 /// The id that a frame names first, if it can be read: also of a frame that is malformed further on.
-pub fn id(rest: &[u8]) -> Option<&str> {
+pub fn parse_shard_request_id(rest: &[u8]) -> Option<&str> {
     std::str::from_utf8(rest.split(|byte| *byte == b' ').next()?).ok()
 }
 
 /// Parses the rest of an `a` frame. A report that is not text counts as unreadable, and nothing else is lost with it. No text
 /// holds a NUL: it is the length of the frame behind, which a wrong length took in.
-pub fn answer(rest: &[u8]) -> Result<Answer<'_>, BadFrame> {
+pub fn parse_shard_response(rest: &[u8]) -> Result<ShardResponse<'_>, BadFrame> {
     let line_end = rest
         .iter()
         .position(|byte| *byte == b'\n')
@@ -147,29 +147,29 @@
             .ok_or(BadFrame::MissingWord)
     };
     let id = text_word()?;
-    let end = text_word()?;
+    let status = text_word()?;
     let score = text_word()?;
     let report = words.next().ok_or(BadFrame::MissingWord)?;
     if score.is_empty() || !score.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(BadFrame::BadScore);
     }
-    let end = match end {
-        "served" => End::Served,
-        "broke" => End::Broke,
-        "skipped" => End::Skipped,
-        _ => return Err(BadFrame::UnknownEnd),
+    let status = match status {
+        "served" => ResponseStatus::Served,
+        "broke" => ResponseStatus::Failed,
+        "skipped" => ResponseStatus::NotStarted,
+        _ => return Err(BadFrame::UnknownStatus),
     };
-    Ok(Answer {
+    Ok(ShardResponse {
         id,
-        end,
-        report: std::str::from_utf8(report).unwrap_or_default(),
+        status,
+        load_report: std::str::from_utf8(report).unwrap_or_default(),
         value,
     })
 }
 
 /// A load report's figures in the order of `columns`, which are the settings' names; one that is missing or unreadable is not a
 /// number. Empty if there is no report.
-pub fn report(text: &str, columns: &[String]) -> Vec<f64> {
+pub fn parse_load_report(text: &str, columns: &[String]) -> Vec<f64> {
     if text == "-" || text == "broke" {
         return Vec::new();
     }
@@ -198,7 +198,7 @@
     }
 }
 
-fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
+fn encode_frame(letter: u8, rest: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(LENGTH_BYTES + 1 + rest.len());
     frame.extend_from_slice(&(1 + rest.len() as u32).to_le_bytes());
     frame.push(letter);
@@ -207,7 +207,7 @@
 }
 
 /// The frame that sends shard requests to a node.
-pub fn shard_requests<'a>(requests: impl Iterator<Item = ShardRequest<'a>>) -> Vec<u8> {
+pub fn encode_shard_requests<'a>(requests: impl Iterator<Item = ShardRequest<'a>>) -> Vec<u8> {
     let mut rest = Vec::new();
     for request in requests {
         let ShardRequest {
@@ -224,15 +224,15 @@
         rest.extend_from_slice(line.as_bytes());
         rest.extend_from_slice(statement.as_bytes());
     }
-    frame(letter::SHARD_REQUESTS, &rest)
+    encode_frame(letter::SHARD_REQUESTS, &rest)
 }
 
 /// The frame that cancels a shard request.
-pub fn cancel(id: &str) -> Vec<u8> {
-    frame(letter::CANCEL, id.as_bytes())
+pub fn encode_cancel(id: &str) -> Vec<u8> {
+    encode_frame(letter::CANCEL, id.as_bytes())
 }
 
 /// The frame that asks a node for its load report.
-pub fn load_report_request() -> Vec<u8> {
-    frame(letter::LOAD_REPORT, b"")
+pub fn encode_load_report_request() -> Vec<u8> {
+    encode_frame(letter::LOAD_REPORT, b"")
 }
--- a/wire/src/http.rs
+++ b/wire/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 (RFC 9112) as clients, discovery and other routers speak it: one incremental parser for requests and answers, whose
 //! bodies have a length or come in chunks, and the encoding of answers.
 //!
-//! Does no I/O: [`Reader`] takes bytes from a [`Ring`](crate::ring::Ring), [`answer`] returns bytes.
+//! Does no I/O: [`Reader`] takes bytes from a [`Ring`](crate::ring::Ring), [`encode_response`] returns bytes.
 
 mod error;
 mod reader;
@@ -14,11 +14,11 @@
 pub use reader::Reader;
 
 /// The longest head, start line and headers together, in bytes; the same bounds a body's trailer.
-pub const HEAD_BOUND: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The most headers: short ones take up far more memory than their bytes.
-pub const HEADERS_BOUND: usize = 100;
+pub const MAX_HEADERS: usize = 100;
 /// The longest body that clients may send, in bytes.
-pub const BODY_BOUND: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 fn reason(status: u16) -> &'static str {
     match status {
@@ -42,7 +42,7 @@
 
 /// The bytes of an answer to a client. `headers` are complete lines with their CRLF; `close` announces that the connection ends
 /// behind this answer.
-pub fn answer(status: u16, headers: &str, body: &str, close: bool) -> Vec<u8> {
+pub fn encode_response(status: u16, headers: &str, body: &str, close: bool) -> Vec<u8> {
     let content_type = if status == 200 {
         "application/json"
     } else {
--- a/wire/src/http/error.rs
+++ b/wire/src/http/error.rs
@@ -11,8 +11,8 @@
     /// The body, or its chunks together, are longer than their bound.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The head is longer than [`HEAD_BOUND`](super::HEAD_BOUND), or has more than
-    /// [`HEADERS_BOUND`](super::HEADERS_BOUND) headers.
+    /// The head is longer than [`MAX_HEAD_BYTES`](super::MAX_HEAD_BYTES), or has more than
+    /// [`MAX_HEADERS`](super::MAX_HEADERS) headers.
     #[error("the head is too large")]
     HeadTooLarge,
     /// A transfer coding other than `chunked`.
--- a/wire/src/http/reader.rs
+++ b/wire/src/http/reader.rs
@@ -1,6 +1,6 @@
 //! The incremental parser of one connection's messages.
 
-use crate::http::{HttpError, BODY_BOUND, HEADERS_BOUND, HEAD_BOUND};
+use crate::http::{HttpError, MAX_BODY_BYTES, MAX_HEADERS, MAX_HEAD_BYTES};
 use crate::ring::Ring;
 
 /// What the parser expects next.
@@ -26,7 +26,7 @@
 enum Kind {
     Requests,
     /// One without a length or chunks lasts until its connection ends.
-    Answers,
+    Responses,
 }
 
 /// Reads one message after another; between messages it holds next to nothing.
@@ -36,7 +36,7 @@
     /// The line that is not complete yet.
     line: Vec<u8>,
     head_bytes: usize,
-    body_bound: usize,
+    max_body_bytes: usize,
     start_line: String,
     /// Names in lower case, and values.
     headers: Vec<(String, String)>,
@@ -45,22 +45,22 @@
 
 impl Reader {
     /// A reader of clients' requests.
-    pub fn of_requests() -> Self {
-        Reader::new(Kind::Requests, BODY_BOUND)
+    pub fn for_requests() -> Self {
+        Reader::new(Kind::Requests, MAX_BODY_BYTES)
     }
 
-    /// A reader of answers whose bodies have at most `body_bound` bytes.
-    pub fn of_answers(body_bound: usize) -> Self {
-        Reader::new(Kind::Answers, body_bound)
+    /// A reader of answers whose bodies have at most `max_body_bytes` bytes.
+    pub fn for_responses(max_body_bytes: usize) -> Self {
+        Reader::new(Kind::Responses, max_body_bytes)
     }
 
-    fn new(kind: Kind, body_bound: usize) -> Self {
+    fn new(kind: Kind, max_body_bytes: usize) -> Self {
         Reader {
             kind,
             state: State::StartLine,
             line: Vec::new(),
             head_bytes: 0,
-            body_bound,
+            max_body_bytes,
             start_line: String::new(),
             headers: Vec::new(),
             body: Vec::new(),
@@ -70,7 +70,7 @@
     /// Takes bytes off `input`; true once a message is complete. The next call begins the message after it.
     pub fn read(&mut self, input: &mut Ring) -> Result<bool, HttpError> {
         if self.state == State::Complete {
-            *self = Reader::new(self.kind, self.body_bound);
+            *self = Reader::new(self.kind, self.max_body_bytes);
         }
         while self.state != State::Complete {
             if input.is_empty() {
@@ -103,7 +103,7 @@
     fn read_until_end(&mut self, input: &mut Ring) -> Result<(), HttpError> {
         let run = input.filled();
         let taken = run.len();
-        if taken > self.body_bound - self.body.len() {
+        if taken > self.max_body_bytes - self.body.len() {
             return Err(HttpError::BodyTooLarge);
         }
         self.body.extend_from_slice(run);
@@ -126,7 +126,7 @@
         let end = run.iter().position(|byte| *byte == b'\n');
         let taken = end.map_or(run.len(), |at| at + 1);
         self.head_bytes += taken;
-        if self.head_bytes > HEAD_BOUND {
+        if self.head_bytes > MAX_HEAD_BYTES {
             return Err(HttpError::HeadTooLarge);
         }
         self.line.extend_from_slice(&run[..taken]);
@@ -142,17 +142,17 @@
             .ok()
             .filter(|text| !text.bytes().any(|b| b < b' ' && b != b'\t'))
             .ok_or(HttpError::Malformed("a line is not plain text"))?;
-        self.line_ended(text)
+        self.process_line(text)
     }
 
-    fn line_ended(&mut self, text: &str) -> Result<(), HttpError> {
+    fn process_line(&mut self, text: &str) -> Result<(), HttpError> {
         match self.state {
             // Empty lines before a request are passed over (RFC 9112, section 2.2).
             State::StartLine if text.is_empty() && self.kind == Kind::Requests => {}
-            State::StartLine => self.start_line_ended(text)?,
-            State::Headers if text.is_empty() => self.head_ended()?,
-            State::Headers => self.header_ended(text)?,
-            State::ChunkSize => self.chunk_size_ended(text)?,
+            State::StartLine => self.process_start_line(text)?,
+            State::Headers if text.is_empty() => self.process_head_end()?,
+            State::Headers => self.process_header(text)?,
+            State::ChunkSize => self.process_chunk_size(text)?,
             State::ChunkEnd if text.is_empty() => self.state = State::ChunkSize,
             State::ChunkEnd => {
                 return Err(HttpError::Malformed("a chunk is longer than its size"));
@@ -167,14 +167,14 @@
         Ok(())
     }
 
-    fn start_line_ended(&mut self, text: &str) -> Result<(), HttpError> {
+    fn process_start_line(&mut self, text: &str) -> Result<(), HttpError> {
         self.start_line = text.to_owned();
         let mut words = self.start_line.split(' ');
         let first = words.next();
         let second = words.next();
         let third = words.next();
         let version = match self.kind {
-            Kind::Answers => first,
+            Kind::Responses => first,
             Kind::Requests => {
                 let no_method = first == Some("");
                 let no_target = second.is_none_or(str::is_empty);
@@ -193,7 +193,7 @@
         Ok(())
     }
 
-    fn header_ended(&mut self, text: &str) -> Result<(), HttpError> {
+    fn process_header(&mut self, text: &str) -> Result<(), HttpError> {
         let (name, value) = text
             .split_once(':')
             .ok_or(HttpError::Malformed("a header has no colon"))?;
@@ -201,7 +201,7 @@
         if name.is_empty() || !name.bytes().all(is_token_byte) {
             return Err(HttpError::Malformed("a header's name is malformed"));
         }
-        if self.headers.len() >= HEADERS_BOUND {
+        if self.headers.len() >= MAX_HEADERS {
             return Err(HttpError::HeadTooLarge);
         }
         self.headers
@@ -209,13 +209,13 @@
         Ok(())
     }
 
-    fn chunk_size_ended(&mut self, text: &str) -> Result<(), HttpError> {
+    fn process_chunk_size(&mut self, text: &str) -> Result<(), HttpError> {
         let digits = text.split(';').next().unwrap_or_default().trim_end();
         if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
             return Err(HttpError::Malformed("a chunk's size is malformed"));
         }
         let size = usize::from_str_radix(digits, 16).unwrap_or(usize::MAX);
-        if size > self.body_bound - self.body.len() {
+        if size > self.max_body_bytes - self.body.len() {
             return Err(HttpError::BodyTooLarge);
         }
         self.state = if size == 0 {
@@ -227,27 +227,27 @@
     }
 
     /// Finds out how the body is delimited (RFC 9112, section 6.3).
-    fn head_ended(&mut self) -> Result<(), HttpError> {
+    fn process_head_end(&mut self) -> Result<(), HttpError> {
         let lengths = self.headers("content-length").count();
         let codings = self.headers("transfer-encoding").count();
         let has_no_body = matches!(self.status(), Some(204 | 304));
         self.state = match (lengths, codings) {
-            (0, 0) if self.kind == Kind::Answers && !has_no_body => State::UntilEnd,
+            (0, 0) if self.kind == Kind::Responses && !has_no_body => State::UntilEnd,
             (0, 0) => State::Complete,
-            (1, 0) => self.state_of_length()?,
-            (0, 1) => self.state_of_coding()?,
+            (1, 0) => self.state_for_content_length()?,
+            (0, 1) => self.state_for_transfer_encoding()?,
             _ => return Err(HttpError::Malformed("lengths conflict")),
         };
         Ok(())
     }
 
-    fn state_of_length(&self) -> Result<State, HttpError> {
+    fn state_for_content_length(&self) -> Result<State, HttpError> {
         let digits = self.header("content-length").unwrap_or_default();
         if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_digit()) {
             return Err(HttpError::Malformed("the body's length is malformed"));
         }
         let length = digits.parse().unwrap_or(usize::MAX);
-        if length > self.body_bound {
+        if length > self.max_body_bytes {
             return Err(HttpError::BodyTooLarge);
         }
         Ok(if length == 0 {
@@ -257,7 +257,7 @@
         })
     }
 
-    fn state_of_coding(&self) -> Result<State, HttpError> {
+    fn state_for_transfer_encoding(&self) -> Result<State, HttpError> {
         let coding = self.header("transfer-encoding").unwrap_or_default();
         if coding.eq_ignore_ascii_case("chunked") {
             Ok(State::ChunkSize)
@@ -267,7 +267,7 @@
     }
 
     /// The connection has ended in order, which a reset is not; true if that makes the message complete.
-    pub fn ended(&mut self) -> bool {
+    pub fn end_of_input(&mut self) -> bool {
         if self.state == State::UntilEnd {
             self.state = State::Complete;
         }
@@ -312,17 +312,17 @@
     }
 
     /// Gives the body's memory back while its answer is awaited.
-    pub fn forget_body(&mut self) {
+    pub fn release_body(&mut self) {
         self.body = Vec::new();
     }
 
     /// The memory that a message takes up while it arrives, in bytes.
-    pub fn size(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.head_bytes + self.line.capacity() + self.body.capacity()
     }
 
     /// Whether its sender ends the connection after this message (RFC 9112, section 9.3).
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         let has_option = |wanted: &str| {
             let options = self.header("connection").unwrap_or_default();
             options
@@ -330,11 +330,11 @@
                 .any(|option| option.trim().eq_ignore_ascii_case(wanted))
         };
         let version_word = match self.kind {
-            Kind::Answers => 0,
+            Kind::Responses => 0,
             Kind::Requests => 2,
         };
         let is_http_1_0 = self.start_line.split(' ').nth(version_word) == Some("HTTP/1.0");
-        let lasts_until_end = self.kind == Kind::Answers
+        let lasts_until_end = self.kind == Kind::Responses
             && self.header("content-length").is_none()
             && self.header("transfer-encoding").is_none();
         has_option("close") || is_http_1_0 && !has_option("keep-alive") || lasts_until_end
--- a/wire/src/http/tests.rs
+++ b/wire/src/http/tests.rs
@@ -25,7 +25,7 @@
 fn reads_alike_wherever_the_input_is_split(message: &str) {
     for at in 0..message.len() {
         let (first, second) = message.as_bytes().split_at(at);
-        let mut reader = Reader::of_requests();
+        let mut reader = Reader::for_requests();
         assert_eq!(
             read(&mut reader, &[first, second]),
             Ok(true),
@@ -38,16 +38,19 @@
         );
     }
     let bytes: Vec<&[u8]> = message.as_bytes().chunks(1).collect();
-    assert_eq!(read(&mut Reader::of_requests(), &bytes), Ok(true));
+    assert_eq!(read(&mut Reader::for_requests(), &bytes), Ok(true));
 }
 
 #[test]
 fn leaves_what_follows_for_the_next_message() {
-    let (mut ring, mut reader) = (Ring::new(1 << 20), Reader::of_requests());
+    let (mut ring, mut reader) = (Ring::new(1 << 20), Reader::for_requests());
     assert!(ring.push(format!("{PLAIN}{CHUNKS}GET /z HTTP/1.0\r\n\r\n").as_bytes()));
     for path in ["/a/b", "/a/b", "/z"] {
         assert_eq!(reader.read(&mut ring), Ok(true));
-        assert_eq!((reader.path(), reader.closes()), (path, path == "/z"));
+        assert_eq!(
+            (reader.path(), reader.closes_connection()),
+            (path, path == "/z")
+        );
     }
     assert!(reader.body().is_empty() && reader.header("req-id").is_none());
     assert_eq!(reader.read(&mut ring), Ok(false));
@@ -73,7 +76,7 @@
 #[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 400; "a long chunk")]
 #[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\n", 413; "endless chunk")]
 fn refuses_what_makes_no_sense(message: &str, status: u16) {
-    let result = read(&mut Reader::of_requests(), &[message.as_bytes()]);
+    let result = read(&mut Reader::for_requests(), &[message.as_bytes()]);
     assert_eq!(result.map_err(|error| error.status()), Err(status));
 }
 
@@ -81,15 +84,12 @@
 fn bounds_the_number_of_headers() {
     let head = |count| format!("GET / HTTP/1.1\r\n{}\r\n", "a:\r\n".repeat(count));
     assert_eq!(
-        read(
-            &mut Reader::of_requests(),
-            &[head(HEADERS_BOUND).as_bytes()]
-        ),
+        read(&mut Reader::for_requests(), &[head(MAX_HEADERS).as_bytes()]),
         Ok(true)
     );
     let more = read(
-        &mut Reader::of_requests(),
-        &[head(HEADERS_BOUND + 1).as_bytes()],
+        &mut Reader::for_requests(),
+        &[head(MAX_HEADERS + 1).as_bytes()],
     );
     assert_eq!(more, Err(HttpError::HeadTooLarge));
 }
@@ -97,9 +97,9 @@
 #[test_case("A: b\r\n"; "many short headers")]
 #[test_case("no end of this line "; "one endless line")]
 fn bounds_a_head(piece: &str) {
-    let message = format!("GET / HTTP/1.1\r\n{}", piece.repeat(HEAD_BOUND));
+    let message = format!("GET / HTTP/1.1\r\n{}", piece.repeat(MAX_HEAD_BYTES));
     assert_eq!(
-        read(&mut Reader::of_requests(), &[message.as_bytes()]),
+        read(&mut Reader::for_requests(), &[message.as_bytes()]),
         Err(HttpError::HeadTooLarge)
     );
 }
@@ -110,7 +110,7 @@
     let message =
         format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{chunk}1\r\n");
     assert_eq!(
-        read(&mut Reader::of_requests(), &[message.as_bytes()]),
+        read(&mut Reader::for_requests(), &[message.as_bytes()]),
         Err(HttpError::BodyTooLarge)
     );
 }
@@ -120,7 +120,7 @@
 #[test_case("HTTP/1.1 200 OK\r\n\r\n{}", Ok(None); "as long as its connection, which has not ended")]
 #[test_case("HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n", Ok(None); "no status")]
 fn reads_answers(message: &str, status: Result<Option<u16>, u16>) {
-    let mut reader = Reader::of_answers(BODY_BOUND);
+    let mut reader = Reader::for_responses(MAX_BODY_BYTES);
     let read = read(&mut reader, &[message.as_bytes()]).map_err(|error| error.status());
     assert_eq!(read.map(|whole| reader.status().filter(|_| whole)), status);
 }
@@ -129,12 +129,12 @@
 #[test]
 fn an_answer_without_a_length_is_whole_when_its_connection_ends() {
     let head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
-    let mut reader = Reader::of_answers(BODY_BOUND);
+    let mut reader = Reader::for_responses(MAX_BODY_BYTES);
     assert_eq!(
         read(&mut reader, &[head.as_bytes(), b"{\"a\"", b":1}"]),
         Ok(false)
     );
-    assert!(reader.closes() && reader.ended());
+    assert!(reader.closes_connection() && reader.end_of_input());
     assert_eq!(
         (reader.status(), reader.body()),
         (Some(200), &b"{\"a\":1}"[..])
@@ -144,13 +144,13 @@
         "HTTP/1.1 200 OK\r\nConn",
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfour",
     ] {
-        let mut reader = Reader::of_answers(BODY_BOUND);
+        let mut reader = Reader::for_responses(MAX_BODY_BYTES);
         assert_eq!(read(&mut reader, &[cut.as_bytes()]), Ok(false));
-        assert!(!reader.ended(), "{cut:?} is no whole answer");
+        assert!(!reader.end_of_input(), "{cut:?} is no whole answer");
     }
-    let endless = "x".repeat(BODY_BOUND + 1);
+    let endless = "x".repeat(MAX_BODY_BYTES + 1);
     let read = read(
-        &mut Reader::of_answers(BODY_BOUND),
+        &mut Reader::for_responses(MAX_BODY_BYTES),
         &[head.as_bytes(), endless.as_bytes()],
     );
     assert_eq!(read, Err(HttpError::BodyTooLarge));
--- a/wire/src/query.rs
+++ b/wire/src/query.rs
@@ -98,7 +98,10 @@
 }
 
 /// The body of an answer; `complete` if all shards have a value.
-pub fn answer<'a>(complete: bool, values: impl Iterator<Item = (ShardNo, &'a str)>) -> String {
+pub fn encode_response_body<'a>(
+    complete: bool,
+    values: impl Iterator<Item = (ShardNo, &'a str)>,
+) -> String {
     let pieces: Vec<Value> = values
         .map(|(shard, value)| json!({"tablet": shard.0, "cell": value}))
         .collect();
--- a/wire/src/query/tests.rs
+++ b/wire/src/query/tests.rs
@@ -44,7 +44,7 @@
 
 #[test]
 fn answers_with_values_as_they_came() {
-    let text = answer(false, [(ShardNo(3), "5b\"e2")].into_iter());
+    let text = encode_response_body(false, [(ShardNo(3), "5b\"e2")].into_iter());
     assert_eq!(
         parse(text.as_bytes()),
         Ok(json!({"full": false, "pieces": [{"tablet": 3, "cell": "5b\"e2"}]}))
--- a/wire/src/ring.rs
+++ b/wire/src/ring.rs
@@ -34,7 +34,7 @@
     }
 
     /// The memory that it takes up, in bytes.
-    pub fn size(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.bytes.len()
     }
 
@@ -84,12 +84,12 @@
     }
 
     /// Counts `count` bytes in that a caller has written to the front of [`Ring::free`].
-    pub fn filled_more(&mut self, count: usize) {
+    pub fn commit(&mut self, count: usize) {
         self.len = (self.len + count).min(self.bytes.len());
     }
 
     /// Gives its memory back if nothing is in it, as after a read that found nothing.
-    pub fn rest(&mut self) {
+    pub fn release_if_empty(&mut self) {
         if self.len == 0 {
             self.consume(0);
         }
@@ -107,7 +107,7 @@
             let free = self.free();
             let count = free.len().min(rest.len());
             free[..count].copy_from_slice(&rest[..count]);
-            self.filled_more(count);
+            self.commit(count);
             rest = &rest[count..];
         }
         true
