--- a/router/src/stages/upstream_dial.rs
+++ b/router/src/stages/upstream_dial.rs
@@ -62,7 +62,7 @@
 fn concerns(router: &Router, failed: FailureOwner, began: Micros) -> FailureOwner {
     match failed {
         FailureOwner::Route => {
-            let others_heard = router.decisions.borrow().effects.nodes.heard >= began;
+            let others_heard = router.decisions.borrow().effects.nodes.last_received >= began;
             io_errors::route_failure_owner(others_heard)
         }
         // Interrupted up to the end: that concerns nobody, so it is not held against the node.
