--- a/fleet_policy/src/effective_config.rs
+++ b/fleet_policy/src/effective_config.rs
@@ -6,27 +6,31 @@
 
 use ternpick::types::{IndexConfig, Micros, PlatformConfig};
 
-use crate::record::{Platform, PlatformIndex, Record};
+use crate::record::{IndexLimits, PlatformLimits, Record};
 
 /// What the platform's own settings allow, by the names that policies use. `indexes` and `customers` are the names of the
 /// rows of `config`, in order.
-pub fn platform(config: &PlatformConfig, indexes: &[String], customers: &[String]) -> Platform {
-    let index = |(name, row): (&String, &IndexConfig)| PlatformIndex {
+pub fn platform_limits(
+    config: &PlatformConfig,
+    indexes: &[String],
+    customers: &[String],
+) -> PlatformLimits {
+    let index = |(name, row): (&String, &IndexConfig)| IndexLimits {
         name: name.clone(),
-        least: row.min_weight,
-        need: row.required_weight,
-        soft: row.latency_objective,
+        min_completeness_threshold: row.min_weight,
+        max_completeness_threshold: row.required_weight,
+        latency_objective: row.latency_objective,
     };
-    Platform {
+    PlatformLimits {
         indexes: indexes.iter().zip(&config.indexes).map(index).collect(),
-        calls: config.max_attempts,
-        copies: config.hedging,
+        max_attempts: config.max_attempts,
+        hedging: config.hedging,
         customers: customers
             .iter()
             .cloned()
             .zip(config.quotas.iter().copied())
             .collect(),
-        further: config
+        retry_budget: config
             .retry_budget_window
             .map(|_| (config.retry_budget_min, config.retry_budget_ratio)),
     }
@@ -34,7 +38,7 @@
 
 /// Applies a policy over the platform's own settings, for queries that are admitted from now on. `config` is the
 /// configuration in use; rows follow the order of `indexes` and `customers`.
-pub fn put_in_force(
+pub fn apply_policy(
     record: &Record,
     platform: &PlatformConfig,
     indexes: &[String],
@@ -47,12 +51,16 @@
         .zip(&platform.indexes)
         .zip(indexes);
     for ((row, own), name) in rows {
-        let terms = record.indexes.get(name).cloned().unwrap_or_default();
-        row.min_weight = terms.least.unwrap_or(own.min_weight);
-        row.partial_response_after = terms.partly_at.map(Micros);
-        row.max_attempts = terms.calls.and_then(|calls| usize::try_from(calls).ok());
-        row.hedging_disabled = terms.copies == Some(false);
-        row.retry_budget = record.further.map(|budget| (budget.spare, budget.share));
+        let policy = record.indexes.get(name).cloned().unwrap_or_default();
+        row.min_weight = policy.completeness_threshold.unwrap_or(own.min_weight);
+        row.partial_response_after = policy.partial_response_after_us.map(Micros);
+        row.max_attempts = policy
+            .max_attempts
+            .and_then(|attempts| usize::try_from(attempts).ok());
+        row.hedging_disabled = policy.hedging == Some(false);
+        row.retry_budget = record
+            .retry_budget
+            .map(|budget| (budget.min_per_window, budget.ratio));
     }
     let quotas = config
         .quotas
@@ -63,6 +71,6 @@
         *quota = record
             .customers
             .get(name)
-            .map_or(*own, |terms| terms.per_second);
+            .map_or(*own, |policy| policy.queries_per_second);
     }
 }
--- a/fleet_policy/src/effective_config/tests.rs
+++ b/fleet_policy/src/effective_config/tests.rs
@@ -22,10 +22,10 @@
             "author: \"a\"\nreason: \"b\"\nindexes: half: {{least: {wanted}, calls: {calls}}}\n\
              customers: north: per_second: {quota}\nfurther: {{spare: {spare}, share: 0}}\n"
         );
-        let allowed = platform(&config, &names, &customers);
+        let allowed = platform_limits(&config, &names, &customers);
         let mut effective = config.clone();
         if let Ok(record) = Record::read_within("p", &text, &allowed) {
-            put_in_force(&record, &config, &names, &customers, &mut effective);
+            apply_policy(&record, &config, &names, &customers, &mut effective);
             let row = &effective.indexes[0];
             prop_assert!(row.min_weight >= own.min(need) && row.min_weight <= need);
             prop_assert!(row.max_attempts.is_none_or(|calls| calls <= cap));
@@ -33,7 +33,7 @@
             prop_assert!(effective.quotas[0] <= own_quota);
         }
         // Back to the platform's own settings, nothing is left of the policy.
-        put_in_force(&Record::default(), &config, &names, &customers, &mut effective);
+        apply_policy(&Record::default(), &config, &names, &customers, &mut effective);
         prop_assert_eq!(format!("{effective:?}"), format!("{config:?}"));
     }
 }
--- a/fleet_policy/src/extension.rs
+++ b/fleet_policy/src/extension.rs
@@ -59,7 +59,7 @@
         contacts: &[MemberContact],
     ) -> (Vec<Vec<u8>>, Vec<String>);
     /// The answer to an operator's question, as JSON; none if the question is not the extension's.
-    fn inspect(&self, now: Micros, what: &str) -> Option<String>;
+    fn inspect(&self, now: Micros, question: &str) -> Option<String>;
 }
 
 /// The extension of a fleet that has none.
--- a/fleet_policy/src/ids.rs
+++ b/fleet_policy/src/ids.rs
@@ -8,7 +8,7 @@
 
 /// Defines counters and identifiers, each a type of its own around a `u64`. The package that uses it depends on `serde`.
 #[macro_export]
-macro_rules! numbers {
+macro_rules! id_types {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
         $(#[$doc])*
         #[derive(
@@ -25,7 +25,7 @@
     )*};
 }
 
-numbers! {
+id_types! {
     /// A proposal's number and, once in force, the policy's version. Some never come into force; none is used twice.
     Version,
     /// Counts the barriers of one proposal, from 1.
--- a/fleet_policy/src/leader.rs
+++ b/fleet_policy/src/leader.rs
@@ -20,9 +20,9 @@
 pub use status::MemberStatus;
 
 use crate::ids::{Incarnation, Index, Member, ReplicaId, Seq};
+use crate::injected_bug::InjectedLeaderBug;
 use crate::lease_config::LeaseConfig;
 use crate::messages::{BarrierId, LeaseReply, LeaseRequest, ProposalVerdict};
-use crate::planted::InLeader;
 use crate::state_machine::{Entry, PolicyState};
 use leases::{Process, WaitingRequest};
 
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LeadershipConfirmation {
     number: u64,
-    at: Micros,
+    requested_at: Micros,
     requests: BTreeMap<Member, WaitingRequest>,
 }
 
@@ -79,7 +79,7 @@
 struct ProposedEntries {
     /// The state for which they were proposed.
     state_index: Index,
-    at: Micros,
+    proposed_at: Micros,
 }
 
 /// A barrier whose beginning is proposed. From then on no lease is granted, until the state tells what has become of it: the
@@ -87,22 +87,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ProposedBarrier {
     barrier: BarrierId,
-    at: Micros,
+    proposed_at: Micros,
 }
 
 /// A barrier, as this leader sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct BarrierSeen {
+struct ObservedBarrier {
     barrier: BarrierId,
-    /// When it was first seen.
-    at: Micros,
+    /// When the leader first saw the barrier in the state.
+    first_seen_at: Micros,
     /// How long after that each member's report came that it has stopped admitting.
     stopped_after: BTreeMap<Member, Micros>,
 }
 
 /// The end of a barrier that this leader has proposed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct BarrierEnd {
+struct ProposedBarrierEnd {
     barrier: BarrierId,
     /// The latest request of each member when the end was first proposed. That the end is committed confirms the leadership
     /// for them as a read does: a majority has answered this leader after they came.
@@ -131,18 +131,18 @@
     confirmation: Option<LeadershipConfirmation>,
     last_confirmation: u64,
     proposed: Option<ProposedEntries>,
-    barrier_proposed: Option<ProposedBarrier>,
+    proposed_barrier: Option<ProposedBarrier>,
     /// Since when verdicts have been reported that are not proposed yet.
     verdicts_since: Option<Micros>,
-    barrier_seen: Option<BarrierSeen>,
-    barrier_end: Option<BarrierEnd>,
+    observed_barrier: Option<ObservedBarrier>,
+    proposed_barrier_end: Option<ProposedBarrierEnd>,
     /// Members that did not stop admitting in time: they get no lease before the proposal is settled.
     late_members: BTreeSet<Member>,
     /// The state that was last pushed to all.
     pushed_index: Index,
     /// A fault that tests must catch.
     #[cfg(any(test, feature = "planted"))]
-    pub injected_bug: Option<InLeader>,
+    pub injected_bug: Option<InjectedLeaderBug>,
 }
 
 impl Leader {
@@ -160,10 +160,10 @@
             confirmation: None,
             last_confirmation: 0,
             proposed: None,
-            barrier_proposed: None,
+            proposed_barrier: None,
             verdicts_since: None,
-            barrier_seen: None,
-            barrier_end: None,
+            observed_barrier: None,
+            proposed_barrier_end: None,
             late_members: BTreeSet::new(),
             pushed_index: state.changed_at,
             #[cfg(any(test, feature = "planted"))]
@@ -205,7 +205,7 @@
                 wants_lease: request.unfit.is_none(),
             },
         );
-        self.note_stopped(now, &request);
+        self.record_stopped(now, &request);
         self.reports.insert(
             request.member,
             MemberReport {
@@ -254,11 +254,11 @@
     pub fn tick(&mut self, now: Micros, state: &PolicyState) -> Vec<LeaderAction> {
         let mut actions = Vec::new();
         self.proposed.take_if(|proposed| {
-            proposed.state_index < state.index || now.since(proposed.at) > RETRY_AFTER
+            proposed.state_index < state.index || now.since(proposed.proposed_at) > RETRY_AFTER
         });
-        self.forget_settled_barrier(state);
+        self.clear_settled_barrier(state);
         let requests = self.requests_at_barrier_end(state);
-        self.follow_barrier(now, state, &mut actions);
+        self.observe_barrier(now, state, &mut actions);
         self.propose_next_step(now, state, &mut actions);
         self.push_view(now, state, &requests, &mut actions);
         self.confirm_leadership(now, state, &mut actions);
@@ -302,19 +302,19 @@
         actions: &mut Vec<LeaderAction>,
     ) {
         self.confirmation
-            .take_if(|confirmation| now.since(confirmation.at) > RETRY_AFTER);
+            .take_if(|confirmation| now.since(confirmation.requested_at) > RETRY_AFTER);
         if self.confirmation.is_some() || self.waiting_requests.is_empty() {
             return;
         }
         let requests = std::mem::take(&mut self.waiting_requests);
-        if self.has_bug(InLeader::NoAsking) {
+        if self.has_bug(InjectedLeaderBug::SkipsConfirmation) {
             actions.extend(self.answer_requests(now, state, requests));
             return;
         }
         self.last_confirmation += 1;
         self.confirmation = Some(LeadershipConfirmation {
             number: self.last_confirmation,
-            at: now,
+            requested_at: now,
             requests,
         });
         actions.push(LeaderAction::ConfirmLeadership(self.last_confirmation));
@@ -322,7 +322,7 @@
 
     /// A router whose last request is recent, unless it did not stop for a barrier in time.
     fn is_reachable(&self, now: Micros, member: &Member) -> bool {
-        let recent_for = self.config.contact_is_recent_for();
+        let recent_for = self.config.recent_contact_window();
         let is_recent = self
             .reports
             .get(member)
--- a/fleet_policy/src/leader/barrier.rs
+++ b/fleet_policy/src/leader/barrier.rs
@@ -6,14 +6,16 @@
 use ternpick::types::Micros;
 
 use super::leases::WaitingRequest;
-use super::{BarrierEnd, BarrierSeen, Leader, LeaderAction, MemberReport, ProposedBarrier};
+use super::{
+    Leader, LeaderAction, MemberReport, ObservedBarrier, ProposedBarrier, ProposedBarrierEnd,
+};
 use crate::ids::Member;
+use crate::injected_bug::InjectedLeaderBug;
 use crate::messages::{BarrierId, LeaseRequest};
-use crate::planted::InLeader;
 use crate::state_machine::{PendingProposal, PolicyState};
 
 /// Members that a log line on a barrier names at most.
-const MOST_NAMED: usize = 8;
+const MAX_NAMED_MEMBERS: usize = 8;
 
 /// The latest barrier of a proposal.
 pub(super) fn barrier_of(next: &PendingProposal) -> BarrierId {
@@ -46,16 +48,16 @@
     }
 }
 
-impl BarrierSeen {
+impl ObservedBarrier {
     /// For the log: how long it lasted, and after how long each member had stopped, the latest first.
     fn description(&self, now: Micros) -> String {
         let BarrierId { number, round } = self.barrier;
-        let lasted = now.since(self.at).0 / 1000;
+        let lasted = now.since(self.first_seen_at).0 / 1000;
         let mut members: Vec<_> = self.stopped_after.iter().collect();
         members.sort_by_key(|(_, after)| std::cmp::Reverse(**after));
         let members: Vec<String> = members
             .iter()
-            .take(MOST_NAMED)
+            .take(MAX_NAMED_MEMBERS)
             .map(|(member, after)| format!("{member} {} ms", after.0 / 1000))
             .collect();
         let members = members.join(", ");
@@ -65,7 +67,7 @@
 
 impl Leader {
     /// Notes when the barrier that is in progress was first seen, and logs how long one lasted that is over.
-    pub(super) fn follow_barrier(
+    pub(super) fn observe_barrier(
         &mut self,
         now: Micros,
         state: &PolicyState,
@@ -75,26 +77,26 @@
             self.late_members.clear();
         }
         let current = barrier_in_progress(state);
-        if self.barrier_seen.as_ref().map(|seen| seen.barrier) == current {
+        if self.observed_barrier.as_ref().map(|seen| seen.barrier) == current {
             return;
         }
-        if let Some(ended) = self.barrier_seen.take() {
+        if let Some(ended) = self.observed_barrier.take() {
             actions.push(LeaderAction::Log(ended.description(now)));
         }
-        self.barrier_seen = current.map(|barrier| BarrierSeen {
+        self.observed_barrier = current.map(|barrier| ObservedBarrier {
             barrier,
-            at: now,
+            first_seen_at: now,
             stopped_after: BTreeMap::new(),
         });
     }
 
     /// Notes the first report of a member that it has stopped admitting for the barrier in progress.
-    pub(super) fn note_stopped(&mut self, now: Micros, request: &LeaseRequest) {
-        let seen = self.barrier_seen.as_mut();
+    pub(super) fn record_stopped(&mut self, now: Micros, request: &LeaseRequest) {
+        let seen = self.observed_barrier.as_mut();
         let Some(seen) = seen.filter(|seen| request.paused_for == Some(seen.barrier)) else {
             return;
         };
-        let after = now.since(seen.at);
+        let after = now.since(seen.first_seen_at);
         seen.stopped_after
             .entry(request.member.clone())
             .or_insert(after);
@@ -110,7 +112,7 @@
     ) -> BTreeMap<Member, WaitingRequest> {
         let current = barrier_in_progress(state);
         let ended = self
-            .barrier_end
+            .proposed_barrier_end
             .take_if(|end| Some(end.barrier) != current)
             .filter(|end| ended_as_proposed(state, end.barrier));
         ended.map(|end| end.requests).unwrap_or_default()
@@ -118,8 +120,8 @@
 
     /// Notes that the end of a barrier is proposed. Of an end that is proposed again the first time counts: whichever is
     /// committed, a majority answers after it.
-    pub(super) fn note_barrier_end(&mut self, barrier: BarrierId) {
-        if self.barrier_end.as_ref().map(|end| end.barrier) == Some(barrier) {
+    pub(super) fn record_proposed_end(&mut self, barrier: BarrierId) {
+        if self.proposed_barrier_end.as_ref().map(|end| end.barrier) == Some(barrier) {
             return;
         }
         let requests = self
@@ -127,22 +129,22 @@
             .iter()
             .map(|(member, report)| (member.clone(), report.as_request()))
             .collect();
-        self.barrier_end = Some(BarrierEnd { barrier, requests });
+        self.proposed_barrier_end = Some(ProposedBarrierEnd { barrier, requests });
     }
 
     /// The state tells what has become of the barrier whose beginning was proposed.
-    pub(super) fn forget_settled_barrier(&mut self, state: &PolicyState) {
+    pub(super) fn clear_settled_barrier(&mut self, state: &PolicyState) {
         let is_open = |proposed: &ProposedBarrier| {
             let BarrierId { number, round } = proposed.barrier;
             let next = state.proposal.as_ref();
             next.is_some_and(|next| next.document.number == number && next.round < round)
         };
-        self.barrier_proposed.take_if(|proposed| !is_open(proposed));
+        self.proposed_barrier.take_if(|proposed| !is_open(proposed));
     }
 
     /// During a hot restart two processes of a member may have leases: a report counts for the member only once the other
     /// process's lease has certainly expired.
-    pub(super) fn speaks_for_whole_member(&self, now: Micros, member: &Member) -> bool {
+    pub(super) fn report_covers_all_processes(&self, now: Micros, member: &Member) -> bool {
         self.reports.get(member).is_none_or(|report| {
             report.is_only_process || self.leases_expired(now, member, Some(report.incarnation))
         })
@@ -153,7 +155,7 @@
         let barrier = Some(barrier_of(next));
         match self.reports.get(member) {
             Some(report) if report.paused_for == barrier => {
-                self.speaks_for_whole_member(now, member)
+                self.report_covers_all_processes(now, member)
             }
             _ => self.leases_expired(now, member, None),
         }
@@ -164,15 +166,15 @@
         now: Micros,
         state: &PolicyState,
         next: &PendingProposal,
-        without: &BTreeSet<Member>,
+        expired_members: &BTreeSet<Member>,
     ) -> BTreeSet<Member> {
-        if self.has_bug(InLeader::NoWait) {
+        if self.has_bug(InjectedLeaderBug::SkipsLeaseWait) {
             return BTreeSet::new();
         }
         state
             .members
             .keys()
-            .filter(|member| !without.contains(*member))
+            .filter(|member| !expired_members.contains(*member))
             .filter(|member| !self.has_paused(now, member, next))
             .cloned()
             .collect()
--- a/fleet_policy/src/leader/leases.rs
+++ b/fleet_policy/src/leader/leases.rs
@@ -7,12 +7,12 @@
 
 use super::{Leader, LeaderAction};
 use crate::ids::{Incarnation, Index, Member, Seq};
+use crate::injected_bug::InjectedLeaderBug;
 use crate::messages::{LastLeaderContact, LeaseGrant, LeaseReply, View};
-use crate::planted::InLeader;
 use crate::state_machine::PolicyState;
 
 /// Processes of one member that may have a lease at a time; a further one gets none before the oldest has expired.
-const MOST_PROCESSES: usize = 8;
+const MAX_PROCESSES_PER_MEMBER: usize = 8;
 
 /// One process of a member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,7 +43,7 @@
         if contact.term != self.election.term || !self.election.voters.contains(&contact.replica) {
             return;
         }
-        let ago = self.config.by_slowest_clock(contact.ago);
+        let ago = self.config.min_elapsed_on_own_clock(contact.ago_us);
         let last = Micros(now.0.saturating_sub(ago.0));
         self.earlier_leader_contacts
             .entry(contact.replica)
@@ -51,7 +51,7 @@
             .or_insert(last);
         let mut times: Vec<Micros> = self.earlier_leader_contacts.values().copied().collect();
         times.sort_unstable();
-        let majority = if self.has_bug(InLeader::OneVotersWord) {
+        let majority = if self.has_bug(InjectedLeaderBug::TrustsOneVoter) {
             0
         } else {
             self.election.voters.len() / 2
@@ -80,7 +80,7 @@
         except: Option<Incarnation>,
         span: Micros,
     ) -> bool {
-        if self.has_bug(InLeader::NoWait) {
+        if self.has_bug(InjectedLeaderBug::SkipsLeaseWait) {
             return true;
         }
         let span = self.config.certainly_expired_after() + span;
@@ -91,7 +91,7 @@
             .filter(|(process, _)| Some(process.incarnation) != except)
             .all(|(_, requested_at)| now > *requested_at + span);
         let earlier_expired = now > self.earlier_leases_requested_before + span
-            || self.has_bug(InLeader::ForgetsOthers);
+            || self.has_bug(InjectedLeaderBug::IgnoresEarlierLeases);
         own_expired && earlier_expired
     }
 
@@ -146,10 +146,12 @@
         if !knows_extension || !state.members.contains_key(member) {
             return false;
         }
-        if self.barrier_proposed.is_some() {
+        if self.proposed_barrier.is_some() {
             return false;
         }
-        if !self.leases.contains_key(process) && self.processes_of(member) >= MOST_PROCESSES {
+        if !self.leases.contains_key(process)
+            && self.processes_of(member) >= MAX_PROCESSES_PER_MEMBER
+        {
             return false;
         }
         state.proposal.as_ref().is_none_or(|next| {
--- a/fleet_policy/src/leader/proposal.rs
+++ b/fleet_policy/src/leader/proposal.rs
@@ -11,10 +11,10 @@
 use crate::state_machine::{Entry, PendingProposal, PolicyState, Verdict};
 
 /// The patience doubles with each barrier of a proposal, so many times at most.
-const MOST_DOUBLINGS: u64 = 5;
+const MAX_TIMEOUT_DOUBLINGS: u64 = 5;
 
 /// Verdicts are held back for so long at most, so that those of all members go into one entry.
-const VERDICTS_WAIT: Micros = Micros(100_000);
+const MAX_VERDICT_WAIT: Micros = Micros(100_000);
 
 impl Leader {
     /// Proposes the next entries, once those before them are applied.
@@ -42,7 +42,7 @@
         }
         self.proposed = Some(ProposedEntries {
             state_index: state.index,
-            at: now,
+            proposed_at: now,
         });
         actions.extend(entries.into_iter().map(LeaderAction::Propose));
     }
@@ -91,7 +91,7 @@
             .iter()
             .any(|(_, verdict)| *verdict != Verdict::Fits);
         // Without its verdict in the log a member gets no lease: well within the time between two requests for one.
-        let longest = VERDICTS_WAIT.min(Micros(self.config.renew / 2));
+        let longest = MAX_VERDICT_WAIT.min(Micros(self.config.renew_interval_us / 2));
         if is_refused || now.since(since) >= longest {
             return false;
         }
@@ -127,8 +127,8 @@
         accepted_by: &BTreeSet<Member>,
     ) -> Option<Entry> {
         let on_its_way = self
-            .barrier_proposed
-            .is_some_and(|proposed| now.since(proposed.at) <= RETRY_AFTER);
+            .proposed_barrier
+            .is_some_and(|proposed| now.since(proposed.proposed_at) <= RETRY_AFTER);
         let departed_expired = state
             .departed_members
             .iter()
@@ -136,31 +136,31 @@
         if on_its_way || next.unconfirmed || !departed_expired {
             return None;
         }
-        let mut without = BTreeSet::new();
+        let mut expired_members = BTreeSet::new();
         for member in state.members.keys() {
             if accepted_by.contains(member) && self.is_reachable(now, member) {
-                if !self.speaks_for_whole_member(now, member) {
+                if !self.report_covers_all_processes(now, member) {
                     return None;
                 }
             } else if self.leases_expired(now, member, None) {
-                without.insert(member.clone());
+                expired_members.insert(member.clone());
             } else {
                 return None;
             }
         }
-        if without.len() == state.members.len() {
+        if expired_members.len() == state.members.len() {
             return None;
         }
         let number = next.document.number;
         let round = Round(next.round.0 + 1);
-        self.barrier_proposed = Some(ProposedBarrier {
+        self.proposed_barrier = Some(ProposedBarrier {
             barrier: BarrierId { number, round },
-            at: now,
+            proposed_at: now,
         });
         Some(Entry::BeginBarrier {
             number,
             round,
-            without,
+            expired_members,
         })
     }
 
@@ -174,14 +174,14 @@
     ) -> Option<Entry> {
         let number = next.document.number;
         let round = next.round;
-        let without = next.barrier.as_ref()?;
-        let missing = self.not_paused(now, state, next, without);
+        let expired_members = next.barrier.as_ref()?;
+        let missing = self.not_paused(now, state, next, expired_members);
         if missing.is_empty() {
-            self.note_barrier_end(barrier_of(next));
+            self.record_proposed_end(barrier_of(next));
             return Some(Entry::InForce { number, round });
         }
-        let waited = now.since(self.barrier_seen.as_ref()?.at);
-        if waited < self.patience(round) {
+        let waited = now.since(self.observed_barrier.as_ref()?.first_seen_at);
+        if waited < self.barrier_timeout(round) {
             return None;
         }
         let names: Vec<&str> = missing.iter().map(|member| member.0.as_str()).collect();
@@ -191,16 +191,16 @@
             names.join(", ")
         )));
         // Where most were late the fleet as a whole is slow: without a lease for anybody no change would ever end.
-        if missing.len() * 2 < state.members.len() - without.len() {
+        if missing.len() * 2 < state.members.len() - expired_members.len() {
             self.late_members.extend(missing);
         }
-        self.note_barrier_end(barrier_of(next));
+        self.record_proposed_end(barrier_of(next));
         Some(Entry::Resume { number, round })
     }
 
     /// Each barrier waits longer than the one before: a fleet that is slow as a whole completes the change all the same.
-    fn patience(&self, round: Round) -> Micros {
-        let doublings = round.0.saturating_sub(1).min(MOST_DOUBLINGS);
-        Micros(self.config.patience << doublings)
+    fn barrier_timeout(&self, round: Round) -> Micros {
+        let doublings = round.0.saturating_sub(1).min(MAX_TIMEOUT_DOUBLINGS);
+        Micros(self.config.barrier_timeout_us << doublings)
     }
 }
--- a/fleet_policy/src/leader/status.rs
+++ b/fleet_policy/src/leader/status.rs
@@ -93,7 +93,7 @@
             only_one_process: report
                 .is_some_and(|report| report.is_only_process || expired(Some(report.incarnation))),
             // A router that admits without a lease may do so at any time.
-            all_leases_expired: !self.config.serve_without && expired(None),
+            all_leases_expired: !self.config.serve_without_lease && expired(None),
         }
     }
 
@@ -106,7 +106,7 @@
             .filter(|member| !self.leases_expired(now, member, None))
             .map(|member| self.latest_lease_end(member))
             .max();
-        latest_end.map_or(Micros(0), |end| end.since(now)) + Micros(self.config.patience)
+        latest_end.map_or(Micros(0), |end| end.since(now)) + Micros(self.config.barrier_timeout_us)
     }
 
     /// When the last lease that this member can have has certainly expired.
@@ -130,7 +130,7 @@
         if is_busy {
             now + BUSY_TICK
         } else {
-            now + Micros(self.config.renew / 2)
+            now + Micros(self.config.renew_interval_us / 2)
         }
     }
 }
--- a/fleet_policy/src/leader/tests.rs
+++ b/fleet_policy/src/leader/tests.rs
@@ -14,7 +14,7 @@
     LastLeaderContact {
         replica: ReplicaId(replica),
         term,
-        ago: ago_ms * MS,
+        ago_us: ago_ms * MS,
     }
 }
 
@@ -49,7 +49,7 @@
 #[test]
 fn one_voters_report_that_counts_alone_ends_leases_too_early() {
     let mut leader = leader_of_three_voters(LeaseConfig::default());
-    leader.injected_bug = Some(InLeader::OneVotersWord);
+    leader.injected_bug = Some(InjectedLeaderBug::TrustsOneVoter);
     // Cut off from the leader before for three seconds, while the others still confirmed its leases.
     leader.record_earlier_leader_contact(NOW, contact(3, 4, 3000));
     assert!(
@@ -144,7 +144,7 @@
         barrier.apply(Entry::BeginBarrier {
             number: PROPOSED,
             round: ROUND,
-            without: BTreeSet::new(),
+            expired_members: BTreeSet::new(),
         });
         barrier.leader.tick(NOW, &barrier.state);
         barrier
@@ -316,7 +316,7 @@
     let begin = Entry::BeginBarrier {
         number: PROPOSED,
         round: ROUND,
-        without: BTreeSet::from(["c".into()]),
+        expired_members: BTreeSet::from(["c".into()]),
     };
     assert!(proposes(&actions, &begin), "{actions:?}");
     (leader, state)
@@ -399,7 +399,7 @@
     let begin = Entry::BeginBarrier {
         number,
         round: ROUND,
-        without: BTreeSet::new(),
+        expired_members: BTreeSet::new(),
     };
     assert_eq!(
         proposed(&second),
--- a/fleet_policy/src/lease_config/tests.rs
+++ b/fleet_policy/src/lease_config/tests.rs
@@ -7,7 +7,7 @@
     fn a_lease_has_expired_by_every_pair_of_clocks_within_the_drift(
         lease in 1000u64..100_000_000, drift in 0u64..200_000, slow in 0.0f64..=1.0, fast in 0.0f64..=1.0
     ) {
-        let config = LeaseConfig { lease, drift_ppm: drift, ..LeaseConfig::default() };
+        let config = LeaseConfig { lease_us: lease, drift_ppm: drift, ..LeaseConfig::default() };
         let d = drift as f64 / 1e6;
         // The holder's clock counts `lease` while this much time really passes; the leader's counts more or less.
         let really = lease as f64 / (1.0 - d * slow);
--- a/fleet_policy/src/lease_holder.rs
+++ b/fleet_policy/src/lease_holder.rs
@@ -17,13 +17,13 @@
 pub use admission::{Admission, RejectReason};
 
 use crate::ids::{Epoch, Incarnation, Index, Member, Seq, Version};
+use crate::injected_bug::InjectedLeaseHolderBug;
 use crate::lease_config::LeaseConfig;
 use crate::messages::{BarrierId, LeaseRequest, ProposalVerdict, View};
-use crate::planted::InLeaseHolder;
 use crate::state_machine::{MemberInfo, PolicyDocument, Verdict};
 
 /// Requests whose replies still count; the oldest are forgotten first.
-const MOST_PENDING_REQUESTS: usize = 16;
+const MAX_PENDING_REQUESTS: usize = 16;
 /// How long a reply is awaited before the next request: the leader may be gone.
 const RETRY_AFTER: Micros = Micros(100_000);
 
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SentRequest {
     seq: Seq,
-    at: Micros,
+    sent_at: Micros,
 }
 
 /// What this router acknowledges and reports to the extension.
@@ -81,7 +81,7 @@
     paused_since: Option<Micros>,
     /// When a leader last answered or sent its view: until then a majority was at work.
     last_reply_at: Option<Micros>,
-    /// Bounded by [`MOST_PENDING_REQUESTS`].
+    /// Bounded by [`MAX_PENDING_REQUESTS`].
     sent_requests: VecDeque<SentRequest>,
     last_seq: Seq,
     verdict: Option<ProposalVerdict>,
@@ -95,19 +95,19 @@
     extension_report: ExtensionReport,
     /// A fault that tests must catch.
     #[cfg(any(test, feature = "planted"))]
-    pub injected_bug: Option<InLeaseHolder>,
+    pub injected_bug: Option<InjectedLeaseHolderBug>,
 }
 
 impl LeaseHolder {
-    /// A process that starts at `now`. `inherits`: it takes over from a process that may still admit for a while.
+    /// A process that starts at `now`. `has_predecessor`: it takes over from a process that may still admit for a while.
     pub fn new(
         config: LeaseConfig,
         me: Member,
         incarnation: Incarnation,
-        inherits: bool,
+        has_predecessor: bool,
         now: Micros,
     ) -> LeaseHolder {
-        let only_process_from = if inherits {
+        let only_process_from = if has_predecessor {
             now + config.certainly_expired_after()
         } else {
             now
@@ -162,7 +162,7 @@
     }
 
     fn is_valid(&self, lease: &Lease, now: Micros) -> bool {
-        let in_time = now < lease.until || self.has_bug(InLeaseHolder::UsedBeyondEnd);
+        let in_time = now < lease.until || self.has_bug(InjectedLeaseHolderBug::UsesExpiredLease);
         let same_epoch = self
             .view
             .as_ref()
@@ -185,9 +185,9 @@
         self.last_seq = Seq(self.last_seq.0 + 1);
         self.sent_requests.push_back(SentRequest {
             seq: self.last_seq,
-            at: now,
+            sent_at: now,
         });
-        while self.sent_requests.len() > MOST_PENDING_REQUESTS {
+        while self.sent_requests.len() > MAX_PENDING_REQUESTS {
             self.sent_requests.pop_front();
         }
         let view = self.view.as_ref();
@@ -218,9 +218,9 @@
             // Without a lease it asks more often, so that it serves again soon.
             RETRY_AFTER
         } else {
-            Micros(self.config.renew)
+            Micros(self.config.renew_interval_us)
         };
-        last.at + wait
+        last.sent_at + wait
     }
 
     /// Whether the last request has been unanswered for so long that whoever received it may not lead.
@@ -228,7 +228,7 @@
         let overdue = self
             .sent_requests
             .back()
-            .is_some_and(|last| now >= last.at + RETRY_AFTER);
+            .is_some_and(|last| now >= last.sent_at + RETRY_AFTER);
         overdue && !self.is_answered
     }
 
@@ -238,14 +238,19 @@
     }
 
     /// Another process of this member may have a lease from now on, or have had one until now.
-    pub fn shares_member(&mut self, now: Micros) {
+    pub fn note_other_process(&mut self, now: Micros) {
         self.only_process_from = now + self.config.certainly_expired_after();
     }
 
-    /// This router acts on the extension's state up to this place, and this is its report. With `news` the report is sent
+    /// This router acts on the extension's state up to this place, and this is its report. With `send_now` the report is sent
     /// at once.
-    pub fn set_extension_report(&mut self, machines_out_at: Index, report: Vec<u8>, news: bool) {
-        self.request_now |= news;
+    pub fn set_extension_report(
+        &mut self,
+        machines_out_at: Index,
+        report: Vec<u8>,
+        send_now: bool,
+    ) {
+        self.request_now |= send_now;
         self.extension_report = ExtensionReport {
             machines_out_at,
             content: report,
@@ -264,8 +269,8 @@
     }
 
     /// Time has passed; that a lease has expired is logged once.
-    pub fn elapsed(&mut self, now: Micros) -> Option<LeaseEffect> {
-        if self.has_bug(InLeaseHolder::UsedBeyondEnd) {
+    pub fn expire_lease(&mut self, now: Micros) -> Option<LeaseEffect> {
+        if self.has_bug(InjectedLeaseHolderBug::UsesExpiredLease) {
             return None;
         }
         let expired = self.lease.filter(|lease| now >= lease.until)?;
@@ -282,7 +287,9 @@
     pub fn next_deadline(&self, now: Micros) -> Micros {
         let next_request = self.next_request_at(now);
         match self.lease {
-            Some(lease) if lease.until > now || !self.has_bug(InLeaseHolder::UsedBeyondEnd) => {
+            Some(lease)
+                if lease.until > now || !self.has_bug(InjectedLeaseHolderBug::UsesExpiredLease) =>
+            {
                 lease.until.min(next_request)
             }
             _ => next_request,
--- a/fleet_policy/src/lease_holder/admission.rs
+++ b/fleet_policy/src/lease_holder/admission.rs
@@ -4,7 +4,7 @@
 
 use super::LeaseHolder;
 use crate::ids::Version;
-use crate::planted::InLeaseHolder;
+use crate::injected_bug::InjectedLeaseHolderBug;
 
 /// Whether a query may be admitted at this moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
         if self.unfit == Some(version) {
             return self.reject(RejectReason::PolicyDoesNotFit);
         }
-        if self.has_bug(InLeaseHolder::GoesOnInBarrier) {
+        if self.has_bug(InjectedLeaseHolderBug::AdmitsInBarrier) {
             if let Some(lease) = self.lease.filter(|lease| now < lease.until) {
                 return Admission::Leased(lease.version);
             }
@@ -81,7 +81,7 @@
         if let Some(wait) = self.wait_while_paused(now) {
             return wait;
         }
-        if self.config.serve_without {
+        if self.config.serve_without_lease {
             return Admission::Unguarded(version);
         }
         if let Some(wait) = self.wait_for_next_lease(now) {
@@ -96,7 +96,7 @@
     fn reject(&self, why: RejectReason) -> Admission {
         Admission::Rejected {
             reason: why,
-            retry_after: Micros(self.config.renew),
+            retry_after: Micros(self.config.renew_interval_us),
         }
     }
 
@@ -126,13 +126,13 @@
 
     /// Queries wait for a lease from the last contact to a leader on, within the limit that the settings state.
     fn wait(&self, now: Micros, in_contact_at: Micros, since: Micros) -> Option<Admission> {
-        let in_contact_until = in_contact_at + Micros(self.config.lease);
-        let held_until = Micros(since.0.saturating_add(self.config.hold));
+        let in_contact_until = in_contact_at + Micros(self.config.lease_us);
+        let held_until = Micros(since.0.saturating_add(self.config.max_admission_wait_us));
         let until = in_contact_until.min(held_until);
         (now < until).then_some(Admission::Wait(until))
     }
 
     fn in_barrier(&self) -> bool {
-        self.paused_for().is_some() && !self.has_bug(InLeaseHolder::GoesOnInBarrier)
+        self.paused_for().is_some() && !self.has_bug(InjectedLeaseHolderBug::AdmitsInBarrier)
     }
 }
--- a/fleet_policy/src/lease_holder/reply.rs
+++ b/fleet_policy/src/lease_holder/reply.rs
@@ -4,8 +4,8 @@
 
 use super::{Lease, LeaseEffect, LeaseHolder};
 use crate::ids::Version;
+use crate::injected_bug::InjectedLeaseHolderBug;
 use crate::messages::{LeaseGrant, LeaseReply, View};
-use crate::planted::InLeaseHolder;
 
 impl LeaseHolder {
     /// A reply of the leader has come.
@@ -38,12 +38,12 @@
         else {
             return;
         };
-        let from = if self.has_bug(InLeaseHolder::CountsFromGrant) {
+        let from = if self.has_bug(InjectedLeaseHolderBug::LeaseFromGrant) {
             now
         } else {
-            request.at
+            request.sent_at
         };
-        let until = from + Micros(self.config.lease);
+        let until = from + Micros(self.config.lease_us);
         let is_current = self
             .view
             .as_ref()
@@ -114,7 +114,7 @@
         if was_admitting || is_first_view {
             self.paused_since = Some(now);
         }
-        if !self.has_bug(InLeaseHolder::GoesOnInBarrier) {
+        if !self.has_bug(InjectedLeaseHolderBug::AdmitsInBarrier) {
             self.lease = None;
         }
         self.request_now = true;
--- a/fleet_policy/src/lease_holder/tests.rs
+++ b/fleet_policy/src/lease_holder/tests.rs
@@ -60,7 +60,7 @@
     let begin = Entry::BeginBarrier {
         number: Version(1),
         round: Round(1),
-        without: Default::default(),
+        expired_members: Default::default(),
     };
     state.apply(Index(3), begin);
     LeaseReply {
@@ -70,9 +70,9 @@
 }
 
 /// A router that has paused for a barrier at `START`, with a lease of two seconds before.
-fn paused(hold: u64) -> LeaseHolder {
+fn paused(max_admission_wait_us: u64) -> LeaseHolder {
     let config = LeaseConfig {
-        hold,
+        max_admission_wait_us,
         ..LeaseConfig::default()
     };
     let mut holder = LeaseHolder::new(config, "a".into(), Incarnation(1), false, START);
@@ -87,7 +87,7 @@
 /// barrier ended 23 ms later.
 #[test]
 fn while_a_leader_answers_queries_wait_however_long_a_barrier_lasts() {
-    let mut holder = paused(LeaseConfig::UNLIMITED_HOLD);
+    let mut holder = paused(LeaseConfig::UNLIMITED_ADMISSION_WAIT);
     let mut now = START;
     for _ in 0..40 {
         now += Micros(200 * MS);
@@ -101,10 +101,10 @@
 
 #[test]
 fn without_an_answer_for_a_lease_they_are_rejected() {
-    let mut holder = paused(LeaseConfig::UNLIMITED_HOLD);
+    let mut holder = paused(LeaseConfig::UNLIMITED_ADMISSION_WAIT);
     let answered = START + Micros(700 * MS);
     holder.handle_reply(answered, LeaseReply::default());
-    let until = answered + Micros(LeaseConfig::default().lease);
+    let until = answered + Micros(LeaseConfig::default().lease_us);
     assert_eq!(
         holder.admission(Micros(until.0 - 1)),
         Admission::Wait(until)
@@ -133,7 +133,7 @@
 /// A router whose lease was requested and granted at `START`, and nothing since.
 fn leased() -> LeaseHolder {
     let config = LeaseConfig {
-        hold: LeaseConfig::UNLIMITED_HOLD,
+        max_admission_wait_us: LeaseConfig::UNLIMITED_ADMISSION_WAIT,
         ..LeaseConfig::default()
     };
     let mut holder = LeaseHolder::new(config, "a".into(), Incarnation(1), false, START);
@@ -148,12 +148,12 @@
 #[test]
 fn where_a_lease_runs_out_while_a_leader_answers_queries_wait() {
     let mut holder = leased();
-    let lease = Micros(LeaseConfig::default().lease);
+    let lease = Micros(LeaseConfig::default().lease_us);
     let answered = START + Micros(lease.0 - 300 * MS);
     holder.handle_reply(answered, LeaseReply::default());
     let over = START + lease;
     assert_eq!(holder.admission(over), Admission::Wait(answered + lease));
-    holder.elapsed(over);
+    holder.expire_lease(over);
     assert_eq!(holder.admission(over), Admission::Wait(answered + lease));
     // Also once the barrier has begun.
     holder.handle_reply(over + Micros(100 * MS), barrier());
@@ -167,8 +167,8 @@
 #[test]
 fn where_nobody_has_answered_since_it_was_granted_a_lease_ends_in_rejections() {
     let mut holder = leased();
-    let over = START + Micros(LeaseConfig::default().lease);
-    holder.elapsed(over);
+    let over = START + Micros(LeaseConfig::default().lease_us);
+    holder.expire_lease(over);
     assert!(matches!(
         holder.admission(over),
         Admission::Rejected {
--- a/fleet_policy/src/lib.rs
+++ b/fleet_policy/src/lib.rs
@@ -30,16 +30,16 @@
 mod state_machine;
 
 #[cfg(any(test, feature = "planted"))]
-pub mod planted;
+pub mod injected_bug;
 #[cfg(not(any(test, feature = "planted")))]
 #[expect(unreachable_pub, reason = "public where a fault can be injected")]
-mod planted;
+mod injected_bug;
 
 #[cfg(test)]
 mod tests;
 
 pub use command::Command;
-pub use effective_config::{platform, put_in_force};
+pub use effective_config::{apply_policy, platform_limits};
 pub use effects::{Effect, LoadedReplica, LogLevel, OperatorRequest, OperatorResponse};
 pub use extension::{Extension, MemberContact, NoExtension};
 pub use ids::{Epoch, Incarnation, Index, Member, OperationId, ReplicaId, Round, Seq, Version};
@@ -52,10 +52,11 @@
 };
 pub use node::{raft_config, FleetNode, TICK};
 pub use record::{
-    CustomerTerms, Further, IndexTerms, Platform, PlatformIndex, Record, DEFINITIONS,
+    CustomerPolicyConfig, IndexLimits, IndexPolicyConfig, PlatformLimits, Record,
+    RetryBudgetConfig, DEFINITIONS,
 };
 pub use state_machine::{
     Entry, HistoryEntry, MemberInfo, Outcome, PendingProposal, PolicyDocument, PolicyState,
-    ProposalStatus, Verdict, LONGEST_TEXT, LONGEST_WORDS, MOST_MEMBERS,
+    ProposalStatus, Verdict, MAX_MEMBERS, MAX_POLICY_TEXT_BYTES, MAX_SHORT_TEXT_BYTES,
 };
 pub use ternpick_consensus::FleetId;
--- a/fleet_policy/src/messages.rs
+++ b/fleet_policy/src/messages.rs
@@ -68,7 +68,8 @@
     /// Its persisted term.
     pub term: u64,
     /// In microseconds by its own clock.
-    pub ago: u64,
+    #[serde(rename = "ago")]
+    pub ago_us: u64,
 }
 
 /// A lease: this process may admit queries under this version, in this epoch, for the configured time since it sent its
@@ -199,9 +200,11 @@
         /// The message.
         number: u64,
         /// The position of this fragment, from 0.
-        at: u16,
+        #[serde(rename = "at")]
+        index: u16,
         /// How many fragments there are.
-        of: u16,
+        #[serde(rename = "of")]
+        count: u16,
         /// The content.
         bytes: Vec<u8>,
     },
@@ -210,7 +213,8 @@
         /// Identifies the question across retries.
         op: OperationId,
         /// The question.
-        what: String,
+        #[serde(rename = "what")]
+        question: String,
     },
     /// The answer to a question.
     InspectionResult {
--- a/fleet_policy/src/node.rs
+++ b/fleet_policy/src/node.rs
@@ -20,13 +20,13 @@
 use crate::effects::{Effect, LoadedReplica, LogLevel};
 use crate::extension::{Extension, NoExtension};
 use crate::ids::{Member, OperationId, Version};
+#[cfg(any(test, feature = "planted"))]
+use crate::injected_bug::InjectedLeaderBug;
 use crate::leader::Leader;
 use crate::leader_contact::LeaderContact;
 use crate::lease_config::LeaseConfig;
 use crate::lease_holder::LeaseHolder;
 use crate::messages::PeerMessage;
-#[cfg(any(test, feature = "planted"))]
-use crate::planted::InLeader;
 use crate::state_machine::{MemberInfo, PolicyState, Verdict};
 use leadership::{ExtensionSchedule, Leadership, PendingRead};
 use operator_requests::{CommandInProgress, OwnRequest};
@@ -35,7 +35,7 @@
 /// One tick of the consensus replica.
 pub const TICK: Micros = Micros(50_000);
 /// Rounds of messages to itself in one turn, before the node looks at the time again.
-const MOST_ROUNDS: usize = 32;
+const MAX_ROUNDS_PER_TURN: usize = 32;
 
 /// One router's part in the fleet.
 pub struct FleetNode {
@@ -76,7 +76,7 @@
     seed: u64,
     /// A fault of every leader that this router becomes.
     #[cfg(any(test, feature = "planted"))]
-    pub injected_bug: Option<InLeader>,
+    pub injected_bug: Option<InjectedLeaderBug>,
 }
 
 impl FleetNode {
@@ -221,7 +221,7 @@
             PeerMessage::NotLeader(leader) => self.handle_not_leader(from, leader),
             PeerMessage::Command { op, command } => self.handle_command(now, from, op, command),
             PeerMessage::CommandOutcome { op, outcome } => self.handle_outcome(op, outcome),
-            PeerMessage::Inspect { op, what } => self.handle_inspect(from, op, what),
+            PeerMessage::Inspect { op, question } => self.handle_inspect(from, op, question),
             PeerMessage::InspectionResult { op, json } => self.handle_inspection_result(op, json),
             PeerMessage::Fragment { .. } => {}
         }
@@ -242,7 +242,7 @@
             self.next_tick = (self.next_tick + TICK).max(now);
         }
         self.adopt_assigned_replica(now);
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_ROUNDS_PER_TURN {
             self.drive_replica(now);
             self.follow_replica_role(now);
             self.tick_leader(now);
@@ -263,7 +263,7 @@
     /// This process no longer speaks for its member. Its lease stays valid until its end; nothing else stays.
     pub fn suspend(&mut self, now: Micros, seed: u64) {
         let mut lease_holder = self.lease_holder.clone();
-        lease_holder.shares_member(now);
+        lease_holder.note_other_process(now);
         let mut suspended = FleetNode::new(
             self.fleet,
             self.config,
--- a/fleet_policy/src/node/leadership.rs
+++ b/fleet_policy/src/node/leadership.rs
@@ -53,7 +53,7 @@
 struct ExtensionEntries {
     /// The state for which they were proposed.
     state_index: Index,
-    at: Micros,
+    proposed_at: Micros,
 }
 
 impl ExtensionSchedule {
@@ -71,7 +71,7 @@
             .take_if(|entries| entries.state_index < applied)
             .is_some();
         self.in_flight
-            .take_if(|entries| now.since(entries.at) > EXTENSION_RETRY_AFTER);
+            .take_if(|entries| now.since(entries.proposed_at) > EXTENSION_RETRY_AFTER);
         self.in_flight.is_none() && (were_applied || now >= self.next_at)
     }
 }
@@ -225,7 +225,7 @@
         if !entries.is_empty() {
             self.extension_schedule.in_flight = Some(ExtensionEntries {
                 state_index: state.index,
-                at: now,
+                proposed_at: now,
             });
         }
         for line in lines {
--- a/fleet_policy/src/node/lease_renewal.rs
+++ b/fleet_policy/src/node/lease_renewal.rs
@@ -55,7 +55,7 @@
 
     /// Logs that the lease has expired, and sends the next request if it is due.
     pub(super) fn renew_lease(&mut self, now: Micros) {
-        if let Some(effect) = self.lease_holder.elapsed(now) {
+        if let Some(effect) = self.lease_holder.expire_lease(now) {
             self.effects.push(Effect::Lease(effect));
         }
         if self.lease_holder.is_awaiting_reply(now) && self.leadership.is_none() {
@@ -76,7 +76,7 @@
         Some(LastLeaderContact {
             replica: replica.id(),
             term,
-            ago: now.since(self.leader_contact.last_before(term)).0,
+            ago_us: now.since(self.leader_contact.last_before(term)).0,
         })
     }
 
--- a/fleet_policy/src/node/membership.rs
+++ b/fleet_policy/src/node/membership.rs
@@ -11,7 +11,7 @@
 use crate::state_machine::Entry;
 
 /// How often the voters are compared with the policy state.
-const CHECK_EVERY: Micros = Micros(100_000);
+const CHECK_INTERVAL: Micros = Micros(100_000);
 
 impl FleetNode {
     /// On the leader.
@@ -19,7 +19,7 @@
         if now < self.next_membership_check {
             return;
         }
-        self.next_membership_check = now + CHECK_EVERY;
+        self.next_membership_check = now + CHECK_INTERVAL;
         let Some((_, state)) = self.leader_state() else {
             return;
         };
--- a/fleet_policy/src/node/operator_requests.rs
+++ b/fleet_policy/src/node/operator_requests.rs
@@ -14,7 +14,7 @@
 /// A request that awaits its response is sent again after this.
 pub(super) const RETRY_AFTER: Micros = Micros(200_000);
 /// Commands whose outcome is still to be sent; the oldest are forgotten first.
-const MOST_IN_PROGRESS: usize = 64;
+const MAX_IN_PROGRESS: usize = 64;
 
 /// A request of this router's operators.
 pub(super) struct OwnRequest {
@@ -34,9 +34,9 @@
                 op,
                 command: command.clone(),
             },
-            OperatorRequest::Inspect(what) => PeerMessage::Inspect {
+            OperatorRequest::Inspect(question) => PeerMessage::Inspect {
                 op,
-                what: what.clone(),
+                question: question.clone(),
             },
         }
     }
@@ -103,9 +103,10 @@
         }
     }
 
-    pub(super) fn handle_inspect(&mut self, from: &Member, op: OperationId, what: String) {
+    pub(super) fn handle_inspect(&mut self, from: &Member, op: OperationId, question: String) {
         if self.is_leader() {
-            self.effects.push(Effect::Inspect(from.clone(), op, what));
+            self.effects
+                .push(Effect::Inspect(from.clone(), op, question));
         } else {
             self.redirect(from);
         }
@@ -133,7 +134,7 @@
         if self.is_in_progress(op) {
             return;
         }
-        if let Some(entry) = command.entry(op, self.config.confirm) {
+        if let Some(entry) = command.entry(op, self.config.confirmation_required) {
             self.propose_command(from, op, encode(&entry));
         }
     }
@@ -197,7 +198,7 @@
             op,
             from: from.clone(),
         });
-        while self.commands_in_progress.len() > MOST_IN_PROGRESS {
+        while self.commands_in_progress.len() > MAX_IN_PROGRESS {
             self.commands_in_progress.pop_front();
         }
     }
--- a/fleet_policy/src/node/replication.rs
+++ b/fleet_policy/src/node/replication.rs
@@ -6,7 +6,7 @@
 use ternpick_consensus::{Advanced, Replica, ReplicaId};
 
 use super::leadership::PendingRead;
-use super::{FleetNode, MOST_ROUNDS};
+use super::{FleetNode, MAX_ROUNDS_PER_TURN};
 use crate::effects::{Effect, LogLevel};
 use crate::ids::{Index, Member, OperationId, Version};
 use crate::messages::PeerMessage;
@@ -136,7 +136,7 @@
 
     /// Has images written, and carries out what follows where none has to be.
     pub(super) fn drive_replica(&mut self, now: Micros) {
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_ROUNDS_PER_TURN {
             if self.persistence.is_in_progress() {
                 return;
             }
--- a/fleet_policy/src/record.rs
+++ b/fleet_policy/src/record.rs
@@ -20,31 +20,38 @@
 
 /// What differs by index; a `None` leaves the platform's own setting.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct IndexTerms {
+pub struct IndexPolicyConfig {
     /// The completeness threshold: the least share of shards that an answer may rest on.
-    pub least: Option<f64>,
+    #[serde(rename = "least")]
+    pub completeness_threshold: Option<f64>,
     /// The partial-response deadline, in microseconds from the query's arrival.
-    pub partly_at: Option<u64>,
+    #[serde(rename = "partly_at")]
+    pub partial_response_after_us: Option<u64>,
     /// The most attempts for a shard request, the first included.
-    pub calls: Option<u64>,
+    #[serde(rename = "calls")]
+    pub max_attempts: Option<u64>,
     /// Whether hedged requests are sent.
-    pub copies: Option<bool>,
+    #[serde(rename = "copies")]
+    pub hedging: Option<bool>,
 }
 
 /// What differs by customer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct CustomerTerms {
+pub struct CustomerPolicyConfig {
     /// Queries a second.
-    pub per_second: f64,
+    #[serde(rename = "per_second")]
+    pub queries_per_second: f64,
 }
 
 /// A retry budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Further {
+pub struct RetryBudgetConfig {
     /// Retries in each window, whatever was admitted.
-    pub spare: f64,
+    #[serde(rename = "spare")]
+    pub min_per_window: f64,
     /// Retries as a share of what was admitted.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub ratio: f64,
 }
 
 /// A policy.
@@ -55,41 +62,42 @@
     /// Why.
     pub reason: String,
     /// By the index's name.
-    pub indexes: BTreeMap<String, IndexTerms>,
+    pub indexes: BTreeMap<String, IndexPolicyConfig>,
     /// Nodes that get no new queries, by name.
     pub drained: Vec<String>,
     /// By the customer's name.
-    pub customers: BTreeMap<String, CustomerTerms>,
+    pub customers: BTreeMap<String, CustomerPolicyConfig>,
     /// The retry budget, over all indexes.
-    pub further: Option<Further>,
+    #[serde(rename = "further")]
+    pub retry_budget: Option<RetryBudgetConfig>,
 }
 
 /// What one router's own settings allow of an index.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct PlatformIndex {
+pub struct IndexLimits {
     /// The index's name.
     pub name: String,
     /// The lowest completeness threshold.
-    pub least: f64,
+    pub min_completeness_threshold: f64,
     /// The weight that a complete answer needs; the highest threshold.
-    pub need: f64,
+    pub max_completeness_threshold: f64,
     /// The latency objective: the latest partial-response deadline.
-    pub soft: Micros,
+    pub latency_objective: Micros,
 }
 
 /// What one router's own settings allow. A `None` is a limit that is not set.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Platform {
+pub struct PlatformLimits {
     /// By index.
-    pub indexes: Vec<PlatformIndex>,
+    pub indexes: Vec<IndexLimits>,
     /// The most attempts for a shard request.
-    pub calls: Option<usize>,
+    pub max_attempts: Option<usize>,
     /// Whether hedged requests are allowed.
-    pub copies: bool,
+    pub hedging: bool,
     /// Queries a second by customer.
     pub customers: BTreeMap<String, f64>,
     /// The retry budget, where one is set: so many retries in each window, and a share of what was admitted.
-    pub further: Option<(f64, f64)>,
+    pub retry_budget: Option<(f64, f64)>,
 }
 
 /// One setting that two policies differ in.
@@ -109,7 +117,11 @@
     ///
     /// # Errors
     /// All that is wrong with the text, or each setting that goes beyond the platform's, with its line.
-    pub fn read_within(name: &str, text: &str, platform: &Platform) -> Result<Record, String> {
+    pub fn read_within(
+        name: &str,
+        text: &str,
+        platform: &PlatformLimits,
+    ) -> Result<Record, String> {
         let parsed = Parsed::read(name, text)?;
         let violations = parsed.record.violations(platform);
         if violations.is_empty() {
@@ -118,7 +130,7 @@
         let lines: Vec<String> = violations
             .iter()
             .map(|violation| {
-                let (file, line) = parsed.place_of(name, &violation.path);
+                let (file, line) = parsed.location_of(name, &violation.path);
                 format!("{file}:{line}: {violation}")
             })
             .collect();
@@ -126,11 +138,14 @@
     }
 
     /// What differs from another policy: path, before, after; for operators.
-    pub fn differs(&self, from: &Record) -> Vec<Difference> {
-        let (old, new) = (from.lines(), self.lines());
+    pub fn differences(&self, base: &Record) -> Vec<Difference> {
+        let (old, new) = (base.settings_by_path(), self.settings_by_path());
         let paths: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
-        let value = |lines: &BTreeMap<String, String>, path: &String| {
-            lines.get(path).cloned().unwrap_or_else(|| "-".to_owned())
+        let value = |settings: &BTreeMap<String, String>, path: &String| {
+            settings
+                .get(path)
+                .cloned()
+                .unwrap_or_else(|| "-".to_owned())
         };
         paths
             .into_iter()
@@ -140,38 +155,48 @@
     }
 
     /// Each setting of the policy, by its path.
-    pub fn lines(&self) -> BTreeMap<String, String> {
+    pub fn settings_by_path(&self) -> BTreeMap<String, String> {
         let mut all = BTreeMap::new();
-        for (name, terms) in &self.indexes {
-            for (key, value) in terms.lines() {
+        for (name, config) in &self.indexes {
+            for (key, value) in config.settings() {
                 all.insert(format!("indexes.{name}.{key}"), value);
             }
         }
         for node in &self.drained {
             all.insert(format!("drained.{node}"), "true".to_owned());
         }
-        for (name, terms) in &self.customers {
+        for (name, config) in &self.customers {
             all.insert(
                 format!("customers.{name}.per_second"),
-                terms.per_second.to_string(),
+                config.queries_per_second.to_string(),
             );
         }
-        if let Some(budget) = self.further {
-            all.insert("further.spare".into(), budget.spare.to_string());
-            all.insert("further.share".into(), budget.share.to_string());
+        if let Some(budget) = self.retry_budget {
+            all.insert("further.spare".into(), budget.min_per_window.to_string());
+            all.insert("further.share".into(), budget.ratio.to_string());
         }
         all
     }
 }
 
-impl IndexTerms {
-    fn lines(&self) -> impl Iterator<Item = (&'static str, String)> {
+impl IndexPolicyConfig {
+    fn settings(&self) -> impl Iterator<Item = (&'static str, String)> {
         let milliseconds = |micros: u64| format!("{} ms", micros as f64 / 1e3);
         let all = [
-            ("least", self.least.map(|share| share.to_string())),
-            ("partly_at", self.partly_at.map(milliseconds)),
-            ("calls", self.calls.map(|calls| calls.to_string())),
-            ("copies", self.copies.map(|copies| copies.to_string())),
+            (
+                "least",
+                self.completeness_threshold
+                    .map(|threshold| threshold.to_string()),
+            ),
+            (
+                "partly_at",
+                self.partial_response_after_us.map(milliseconds),
+            ),
+            (
+                "calls",
+                self.max_attempts.map(|attempts| attempts.to_string()),
+            ),
+            ("copies", self.hedging.map(|hedging| hedging.to_string())),
         ];
         all.into_iter()
             .filter_map(|(key, value)| Some((key, value?)))
@@ -194,7 +219,7 @@
         }
         let Read { value, used } = SCHEMA
             .read::<Record>(name, text)
-            .map_err(|refused| refused.to_string())?;
+            .map_err(|error| error.to_string())?;
         Ok(Parsed {
             record: value,
             used,
@@ -202,7 +227,7 @@
     }
 
     /// The file and line of a setting; the text's first line if it is not known.
-    fn place_of(&self, name: &str, path: &str) -> (String, usize) {
+    fn location_of(&self, name: &str, path: &str) -> (String, usize) {
         self.used
             .iter()
             .find(|used| used.path.starts_with(path))
--- a/fleet_policy/src/record/limits.rs
+++ b/fleet_policy/src/record/limits.rs
@@ -1,6 +1,6 @@
 //! Checks a policy against what a platform's own settings allow.
 
-use super::{CustomerTerms, IndexTerms, Platform, PlatformIndex, Record};
+use super::{CustomerPolicyConfig, IndexLimits, IndexPolicyConfig, PlatformLimits, Record};
 
 /// A setting of a policy that the platform does not allow.
 #[derive(Debug, thiserror::Error)]
@@ -47,28 +47,28 @@
 
 impl Record {
     /// Each setting that the platform does not allow.
-    pub(super) fn violations(&self, platform: &Platform) -> Vec<Violation> {
+    pub(super) fn violations(&self, platform: &PlatformLimits) -> Vec<Violation> {
         let mut all = Vec::new();
-        for (name, terms) in &self.indexes {
-            all.extend(index_violations(name, terms, platform));
+        for (name, config) in &self.indexes {
+            all.extend(index_violations(name, config, platform));
         }
-        for (name, terms) in &self.customers {
-            all.extend(customer_violation(name, terms, platform));
+        for (name, config) in &self.customers {
+            all.extend(customer_violation(name, config, platform));
         }
         all.extend(self.retry_budget_violation(platform));
         all
     }
 
-    fn retry_budget_violation(&self, platform: &Platform) -> Option<Violation> {
-        let budget = self.further?;
-        let kind = match platform.further {
+    fn retry_budget_violation(&self, platform: &PlatformLimits) -> Option<Violation> {
+        let budget = self.retry_budget?;
+        let kind = match platform.retry_budget {
             None => ViolationKind::NoRetryBudget,
             Some((most_spare, most_share))
-                if budget.spare > most_spare || budget.share > most_share =>
+                if budget.min_per_window > most_spare || budget.ratio > most_share =>
             {
                 ViolationKind::RetryBudgetTooLarge {
-                    spare: budget.spare,
-                    share: budget.share,
+                    spare: budget.min_per_window,
+                    share: budget.ratio,
                     most_spare,
                     most_share,
                 }
@@ -79,7 +79,11 @@
     }
 }
 
-fn index_violations(name: &str, terms: &IndexTerms, platform: &Platform) -> Vec<Violation> {
+fn index_violations(
+    name: &str,
+    config: &IndexPolicyConfig,
+    platform: &PlatformLimits,
+) -> Vec<Violation> {
     let known = platform.indexes.iter().find(|index| index.name == name);
     let Some(index) = known else {
         let known = platform
@@ -90,10 +94,10 @@
         return vec![ViolationKind::UnknownIndex { known }.at(format!("indexes.{name}"))];
     };
     let found = [
-        ("least", threshold_violation(terms, index)),
-        ("partly_at", deadline_violation(terms, index)),
-        ("calls", attempts_violation(terms, platform)),
-        ("copies", hedging_violation(terms, platform)),
+        ("least", threshold_violation(config, index)),
+        ("partly_at", deadline_violation(config, index)),
+        ("calls", attempts_violation(config, platform)),
+        ("copies", hedging_violation(config, platform)),
     ];
     found
         .into_iter()
@@ -101,10 +105,12 @@
         .collect()
 }
 
-fn threshold_violation(terms: &IndexTerms, index: &PlatformIndex) -> Option<ViolationKind> {
-    let least = index.least.min(index.need);
-    let most = index.need;
-    let wanted = terms.least?;
+fn threshold_violation(config: &IndexPolicyConfig, index: &IndexLimits) -> Option<ViolationKind> {
+    let least = index
+        .min_completeness_threshold
+        .min(index.max_completeness_threshold);
+    let most = index.max_completeness_threshold;
+    let wanted = config.completeness_threshold?;
     (!(least..=most).contains(&wanted)).then_some(ViolationKind::ThresholdOutOfRange {
         wanted,
         least,
@@ -112,29 +118,39 @@
     })
 }
 
-fn deadline_violation(terms: &IndexTerms, index: &PlatformIndex) -> Option<ViolationKind> {
-    let wanted = terms.partly_at?;
-    (wanted > index.soft.0).then_some(ViolationKind::DeadlineTooLate {
+fn deadline_violation(config: &IndexPolicyConfig, index: &IndexLimits) -> Option<ViolationKind> {
+    let wanted = config.partial_response_after_us?;
+    (wanted > index.latency_objective.0).then_some(ViolationKind::DeadlineTooLate {
         wanted_ms: wanted as f64 / 1e3,
-        objective_ms: index.soft.0 as f64 / 1e3,
+        objective_ms: index.latency_objective.0 as f64 / 1e3,
     })
 }
 
-fn attempts_violation(terms: &IndexTerms, platform: &Platform) -> Option<ViolationKind> {
-    let wanted = terms.calls?;
-    let most = platform.calls?;
+fn attempts_violation(
+    config: &IndexPolicyConfig,
+    platform: &PlatformLimits,
+) -> Option<ViolationKind> {
+    let wanted = config.max_attempts?;
+    let most = platform.max_attempts?;
     (wanted > most as u64).then_some(ViolationKind::TooManyAttempts { wanted, most })
 }
 
-fn hedging_violation(terms: &IndexTerms, platform: &Platform) -> Option<ViolationKind> {
-    (terms.copies == Some(true) && !platform.copies).then_some(ViolationKind::HedgingNotAllowed)
+fn hedging_violation(
+    config: &IndexPolicyConfig,
+    platform: &PlatformLimits,
+) -> Option<ViolationKind> {
+    (config.hedging == Some(true) && !platform.hedging).then_some(ViolationKind::HedgingNotAllowed)
 }
 
-fn customer_violation(name: &str, terms: &CustomerTerms, platform: &Platform) -> Option<Violation> {
+fn customer_violation(
+    name: &str,
+    config: &CustomerPolicyConfig,
+    platform: &PlatformLimits,
+) -> Option<Violation> {
     let kind = match platform.customers.get(name) {
         None => ViolationKind::UnknownCustomer,
-        Some(most) if terms.per_second > *most => ViolationKind::QuotaTooHigh {
-            wanted: terms.per_second,
+        Some(most) if config.queries_per_second > *most => ViolationKind::QuotaTooHigh {
+            wanted: config.queries_per_second,
             most: *most,
         },
         Some(_) => return None,
--- a/fleet_policy/src/record/tests.rs
+++ b/fleet_policy/src/record/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use test_case::test_case;
 
-fn platform() -> Platform {
-    Platform {
-        indexes: vec![PlatformIndex {
+fn platform() -> PlatformLimits {
+    PlatformLimits {
+        indexes: vec![IndexLimits {
             name: "half".into(),
-            least: 0.5,
-            need: 1.0,
-            soft: Micros(600_000),
+            min_completeness_threshold: 0.5,
+            max_completeness_threshold: 1.0,
+            latency_objective: Micros(600_000),
         }],
-        calls: Some(3),
-        copies: false,
+        max_attempts: Some(3),
+        hedging: false,
         customers: BTreeMap::from([("north".into(), 20.0)]),
-        further: Some((3.0, 0.1)),
+        retry_budget: Some((3.0, 0.1)),
     }
 }
 
@@ -39,10 +39,13 @@
     let text = format!("{HEAD}indexes: half: {{least: 0.75, calls: 2}}\ndrained: [\"s-1\"]\nfurther: {{spare: 1, share: 0.05}}\n");
     let record = Record::read_within("p.cue", &text, &platform()).expect("within");
     assert_eq!(
-        (record.indexes["half"].least, record.indexes["half"].calls),
+        (
+            record.indexes["half"].completeness_threshold,
+            record.indexes["half"].max_attempts
+        ),
         (Some(0.75), Some(2))
     );
-    let rows = record.differs(&Record::default());
+    let rows = record.differences(&Record::default());
     let paths: Vec<&str> = rows.iter().map(|(path, ..)| path.as_str()).collect();
     let wanted = [
         "drained.s-1",
--- a/fleet_policy/src/state_machine.rs
+++ b/fleet_policy/src/state_machine.rs
@@ -24,13 +24,13 @@
 use outcome::{CommandRefused, CompletedCommand};
 
 /// Commands whose outcome is known when they are sent again; the oldest are forgotten first.
-const MOST_COMPLETED_COMMANDS: usize = 128;
+const MAX_COMPLETED_COMMANDS: usize = 128;
 /// The longest text of a policy, in bytes.
-pub const LONGEST_TEXT: usize = 8 * 1024;
+pub const MAX_POLICY_TEXT_BYTES: usize = 8 * 1024;
 /// The longest reason or error message that is stored, in bytes.
-pub const LONGEST_WORDS: usize = 1024;
+pub const MAX_SHORT_TEXT_BYTES: usize = 1024;
 /// The most routers of one fleet.
-pub const MOST_MEMBERS: usize = 1000;
+pub const MAX_MEMBERS: usize = 1000;
 
 /// What the fleet has agreed on up to one place in the log. Snapshots contain it in `postcard`, which encodes fields by
 /// position: their order and number are fixed.
@@ -57,7 +57,7 @@
     pub departed_members: BTreeSet<Member>,
     /// The newest replica id ever assigned.
     pub last_replica_id: ReplicaId,
-    /// Bounded by [`MOST_COMPLETED_COMMANDS`].
+    /// Bounded by [`MAX_COMPLETED_COMMANDS`].
     completed_commands: VecDeque<CompletedCommand>,
     /// The latest proposals and their status; bounded, the oldest are forgotten first.
     pub history: VecDeque<HistoryEntry>,
@@ -145,7 +145,7 @@
     fn remember(&mut self, op: OperationId, outcome: Outcome) {
         self.completed_commands
             .push_back(CompletedCommand { op, outcome });
-        while self.completed_commands.len() > MOST_COMPLETED_COMMANDS {
+        while self.completed_commands.len() > MAX_COMPLETED_COMMANDS {
             self.completed_commands.pop_front();
         }
     }
@@ -180,8 +180,8 @@
             Entry::BeginBarrier {
                 number,
                 round,
-                without,
-            } => self.begin_barrier(number, round, without),
+                expired_members,
+            } => self.begin_barrier(number, round, expired_members),
             Entry::InForce { number, round } => self.put_in_force(number, round),
             Entry::Resume { number, round } => self.resume(number, round),
             Entry::Withdraw {
--- a/fleet_policy/src/state_machine/entry.rs
+++ b/fleet_policy/src/state_machine/entry.rs
@@ -66,7 +66,8 @@
         /// Counts the barriers of this proposal.
         round: Round,
         /// Members whose leases have certainly expired.
-        without: BTreeSet<Member>,
+        #[serde(rename = "without")]
+        expired_members: BTreeSet<Member>,
     },
     /// The proposal comes into force: all members have stopped admitting, or their leases have certainly expired.
     InForce {
--- a/fleet_policy/src/state_machine/history.rs
+++ b/fleet_policy/src/state_machine/history.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{PolicyState, LONGEST_WORDS};
+use super::{PolicyState, MAX_SHORT_TEXT_BYTES};
 use crate::ids::{Index, Member, Version};
 
 /// Proposals that are remembered with their status; the oldest are forgotten first.
-const MOST_HISTORY: usize = 32;
+const MAX_HISTORY: usize = 32;
 
 /// The status of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -33,13 +33,14 @@
     /// What became of it.
     pub status: ProposalStatus,
     /// Where in the log its status last changed.
-    pub at: Index,
+    #[serde(rename = "at")]
+    pub changed_at: Index,
 }
 
 impl PolicyState {
     pub(super) fn push_history(&mut self, entry: HistoryEntry) {
         self.history.push_back(entry);
-        while self.history.len() > MOST_HISTORY {
+        while self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
@@ -48,7 +49,7 @@
         let index = self.index;
         if let Some(past) = self.history.iter_mut().find(|past| past.number == number) {
             past.status = status;
-            past.at = index;
+            past.changed_at = index;
         }
     }
 
@@ -63,7 +64,7 @@
 
 /// Shortens words to the most that is stored, at a character boundary.
 pub(super) fn truncate(words: &mut String) {
-    let mut end = words.len().min(LONGEST_WORDS);
+    let mut end = words.len().min(MAX_SHORT_TEXT_BYTES);
     while !words.is_char_boundary(end) {
         end -= 1;
     }
--- a/fleet_policy/src/state_machine/membership.rs
+++ b/fleet_policy/src/state_machine/membership.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::outcome::CommandRefused;
-use super::{Outcome, PolicyState, LONGEST_WORDS, MOST_MEMBERS};
+use super::{Outcome, PolicyState, MAX_MEMBERS, MAX_SHORT_TEXT_BYTES};
 use crate::ids::{Member, ReplicaId};
 
 /// A router that belongs to the fleet.
@@ -35,9 +35,9 @@
         zone: String,
     ) -> Result<Outcome, CommandRefused> {
         self.members_may_change()?;
-        if self.members.len() >= MOST_MEMBERS
+        if self.members.len() >= MAX_MEMBERS
             || member.0.is_empty()
-            || member.0.len() + address.len() + zone.len() > LONGEST_WORDS
+            || member.0.len() + address.len() + zone.len() > MAX_SHORT_TEXT_BYTES
         {
             return Err(CommandRefused::InvalidMember);
         }
--- a/fleet_policy/src/state_machine/outcome.rs
+++ b/fleet_policy/src/state_machine/outcome.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::MOST_MEMBERS;
+use super::MAX_MEMBERS;
 use crate::ids::{Member, OperationId, ReplicaId, Version};
 
 /// The outcome of a command.
@@ -44,7 +44,7 @@
     CannotWithdraw { number: Version, status: NotPending },
     #[error("a change takes hold just now; ask again in a moment")]
     BarrierInProgress,
-    #[error("a fleet has at most {MOST_MEMBERS} members, with names")]
+    #[error("a fleet has at most {MAX_MEMBERS} members, with names")]
     InvalidMember,
     #[error("{member} is no member")]
     NotMember { member: Member },
--- a/fleet_policy/src/state_machine/proposal.rs
+++ b/fleet_policy/src/state_machine/proposal.rs
@@ -8,8 +8,8 @@
 use super::history::truncate;
 use super::outcome::{CommandRefused, NotPending};
 use super::{
-    HistoryEntry, Outcome, PolicyDocument, PolicyState, ProposalStatus, Verdict, LONGEST_TEXT,
-    LONGEST_WORDS,
+    HistoryEntry, Outcome, PolicyDocument, PolicyState, ProposalStatus, Verdict,
+    MAX_POLICY_TEXT_BYTES, MAX_SHORT_TEXT_BYTES,
 };
 use crate::ids::{Epoch, Member, Round, Version};
 
@@ -45,8 +45,8 @@
         if let Some(base) = base.filter(|base| *base != in_force) {
             return Err(CommandRefused::OutdatedBase { base, in_force });
         }
-        if document.text.len() > LONGEST_TEXT
-            || document.reason.len() + document.author.len() > LONGEST_WORDS
+        if document.text.len() > MAX_POLICY_TEXT_BYTES
+            || document.reason.len() + document.author.len() > MAX_SHORT_TEXT_BYTES
         {
             return Err(CommandRefused::DocumentTooLong);
         }
@@ -57,7 +57,7 @@
             author: document.author.clone(),
             reason: document.reason.clone(),
             status: ProposalStatus::Open,
-            at: self.index,
+            changed_at: self.index,
         });
         self.proposal = Some(PendingProposal {
             document,
@@ -129,7 +129,7 @@
         &mut self,
         number: Version,
         round: Round,
-        without: BTreeSet<Member>,
+        expired_members: BTreeSet<Member>,
     ) {
         let members: Vec<Member> = self.members.keys().cloned().collect();
         let Some(next) = self
@@ -140,10 +140,10 @@
         };
         let all = members
             .iter()
-            .all(|member| next.accepted_by.contains(member) || without.contains(member));
+            .all(|member| next.accepted_by.contains(member) || expired_members.contains(member));
         if all && round.0 == next.round.0 + 1 {
             next.round = round;
-            next.barrier = Some(without);
+            next.barrier = Some(expired_members);
             self.advance_epoch();
         }
     }
--- a/fleet_policy/src/tests/model.rs
+++ b/fleet_policy/src/tests/model.rs
@@ -9,14 +9,14 @@
 use ternpick::types::Micros;
 use test_case::test_case;
 
-use crate::planted::{InLeader, InLeaseHolder};
+use crate::injected_bug::{InjectedLeaderBug, InjectedLeaseHolderBug};
 use crate::*;
 use world::{Budget, World, START, STEP};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Fault {
-    Leader(InLeader),
-    LeaseHolder(InLeaseHolder),
+    Leader(InjectedLeaderBug),
+    LeaseHolder(InjectedLeaseHolderBug),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -249,18 +249,18 @@
     assert_rule_holds(Change { budget, ..change() });
 }
 
-#[test_case(Fault::Leader(InLeader::NoWait); "a change that takes effect without waiting")]
-#[test_case(Fault::Leader(InLeader::NoAsking); "leases granted without confirming the leadership")]
-#[test_case(Fault::Leader(InLeader::ForgetsOthers); "leases of the leader before not waited for")]
-#[test_case(Fault::LeaseHolder(InLeaseHolder::UsedBeyondEnd); "a lease used after its end")]
-#[test_case(Fault::LeaseHolder(InLeaseHolder::GoesOnInBarrier); "a router that reports a stop and goes on")]
+#[test_case(Fault::Leader(InjectedLeaderBug::SkipsLeaseWait); "a change that takes effect without waiting")]
+#[test_case(Fault::Leader(InjectedLeaderBug::SkipsConfirmation); "leases granted without confirming the leadership")]
+#[test_case(Fault::Leader(InjectedLeaderBug::IgnoresEarlierLeases); "leases of the leader before not waited for")]
+#[test_case(Fault::LeaseHolder(InjectedLeaseHolderBug::UsesExpiredLease); "a lease used after its end")]
+#[test_case(Fault::LeaseHolder(InjectedLeaseHolderBug::AdmitsInBarrier); "a router that reports a stop and goes on")]
 fn an_injected_bug_is_found(fault: Fault) {
     assert_found(fault, change());
 }
 
 #[test]
 fn a_lease_that_counts_from_its_grant_is_found() {
-    let fault = Fault::LeaseHolder(InLeaseHolder::CountsFromGrant);
+    let fault = Fault::LeaseHolder(InjectedLeaseHolderBug::LeaseFromGrant);
     assert_found(
         fault,
         Change {
--- a/fleet_policy/src/tests/model/world.rs
+++ b/fleet_policy/src/tests/model/world.rs
@@ -11,17 +11,17 @@
 /// When the model begins.
 pub(super) const START: u64 = 10 * STEP;
 /// Delayed messages at a time.
-const MOST_IN_FLIGHT: usize = 2;
+const MAX_IN_FLIGHT: usize = 2;
 
 pub(super) fn config() -> LeaseConfig {
     LeaseConfig {
-        lease: 2 * STEP,
-        renew: STEP,
+        lease_us: 2 * STEP,
+        renew_interval_us: STEP,
         drift_ppm: 0,
-        hold: 0,
-        patience: STEP,
-        serve_without: false,
-        confirm: false,
+        max_admission_wait_us: 0,
+        barrier_timeout_us: STEP,
+        serve_without_lease: false,
+        confirmation_required: false,
     }
 }
 
@@ -207,7 +207,7 @@
         let (Message::Request(router, _) | Message::Reply(router, _)) = &message;
         if !self.is_delayed[*router] {
             self.deliver(message);
-        } else if self.in_flight.len() < MOST_IN_FLIGHT && !self.in_flight.contains(&message) {
+        } else if self.in_flight.len() < MAX_IN_FLIGHT && !self.in_flight.contains(&message) {
             self.in_flight.push(message);
         }
     }
--- a/fleet_policy/tests/encoding.rs
+++ b/fleet_policy/tests/encoding.rs
@@ -103,7 +103,7 @@
     Entry::BeginBarrier {
         number: Version(number),
         round: Round(round),
-        without: BTreeSet::from(["c".into()]),
+        expired_members: BTreeSet::from(["c".into()]),
     }
 }
 
@@ -229,7 +229,7 @@
         last_leader_contact: Some(LastLeaderContact {
             replica: ReplicaId(2),
             term: 8,
-            ago: 1500,
+            ago_us: 1500,
         }),
         machines_out_at: Index(3),
         extension_report: vec![9, 8],
@@ -302,8 +302,8 @@
             "fragment",
             PeerMessage::Fragment {
                 number: 1,
-                at: 2,
-                of: 3,
+                index: 2,
+                count: 3,
                 bytes: vec![6],
             },
         ),
@@ -311,7 +311,7 @@
             "inspect",
             PeerMessage::Inspect {
                 op,
-                what: "members".into(),
+                question: "members".into(),
             },
         ),
         (
@@ -363,7 +363,7 @@
         author: "ann".into(),
         reason: "r".into(),
         status: ProposalStatus::Withdrawn("ann".into(), "r".into()),
-        at: Index(9),
+        changed_at: Index(9),
     };
     lines.json("history", &history);
     let status = MemberStatus {
@@ -381,7 +381,7 @@
                 drained: [\"s-1\"]\ncustomers: north: per_second: 3\nfurther: {spare: 1, share: 0.05}\n";
     let record = Record::read("p.cue", text).expect("it reads");
     lines.json("record", &record);
-    lines.json("record-lines", &record.lines());
+    lines.json("record-lines", &record.settings_by_path());
     lines.0
 }
 
--- a/fleet_policy/tests/far_behind.rs
+++ b/fleet_policy/tests/far_behind.rs
@@ -46,7 +46,7 @@
         Entry::BeginBarrier {
             number,
             round,
-            without: BTreeSet::new(),
+            expired_members: BTreeSet::new(),
         },
         Entry::InForce { number, round },
     ]
--- a/fleet_policy/tests/release_bytes.rs
+++ b/fleet_policy/tests/release_bytes.rs
@@ -100,7 +100,7 @@
             Entry::BeginBarrier {
                 number,
                 round,
-                without: BTreeSet::from(["n1".into(), "n2".into()]),
+                expired_members: BTreeSet::from(["n1".into(), "n2".into()]),
             },
         ),
         ("in-force", Entry::InForce { number, round }),
@@ -232,7 +232,7 @@
             author: "ann".into(),
             reason: "a trial".into(),
             status: fate,
-            at: Index(630 + at as u64),
+            changed_at: Index(630 + at as u64),
         });
     register.history = history.collect::<VecDeque<HistoryEntry>>();
     (register.index, register.changed_at, register.members_at) =
@@ -279,7 +279,7 @@
         last_leader_contact: Some(LastLeaderContact {
             replica: ReplicaId(709),
             term: 710,
-            ago: 711,
+            ago_us: 711,
         }),
         machines_out_at: Index(712),
         extension_report: vec![13, 14],
@@ -417,8 +417,8 @@
             "piece".to_owned(),
             PeerMessage::Fragment {
                 number: 905,
-                at: 906,
-                of: 907,
+                index: 906,
+                count: 907,
                 bytes: vec![8, 9],
             },
         ),
@@ -426,7 +426,7 @@
             "look".to_owned(),
             PeerMessage::Inspect {
                 op,
-                what: "members".into(),
+                question: "members".into(),
             },
         ),
         (
@@ -471,7 +471,7 @@
     let record = Record::read("policy.cue", text).expect("it is read");
     let mut recorded = Recorded::parse(include_str!("release_bytes/record.txt"));
     json(&mut recorded, "record", &record);
-    for (path, figure) in &record.lines() {
+    for (path, figure) in &record.settings_by_path() {
         recorded.bytes(path, figure.as_bytes());
     }
     recorded.finish();
--- a/router/src/fleet/cli/policy_diff.rs
+++ b/router/src/fleet/cli/policy_diff.rs
@@ -17,7 +17,7 @@
     }
     let in_force = &answer["in_force"];
     let old = read_record("in force", in_force["text"].as_str().unwrap_or_default())?;
-    let differences = new.differs(&old);
+    let differences = new.differences(&old);
     if socket.json {
         let line = json!({"base": in_force["number"], "differs": differences});
         println!("{line}");
--- a/router/src/fleet/commands.rs
+++ b/router/src/fleet/commands.rs
@@ -82,7 +82,7 @@
     let name = request["name"].as_str().unwrap_or("policy");
     let text = request["text"].as_str().unwrap_or_default();
     match Record::read_within(name, text, &fleet.platform_defaults.limits()) {
-        Ok(record) => json!({"done": true, "ok": true, "figures": record.lines()}),
+        Ok(record) => json!({"done": true, "ok": true, "figures": record.settings_by_path()}),
         Err(error) => refused(error.to_string()),
     }
 }
@@ -237,7 +237,7 @@
         "number": entry.number,
         "author": entry.author,
         "reason": entry.reason,
-        "at": entry.at,
+        "at": entry.changed_at,
     });
     match &entry.status {
         ProposalStatus::Open => row["fate"] = "open".into(),
--- a/router/src/fleet/fragments.rs
+++ b/router/src/fleet/fragments.rs
@@ -25,8 +25,8 @@
         .zip(bytes.chunks(FRAGMENT_BYTES))
         .map(|(at, chunk)| PeerMessage::Fragment {
             number,
-            at,
-            of,
+            index: at,
+            count: of,
             bytes: chunk.to_vec(),
         });
     Some(fragments.collect())
@@ -65,8 +65,8 @@
     pub(super) fn add(&mut self, from: &Member, message: PeerMessage) -> Option<PeerMessage> {
         let PeerMessage::Fragment {
             number,
-            at,
-            of,
+            index: at,
+            count: of,
             bytes,
         } = message
         else {
--- a/router/src/fleet/fragments/release_bytes.rs
+++ b/router/src/fleet/fragments/release_bytes.rs
@@ -15,7 +15,7 @@
     let messages = vec![
         PeerMessage::Inspect {
             op: OperationId(1_001),
-            what: "members".into(),
+            question: "members".into(),
         },
         PeerMessage::Raft {
             from: ReplicaId(1_002),
--- a/router/src/fleet/fragments/tests.rs
+++ b/router/src/fleet/fragments/tests.rs
@@ -60,8 +60,8 @@
     let from = Member::from("n1");
     let out_of_bounds = PeerMessage::Fragment {
         number: 1,
-        at: 9,
-        of: u16::MAX,
+        index: 9,
+        count: u16::MAX,
         bytes: vec![0; 10],
     };
     assert_eq!(
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -114,17 +114,23 @@
 /// Injects the bug that the environment names, for tests of the checkers.
 #[cfg(feature = "planted")]
 fn inject_bug(node: &mut FleetNode) {
-    use ternpick_fleet_policy::planted::{InLeader, InLeaseHolder};
+    use ternpick_fleet_policy::injected_bug::{InjectedLeaderBug, InjectedLeaseHolderBug};
     let name = std::env::var("TERNPICK_PLANTED").unwrap_or_default();
     let lease_holder = &mut node.lease_holder;
     match name.as_str() {
-        "no-wait" => node.injected_bug = Some(InLeader::NoWait),
-        "no-asking" => node.injected_bug = Some(InLeader::NoAsking),
-        "forgets-others" => node.injected_bug = Some(InLeader::ForgetsOthers),
-        "one-voters-word" => node.injected_bug = Some(InLeader::OneVotersWord),
-        "counts-from-grant" => lease_holder.injected_bug = Some(InLeaseHolder::CountsFromGrant),
-        "used-beyond-end" => lease_holder.injected_bug = Some(InLeaseHolder::UsedBeyondEnd),
-        "goes-on-in-barrier" => lease_holder.injected_bug = Some(InLeaseHolder::GoesOnInBarrier),
+        "no-wait" => node.injected_bug = Some(InjectedLeaderBug::SkipsLeaseWait),
+        "no-asking" => node.injected_bug = Some(InjectedLeaderBug::SkipsConfirmation),
+        "forgets-others" => node.injected_bug = Some(InjectedLeaderBug::IgnoresEarlierLeases),
+        "one-voters-word" => node.injected_bug = Some(InjectedLeaderBug::TrustsOneVoter),
+        "counts-from-grant" => {
+            lease_holder.injected_bug = Some(InjectedLeaseHolderBug::LeaseFromGrant)
+        }
+        "used-beyond-end" => {
+            lease_holder.injected_bug = Some(InjectedLeaseHolderBug::UsesExpiredLease)
+        }
+        "goes-on-in-barrier" => {
+            lease_holder.injected_bug = Some(InjectedLeaseHolderBug::AdmitsInBarrier)
+        }
         _ => {}
     }
 }
--- a/router/src/fleet/policy.rs
+++ b/router/src/fleet/policy.rs
@@ -1,7 +1,7 @@
 //! Policy documents of the fleet at this router: whether one fits the router's own settings, and applying it.
 
 use ternpick::types::PlatformConfig;
-use ternpick_fleet_policy::{Platform, PolicyDocument, Record, Verdict};
+use ternpick_fleet_policy::{PlatformLimits, PolicyDocument, Record, Verdict};
 
 use super::Fleet;
 use crate::router::Router;
@@ -15,8 +15,12 @@
 
 impl PlatformDefaults {
     /// What a policy may refer to here, and within which limits.
-    pub(super) fn limits(&self) -> Platform {
-        ternpick_fleet_policy::platform(&self.config, &self.index_names, &self.customer_names)
+    pub(super) fn limits(&self) -> PlatformLimits {
+        ternpick_fleet_policy::platform_limits(
+            &self.config,
+            &self.index_names,
+            &self.customer_names,
+        )
     }
 }
 
@@ -44,7 +48,7 @@
             }
         };
         let defaults = &self.platform_defaults;
-        ternpick_fleet_policy::put_in_force(
+        ternpick_fleet_policy::apply_policy(
             &record,
             &defaults.config,
             &defaults.index_names,
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -23,21 +23,21 @@
 
 /// The timing of leases.
 pub(super) fn lease_config(settings: &FleetTerms) -> LeaseConfig {
-    let serve_without = settings.without_lease == "serve-and-mark";
+    let serve_without_lease = settings.without_lease == "serve-and-mark";
     // A router that may serve without a lease has queries wait only a little for one, and then serves them.
-    let default_hold = if serve_without {
-        LeaseConfig::default().hold
+    let default_wait_us = if serve_without_lease {
+        LeaseConfig::default().max_admission_wait_us
     } else {
-        LeaseConfig::UNLIMITED_HOLD
+        LeaseConfig::UNLIMITED_ADMISSION_WAIT
     };
     LeaseConfig {
-        lease: settings.lease,
-        renew: settings.renew,
+        lease_us: settings.lease,
+        renew_interval_us: settings.renew,
         drift_ppm: settings.drift_ppm,
-        hold: settings.hold.unwrap_or(default_hold),
-        patience: settings.patience,
-        serve_without,
-        confirm: settings.confirm,
+        max_admission_wait_us: settings.hold.unwrap_or(default_wait_us),
+        barrier_timeout_us: settings.patience,
+        serve_without_lease,
+        confirmation_required: settings.confirm,
     }
 }
 
--- a/router/src/fleet/settings/tests.rs
+++ b/router/src/fleet/settings/tests.rs
@@ -6,7 +6,7 @@
 use crate::lifecycle::settings;
 
 /// How long queries wait at a barrier, in microseconds, as the settings of a fleet have it.
-#[test_case("" => LeaseConfig::UNLIMITED_HOLD; "as long as their deadlines allow")]
+#[test_case("" => LeaseConfig::UNLIMITED_ADMISSION_WAIT; "as long as their deadlines allow")]
 #[test_case("hold: 250ms" => 250_000; "a limit that is stated")]
 #[test_case("hold: 0s" => 0; "not at all")]
 #[test_case("without_lease: \"serve-and-mark\"" => 250_000; "a little where they are served without a lease")]
@@ -18,5 +18,5 @@
     );
     file.write_all(text.as_bytes()).expect("written");
     let read = settings::read(file.path()).unwrap_or_else(|error| panic!("{error}"));
-    lease_config(&read.fleet.expect("a fleet")).hold
+    lease_config(&read.fleet.expect("a fleet")).max_admission_wait_us
 }
--- a/simulation/tests/virtual_fleet.rs
+++ b/simulation/tests/virtual_fleet.rs
@@ -11,8 +11,8 @@
 /// Days of changes while routers fall silent and speak again, by clocks that drift.
 fn day(drift_ppm: u64, seed: u64) -> Option<String> {
     let terms = LeaseConfig {
-        lease: S,
-        renew: 250 * MS,
+        lease_us: S,
+        renew_interval_us: 250 * MS,
         drift_ppm: 20_000,
         ..LeaseConfig::default()
     };
@@ -233,8 +233,8 @@
 #[test]
 fn a_fleet_slower_than_its_patience_changes_all_the_same() {
     let terms = LeaseConfig {
-        lease: 8 * S,
-        renew: S,
+        lease_us: 8 * S,
+        renew_interval_us: S,
         ..LeaseConfig::default()
     };
     let mut fleet = Fleet::new(
@@ -283,12 +283,12 @@
         .until_in_force(Version(1), MS, fleet.now + 10 * S)
         .expect("in force");
     assert!(
-        there - silent < terms.lease + 500 * MS,
+        there - silent < terms.lease_us + 500 * MS,
         "{} us",
         there - silent
     );
     assert!(
-        there - silent >= terms.lease,
+        there - silent >= terms.lease_us,
         "{} us: its lease may still run",
         there - silent
     );
