--- a/router/src/fleet/admission.rs
+++ b/router/src/fleet/admission.rs
@@ -86,6 +86,6 @@
 }
 
 fn rejection(reason: &str, come_back: Micros) -> Answer {
-    let (status, _, body) = admission::line(503, &format!("refused: {reason}"));
+    let (status, _, body) = admission::text_answer(503, &format!("refused: {reason}"));
     (status, retry_after(come_back), body)
 }
--- a/router/src/lifecycle/build.rs
+++ b/router/src/lifecycle/build.rs
@@ -144,7 +144,7 @@
             ..
         } = &self.config;
         let tenants = match auth {
-            Some(auth) => auth.filter.customers(),
+            Some(auth) => auth.filter.tenant_names(),
             None => bounds.customer_names.clone(),
         };
         Some(Fleet::new(
--- a/router/src/lifecycle/key_sources.rs
+++ b/router/src/lifecycle/key_sources.rs
@@ -14,7 +14,7 @@
 
 use crate::lifecycle::http_client::{self, HttpError};
 use crate::router::Router;
-use crate::stages::auth_filter::{AuthFilter, Watched};
+use crate::stages::auth_filter::{AuthFilter, PolledSource};
 
 /// How often identity is told of the time, for what ends by time alone.
 const EXPIRY_CHECK_INTERVAL: Micros = Micros(250_000);
@@ -58,18 +58,18 @@
         }
     }
 
-    fn source(self, auth: &AuthFilter) -> Option<&Watched> {
+    fn source(self, auth: &AuthFilter) -> Option<&PolledSource> {
         match self {
-            Kind::Keys => auth.keys.as_ref(),
-            Kind::Revocations => auth.feed.as_ref(),
+            Kind::Keys => auth.key_source.as_ref(),
+            Kind::Revocations => auth.revocation_source.as_ref(),
         }
     }
 
     /// Applies a document that was current at `at`.
     fn apply(self, auth: &AuthFilter, at: Micros, text: &[u8]) -> Result<(), SourceError> {
         let applied = match self {
-            Kind::Keys => auth.told_of_keys(at, text),
-            Kind::Revocations => auth.told_of_revocations(at, text),
+            Kind::Keys => auth.update_keys(at, text),
+            Kind::Revocations => auth.update_revocations(at, text),
         };
         applied.map_err(|error| SourceError::Rejected(error.to_string()))
     }
@@ -134,7 +134,7 @@
         let next = router.clock.now() + EXPIRY_CHECK_INTERVAL;
         Timer::at(router.clock.instant(next)).await;
         if let Some(auth) = &router.auth {
-            auth.elapsed(auth.now(&router));
+            auth.advance_time(auth.now(&router));
         }
     }
 }
@@ -165,7 +165,7 @@
 struct SourceWatch<'a> {
     router: &'a Router,
     auth: &'a AuthFilter,
-    watched: &'a Watched,
+    watched: &'a PolledSource,
     kind: Kind,
     /// After a failure everything is asked for: there may be a gap.
     extent: Extent,
@@ -177,7 +177,7 @@
 impl SourceWatch<'_> {
     async fn wait_until_due(&self) {
         loop {
-            let rescheduled = self.watched.stirred.listen();
+            let rescheduled = self.watched.next_poll_changed.listen();
             let next = self.watched.refresh.borrow().next();
             let Some(next) = next else {
                 return;
--- a/router/src/lifecycle/reload.rs
+++ b/router/src/lifecycle/reload.rs
@@ -92,7 +92,7 @@
     let Some(limits) = limits else {
         return Ok(());
     };
-    auth.told_of_terms(terms, limits)
+    auth.update_settings(terms, limits)
         .map_err(|error| ReloadError::Rejected(error.to_string()))
 }
 
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -107,7 +107,7 @@
 /// Whose state this is: the names that numbers of indexes and tenants stand for.
 fn owners(router: &Router) -> String {
     let tenants = match &router.auth {
-        Some(auth) => auth.customers(),
+        Some(auth) => auth.tenant_names(),
         None => router.bounds.customer_names.clone(),
     };
     format!(" of {:?}", (&router.bounds.index_names, tenants))
@@ -140,7 +140,7 @@
         let ListedEndpoints { list, node_names } = listed_endpoints(router);
         let now = router.clock.now();
         let auth = router.auth.as_ref();
-        let [keys, revocations] = auth.map_or([None, None], |auth| auth.kept(router));
+        let [keys, revocations] = auth.map_or([None, None], |auth| auth.known_documents(router));
         let mut decisions = router.decisions.borrow_mut();
         let limits = decisions.effects.limits.as_mut();
         let limits = limits.map(|limits| limits.counted(now));
@@ -219,11 +219,11 @@
         let now = auth.now(router);
         let current_at = |age: u64| now.since(Micros(age));
         if let Some((age, text)) = &self.keys {
-            auth.told_of_keys(current_at(*age), text.as_bytes())
+            auth.update_keys(current_at(*age), text.as_bytes())
                 .map_err(|error| SnapshotError::Identity(error.to_string()))?;
         }
         if let Some((age, text)) = &self.revocations {
-            auth.told_of_revocations(current_at(*age), text.as_bytes())
+            auth.update_revocations(current_at(*age), text.as_bytes())
                 .map_err(|error| SnapshotError::Identity(error.to_string()))?;
         }
         Ok(())
--- a/router/src/lifecycle/start.rs
+++ b/router/src/lifecycle/start.rs
@@ -162,7 +162,7 @@
         signals: Signals,
     ) -> Result<Option<Child>, StartError> {
         self.spawn(watch::watch(Rc::clone(&self.router), schedule));
-        self.spawn(dispatch::turns(Rc::clone(&self.router)));
+        self.spawn(dispatch::run_turns(Rc::clone(&self.router)));
         // The tasks are to listen before they are called upon: applying a list may ask for the watch at once.
         future::yield_now().await;
         let replaces_process = matches!(listeners, ListenerSource::Previous(_));
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -25,7 +25,7 @@
         fleet.look_again();
     }
     if let Some(auth) = &router.auth {
-        auth.look_again();
+        auth.recheck_waiting_requests();
     }
     log_progress(router, "stopping");
     Timer::at(router.clock.instant(schedule.accepts_until)).await;
--- a/router/src/lifecycle/tls.rs
+++ b/router/src/lifecycle/tls.rs
@@ -253,7 +253,7 @@
         let mut count = 0;
         for list in lists.map_err(TlsError::MalformedList)? {
             count += auth
-                .told_of_list(&list, &self.authorities.borrow())
+                .update_revoked_certificates(&list, &self.authorities.borrow())
                 .map_err(|error| TlsError::RejectedList(error.to_string()))?;
         }
         Ok(count)
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -37,7 +37,7 @@
 }
 
 /// An answer whose body is one line of text.
-pub(crate) fn line(status: u16, text: &str) -> Answer {
+pub(crate) fn text_answer(status: u16, text: &str) -> Answer {
     (status, String::new(), format!("{text}\n"))
 }
 
@@ -65,9 +65,9 @@
         return (405, "Allow: GET, HEAD\r\n".into(), "only GET\n".into());
     }
     if router.is_stopping() {
-        return line(503, "stopping");
+        return text_answer(503, "stopping");
     }
-    line(200, "{}")
+    text_answer(200, "{}")
 }
 
 fn admit_query(router: &Router, request: &Reader, arrival: &Arrival) -> Result<Admitted, Answer> {
@@ -101,7 +101,7 @@
     let index = query_request::find_index(&router.bounds, query_request::index_name(request));
     let fields = query::parse(request.body()).ok();
     ask(router, request, certificate, index, fields.as_ref())
-        .is_ok_and(|asked| auth.may_learn_more(router, &asked))
+        .is_ok_and(|asked| auth.may_pass_after_first_read(router, &asked))
 }
 
 /// Asks the authorisation filter, if there is one; returns the tenant.
@@ -150,10 +150,10 @@
 fn check_capacity(router: &Router, request_id: &str) -> Result<Option<Mark>, Answer> {
     let mut decisions = router.decisions.borrow_mut();
     if decisions.effects.in_flight.knows(request_id) {
-        return Err(line(400, "Req-Id is in hand already"));
+        return Err(text_answer(400, "Req-Id is in hand already"));
     }
     if decisions.effects.is_full() {
-        return Err(line(503, "too many lookups in hand"));
+        return Err(text_answer(503, "too many lookups in hand"));
     }
     // By the clock as it stands in this very turn: a process that was stopped finds its lease expired.
     router
--- a/router/src/stages/auth_filter.rs
+++ b/router/src/stages/auth_filter.rs
@@ -24,12 +24,12 @@
 
 use crate::lifecycle::settings::IdentityTerms;
 use crate::router::Router;
-use crate::stages::admission::line;
+use crate::stages::admission::text_answer;
 use crate::state::clients::Answer;
 use crate::state::log_limit::LogLimit;
 
 /// The limits of a tenant that nobody is any more.
-const NOTHING: LimitTerms = LimitTerms {
+const ZERO_LIMITS: LimitTerms = LimitTerms {
     weight: 0.0,
     in_hand: 0,
     per_second: 0.0,
@@ -38,7 +38,7 @@
 };
 
 /// A source that is polled, and when.
-pub(crate) struct Watched {
+pub(crate) struct PolledSource {
     /// The source as the settings name it.
     pub(crate) source: Source,
     /// Where it is, if it is an address.
@@ -46,35 +46,35 @@
     /// When it is polled next.
     pub(crate) refresh: RefCell<Refresh>,
     /// The time of the next poll has changed.
-    pub(crate) stirred: Event,
+    pub(crate) next_poll_changed: Event,
     /// It has brought a document that could be used.
     was_read: Cell<bool>,
 }
 
-impl Watched {
+impl PolledSource {
     fn new(source: &Source, seed: u64) -> Self {
         let refresh = Refresh::new(Micros(source.every), Micros(source.apart), seed);
-        Watched {
+        PolledSource {
             source: source.clone(),
             address: source.address.as_deref().and_then(|text| text.parse().ok()),
             refresh: RefCell::new(refresh),
-            stirred: Event::new(),
+            next_poll_changed: Event::new(),
             was_read: Cell::new(false),
         }
     }
 }
 
 /// A text and its age in microseconds.
-pub(crate) type Aged = (u64, String);
+pub(crate) type AgedDocument = (u64, String);
 
 /// Who may send queries, and what.
 pub(crate) struct AuthFilter {
     identity: RefCell<Identity>,
     calendar: RefCell<Calendar>,
     /// The key service, if keys are fetched.
-    pub(crate) keys: Option<Watched>,
+    pub(crate) key_source: Option<PolledSource>,
     /// The revocation feed, if there is one.
-    pub(crate) feed: Option<Watched>,
+    pub(crate) revocation_source: Option<PolledSource>,
     /// The last set of keys as it was published, and when.
     published_keys: RefCell<Option<(Micros, String)>>,
     refusals: LogLimit,
@@ -92,7 +92,7 @@
     for (name, number) in identity.rights.tenants() {
         let at = usize::from(number.0);
         if limits.len() <= at {
-            limits.resize(at + 1, NOTHING);
+            limits.resize(at + 1, ZERO_LIMITS);
         }
         let of_tenant = settings
             .limits
@@ -119,8 +119,8 @@
         let filter = AuthFilter {
             identity: RefCell::new(identity),
             calendar: RefCell::default(),
-            keys: keys.map(|keys| Watched::new(&keys.from, seed)),
-            feed: feed.map(|feed| Watched::new(&feed.from, seed ^ 1)),
+            key_source: keys.map(|keys| PolledSource::new(&keys.from, seed)),
+            revocation_source: feed.map(|feed| PolledSource::new(&feed.from, seed ^ 1)),
             published_keys: RefCell::default(),
             refusals: LogLimit::default(),
             certificate_list_overdue: Cell::new(false),
@@ -139,7 +139,7 @@
     }
 
     /// The tenants' names, in the order of their quotas.
-    pub(crate) fn customers(&self) -> Vec<String> {
+    pub(crate) fn tenant_names(&self) -> Vec<String> {
         let identity = self.identity.borrow();
         let mut tenants: Vec<(u16, String)> = identity
             .rights
@@ -191,9 +191,9 @@
 
     /// The key service may know a key that is not known here.
     fn poll_keys_soon(&self, now: Micros) {
-        if let Some(keys) = &self.keys {
+        if let Some(keys) = &self.key_source {
             if keys.refresh.borrow_mut().wanted(now) {
-                keys.stirred.notify(1);
+                keys.next_poll_changed.notify(1);
             }
         }
     }
@@ -213,7 +213,7 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(line(400, "Authorization stands twice"));
+        return Err(text_answer(400, "Authorization stands twice"));
     }
     let token = value
         .split_once(' ')
--- a/router/src/stages/auth_filter/answers.rs
+++ b/router/src/stages/auth_filter/answers.rs
@@ -4,7 +4,7 @@
 use ternpick_identity::{Refusal, Refused};
 use ternpick_tenant_limits::Limits;
 
-use crate::stages::admission::line;
+use crate::stages::admission::text_answer;
 use crate::stages::completion::retry_after;
 use crate::state::clients::Answer;
 
@@ -18,11 +18,11 @@
         Refused::Unproved => (401, challenge_error("invalid_token", &refusal.why)),
         Refused::Forbidden => (403, challenge_error("insufficient_scope", &refusal.why)),
         Refused::Unsure => {
-            let (status, _, body) = line(503, &refusal.why);
+            let (status, _, body) = text_answer(503, &refusal.why);
             return (status, retry_after(UNSURE_RETRY_AFTER), body);
         }
     };
-    let (_, _, body) = line(status, &refusal.why);
+    let (_, _, body) = text_answer(status, &refusal.why);
     let challenge = format!("WWW-Authenticate: Bearer realm=\"ternpick\"{error}\r\n");
     (status, challenge, body)
 }
@@ -39,7 +39,7 @@
     is_retry: bool,
 ) -> Result<(), Answer> {
     limits.admit(now, tenant, is_retry).map_err(|rejection| {
-        let (status, _, body) = line(429, &rejection.to_string());
+        let (status, _, body) = text_answer(429, &rejection.to_string());
         (status, retry_after(rejection.retry_after()), body)
     })
 }
--- a/router/src/stages/auth_filter/first_reads.rs
+++ b/router/src/stages/auth_filter/first_reads.rs
@@ -10,7 +10,7 @@
 use ternpick_identity::{Ask, Refused};
 
 use crate::router::Router;
-use crate::stages::auth_filter::{AuthFilter, Watched};
+use crate::stages::auth_filter::{AuthFilter, PolledSource};
 
 /// From the start on requests wait for so long for a source: for several calls to it, so that one that fails, or is slow once,
 /// refuses nobody.
@@ -28,26 +28,26 @@
     }
 
     /// This source has been read.
-    pub(crate) fn source_read(&self, source: &Watched) {
+    pub(crate) fn source_read(&self, source: &PolledSource) {
         if !source.was_read.replace(true) {
-            self.look_again();
+            self.recheck_waiting_requests();
         }
     }
 
     /// Has requests that wait for a source look again.
-    pub(crate) fn look_again(&self) {
+    pub(crate) fn recheck_waiting_requests(&self) {
         self.first_read.notify(usize::MAX);
     }
 
-    /// Notified when [`AuthFilter::may_learn_more`] may have changed.
+    /// Notified when [`AuthFilter::may_pass_after_first_read`] may have changed.
     pub(crate) fn first_read(&self) -> EventListener {
         self.first_read.listen()
     }
 
     /// Whether a request would be refused now for want of what a source that was never read may bring.
-    pub(crate) fn may_learn_more(&self, router: &Router, asked: &Ask) -> bool {
-        let keys_awaited = is_awaited(self.keys.as_ref());
-        let revocations_awaited = is_awaited(self.feed.as_ref());
+    pub(crate) fn may_pass_after_first_read(&self, router: &Router, asked: &Ask) -> bool {
+        let keys_awaited = is_awaited(self.key_source.as_ref());
+        let revocations_awaited = is_awaited(self.revocation_source.as_ref());
         if !keys_awaited && !revocations_awaited {
             return false;
         }
@@ -60,6 +60,6 @@
     }
 }
 
-fn is_awaited(source: Option<&Watched>) -> bool {
+fn is_awaited(source: Option<&PolledSource>) -> bool {
     source.is_some_and(|source| !source.was_read.get())
 }
--- a/router/src/stages/auth_filter/status.rs
+++ b/router/src/stages/auth_filter/status.rs
@@ -1,11 +1,11 @@
 //! What the authorisation filter tells of itself: to the control socket, to the snapshot, and to key sources.
 
 use crate::router::Router;
-use crate::stages::auth_filter::{Aged, AuthFilter};
+use crate::stages::auth_filter::{AgedDocument, AuthFilter};
 
 impl AuthFilter {
     /// Keys and revocations for another process or the next start, each with its age.
-    pub(crate) fn kept(&self, router: &Router) -> [Option<Aged>; 2] {
+    pub(crate) fn known_documents(&self, router: &Router) -> [Option<AgedDocument>; 2] {
         let now = self.now(router);
         let keys = self
             .published_keys
--- a/router/src/stages/auth_filter/updates.rs
+++ b/router/src/stages/auth_filter/updates.rs
@@ -12,7 +12,7 @@
 
 impl AuthFilter {
     /// Takes a set of keys as the key service published it at `now` (Unix time).
-    pub(crate) fn told_of_keys(&self, now: Micros, text: &[u8]) -> Result<(), String> {
+    pub(crate) fn update_keys(&self, now: Micros, text: &[u8]) -> Result<(), String> {
         let set = KeySet::parse(text).map_err(|fault| fault.to_string())?;
         for reason in &set.skipped {
             tracing::warn!(%reason, "identity: a published key is skipped");
@@ -28,7 +28,7 @@
     }
 
     /// Takes a page of revocations as it was at `then` (Unix time).
-    pub(crate) fn told_of_revocations(&self, then: Micros, text: &[u8]) -> Result<(), String> {
+    pub(crate) fn update_revocations(&self, then: Micros, text: &[u8]) -> Result<(), String> {
         let page = Page::parse(text).map_err(|fault| fault.to_string())?;
         let mut identity = self.identity.borrow_mut();
         let new_entries = identity
@@ -46,7 +46,7 @@
     }
 
     /// Takes a list of revoked certificates that one of the authorities has signed; returns how many it holds.
-    pub(crate) fn told_of_list(
+    pub(crate) fn update_revoked_certificates(
         &self,
         list: &[u8],
         authorities: &[CertificateDer],
@@ -63,7 +63,7 @@
     }
 
     /// Takes new terms; those of tenants go to `limits`.
-    pub(crate) fn told_of_terms(
+    pub(crate) fn update_settings(
         &self,
         new: IdentityTerms,
         limits: &mut Limits,
@@ -75,7 +75,7 @@
     }
 
     /// Time has gone by, to `now` (Unix time): logs what has changed with it.
-    pub(crate) fn elapsed(&self, now: Micros) {
+    pub(crate) fn advance_time(&self, now: Micros) {
         let mut identity = self.identity.borrow_mut();
         for key in identity.elapsed(now) {
             tracing::info!(%key, "identity: a key is no longer in use");
--- a/router/src/stages/client_connection.rs
+++ b/router/src/stages/client_connection.rs
@@ -210,7 +210,7 @@
             }
             Err(ReadFailure::ClientGone) => Err(ConnectionEnd::ClientLeftDuringRequest),
             Err(ReadFailure::Http(error)) => {
-                let answer = admission::line(error.status(), &error.to_string());
+                let answer = admission::text_answer(error.status(), &error.to_string());
                 self.write_answer(answer, true).await
             }
         }
--- a/router/src/stages/dispatch.rs
+++ b/router/src/stages/dispatch.rs
@@ -1,6 +1,6 @@
 //! Dispatch: gives the decision module its inputs one after another, and after each turn has its effects carried out.
 //!
-//! Inputs are new queries (from admission), clients that leave, attempts that end, and timers. [`turns`] is the loop that
+//! Inputs are new queries (from admission), clients that leave, attempts that end, and timers. [`run_turns`] is the loop that
 //! `lifecycle/start.rs` runs; the effects of a turn are carried out by `upstream_writer.rs`. What the deadline of an attempt
 //! means for it is in `attempt_deadline.rs`.
 
@@ -152,7 +152,7 @@
 
 /// The turns of a router, for as long as it runs: wakes on inputs and on time, lets all inputs that are ready be applied first,
 /// then has all effects carried out together, so that shard requests for one node share a frame.
-pub(crate) async fn turns(router: Rc<Router>) {
+pub(crate) async fn run_turns(router: Rc<Router>) {
     loop {
         let input_applied = router.input_applied.listen();
         future::yield_now().await;
--- a/router/src/stages/mod.rs
+++ b/router/src/stages/mod.rs
@@ -22,7 +22,7 @@
 //! | the connection is closed behind it | `graceful_close.rs` | `close` |
 //!
 //! `client_connection.rs` runs the steps of one client connection in this order, with the bytes in `client_io.rs` on a
-//! `stream.rs` (plain, or TLS by `tls_stream.rs`). `dispatch::turns` runs the inputs of the decision module. What is in flight is in
+//! `stream.rs` (plain, or TLS by `tls_stream.rs`). `dispatch::run_turns` runs the inputs of the decision module. What is in flight is in
 //! `state/in_flight.rs`, the connections to nodes in `state/nodes.rs`, idle client connections in `state/clients.rs`.
 
 mod admission_wait;
--- a/router/src/stages/query_request.rs
+++ b/router/src/stages/query_request.rs
@@ -9,7 +9,7 @@
 use ternpick_wire::query::{self, BadQuery, ShardFields};
 
 use crate::router::Router;
-use crate::stages::admission::line;
+use crate::stages::admission::text_answer;
 use crate::state::clients::Answer;
 
 /// A query that is well-formed, and names an index that exists.
@@ -51,7 +51,7 @@
     fields: &'a Result<Value, BadQuery>,
 ) -> Result<QueryRequest<'a>, Answer> {
     let index_name = index_name(request);
-    let index = index.ok_or_else(|| line(404, "no such index"))?;
+    let index = index.ok_or_else(|| text_answer(404, "no such index"))?;
     if request.method() != "POST" {
         return Err((405, "Allow: POST\r\n".into(), "only POST\n".into()));
     }
@@ -117,7 +117,7 @@
 }
 
 fn bad_request(text: &str) -> Answer {
-    line(400, text)
+    text_answer(400, text)
 }
 
 /// A header whose value may stand in the line of a frame, and is of limited length.
