--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,4 +1,4 @@
-//! The ternpick query router: the decisions of the `ternpick` library on real sockets.
+//! The ternpick query router: runs the routing engine of the `ternpick` library on real sockets.
 
 mod fleet;
 mod lifecycle;
--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -1,7 +1,7 @@
-//! One router: the owners of its state, as its tasks share them.
+//! The state of one router, which all its tasks share.
 //!
-//! Each part of the state has one owner in `state/`, `stages/` or `fleet/`, with methods that say what may be done to it.
-//! All tasks run on one thread; no borrow of [`Decisions`] is held while a task waits.
+//! Each part of the state has one owning type in `state/`, `stages/` or `fleet/`, whose methods are the only way to
+//! change it. All tasks run on one thread; no task holds a borrow of [`Decisions`] across an await.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -29,51 +29,51 @@
 use crate::state::log_limit::LogLimit;
 use crate::state::shutdown::ShutdownState;
 
-/// The decision module, and the effects that it has asked for and that are yet to be carried out.
+/// The routing engine, and the effects that it has requested and that are not carried out yet.
 pub(crate) struct Decisions {
-    /// Decides, and knows no protocol.
+    /// Makes the routing decisions; independent of protocols and I/O.
     pub(crate) engine: RoutingEngine,
-    /// What is in flight, and what the engine wants done.
+    /// The queries and attempts in flight, and the effects that the engine has requested.
     pub(crate) effects: EffectQueue,
 }
 
-/// One router: what its tasks share. No borrow of its [`Decisions`] is held while a task waits.
+/// The state that the tasks of one router share. No task holds a borrow of its [`Decisions`] across an await.
 pub(crate) struct Router {
-    /// Monotonic time since the start.
+    /// Monotonic time since the start of the process.
     pub(crate) clock: Clock,
-    /// Limits of the platform's configuration that the router itself keeps.
+    /// Limits of the platform configuration that the router itself enforces.
     pub(crate) bounds: Rc<Bounds>,
-    /// File descriptors, by kind of peer.
+    /// The budget of file descriptors, by kind of peer.
     pub(crate) descriptors: Rc<Descriptors>,
-    /// Memory that peers make this process hold.
+    /// The budget of memory for data received from and sent to peers.
     pub(crate) budget: Rc<Budget>,
-    /// Connections of clients, by state.
+    /// Client connections without a complete request, by state.
     pub(crate) clients: Rc<Clients>,
-    /// Runs all tasks, on one thread.
+    /// The single-threaded executor of all tasks.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    /// The decision module with its effects; changed through [`Router::apply`].
+    /// The routing engine with its effects; inputs go through [`Router::apply`].
     pub(crate) decisions: RefCell<Decisions>,
-    /// Who may send queries; without it everybody may.
+    /// The auth filter; without it, every client may send queries.
     pub(crate) auth: Option<AuthFilter>,
-    /// The fleet whose policy this router goes by; without it the router goes by its own settings alone.
+    /// The fleet whose policy this router applies; without it, the router uses its own settings alone.
     pub(crate) fleet: Option<Rc<Fleet>>,
-    /// Notified after each input, so that its effects are carried out once all inputs that are ready have been applied.
+    /// Notified after each input. The turn that follows carries out the effects of all inputs applied by then.
     pub(crate) input_applied: Event,
-    /// Where discovery is, and how far the endpoint list is known.
+    /// The address of discovery, and how much of the endpoint list is known.
     pub(crate) discovery: DiscoveryState,
-    /// Whether and how this process ends.
+    /// Whether this process is stopping, and the schedule of its shutdown.
     pub(crate) shutdown: ShutdownState,
-    /// Whether clients are accepted.
+    /// Whether this process accepts client connections.
     pub(crate) listener: ListenerState,
-    /// Queries that were rejected at admission.
+    /// Counts queries rejected at admission, and limits how often they are logged.
     pub(crate) rejections: LogLimit,
-    /// Connections of clients on their way to a new process.
+    /// Client connections to be passed to a new process.
     pub(crate) client_transfer: ClientTransfer,
 }
 
 impl Router {
-    /// Gives one input to the decision module. What it wants done is queued, and carried out once all inputs that are ready
-    /// have been applied.
+    /// Passes one input to the routing engine. The effects that the engine requests are queued, and carried out once
+    /// all inputs that are ready have been applied.
     pub(crate) fn apply<R>(
         &self,
         input: impl FnOnce(&mut RoutingEngine, Micros, &mut EffectQueue) -> R,
@@ -90,7 +90,8 @@
         result
     }
 
-    /// The outcome of `operation`, or nothing once `deadline` has come; without a deadline it is waited for.
+    /// Returns the output of `operation`, or `None` if `deadline` passes first. Without a deadline, waits for the
+    /// output.
     pub(crate) async fn with_deadline<T>(
         &self,
         deadline: Option<Micros>,
@@ -106,16 +107,17 @@
         future::or(async { Some(operation.await) }, late).await
     }
 
-    /// The earlier of `at` and, in a shutdown, the instant that `by` picks of its schedule: later the process may be gone.
+    /// Returns the earlier of `deadline` and, during a shutdown, the instant that `shutdown_deadline` selects from its
+    /// schedule, because the process may have exited after that.
     pub(crate) fn before_shutdown(
         &self,
-        at: Option<Micros>,
-        by: impl Fn(Shutdown) -> Micros,
+        deadline: Option<Micros>,
+        shutdown_deadline: impl Fn(Shutdown) -> Micros,
     ) -> Option<Micros> {
-        at.into_iter().chain(self.shutdown.schedule().map(by)).min()
+        deadline.into_iter().chain(self.shutdown.schedule().map(shutdown_deadline)).min()
     }
 
-    /// Whether a shutdown is under way.
+    /// Whether a shutdown has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.shutdown.schedule().is_some()
     }
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -1,8 +1,8 @@
-//! Admission: decides what becomes of a complete request, and enters a query in the in-flight table.
+//! Admission: answers or rejects a complete request, or enters its query in the in-flight table.
 //!
-//! The order of the checks is part of the behaviour: health, authorisation (`auth_filter.rs`), the fields of the request
-//! (`query_request.rs`), duplicates, the limit on what is in flight, the fleet's lease, the tenant's limits. Called by
-//! `client_connection.rs`; what is admitted goes to `dispatch.rs`.
+//! The order of the checks is part of the behaviour: health, authorisation (`auth_filter.rs`), the fields of the
+//! request (`query_request.rs`), duplicates, the limit on queries in flight, the fleet's lease, the tenant's limits.
+//! Called by `client_connection.rs`; passes admitted queries to `dispatch.rs`.
 
 use std::rc::Rc;
 
@@ -20,44 +20,44 @@
 use crate::state::clients::{Answer, PendingResponse};
 use crate::state::in_flight::AdmittedAs;
 
-/// What becomes of a request.
-pub(crate) enum Admitted {
-    /// It is answered at once.
+/// The result of admission for one request.
+pub(crate) enum AdmissionOutcome {
+    /// The request is answered at once.
     Answer(Answer),
-    /// It is a query in flight, whose answer comes in the reply.
+    /// The request is a query in flight; its answer will be in the pending response.
     InFlight(QueryId, Rc<PendingResponse>),
 }
 
-/// Who sends a request, as far as its connection and its first byte tell.
+/// When a request arrived, and the client certificate of its connection.
 struct Arrival {
-    /// When its first byte arrived.
-    began: Micros,
-    /// The certificate that its client has shown.
+    /// When the first byte of the request arrived.
+    arrived_at: Micros,
+    /// The certificate that the client has presented.
     certificate: Option<Rc<Certificate>>,
 }
 
-/// An answer whose body is one line of text.
+/// Returns an answer whose body is one line of text.
 pub(crate) fn text_answer(status: u16, text: &str) -> Answer {
     (status, String::new(), format!("{text}\n"))
 }
 
-/// Whether a request asks for the router's health, and so begins nothing.
+/// Whether a request is a health check of the router, which starts no query.
 pub(crate) fn is_health(request: &Reader) -> bool {
     request.path() == "/_health"
 }
 
-/// Admits a request whose first byte came at `began`, on a connection that has shown `certificate`.
+/// Admits a request whose first byte arrived at `arrived_at`, on a connection that has presented `certificate`.
 pub(crate) fn admit(
     router: &Router,
     request: &Reader,
-    began: Micros,
+    arrived_at: Micros,
     certificate: Option<Rc<Certificate>>,
-) -> Admitted {
+) -> AdmissionOutcome {
     if is_health(request) {
-        return Admitted::Answer(health(router, request));
+        return AdmissionOutcome::Answer(health(router, request));
     }
-    let arrival = Arrival { began, certificate };
-    admit_query(router, request, &arrival).unwrap_or_else(Admitted::Answer)
+    let arrival = Arrival { arrived_at, certificate };
+    admit_query(router, request, &arrival).unwrap_or_else(AdmissionOutcome::Answer)
 }
 
 fn health(router: &Router, request: &Reader) -> Answer {
@@ -70,10 +70,10 @@
     text_answer(200, "{}")
 }
 
-fn admit_query(router: &Router, request: &Reader, arrival: &Arrival) -> Result<Admitted, Answer> {
+fn admit_query(router: &Router, request: &Reader, arrival: &Arrival) -> Result<AdmissionOutcome, Answer> {
     let index = query_request::find_index(&router.bounds, query_request::index_name(request));
     let fields = query::parse(request.body());
-    // Before anything is told of what exists.
+    // Authorisation comes first, so that an unauthorised caller learns nothing about which indexes exist.
     let tenant = authorise(
         router,
         request,
@@ -84,12 +84,12 @@
     let checked = query_request::check(router, request, index, &fields)?;
     let now = router.clock.now();
     let mark = check_capacity(router, checked.request_id)?;
-    let time_left = checked.deadline.since(now.since(arrival.began));
+    let time_left = checked.deadline.since(now.since(arrival.arrived_at));
     reserve_for_tenant(router, now, tenant, checked.is_retry)?;
-    Ok(enter(router, now, time_left, tenant, mark, checked))
+    Ok(enter_in_flight_table(router, now, time_left, tenant, mark, checked))
 }
 
-/// Whether a request would be refused now for want of what a source of keys or revocations is just about to bring.
+/// Whether the request would be rejected now only because keys or revocations have not been read yet.
 pub(super) fn awaits_source(
     router: &Router,
     request: &Reader,
@@ -100,11 +100,11 @@
     };
     let index = query_request::find_index(&router.bounds, query_request::index_name(request));
     let fields = query::parse(request.body()).ok();
-    ask(router, request, certificate, index, fields.as_ref())
+    authorisation_request(router, request, certificate, index, fields.as_ref())
         .is_ok_and(|asked| auth.may_pass_after_first_read(router, &asked))
 }
 
-/// Asks the authorisation filter, if there is one; returns the tenant.
+/// Checks the request with the auth filter, if there is one; returns the caller's tenant.
 fn authorise(
     router: &Router,
     request: &Reader,
@@ -115,13 +115,13 @@
     let Some(auth) = &router.auth else {
         return Ok(None);
     };
-    let asked = ask(router, request, certificate, index, fields)?;
+    let asked = authorisation_request(router, request, certificate, index, fields)?;
     auth.check(router, request, &asked)
         .map(|pass| Some(pass.tenant))
 }
 
-/// What the authorisation filter is asked about a request.
-fn ask<'a>(
+/// Returns the facts about a request on which the auth filter decides.
+fn authorisation_request<'a>(
     router: &Router,
     request: &'a Reader,
     certificate: Option<&'a Rc<Certificate>>,
@@ -146,7 +146,8 @@
     })
 }
 
-/// Checks a well-formed query against what is in flight and the fleet's lease; returns the policy that it is decided under.
+/// Checks a well-formed query against the queries in flight and the fleet's lease; returns the policy that applies to
+/// it.
 fn check_capacity(router: &Router, request_id: &str) -> Result<Option<Mark>, Answer> {
     let mut decisions = router.decisions.borrow_mut();
     if decisions.effects.in_flight.knows(request_id) {
@@ -155,7 +156,7 @@
     if decisions.effects.is_full() {
         return Err(text_answer(503, "too many lookups in hand"));
     }
-    // By the clock as it stands in this very turn: a process that was stopped finds its lease expired.
+    // The clock is read in this same turn, so that a process that was suspended finds its lease expired.
     router
         .fleet
         .as_ref()
@@ -163,7 +164,7 @@
         .transpose()
 }
 
-/// Reserves a place among the tenant's queries. From here on it belongs to the query, and is released where that is closed.
+/// Reserves a place among the tenant's queries in flight. The query holds it until the query is closed.
 fn reserve_for_tenant(
     router: &Router,
     now: Micros,
@@ -177,19 +178,19 @@
     }
 }
 
-/// Enters a query in the in-flight table, and hands it to the decision module.
-fn enter(
+/// Enters a query in the in-flight table, and passes it to the routing engine.
+fn enter_in_flight_table(
     router: &Router,
     now: Micros,
     time_left: Micros,
     tenant: Option<CustomerNo>,
     mark: Option<Mark>,
     checked: QueryRequest,
-) -> Admitted {
+) -> AdmissionOutcome {
     let reply = Rc::new(PendingResponse::default());
     let mut decisions = router.decisions.borrow_mut();
     let latency_objective = decisions.engine.config.indexes[checked.index.at()].latency_objective;
-    let taken = AdmittedAs {
+    let admitted_as = AdmittedAs {
         tenant,
         at: now,
         latency_objective,
@@ -207,7 +208,7 @@
         checked.idempotency_key,
         shards,
         Rc::clone(&reply),
-        taken,
+        admitted_as,
     );
     drop(decisions);
     let shard_requests = ids
@@ -226,5 +227,5 @@
             shard_requests,
         },
     );
-    Admitted::InFlight(query, reply)
+    AdmissionOutcome::InFlight(query, reply)
 }
--- a/router/src/stages/admission_wait.rs
+++ b/router/src/stages/admission_wait.rs
@@ -1,8 +1,8 @@
-//! What a complete request waits for before it is admitted: the first read of a source that its caller is judged by, and the
-//! end of a change of the fleet's policy.
+//! The wait of a complete request before its admission: for the first read of the keys or revocations that
+//! authorisation needs, and for the end of a change of the fleet's policy.
 //!
-//! A request waits for as long as its own deadline allows, and no longer: not beyond the instant by which a shutdown has to
-//! have answered it, and not while memory is short. What becomes of it then is for `admission.rs`, in the same turn.
+//! A request waits no longer than its deadline allows, nor beyond the instant by which a shutdown must have answered
+//! it. It does not wait while memory is short. `admission.rs` then decides in the same turn.
 
 use ternpick::types::Micros;
 
@@ -12,23 +12,25 @@
 use crate::stages::query_request;
 use crate::state::clients::Answer;
 
-/// Kept of the deadline for the answer itself: a request that has waited in vain is rejected while its client listens.
+/// Time reserved before the deadline for writing the answer, so that a request that has waited without success is
+/// rejected while its client still waits.
 const ANSWER_RESERVE: Micros = Micros(50_000);
-/// The most of the deadline that is kept.
-const LARGEST_RESERVE: f64 = 0.25;
+/// The largest share of the deadline that may be reserved for the answer.
+const MAX_RESERVE_SHARE: f64 = 0.25;
 
-/// How long a request has waited for its admission, and how long it could have gone on.
+/// How long a request has waited for its admission, and the time left until its deadline.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AdmissionWait {
-    /// From when it was complete.
+    /// Time since the request was complete.
     waited: Micros,
-    /// Until its client's deadline.
-    left: Micros,
+    /// Time left until the client's deadline.
+    time_left: Micros,
 }
 
 impl ClientConnection {
-    /// Waits until the request can be admitted or rejected for good. Its first byte had arrived at `began`.
-    pub(super) async fn wait_for_admission(&mut self, began: Micros) -> AdmissionWait {
+    /// Waits until the request can be admitted, or waiting longer would not help. `arrived_at` is the arrival of its
+    /// first byte.
+    pub(super) async fn wait_for_admission(&mut self, arrived_at: Micros) -> AdmissionWait {
         if admission::is_health(&self.request) {
             return AdmissionWait::default();
         }
@@ -38,22 +40,23 @@
         let started = self.router.clock.now();
         self.io.account_memory(self.request.size());
         if !self.router.budget.is_over() {
-            let reserve = ANSWER_RESERVE.min(deadline.times(LARGEST_RESERVE));
-            let give_up_at = Micros((began + deadline).0 - reserve.0);
-            self.wait_for_sources(give_up_at).await;
+            let reserve = ANSWER_RESERVE.min(deadline.times(MAX_RESERVE_SHARE));
+            let wait_until = Micros((arrived_at + deadline).0 - reserve.0);
+            self.wait_for_sources(wait_until).await;
             if let Some(fleet) = &self.router.fleet {
-                fleet.settled(&self.router, give_up_at).await;
+                fleet.settled(&self.router, wait_until).await;
             }
         }
         let now = self.router.clock.now();
         AdmissionWait {
             waited: now.since(started),
-            left: (began + deadline).since(now),
+            time_left: (arrived_at + deadline).since(now),
         }
     }
 
-    /// Waits while the first read of a source may still bring what the caller is refused for now.
-    async fn wait_for_sources(&mut self, give_up_at: Micros) {
+    /// Waits while the first read of a source may still bring the keys or revocations that are missing to authorise
+    /// the caller.
+    async fn wait_for_sources(&mut self, wait_until: Micros) {
         let certificate = self.io.stream.certificate();
         let router: &Router = &self.router;
         let Some(auth) = &router.auth else {
@@ -61,20 +64,21 @@
         };
         loop {
             let first_read = auth.first_read();
-            let give_up_at = give_up_at.min(auth.first_reads_until());
-            let until = router.before_shutdown(Some(give_up_at), |schedule| schedule.answers_by);
+            let wait_until = wait_until.min(auth.first_reads_until());
+            let until = router.before_shutdown(Some(wait_until), |schedule| schedule.answers_by);
             let is_over = until.is_some_and(|until| until <= router.clock.now());
             if is_over || !admission::awaits_source(router, &self.request, certificate.as_ref()) {
                 return;
             }
-            // Whether it has come or not: the next round looks.
+            // The next iteration checks again, whether the source was read or the time is over.
             let _ = router.with_deadline(until, first_read).await;
         }
     }
 }
 
 impl AdmissionWait {
-    /// Logs a rejection at admission: why, and whether the client's deadline had left time to wait. Bounded under repetition.
+    /// Logs a rejection at admission with its reason, the time waited and the time left. The rate of these lines is
+    /// limited.
     pub(super) fn log_rejection(self, router: &Router, request_id: &str, answer: &Answer) {
         let (status, _, reason) = answer;
         if *status != 503 {
@@ -85,7 +89,7 @@
                 request_id,
                 reason = reason.trim_end(),
                 waited_ms = self.waited.0 / 1000,
-                left_ms = self.left.0 / 1000,
+                left_ms = self.time_left.0 / 1000,
                 count,
                 "a query is rejected at admission"
             );
--- a/router/src/stages/answer_writer.rs
+++ b/router/src/stages/answer_writer.rs
@@ -1,12 +1,12 @@
-//! Writes answers to clients, and decides whether their connection stays open behind them.
+//! Writes answers to clients, and decides whether a connection stays open after its answer.
 
 use ternpick_wire::http;
 
 use crate::stages::client_connection::{ClientConnection, ConnectionEnd};
 use crate::state::clients::Answer;
 
-/// Whether an answer of this status says that the request made no sense: what follows it on its connection may make none
-/// either.
+/// Whether this status reports a malformed request. The bytes after such a request may be misread as a request, so the
+/// connection is closed.
 fn is_malformed_request(status: u16) -> bool {
     match status {
         401 | 403 | 429 => false,
@@ -16,7 +16,7 @@
 }
 
 impl ClientConnection {
-    /// Writes an answer; an error is the connection's end, also where the answer was meant to be the last.
+    /// Writes an answer. The error is the reason why the connection ends, also after an intended last answer.
     pub(super) async fn write_answer(
         &mut self,
         answer: Answer,
@@ -25,7 +25,7 @@
         let (status, headers, body) = answer;
         let is_last = client_closes
             || is_malformed_request(status)
-            || self.io.has_overrun()
+            || self.io.has_discarded_sent_ahead()
             || self.router.is_stopping();
         let body = if self.request.method() == "HEAD" {
             String::new()
@@ -50,8 +50,8 @@
         Ok(())
     }
 
-    /// Writes the output buffer; false if the client does not take it in time. A slow client holds nothing up beyond the
-    /// longest time that any client waits, nor beyond the end of a shutdown.
+    /// Writes the output buffer; returns false if the client does not accept it in time. The time limit is the
+    /// longest deadline of any client, and during a shutdown the exit of the process.
     async fn write_in_time(&mut self) -> bool {
         let write_until = self
             .router
--- a/router/src/stages/attempt_deadline.rs
+++ b/router/src/stages/attempt_deadline.rs
@@ -1,4 +1,4 @@
-//! What becomes of an attempt whose time to be sent, or to be answered, is up. Called by the turns in `dispatch.rs`.
+//! Handles attempts whose time to be sent or to be answered is over. Called by the turns in `dispatch.rs`.
 
 use ternpick::io_errors::Owner;
 use ternpick::types::AttemptOutcome;
@@ -7,61 +7,61 @@
 use crate::stages::upstream_writer;
 use crate::state::in_flight::{AttemptKey, AttemptProgress, OutgoingAttempt};
 
-/// Whether the frame of an attempt has been written in time.
+/// Whether the frame of an attempt has been written to its socket.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Progress {
-    /// The node may have it.
+enum FrameStatus {
+    /// The frame was written, so the node may have received it.
     Written,
-    /// The dial has failed up to now for want of something on this machine: that is not held against the node.
-    NotWrittenByThisMachine,
-    /// The node, or the way to it, has not taken it.
+    /// The dial has failed so far because of a shortage on this machine, which does not count against the node.
+    BlockedByThisMachine,
+    /// The frame was not written, because of the node or the route to it.
     NotWritten,
 }
 
-/// Looks at an attempt that is due: an attempt whose frame has not been written in the time of a dial was not made; one that
-/// has been waits until its own limit.
+/// Checks an attempt whose check is due. An attempt whose frame was not written within the dial timeout ends as not
+/// run; one whose frame was written waits until its own deadline.
 ///
-/// A connection that has brought nothing since is not trusted with more: its peer may have vanished, and on its return would
-/// reset what is written to it.
+/// A connection that has received nothing since the attempt was sent is retired: its peer may be gone, and would
+/// reset the connection when it returns.
 pub(super) fn check(effects: &mut EffectQueue, key: AttemptKey, cancel_frame: CancelFrame) {
     let Some(attempt) = effects.in_flight.attempt(key) else {
         return;
     };
-    let progress = progress(effects, attempt);
+    let frame_status = frame_status(effects, attempt);
     let due = attempt.due;
     let sent_at = attempt.sent;
-    let place = attempt.progress;
-    if progress == Progress::Written {
+    let progress = attempt.progress;
+    if frame_status == FrameStatus::Written {
         if due > effects.now {
             effects.in_flight.check_when_due(key);
             return;
         }
-        if let AttemptProgress::Queued(connection, _) = place {
+        if let AttemptProgress::Queued(connection, _) = progress {
             effects.nodes.retire_silent(connection, sent_at);
         }
     }
-    let outcome = match progress {
-        Progress::Written => AttemptOutcome::MayHaveRun,
-        Progress::NotWrittenByThisMachine => AttemptOutcome::Unsent,
-        Progress::NotWritten => AttemptOutcome::NeverRan,
+    let outcome = match frame_status {
+        FrameStatus::Written => AttemptOutcome::MayHaveRun,
+        FrameStatus::BlockedByThisMachine => AttemptOutcome::Unsent,
+        FrameStatus::NotWritten => AttemptOutcome::NeverRan,
     };
-    effects.give_up_attempt(key, outcome, cancel_frame);
+    effects.abandon_attempt(key, outcome, cancel_frame);
 }
 
-fn progress(effects: &EffectQueue, attempt: &OutgoingAttempt) -> Progress {
+fn frame_status(effects: &EffectQueue, attempt: &OutgoingAttempt) -> FrameStatus {
     if upstream_writer::is_written(&effects.nodes, attempt) {
-        return Progress::Written;
+        return FrameStatus::Written;
     }
     let AttemptProgress::Waiting(connection) = attempt.progress else {
-        return Progress::NotWritten;
+        return FrameStatus::NotWritten;
     };
-    let dial_waits_for = effects
+    let dial_owner = effects
         .nodes
         .connection(connection)
         .map(|connection| connection.dials.get());
-    if dial_waits_for == Some(Owner::Machine) {
-        Progress::NotWrittenByThisMachine
+    if dial_owner == Some(Owner::Machine) {
+        FrameStatus::BlockedByThisMachine
     } else {
-        Progress::NotWritten
+        FrameStatus::NotWritten
     }
 }
--- a/router/src/stages/auth_filter.rs
+++ b/router/src/stages/auth_filter.rs
@@ -1,8 +1,8 @@
-//! The authorisation filter of admission: asks `ternpick_identity` about each request before the decision module sees it.
+//! The auth filter of admission: has `ternpick_identity` judge each request before it reaches the routing engine.
 //!
-//! It decides nothing itself. What a refused client is told is in `answers.rs`, the audit in `audit.rs`, what is taken in while
-//! the router runs in `updates.rs`, what requests of the first moments wait for in `first_reads.rs`, and what is told of its
-//! state in `status.rs`.
+//! The filter makes no decision itself. The answers to rejected requests are in `answers.rs`, the audit in
+//! `audit.rs`, updates of keys, revocations and settings in `updates.rs`, the wait for the first read of a source in
+//! `first_reads.rs`, and the status for operators in `status.rs`.
 
 mod answers;
 mod audit;
@@ -28,7 +28,7 @@
 use crate::state::clients::Answer;
 use crate::state::log_limit::LogLimit;
 
-/// The limits of a tenant that nobody is any more.
+/// The limits for the number of a tenant that is no longer in the settings.
 const ZERO_LIMITS: LimitTerms = LimitTerms {
     weight: 0.0,
     in_hand: 0,
@@ -37,17 +37,17 @@
     repeats: 0.0,
 };
 
-/// A source that is polled, and when.
+/// A source of keys or revocations, with its polling schedule.
 pub(crate) struct PolledSource {
-    /// The source as the settings name it.
+    /// The source as configured in the settings.
     pub(crate) source: Source,
-    /// Where it is, if it is an address.
+    /// The address of the source, if it is not a file.
     pub(crate) address: Option<SocketAddr>,
-    /// When it is polled next.
+    /// Schedules the polls of the source.
     pub(crate) refresh: RefCell<Refresh>,
-    /// The time of the next poll has changed.
+    /// Notified when the time of the next poll has changed.
     pub(crate) next_poll_changed: Event,
-    /// It has brought a document that could be used.
+    /// Whether a usable document has been read from the source.
     was_read: Cell<bool>,
 }
 
@@ -64,50 +64,52 @@
     }
 }
 
-/// A text and its age in microseconds.
+/// The age of a document in microseconds, and its text.
 pub(crate) type AgedDocument = (u64, String);
 
-/// Who may send queries, and what.
+/// Decides which callers may send which queries.
 pub(crate) struct AuthFilter {
     identity: RefCell<Identity>,
     calendar: RefCell<Calendar>,
-    /// The key service, if keys are fetched.
+    /// The source of keys, if keys are polled.
     pub(crate) key_source: Option<PolledSource>,
-    /// The revocation feed, if there is one.
+    /// The source of revocations, if one is configured.
     pub(crate) revocation_source: Option<PolledSource>,
-    /// The last set of keys as it was published, and when.
+    /// The last published set of keys, and when it was received.
     published_keys: RefCell<Option<(Micros, String)>>,
     refusals: LogLimit,
-    /// A list of revoked certificates is past the time of its next update.
+    /// Whether a list of revoked certificates is past the time of its next update.
     certificate_list_overdue: Cell<bool>,
-    /// Until when requests may wait for sources that were never read.
+    /// The instant until which requests may wait for sources that have not been read yet.
     first_reads_until: Cell<Micros>,
-    /// Notified when a source has been read for the first time, or the router stops: requests that wait look again.
+    /// Notified when a source has been read for the first time, or the router stops, so that waiting requests check
+    /// again.
     first_read: Event,
 }
 
-/// The tenants' limits in the order of their numbers; a number that no tenant has any more may have nothing.
+/// Returns the tenants' limits in the order of their numbers. Numbers without a tenant get [`ZERO_LIMITS`].
 fn tenant_limits(identity: &Identity, settings: &IdentityTerms) -> Vec<LimitTerms> {
     let mut limits = Vec::new();
     for (name, number) in identity.rights.tenants() {
-        let at = usize::from(number.0);
-        if limits.len() <= at {
-            limits.resize(at + 1, ZERO_LIMITS);
+        let position = usize::from(number.0);
+        if limits.len() <= position {
+            limits.resize(position + 1, ZERO_LIMITS);
         }
-        let of_tenant = settings
+        let tenant_terms = settings
             .limits
             .iter()
             .find(|(known, _)| **known == *name.0)
             .map(|(_, terms)| terms.clone());
-        if let Some(of_tenant) = of_tenant {
-            limits[at] = of_tenant;
+        if let Some(tenant_terms) = tenant_terms {
+            limits[position] = tenant_terms;
         }
     }
     limits
 }
 
 impl AuthFilter {
-    /// The filter of these settings, and the limits of their tenants. `seed` spreads the times at which sources are polled.
+    /// Creates the filter and the tenants' limits from the settings. `seed` varies the times at which sources are
+    /// polled.
     pub(crate) fn new(
         settings: &IdentityTerms,
         seed: u64,
@@ -130,7 +132,7 @@
         Ok((filter, limits))
     }
 
-    /// Queries a second of each tenant, for the decision module's quotas.
+    /// Returns the queries per second of each tenant, for the routing engine's quotas.
     pub(crate) fn quotas(&self, settings: &IdentityTerms) -> Vec<f64> {
         tenant_limits(&self.identity.borrow(), settings)
             .iter()
@@ -138,7 +140,7 @@
             .collect()
     }
 
-    /// The tenants' names, in the order of their quotas.
+    /// Returns the tenants' names, in the order of their quotas.
     pub(crate) fn tenant_names(&self) -> Vec<String> {
         let identity = self.identity.borrow();
         let mut tenants: Vec<(u16, String)> = identity
@@ -150,21 +152,21 @@
         tenants.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// The time for keys and tokens: Unix time, steady across small steps of the machine's clock.
+    /// Returns the time for keys and tokens: Unix time, unaffected by small steps of the machine's clock.
     pub(crate) fn now(&self, router: &Router) -> Micros {
-        let machine = SystemTime::now()
+        let machine_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let machine = Micros(u64::try_from(machine.as_micros()).unwrap_or(u64::MAX));
-        let (now, stepped) = self.calendar.borrow_mut().now(router.clock.now(), machine);
-        if let Some(step) = stepped {
+        let machine_time = Micros(u64::try_from(machine_time.as_micros()).unwrap_or(u64::MAX));
+        let (now, step) = self.calendar.borrow_mut().now(router.clock.now(), machine_time);
+        if let Some(step) = step {
             let step_ms = step / 1000;
             tracing::warn!(step_ms, "identity: the machine's clock has stepped");
         }
         now
     }
 
-    /// Judges a request; a refusal comes back as its answer.
+    /// Authorises a request. The error is the answer to a request that is rejected.
     pub(crate) fn check(
         &self,
         router: &Router,
@@ -189,7 +191,7 @@
         }
     }
 
-    /// The key service may know a key that is not known here.
+    /// Polls the source of keys early, because it may know a key that this router does not know yet.
     fn poll_keys_soon(&self, now: Micros) {
         if let Some(keys) = &self.key_source {
             if keys.refresh.borrow_mut().wanted(now) {
@@ -205,8 +207,8 @@
     }
 }
 
-/// The bearer token of a request, if it shows one (RFC 6750, section 2.1). Another scheme than Bearer is an empty token, which
-/// proves nothing.
+/// Returns the bearer token of a request, if it has an `Authorization` header (RFC 6750, section 2.1). For any scheme
+/// other than Bearer, returns an empty token, which is never valid.
 pub(crate) fn bearer_token(request: &Reader) -> Result<Option<&str>, Answer> {
     let mut values = request.headers("authorization");
     let Some(value) = values.next() else {
--- a/router/src/stages/auth_filter/answers.rs
+++ b/router/src/stages/auth_filter/answers.rs
@@ -1,4 +1,5 @@
-//! What a client is told whose request is not authorised, or exceeds its tenant's limits: why, and nothing of what exists.
+//! Answers to requests that are not authorised or exceed their tenant's limits. They give the reason, and do not
+//! reveal which indexes exist.
 
 use ternpick::types::{CustomerNo, Micros};
 use ternpick_identity::{Refusal, Refused};
@@ -8,10 +9,10 @@
 use crate::stages::completion::retry_after;
 use crate::state::clients::Answer;
 
-/// When to retry where revocations are not known well enough: the feed may be back by then.
-const UNSURE_RETRY_AFTER: Micros = Micros(1_000_000);
+/// When to retry while the known revocations are out of date: the revocation feed may be available again by then.
+const UNKNOWN_REVOCATIONS_RETRY_AFTER: Micros = Micros(1_000_000);
 
-/// The answer to a request that is refused (RFC 6750, section 3).
+/// Returns the answer to a request that is refused (RFC 6750, section 3).
 pub(super) fn refusal(refusal: &Refusal) -> Answer {
     let (status, error) = match refusal.refused {
         Refused::NoProof => (401, String::new()),
@@ -19,7 +20,7 @@
         Refused::Forbidden => (403, challenge_error("insufficient_scope", &refusal.why)),
         Refused::Unsure => {
             let (status, _, body) = text_answer(503, &refusal.why);
-            return (status, retry_after(UNSURE_RETRY_AFTER), body);
+            return (status, retry_after(UNKNOWN_REVOCATIONS_RETRY_AFTER), body);
         }
     };
     let (_, _, body) = text_answer(status, &refusal.why);
@@ -31,7 +32,7 @@
     format!(", error=\"{code}\", error_description=\"{description}\"")
 }
 
-/// Reserves a place among the tenant's queries; the error is the answer that says why there is none.
+/// Reserves a place among the tenant's queries in flight. The error is the answer with the reason of the rejection.
 pub(crate) fn reserve(
     limits: &mut Limits,
     now: Micros,
--- a/router/src/stages/auth_filter/audit.rs
+++ b/router/src/stages/auth_filter/audit.rs
@@ -1,15 +1,15 @@
-//! The audit: one record for each request that would change something guarded, allowed or not.
+//! The audit log: one record for each request that would make a protected change, whether allowed or denied.
 //!
-//! Records have the target `audit` and go out whatever the log's level (`lifecycle/logging.rs`); their fields are described in
-//! `docs/ops/identity.md`.
+//! Records have the target `audit` and are written at every log level (`lifecycle/logging.rs`).
+//! `docs/ops/identity.md` describes their fields.
 
 use ternpick_identity::{Act, Ask, Caller, Pass, Refusal};
 use ternpick_wire::http::Reader;
 
-/// The most characters of a client's request id that a record holds.
-const REQUEST_ID_BOUND: usize = 128;
+/// The maximum number of characters of a client's request id in a record.
+const MAX_REQUEST_ID_CHARS: usize = 128;
 
-/// Records a request that is allowed, if it would change something.
+/// Records an allowed request, if it would make a change.
 pub(super) fn record_allowed(pass: &Pass, request: &Reader, asked: &Ask) {
     if pass.acts.iter().any(|act| act.changes()) {
         let caller = Some(pass.caller.as_ref());
@@ -17,7 +17,7 @@
     }
 }
 
-/// Records a request that is denied, if it would change something.
+/// Records a denied request, if it would make a change.
 pub(super) fn record_denied(refusal: &Refusal, request: &Reader, asked: &Ask) {
     if refusal.acts.iter().any(|act| act.changes()) {
         let caller = refusal.caller.as_deref();
@@ -25,7 +25,7 @@
     }
 }
 
-/// What all records hold.
+/// The fields that allowed and denied requests have in common.
 struct Record<'a> {
     who: String,
     proof: String,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Writes the record; `why` is the grant, or the reason of the denial.
+    /// Writes the record. `why` is the grant that allows the request, or the reason of the denial.
     fn write(&self, allowed: bool, why: &str) {
         let Record {
             who,
@@ -66,13 +66,13 @@
     }
 }
 
-/// The client's request id without what could disturb a line of the log.
+/// Returns the client's request id without characters that could corrupt a log line.
 fn printable_request_id(request: &Reader) -> String {
     request
         .header("req-id")
         .unwrap_or_default()
         .chars()
         .filter(char::is_ascii_graphic)
-        .take(REQUEST_ID_BOUND)
+        .take(MAX_REQUEST_ID_CHARS)
         .collect()
 }
--- a/router/src/stages/auth_filter/status.rs
+++ b/router/src/stages/auth_filter/status.rs
@@ -1,10 +1,10 @@
-//! What the authorisation filter tells of itself: to the control socket, to the snapshot, and to key sources.
+//! The auth filter's state as read by the control socket, the snapshot and the polls of its sources.
 
 use crate::router::Router;
 use crate::stages::auth_filter::{AgedDocument, AuthFilter};
 
 impl AuthFilter {
-    /// Keys and revocations for another process or the next start, each with its age.
+    /// Returns the known keys and revocations with their ages, for another process or the next start.
     pub(crate) fn known_documents(&self, router: &Router) -> [Option<AgedDocument>; 2] {
         let now = self.now(router);
         let keys = self
@@ -20,7 +20,8 @@
         [keys, revocations]
     }
 
-    /// For operators: keys, the number of revocations known, how far they are trusted, tokens cached.
+    /// Returns the status for operators: key ids, the number up to which revocations are known, the trust in
+    /// them, and the count of cached tokens.
     pub(crate) fn status(&self, router: &Router) -> serde_json::Value {
         let now = self.now(router);
         let identity = self.identity.borrow();
@@ -34,7 +35,7 @@
         })
     }
 
-    /// The number up to which revocations are known.
+    /// Returns the number up to which revocations are known.
     pub(crate) fn revocations_known(&self) -> u64 {
         let identity = self.identity.borrow();
         identity
--- a/router/src/stages/auth_filter/updates.rs
+++ b/router/src/stages/auth_filter/updates.rs
@@ -1,6 +1,7 @@
-//! What the authorisation filter takes in while it runs: keys, revocations, lists of revoked certificates, new terms, and time.
+//! Updates of the running auth filter: keys, revocations, lists of revoked certificates, new settings, and the
+//! passage of time.
 //!
-//! Called by `lifecycle/`: the key sources, the snapshot, TLS and reload. Fetches nothing itself.
+//! Called by `lifecycle/`: the key sources, the snapshot, TLS and reload. This file fetches nothing itself.
 
 use rustls::pki_types::CertificateDer;
 use ternpick::types::Micros;
@@ -11,9 +12,9 @@
 use crate::stages::auth_filter::{tenant_limits, AuthFilter};
 
 impl AuthFilter {
-    /// Takes a set of keys as the key service published it at `now` (Unix time).
-    pub(crate) fn update_keys(&self, now: Micros, text: &[u8]) -> Result<(), String> {
-        let set = KeySet::parse(text).map_err(|fault| fault.to_string())?;
+    /// Applies a set of keys that the source of keys published at `now` (Unix time).
+    pub(crate) fn update_keys(&self, now: Micros, document: &[u8]) -> Result<(), String> {
+        let set = KeySet::parse(document).map_err(|fault| fault.to_string())?;
         for reason in &set.skipped {
             tracing::warn!(%reason, "identity: a published key is skipped");
         }
@@ -21,18 +22,18 @@
         let change = identity
             .told_of_keys(now, &set)
             .map_err(|fault| fault.to_string())?;
-        let published = String::from_utf8_lossy(text).into_owned();
+        let published = String::from_utf8_lossy(document).into_owned();
         self.published_keys.replace(Some((now, published)));
         log_key_change(&identity, &change);
         Ok(())
     }
 
-    /// Takes a page of revocations as it was at `then` (Unix time).
-    pub(crate) fn update_revocations(&self, then: Micros, text: &[u8]) -> Result<(), String> {
-        let page = Page::parse(text).map_err(|fault| fault.to_string())?;
+    /// Applies a page of revocations as of `updated_at` (Unix time).
+    pub(crate) fn update_revocations(&self, updated_at: Micros, document: &[u8]) -> Result<(), String> {
+        let page = Page::parse(document).map_err(|fault| fault.to_string())?;
         let mut identity = self.identity.borrow_mut();
         let new_entries = identity
-            .told_of_revocations(then, page)
+            .told_of_revocations(updated_at, page)
             .map_err(|fault| fault.to_string())?;
         if let Some(revocations) = identity.revocations.as_ref().filter(|_| new_entries > 0) {
             tracing::info!(
@@ -45,7 +46,7 @@
         Ok(())
     }
 
-    /// Takes a list of revoked certificates that one of the authorities has signed; returns how many it holds.
+    /// Applies a list of revoked certificates signed by one of the authorities; returns the number of its entries.
     pub(crate) fn update_revoked_certificates(
         &self,
         list: &[u8],
@@ -62,7 +63,7 @@
         Err(error)
     }
 
-    /// Takes new terms; those of tenants go to `limits`.
+    /// Applies new settings; updates `limits` with the tenants' limits.
     pub(crate) fn update_settings(
         &self,
         new: IdentityTerms,
@@ -74,7 +75,7 @@
         Ok(())
     }
 
-    /// Time has gone by, to `now` (Unix time): logs what has changed with it.
+    /// Advances to `now` (Unix time), and logs the keys, revocations and lists that have expired.
     pub(crate) fn advance_time(&self, now: Micros) {
         let mut identity = self.identity.borrow_mut();
         for key in identity.elapsed(now) {
--- a/router/src/stages/client_connection.rs
+++ b/router/src/stages/client_connection.rs
@@ -1,9 +1,9 @@
-//! The life of one client connection: it waits for a request, reads it, has it admitted, waits for its answer, writes that,
-//! and begins again, until the connection ends.
+//! The task of one client connection: waits for a request, reads it, has it admitted, waits for its answer, writes
+//! the answer, and repeats until the connection ends.
 //!
-//! The listener and a hot restart start one task for each connection here. The steps themselves are in `request_reader.rs`
-//! (waiting and reading), `admission.rs` (what becomes of a request), `answer_wait.rs` and `answer_writer.rs`;
-//! `graceful_close.rs` ends a connection whose client may still be reading.
+//! The listener and a hot restart start one task for each connection here. The steps themselves are in
+//! `request_reader.rs` (waiting and reading), `admission.rs`, `answer_wait.rs` and `answer_writer.rs`;
+//! `graceful_close.rs` closes a connection whose client may still be reading.
 
 use std::fmt;
 use std::net::TcpStream;
@@ -14,7 +14,7 @@
 use ternpick_wire::http::Reader;
 
 use crate::router::Router;
-use crate::stages::admission::{self, Admitted};
+use crate::stages::admission::{self, AdmissionOutcome};
 use crate::stages::client_io::ClientIo;
 use crate::stages::request_reader::ReadFailure;
 use crate::stages::stream::Stream;
@@ -26,23 +26,24 @@
 /// Why a client connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionEnd {
-    /// It goes on in another process, by a hot restart; one with TLS is closed, as its TLS state cannot go.
+    /// A hot restart passes the connection to another process. A TLS connection is closed, because its TLS state
+    /// cannot be passed.
     Migrated,
-    /// It was idle and its descriptor or memory was wanted, or the process stops.
+    /// The connection was idle, and its descriptor or memory was needed or the process stops.
     ClosedWhileIdle,
-    /// The client closed it between requests.
+    /// The client closed the connection between requests.
     ClientLeft,
-    /// The client closed it before its request was complete.
+    /// The client closed the connection before its request was complete.
     ClientLeftDuringRequest,
-    /// The client closed it before anything was begun for its request.
+    /// The client closed the connection before its request was admitted.
     ClientLeftBeforeAdmission,
-    /// The client closed it before its answer.
+    /// The client closed the connection before its query was answered.
     ClientLeftBeforeAnswer,
-    /// The answer that was written is the last one.
+    /// The last answer on the connection has been written.
     LastAnswerWritten,
     /// The answer could not be written in full.
     AnswerNotWritten,
-    /// The answer is longer than its bound.
+    /// The answer does not fit the output buffer.
     AnswerTooLong,
 }
 
@@ -58,7 +59,9 @@
             ConnectionEnd::ClientLeftBeforeAdmission => {
                 "the client left before its request was begun"
             }
-            ConnectionEnd::ClientLeftBeforeAnswer => "the client left before its answer",
+            ConnectionEnd::ClientLeftBeforeAnswer => {
+                "the client left before its answer"
+            }
             ConnectionEnd::LastAnswerWritten => "its last answer is written",
             ConnectionEnd::AnswerNotWritten => "the answer could not be written",
             ConnectionEnd::AnswerTooLong => "an answer is longer than its bound",
@@ -66,10 +69,10 @@
     }
 }
 
-/// Why a connection from another process cannot be taken over; it is closed.
+/// Why a connection from another process cannot be adopted; the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum AdoptError {
-    /// Clients hold as many descriptors as they may.
+    /// Client connections hold as many descriptors as they may.
     #[error("no descriptor is left")]
     NoDescriptor,
     /// The socket cannot be registered with the poller.
@@ -77,16 +80,17 @@
     Unusable,
 }
 
-/// One client connection. Its buffers and then its descriptor are given back, in the order of the fields, when its task ends.
+/// One client connection. When its task ends, the fields are dropped in order: first the buffers, then the
+/// descriptor's permit.
 pub(crate) struct ClientConnection {
     pub(super) router: Rc<Router>,
     pub(super) io: ClientIo,
-    /// Reads the current request, and holds its head until the next one begins.
+    /// Parses the current request, and keeps its head until the next request begins.
     pub(super) request: Reader,
-    /// When the connection was accepted, until it has brought its first byte of a request.
+    /// When the connection was accepted; `None` once the first byte of a request has arrived.
     pub(super) awaiting_first_request: Option<Micros>,
-    /// When the connection itself arrived, until its first request is awaited: that may have come with it.
-    pub(super) arrived_at: Option<Micros>,
+    /// When the connection arrived; `None` after the first check for bytes, which may have arrived with the connection.
+    pub(super) connection_arrived_at: Option<Micros>,
     /// Identifies the connection in the log.
     number: u64,
     opened_at: Micros,
@@ -94,15 +98,15 @@
     _permit: Permit,
 }
 
-/// A connection that has no task yet.
+/// A connection for which no task has been started yet.
 pub(crate) struct NewConnection {
-    /// The connection itself.
+    /// The stream of the connection.
     pub(crate) stream: Stream,
-    /// Its descriptor's.
+    /// The permit for the connection's descriptor.
     pub(crate) permit: Permit,
-    /// What has been received on it already.
+    /// The bytes that have been received already.
     pub(crate) unread: Vec<u8>,
-    /// No later than when it arrived; it may have waited to be accepted.
+    /// A lower bound of the arrival time: the connection may have waited in the backlog before it was accepted.
     pub(crate) arrived_at: Micros,
 }
 
@@ -112,8 +116,8 @@
     router.executor.spawn(task).detach();
 }
 
-/// Takes over a connection that another process has passed on, or this one had set aside at `set_aside_at`, with what its client
-/// had sent by then.
+/// Starts a task for a connection that another process has passed on, or that this process set aside for a transfer.
+/// `unread` are the bytes that the client had sent by `set_aside_at`.
 pub(crate) fn adopt(
     router: &Rc<Router>,
     socket: TcpStream,
@@ -149,7 +153,7 @@
         io,
         request: Reader::of_requests(),
         awaiting_first_request: Some(opened_at),
-        arrived_at: Some(new.arrived_at),
+        connection_arrived_at: Some(new.arrived_at),
         opened_at,
         requests: 0,
         _permit: new.permit,
@@ -180,17 +184,17 @@
         self.router.clock.now().since(self.opened_at).0 / 1000
     }
 
-    /// Whether the connection, between two requests, goes to a new process.
-    fn goes_over(&self) -> bool {
+    /// Whether the connection, which is between two requests, is to be passed to a new process.
+    fn must_migrate(&self) -> bool {
         let began_at = self.router.client_transfer.began_at();
         began_at.is_some_and(|began_at| {
             ternpick_hot_restart::goes_over(began_at, self.io.sent_ahead_since())
         })
     }
 
-    /// Reads and answers one request; an error is the connection's end.
+    /// Reads and answers one request. The error is the reason why the connection ends.
     async fn serve_request(&mut self) -> Result<(), ConnectionEnd> {
-        if self.goes_over() {
+        if self.must_migrate() {
             return Err(ConnectionEnd::Migrated);
         }
         let sent_ahead_at = self.io.take_sent_ahead();
@@ -216,16 +220,16 @@
         }
     }
 
-    /// Has a complete request admitted, and waits for its answer. Its first byte was seen at `seen_at`, and had arrived at
-    /// `began`.
+    /// Has a complete request admitted, and waits for its answer. The router saw its first byte at `seen_at`; that
+    /// byte had arrived at `request_arrived_at`.
     async fn answer_request(
         &mut self,
         seen_at: Micros,
-        began: Micros,
+        request_arrived_at: Micros,
     ) -> Result<Answer, ConnectionEnd> {
-        let wait = self.wait_for_admission(began).await;
+        let wait = self.wait_for_admission(request_arrived_at).await;
         self.requests += 1;
-        self.io.restart_sent_ahead(began);
+        self.io.restart_sent_ahead(request_arrived_at);
         tracing::debug!(
             client = self.number,
             request = self.requests,
@@ -233,24 +237,25 @@
             connection_age_ms = self.age_ms(),
             "request complete"
         );
-        // The client of a request that was sent ahead, or waited to be accepted, may have left meanwhile: nothing is begun
-        // for it. A client that asks for health alone may have shut its side of the connection and still listen.
+        // The client of a request that was sent ahead, or waited in the backlog, may have disconnected since: its
+        // query is not started. The client of a health check may have shut its sending side and still wait for the
+        // answer.
         let client_there = self.io.is_client_there();
         self.io.note_sent_ahead(seen_at);
         if !client_there && !admission::is_health(&self.request) {
             return Err(ConnectionEnd::ClientLeftBeforeAdmission);
         }
         let certificate = self.io.stream.certificate();
-        let admitted = admission::admit(&self.router, &self.request, began, certificate);
+        let admitted = admission::admit(&self.router, &self.request, request_arrived_at, certificate);
         self.io.account_memory(self.request.body().len());
         self.request.forget_body();
         match admitted {
-            Admitted::Answer(answer) => {
+            AdmissionOutcome::Answer(answer) => {
                 let request_id = query_request::request_id(&self.request).unwrap_or("-");
                 wait.log_rejection(&self.router, request_id, &answer);
                 Ok(answer)
             }
-            Admitted::InFlight(query, reply) => match self.wait_for_answer(&reply).await {
+            AdmissionOutcome::InFlight(query, reply) => match self.wait_for_answer(&reply).await {
                 Some(answer) => Ok(answer),
                 None => {
                     dispatch::client_left(&self.router, query);
@@ -260,18 +265,19 @@
         }
     }
 
-    /// Ends the connection: passed on to the new process, closed at once where the client is gone, else gracefully.
+    /// Ends the connection: passes it to the new process, closes it at once if the client is gone, or closes it
+    /// gracefully.
     async fn finish(mut self, end: ConnectionEnd) {
         if end == ConnectionEnd::Migrated && self.io.stream.can_be_passed() {
             self.pass_to_new_process();
         } else if self.io.is_client_gone() {
-            self.io.stream.finish();
+            self.io.stream.shut_down_write();
         } else {
             graceful_close::close(&self.router, &mut self.io).await;
         }
     }
 
-    /// The connection goes on in the new process, with what has been read of its next request.
+    /// Queues the connection for transfer to the new process, with the bytes read of its next request.
     fn pass_to_new_process(self) {
         let unread = self.io.input.to_vec();
         let Stream::Plain(socket) = self.io.stream else {
--- a/router/src/stages/client_io.rs
+++ b/router/src/stages/client_io.rs
@@ -1,7 +1,8 @@
-//! The bytes of one client connection: its stream, its two buffers, the memory that they take up, and whether the client is
-//! still there.
+//! The I/O of one client connection: its stream, its two buffers, the memory that they take up, and whether the
+//! client is still connected.
 //!
-//! Used by the stages that read a request, wait for its answer and write it. Knows nothing of requests.
+//! Used by the stages that read a request, wait for its answer and write the answer. Independent of the format of
+//! requests.
 
 use std::io::{ErrorKind, Result as IoResult};
 use std::time::Instant;
@@ -14,48 +15,50 @@
 use crate::state::budget::Share;
 use crate::state::wake_time::WakeTime;
 
-/// Clients send one request at a time; a complete further one may wait behind it.
+/// The bound of the input buffer, in bytes. Clients send one request at a time; one further complete request may be
+/// sent ahead.
 const INPUT_BOUND: usize = HEAD_BOUND + BODY_BOUND;
-/// The longest answer: as long a body as the protocol allows, and its head.
+/// The bound of the output buffer, in bytes: the longest body that the protocol allows, and its head.
 const OUTPUT_BOUND: usize = BODY_BOUND + HEAD_BOUND;
-/// Reads in a row before other tasks get their turn.
+/// The maximum number of consecutive reads before other tasks run.
 const READS_IN_A_ROW: usize = 64;
 
 /// The client has closed the connection, or the connection has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClientGone;
 
-/// What a read that does not wait has found.
+/// The result of a non-blocking read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Received {
-    /// Bytes, or the input buffer was full already.
+    /// Bytes were read, or the input buffer was full already.
     Bytes,
-    /// Nothing just now.
+    /// No bytes are available now.
     Nothing,
 }
 
 /// A client's stream with its buffers.
 pub(crate) struct ClientIo {
-    /// The connection itself.
+    /// The stream of the connection.
     pub(crate) stream: Stream,
-    /// Bytes received that no request has taken yet.
+    /// Bytes received that have not been parsed as a request yet.
     pub(crate) input: Ring,
-    /// Bytes of answers that the stream has not taken yet.
+    /// Bytes of answers that have not been written to the stream yet.
     pub(crate) output: Ring,
     memory: Share,
     readable_since: WakeTime,
-    /// Since when the first of the bytes that were sent ahead wait: a client's deadline counts from when it sent them. A
-    /// request behind a slow one was otherwise passed on with its full deadline.
+    /// When the first of the bytes sent ahead arrived, from which the deadline of their request counts. Without it, a
+    /// request that waited behind a slow one was passed on with its full deadline.
     sent_ahead_at: Option<Micros>,
-    /// The client has sent more ahead than may wait: that is read and discarded, and the connection ends with the next
-    /// answer.
-    overran: bool,
-    /// The client has closed the connection, or takes nothing more: there is nobody to read on for.
+    /// Whether bytes that the client sent ahead were discarded, because they exceeded the buffer or memory was short.
+    /// The connection then ends with the next answer.
+    sent_ahead_discarded: bool,
+    /// Whether the client has closed the connection or accepts no more bytes, so that further reads have no purpose.
     client_gone: bool,
 }
 
 impl ClientIo {
-    /// A connection on which `unread` has been received already; none if that is more than the input buffer may hold.
+    /// Creates the I/O state of a connection on which `unread` was received already; returns `None` if `unread`
+    /// exceeds the input buffer.
     pub(crate) fn new(stream: Stream, memory: Share, unread: &[u8]) -> Option<Self> {
         let mut input = Ring::new(INPUT_BOUND);
         if !input.push(unread) {
@@ -68,34 +71,34 @@
             memory,
             readable_since: WakeTime::default(),
             sent_ahead_at: None,
-            overran: false,
+            sent_ahead_discarded: false,
             client_gone: false,
         };
         io.account_memory(0);
         Some(io)
     }
 
-    /// Reports to the memory budget what is held: the buffers, `request_bytes` of a request, and what the stream takes up.
-    /// Returns the bytes without the stream's.
+    /// Reports the memory in use to the budget: the buffers, `request_bytes` of a request, and the stream. Returns
+    /// the bytes without those of the stream.
     pub(crate) fn account_memory(&mut self, request_bytes: usize) -> usize {
         let held = self.input.size() + self.output.size() + request_bytes;
         self.memory.set(held + self.stream.size());
         held
     }
 
-    /// Waits until there may be bytes to read; notes when they arrived.
+    /// Waits until there may be bytes to read, and records when they arrived.
     pub(crate) async fn readable(&mut self) -> IoResult<()> {
         let readable = self.readable_since.watch(self.stream.readable()).await;
         readable.unwrap_or(Ok(()))
     }
 
-    /// When the bytes arrived that the last wait for them has found; none if they were there already, or none are. Asked once
-    /// for each wait.
+    /// Takes the time at which the bytes found by the last wait arrived; `None` if they had arrived before the wait,
+    /// or there are none. Called once for each wait.
     pub(crate) fn take_readable_since(&self) -> Option<Instant> {
         self.readable_since.take()
     }
 
-    /// Takes in bytes that have arrived, without waiting.
+    /// Reads bytes that have arrived into the input buffer, without waiting.
     pub(crate) fn receive(&mut self) -> Result<Received, ClientGone> {
         let free = self.input.free();
         if free.is_empty() {
@@ -120,7 +123,8 @@
         }
     }
 
-    /// Whether the client is still there, as far as the bytes that it has sent tell; they are read, and wait.
+    /// Whether the client is still connected, as far as a bounded number of reads shows. Bytes read stay in the input
+    /// buffer, or are discarded if it is full.
     pub(crate) fn is_client_there(&mut self) -> bool {
         for _ in 0..READS_IN_A_ROW {
             self.discard_if_full();
@@ -133,7 +137,7 @@
         true
     }
 
-    /// Takes in what the client sends ahead while its answer is awaited, up to the bound of the input buffer.
+    /// Reads bytes that the client sends ahead while its query is in flight, up to the bound of the input buffer.
     pub(crate) fn receive_ahead(&mut self) -> Result<(), ClientGone> {
         self.discard_if_full();
         for _ in 0..READS_IN_A_ROW {
@@ -145,54 +149,54 @@
         Ok(())
     }
 
-    /// Notes that bytes wait in the input buffer since `at`, if any do and none were noted before.
+    /// Records `at` as the arrival of the bytes in the input buffer, if there are any and no arrival is recorded.
     pub(crate) fn note_sent_ahead(&mut self, at: Micros) {
         if !self.input.is_empty() {
             self.sent_ahead_at = self.sent_ahead_at.or(Some(at));
         }
     }
 
-    /// Notes, in place of what was noted before, that the bytes behind a request wait since `at`, if there are any.
+    /// Replaces the recorded arrival: the bytes after a request arrived at `at`, if there are any.
     pub(crate) fn restart_sent_ahead(&mut self, at: Micros) {
         self.sent_ahead_at = None;
         self.note_sent_ahead(at);
     }
 
-    /// Since when the bytes that wait in the input buffer have been there; asked once for each request.
+    /// Takes the recorded arrival of the bytes in the input buffer; called once for each request.
     pub(crate) fn take_sent_ahead(&mut self) -> Option<Micros> {
         let at = self.sent_ahead_since();
         self.sent_ahead_at = None;
         at
     }
 
-    /// Since when the bytes that wait in the input buffer have been there, if any do.
+    /// Returns the recorded arrival of the bytes in the input buffer, if there are any.
     pub(crate) fn sent_ahead_since(&self) -> Option<Micros> {
         self.sent_ahead_at.filter(|_| !self.input.is_empty())
     }
 
     fn discard_if_full(&mut self) {
         if self.input.room() == 0 {
-            self.overrun();
+            self.discard_sent_ahead();
         }
     }
 
-    /// Discards what the client has sent ahead: it is more than may wait, or there is no memory for it.
-    pub(crate) fn overrun(&mut self) {
-        self.overran = true;
+    /// Discards the bytes that the client has sent ahead, because they exceed the buffer or memory is short.
+    pub(crate) fn discard_sent_ahead(&mut self) {
+        self.sent_ahead_discarded = true;
         self.discard_input();
     }
 
-    /// Discards all bytes received.
+    /// Discards all bytes in the input buffer.
     pub(crate) fn discard_input(&mut self) {
         self.input.consume(usize::MAX);
     }
 
     /// Whether bytes that the client sent ahead have been discarded.
-    pub(crate) fn has_overrun(&self) -> bool {
-        self.overran
+    pub(crate) fn has_discarded_sent_ahead(&self) -> bool {
+        self.sent_ahead_discarded
     }
 
-    /// The client is known to be gone.
+    /// Records that the client is gone.
     pub(crate) fn mark_client_gone(&mut self) {
         self.client_gone = true;
     }
@@ -202,7 +206,7 @@
         self.client_gone
     }
 
-    /// Writes the whole output buffer, and waits for it; false if the client does not take it.
+    /// Writes the whole output buffer, waiting as needed; returns false if the client does not accept it.
     pub(crate) async fn write_output(&mut self) -> bool {
         while !self.output.is_empty() {
             match self.stream.write(self.output.filled()) {
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -1,9 +1,9 @@
-//! Completion: carries out what the decision module wants done with queries and attempts, and closes them.
+//! Completion: carries out the routing engine's actions on queries and attempts, and closes queries.
 //!
-//! [`EffectQueue`] implements the module's [`Actions`]. Attempts and health checks are queued here until
-//! `upstream_writer.rs` sends them at the end of the turn; answers go to the client's [`PendingResponse`](crate::state::clients::Reply)
-//! at once. A query's record, its shard requests and its reply are released in [`EffectQueue::close`], an attempt's record in
-//! [`InFlightTable::finish`].
+//! [`EffectQueue`] implements the engine's [`Actions`]. Attempts and health checks are queued here until
+//! `upstream_writer.rs` sends them at the end of the turn; answers go to the client's
+//! [`PendingResponse`](crate::state::clients::PendingResponse) at once. [`EffectQueue::close`] releases a query's
+//! record, its shard requests and its pending response; [`InFlightTable::finish`] releases an attempt's record.
 
 mod counts;
 #[cfg(test)]
@@ -28,59 +28,61 @@
 use crate::state::in_flight::{AttemptKey, AttemptProgress, InFlightTable, OutgoingAttempt};
 use crate::state::nodes::{ConnectionId, Nodes};
 
-/// The end of an attempt that the decision module has yet to be told.
+/// An attempt that has ended, and whose outcome has not been passed to the routing engine yet.
 pub(crate) struct FinishedAttempt {
     /// Its shard request and number.
     pub(crate) key: AttemptKey,
-    /// Its record, which is out of the in-flight table.
+    /// Its record, which has been removed from the in-flight table.
     pub(crate) attempt: OutgoingAttempt,
     /// How it ended.
     pub(crate) outcome: AttemptOutcome,
 }
 
-/// Whether the node is told that an attempt is given up.
+/// Whether the router sends the node a cancel frame for an abandoned attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CancelFrame {
-    /// It is sent a cancel frame, if it may have the attempt.
+    /// The node gets a cancel frame, if it may have received the attempt.
     Send,
-    /// It is left to finish.
+    /// The node may finish the attempt.
     Omit,
 }
 
-/// What the decision module acts on: the queries and attempts in flight, the nodes, and the effects that are yet to be
-/// carried out.
+/// The state on which the routing engine's actions operate: the queries and attempts in flight, the nodes, and the
+/// effects that are not carried out yet.
 #[derive(Default)]
 pub(crate) struct EffectQueue {
     /// The time of the current input, on the router's clock.
     pub(crate) now: Micros,
-    /// Limits of the platform's configuration.
+    /// Limits of the platform configuration.
     pub(crate) bounds: Rc<Bounds>,
     /// Queries, shard requests and attempts in flight.
     pub(crate) in_flight: InFlightTable,
     /// Nodes and the connections to them.
     pub(crate) nodes: Nodes,
-    /// How many queries there were, and how they ended.
+    /// Counts of queries by outcome.
     pub(crate) counts: Counts,
-    /// Attempts wanted since the last turn, in order; emptied by `upstream_writer.rs`.
+    /// Attempts requested by the engine since the last turn, in order; emptied by `upstream_writer.rs`.
     pub(crate) ordered_attempts: Vec<AttemptKey>,
-    /// Nodes to be asked for a load report; emptied by `upstream_writer.rs`.
+    /// Nodes to be sent a health check, which requests a load report; emptied by `upstream_writer.rs`.
     pub(crate) health_checks: Vec<NodeId>,
     /// Attempts that have ended; emptied by the next turn of `dispatch.rs`.
     pub(crate) finished_attempts: VecDeque<FinishedAttempt>,
-    /// Timers of the decision module.
+    /// Timers of the routing engine, by the time at which they fire.
     pub(crate) timers: BTreeSet<(Micros, TimerId)>,
-    /// The decision module wants a new watch of the endpoint list.
+    /// Whether the routing engine has requested a new watch of the endpoint list.
     pub(crate) watch_wanted: bool,
-    /// The most that this process may have in flight while two processes share a router's limit; none: as the settings say.
+    /// The limit on queries and shard requests in flight while two processes share a router's limit; `None` if only
+    /// the limit of the settings applies.
     pub(crate) shared_limit: Option<usize>,
-    /// What tenants have in flight; none where they are not told apart.
+    /// The tenants' limits and their queries in flight; `None` without an auth filter.
     pub(crate) limits: Option<Limits>,
-    /// The last query found no capacity.
+    /// Whether the last query found the router at capacity.
     pub(crate) at_capacity: bool,
 }
 
 impl EffectQueue {
-    /// Whether as many queries and shard requests are in flight as may be; the query that asks is then rejected, and counted.
+    /// Whether the queries and shard requests in flight have reached their limit. If so, counts the calling query as
+    /// rejected.
     pub(crate) fn is_full(&mut self) -> bool {
         let in_flight = self.in_flight.load();
         let limit = self
@@ -103,17 +105,18 @@
         at_capacity
     }
 
-    /// A node has sent what cannot be used: its connection ends, and the attempt has failed that the bytes name, if they do.
+    /// Abandons a connection on which the node has sent unusable data. The attempt that `attempt_id` names, if any,
+    /// has failed.
     pub(super) fn abandon_connection(
         &mut self,
         id: ConnectionId,
         error: UnusableInput,
-        named: Option<&str>,
+        attempt_id: Option<&str>,
     ) {
         let Some(connection) = self.nodes.connection_mut(id) else {
             return;
         };
-        connection.spoil(named);
+        connection.spoil(attempt_id);
         let node = connection.node.0;
         if let Some(count) = self.counts.unusable_inputs.count(self.now) {
             tracing::warn!(
@@ -125,8 +128,8 @@
         }
     }
 
-    /// Ends an attempt: the one way in which it leaves the in-flight table without an answer. The decision module is told in
-    /// the next turn.
+    /// Ends an attempt that has no answer, and removes it from the in-flight table. This is the only place that does
+    /// so. The routing engine receives the outcome in the next turn.
     pub(crate) fn end_attempt(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         let Some(attempt) = self.in_flight.finish(key) else {
             return;
@@ -145,7 +148,7 @@
         });
     }
 
-    /// Takes an attempt out of the frames that wait for a connection.
+    /// Removes an attempt from the frames that wait for a connection.
     fn remove_waiting(&mut self, id: ConnectionId, key: AttemptKey) {
         let Some(connection) = self.nodes.connection_mut(id) else {
             return;
@@ -156,8 +159,8 @@
         connection.waiting.retain(|frame| !frame.is_empty());
     }
 
-    /// Gives an attempt up: at the node too, if it may have received it.
-    pub(crate) fn give_up_attempt(
+    /// Abandons an attempt, and cancels it at the node if `cancel_frame` asks for it and the node may have received it.
+    pub(crate) fn abandon_attempt(
         &mut self,
         key: AttemptKey,
         outcome: AttemptOutcome,
@@ -171,7 +174,7 @@
             if written && cancel_frame == CancelFrame::Send {
                 let frame = frames::cancel(&attempt.id);
                 if let Some(connection) = self.nodes.connection_mut(id) {
-                    // A buffer too full for it: the node is not reading, and drops the shard request when its time is up.
+                    // If the buffer has no room, the node is not reading; it drops the shard request at its deadline.
                     let _ = connection.push(&frame, self.now);
                 }
             }
@@ -179,7 +182,7 @@
         self.end_attempt(key, outcome);
     }
 
-    /// The one place where a query is closed. Nothing of it is sent from here on.
+    /// Closes a query. This is the only place that does so; no attempt of the query is sent afterwards.
     fn close(&mut self, id: QueryId, status: u16, headers: String, body: String) {
         let Some(query) = self.in_flight.close(id) else {
             return;
@@ -194,14 +197,14 @@
             limits.release(self.now, tenant, took, late);
         }
         for shard_request in &query.shard_requests {
-            self.end_unsent(shard_request.id);
+            self.end_unwritten_attempts(shard_request.id);
         }
         let mark = query.admitted.mark.map(Mark::headers).unwrap_or_default();
         query.reply.set(status, headers + &mark, body);
     }
 
-    /// Ends the attempts of a shard request whose frames are not written in full.
-    fn end_unsent(&mut self, shard_request: ShardRequestId) {
+    /// Ends the attempts of a shard request whose frames have not been written in full.
+    fn end_unwritten_attempts(&mut self, shard_request: ShardRequestId) {
         let unsent: Vec<AttemptKey> = self
             .in_flight
             .attempts_of(shard_request)
@@ -213,7 +216,7 @@
         }
     }
 
-    /// The client of a query has left: no answer is due.
+    /// Closes a query whose client has disconnected, so that no answer is needed.
     pub(crate) fn client_left(&mut self, id: QueryId) {
         self.counts.client_left += 1;
         self.close(id, 503, String::new(), String::new());
@@ -239,7 +242,7 @@
         let values = record
             .shard_requests
             .iter()
-            .filter_map(|part| Some((part.shard, part.value.as_deref()?)));
+            .filter_map(|request| Some((request.shard, request.value.as_deref()?)));
         let body = query::answer(complete, values);
         self.counts.satisfied += 1;
         self.close(id, 200, String::new(), body);
@@ -258,7 +261,7 @@
     }
 
     fn cancel_attempt(&mut self, shard_request: ShardRequestId, attempt: AttemptNo) {
-        self.give_up_attempt(
+        self.abandon_attempt(
             (shard_request, attempt),
             AttemptOutcome::Cancelled,
             CancelFrame::Send,
@@ -295,7 +298,7 @@
     }
 }
 
-/// The `Retry-After` header line, where a time is advised (RFC 9110, with a fraction of a second).
+/// Returns the `Retry-After` header line (RFC 9110, with a fraction of a second), or an empty text if `delay` is zero.
 pub(crate) fn retry_after(delay: Micros) -> String {
     if delay.0 == 0 {
         return String::new();
--- a/router/src/stages/completion/counts.rs
+++ b/router/src/stages/completion/counts.rs
@@ -1,4 +1,4 @@
-//! How many queries were admitted and how they ended, as the control socket and the stop report them.
+//! Counts of queries by outcome, as reported on the control socket and at the stop of the process.
 
 use crate::state::log_limit::LogLimit;
 
@@ -9,18 +9,18 @@
     pub(crate) admitted: u64,
     /// Queries answered.
     pub(crate) satisfied: u64,
-    /// Queries rejected by the decision module: a retry is harmless.
+    /// Queries rejected by the routing engine, which may safely be retried.
     pub(crate) rejected: u64,
-    /// Queries that failed, with no promise about their effect.
+    /// Queries that failed and may have taken effect.
     pub(crate) failed: u64,
-    /// Queries whose client left before the answer.
+    /// Queries whose client disconnected before the answer.
     pub(crate) client_left: u64,
     /// Queries answered after their latency objective.
     pub(crate) late: u64,
-    /// Queries rejected beyond the most that may be in flight, before the decision module saw them.
+    /// Queries rejected at the limit on what may be in flight, before they reached the routing engine.
     pub(crate) over_capacity: u64,
-    /// Attempts sent to nodes.
+    /// Attempts requested by the routing engine.
     pub(crate) attempts: u64,
-    /// Connections to nodes that were ended over what the node had sent.
+    /// Connections to nodes that were closed because the node sent unusable data.
     pub(super) unusable_inputs: LogLimit,
 }
--- a/router/src/stages/completion/tests.rs
+++ b/router/src/stages/completion/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what the effects do with queries and attempts in flight.
+//! Tests of how the effect queue changes queries and attempts in flight.
 
 use ternpick::types::{EndpointState, ShardNo};
 use test_case::test_case;
@@ -30,7 +30,7 @@
 }
 
 impl Fixture {
-    /// The attempt has come as far as `progress` on the connection.
+    /// Creates a query whose first attempt has reached `progress`.
     fn new(progress: Progress) -> Self {
         let bounds = Bounds {
             dial_timeout: Some(Micros(250 * MS)),
@@ -136,7 +136,7 @@
         .map(|finished| finished.outcome)
         .collect();
     assert_eq!(outcomes, [AttemptOutcome::Cancelled]);
-    // A frame that is not to be finished ends its connection.
+    // A frame of an ended attempt must not be written further, so its connection is abandoned.
     assert_eq!(
         fixture.connection().abandoned,
         matches!(progress, Progress::InBuffer | Progress::HalfWritten)
@@ -146,8 +146,8 @@
 #[test_case(Progress::Ordered, true; "ordered")]
 #[test_case(Progress::WaitingForConnection, true; "waiting")]
 #[test_case(Progress::HalfWritten, true; "half written")]
-#[test_case(Progress::Written, false; "written: it returns in its own time")]
-fn nothing_is_sent_after_the_final_answer(progress: Progress, taken_off: bool) {
+#[test_case(Progress::Written, false; "written: it stays in flight until it ends")]
+fn a_rejection_ends_the_attempts_that_are_not_written(progress: Progress, is_ended: bool) {
     let mut fixture = Fixture::new(progress);
     fixture.effects.reject(fixture.query, Micros(1500 * MS));
     let answer = fixture.reply.answer.borrow().clone().expect("an answer");
@@ -157,8 +157,8 @@
     );
     assert_eq!(fixture.effects.in_flight.load(), 0);
     assert!(!fixture.effects.in_flight.knows("r"));
-    assert_eq!(fixture.nothing_is_in_flight(), taken_off);
-    // A second decision on a query that is closed changes nothing.
+    assert_eq!(fixture.nothing_is_in_flight(), is_ended);
+    // A second decision on a closed query changes nothing.
     fixture.effects.fail(fixture.query);
     assert_eq!(
         fixture
@@ -173,13 +173,13 @@
 
 #[test_case(Progress::InBuffer, false; "not written")]
 #[test_case(Progress::Written, true; "written")]
-fn a_cancelled_attempt_is_named_to_a_node_that_has_it(progress: Progress, named: bool) {
+fn sends_a_cancel_frame_only_for_a_written_attempt(progress: Progress, is_written: bool) {
     let mut fixture = Fixture::new(progress);
     let (shard_request, number) = fixture.attempt;
     fixture.effects.cancel_attempt(shard_request, number);
     assert_eq!(
         fixture.connection().out.filled(),
-        if named {
+        if is_written {
             frames::cancel("r.0")
         } else {
             Vec::new()
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn an_answer_holds_the_first_value_of_each_shard_request_that_is_answered() {
+fn an_answer_holds_the_first_value_of_each_answered_shard_request() {
     let mut fixture = Fixture::new(Progress::Written);
     let attempt = fixture
         .effects
@@ -200,7 +200,7 @@
     assert_eq!(
         fixture.effects.in_flight.load(),
         2,
-        "the query, and the shard request that is not answered"
+        "the query and the unanswered shard request"
     );
     fixture.effects.answer(fixture.query, false);
     let body = fixture
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn an_attempt_is_looked_at_after_a_dial_and_when_its_time_is_up() {
+fn an_attempt_is_checked_after_the_dial_timeout_and_at_its_deadline() {
     let mut fixture = Fixture::new(Progress::Written);
     let in_flight = &mut fixture.effects.in_flight;
     assert_eq!(in_flight.next_check(), Some(Micros(250 * MS)));
--- a/router/src/stages/dispatch.rs
+++ b/router/src/stages/dispatch.rs
@@ -1,8 +1,8 @@
-//! Dispatch: gives the decision module its inputs one after another, and after each turn has its effects carried out.
+//! Dispatch: passes inputs to the routing engine one after another, and has the effects of each turn carried out.
 //!
-//! Inputs are new queries (from admission), clients that leave, attempts that end, and timers. [`run_turns`] is the loop that
-//! `lifecycle/start.rs` runs; the effects of a turn are carried out by `upstream_writer.rs`. What the deadline of an attempt
-//! means for it is in `attempt_deadline.rs`.
+//! Inputs are new queries (from admission), disconnected clients, ended attempts, and timers. `lifecycle/start.rs`
+//! runs the loop [`run_turns`]; `upstream_writer.rs` carries out the effects of a turn, and `attempt_deadline.rs`
+//! handles the deadlines of attempts.
 
 use std::rc::Rc;
 
@@ -20,36 +20,36 @@
 pub(super) struct NewQuery {
     /// Its id in the table.
     pub(super) id: QueryId,
-    /// The index that it asks.
+    /// The index that it queries.
     pub(super) index: IndexNo,
-    /// On whose account it is.
+    /// The tenant that it is charged to.
     pub(super) tenant: CustomerNo,
-    /// What is left until its client's deadline.
+    /// The time left until its client's deadline.
     pub(super) time_left: Micros,
-    /// The client has sent it before.
+    /// Whether the client has marked it as a retry.
     pub(super) is_retry: bool,
-    /// Its requests to shards.
+    /// Its shard requests.
     pub(super) shard_requests: Vec<NewShardRequest>,
 }
 
-/// One shard's request of a new query.
+/// One shard request of a new query.
 pub(super) struct NewShardRequest {
     /// Its id in the table.
     pub(super) id: ShardRequestId,
-    /// What the client says of the shard.
+    /// The shard, weight and work hint that the client has sent.
     pub(super) fields: ShardFields,
 }
 
-/// Gives the decision module a query and all its shard requests.
+/// Passes a query and all its shard requests to the routing engine.
 pub(super) fn start_query(router: &Router, query: NewQuery) {
     let number = WireQueryNo(query.id.0);
-    let count = query.shard_requests.len();
+    let shard_request_count = query.shard_requests.len();
     router.apply(|engine, now, effects| {
         effects.counts.admitted += 1;
         if let Some(record) = effects.in_flight.query(query.id) {
             let time_left_us = query.time_left.0;
             record.admitted.span.in_scope(|| {
-                tracing::debug!(shard_requests = count, time_left_us, "query dispatched")
+                tracing::debug!(shard_requests = shard_request_count, time_left_us, "query dispatched")
             });
         }
         engine.query_received(
@@ -58,7 +58,7 @@
             number,
             query.index,
             query.tenant,
-            count,
+            shard_request_count,
             query.time_left,
             query.is_retry,
             effects,
@@ -77,7 +77,7 @@
     });
 }
 
-/// The client of a query has left before its answer.
+/// Closes a query whose client has disconnected, and informs the routing engine.
 pub(super) fn client_left(router: &Router, query: QueryId) {
     router.apply(|engine, now, effects| {
         if effects.in_flight.query(query).is_some() {
@@ -87,7 +87,7 @@
     });
 }
 
-/// Tells the decision module of an attempt's end, with the load report that came with it.
+/// Passes the outcome of an attempt to the routing engine, with the load report received with it.
 pub(super) fn attempt_finished(router: &Router, finished: FinishedAttempt, load_report: &[f64]) {
     let (shard_request, number) = finished.key;
     let attempt = finished.attempt;
@@ -105,12 +105,12 @@
     });
 }
 
-/// Applies what is due by time, and the ends of attempts that the last turn has found, until nothing of either is left.
+/// Applies ended attempts, attempt checks and timers until none is due.
 fn apply_due(router: &Router) {
     while apply_next_due(router) {}
 }
 
-/// Applies the next input that is due; false if there is none.
+/// Applies the next due input; returns false if there is none.
 fn apply_next_due(router: &Router) -> bool {
     let now = router.clock.now();
     let mut decisions = router.decisions.borrow_mut();
@@ -150,8 +150,9 @@
         .min()
 }
 
-/// The turns of a router, for as long as it runs: wakes on inputs and on time, lets all inputs that are ready be applied first,
-/// then has all effects carried out together, so that shard requests for one node share a frame.
+/// Runs the turns of a router for as long as it runs. A turn starts when an input is applied or a timer is due. It
+/// first lets all ready inputs be applied, then carries out all effects together, so that shard requests for one node
+/// share a frame.
 pub(crate) async fn run_turns(router: Rc<Router>) {
     loop {
         let input_applied = router.input_applied.listen();
--- a/router/src/stages/graceful_close.rs
+++ b/router/src/stages/graceful_close.rs
@@ -1,4 +1,4 @@
-//! Closes a client connection so that an answer on its way still arrives.
+//! Closes a client connection in such a way that an answer in transit still arrives.
 
 use std::time::Duration;
 
@@ -11,31 +11,31 @@
 use crate::state::clients::ClientState;
 use ternpick::types::Micros;
 
-/// How many bytes are read at most behind the last answer.
-const DRAIN_BYTES: usize = 4 * BODY_BOUND;
-/// How long is read at most behind the last answer.
+/// The maximum number of bytes read after the last answer.
+const MAX_DRAIN_BYTES: usize = 4 * BODY_BOUND;
+/// The maximum time spent reading after the last answer.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Shuts the sending side, reads what still arrives up to its end, and discards it.
+/// Shuts down the sending side, then reads and discards bytes until the end of the stream.
 ///
-/// Closed over bytes that were not read, a connection is reset, and an answer on its way is lost with it. Nothing that is read
-/// here is begun: a client that sees the end before an answer asks again elsewhere. The connection gives its descriptor up
-/// earlier when one is wanted.
+/// Closing a socket with unread bytes resets the connection, and an answer in transit is lost. No request that is
+/// read here is started: a client that sees the end of the stream before an answer retries elsewhere. The connection
+/// is closed earlier if its descriptor is needed.
 pub(super) async fn close(router: &Router, io: &mut ClientIo) {
-    let place = router.clients.register(Micros(0), ClientState::Closing);
-    let close_wanted = place.close_requested.listen();
-    io.stream.finish();
+    let registration = router.clients.register(Micros(0), ClientState::Closing);
+    let close_requested = registration.close_requested.listen();
+    io.stream.shut_down_write();
     io.discard_input();
     io.account_memory(0);
     let timeout = async {
         Timer::after(DRAIN_TIMEOUT).await;
     };
-    future::or(future::or(drain(io), timeout), close_wanted).await;
+    future::or(future::or(drain(io), timeout), close_requested).await;
 }
 
-/// Reads and discards until the client's end, or as many bytes as are read at most.
+/// Reads and discards until the end of the stream, or up to [`MAX_DRAIN_BYTES`].
 async fn drain(io: &mut ClientIo) {
-    let mut bytes_left = DRAIN_BYTES;
+    let mut bytes_left = MAX_DRAIN_BYTES;
     while let Ok(received) = io.receive() {
         bytes_left = bytes_left.saturating_sub(io.input.filled().len());
         io.discard_input();
--- a/router/src/stages/listener.rs
+++ b/router/src/stages/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of clients: the accept loop, its failures, and what happens to the backlog when the listener closes.
+//! Accepts client connections: the accept loop, the handling of its failures, and the backlog of a closing listener.
 //!
 //! Started once for each listening socket by `lifecycle/start.rs`. Each accepted connection becomes a task in
 //! `client_connection.rs`; this file reads nothing from it.
@@ -23,10 +23,10 @@
 
 pub(crate) use crate::stages::client_connection::adopt;
 
-/// How long a connection that is asked to close may take to free its descriptor before another one is asked.
+/// How long a connection that is asked to close may take to free its descriptor before another connection is asked.
 const CLOSE_ANOTHER_AFTER: Duration = Duration::from_millis(5);
 
-/// Accepts connections until the router closes the listener, and then those that still wait in the backlog.
+/// Accepts connections until the router closes the listener, then accepts those that still wait in the backlog.
 pub(crate) async fn accept(
     router: Rc<Router>,
     listener: Rc<Async<TcpListener>>,
@@ -34,7 +34,7 @@
 ) {
     let closing = router.listener.closing();
     let mut acceptor = Acceptor {
-        waiting_since: router.clock.now(),
+        backlog_arrived_since: router.clock.now(),
         router,
         listener,
         tls,
@@ -46,26 +46,26 @@
     acceptor.shut_down();
 }
 
-/// One listening socket, and how accepting on it goes.
+/// The accept loop of one listening socket.
 struct Acceptor {
     router: Rc<Router>,
     listener: Rc<Async<TcpListener>>,
     tls: Option<Rc<Tls>>,
     failures: AcceptFailures,
-    /// Notes when the first connection arrived in an empty backlog.
+    /// Records when the first connection arrived in an empty backlog.
     connection_arrived: WakeTime,
-    /// What is in the backlog has arrived since then.
-    waiting_since: Micros,
+    /// A lower bound of the arrival time of the connections in the backlog.
+    backlog_arrived_since: Micros,
 }
 
 impl Acceptor {
-    /// Accepts whenever this process is the one that accepts; ends only by being dropped.
+    /// Accepts connections while this process is the accepting one; never returns.
     async fn accept_connections(&mut self) {
         loop {
             let changed = self.router.listener.accepting_changed();
             if !self.router.listener.is_accepting() {
                 changed.await;
-                self.waiting_since = self.router.clock.now();
+                self.backlog_arrived_since = self.router.clock.now();
                 continue;
             }
             let permit = self.wait_for_permit().await;
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The next connection; none if there may be one, and once this process may have ceased to accept: what waits in the
-    /// listener is the other process's from then on.
+    /// Returns the next connection. Returns `None` after a wake-up without a ready result, and when this process may
+    /// have stopped accepting, because the connections in the backlog then belong to the other process.
     async fn accept_unless(
         &mut self,
         changed: EventListener,
@@ -94,27 +94,28 @@
         event
     }
 
-    /// A wait for a connection has ended: what is accepted up to the next wait has arrived since it was woken.
+    /// Records when the last wait for a connection was woken: connections accepted until the next wait arrived after
+    /// that.
     fn note_arrival(&mut self) {
         if let Some(instant) = self.connection_arrived.take() {
-            self.waiting_since = self.router.clock.time_of(instant);
+            self.backlog_arrived_since = self.router.clock.time_of(instant);
         }
     }
 
-    /// A descriptor for the next connection.
+    /// Waits for a permit for the descriptor of the next connection.
     async fn wait_for_permit(&mut self) -> Permit {
         if let Some(permit) = self.router.descriptors.take(Peer::Client) {
             return permit;
         }
-        let permit = wait_for_permit(&self.router).await;
-        // For how long a connection has waited is not known then.
-        self.waiting_since = self.router.clock.now();
+        let permit = wait_for_freed_descriptor(&self.router).await;
+        // How long a connection has waited in the backlog is unknown after this wait.
+        self.backlog_arrived_since = self.router.clock.now();
         permit
     }
 
-    /// Accepts what waits in the backlog of a listener that is about to close.
+    /// Accepts the connections that wait in the backlog of a listener that is about to close.
     async fn accept_backlog(&mut self) {
-        self.waiting_since = self.router.clock.arrival(self.connection_arrived.take());
+        self.backlog_arrived_since = self.router.clock.arrival(self.connection_arrived.take());
         while self.router.listener.is_accepting() {
             let Some(permit) = self.router.descriptors.take(Peer::Client) else {
                 return;
@@ -124,11 +125,14 @@
                     Ok(stream) => self.start_connection(stream, permit),
                     Err(error) => {
                         self.failures.passed();
-                        tracing::warn!(%error, "cannot accept a client connection, it cannot be polled");
+                        tracing::warn!(
+                            %error,
+                            "cannot accept a client connection, it cannot be polled"
+                        );
                     }
                 },
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // Abandoned at the first failure, the connections behind it were reset with their requests.
+                // Stopping at the first failure reset the connections behind it, with their requests.
                 Err(error) => {
                     self.back_off(&error).await;
                     if self.failures.lasts() {
@@ -139,10 +143,10 @@
         }
     }
 
-    /// Shuts the listener down, unless another process accepts on it.
+    /// Shuts down the listener, unless another process accepts on it.
     ///
-    /// The control socket holds the listener too, to pass it on: while this process answers the requests that it has taken,
-    /// the system would go on accepting connections that nobody serves.
+    /// The control socket also holds the listener, to pass it on. Without the shutdown, the kernel would keep
+    /// completing connections that no process serves while this process answers its remaining requests.
     fn shut_down(&self) {
         if !self.router.listener.is_accepting() {
             return;
@@ -169,13 +173,13 @@
             stream,
             permit,
             unread: Vec::new(),
-            arrived_at: self.waiting_since,
+            arrived_at: self.backlog_arrived_since,
         };
         client_connection::spawn(&self.router, new);
     }
 
-    /// Logs a failed accept, at most once in a while, and pauses as long as its kind asks for. Without a pause other tasks
-    /// still get their turn: a failure that repeats at once must not starve them.
+    /// Logs a failed accept at a limited rate, and pauses for as long as the kind of failure requires. If no pause is
+    /// required, yields to other tasks, so that a failure that repeats at once does not starve them.
     async fn back_off(&mut self, error: &std::io::Error) {
         let errno = error.raw_os_error().unwrap_or(0);
         let (pause, unreported) = self.failures.next(errno, self.router.clock.now());
@@ -191,17 +195,18 @@
     }
 }
 
-/// Waits for a descriptor for a client. Meanwhile the connection that has been idle longest is asked to close, else the one
-/// whose request has been arriving longest: clients that send nothing, or half a request, must not shut others out.
-async fn wait_for_permit(router: &Router) -> Permit {
+/// Waits for a descriptor for a client. Until one is free, asks the connection that has been idle longest to close,
+/// or else the one whose request has been incomplete longest, so that clients that send nothing or half a request do
+/// not block others.
+async fn wait_for_freed_descriptor(router: &Router) -> Permit {
     loop {
         let freed = router.descriptors.freed();
         if let Some(permit) = router.descriptors.take(Peer::Client) {
             return permit;
         }
         router.clients.close_longest();
-        // A connection that is asked to close just as its request becomes complete is served, and frees nothing: then
-        // another one is asked.
+        // A connection that is asked to close just as its request becomes complete is served and frees no descriptor,
+        // so another one is asked.
         let ask_another = async {
             Timer::after(CLOSE_ANOTHER_AFTER).await;
         };
--- a/router/src/stages/mod.rs
+++ b/router/src/stages/mod.rs
@@ -1,29 +1,30 @@
-//! The stages that one request passes, from its connection to its answer.
+//! The stages that a request passes through, from its connection to its answer.
 //!
-//! | where the request is | file | function |
+//! | stage | file | function |
 //! | --- | --- | --- |
-//! | its connection waits to be accepted | `listener.rs` | `accept` |
-//! | its connection is idle, its first byte is awaited | `request_reader.rs` | `wait_for_first_byte` |
-//! | it is arriving | `request_reader.rs` | `read_request` |
-//! | it is complete, and waits for identity's sources and the fleet's policy | `admission_wait.rs` | `wait_for_admission` |
-//! | it is checked, and entered in the in-flight table | `admission.rs` | `admit`; fields in `query_request.rs` |
-//! | its caller is judged | `auth_filter.rs` | `check`; the audit in `auth_filter/audit.rs` |
-//! | it is given to the decision module | `dispatch.rs` | `start_query` |
-//! | the module wants an attempt | `completion.rs` | `EffectQueue::send_attempt` |
-//! | an attempt becomes part of a frame | `upstream_writer.rs` | `carry_out` |
-//! | its connection to the node is dialled | `upstream_connection.rs`, `upstream_dial.rs` | `open`, `dial` |
-//! | its frame is written | `upstream_writer.rs` | `write_available` |
-//! | the node works on it; its time is watched | `attempt_deadline.rs` | `check` |
-//! | the node's answer is read and matched | `upstream_reader.rs` | `take_answer` |
-//! | the module is told of the attempt's end | `dispatch.rs` | `attempt_finished` |
-//! | the query is closed: answer, rejection, failure | `completion.rs` | `EffectQueue::close` |
-//! | its connection waits for that answer | `answer_wait.rs` | `wait_for_answer` |
+//! | the connection waits to be accepted | `listener.rs` | `accept` |
+//! | the connection is idle and waits for the first byte | `request_reader.rs` | `wait_for_first_byte` |
+//! | the request is read | `request_reader.rs` | `read_request` |
+//! | the request waits for keys, revocations and the fleet's policy | `admission_wait.rs` | `wait_for_admission` |
+//! | the request is checked and entered in the in-flight table | `admission.rs` | `admit`; fields in `query_request.rs` |
+//! | the caller is authorised | `auth_filter.rs` | `check`; the audit in `auth_filter/audit.rs` |
+//! | the query is passed to the routing engine | `dispatch.rs` | `start_query` |
+//! | the engine requests an attempt | `completion.rs` | `EffectQueue::send_attempt` |
+//! | the attempt is put into a frame | `upstream_writer.rs` | `carry_out` |
+//! | a connection to the node is dialled | `upstream_connection.rs`, `upstream_dial.rs` | `open`, `dial` |
+//! | the frame is written | `upstream_writer.rs` | `write_available` |
+//! | the attempt's deadline is checked | `attempt_deadline.rs` | `check` |
+//! | the node's answer is read and matched to the attempt | `upstream_reader.rs` | `handle_answer` |
+//! | the engine receives the attempt's outcome | `dispatch.rs` | `attempt_finished` |
+//! | the query is closed with an answer, a rejection or a failure | `completion.rs` | `EffectQueue::close` |
+//! | the client connection waits for that answer | `answer_wait.rs` | `wait_for_answer` |
 //! | the answer is written | `answer_writer.rs` | `write_answer` |
-//! | the connection is closed behind it | `graceful_close.rs` | `close` |
+//! | the connection is closed after the answer | `graceful_close.rs` | `close` |
 //!
-//! `client_connection.rs` runs the steps of one client connection in this order, with the bytes in `client_io.rs` on a
-//! `stream.rs` (plain, or TLS by `tls_stream.rs`). `dispatch::run_turns` runs the inputs of the decision module. What is in flight is in
-//! `state/in_flight.rs`, the connections to nodes in `state/nodes.rs`, idle client connections in `state/clients.rs`.
+//! `client_connection.rs` runs the stages of one client connection in this order. Its buffers are in `client_io.rs`,
+//! its stream in `stream.rs` (plain, or TLS by `tls_stream.rs`). `dispatch::run_turns` applies the inputs of the
+//! routing engine. Queries in flight are in `state/in_flight.rs`, connections to nodes in `state/nodes.rs`, idle
+//! client connections in `state/clients.rs`.
 
 mod admission_wait;
 mod answer_wait;
--- a/router/src/stages/query_request.rs
+++ b/router/src/stages/query_request.rs
@@ -1,6 +1,6 @@
-//! The fields of a query as a client's HTTP request holds them, checked one by one.
+//! Checks the fields of a query in a client's HTTP request.
 //!
-//! Called by admission. Decides nothing that depends on what is in flight.
+//! Called by admission. The checks do not depend on the queries in flight.
 
 use serde_json::Value;
 use ternpick::types::{IndexNo, Micros, RetrySemantics};
@@ -12,38 +12,38 @@
 use crate::stages::admission::text_answer;
 use crate::state::clients::Answer;
 
-/// A query that is well-formed, and names an index that exists.
+/// A well-formed query to an existing index.
 pub(super) struct QueryRequest<'a> {
     /// The client's id of the request.
     pub(super) request_id: &'a str,
-    /// The index, as its path names it.
+    /// The name of the index, from the path.
     pub(super) index_name: &'a str,
-    /// The index.
+    /// The number of the index.
     pub(super) index: IndexNo,
-    /// How long the client waits from the first byte of its request on, at most the longest deadline of the settings.
+    /// How long the client waits from the first byte of its request, at most the longest deadline of the settings.
     pub(super) deadline: Micros,
-    /// The client has sent it before.
+    /// Whether the client has marked the request as a retry.
     pub(super) is_retry: bool,
-    /// The shards that it asks, with their weights and hints.
+    /// The shards to query, with their weights and work hints.
     pub(super) shard_requests: Vec<ShardFields>,
-    /// What each shard is asked.
+    /// The statement sent to each shard.
     pub(super) statement: &'a str,
-    /// The idempotency key, where the index wants one.
+    /// The idempotency key, if the index requires one.
     pub(super) idempotency_key: Option<&'a str>,
 }
 
-/// The part of a path that names the index.
+/// Returns the part of the path that names the index.
 pub(super) fn index_name(request: &Reader) -> &str {
     request.path().split('/').nth(1).unwrap_or_default()
 }
 
-/// The index of a name, if there is one.
+/// Returns the number of the index with this name, if it exists.
 pub(super) fn find_index(bounds: &Bounds, name: &str) -> Option<IndexNo> {
-    let at = bounds.index_names.iter().position(|known| known == name);
-    at.map(|at| IndexNo(at as u8))
+    let position = bounds.index_names.iter().position(|known| known == name);
+    position.map(|position| IndexNo(position as u8))
 }
 
-/// Checks a request for an index; `fields` is its body. The error is the answer to the client.
+/// Checks a request to `index`; `fields` is its parsed body. The error is the answer to the client.
 pub(super) fn check<'a>(
     router: &Router,
     request: &'a Reader,
@@ -81,12 +81,12 @@
     })
 }
 
-/// The client's id of a request, if it is well-formed.
+/// Returns the client's id of the request, if it is well-formed.
 pub(super) fn request_id(request: &Reader) -> Option<&str> {
     plain_header(request, "req-id")
 }
 
-/// The client's deadline; nobody waits longer than the settings say, whatever a client asks for.
+/// Returns the client's deadline, limited to the longest deadline of the settings.
 pub(super) fn deadline(request: &Reader, bounds: &Bounds) -> Result<Micros, Answer> {
     let deadline_ms = request
         .header("req-deadline-ms")
@@ -120,7 +120,7 @@
     text_answer(400, text)
 }
 
-/// A header whose value may stand in the line of a frame, and is of limited length.
+/// Returns the value of a header if it has 1 to 128 bytes that are all allowed in the line of a frame.
 fn plain_header<'a>(request: &'a Reader, name: &str) -> Option<&'a str> {
     request.header(name).filter(|value| {
         (1..=128).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_graphic() && b != b',')
--- a/router/src/stages/request_reader.rs
+++ b/router/src/stages/request_reader.rs
@@ -1,7 +1,7 @@
-//! Reads the requests of a client connection: the wait for the first byte, and from there to a complete request.
+//! Reads the requests of a client connection: waits for the first byte, then reads until the request is complete.
 //!
-//! While a connection waits here it has no request in flight, and is one of those that are asked to close when descriptors or
-//! memory run out (`state/clients.rs`). Parsing is `ternpick_wire::http`'s.
+//! A connection that waits here has no request in flight, and may be asked to close when descriptors or memory run out
+//! (`state/clients.rs`). `ternpick_wire::http` parses the requests.
 
 use event_listener::EventListener;
 use futures_lite::future;
@@ -12,16 +12,17 @@
 use crate::stages::client_io::{ClientGone, Received};
 use crate::state::clients::ClientState;
 
-/// A request that is not complete so long after its connection was accepted, or after its first byte on a connection that has
-/// had requests before, gets an error; a connection that has sent nothing by then is closed.
+/// The time limit for a request to be complete. It counts from the accept of the connection for the first request,
+/// and from the first byte for later ones. An incomplete request then gets an error; a connection that has sent
+/// nothing is closed.
 const REQUEST_TIMEOUT: Micros = Micros(2_500_000);
 
 /// Why no request could be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadFailure {
-    /// Nobody is left to answer.
+    /// The client has disconnected, so no answer can be sent.
     ClientGone,
-    /// The request cannot be used, or has to make room for others; the client is told.
+    /// The request is unusable, too slow, or has to make room for others; the client gets an error answer.
     Http(HttpError),
 }
 
@@ -32,22 +33,22 @@
 }
 
 impl ClientConnection {
-    /// Waits for the first byte of a request, and returns when it arrived.
+    /// Waits for the first byte of a request, and returns the time at which it arrived.
     ///
-    /// That may be well before it is read, if something holds the router up meanwhile. Counted from when it was read, its
-    /// deadline was longer than its client's, and nodes were told more time than was left.
+    /// The byte may have arrived well before it is read, if the router's thread was blocked. When the deadline
+    /// counted from the read, it was later than the client's deadline, and nodes were sent more time than was left.
     pub(super) async fn wait_for_first_byte(&mut self) -> Result<Micros, ConnectionEnd> {
-        // A connection that has sent nothing yet counts with the requests that are not complete, by its age.
+        // A connection that has sent nothing yet is treated like an incomplete request, by the age of the connection.
         let (state, since) = match self.awaiting_first_request {
             Some(accepted_at) => (ClientState::New, accepted_at),
             None => (ClientState::Idle, self.router.clock.now()),
         };
-        let place = self.router.clients.register(since, state);
-        let mut close_wanted = place.close_requested.listen();
+        let registration = self.router.clients.register(since, state);
+        let mut close_requested = registration.close_requested.listen();
         let idle_limit = self.router.descriptors.kept_idle();
         self.router.clients.keep_idle(idle_limit);
-        // What comes with the connection may have arrived as early as the connection.
-        let mut arrived_at = self.arrived_at.take();
+        // Bytes that are available at once may have arrived as early as the connection.
+        let mut arrived_at = self.connection_arrived_at.take();
         loop {
             let transfer_changed = self.router.client_transfer.active_changed();
             if self.router.client_transfer.is_active() {
@@ -61,13 +62,13 @@
                 }
             }
             let stays_open = self
-                .wait_while_idle(transfer_changed, &mut close_wanted)
+                .wait_while_idle(transfer_changed, &mut close_requested)
                 .await;
             if self.router.client_transfer.is_active() && self.io.stream.can_be_passed() {
-                // What has arrived is read by the new process.
+                // The new process reads the bytes that have arrived.
                 return Err(ConnectionEnd::Migrated);
             }
-            // A request that has arrived meanwhile is still served; a wake-up without bytes begins none.
+            // A request that arrived during the wait is still served; a wake-up without bytes starts none.
             match self.io.receive() {
                 Ok(Received::Bytes) => {
                     let noted = self.io.take_readable_since();
@@ -79,20 +80,21 @@
         }
     }
 
-    /// Waits until something happens to an idle connection; false if it is to close.
+    /// Waits for an event on an idle connection; returns false if the connection is to close.
     async fn wait_while_idle(
         &mut self,
         transfer_changed: EventListener,
-        close_wanted: &mut EventListener,
+        close_requested: &mut EventListener,
     ) -> bool {
-        // During a shutdown, a connection that has had no request yet is asked to close at a time of its own.
+        // During a shutdown, a connection without any request yet is asked to close at a time that depends on its
+        // accept.
         if self.awaiting_first_request.is_none() && self.router.listener.is_closed() {
             return false;
         }
         let io = &mut self.io;
         let readable = async { io.readable().await.is_ok() };
         let asked_to_close = async {
-            close_wanted.await;
+            close_requested.await;
             false
         };
         let transfer = async {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Reads until a request is complete, within the time that a request may take from `awaited_since` on.
+    /// Reads until a request is complete, within the time limit for a request, which starts at `awaited_since`.
     pub(super) async fn read_request(&mut self, awaited_since: Micros) -> Result<(), ReadFailure> {
         let router = self.router.clone();
         let limit = router
@@ -132,11 +134,11 @@
     }
 
     async fn read_until_complete(&mut self, awaited_since: Micros) -> Result<(), ReadFailure> {
-        let place = self
+        let registration = self
             .router
             .clients
             .register(awaited_since, ClientState::Partial);
-        let mut close_wanted = place.close_requested.listen();
+        let mut close_requested = registration.close_requested.listen();
         loop {
             let complete = self
                 .request
@@ -145,14 +147,14 @@
             if complete {
                 return Ok(());
             }
-            place.holds(self.io.account_memory(self.request.size()));
+            registration.holds(self.io.account_memory(self.request.size()));
             if self.router.budget.is_over() {
                 self.router.clients.close_largest();
             }
             let stream = &mut self.io.stream;
             let readable = async { stream.readable().await.map_err(|_| ReadFailure::ClientGone) };
             let asked_to_close = async {
-                (&mut close_wanted).await;
+                (&mut close_requested).await;
                 Err(ReadFailure::Http(HttpError::NoRoom))
             };
             future::or(asked_to_close, readable).await?;
--- a/router/src/stages/stream.rs
+++ b/router/src/stages/stream.rs
@@ -1,4 +1,5 @@
-//! A client's connection, plain or TLS, with one interface: reads and writes that never wait, and two waits.
+//! The stream of a client connection, plain or TLS, behind one interface: non-blocking reads and writes, and waits
+//! for both.
 
 use std::io::{Read, Result, Write};
 use std::net::{Shutdown, TcpStream};
@@ -10,7 +11,7 @@
 use crate::lifecycle::tls::Tls;
 use crate::stages::tls_stream::TlsStream;
 
-/// A client's connection.
+/// The stream of a client connection.
 pub(crate) enum Stream {
     /// Without TLS.
     Plain(Async<TcpStream>),
@@ -19,7 +20,7 @@
 }
 
 impl Stream {
-    /// A connection that begins with a TLS handshake; an error if TLS cannot be had at all.
+    /// Creates a stream that begins with a TLS handshake; fails if rustls cannot create a connection.
     pub(crate) fn secure(
         socket: Async<TcpStream>,
         tls: &Rc<Tls>,
@@ -35,17 +36,17 @@
         }
     }
 
-    /// Whether another process can go on with it.
+    /// Whether the connection can be passed to another process.
     pub(crate) fn can_be_passed(&self) -> bool {
         matches!(self, Stream::Plain(_))
     }
 
-    /// Has small writes sent at once; without it the connection works all the same.
+    /// Disables the batching of small writes. An error is ignored, because the connection works without the option.
     pub(crate) fn set_nodelay(&self) {
         let _ = self.socket().set_nodelay(true);
     }
 
-    /// Bytes of requests that are there; `WouldBlock` if there are none just now.
+    /// Reads available bytes of requests; returns `WouldBlock` if there are none now.
     pub(crate) fn read(&mut self, into: &mut [u8]) -> Result<usize> {
         match self {
             Stream::Plain(socket) => socket.get_ref().read(into),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Takes bytes of answers; `WouldBlock` if none can be taken just now.
+    /// Writes bytes of answers; returns `WouldBlock` if none can be accepted now.
     pub(crate) fn write(&mut self, bytes: &[u8]) -> Result<usize> {
         match self {
             Stream::Plain(socket) => socket.get_ref().write(bytes),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Hands what has been written to the socket; true once nothing is left.
+    /// Passes buffered bytes to the socket; returns true once none are left.
     pub(crate) fn flush(&mut self) -> Result<bool> {
         match self {
             Stream::Plain(_) => Ok(true),
@@ -85,15 +86,15 @@
         }
     }
 
-    /// Tells the client that nothing more is sent; a TLS record is never cut short.
-    pub(crate) fn finish(&mut self) {
+    /// Shuts down the sending side of the connection; with TLS, sends a close_notify alert first.
+    pub(crate) fn shut_down_write(&mut self) {
         if let Stream::Secure(secure) = self {
             secure.close_notify();
         }
         let _ = self.socket().shutdown(Shutdown::Write);
     }
 
-    /// The certificate that the client has shown, verified by the authorities in use.
+    /// Returns the certificate that the client has presented, if the authorities in use have verified it.
     pub(crate) fn certificate(&mut self) -> Option<Rc<Certificate>> {
         match self {
             Stream::Plain(_) => None,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Memory beside the buffers of its owner, in bytes.
+    /// Returns the memory in use besides the buffers of the owner, in bytes.
     pub(crate) fn size(&self) -> usize {
         match self {
             Stream::Plain(_) => 0,
--- a/router/src/stages/tls_stream.rs
+++ b/router/src/stages/tls_stream.rs
@@ -1,5 +1,5 @@
-//! A client connection over TLS: carries the bytes between the socket and the state machine of rustls, which does no I/O of its
-//! own.
+//! The stream of a client connection over TLS: moves bytes between the socket and the state machine of rustls, which
+//! does no I/O itself.
 
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::TcpStream;
@@ -12,29 +12,30 @@
 
 use crate::lifecycle::tls::Tls;
 
-/// TLS records taken in a row before other tasks get their turn.
-const RECORDS_IN_A_ROW: usize = 8;
-/// Reads in a row that bring no byte of a request: handshakes, tickets and parts of a record take a few dozen. A peer that goes
-/// on so (key updates, empty records) does nothing but use up this router's time.
-const EMPTY_READS_BOUND: u32 = 1024;
-/// What rustls holds for a connection beside what waits in it, in bytes, measured (`docs/measurements/identity.md`).
-const MEMORY: usize = 16 * 1024;
+/// The maximum number of consecutive reads of TLS records before other tasks run.
+const MAX_RECORDS_IN_A_ROW: usize = 8;
+/// The maximum number of consecutive reads without a byte of a request. Handshakes, tickets and partial records take
+/// a few dozen. A peer that sends more (key updates, empty records) only uses up this router's time.
+const MAX_EMPTY_READS: u32 = 1024;
+/// The memory in bytes that rustls uses for a connection, besides buffered data (measured:
+/// `docs/measurements/identity.md`).
+const RUSTLS_MEMORY_BYTES: usize = 16 * 1024;
 
-/// A connection with its TLS state.
+/// A socket with its TLS state.
 pub(crate) struct TlsStream {
     socket: Async<TcpStream>,
     connection: ServerConnection,
     tls: Rc<Tls>,
-    /// The generation of authorities that the client's certificate was verified by.
-    epoch: u64,
+    /// The generation of the authorities that verified the client's certificate.
+    authorities_epoch: u64,
     certificate: Option<Rc<Certificate>>,
-    /// More may be read without a byte from the socket.
+    /// Whether more bytes may be available without reading from the socket.
     may_have_more: bool,
     empty_reads: u32,
 }
 
 impl TlsStream {
-    /// A connection that begins with a handshake; an error if TLS cannot be had at all.
+    /// Creates a stream that begins with a handshake; fails if rustls cannot create a connection.
     pub(crate) fn new(
         socket: Async<TcpStream>,
         tls: &Rc<Tls>,
@@ -42,7 +43,7 @@
         Ok(TlsStream {
             connection: ServerConnection::new(tls.config())?,
             socket,
-            epoch: tls.epoch(),
+            authorities_epoch: tls.epoch(),
             tls: Rc::clone(tls),
             certificate: None,
             may_have_more: false,
@@ -50,14 +51,14 @@
         })
     }
 
-    /// The TCP socket below.
+    /// Returns the underlying TCP socket.
     pub(crate) fn socket(&self) -> &TcpStream {
         self.socket.get_ref()
     }
 
-    /// Bytes of requests that are there; `WouldBlock` if there are none just now.
+    /// Reads available bytes of requests; returns `WouldBlock` if there are none now.
     pub(crate) fn read(&mut self, into: &mut [u8]) -> Result<usize> {
-        for _ in 0..RECORDS_IN_A_ROW {
+        for _ in 0..MAX_RECORDS_IN_A_ROW {
             match self.connection.reader().read(into) {
                 Ok(count) => {
                     self.may_have_more = count == into.len();
@@ -73,7 +74,7 @@
         Err(ErrorKind::WouldBlock.into())
     }
 
-    /// Takes in bytes from the socket, and answers what TLS wants answered.
+    /// Reads bytes from the socket, and sends the responses that the TLS protocol requires.
     fn read_record(&mut self) -> Result<()> {
         if self.connection.read_tls(&mut self.socket.get_ref())? == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
@@ -83,7 +84,7 @@
         self.flush()?;
         processed.map_err(|error| Error::new(ErrorKind::InvalidData, error))?;
         self.empty_reads += 1;
-        if self.empty_reads > EMPTY_READS_BOUND {
+        if self.empty_reads > MAX_EMPTY_READS {
             return Err(Error::new(
                 ErrorKind::InvalidData,
                 "records without end that carry nothing",
@@ -92,7 +93,8 @@
         Ok(())
     }
 
-    /// Takes as many bytes as rustls has room for, which go out with this or a later flush; `WouldBlock` if it takes none.
+    /// Buffers as many bytes as rustls has room for; this or a later flush sends them. Returns `WouldBlock` if there
+    /// is no room.
     pub(crate) fn write(&mut self, bytes: &[u8]) -> Result<usize> {
         let count = if self.flush()? {
             self.connection.writer().write(bytes)?
@@ -106,7 +108,7 @@
         Ok(count)
     }
 
-    /// Hands what has been written to the socket; true once nothing is left.
+    /// Passes buffered bytes to the socket; returns true once none are left.
     pub(crate) fn flush(&mut self) -> Result<bool> {
         while self.connection.wants_write() {
             match self.connection.write_tls(&mut self.socket.get_ref()) {
@@ -122,7 +124,7 @@
     /// Waits until there may be bytes to read.
     pub(crate) async fn readable(&mut self) -> Result<()> {
         if self.may_have_more {
-            // Other tasks get their turn all the same.
+            // Lets other tasks run first.
             future::yield_now().await;
             return Ok(());
         }
@@ -136,19 +138,19 @@
         self.socket.readable().await
     }
 
-    /// Waits until the socket takes bytes.
+    /// Waits until the socket accepts bytes.
     pub(crate) async fn writable(&self) -> Result<()> {
         self.socket.writable().await
     }
 
-    /// Ends the TLS connection in order: a client can tell it from a connection that was cut.
+    /// Sends a close_notify alert, so that the client can tell the end of the connection from a truncation.
     pub(crate) fn close_notify(&mut self) {
         self.connection.send_close_notify();
         let _ = self.flush();
     }
 
-    /// The certificate that the client has shown, verified by the authorities in use. What other authorities have verified
-    /// proves nothing once they are gone; a resumed session neither.
+    /// Returns the certificate that the client has presented, if the authorities in use have verified it. A
+    /// certificate that was verified by replaced authorities no longer counts, not even in a resumed session.
     pub(crate) fn certificate(&mut self) -> Option<Rc<Certificate>> {
         if self.certificate.is_none() && !self.connection.is_handshaking() {
             let chain = self.connection.peer_certificates();
@@ -159,11 +161,11 @@
         }
         self.certificate
             .clone()
-            .filter(|_| self.epoch == self.tls.epoch())
+            .filter(|_| self.authorities_epoch == self.tls.epoch())
     }
 
-    /// Memory beside the buffers of its owner, in bytes.
+    /// Returns the memory in use besides the buffers of the owner, in bytes.
     pub(crate) fn size(&self) -> usize {
-        MEMORY
+        RUSTLS_MEMORY_BYTES
     }
 }
--- a/router/src/stages/upstream_connection.rs
+++ b/router/src/stages/upstream_connection.rs
@@ -1,8 +1,8 @@
-//! The life of one connection to a node: opened when attempts want it, dialled, used, and closed when it breaks, is retired or
-//! has been idle for long.
+//! The task of one connection to a node. The connection is opened when attempts need it, then dialled and used; it is
+//! closed when it fails, is retired or has been idle too long.
 //!
-//! `upstream_writer.rs` and `upstream_reader.rs` write and read on it. Its record (`state/nodes.rs`) is removed in one place,
-//! [`close`], where every attempt that it still carries gets its outcome.
+//! `upstream_writer.rs` and `upstream_reader.rs` write to it and read from it. Only [`close`] removes its record
+//! (`state/nodes.rs`); there, every attempt that the connection still carries gets its outcome.
 
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -25,33 +25,34 @@
 /// Why a connection to a node ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum UpstreamEnd {
-    /// Its record is removed already.
+    /// The record of the connection has already been removed.
     #[error("removed")]
     Removed,
-    /// The router ends it itself: a frame on it is not to be finished, or the node has sent what cannot be used.
+    /// The router ends the connection: a frame on it must not be completed, or the node has sent unusable data.
     #[error("abandoned")]
     Abandoned,
-    /// It carries nothing, and is not to be used any more.
+    /// The connection is retired and carries nothing.
     #[error("retired")]
     Retired,
-    /// It has carried nothing for so long that the node is about to close it.
+    /// The connection has been idle for so long that the node is about to close it.
     #[error("idle")]
     Idle,
-    /// The node has closed it.
+    /// The node has closed the connection.
     #[error("closed by the node")]
     ClosedByNode,
-    /// Reading has failed.
+    /// A read from the socket has failed.
     #[error("cannot be read")]
     ReadFailed,
-    /// Writing has failed.
+    /// A write to the socket has failed.
     #[error("cannot be written")]
     WriteFailed,
-    /// The node has sent what cannot be used.
+    /// The node has sent unusable data.
     #[error("{0}")]
     UnusableInput(UnusableInput),
 }
 
-/// Opens a connection to a node, if it is known and there is a descriptor for it; it is dialled by a task of its own.
+/// Opens a connection to a node, if the node is known and a descriptor is available. A separate task dials the
+/// connection.
 pub(super) fn open(
     router: &Rc<Router>,
     effects: &mut EffectQueue,
@@ -62,7 +63,7 @@
         effects.nodes.retire_longest_idle();
         return None;
     };
-    // Room for the longest frame at least.
+    // The output buffer has room for at least the longest frame.
     let output_bound = effects.bounds.parts_a_call * (BODY_BOUND + LINE_BOUND);
     let id = effects
         .nodes
@@ -82,10 +83,10 @@
         .nodes
         .connection(id)
         .map(dial_target);
-    let Some((address, waits_for)) = target else {
+    let Some((address, failure_owner)) = target else {
         return;
     };
-    match upstream_dial::dial_reporting(&router, address, &waits_for).await {
+    match upstream_dial::dial_tracking_owner(&router, address, &failure_owner).await {
         Ok(stream) => {
             let end = exchange(&router, id, Rc::new(stream)).await;
             tracing::debug!(%address, reason = %end, "node connection ends");
@@ -100,7 +101,8 @@
     close(&router, id);
 }
 
-/// What this machine could not do says nothing of the node.
+/// Marks a connection that this machine could not open as abandoned, so that the failure does not count against the
+/// node.
 fn mark_abandoned(router: &Router, id: ConnectionId) {
     let mut decisions = router.decisions.borrow_mut();
     if let Some(connection) = decisions.effects.nodes.connection_mut(id) {
@@ -108,7 +110,7 @@
     }
 }
 
-/// Writes and reads on a connection that is up, until it ends.
+/// Writes to and reads from an established connection until it ends.
 async fn exchange(router: &Router, id: ConnectionId, stream: Rc<Async<TcpStream>>) -> UpstreamEnd {
     {
         let mut decisions = router.decisions.borrow_mut();
@@ -119,11 +121,11 @@
     }
     let written = upstream_writer::write(router, id, &stream);
     let read = upstream_reader::read(router, id, &stream);
-    future::or(future::or(written, read), idle(router, id)).await
+    future::or(future::or(written, read), wait_until_idle(router, id)).await
 }
 
-/// Returns when the connection has been idle so long that the node is about to close it.
-async fn idle(router: &Router, id: ConnectionId) -> UpstreamEnd {
+/// Returns when the connection has been idle for so long that the node is about to close it.
+async fn wait_until_idle(router: &Router, id: ConnectionId) -> UpstreamEnd {
     let Some(node_closes_after) = router.bounds.idle_close else {
         return future::pending().await;
     };
@@ -148,13 +150,14 @@
     }
 }
 
-/// Removes a connection, and ends the attempts on it. What was not written in full has never run. A connection that the router
-/// ends itself says nothing of its node but for the attempt whose answer could not be used: the node has not failed.
+/// Removes a connection, and ends the attempts on it. An attempt that was not written in full has not run. If the
+/// router abandoned the connection, the node has not failed, and only the attempt whose answer was unusable counts
+/// against it.
 fn close(router: &Router, id: ConnectionId) {
     let mut decisions = router.decisions.borrow_mut();
     let effects = &mut decisions.effects;
     effects.now = router.clock.now();
-    let Some(outcomes) = outcomes_of_loss(effects, id) else {
+    let Some(outcomes) = outcomes_of_lost_connection(effects, id) else {
         return;
     };
     effects.nodes.disconnect(id);
@@ -164,8 +167,9 @@
     router.input_applied.notify(1);
 }
 
-/// The attempts on a connection that is lost, with their outcomes: those that wait for it, then those in its buffer or written.
-fn outcomes_of_loss(
+/// Returns the attempts on a lost connection with their outcomes: first those that wait for it, then those in its
+/// buffer or written.
+fn outcomes_of_lost_connection(
     effects: &EffectQueue,
     id: ConnectionId,
 ) -> Option<Vec<(AttemptKey, AttemptOutcome)>> {
@@ -175,12 +179,12 @@
     let waiting = connection.waiting.iter().flatten().copied();
     let outcomes = waiting
         .chain(carried)
-        .map(|key| (key, outcome_of_loss(effects, connection, key)));
+        .map(|key| (key, outcome_of_lost_connection(effects, connection, key)));
     Some(outcomes.collect())
 }
 
-/// The outcome of an attempt whose connection is lost.
-fn outcome_of_loss(
+/// Returns the outcome of an attempt whose connection is lost.
+fn outcome_of_lost_connection(
     effects: &EffectQueue,
     connection: &Connection,
     key: AttemptKey,
--- a/router/src/stages/upstream_dial.rs
+++ b/router/src/stages/upstream_dial.rs
@@ -1,7 +1,7 @@
-//! Dials a TCP connection within the time of a dial, and says whom a failure concerns.
+//! Dials a TCP connection within the dial timeout, and attributes a failure to its [`Owner`]: the peer or this machine.
 //!
-//! Used for nodes, and through [`upstream_writer::dial`](crate::stages::upstream_writer::dial) for discovery, key sources and
-//! other routers. `ternpick::io_errors` holds the table of whom a failed call concerns.
+//! Used for nodes, and through [`upstream_writer::dial`](crate::stages::upstream_writer::dial) for discovery, key
+//! sources and other routers. `ternpick::io_errors` maps the errors of system calls to owners.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpStream};
@@ -14,54 +14,54 @@
 
 use crate::router::Router;
 
-/// A new connection, if it comes up in time; else whom the failure concerns.
+/// Opens a connection within the dial timeout. The error is the owner of the failure.
 pub(crate) async fn dial(router: &Router, address: SocketAddr) -> Result<Async<TcpStream>, Owner> {
-    dial_reporting(router, address, &Cell::new(Owner::Peer)).await
+    dial_tracking_owner(router, address, &Cell::new(Owner::Peer)).await
 }
 
-/// The same; `waits_for` says at any moment whom the dial waits for. What fails for a moment on this machine, or on the way, is
-/// tried again within the time of the dial.
-pub(super) async fn dial_reporting(
+/// Like [`dial`], and keeps `failure_owner` at the owner of the failure if the dial ended now. Temporary failures of
+/// this machine or of the route are retried within the dial timeout.
+pub(super) async fn dial_tracking_owner(
     router: &Router,
     address: SocketAddr,
-    waits_for: &Cell<Owner>,
+    failure_owner: &Cell<Owner>,
 ) -> Result<Async<TcpStream>, Owner> {
     let began = router.clock.now();
-    let give_up_at = router.bounds.dial_timeout.map(|limit| began + limit);
-    let attempts = async {
+    let dial_until = router.bounds.dial_timeout.map(|limit| began + limit);
+    let connect = async {
         let mut failures_in_a_row = 0;
         loop {
-            waits_for.set(Owner::Peer);
+            failure_owner.set(Owner::Peer);
             let failed = match Async::<TcpStream>::connect(address).await {
                 Ok(stream) => return Ok(stream),
                 Err(error) => io_errors::dial(error.raw_os_error().unwrap_or(0)),
             };
-            waits_for.set(concerns(router, failed, began));
-            let is_final = failed == Owner::Peer || give_up_at.is_none() && failed != Owner::Nobody;
+            failure_owner.set(final_owner(router, failed, began));
+            let is_final = failed == Owner::Peer || dial_until.is_none() && failed != Owner::Nobody;
             if is_final {
-                return Err(waits_for.get());
+                return Err(failure_owner.get());
             }
             failures_in_a_row += 1;
             pause(io_errors::pause(failures_in_a_row)).await;
         }
     };
     let stream = router
-        .with_deadline(give_up_at, attempts)
+        .with_deadline(dial_until, connect)
         .await
-        .unwrap_or(Err(waits_for.get()))?;
-    // Frames are small, and each is wanted at once.
+        .unwrap_or(Err(failure_owner.get()))?;
+    // Frames are small, and each should be sent without delay.
     let _ = stream.get_ref().set_nodelay(true);
     Ok(stream)
 }
 
-/// Whom the dial is held against if it gets no further than this failure.
-fn concerns(router: &Router, failed: Owner, began: Micros) -> Owner {
+/// Returns the owner to which the dial's failure is attributed if this is its last failure.
+fn final_owner(router: &Router, failed: Owner, began: Micros) -> Owner {
     match failed {
         Owner::Route => {
             let others_heard = router.decisions.borrow().effects.nodes.heard >= began;
             io_errors::route(others_heard)
         }
-        // Interrupted up to the end: that concerns nobody, so it is not held against the node.
+        // Interrupted until the timeout: no peer is at fault, so the failure does not count against the node.
         Owner::Nobody => Owner::Machine,
         owner => owner,
     }
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -1,7 +1,7 @@
-//! Reads what nodes send, and matches answers to attempts by connection and id.
+//! Reads frames from nodes, and matches answers to attempts by connection and id.
 //!
-//! The reading half of a connection's task in `upstream_connection.rs`. A value goes to the in-flight table, the end of its
-//! attempt to the decision module through `dispatch.rs`.
+//! This is the reading half of a connection's task in `upstream_connection.rs`. The value of an answer goes to the
+//! in-flight table, the outcome of its attempt through `dispatch.rs` to the routing engine.
 
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
@@ -18,41 +18,41 @@
 use crate::state::budget::Share;
 use crate::state::nodes::ConnectionId;
 
-/// Bytes of a node that may wait to be parsed.
+/// The bound of the input buffer, in bytes.
 const INPUT_BOUND: usize = 16 * 1024;
-/// Bytes of a node's error text that are logged.
-const LOGGED_BYTES: usize = 200;
-/// Reads in a row before other connections get their turn.
+/// The maximum number of bytes of a node's error text in a log line.
+const MAX_LOGGED_BYTES: usize = 200;
+/// The maximum number of consecutive reads before other tasks run.
 const READS_IN_A_ROW: usize = 16;
 
-/// What a node has sent cannot be used; its connection ends.
+/// Why data from a node is unusable; its connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum UnusableInput {
     /// A frame, or the answer in it, is malformed.
     #[error("{0}")]
     Malformed(BadFrame),
-    /// A frame is begun and not finished in the time of a dial.
+    /// A frame was not completed within the dial timeout.
     #[error("a frame is not finished")]
-    Unfinished,
-    /// The node says that it could not use a frame of the router's.
+    IncompleteFrame,
+    /// The node has reported that a frame of the router was unusable.
     #[error("the node could not use a frame")]
     RejectedByNode,
-    /// A frame of a kind that nodes do not send.
+    /// The node has sent a frame of a kind that only routers send, or of an unknown kind.
     #[error("a frame of unknown letter")]
     UnknownKind,
-    /// An answer to an attempt that never was on this connection.
+    /// The node has answered an attempt that was never sent on this connection.
     #[error("an answer of unknown id")]
     UnknownAttempt,
     /// A load report is not UTF-8.
     #[error("a report is not text")]
     ReportNotText,
-    /// The connection's record is gone already.
+    /// The record of the connection has already been removed.
     #[error("its connection is removed")]
     ConnectionRemoved,
 }
 
-/// Reads a connection until it ends or sends what cannot be used: also a frame that is begun and not finished in the time of a
-/// dial, which would take in all that comes behind it.
+/// Reads from a connection until it ends or delivers unusable data. A frame that is not completed within the dial
+/// timeout is unusable too, because it would absorb all bytes that follow it.
 pub(super) async fn read(
     router: &Router,
     id: ConnectionId,
@@ -63,7 +63,7 @@
         id,
         input: Ring::new(INPUT_BOUND),
         frame: Vec::new(),
-        frame_begun: None,
+        frame_began_at: None,
         memory: router.budget.share(),
     };
     loop {
@@ -73,22 +73,22 @@
     }
 }
 
-/// The bytes of one connection that are not yet complete frames.
+/// The reader of one connection, with the bytes that are not complete frames yet.
 struct UpstreamReader<'a> {
     router: &'a Router,
     id: ConnectionId,
     input: Ring,
     frame: Vec<u8>,
-    /// When the first byte of the frame that is not finished was read.
-    frame_begun: Option<Micros>,
+    /// When the first byte of the incomplete frame was read.
+    frame_began_at: Option<Micros>,
     memory: Share,
 }
 
 impl UpstreamReader<'_> {
-    /// Waits for bytes, and reads until there are none or others have their turn.
+    /// Waits for bytes, then reads until there are none or other tasks must run.
     async fn read_when_ready(&mut self, stream: &Async<TcpStream>) -> Result<(), UpstreamEnd> {
         let unfinished_until = self
-            .frame_begun
+            .frame_began_at
             .zip(self.router.bounds.dial_timeout)
             .map(|(begun, limit)| begun + limit);
         let ready = self
@@ -98,7 +98,7 @@
         match ready {
             Some(Ok(())) => {}
             Some(Err(_)) => return Err(UpstreamEnd::ReadFailed),
-            None => return Err(self.unusable(UnusableInput::Unfinished)),
+            None => return Err(self.abandon_connection(UnusableInput::IncompleteFrame)),
         }
         for _ in 0..READS_IN_A_ROW {
             match stream.get_ref().read(self.input.free()) {
@@ -108,52 +108,52 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(_) => return Err(UpstreamEnd::ReadFailed),
             }
-            self.take_frames()?;
+            self.handle_frames()?;
         }
         self.input.rest();
         Ok(())
     }
 
-    /// Takes all complete frames off the input.
-    fn take_frames(&mut self) -> Result<(), UpstreamEnd> {
+    /// Handles all complete frames in the input buffer.
+    fn handle_frames(&mut self) -> Result<(), UpstreamEnd> {
         loop {
             match frames::next(&mut self.input, &mut self.frame) {
                 Ok(None) => break,
                 Ok(Some(letter)) => {
-                    if let Err(error) = take_frame(self.router, self.id, letter, &self.frame) {
-                        return Err(self.unusable(error));
+                    if let Err(error) = handle_frame(self.router, self.id, letter, &self.frame) {
+                        return Err(self.abandon_connection(error));
                     }
-                    self.note_heard();
-                    self.frame_begun = None;
+                    self.record_reception();
+                    self.frame_began_at = None;
                     self.frame = Vec::new();
                 }
                 Err(error) => {
-                    // What is there of the frame is no frame, and names no attempt.
+                    // The bytes read so far are not a frame, and name no attempt.
                     self.frame.clear();
-                    return Err(self.unusable(UnusableInput::Malformed(error)));
+                    return Err(self.abandon_connection(UnusableInput::Malformed(error)));
                 }
             }
         }
         self.memory.set(self.frame.capacity());
-        self.frame_begun = if self.frame.is_empty() {
+        self.frame_began_at = if self.frame.is_empty() {
             None
         } else {
-            self.frame_begun.or(Some(self.router.clock.now()))
+            self.frame_began_at.or(Some(self.router.clock.now()))
         };
         Ok(())
     }
 
-    /// Ends the connection over what the node has sent; the attempt that the frame names is the one that has failed.
-    fn unusable(&self, error: UnusableInput) -> UpstreamEnd {
+    /// Abandons the connection because of unusable data; the attempt that the frame names has failed.
+    fn abandon_connection(&self, error: UnusableInput) -> UpstreamEnd {
         let now = self.router.clock.now();
         let mut decisions = self.router.decisions.borrow_mut();
         decisions.effects.now = now;
-        let named = frames::id(&self.frame);
-        decisions.effects.abandon_connection(self.id, error, named);
+        let attempt_id = frames::id(&self.frame);
+        decisions.effects.abandon_connection(self.id, error, attempt_id);
         UpstreamEnd::UnusableInput(error)
     }
 
-    fn note_heard(&self) {
+    fn record_reception(&self) {
         let now = self.router.clock.now();
         let mut decisions = self.router.decisions.borrow_mut();
         decisions.effects.nodes.heard = now;
@@ -164,18 +164,18 @@
     }
 }
 
-fn take_frame(
+fn handle_frame(
     router: &Router,
     id: ConnectionId,
     letter: u8,
-    rest: &[u8],
+    payload: &[u8],
 ) -> Result<(), UnusableInput> {
     match letter {
-        b'a' => take_answer(router, id, rest),
-        b'l' => take_load_report(router, id, rest),
+        b'a' => handle_answer(router, id, payload),
+        b'l' => handle_load_report(router, id, payload),
         b'p' => Ok(()),
         b'e' => {
-            let text = String::from_utf8_lossy(&rest[..rest.len().min(LOGGED_BYTES)]);
+            let text = String::from_utf8_lossy(&payload[..payload.len().min(MAX_LOGGED_BYTES)]);
             tracing::debug!(%text, "a node reports an error");
             Err(UnusableInput::RejectedByNode)
         }
@@ -183,8 +183,8 @@
     }
 }
 
-fn take_answer(router: &Router, id: ConnectionId, rest: &[u8]) -> Result<(), UnusableInput> {
-    let answer = frames::answer(rest).map_err(UnusableInput::Malformed)?;
+fn handle_answer(router: &Router, id: ConnectionId, payload: &[u8]) -> Result<(), UnusableInput> {
+    let answer = frames::answer(payload).map_err(UnusableInput::Malformed)?;
     let outcome = match answer.end {
         End::Served => AttemptOutcome::Satisfied,
         End::Broke => AttemptOutcome::MayHaveRun,
@@ -198,7 +198,8 @@
     Ok(())
 }
 
-/// Takes the attempt that an answer names off its connection and the in-flight table; none if it is over already.
+/// Removes the attempt that an answer names from its connection and from the in-flight table; returns `None` if the
+/// attempt has already ended.
 fn finish_attempt(
     router: &Router,
     id: ConnectionId,
@@ -213,8 +214,8 @@
         .connection_mut(id)
         .ok_or(UnusableInput::ConnectionRemoved)?;
     let Some(key) = connection.attempts.remove(answer.id) else {
-        // An answer to an attempt that was given up is ordinary, and a second answer harmless. One to an attempt that never
-        // was on this connection belongs to another one, which would wait until its time is up.
+        // An answer to an abandoned attempt is normal, and a second answer is harmless. An answer to an attempt that
+        // was never on this connection belongs to another attempt, which would otherwise wait until its deadline.
         return if connection.is_finished(answer.id) {
             Ok(None)
         } else {
@@ -242,8 +243,8 @@
     }))
 }
 
-fn take_load_report(router: &Router, id: ConnectionId, rest: &[u8]) -> Result<(), UnusableInput> {
-    let text = std::str::from_utf8(rest).map_err(|_| UnusableInput::ReportNotText)?;
+fn handle_load_report(router: &Router, id: ConnectionId, payload: &[u8]) -> Result<(), UnusableInput> {
+    let text = std::str::from_utf8(payload).map_err(|_| UnusableInput::ReportNotText)?;
     let node = {
         let decisions = router.decisions.borrow();
         let connection = decisions.effects.nodes.connection(id);
--- a/router/src/stages/upstream_writer.rs
+++ b/router/src/stages/upstream_writer.rs
@@ -1,9 +1,9 @@
-//! Sends attempts to nodes: those that a turn has asked for share frames, frames go to connections, and the bytes of a
-//! connection to its socket.
+//! Sends attempts to nodes: combines the attempts of a turn into frames, assigns frames to connections, and writes
+//! the buffer of a connection to its socket.
 //!
-//! [`carry_out`] is called once in each turn by `dispatch.rs`; [`write`] is the writing half of a connection's task in
-//! `upstream_connection.rs`. An attempt moves from `ordered_attempts` to the `waiting` queue of a connection, and from there
-//! into its buffer once the connection is up ([`AttemptProgress`]).
+//! `dispatch.rs` calls [`carry_out`] once in each turn; [`write`] is the writing half of a connection's task in
+//! `upstream_connection.rs`. An attempt moves from `ordered_attempts` to the `waiting` queue of a connection, and
+//! from there into the connection's buffer once the connection is established ([`AttemptProgress`]).
 
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -23,12 +23,12 @@
 
 pub(crate) use crate::stages::upstream_dial::dial;
 
-/// What came of writing without waiting.
+/// The result of a non-blocking write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Written {
-    /// Nothing is left in the buffer.
+    /// The buffer is empty.
     All,
-    /// The socket takes no more just now.
+    /// The socket accepts no more bytes now.
     UntilFull,
 }
 
@@ -42,20 +42,20 @@
     }
 }
 
-/// Sends what a turn has asked for: attempts, and health checks.
+/// Sends the attempts and health checks that a turn has requested.
 pub(super) fn carry_out(router: &Rc<Router>) {
     let mut decisions = router.decisions.borrow_mut();
     let effects = &mut decisions.effects;
     effects.now = router.clock.now();
     send_attempts(router, effects);
     send_health_checks(router, effects);
-    // Attempts that could not be made are told to the decision module in a turn of their own.
+    // Attempts that could not be sent have ended; the next turn passes their outcomes to the routing engine.
     if !effects.finished_attempts.is_empty() {
         router.input_applied.notify(1);
     }
 }
 
-/// Attempts for one node share frames, up to the number in the settings.
+/// Sends the requested attempts. Attempts for one node share frames, up to the number in the settings.
 fn send_attempts(router: &Rc<Router>, effects: &mut EffectQueue) {
     let mut ordered = std::mem::take(&mut effects.ordered_attempts);
     while let Some(node) = first_node(effects, &ordered) {
@@ -70,7 +70,7 @@
     Some(attempt.node)
 }
 
-/// The attempts of the next frame for a node, and those left over.
+/// Splits off the attempts of the next frame for a node; returns them and the rest.
 fn split_frame(
     effects: &EffectQueue,
     ordered: Vec<AttemptKey>,
@@ -91,7 +91,7 @@
     })
 }
 
-/// Gives the attempts of a frame to the first connection with room for them, or to a new one.
+/// Assigns the attempts of a frame to the first connection that can carry them, or to a new one.
 fn send_frame(
     router: &Rc<Router>,
     effects: &mut EffectQueue,
@@ -101,7 +101,7 @@
     let connection = find_connection(effects, node, &frame)
         .or_else(|| upstream_connection::open(router, effects, node));
     let Some(id) = connection else {
-        // A shortage of the router's own: it says nothing of the node.
+        // The router itself is short of resources, which does not count against the node.
         for key in frame {
             effects.end_attempt(key, AttemptOutcome::Unsent);
         }
@@ -114,14 +114,14 @@
     }
     if let Some(connection) = effects.nodes.connection_mut(id) {
         connection.waiting.push_back(frame);
-        // What the socket does not take now, the connection's task writes; it also finds what is wrong.
+        // The connection's task writes the bytes that the socket does not accept now, and handles errors.
         connection.wake.notify(1);
     }
     let _ = write_available(effects, id);
 }
 
-/// The first usable connection that may carry so many more attempts, and has carried none of the same shard requests: an
-/// answer is matched by its connection and the shard request.
+/// Returns the first usable connection that may carry the attempts of `frame` and has carried no attempt of the same
+/// shard requests, because an answer is matched by its connection and shard request.
 fn find_connection(
     effects: &EffectQueue,
     node: NodeId,
@@ -145,13 +145,13 @@
         };
         let now = effects.now;
         if let Some(connection) = effects.nodes.connection_mut(id) {
-            // A buffer too full for it: the node is not reading, and would not answer.
+            // If the buffer has no room, the node is not reading and would not answer.
             let _ = connection.push(&frames::load_report_request(), now);
         }
     }
 }
 
-/// Moves frames that wait into the connection's buffer while it is up and has room.
+/// Moves waiting frames into the connection's buffer while the connection is established and the buffer has room.
 fn fill_buffer(effects: &mut EffectQueue, id: ConnectionId) {
     let EffectQueue {
         nodes,
@@ -181,7 +181,7 @@
     }
 }
 
-/// The frame of some attempts, as it is sent at `now`.
+/// Encodes the frame of some attempts as it is sent at `now`.
 fn encode_frame(in_flight: &InFlightTable, keys: &[AttemptKey], now: Micros) -> Vec<u8> {
     let attempts = keys.iter().filter_map(|key| in_flight.attempt(*key));
     let requests = attempts.filter_map(|attempt| {
@@ -196,7 +196,7 @@
         Some(ShardRequest {
             id: &attempt.id,
             shard: shard_request.shard.0,
-            // Rounded down: a node is never told more than is left.
+            // Rounded down, so that a node never gets more time than is left.
             wait_ms: (attempt.due.since(now).0 / 1000).max(1),
             idempotency_key: query.idempotency_key.as_deref(),
             statement: &query.statement,
@@ -205,7 +205,8 @@
     frames::shard_requests(requests)
 }
 
-/// The writing half of a connection's task: writes what the socket could not take at once, until the connection ends.
+/// The writing half of a connection's task: writes the bytes that the socket did not accept at once, until the
+/// connection ends.
 pub(super) async fn write(
     router: &Router,
     id: ConnectionId,
@@ -236,8 +237,8 @@
     }
 }
 
-/// Writes without waiting; the listener resolves when there is more to write, or the connection is retired. It listens before
-/// it looks: a change between is seen.
+/// Writes without waiting. The returned listener resolves when there is more to write, or the connection is retired.
+/// It is created before the state is read, so that no change in between is missed.
 fn write_next(router: &Router, id: ConnectionId) -> Result<(EventListener, Written), UpstreamEnd> {
     let mut decisions = router.decisions.borrow_mut();
     decisions.effects.now = router.clock.now();
@@ -251,8 +252,8 @@
     Ok((woken, written))
 }
 
-/// Writes until the buffer is empty or the socket full. An error is the connection's end: also that of a retired one that
-/// carries nothing, and of one with a frame that is not to be finished.
+/// Writes until the buffer is empty or the socket is full. The error is the reason why the connection ends; a retired
+/// connection that carries nothing and an abandoned connection end too.
 fn write_available(effects: &mut EffectQueue, id: ConnectionId) -> Result<Written, UpstreamEnd> {
     loop {
         fill_buffer(effects, id);
