--- a/router/src/stages/answer_writer.rs
+++ b/router/src/stages/answer_writer.rs
@@ -34,7 +34,7 @@
         };
         let bytes = http::answer(status, &headers, &body, is_last);
         if !self.io.output.push(&bytes) {
-            tracing::warn!(bytes = body.len(), "an answer is longer than its bound");
+            tracing::warn!(bytes = body.len(), "answer does not fit the output buffer");
             return Err(ConnectionEnd::AnswerTooLong);
         }
         self.io.account_memory(0);
--- a/router/src/stages/auth_filter/updates.rs
+++ b/router/src/stages/auth_filter/updates.rs
@@ -53,7 +53,7 @@
         authorities: &[CertificateDer],
     ) -> Result<usize, String> {
         let mut identity = self.identity.borrow_mut();
-        let mut error = "no authority of clients is known".to_owned();
+        let mut error = "no certificate authority of clients is configured".to_owned();
         for authority in authorities {
             match identity.told_of_list(list, authority) {
                 Ok(count) => return Ok(count),
--- a/router/src/stages/client_connection.rs
+++ b/router/src/stages/client_connection.rs
@@ -50,21 +50,21 @@
 impl fmt::Display for ConnectionEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ConnectionEnd::Migrated => "it goes to the new process",
+            ConnectionEnd::Migrated => "passed to the new process",
             ConnectionEnd::ClosedWhileIdle => "closed while idle",
-            ConnectionEnd::ClientLeft => "the client left",
+            ConnectionEnd::ClientLeft => "the client closed the connection",
             ConnectionEnd::ClientLeftDuringRequest => {
-                "the client left before its request was complete"
+                "the client closed the connection before its request was complete"
             }
             ConnectionEnd::ClientLeftBeforeAdmission => {
-                "the client left before its request was begun"
+                "the client closed the connection before its request was admitted"
             }
             ConnectionEnd::ClientLeftBeforeAnswer => {
-                "the client left before its answer"
+                "the client closed the connection before its query was answered"
             }
-            ConnectionEnd::LastAnswerWritten => "its last answer is written",
+            ConnectionEnd::LastAnswerWritten => "the last answer was written",
             ConnectionEnd::AnswerNotWritten => "the answer could not be written",
-            ConnectionEnd::AnswerTooLong => "an answer is longer than its bound",
+            ConnectionEnd::AnswerTooLong => "the answer does not fit the output buffer",
         })
     }
 }
@@ -73,10 +73,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum AdoptError {
     /// Client connections hold as many descriptors as they may.
-    #[error("no descriptor is left")]
+    #[error("client connections hold all their descriptors")]
     NoDescriptor,
     /// The socket cannot be registered with the poller.
-    #[error("it cannot be used")]
+    #[error("the socket cannot be registered with the poller")]
     Unusable,
 }
 
@@ -143,7 +143,7 @@
 async fn serve(router: Rc<Router>, new: NewConnection) {
     new.stream.set_nodelay();
     let Some(io) = ClientIo::new(new.stream, router.budget.share(), &new.unread) else {
-        tracing::warn!("a client connection from another process has sent more than its bound");
+        tracing::warn!("unread bytes of an adopted client connection do not fit the input buffer");
         return;
     };
     let opened_at = router.clock.now();
--- a/router/src/stages/listener.rs
+++ b/router/src/stages/listener.rs
@@ -127,7 +127,7 @@
                         self.failures.passed();
                         tracing::warn!(
                             %error,
-                            "cannot accept a client connection, it cannot be polled"
+                            "cannot accept a client connection, the socket cannot be registered with the poller"
                         );
                     }
                 },
--- a/router/src/stages/tls_stream.rs
+++ b/router/src/stages/tls_stream.rs
@@ -87,7 +87,7 @@
         if self.empty_reads > MAX_EMPTY_READS {
             return Err(Error::new(
                 ErrorKind::InvalidData,
-                "records without end that carry nothing",
+                "too many consecutive TLS reads without a byte of a request",
             ));
         }
         Ok(())
--- a/router/src/stages/upstream_connection.rs
+++ b/router/src/stages/upstream_connection.rs
@@ -41,10 +41,10 @@
     #[error("closed by the node")]
     ClosedByNode,
     /// A read from the socket has failed.
-    #[error("cannot be read")]
+    #[error("read failed")]
     ReadFailed,
     /// A write to the socket has failed.
-    #[error("cannot be written")]
+    #[error("write failed")]
     WriteFailed,
     /// The node has sent unusable data.
     #[error("{0}")]
@@ -92,7 +92,7 @@
             tracing::debug!(%address, reason = %end, "node connection ends");
         }
         Err(owner) => {
-            tracing::debug!(%address, ?owner, "node connection cannot be made");
+            tracing::debug!(%address, ?owner, "cannot connect to a node");
             if owner == Owner::Machine {
                 mark_abandoned(&router, id);
             }
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -32,22 +32,22 @@
     #[error("{0}")]
     Malformed(BadFrame),
     /// A frame was not completed within the dial timeout.
-    #[error("a frame is not finished")]
+    #[error("a frame was not completed within the dial timeout")]
     IncompleteFrame,
     /// The node has reported that a frame of the router was unusable.
-    #[error("the node could not use a frame")]
+    #[error("the node rejected a frame of the router")]
     RejectedByNode,
     /// The node has sent a frame of a kind that only routers send, or of an unknown kind.
-    #[error("a frame of unknown letter")]
+    #[error("a frame with an unknown letter")]
     UnknownKind,
     /// The node has answered an attempt that was never sent on this connection.
-    #[error("an answer of unknown id")]
+    #[error("an answer with an unknown id")]
     UnknownAttempt,
     /// A load report is not UTF-8.
-    #[error("a report is not text")]
+    #[error("a load report is not UTF-8")]
     ReportNotText,
     /// The record of the connection has already been removed.
-    #[error("its connection is removed")]
+    #[error("the connection is already removed")]
     ConnectionRemoved,
 }
 
