--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -114,7 +114,10 @@
         deadline: Option<Micros>,
         shutdown_deadline: impl Fn(Shutdown) -> Micros,
     ) -> Option<Micros> {
-        deadline.into_iter().chain(self.shutdown.schedule().map(shutdown_deadline)).min()
+        deadline
+            .into_iter()
+            .chain(self.shutdown.schedule().map(shutdown_deadline))
+            .min()
     }
 
     /// Whether a shutdown has begun.
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -56,7 +56,10 @@
     if is_health(request) {
         return AdmissionOutcome::Answer(health(router, request));
     }
-    let arrival = Arrival { arrived_at, certificate };
+    let arrival = Arrival {
+        arrived_at,
+        certificate,
+    };
     admit_query(router, request, &arrival).unwrap_or_else(AdmissionOutcome::Answer)
 }
 
@@ -70,7 +73,11 @@
     text_answer(200, "{}")
 }
 
-fn admit_query(router: &Router, request: &Reader, arrival: &Arrival) -> Result<AdmissionOutcome, Answer> {
+fn admit_query(
+    router: &Router,
+    request: &Reader,
+    arrival: &Arrival,
+) -> Result<AdmissionOutcome, Answer> {
     let index = query_request::find_index(&router.bounds, query_request::index_name(request));
     let fields = query::parse(request.body());
     // Authorisation comes first, so that an unauthorised caller learns nothing about which indexes exist.
@@ -86,7 +93,9 @@
     let mark = check_capacity(router, checked.request_id)?;
     let time_left = checked.deadline.since(now.since(arrival.arrived_at));
     reserve_for_tenant(router, now, tenant, checked.is_retry)?;
-    Ok(enter_in_flight_table(router, now, time_left, tenant, mark, checked))
+    Ok(enter_in_flight_table(
+        router, now, time_left, tenant, mark, checked,
+    ))
 }
 
 /// Whether the request would be rejected now only because keys or revocations have not been read yet.
--- a/router/src/stages/auth_filter.rs
+++ b/router/src/stages/auth_filter.rs
@@ -158,7 +158,10 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let machine_time = Micros(u64::try_from(machine_time.as_micros()).unwrap_or(u64::MAX));
-        let (now, step) = self.calendar.borrow_mut().now(router.clock.now(), machine_time);
+        let (now, step) = self
+            .calendar
+            .borrow_mut()
+            .now(router.clock.now(), machine_time);
         if let Some(step) = step {
             let step_ms = step / 1000;
             tracing::warn!(step_ms, "identity: the machine's clock has stepped");
--- a/router/src/stages/auth_filter/updates.rs
+++ b/router/src/stages/auth_filter/updates.rs
@@ -29,7 +29,11 @@
     }
 
     /// Applies a page of revocations as of `updated_at` (Unix time).
-    pub(crate) fn update_revocations(&self, updated_at: Micros, document: &[u8]) -> Result<(), String> {
+    pub(crate) fn update_revocations(
+        &self,
+        updated_at: Micros,
+        document: &[u8],
+    ) -> Result<(), String> {
         let page = Page::parse(document).map_err(|fault| fault.to_string())?;
         let mut identity = self.identity.borrow_mut();
         let new_entries = identity
--- a/router/src/stages/client_connection.rs
+++ b/router/src/stages/client_connection.rs
@@ -246,7 +246,8 @@
             return Err(ConnectionEnd::ClientLeftBeforeAdmission);
         }
         let certificate = self.io.stream.certificate();
-        let admitted = admission::admit(&self.router, &self.request, request_arrived_at, certificate);
+        let admitted =
+            admission::admit(&self.router, &self.request, request_arrived_at, certificate);
         self.io.account_memory(self.request.body().len());
         self.request.forget_body();
         match admitted {
--- a/router/src/stages/dispatch.rs
+++ b/router/src/stages/dispatch.rs
@@ -49,7 +49,11 @@
         if let Some(record) = effects.in_flight.query(query.id) {
             let time_left_us = query.time_left.0;
             record.admitted.span.in_scope(|| {
-                tracing::debug!(shard_requests = shard_request_count, time_left_us, "query dispatched")
+                tracing::debug!(
+                    shard_requests = shard_request_count,
+                    time_left_us,
+                    "query dispatched"
+                )
             });
         }
         engine.query_received(
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -149,7 +149,9 @@
         let mut decisions = self.router.decisions.borrow_mut();
         decisions.effects.now = now;
         let attempt_id = frames::id(&self.frame);
-        decisions.effects.abandon_connection(self.id, error, attempt_id);
+        decisions
+            .effects
+            .abandon_connection(self.id, error, attempt_id);
         UpstreamEnd::UnusableInput(error)
     }
 
@@ -243,7 +245,11 @@
     }))
 }
 
-fn handle_load_report(router: &Router, id: ConnectionId, payload: &[u8]) -> Result<(), UnusableInput> {
+fn handle_load_report(
+    router: &Router,
+    id: ConnectionId,
+    payload: &[u8],
+) -> Result<(), UnusableInput> {
     let text = std::str::from_utf8(payload).map_err(|_| UnusableInput::ReportNotText)?;
     let node = {
         let decisions = router.decisions.borrow();
