--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -1,5 +1,5 @@
-//! What can be wrong with the input or the output. Each error ends the adapter: after a frame that cannot be
-//! read, nothing that follows can be trusted.
+//! Errors of the input and the output. Each error ends the adapter: the bytes after a frame that cannot be read
+//! cannot be interpreted reliably.
 
 use std::error::Error;
 use std::io;
@@ -7,23 +7,24 @@
 use thiserror::Error as ThisError;
 
 use crate::frame::HEADER_BYTES;
+use crate::protocol::MAX_CATALOGS;
 
-/// Why the adapter ended. Sizes and counts are in bytes and records.
+/// Why the adapter ended. `read`, `size` and `left` are in bytes.
 #[derive(Debug, ThisError)]
 pub(crate) enum AdapterError {
     #[error("cannot read a frame: {0}")]
     ReadFrame(#[source] io::Error),
     #[error("cannot write a reply: {0}")]
     WriteReply(#[source] io::Error),
-    #[error("input ends after {read} of a header's {HEADER_BYTES} bytes")]
+    #[error("truncated frame header: got {read} of {HEADER_BYTES} bytes")]
     TruncatedHeader { read: usize },
-    #[error("a frame says it has {size} bytes, fewer than its header")]
+    #[error("frame size is {size} bytes, less than its header of {HEADER_BYTES} bytes")]
     FrameBelowHeader { size: usize },
-    #[error("input ends after {read} of a frame's {size} bytes")]
+    #[error("truncated frame: got {read} of {size} bytes")]
     TruncatedFrame { read: usize, size: usize },
-    #[error("a field of {size} bytes where {left} are left of the frame")]
+    #[error("truncated field: got {left} of {size} bytes before the end of the frame")]
     TruncatedField { size: usize, left: usize },
-    #[error("{left} bytes left over after the {count} records of a frame")]
+    #[error("frame has {left} unexpected bytes after its {count} records")]
     BytesLeftOver { left: usize, count: u32 },
     #[error("record {record}: {source}")]
     Record {
@@ -32,19 +33,19 @@
     },
     #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    #[error("event {code} for instance {instance}, which has not begun")]
+    #[error("event {code} for instance {instance}, which is not running")]
     UnknownInstance { code: u8, instance: u32 },
-    #[error("unknown outcome {0}")]
+    #[error("unknown attempt outcome code {0}")]
     UnknownOutcome(u16),
-    #[error("unknown endpoint state {0}")]
+    #[error("unknown endpoint state code {0}")]
     UnknownEndpointState(u8),
-    #[error("an endpoint update of unknown kind {0}")]
+    #[error("unknown kind of endpoint update: {0}")]
     UnknownUpdate(u8),
-    #[error("catalog number {0} is out of range")]
+    #[error("catalog number {0} is out of range, expected less than {MAX_CATALOGS}")]
     CatalogOutOfRange(usize),
-    #[error("a catalog of {count} entries where {left} bytes are left")]
+    #[error("catalog of {count} entries does not fit into the {left} bytes left of the frame")]
     CatalogBeyondFrame { count: usize, left: usize },
-    #[error("catalog {0} is named but was never sent")]
+    #[error("endpoint update refers to catalog {0}, which has not been sent")]
     CatalogNeverSent(usize),
     #[error("{0}")]
     Settings(#[source] Box<dyn Error + Send + Sync>),
--- a/adapter/src/fields.rs
+++ b/adapter/src/fields.rs
@@ -1,10 +1,10 @@
-//! Reads fields off the front of a run of bytes: big-endian, no padding.
+//! Reads the fields of a record from a byte slice: big-endian, without padding.
 
 use ternpick::types::{Endpoint, EndpointState, Micros, NodeId, ShardGroupNo, ZoneNo};
 
 use crate::error::AdapterError;
 
-/// The bytes that are not read yet.
+/// A reader over the bytes that have not been read yet.
 pub(crate) struct Fields<'a> {
     rest: &'a [u8],
 }
@@ -13,7 +13,7 @@
     ($($name:ident),*) => {$(
         pub(crate) fn $name(&mut self) -> Result<$name, AdapterError> {
             let bytes = self.bytes(size_of::<$name>())?;
-            Ok($name::from_be_bytes(bytes.try_into().expect("as many bytes as asked for")))
+            Ok($name::from_be_bytes(bytes.try_into().expect("a slice of the requested size")))
         }
     )*};
 }
@@ -23,7 +23,7 @@
         Fields { rest: bytes }
     }
 
-    /// How many bytes are left.
+    /// The number of bytes that have not been read yet.
     pub(crate) fn left(&self) -> usize {
         self.rest.len()
     }
@@ -38,32 +38,32 @@
         Ok(taken)
     }
 
-    /// Reads bytes that are not used here.
+    /// Skips bytes that the adapter does not use.
     pub(crate) fn skip(&mut self, size: usize) -> Result<(), AdapterError> {
         self.bytes(size).map(drop)
     }
 
     number!(u8, u16, u32, u64, f32);
 
-    /// A span of time, 32 bits of microseconds.
+    /// Reads a duration: microseconds in 32 bits.
     pub(crate) fn micros(&mut self) -> Result<Micros, AdapterError> {
         Ok(Micros(self.u32()?.into()))
     }
 
-    /// A node's address and port.
+    /// Reads a node's address and port.
     pub(crate) fn node(&mut self) -> Result<NodeId, AdapterError> {
         let address = u64::from(self.u32()?);
         let port = u64::from(self.u16()?);
         Ok(NodeId(address << 16 | port))
     }
 
-    /// A load report.
-    pub(crate) fn report(&mut self) -> Result<Vec<f64>, AdapterError> {
+    /// Reads a load report: a count, then one value for each load metric.
+    pub(crate) fn load_report(&mut self) -> Result<Vec<f64>, AdapterError> {
         let count = self.u8()?;
         (0..count).map(|_| self.f32().map(f64::from)).collect()
     }
 
-    /// A row of an endpoint list.
+    /// Reads an entry of an endpoint list.
     pub(crate) fn endpoint(&mut self) -> Result<Endpoint, AdapterError> {
         let node = self.node()?;
         let zone = ZoneNo(self.u16()?);
--- a/adapter/src/frame.rs
+++ b/adapter/src/frame.rs
@@ -1,22 +1,24 @@
-//! Frames as they come: a header with the clock, the size and the count of records, then the records.
+//! Reads input frames: a header with the clock, the size and the count of records, then the records.
 
 use std::io::Read;
 
 use crate::error::AdapterError;
 use crate::fields::Fields;
 
-/// Clock, size of the whole frame, and count of records.
+/// The size of a header: the clock, the size of the whole frame, and the count of records.
 pub(crate) const HEADER_BYTES: usize = 16;
 
-/// One frame: its clock, its count of records, and their bytes.
-pub(crate) struct Batch {
-    pub(crate) clock: u64,
-    pub(crate) count: u32,
-    pub(crate) body: Vec<u8>,
+/// An input frame.
+pub(crate) struct Frame {
+    /// The time of the frame's events, in microseconds.
+    pub(crate) clock_us: u64,
+    pub(crate) record_count: u32,
+    /// The bytes of the records.
+    pub(crate) records: Vec<u8>,
 }
 
-/// Reads the next frame; `None` at a clean end of input.
-pub(crate) fn read(input: &mut impl Read) -> Result<Option<Batch>, AdapterError> {
+/// Reads the next frame; `None` if the input ends between two frames.
+pub(crate) fn read(input: &mut impl Read) -> Result<Option<Frame>, AdapterError> {
     let header = read_up_to(input, HEADER_BYTES)?;
     if header.is_empty() {
         return Ok(None);
@@ -26,21 +28,26 @@
         return Err(AdapterError::TruncatedHeader { read });
     }
     let mut fields = Fields::new(&header);
-    let clock = fields.u64()?;
+    let clock_us = fields.u64()?;
     let size = fields.u32()? as usize;
-    let count = fields.u32()?;
+    let record_count = fields.u32()?;
     if size < HEADER_BYTES {
         return Err(AdapterError::FrameBelowHeader { size });
     }
-    let body = read_up_to(input, size - HEADER_BYTES)?;
-    let read = HEADER_BYTES + body.len();
+    let records = read_up_to(input, size - HEADER_BYTES)?;
+    let read = HEADER_BYTES + records.len();
     if read < size {
         return Err(AdapterError::TruncatedFrame { read, size });
     }
-    Ok(Some(Batch { clock, count, body }))
+    Ok(Some(Frame {
+        clock_us,
+        record_count,
+        records,
+    }))
 }
 
-/// As many bytes, or fewer where the input ends. Space is taken as bytes come, whatever the header claims.
+/// Reads `size` bytes, or fewer if the input ends before. Memory is allocated as bytes arrive, so that a wrong size
+/// in a header allocates nothing.
 fn read_up_to(input: &mut impl Read, size: usize) -> Result<Vec<u8>, AdapterError> {
     let mut bytes = Vec::new();
     input
--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,4 +1,5 @@
-//! The instances of one process: events in, actions out. It decides nothing.
+//! The router instances of this process. Each event goes to the routing engine of its instance, and the engine's
+//! actions go into the reply. All routing decisions are the engine's.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -12,23 +13,23 @@
 
 use crate::error::AdapterError;
 use crate::fields::Fields;
-use crate::frame::Batch;
-use crate::protocol::{action, event, CATALOGS, CATALOG_ENTRY_BYTES, UNDER_WAY_BYTES};
+use crate::frame::Frame;
+use crate::protocol::{action, event, CATALOG_ENTRY_BYTES, MAX_CATALOGS, UNDER_WAY_BYTES};
 use crate::reply::Reply;
 use crate::reply_actions::ReplyActions;
 use crate::request::Request;
 
-/// The instances of this process, and the catalogs that belong to it as a whole.
+/// The router instances of this process by their number, and the catalogs that they share.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u32, RoutingEngine>,
-    catalogs: [Option<Vec<Endpoint>>; CATALOGS],
+    catalogs: [Option<Vec<Endpoint>>; MAX_CATALOGS],
 }
 
-/// What one event came to.
-enum Played {
+/// The result of handling one event.
+enum EventResult {
     Done,
-    /// The decisions panicked, with this text.
+    /// The routing engine panicked with this message.
     Panicked {
         instance: u32,
         text: String,
@@ -36,21 +37,21 @@
 }
 
 impl Host {
-    /// Plays one batch and returns the reply frame. A panic of the decisions ends the batch; its reply reports
-    /// the panic alone.
-    pub(crate) fn play(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
-        let mut fields = Fields::new(&batch.body);
+    /// Handles the events of a frame and returns the reply frame. If the routing engine panics, the rest of the frame
+    /// is skipped, and the reply has no action but the report of the panic.
+    pub(crate) fn handle_frame(&mut self, frame: &Frame) -> Result<Vec<u8>, AdapterError> {
+        let mut fields = Fields::new(&frame.records);
         let mut reply = Reply::default();
-        for record in 0..batch.count {
-            let played = self
-                .play_event(Micros(batch.clock), &mut fields, &mut reply)
+        for record in 0..frame.record_count {
+            let result = self
+                .handle_event(Micros(frame.clock_us), &mut fields, &mut reply)
                 .map_err(|error| AdapterError::Record {
                     record,
                     source: Box::new(error),
                 })?;
-            if let Played::Panicked { instance, text } = played {
+            if let EventResult::Panicked { instance, text } = result {
                 let mut reply = Reply::default();
-                reply.record(action::BUG, instance).text(&text);
+                reply.start_record(action::BUG, instance).text(&text);
                 return Ok(reply.finish());
             }
         }
@@ -58,26 +59,26 @@
             0 => Ok(reply.finish()),
             left => Err(AdapterError::BytesLeftOver {
                 left,
-                count: batch.count,
+                count: frame.record_count,
             }),
         }
     }
 
-    fn play_event(
+    fn handle_event(
         &mut self,
         now: Micros,
         fields: &mut Fields,
         reply: &mut Reply,
-    ) -> Result<Played, AdapterError> {
+    ) -> Result<EventResult, AdapterError> {
         let code = fields.u8()?;
         if code == event::CATALOG {
             self.read_catalog(fields)?;
-            return Ok(Played::Done);
+            return Ok(EventResult::Done);
         }
         let instance = fields.u32()?;
         if code == event::INSTANCE_BEGINS {
             self.begin_instance(instance, fields)?;
-            return Ok(Played::Done);
+            return Ok(EventResult::Done);
         }
         let Some(engine) = self.instances.get_mut(&instance) else {
             return Err(AdapterError::UnknownInstance { code, instance });
@@ -93,11 +94,11 @@
             event::HEALTH_CHECK_FINISHED => health_check_finished(now, engine, fields, out)?,
             event::REQUEST => {
                 let request = Request::read(fields)?;
-                panic_text(|| request.play(now, engine, out))
+                catch_panic(|| request.submit(now, engine, out))
             }
             event::CLIENT_LEFT => {
                 let id = QueryId(fields.u64()?);
-                panic_text(|| engine.client_left(now, id, out))
+                catch_panic(|| engine.client_left(now, id, out))
             }
             event::ENDPOINTS_CHANGED => {
                 endpoints_changed(now, engine, &self.catalogs, fields, out)?
@@ -105,11 +106,16 @@
             event::ATTEMPT_FINISHED => attempt_finished(now, engine, fields, out)?,
             event::TIMER_FIRED => {
                 let timer = TimerId(fields.u64()?);
-                panic_text(|| engine.timer_fired(now, timer, out))
+                catch_panic(|| engine.timer_fired(now, timer, out))
             }
             _ => return Err(AdapterError::UnknownEvent(code)),
         };
-        Ok(panic.map_or(Played::Done, |text| Played::Panicked { instance, text }))
+        Ok(
+            panic.map_or(EventResult::Done, |text| EventResult::Panicked {
+                instance,
+                text,
+            }),
+        )
     }
 
     fn begin_instance(&mut self, instance: u32, fields: &mut Fields) -> Result<(), AdapterError> {
@@ -127,7 +133,7 @@
     fn read_catalog(&mut self, fields: &mut Fields) -> Result<(), AdapterError> {
         let number = fields.u32()? as usize;
         let count = fields.u32()? as usize;
-        if number >= CATALOGS {
+        if number >= MAX_CATALOGS {
             return Err(AdapterError::CatalogOutOfRange(number));
         }
         let left = fields.left();
@@ -158,9 +164,9 @@
     let code = fields.u16()?;
     let node = fields.node()?;
     outcome(code)?;
-    let report = fields.report()?;
-    Ok(panic_text(|| {
-        engine.health_check_finished(now, node, &report, out);
+    let load_report = fields.load_report()?;
+    Ok(catch_panic(|| {
+        engine.health_check_finished(now, node, &load_report, out);
     }))
 }
 
@@ -176,12 +182,12 @@
     let is_full = match fields.u8()? {
         0 => false,
         1 | 2 => true,
-        3 => return Ok(panic_text(|| engine.endpoint_watch_failed(now, out))),
+        3 => return Ok(catch_panic(|| engine.endpoint_watch_failed(now, out))),
         other => return Err(AdapterError::UnknownUpdate(other)),
     };
     let list = catalogs.get(number).and_then(Option::as_ref);
     let list = list.ok_or(AdapterError::CatalogNeverSent(number))?;
-    Ok(panic_text(|| {
+    Ok(catch_panic(|| {
         engine.endpoints_changed(now, list, is_full, out);
     }))
 }
@@ -198,9 +204,18 @@
     let _finished = fields.u8()?;
     let attempt = AttemptNo(fields.u8()?);
     let outcome = outcome(fields.u16()?)?;
-    let report = fields.report()?;
-    Ok(panic_text(|| {
-        engine.attempt_finished(now, request, attempt, node, latency, outcome, &report, out);
+    let load_report = fields.load_report()?;
+    Ok(catch_panic(|| {
+        engine.attempt_finished(
+            now,
+            request,
+            attempt,
+            node,
+            latency,
+            outcome,
+            &load_report,
+            out,
+        );
     }))
 }
 
@@ -216,9 +231,9 @@
     })
 }
 
-/// Runs decisions. Returns the text of their panic, if they panic.
-fn panic_text(decide: impl FnOnce()) -> Option<String> {
-    let panic: Box<dyn Any + Send> = catch_unwind(AssertUnwindSafe(decide)).err()?;
+/// Calls the routing engine. Returns the message of its panic, if it panics.
+fn catch_panic(call_engine: impl FnOnce()) -> Option<String> {
+    let panic: Box<dyn Any + Send> = catch_unwind(AssertUnwindSafe(call_engine)).err()?;
     let text = panic
         .downcast_ref::<String>()
         .map(String::as_str)
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Plays the decision module on the bench's wire: frames on standard input, one reply frame for each on standard
-//! output. It decides nothing. `deploy/balancer.toml` names it as the program that the bench runs.
+//! Runs routing engines for the bench: reads frames of events on standard input, and writes one reply frame of actions
+//! for each on standard output. The adapter makes no routing decisions of its own. `deploy/balancer.toml` names it as
+//! the program that the bench runs.
 
 mod error;
 mod fields;
@@ -19,8 +20,8 @@
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut host = host::Host::default();
-    while let Some(batch) = frame::read(&mut input)? {
-        let reply = host.play(&batch)?;
+    while let Some(frame) = frame::read(&mut input)? {
+        let reply = host.handle_frame(&frame)?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
@@ -30,7 +31,7 @@
 }
 
 fn main() -> ExitCode {
-    // The text of a panic goes out on the wire.
+    // A panic's message goes into the reply frame, so the default hook need not print it on standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/adapter/src/request.rs
+++ b/adapter/src/request.rs
@@ -1,4 +1,4 @@
-//! A query or one of its shard requests, which come as one kind of event.
+//! The event of a query or of one of its shard requests: both have the same code and fields.
 
 use ternpick::actions::Actions;
 use ternpick::routing::RoutingEngine;
@@ -7,22 +7,22 @@
 use crate::error::AdapterError;
 use crate::fields::Fields;
 
-/// The request has a cost hint.
-const HAS_HINT: u8 = 1;
-/// The query is a client's repeat.
+/// Flag: the request has a cost hint.
+const HAS_COST_HINT: u8 = 1;
+/// Flag: the query is a client's retry.
 const IS_CLIENT_RETRY: u8 = 2;
 
-/// The fields of the event.
+/// The fields of the event that the adapter uses.
 pub(crate) struct Request {
     id: u64,
     query: WireQueryNo,
     is_client_retry: bool,
     customer: CustomerNo,
-    /// Negative for a query.
+    /// The shard's number, or a negative value if the event is a query.
     shard: f32,
     cost_hint: Option<Micros>,
-    /// A query's number of shard requests, or a shard request's weight.
-    amount: f64,
+    /// The number of shard requests of a query, or the weight of a shard request.
+    count_or_weight: f64,
     index: IndexNo,
     time_allowed: Micros,
 }
@@ -31,29 +31,29 @@
     pub(crate) fn read(fields: &mut Fields) -> Result<Request, AdapterError> {
         let id = fields.u64()?;
         let query = fields.f32()?;
-        let marks = fields.u8()?;
+        let flags = fields.u8()?;
         let customer = CustomerNo(fields.u16()?);
         let shard = fields.f32()?;
         let _key = fields.u64()?;
         let hint = fields.micros()?;
-        let amount = f64::from(fields.f32()?);
+        let count_or_weight = f64::from(fields.f32()?);
         let index = IndexNo(fields.u8()?);
         let time_allowed = fields.micros()?;
         Ok(Request {
             id,
             query: WireQueryNo(u64::from(query.to_bits())),
-            is_client_retry: marks & IS_CLIENT_RETRY != 0,
+            is_client_retry: flags & IS_CLIENT_RETRY != 0,
             customer,
             shard,
-            cost_hint: (marks & HAS_HINT != 0 && hint.0 > 0).then_some(hint),
-            amount,
+            cost_hint: (flags & HAS_COST_HINT != 0 && hint.0 > 0).then_some(hint),
+            count_or_weight,
             index,
             time_allowed,
         })
     }
 
-    /// Hands it to the engine.
-    pub(crate) fn play(&self, now: Micros, engine: &mut RoutingEngine, out: &mut dyn Actions) {
+    /// Passes the query or shard request to the routing engine.
+    pub(crate) fn submit(&self, now: Micros, engine: &mut RoutingEngine, out: &mut dyn Actions) {
         if self.shard < 0.0 {
             engine.query_received(
                 now,
@@ -61,7 +61,7 @@
                 self.query,
                 self.index,
                 self.customer,
-                self.amount as usize,
+                self.count_or_weight as usize,
                 self.time_allowed,
                 self.is_client_retry,
                 out,
@@ -72,7 +72,7 @@
                 ShardRequestId(self.id),
                 self.query,
                 ShardNo(self.shard as u32),
-                self.amount,
+                self.count_or_weight,
                 self.cost_hint,
                 out,
             );
--- a/platform_config/src/bounds.rs
+++ b/platform_config/src/bounds.rs
@@ -1,40 +1,41 @@
-//! What the program around the decision module keeps to.
+//! The names and limits for the program that runs the routing engine.
 
 use serde_json::Value;
 use ternpick::types::Micros;
 
 use crate::json::{count, list, micros, names, number, texts};
 
-/// Names as peers use them, and the limits of queries and connections. A `None` is a limit that is not set.
+/// Names as they appear in messages, and the limits of queries and connections. `None` means that a limit is not set.
 #[derive(Clone, Debug, Default)]
 pub struct Bounds {
-    /// By index number.
+    /// The names of the indexes, by index number.
     pub index_names: Vec<String>,
-    /// By zone number.
+    /// The names of the zones, by zone number.
     pub zone_names: Vec<String>,
-    /// By customer number, in the order of the quotas.
+    /// The names of the customers, by customer number: in the order of the quotas.
     pub customer_names: Vec<String>,
-    /// The figures of a load report, in the order of the decision module's load metrics.
+    /// The names of the values in a load report, in the order of the routing engine's load metrics.
     pub load_metric_names: Vec<String>,
-    /// How many shards an index has.
+    /// The number of shards of an index.
     pub shard_count: Option<u32>,
-    /// Queries, and shard requests, held at a time.
+    /// Queries and shard requests, counted together, that may be in flight.
     pub max_in_flight: Option<usize>,
-    /// Shard requests that one call may bundle.
+    /// Shard requests that one call to a node may bundle.
     pub max_shard_requests_per_call: usize,
-    /// Calls in flight on one connection.
+    /// Attempts in flight on one connection to a node.
     pub max_attempts_per_connection: usize,
-    /// How long establishing a connection may take.
+    /// Time limit for establishing a connection to a node.
     pub dial_timeout: Option<Micros>,
-    /// After how long an idle connection is closed.
+    /// Time after which a node closes an idle connection.
     pub idle_timeout: Option<Micros>,
-    /// The longest that any client waits for an answer.
+    /// The longest deadline of all indexes: no client waits longer for an answer.
     pub longest_deadline: Option<Micros>,
-    /// How long a router may go without polling the endpoint list.
+    /// The longest time that a router may let pass without polling the endpoint list.
     pub max_poll_interval: Option<Micros>,
 }
 
-/// Reads the bounds. Whatever the settings do not say is not limited.
+/// Reads the names and limits. The two limits that are counts per call and per connection are 1 if absent; every other
+/// limit that is absent is not set.
 pub fn bounds(settings: &Value) -> Bounds {
     let limits = &settings["ceilings"];
     let extra = &settings["extra"];
--- a/platform_config/src/check.rs
+++ b/platform_config/src/check.rs
@@ -1,5 +1,4 @@
-//! Finds values that are no numbers or out of range. Whatever the decisions rest on is absent or right; what is absent
-//! has a default.
+//! Checks that the settings listed here are absent, or numbers in their range. An absent setting has a default.
 
 use serde_json::Value;
 
@@ -16,11 +15,12 @@
     "warmWithin",
 ];
 
+/// Returns an error for the first setting that is not a number in its range.
 pub(crate) fn check(settings: &Value) -> Result<(), PlatformConfigError> {
-    for (at, row) in list(settings, "classes").iter().enumerate() {
+    for (index, row) in list(settings, "classes").iter().enumerate() {
         for key in ["worth", "onTime", "deadline", "window"] {
             check_number(
-                format!("classes[{at}].{key}"),
+                format!("classes[{index}].{key}"),
                 &row[key],
                 Range::NotNegative,
             )?;
@@ -46,8 +46,8 @@
 }
 
 fn check_list(extra: &Value, key: &str, range: Range) -> Result<(), PlatformConfigError> {
-    for (at, value) in list(extra, key).iter().enumerate() {
-        check_number(format!("extra.{key}[{at}]"), value, range)?;
+    for (index, value) in list(extra, key).iter().enumerate() {
+        check_number(format!("extra.{key}[{index}]"), value, range)?;
     }
     Ok(())
 }
--- a/platform_config/src/error.rs
+++ b/platform_config/src/error.rs
@@ -1,26 +1,26 @@
-//! What is wrong with settings.
+//! Errors in the platform's settings.
 
 use std::fmt;
 
 use serde_json::Value;
 
-/// Settings that cannot be used.
+/// Why the settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformConfigError {
-    /// The text is no JSON.
-    #[error("settings that are not JSON: {0}")]
+    /// The text is not valid JSON.
+    #[error("settings are not valid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// The JSON is a list or a single value.
-    #[error("settings that are not a JSON object")]
+    #[error("settings are not a JSON object")]
     NotAnObject,
-    /// A value is no number, or out of its range.
-    #[error("settings: {key} is {value}, wanted a number {range}")]
+    /// A value is not a number, or is out of its range.
+    #[error("settings: {key} is {value}, expected a number {range}")]
     OutOfRange {
-        /// Where the value stands, as in `classes[0].deadline`.
+        /// The path of the value, as in `classes[0].deadline`.
         key: String,
-        /// The value.
+        /// The value found.
         value: Value,
-        /// What it may be.
+        /// The range of values that are accepted.
         range: Range,
     },
 }
@@ -32,12 +32,12 @@
     }
 }
 
-/// What a number may be.
+/// The range of a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Range {
-    /// From 0 to 1.
+    /// From 0 to 1, both included.
     Share,
-    /// Any finite number from 0.
+    /// Any finite number that is 0 or more.
     NotNegative,
 }
 
--- a/platform_config/src/lib.rs
+++ b/platform_config/src/lib.rs
@@ -1,8 +1,9 @@
-//! Reads the platform's settings: the JSON that a router is given at its start. The router and the bench's adapter call
-//! it. Keys are the platform's, and keys that are not known here are skipped. The settings file of the router itself is
-//! `ternpick-settings`'.
+//! Reads the platform's settings: the JSON that a router is started with. The router and the bench's adapter use this
+//! crate. The platform defines the keys, and unknown keys are ignored. The router's own settings file is read by
+//! `ternpick-settings`.
 //!
-//! [`platform_config`] gives what the decision module works with, [`bounds`] what the program around it keeps to.
+//! [`platform_config`] returns the configuration of the routing engine, [`bounds`] the names and limits for the
+//! program that runs the engine.
 
 mod bounds;
 mod check;
--- a/platform_config/src/platform.rs
+++ b/platform_config/src/platform.rs
@@ -1,4 +1,4 @@
-//! The decision module's configuration, from the platform's settings.
+//! Builds the routing engine's configuration from the platform's settings.
 
 use serde_json::Value;
 use ternpick::types::{
@@ -9,7 +9,8 @@
 use crate::error::PlatformConfigError;
 use crate::json::{flag, list, micros, number};
 
-/// Reads the configuration. What is absent has a default; what is wrong is named with its value.
+/// Reads the routing engine's configuration. Settings that are absent have a default. The error for a wrong setting
+/// has its path and its value.
 pub fn platform_config(settings: &Value) -> Result<PlatformConfig, PlatformConfigError> {
     if !settings.is_object() {
         return Err(PlatformConfigError::NotAnObject);
@@ -23,7 +24,7 @@
         indexes: list(settings, "classes")
             .iter()
             .enumerate()
-            .map(|(at, row)| index_config(at, row, extra))
+            .map(|(index_no, row)| index_config(index_no, row, extra))
             .collect(),
         quotas: list(settings, "projects")
             .iter()
@@ -65,9 +66,9 @@
     })
 }
 
-fn index_config(at: usize, row: &Value, extra: &Value) -> IndexConfig {
-    let of_index = |key: &str| extra[key].get(at).and_then(Value::as_f64);
-    let required_weight = of_index("classNeed").unwrap_or(1.0);
+fn index_config(index_no: usize, row: &Value, extra: &Value) -> IndexConfig {
+    let extra_number = |key: &str| extra[key].get(index_no).and_then(Value::as_f64);
+    let required_weight = extra_number("classNeed").unwrap_or(1.0);
     IndexConfig {
         latency_objective: micros(row, "onTime")
             .or(micros(row, "deadline"))
@@ -75,14 +76,14 @@
         priority_weight: number(row, "worth").unwrap_or(1.0),
         retry_semantics: retry_semantics(row),
         required_weight,
-        min_weight: of_index("minShare").unwrap_or(required_weight),
+        min_weight: extra_number("minShare").unwrap_or(required_weight),
         has_queries: false,
-        second_phase_size: of_index("secondStep").map_or(0, |size| size as usize),
+        second_phase_size: extra_number("secondStep").map_or(0, |size| size as usize),
         ..IndexConfig::default()
     }
 }
 
-/// What is not declared idempotent is never retried.
+/// An index whose semantics are absent or unknown is once-only: its requests are not retried once they may have run.
 fn retry_semantics(row: &Value) -> RetrySemantics {
     match row["semantics"].as_str() {
         Some("idempotent") => RetrySemantics::Idempotent,
