--- a/tenant_limits/examples/fairness.rs
+++ b/tenant_limits/examples/fairness.rs
@@ -1,5 +1,5 @@
-//! The share that each of 1,000 tenants gets beside one that floods, in virtual time, with limits and without:
-//! `cargo run --release -p ternpick-tenant-limits --example fairness`.
+//! Measures the share of its queries that each of 1,000 tenants gets admitted while one of them floods the router, in
+//! virtual time, with tenant limits and without: `cargo run --release -p ternpick-tenant-limits --example fairness`.
 
 use std::collections::VecDeque;
 
@@ -7,15 +7,16 @@
 use ternpick_tenant_limits::{Limits, SharedLimitConfig, TenantConfig};
 
 const TENANTS: u16 = 1000;
-/// Queries that may be in flight, each for 10 ms, so 10,000 a second.
+/// Queries that may be in flight. Each takes [`QUERY_MS`], so that 10,000 queries end per second.
 const CAPACITY: usize = 100;
 const QUERY_MS: u64 = 10;
 const RUN_MS: u64 = 20_000;
 
 #[derive(Clone, Copy)]
 enum Admission {
-    /// Whoever comes first, up to the capacity.
+    /// Each query is admitted while there is capacity, whichever tenant sends it.
     FirstCome,
+    /// [`Limits`] decides.
     TenantLimits,
 }
 
@@ -34,8 +35,9 @@
     admission: Admission,
     limits: Limits,
     in_flight: VecDeque<InFlight>,
-    /// By tenant.
+    /// Queries sent, by tenant.
     sent: Vec<u64>,
+    /// Queries admitted, by tenant.
     admitted: Vec<u64>,
 }
 
@@ -91,7 +93,7 @@
 
     fn fairness(&self) -> Fairness {
         let shares: Vec<f64> = (1..usize::from(TENANTS))
-            .map(|at| self.admitted[at] as f64 / self.sent[at].max(1) as f64)
+            .map(|tenant| self.admitted[tenant] as f64 / self.sent[tenant].max(1) as f64)
             .collect();
         Fairness {
             worst_share: shares.iter().copied().fold(f64::MAX, f64::min),
@@ -101,7 +103,8 @@
     }
 }
 
-/// A fair share is 10 queries a second, and the others send just that; tenant 0 sends so many times as much.
+/// A fair share is 10 queries per second. Tenant 0 sends `flood_factor` times as many, the other tenants send their
+/// fair share.
 fn run(flood_factor: usize, admission: Admission) -> Fairness {
     let mut run = Run::new(admission);
     let mut due = 0.0;
--- a/tenant_limits/src/adaptive_limit.rs
+++ b/tenant_limits/src/adaptive_limit.rs
@@ -1,44 +1,48 @@
-//! The shared limit on queries in flight. It shrinks while answers are late, and grows while it is reached and answers
-//! are in time (additive and multiplicative increase, multiplicative decrease).
+//! The shared limit on queries in flight. It shrinks while too many answers are late, and grows while it is reached
+//! and answers are in time (additive and multiplicative increase, multiplicative decrease).
 
 use ternpick::types::Micros;
 
 use crate::config::SharedLimitConfig;
 
-/// The limit adapts after so many queries have ended, or after so much time.
+/// The limit adapts after this many queries have ended, or at the first end of a query after [`WINDOW_DURATION`].
 const WINDOW_QUERIES: u32 = 32;
+/// See [`WINDOW_QUERIES`].
 const WINDOW_DURATION: Micros = Micros(500_000);
-/// Where a larger share of a window's queries was late, the limit shrinks to this part of itself.
+/// The limit shrinks if more than this share of a window's queries ended late.
 const MAX_LATE_SHARE: f64 = 0.1;
+/// Factor by which the limit shrinks.
 const DECREASE_FACTOR: f64 = 0.85;
-/// While it is reached and answers are in time, it grows by one and by this part of itself.
+/// While the limit is reached and answers are in time, it grows by one query plus this share of itself.
 const INCREASE_SHARE: f64 = 0.05;
-/// The weight of the newest query in the smoothed duration.
-const SMOOTHING: f64 = 0.1;
+/// The weight of the latest query in the moving average of the query duration.
+const SMOOTHING_WEIGHT: f64 = 0.1;
 
 pub(crate) struct AdaptiveLimit {
-    bounds: SharedLimitConfig,
+    config: SharedLimitConfig,
     limit: f64,
     window: Window,
-    /// How long a query takes, smoothed; none before the first has ended.
+    /// Moving average of the query duration; `None` until the first query has ended.
     typical_duration: Option<Micros>,
 }
 
 #[derive(Default)]
 struct Window {
     started_at: Micros,
+    /// Queries that ended in this window.
     ended: u32,
+    /// Those of them whose answer was late.
     late: u32,
-    /// The limit was reached in it.
+    /// Whether a query found the limit reached in this window.
     was_reached: bool,
 }
 
 impl AdaptiveLimit {
-    pub(crate) fn new(bounds: SharedLimitConfig) -> Self {
-        let upper = bounds.max.max(bounds.min);
+    pub(crate) fn new(config: SharedLimitConfig) -> Self {
+        let upper = config.max.max(config.min);
         AdaptiveLimit {
-            bounds,
-            limit: bounds.initial.clamp(bounds.min, upper) as f64,
+            config,
+            limit: config.initial.clamp(config.min, upper) as f64,
             window: Window::default(),
             typical_duration: None,
         }
@@ -52,27 +56,28 @@
         self.typical_duration.unwrap_or_default()
     }
 
-    pub(crate) fn reconfigure(&mut self, bounds: SharedLimitConfig) {
-        self.bounds = bounds;
-        self.limit = self.limit.clamp(bounds.min as f64, bounds.max as f64);
+    pub(crate) fn reconfigure(&mut self, config: SharedLimitConfig) {
+        self.config = config;
+        self.limit = self.limit.clamp(config.min as f64, config.max as f64);
     }
 
-    /// Continues from another process's limit; what is no number is ignored.
+    /// Continues with the limit of another process. A limit that is not finite is ignored.
     pub(crate) fn restore(&mut self, limit: f64) {
         if limit.is_finite() {
             self.set(limit);
         }
     }
 
-    /// Remembers that a query found the limit reached.
+    /// Records that a query found the limit reached in this window.
     pub(crate) fn note_reached(&mut self) {
         self.window.was_reached = true;
     }
 
-    /// Counts a query that has ended, and adapts at the end of a window.
+    /// Counts a query that has ended, and adapts the limit if the window is complete.
     pub(crate) fn query_ended(&mut self, now: Micros, duration: Micros, late: bool) {
-        let before = self.typical_duration.unwrap_or(duration);
-        let smoothed = before.times(1.0 - SMOOTHING).0 + duration.times(SMOOTHING).0;
+        let previous = self.typical_duration.unwrap_or(duration);
+        let smoothed =
+            previous.times(1.0 - SMOOTHING_WEIGHT).0 + duration.times(SMOOTHING_WEIGHT).0;
         self.typical_duration = Some(Micros(smoothed));
         self.window.ended += 1;
         self.window.late += u32::from(late);
@@ -101,7 +106,7 @@
     }
 
     fn set(&mut self, limit: f64) {
-        let upper = self.bounds.max.max(self.bounds.min) as f64;
-        self.limit = limit.clamp(self.bounds.min as f64, upper);
+        let upper = self.config.max.max(self.config.min) as f64;
+        self.limit = limit.clamp(self.config.min as f64, upper);
     }
 }
--- a/tenant_limits/src/config.rs
+++ b/tenant_limits/src/config.rs
@@ -1,26 +1,26 @@
-//! The settings: what each tenant may have, and all of them together.
+//! The settings of the limits: those of each tenant, and the limit that all tenants share.
 
 use serde::Deserialize;
 
-/// What one tenant may have.
+/// The limits of one tenant.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct TenantConfig {
-    /// Its share where the shared limit is reached, against the weights of the other tenants.
+    /// The tenant's share of the shared limit while that is reached, relative to the weights of the other tenants.
     pub weight: f64,
-    /// Queries in flight at a time.
+    /// Limit of queries in flight.
     #[serde(rename = "in_hand")]
     pub max_in_flight: usize,
-    /// Queries a second, on average.
+    /// Average limit of queries per second: the rate at which the token bucket fills.
     pub per_second: f64,
-    /// Queries that it may start at once after a pause.
+    /// Queries that the tenant may start at once after a pause: the size of the token bucket.
     pub burst: f64,
-    /// Retries by its clients, for each query that is none.
+    /// What each query that is not a retry adds to the retry budget of the tenant's clients.
     #[serde(rename = "repeats")]
     pub retries_per_query: f64,
 }
 
 impl TenantConfig {
-    /// For a tenant that the settings no longer name.
+    /// For a tenant that is no longer in the settings: it may start no query.
     pub(crate) const NO_QUERIES: TenantConfig = TenantConfig {
         weight: 0.0,
         max_in_flight: 0,
@@ -30,16 +30,16 @@
     };
 }
 
-/// The shared limit: queries of all tenants together that may be in flight. It adapts between two bounds.
+/// The shared limit on the queries in flight of all tenants together. It adapts between two bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct SharedLimitConfig {
-    /// Where the limit starts.
+    /// The limit at the start of the process.
     #[serde(rename = "begins")]
     pub initial: usize,
-    /// Its lower bound.
+    /// Lower bound of the limit.
     #[serde(rename = "least")]
     pub min: usize,
-    /// Its upper bound.
+    /// Upper bound of the limit.
     #[serde(rename = "most")]
     pub max: usize,
 }
--- a/tenant_limits/src/limits.rs
+++ b/tenant_limits/src/limits.rs
@@ -1,4 +1,4 @@
-//! All tenants together: who is admitted, and what ends.
+//! The limits of all tenants: admits queries, and releases their capacity when they end.
 
 use serde::{Deserialize, Serialize};
 use ternpick::types::{CustomerNo, Micros};
@@ -8,25 +8,26 @@
 use crate::rejection::Rejection;
 use crate::tenant::Tenant;
 
-/// What is counted, for the process that replaces this one. Without it, bursts and retry budgets start anew.
+/// The state of the limits, which the old process of a hot restart hands to the new process. Without it, the new
+/// process starts with full token buckets and retry budgets.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitsSnapshot {
     /// By tenant number.
     pub tenants: Vec<TenantCounts>,
     /// The shared limit.
     pub limit: f64,
-    /// Queries that this process still has in flight, by tenant number.
+    /// Queries that the process which made the snapshot has in flight, by tenant number.
     #[serde(rename = "in_hand")]
     pub in_flight: Vec<usize>,
 }
 
-/// What is counted of one tenant. It is stored as the pair (tokens, retries).
+/// The token bucket and the retry budget of one tenant. It is stored as the pair (tokens, retries).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct TenantCounts {
-    /// Queries that it may start at once.
+    /// Tokens in the bucket: queries that the tenant may start at once.
     pub tokens: f64,
-    /// Retries that its clients may still make.
+    /// Retries left in the retry budget of the tenant's clients.
     pub retries: f64,
 }
 
@@ -42,7 +43,8 @@
     }
 }
 
-/// All tenants by number, as many as the settings name; nothing grows with the queries.
+/// The limits of all tenants, by tenant number. The memory that they use depends on the number of tenants in the
+/// settings, and not on the number of queries.
 pub struct Limits {
     tenants: Vec<Tenant>,
     shared: AdaptiveLimit,
@@ -52,7 +54,7 @@
 }
 
 impl Limits {
-    /// `tenants` by number, from 0.
+    /// `tenants` holds the limits of each tenant, by tenant number from 0.
     pub fn new(tenants: Vec<TenantConfig>, shared: SharedLimitConfig) -> Self {
         Limits {
             tenants: tenants.into_iter().map(Tenant::new).collect(),
@@ -62,8 +64,8 @@
         }
     }
 
-    /// Takes another configuration while queries are in flight; what is counted stays counted. A tenant that is left
-    /// out keeps what it has in flight, and may have nothing more.
+    /// Applies another configuration while queries are in flight; counts are kept. A tenant that the new configuration
+    /// leaves out keeps its queries in flight, and may start no more.
     pub fn update(&mut self, tenants: Vec<TenantConfig>, shared: SharedLimitConfig) {
         let count = tenants.len().max(self.tenants.len());
         let mut configs = tenants.into_iter();
@@ -83,7 +85,7 @@
             .sum();
     }
 
-    /// What is counted, for the process that replaces this one.
+    /// The state for the process that replaces this one.
     pub fn snapshot(&mut self, now: Micros) -> LimitsSnapshot {
         for tenant in &mut self.tenants {
             tenant.fill_tokens(now);
@@ -99,41 +101,41 @@
         }
     }
 
-    /// Continues from what another process counted, on the same tenants. What that has in flight counts here too, until
-    /// [`Limits::other_process_drained`].
-    pub fn restore(&mut self, now: Micros, from: &LimitsSnapshot) {
-        let counts = from.tenants.iter().zip(&from.in_flight);
+    /// Continues from the snapshot of another process with the same tenants. The queries that the other process has in
+    /// flight count here too, until [`Limits::other_process_drained`] is called.
+    pub fn restore(&mut self, now: Micros, snapshot: &LimitsSnapshot) {
+        let counts = snapshot.tenants.iter().zip(&snapshot.in_flight);
         for (tenant, (counts, in_flight)) in self.tenants.iter_mut().zip(counts) {
             tenant.restore(now, *counts, *in_flight);
         }
-        self.shared.restore(from.limit);
+        self.shared.restore(snapshot.limit);
     }
 
-    /// The other process has nothing left in flight.
+    /// Stops counting the queries of the other process, which has none left in flight.
     pub fn other_process_drained(&mut self) {
         for tenant in &mut self.tenants {
             tenant.in_flight_elsewhere = 0;
         }
     }
 
-    /// Queries in flight, of all tenants.
+    /// Queries of all tenants that are in flight in this process.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// How many queries may be in flight before shares count.
+    /// The shared limit. Once as many queries are in flight, a tenant is admitted only within its share.
     pub fn limit(&self) -> usize {
         self.shared.limit() as usize
     }
 
-    /// Queries in flight of one tenant; `None` for a number that is not known.
+    /// Queries of one tenant that are in flight in this process; `None` for an unknown tenant number.
     pub fn tenant_in_flight(&self, tenant: CustomerNo) -> Option<usize> {
         self.tenants
             .get(usize::from(tenant.0))
             .map(|tenant| tenant.in_flight)
     }
 
-    /// Admits a query, or says why not. A rejected one changes no count.
+    /// Admits a query, or returns why it is rejected. A rejected query uses no token and no retry.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -158,8 +160,9 @@
         Ok(())
     }
 
-    /// A tenant below its share is admitted even where the shared limit is reached: those above theirs wait until it has
-    /// drained. All together stay below twice the limit, since the shares sum to it.
+    /// Rejects a query if the shared limit is reached and the tenant has its share of it. A tenant below its share is
+    /// admitted even then, while tenants above theirs are rejected until enough of their queries have ended. The
+    /// shares add up to the limit, so the queries in flight of all tenants together stay below twice the limit.
     fn check_share(&mut self, number: usize) -> Result<(), Rejection> {
         let limit = self.shared.limit();
         let in_flight = self.in_flight as f64;
@@ -177,7 +180,7 @@
         Ok(())
     }
 
-    /// A tenant's share of the limit, among those that have queries in flight.
+    /// A tenant's share of the shared limit, by its weight among the tenants that have queries in flight.
     fn share(&self, tenant: &Tenant) -> f64 {
         let own_weight = tenant.config.weight;
         let counted_weight = if tenant.in_flight > 0 {
@@ -189,7 +192,7 @@
         self.shared.limit() * own_weight / (other_weight + own_weight).max(f64::MIN_POSITIVE)
     }
 
-    /// A query has ended. `late`: its answer came after the latency objective.
+    /// Releases the capacity of a query that has ended. `late`: its answer came after the latency objective.
     pub fn release(&mut self, now: Micros, tenant: CustomerNo, duration: Micros, late: bool) {
         let Some(tenant) = self
             .tenants
@@ -204,7 +207,7 @@
             self.active_weight = (self.active_weight - tenant.config.weight).max(0.0);
         }
         if self.in_flight == 0 {
-            // Rounding may have left something.
+            // Removes what rounding errors have left.
             self.active_weight = 0.0;
         }
         self.shared.query_ended(now, duration, late);
--- a/tenant_limits/src/tenant.rs
+++ b/tenant_limits/src/tenant.rs
@@ -6,19 +6,19 @@
 use crate::limits::TenantCounts;
 use crate::rejection::Rejection;
 
-/// The retry budget saves up to so many times what one query adds to it.
+/// The retry budget holds at most this many times what one query adds to it.
 const MAX_SAVED_RETRIES: f64 = 20.0;
 
 pub(crate) struct Tenant {
     pub(crate) config: TenantConfig,
     pub(crate) in_flight: usize,
-    /// In flight at the process that this one replaces, while that drains.
+    /// Queries in flight in the old process of a hot restart, while that process drains.
     pub(crate) in_flight_elsewhere: usize,
-    /// Queries that it may start at once.
+    /// Tokens in the bucket: queries that the tenant may start at once.
     pub(crate) tokens: f64,
-    /// When the tokens were last filled up.
+    /// When the tokens were last brought up to date.
     filled_at: Micros,
-    /// Retries that it may still make.
+    /// Retries left in the retry budget of the tenant's clients.
     pub(crate) retries: f64,
 }
 
@@ -34,20 +34,20 @@
         }
     }
 
-    /// Adds the tokens of the time that has passed.
+    /// Adds the tokens earned since the last call.
     pub(crate) fn fill_tokens(&mut self, now: Micros) {
         let earned = now.since(self.filled_at).0 as f64 / 1e6 * self.config.per_second;
         self.tokens = (self.tokens + earned).min(self.config.burst);
         self.filled_at = now.max(self.filled_at);
     }
 
-    /// Takes another configuration; what is counted stays counted.
+    /// Applies another configuration; counts are kept, except that tokens beyond the new burst are dropped.
     pub(crate) fn reconfigure(&mut self, config: TenantConfig) {
         self.tokens = self.tokens.min(config.burst);
         self.config = config;
     }
 
-    /// Continues from what another process counted. What is no number counts as none.
+    /// Continues from the counts of another process. A count that is not finite is taken as 0.
     pub(crate) fn restore(&mut self, now: Micros, counts: TenantCounts, in_flight: usize) {
         self.tokens = if counts.tokens.is_finite() {
             counts.tokens.clamp(0.0, self.config.burst)
@@ -63,8 +63,8 @@
         self.in_flight_elsewhere = in_flight;
     }
 
-    /// Whether the tenant's own limits allow one more query. `typical_duration`: how long a query takes, which is the
-    /// best guess at when one of its own ends or adds to the retry budget.
+    /// Rejects a query beyond the tenant's own limits. `typical_duration` is the average duration of a query: the best
+    /// estimate of when one of the tenant's queries ends or adds to the retry budget.
     pub(crate) fn check_own_limits(
         &self,
         is_retry: bool,
@@ -89,7 +89,7 @@
         Ok(())
     }
 
-    /// Counts a query that is admitted. A retry spends the retry budget, any other query adds to it.
+    /// Counts an admitted query. A retry takes one from the retry budget, any other query adds to it.
     pub(crate) fn start_query(&mut self, is_retry: bool) {
         self.tokens -= 1.0;
         if is_retry {
--- a/tenant_limits/tests/fairness.rs
+++ b/tenant_limits/tests/fairness.rs
@@ -1,4 +1,4 @@
-//! The rules of tenant limits over sequences of queries, in virtual time.
+//! Tenant limits over sequences of queries, in virtual time.
 
 use std::collections::VecDeque;
 
@@ -28,81 +28,98 @@
     }
 }
 
-/// Plays queries that each take 10 ms: tenants 1.. send one in `every` milliseconds, tenant 0 floods with `flood` at a
-/// time. Returns the shares of queries that were admitted: of the others, of the worst of them, of the flooding one.
-fn play(tenants: u16, every: u64, flood: usize, limit: usize) -> (f64, f64, f64) {
+/// The shares of the queries that were admitted.
+struct AdmittedShares {
+    /// Of all tenants but the flooding one.
+    others: f64,
+    /// Of the worst of them.
+    worst: f64,
+    /// Of the flooding tenant.
+    flooding: f64,
+}
+
+/// Simulates 2 s of queries that each take 10 ms. Tenant 0 sends `flood` queries before and `flood` after the others
+/// in each millisecond; each other tenant sends one query every `interval_ms`.
+fn simulate(tenants: u16, interval_ms: u64, flood: usize, limit: usize) -> AdmittedShares {
     let mut limits = Limits::new(
         vec![tenant_config(); usize::from(tenants)],
         fixed_limit(limit),
     );
-    let mut out: VecDeque<(u64, CustomerNo)> = VecDeque::new();
-    let (mut asked, mut got) = ([0u64; 2], vec![0u64; usize::from(tenants)]);
+    // When each query ends, in ms, and its tenant.
+    let mut in_flight: VecDeque<(u64, CustomerNo)> = VecDeque::new();
+    // Queries sent by the flooding tenant and by the others together; queries admitted by tenant.
+    let (mut sent, mut admitted) = ([0u64; 2], vec![0u64; usize::from(tenants)]);
     for ms in 0..2000 {
-        while out.front().is_some_and(|(end, _)| *end <= ms) {
-            let (_, tenant) = out.pop_front().expect("one");
+        while in_flight.front().is_some_and(|(end, _)| *end <= ms) {
+            let (_, tenant) = in_flight.pop_front().expect("a query in flight");
             limits.release(Micros(ms * MS), tenant, Micros(10 * MS), false);
         }
         let others =
-            (1..tenants).filter(|tenant| (ms + u64::from(*tenant) * 7).is_multiple_of(every));
+            (1..tenants).filter(|tenant| (ms + u64::from(*tenant) * 7).is_multiple_of(interval_ms));
         let all = std::iter::repeat_n(0, flood)
             .chain(others)
             .chain(std::iter::repeat_n(0, flood));
         for tenant in all {
-            asked[usize::from(tenant > 0)] += 1;
+            sent[usize::from(tenant > 0)] += 1;
             if limits
                 .admit(Micros(ms * MS), CustomerNo(tenant), false)
                 .is_ok()
             {
-                got[usize::from(tenant)] += 1;
-                out.push_back((ms + 10, CustomerNo(tenant)));
+                admitted[usize::from(tenant)] += 1;
+                in_flight.push_back((ms + 10, CustomerNo(tenant)));
             }
         }
         assert!(
             limits.in_flight() <= 2 * limit,
-            "{} in flight",
+            "{} queries in flight with a shared limit of {limit}",
             limits.in_flight()
         );
     }
-    let others: u64 = got[1..].iter().sum();
-    let least = got[1..]
+    let others: u64 = admitted[1..].iter().sum();
+    let worst = admitted[1..]
         .iter()
         .min()
-        .map_or(0.0, |least| *least as f64 / (2000 / every) as f64);
-    (
-        others as f64 / asked[1].max(1) as f64,
-        least,
-        got[0] as f64 / asked[0].max(1) as f64,
-    )
+        .map_or(0.0, |count| *count as f64 / (2000 / interval_ms) as f64);
+    AdmittedShares {
+        others: others as f64 / sent[1].max(1) as f64,
+        worst,
+        flooding: admitted[0] as f64 / sent[0].max(1) as f64,
+    }
 }
 
 #[test]
-fn a_thousand_tenants_keep_their_share_beside_one_that_floods_a_hundredfold() {
-    // The others have 5 a millisecond, 50 in flight; the flooding one tries 100 times its fair 0.05.
-    let (others, least, flooding) = play(1000, 200, 50, 100);
+fn a_thousand_tenants_keep_their_share_while_one_tenant_floods() {
+    // The other tenants send 5 queries per millisecond together, and have 50 in flight. A fair share of the limit is
+    // 0.1 in flight; the flooding tenant sends 100 queries per millisecond.
+    let AdmittedShares {
+        others,
+        worst,
+        flooding,
+    } = simulate(1000, 200, 50, 100);
     assert!(
-        others > 0.99 && least >= 0.9,
-        "others {others}, least {least}, flooding {flooding}"
+        others > 0.99 && worst >= 0.9,
+        "admitted shares: others {others}, worst of them {worst}, flooding tenant {flooding}"
     );
 }
 
 #[test]
-fn what_others_leave_unused_is_used() {
+fn a_tenant_may_use_the_whole_limit_while_the_others_have_no_queries() {
     let mut limits = Limits::new(vec![tenant_config(); 10], fixed_limit(100));
-    let taken = (0..300)
+    let admitted = (0..300)
         .filter(|_| limits.admit(Micros(0), CustomerNo(3), false).is_ok())
         .count();
-    assert_eq!(taken, 100);
-    // And yet the next tenant is admitted, up to its half.
-    let taken = (0..300)
+    assert_eq!(admitted, 100);
+    // The next tenant is still admitted, up to its share: half of the limit.
+    let admitted = (0..300)
         .filter(|_| limits.admit(Micros(0), CustomerNo(4), false).is_ok())
         .count();
-    assert_eq!(taken, 50);
+    assert_eq!(admitted, 50);
 }
 
-#[test_case(2.0, 66; "twice the weight")]
-#[test_case(1.0, 50; "the same")]
-#[test_case(0.25, 20; "a quarter")]
-fn a_share_goes_by_weight(weight: f64, share: usize) {
+#[test_case(2.0, 66; "twice the weight of the other")]
+#[test_case(1.0, 50; "the same weight")]
+#[test_case(0.25, 20; "a quarter of the weight")]
+fn a_share_is_proportional_to_the_weight(weight: f64, share: usize) {
     let mut limits = Limits::new(
         vec![
             tenant_config(),
@@ -114,14 +131,14 @@
         fixed_limit(100),
     );
     while limits.admit(Micros(0), CustomerNo(0), false).is_ok() {}
-    let taken = (0..300)
+    let admitted = (0..300)
         .filter(|_| limits.admit(Micros(0), CustomerNo(1), false).is_ok())
         .count();
-    assert_eq!(taken, share);
+    assert_eq!(admitted, share);
 }
 
 #[test]
-fn a_rate_is_kept_with_its_burst_and_its_retry_after_is_right() {
+fn a_tenant_over_its_rate_is_rejected_until_the_retry_after_has_passed() {
     let mut limits = Limits::new(
         vec![TenantConfig {
             per_second: 10.0,
@@ -138,7 +155,7 @@
         3
     );
     let Err(Rejection::Rate { retry_after }) = limits.admit(now, CustomerNo(0), false) else {
-        panic!("admitted")
+        panic!("a query beyond the burst was not rejected for its rate")
     };
     assert_eq!(retry_after, Micros(100 * MS));
     assert!(limits
@@ -150,7 +167,7 @@
 }
 
 #[test]
-fn a_retry_storm_ends_with_its_budget() {
+fn a_retry_storm_is_limited_by_the_tenants_own_retry_budget() {
     let mut limits = Limits::new(
         vec![
             TenantConfig {
@@ -161,27 +178,30 @@
         ],
         fixed_limit(1000),
     );
-    let mut got = 0;
+    let mut retries_admitted = 0;
     for _ in 0..1000 {
         let _ = limits.admit(Micros(0), CustomerNo(0), false);
         limits.release(Micros(0), CustomerNo(0), Micros(MS), false);
-        // Each is repeated three times.
+        // The client retries each query three times.
         for _ in 0..3 {
             if limits.admit(Micros(0), CustomerNo(0), true).is_ok() {
-                got += 1;
+                retries_admitted += 1;
                 limits.release(Micros(0), CustomerNo(0), Micros(MS), false);
             }
         }
     }
-    assert!((100..=103).contains(&got), "{got} retries of 3000");
+    assert!(
+        (100..=103).contains(&retries_admitted),
+        "{retries_admitted} of 3000 retries admitted"
+    );
     assert!(
         limits.admit(Micros(0), CustomerNo(1), true).is_ok(),
-        "another tenant's are its own"
+        "another tenant's retry budget is used up"
     );
 }
 
 #[test]
-fn the_limit_shrinks_while_answers_are_late_and_grows_while_it_is_used_up() {
+fn the_shared_limit_shrinks_while_answers_are_late_and_grows_while_it_is_reached() {
     let mut limits = Limits::new(
         vec![tenant_config()],
         SharedLimitConfig {
@@ -190,54 +210,60 @@
             max: 80,
         },
     );
-    let mut round = |now: u64, late: bool| {
-        let mut taken = 0;
+    // Fills the limit, ends all queries, and returns the limit after that.
+    let mut limit_after_round = |now: u64, late: bool| {
+        let mut admitted = 0;
         while limits.admit(Micros(now), CustomerNo(0), false).is_ok() {
-            taken += 1;
+            admitted += 1;
         }
-        (0..taken).for_each(|_| limits.release(Micros(now), CustomerNo(0), Micros(MS), late));
+        (0..admitted).for_each(|_| limits.release(Micros(now), CustomerNo(0), Micros(MS), late));
         limits.limit()
     };
-    let late: Vec<usize> = (0..40).map(|at| round(at * S, true)).collect();
+    let late: Vec<usize> = (0..40)
+        .map(|second| limit_after_round(second * S, true))
+        .collect();
     assert!(late[0] < 50 && late[39] == 5, "{late:?}");
-    let good: Vec<usize> = (40..120).map(|at| round(at * S, false)).collect();
-    assert!(good[79] == 80 && good.is_sorted(), "{good:?}");
+    let in_time: Vec<usize> = (40..120)
+        .map(|second| limit_after_round(second * S, false))
+        .collect();
+    assert!(in_time[79] == 80 && in_time.is_sorted(), "{in_time:?}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn all_that_is_admitted_is_released_whatever_the_order(
+    fn every_admitted_query_is_released_in_any_order_of_steps(
         steps in proptest::collection::vec((0u16..6, any::<bool>(), 0u64..200, any::<bool>()), 1..300)
     ) {
         let tenants: Vec<TenantConfig> =
-            (0..5).map(|at| TenantConfig { weight: 1.0 + f64::from(at), max_in_flight: 4 + at as usize, ..tenant_config() }).collect();
+            (0..5).map(|number| TenantConfig { weight: 1.0 + f64::from(number), max_in_flight: 4 + number as usize, ..tenant_config() }).collect();
         let mut limits = Limits::new(tenants.clone(), SharedLimitConfig { initial: 10, min: 2, max: 30 });
-        let (mut now, mut held) = (Micros(0), Vec::new());
-        for (tenant, takes, later, late) in steps {
-            now += Micros(later * MS);
+        let (mut now, mut in_flight) = (Micros(0), Vec::new());
+        for (tenant, is_admission, elapsed_ms, flag) in steps {
+            now += Micros(elapsed_ms * MS);
             let tenant = CustomerNo(tenant);
-            if takes {
-                match limits.admit(now, tenant, late) {
-                    Ok(()) => held.push((tenant, now)),
+            if is_admission {
+                // The flag makes an admission a retry, and an end late.
+                match limits.admit(now, tenant, flag) {
+                    Ok(()) => in_flight.push((tenant, now)),
                     Err(rejection) => prop_assert!(rejection.retry_after().0 <= 60 * S),
                 }
-            } else if !held.is_empty() {
-                let (tenant, since) = held.swap_remove(later as usize % held.len());
-                limits.release(now, tenant, now.since(since), late);
+            } else if !in_flight.is_empty() {
+                let (tenant, since) = in_flight.swap_remove(elapsed_ms as usize % in_flight.len());
+                limits.release(now, tenant, now.since(since), flag);
             }
-            prop_assert_eq!(limits.in_flight(), held.len());
-            for (at, of) in tenants.iter().enumerate() {
-                let count = held.iter().filter(|(tenant, _)| usize::from(tenant.0) == at).count();
-                prop_assert!(count <= of.max_in_flight);
-                prop_assert_eq!(limits.tenant_in_flight(CustomerNo(at as u16)), Some(count));
+            prop_assert_eq!(limits.in_flight(), in_flight.len());
+            for (number, config) in tenants.iter().enumerate() {
+                let count = in_flight.iter().filter(|(tenant, _)| usize::from(tenant.0) == number).count();
+                prop_assert!(count <= config.max_in_flight);
+                prop_assert_eq!(limits.tenant_in_flight(CustomerNo(number as u16)), Some(count));
             }
         }
-        for (tenant, since) in held {
+        for (tenant, since) in in_flight {
             limits.release(now, tenant, now.since(since), false);
         }
         prop_assert_eq!(limits.in_flight(), 0);
-        prop_assert!(limits.admit(now + Micros(60 * S), CustomerNo(0), false).is_ok(), "nobody is shut out for good");
+        prop_assert!(limits.admit(now + Micros(60 * S), CustomerNo(0), false).is_ok(), "a tenant without queries in flight is rejected after 60 s");
     }
 }
--- a/tenant_limits/tests/hot_restart.rs
+++ b/tenant_limits/tests/hot_restart.rs
@@ -1,4 +1,4 @@
-//! What a process hands over to the one that replaces it.
+//! The snapshot that the old process of a hot restart hands to the new process.
 
 use ternpick::types::{CustomerNo, Micros};
 use ternpick_tenant_limits::{
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn counts_are_stored_as_pairs_by_position() {
-    let counted = LimitsSnapshot {
+fn a_snapshot_is_encoded_by_position_with_tenant_counts_as_pairs() {
+    let snapshot = LimitsSnapshot {
         tenants: vec![TenantCounts {
             tokens: 1.5,
             retries: 2.5,
@@ -32,14 +32,14 @@
         in_flight: vec![3],
     };
     let pairs = (vec![(1.5, 2.5)], 7.0, vec![3_usize]);
-    let bytes = postcard::to_stdvec(&counted).expect("bytes");
+    let bytes = postcard::to_stdvec(&snapshot).expect("bytes");
     assert_eq!(bytes, postcard::to_stdvec(&pairs).expect("bytes"));
     let read: LimitsSnapshot = postcard::from_bytes(&bytes).expect("counts");
-    assert_eq!(read, counted);
+    assert_eq!(read, snapshot);
 }
 
 #[test]
-fn queries_of_the_other_process_count_until_it_is_done() {
+fn queries_of_the_old_process_count_until_it_has_drained() {
     let tenant = CustomerNo(0);
     let now = Micros(0);
     let mut old = limits();
