--- a/tests/recorded/mod.rs
+++ b/tests/recorded/mod.rs
@@ -1,4 +1,4 @@
-//! The recorded-input check: a seeded player of inputs, and what it records.
+//! Generates inputs for the routing engine from a seed, and records the engine's decisions.
 
 pub(crate) mod fleet;
 mod operations;
@@ -14,7 +14,7 @@
     })
 }
 
-/// SplitMix64: random numbers that rest on nothing of the code under test.
+/// SplitMix64: random numbers that do not depend on the code under test.
 pub(crate) struct Random(u64);
 
 impl Random {
@@ -22,9 +22,13 @@
         Random(seed)
     }
 
-    /// A source for one occurrence, the same however many numbers were drawn before.
-    pub(crate) fn of(parts: &[u64]) -> Random {
-        let bytes: Vec<u8> = parts.iter().flat_map(|part| part.to_le_bytes()).collect();
+    /// A source for a single event, seeded by the values that identify the event. Its numbers do not depend on how
+    /// many were drawn elsewhere before.
+    pub(crate) fn seeded_by(values: &[u64]) -> Random {
+        let bytes: Vec<u8> = values
+            .iter()
+            .flat_map(|value| value.to_le_bytes())
+            .collect();
         Random(hash(&bytes))
     }
 
@@ -36,13 +40,13 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// From 0 up to `limit`, without it.
+    /// A number from 0 to `limit`, exclusive.
     pub(crate) fn below(&mut self, limit: u64) -> u64 {
         self.next() % limit.max(1)
     }
 
-    /// True in so many of a thousand cases.
-    pub(crate) fn per_mille(&mut self, cases: u64) -> bool {
-        self.below(1000) < cases
+    /// True with a probability of `probability` in a thousand.
+    pub(crate) fn per_mille(&mut self, probability: u64) -> bool {
+        self.below(1000) < probability
     }
 }
--- a/tests/recorded/operations.rs
+++ b/tests/recorded/operations.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet and to the router: faults, starts, drains, a lost watch, a second process.
+//! Events of the fleet and of the router: faults, node starts, drains, a lost endpoint watch, a hot restart.
 
 use ternpick::types::*;
 
@@ -7,7 +7,7 @@
 use super::recorder::Recorder;
 
 impl Player {
-    /// The list or its loss, as an answer to a watch.
+    /// Answers the engine's endpoint watch with the endpoint list or a failure.
     pub(super) fn watch_result(&mut self, process: usize) {
         if self.random.per_mille(self.scenario.watch_fails_per_mille) {
             return self.watch_fails(process);
@@ -28,8 +28,8 @@
         });
     }
 
-    /// Tells each process whose watch is up of one endpoint; now and then the watch breaks instead.
-    fn announce(&mut self, node: NodeId) {
+    /// Sends an update of one endpoint to each process whose watch is up. Sometimes the watch fails instead.
+    fn send_endpoint_update(&mut self, node: NodeId) {
         let endpoint = self.fleet.node(node).endpoint;
         for process in 0..self.processes.len() {
             if !self.processes[process].watch_is_up {
@@ -53,54 +53,56 @@
         let delay = Micros(500_000 + self.random.below(1_500_000));
         self.schedule(delay, Event::FleetChange);
         let node = NodeId(1 + self.random.below(self.scenario.nodes));
-        let lasts = Micros(800_000 + self.random.below(3_000_000));
+        let duration = Micros(800_000 + self.random.below(3_000_000));
         match self.random.below(10) {
             0..=4 => {
                 let faults = &self.scenario.faults;
                 let fault = faults[self.random.below(faults.len() as u64) as usize];
                 self.fleet.node(node).fault = fault;
-                self.schedule(lasts, Event::Repair(node));
+                self.schedule(duration, Event::Repair(node));
             }
-            // A crash: back at once, or missed for a while.
+            // A crash after which the node restarts at once.
             5 => self.node_starts(node),
+            // A crash after which the node is gone for a while.
             6 => {
                 self.node_leaves(node);
-                self.schedule(lasts, Event::Start(node));
+                self.schedule(duration, Event::Start(node));
             }
             7 => {
                 self.fleet.node(node).endpoint.state = EndpointState::Draining;
-                self.announce(node);
+                self.send_endpoint_update(node);
                 self.schedule(Micros(600_000), Event::Leave(node));
-                self.schedule(Micros(600_000) + lasts, Event::Start(node));
+                self.schedule(Micros(600_000) + duration, Event::Start(node));
             }
             _ => {
                 let state = EndpointState::Draining;
                 self.schedule(Micros(0), Event::OperatorDrain { node, state });
                 let state = EndpointState::Ready;
-                self.schedule(lasts, Event::OperatorDrain { node, state });
+                self.schedule(duration, Event::OperatorDrain { node, state });
             }
         }
     }
 
     pub(super) fn node_starts(&mut self, node: NodeId) {
-        // Claims of another clock: mostly right, at times ahead or behind.
-        let claimed = match self.random.below(4) {
+        // The node's clock decides the start time that it reports: in half of the cases it is right, in the others it
+        // is an hour behind or 3 s ahead.
+        let reported_start = match self.random.below(4) {
             0 => self.now + Micros(3_000_000),
             1 => Micros(self.now.0 - 3_600_000_000),
             _ => Micros(self.now.0 - 20_000),
         };
-        let of = self.fleet.node(node);
-        of.fault = Fault::None;
-        of.endpoint.state = EndpointState::Ready;
-        of.endpoint.started_at = claimed;
-        self.announce(node);
+        let state = self.fleet.node(node);
+        state.fault = Fault::None;
+        state.endpoint.state = EndpointState::Ready;
+        state.endpoint.started_at = reported_start;
+        self.send_endpoint_update(node);
     }
 
     pub(super) fn node_leaves(&mut self, node: NodeId) {
-        let of = self.fleet.node(node);
-        of.fault = Fault::Down;
-        of.endpoint.state = EndpointState::Gone;
-        self.announce(node);
+        let state = self.fleet.node(node);
+        state.fault = Fault::Down;
+        state.endpoint.state = EndpointState::Gone;
+        self.send_endpoint_update(node);
     }
 
     pub(super) fn operator_drain(&mut self, node: NodeId, state: EndpointState) {
@@ -118,25 +120,25 @@
         );
     }
 
-    /// Idle connections begin to be dropped silently, or are no longer.
-    pub(super) fn connections_change(&mut self) {
-        self.fleet.drops_idle_after = match self.fleet.drops_idle_after {
+    /// Starts or stops the silent dropping of idle connections.
+    pub(super) fn toggle_idle_drops(&mut self) {
+        self.fleet.drops_idle_connections_after = match self.fleet.drops_idle_connections_after {
             None => Some(Micros(250_000)),
             Some(_) => None,
         };
-        self.schedule(Micros(9_000_000), Event::ConnectionsChange);
+        self.schedule(Micros(9_000_000), Event::ToggleIdleDrops);
     }
 
-    pub(super) fn health_is_checked(&mut self, process: usize, node: NodeId) {
+    pub(super) fn health_check_sent(&mut self, process: usize, node: NodeId) {
         let fault = self.fleet.node(node).fault;
         if fault != Fault::Down {
             let delay = Micros(1_000 + self.random.below(8_000));
-            self.schedule(delay, Event::Health { process, node });
+            self.schedule(delay, Event::HealthCheckFinished { process, node });
         }
     }
 
-    pub(super) fn health_returns(&mut self, process: usize, node: NodeId) {
-        let mut random = super::Random::of(&[self.now.0, node.0]);
+    pub(super) fn health_check_finished(&mut self, process: usize, node: NodeId) {
+        let mut random = super::Random::seeded_by(&[self.now.0, node.0]);
         let metrics = &self.scenario.config.load_metrics;
         let report = self.fleet.report(node, metrics, &mut random);
         let details = format!("{} {report:?}", node.0);
@@ -145,66 +147,66 @@
         });
     }
 
-    /// Takes down all that the engine believes, and what of it holds under other settings.
+    /// Records the engine's snapshot, and the snapshot of an engine with other settings that has restored it.
     pub(super) fn snapshot(&mut self) {
-        let mut other = self.scenario.config.clone();
-        other.groups_per_shard += 1;
+        let mut other_config = self.scenario.config.clone();
+        other_config.groups_per_shard += 1;
         let list = self.fleet.endpoints();
         let mut digest = 0;
         self.input(self.active, "snapshot", "", |engine, now, _| {
-            let beliefs = engine.snapshot(now);
-            let mut reader = ternpick::routing::RoutingEngine::new(other, 1);
-            reader.endpoints_changed(now, &list, true, &mut Recorder::default());
-            let taken = reader.believe(now, &beliefs);
-            let texts = [describe(&beliefs), describe(&reader.snapshot(now))];
-            digest = super::hash(format!("{taken} {}", texts.join("\n")).as_bytes());
+            let snapshot = engine.snapshot(now);
+            let mut restored = ternpick::routing::RoutingEngine::new(other_config, 1);
+            restored.endpoints_changed(now, &list, true, &mut Recorder::default());
+            let restored_count = restored.believe(now, &snapshot);
+            let texts = [describe(&snapshot), describe(&restored.snapshot(now))];
+            digest = super::hash(format!("{restored_count} {}", texts.join("\n")).as_bytes());
         });
         self.amend_step(&format!("{digest:016x}"));
     }
 
-    /// Another process takes over; the present one finishes what it has. The first time it fails, and the
-    /// present one goes on.
+    /// Starts a new process that takes new queries, while the old one finishes the queries that it has. Where
+    /// `succeeds` is false, the old process takes new queries again when the shared time ends.
     pub(super) fn hot_restart(&mut self, succeeds: bool) {
         let old = self.active;
         let new = self.start_process();
-        let beliefs = self.processes[old].engine.snapshot(self.now);
+        let snapshot = self.processes[old].engine.snapshot(self.now);
         self.watch_result(new);
-        let mut taken = 0;
+        let mut restored_count = 0;
         self.input(new, "restore", "", |engine, now, _| {
-            taken = engine.believe(now, &beliefs);
+            restored_count = engine.believe(now, &snapshot);
             engine.serve_share(3.0, true);
         });
-        self.amend_step(&taken.to_string());
+        self.amend_step(&restored_count.to_string());
         self.input(old, "serve-share", "", |engine, _, _| {
             engine.serve_share(1.0, false);
         });
         self.active = new;
-        let resumed = if succeeds { new } else { old };
-        self.schedule(Micros(2_500_000), Event::ShareEnds { resumed });
+        let active = if succeeds { new } else { old };
+        self.schedule(Micros(2_500_000), Event::CapacityShareEnds { active });
     }
 
-    pub(super) fn share_ends(&mut self, resumed: usize) {
-        self.active = resumed;
-        self.input(resumed, "serve-whole", "", |engine, _, _| {
+    pub(super) fn capacity_share_ends(&mut self, active: usize) {
+        self.active = active;
+        self.input(active, "serve-whole", "", |engine, _, _| {
             engine.serve_whole();
         });
     }
 
     pub(super) fn shut_down(&mut self) {
-        let answers_by = self.now + Micros(400_000);
+        let answer_by = self.now + Micros(400_000);
         self.input(
             self.active,
             "shutdown",
-            &answers_by.0.to_string(),
-            |engine, now, out| engine.shutdown_started(now, answers_by, out),
+            &answer_by.0.to_string(),
+            |engine, now, out| engine.shutdown_started(now, answer_by, out),
         );
     }
 }
 
-/// A snapshot to the last bit, without the names of its fields.
-fn describe(of: &ternpick::routing::EngineSnapshot) -> String {
+/// The exact values of a snapshot without the names of its fields, so that a rename of a field changes no recording.
+fn describe(snapshot: &ternpick::routing::EngineSnapshot) -> String {
     let mut lines = Vec::new();
-    for (id, node) in &of.nodes {
+    for (id, node) in &snapshot.nodes {
         lines.push(format!(
             "{:?}",
             (
@@ -222,8 +224,14 @@
             )
         ));
     }
-    lines.push(format!("{:?}", (of.mean_hint, &of.quota_left, &of.taken)));
-    lines.push(format!("{:?}", (&of.extras, of.alarm, &of.fatal)));
-    lines.push(format!("{:?}", (&of.terms, of.shed)));
+    lines.push(format!(
+        "{:?}",
+        (snapshot.mean_hint, &snapshot.quota_left, &snapshot.taken)
+    ));
+    lines.push(format!(
+        "{:?}",
+        (&snapshot.extras, snapshot.alarm, &snapshot.fatal)
+    ));
+    lines.push(format!("{:?}", (&snapshot.terms, snapshot.shed)));
     lines.join("\n")
 }
--- a/tests/recorded/recorder.rs
+++ b/tests/recorded/recorder.rs
@@ -1,25 +1,25 @@
-//! Takes down every action that one input leads to.
+//! Records every action that an input leads to.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ternpick::actions::Actions;
 use ternpick::types::*;
 
-/// What the player has to follow up, in the order in which the engine asked for it.
+/// An action that the player carries out, in the order of the engine's calls.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Effect {
     Sent {
         request: ShardRequestId,
         attempt: AttemptNo,
         node: NodeId,
-        limit: Micros,
+        time_limit: Micros,
     },
     Cancelled {
         request: ShardRequestId,
         attempt: AttemptNo,
     },
     Answered(QueryId),
-    Refused {
+    EndedWithoutAnswer {
         query: QueryId,
         retry_after: Micros,
     },
@@ -28,37 +28,41 @@
     Timer(Micros),
 }
 
-/// The actions of one engine. Log lines are recorded without their text, which may be worded anew.
+/// Records the actions of one engine. Log lines are recorded without their text, since rewording them is not a change
+/// of the decisions.
 #[derive(Default)]
 pub(crate) struct Recorder {
-    pub(crate) line: String,
+    /// The line of the current step.
+    pub(crate) step_line: String,
     pub(crate) effects: Vec<Effect>,
-    pub(crate) kinds: BTreeSet<String>,
-    pub(crate) log_forms: BTreeSet<String>,
-    attempts: BTreeMap<ShardRequestId, u8>,
+    pub(crate) action_kinds: BTreeSet<String>,
+    /// Log lines without the words that have digits, which vary from line to line.
+    pub(crate) log_templates: BTreeSet<String>,
+    /// Attempts sent so far, by shard request.
+    attempt_counts: BTreeMap<ShardRequestId, u8>,
     last_reason: Option<DecisionReason>,
 }
 
 impl Recorder {
-    fn note(&mut self, kind: &str, text: &str) {
-        self.kinds.insert(kind.to_owned());
-        self.line.push_str(" | ");
-        self.line.push_str(text);
+    fn record(&mut self, kind: &str, text: &str) {
+        self.action_kinds.insert(kind.to_owned());
+        self.step_line.push_str(" | ");
+        self.step_line.push_str(text);
     }
 }
 
 impl Actions for Recorder {
-    fn send_attempt(&mut self, request: ShardRequestId, node: NodeId, limit: Micros) {
-        let made = self.attempts.entry(request).or_default();
-        let attempt = AttemptNo(*made);
-        *made += 1;
+    fn send_attempt(&mut self, request: ShardRequestId, node: NodeId, time_limit: Micros) {
+        let sent_count = self.attempt_counts.entry(request).or_default();
+        let attempt = AttemptNo(*sent_count);
+        *sent_count += 1;
         let kind = match (attempt.0, self.last_reason) {
             (0, _) => "send first",
             (_, Some(DecisionReason::Hedge)) => "send hedge",
             _ => "send retry",
         };
-        let (id, to, limit_us) = (request.0, node.0, limit.0);
-        self.note(
+        let (id, to, limit_us) = (request.0, node.0, time_limit.0);
+        self.record(
             kind,
             &format!("send {id}.{} to {to} within {limit_us}", attempt.0),
         );
@@ -66,7 +70,7 @@
             request,
             attempt,
             node,
-            limit,
+            time_limit,
         });
     }
 
@@ -76,61 +80,63 @@
         } else {
             "answer partial"
         };
-        self.note(kind, &format!("{kind} {}", query.0));
+        self.record(kind, &format!("{kind} {}", query.0));
         self.effects.push(Effect::Answered(query));
     }
 
     fn reject(&mut self, query: QueryId, retry_after: Micros) {
-        self.note(
+        self.record(
             "reject",
             &format!("reject {} for {}", query.0, retry_after.0),
         );
-        self.effects.push(Effect::Refused { query, retry_after });
+        self.effects
+            .push(Effect::EndedWithoutAnswer { query, retry_after });
     }
 
     fn fail(&mut self, query: QueryId) {
-        self.note("fail", &format!("fail {}", query.0));
+        self.record("fail", &format!("fail {}", query.0));
         let retry_after = Micros(0);
-        self.effects.push(Effect::Refused { query, retry_after });
+        self.effects
+            .push(Effect::EndedWithoutAnswer { query, retry_after });
     }
 
     fn cancel_attempt(&mut self, request: ShardRequestId, attempt: AttemptNo) {
-        self.note("cancel", &format!("cancel {}.{}", request.0, attempt.0));
+        self.record("cancel", &format!("cancel {}.{}", request.0, attempt.0));
         self.effects.push(Effect::Cancelled { request, attempt });
     }
 
     fn close_idle_connections(&mut self, node: NodeId) {
-        self.note("close-idle", &format!("close-idle {}", node.0));
+        self.record("close-idle", &format!("close-idle {}", node.0));
     }
 
     fn check_health(&mut self, node: NodeId) {
-        self.note("health-check", &format!("health-check {}", node.0));
+        self.record("health-check", &format!("health-check {}", node.0));
         self.effects.push(Effect::HealthCheck(node));
     }
 
     fn watch_endpoints(&mut self) {
-        self.note("watch", "watch");
+        self.record("watch", "watch");
         self.effects.push(Effect::Watch);
     }
 
     fn set_timer(&mut self, delay: Micros, timer: TimerId) {
-        self.note("timer", &format!("timer {} in {}", timer.0, delay.0));
+        self.record("timer", &format!("timer {} in {}", timer.0, delay.0));
         self.effects.push(Effect::Timer(delay));
     }
 
     fn record_reason(&mut self, query: QueryId, reason: DecisionReason) {
         self.last_reason = Some(reason);
-        self.note(
+        self.record(
             &format!("reason {reason:?}"),
             &format!("reason {} {reason:?}", query.0),
         );
     }
 
     fn log(&mut self, line: &str) {
-        self.note("log", "log");
-        // Without what varies from line to line: words with digits in them.
-        let fixed = |word: &&str| !word.contains(|letter: char| letter.is_ascii_digit());
-        let form: Vec<&str> = line.split_whitespace().filter(fixed).collect();
-        self.log_forms.insert(form.join(" "));
+        self.record("log", "log");
+        // Words with digits vary from line to line.
+        let has_no_digit = |word: &&str| !word.contains(|letter: char| letter.is_ascii_digit());
+        let template: Vec<&str> = line.split_whitespace().filter(has_no_digit).collect();
+        self.log_templates.insert(template.join(" "));
     }
 }
--- a/tests/recorded/scenario.rs
+++ b/tests/recorded/scenario.rs
@@ -1,4 +1,4 @@
-//! The configurations that are played, each with its own kinds of trouble.
+//! The scenarios: configurations of the routing engine, each with its own workload and faults.
 
 use ternpick::types::*;
 
@@ -12,26 +12,26 @@
     pub(crate) config: PlatformConfig,
     pub(crate) nodes: u64,
     pub(crate) zones: u16,
-    pub(crate) service_us: u64,
+    pub(crate) mean_service_us: u64,
     /// Mean time between queries.
-    pub(crate) query_gap: Micros,
-    /// Queries per index, as weights of their choice.
-    pub(crate) index_mix: Vec<u64>,
-    pub(crate) most_requests: u64,
-    pub(crate) hints: bool,
+    pub(crate) query_interval: Micros,
+    /// Relative frequency of the queries of each index, by index number.
+    pub(crate) index_weights: Vec<u64>,
+    pub(crate) max_shard_requests: u64,
+    pub(crate) has_cost_hints: bool,
     pub(crate) faults: Vec<Fault>,
-    pub(crate) drops_idle: bool,
+    pub(crate) drops_idle_connections: bool,
     pub(crate) unsent_per_mille: u64,
-    pub(crate) deadly_per_mille: u64,
+    pub(crate) query_of_death_per_mille: u64,
     pub(crate) client_leaves_per_mille: u64,
     pub(crate) watch_fails_per_mille: u64,
-    /// Another process takes over in the middle.
+    /// Whether another process takes over during the scenario.
     pub(crate) hot_restart: bool,
 }
 
 pub(crate) fn by_name(name: &str) -> Scenario {
     let named = all().into_iter().find(|scenario| scenario.name == name);
-    named.expect("a scenario of that name")
+    named.unwrap_or_else(|| panic!("no scenario has the name {name}"))
 }
 
 pub(crate) fn all() -> Vec<Scenario> {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Idempotent queries, load in answers, a retry budget, quotas, two zones, a restart of the router.
+/// Idempotent queries, load reports in answers, a retry budget, quotas, two zones, and a hot restart of the router.
 fn idempotent() -> Scenario {
     let partial = IndexConfig {
         min_weight: 0.6,
@@ -108,28 +108,28 @@
         config,
         nodes: 9,
         zones: 2,
-        service_us: 30_000,
-        query_gap: ms(60),
-        index_mix: vec![2, 3],
-        most_requests: 5,
-        hints: true,
+        mean_service_us: 30_000,
+        query_interval: ms(60),
+        index_weights: vec![2, 3],
+        max_shard_requests: 5,
+        has_cost_hints: true,
         faults: vec![
             Fault::Hung,
             Fault::Slow(12),
             Fault::Down,
             Fault::Errors(400),
-            Fault::ReportsNothing,
+            Fault::ReportsIdle,
         ],
-        drops_idle: false,
+        drops_idle_connections: false,
         unsent_per_mille: 5,
-        deadly_per_mille: 15,
+        query_of_death_per_mille: 15,
         client_leaves_per_mille: 20,
         watch_fails_per_mille: 300,
         hot_restart: true,
     }
 }
 
-/// Two-phase and fingerprinted queries, load by health checks, no retry budget.
+/// Two-phase and fingerprinted queries, load reports in health checks, and no retry budget.
 fn two_phases() -> Scenario {
     let two_phase = IndexConfig {
         min_weight: 0.5,
@@ -162,19 +162,20 @@
         config,
         nodes: 8,
         zones: 1,
-        index_mix: vec![3, 2, 1],
+        index_weights: vec![3, 2, 1],
         faults: vec![
             Fault::FailsIndex(1),
             Fault::Hung,
             Fault::Slow(8),
-            Fault::Refuses,
+            Fault::Rejects,
         ],
         hot_restart: false,
         ..idempotent()
     }
 }
 
-/// Once-only queries beside others, no load reports, a fleet policy's limits, idle connections dropped.
+/// Once-only queries among others, no load reports, the limits of a policy document, and silently dropped idle
+/// connections.
 fn once_only() -> Scenario {
     let limited = IndexConfig {
         partial_response_after: Some(ms(250)),
@@ -210,19 +211,19 @@
         config,
         nodes: 9,
         zones: 3,
-        service_us: 12_000,
-        query_gap: ms(150),
-        index_mix: vec![1, 2, 1, 6],
-        most_requests: 3,
-        hints: false,
-        faults: vec![Fault::Down, Fault::Errors(700), Fault::Refuses],
-        drops_idle: true,
+        mean_service_us: 12_000,
+        query_interval: ms(150),
+        index_weights: vec![1, 2, 1, 6],
+        max_shard_requests: 3,
+        has_cost_hints: false,
+        faults: vec![Fault::Down, Fault::Errors(700), Fault::Rejects],
+        drops_idle_connections: true,
         unsent_per_mille: 30,
         ..idempotent()
     }
 }
 
-/// Many routers share nodes that start again and again; another process takes over.
+/// Many routers share nodes that restart often, and the router does a hot restart.
 fn many_routers() -> Scenario {
     let config = PlatformConfig {
         router_count: 12.0,
@@ -239,15 +240,15 @@
         name: "many_routers",
         seed: 44,
         config,
-        service_us: 20_000,
-        index_mix: vec![5, 1],
+        mean_service_us: 20_000,
+        index_weights: vec![5, 1],
         faults: vec![Fault::Down, Fault::Slow(20)],
-        deadly_per_mille: 40,
+        query_of_death_per_mille: 40,
         ..idempotent()
     }
 }
 
-/// More queries than the nodes can bear, hedging off, no cancellation.
+/// More queries than the nodes can serve, without hedging and without cancellation.
 fn overload() -> Scenario {
     let config = PlatformConfig {
         quotas: vec![10.0, 10.0],
@@ -265,10 +266,10 @@
         seed: 55,
         config,
         nodes: 5,
-        service_us: 45_000,
-        query_gap: ms(14),
-        index_mix: vec![4, 1],
-        most_requests: 2,
+        mean_service_us: 45_000,
+        query_interval: ms(14),
+        index_weights: vec![4, 1],
+        max_shard_requests: 2,
         faults: vec![Fault::Slow(3), Fault::Hung],
         hot_restart: false,
         ..idempotent()
--- a/tests/recorded/workload.rs
+++ b/tests/recorded/workload.rs
@@ -1,4 +1,4 @@
-//! The clients: their queries, second phases, retries and departures.
+//! The simulated clients: their queries, second phases, retries and disconnects.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 use super::player::{Event, Player};
 
-/// What a client asks for, and asks for again.
+/// The content of a query, which a client's retries repeat.
 #[derive(Clone, Debug)]
 pub(super) struct QuerySpec {
     pub(super) index: IndexNo,
@@ -14,13 +14,13 @@
     pub(super) shards: Vec<u32>,
     pub(super) hints: Vec<Option<Micros>>,
     pub(super) time_allowed: Micros,
-    pub(super) retries: u32,
-    /// It brings down each node that begins one of its requests.
-    pub(super) deadly: bool,
+    pub(super) retry_count: u32,
+    /// Whether the query crashes each node that starts one of its shard requests.
+    pub(super) is_query_of_death: bool,
 }
 
-/// A query that has been sent.
-pub(super) struct ModelQuery {
+/// The state of a query that has been sent.
+pub(super) struct QueryState {
     pub(super) spec: QuerySpec,
     process: usize,
     wire_no: WireQueryNo,
@@ -31,35 +31,35 @@
 
 impl Player {
     pub(super) fn next_query(&mut self) {
-        let gap = self.scenario.query_gap.0;
-        // A burst every few seconds, and quiet times in which connections are idle.
-        let phase = self.now.0 / 1_000_000 % 10;
-        let gap = match phase {
-            3 => gap / 4,
-            7 | 8 => gap * 5,
-            _ => gap,
+        let mean_interval = self.scenario.query_interval.0;
+        // Of each 10 s, one is a burst of queries, and two have few queries, so that connections become idle.
+        let second = self.now.0 / 1_000_000 % 10;
+        let interval = match second {
+            3 => mean_interval / 4,
+            7 | 8 => mean_interval * 5,
+            _ => mean_interval,
         };
-        let delay = Micros(gap / 2 + self.random.below(gap));
+        let delay = Micros(interval / 2 + self.random.below(interval));
         self.schedule(delay, Event::NextQuery);
         let spec = self.draw_query();
         self.send_query(spec);
     }
 
     fn draw_query(&mut self) -> QuerySpec {
-        let mix = &self.scenario.index_mix;
-        let mut drawn = self.random.below(mix.iter().sum());
+        let weights = &self.scenario.index_weights;
+        let mut drawn = self.random.below(weights.iter().sum());
         let mut index = 0;
-        while drawn >= mix[index] {
-            drawn -= mix[index];
+        while drawn >= weights[index] {
+            drawn -= weights[index];
             index += 1;
         }
-        let count = 1 + self.random.below(self.scenario.most_requests);
+        let count = 1 + self.random.below(self.scenario.max_shard_requests);
         let shards = (0..count).map(|_| self.random.below(16) as u32).collect();
         let mut hints = Vec::new();
         for _ in 0..count {
             let hint = Micros(5_000 + self.random.below(40_000));
-            let given = self.scenario.hints && self.random.per_mille(900);
-            hints.push(given.then_some(hint));
+            let has_hint = self.scenario.has_cost_hints && self.random.per_mille(900);
+            hints.push(has_hint.then_some(hint));
         }
         let objective = self.scenario.config.indexes[index].latency_objective;
         let time_allowed = Micros(objective.0 / 2 + self.random.below(objective.0 * 4));
@@ -69,8 +69,10 @@
             shards,
             hints,
             time_allowed,
-            retries: 0,
-            deadly: self.random.per_mille(self.scenario.deadly_per_mille),
+            retry_count: 0,
+            is_query_of_death: self
+                .random
+                .per_mille(self.scenario.query_of_death_per_mille),
         }
     }
 
@@ -79,14 +81,14 @@
         let id = QueryId(self.next_id);
         let wire_no = WireQueryNo(self.next_id / 1000);
         let process = self.active;
-        let leaves = self.random.per_mille(self.scenario.client_leaves_per_mille);
-        if leaves {
+        let client_leaves = self.random.per_mille(self.scenario.client_leaves_per_mille);
+        if client_leaves {
             let delay = Micros(self.random.below(spec.time_allowed.0));
             self.schedule(delay, Event::ClientLeaves(id));
         }
         self.queries.insert(
             id,
-            ModelQuery {
+            QueryState {
                 spec: spec.clone(),
                 process,
                 wire_no,
@@ -96,21 +98,30 @@
             },
         );
         let (index, customer) = (spec.index, spec.customer);
-        let (expected, left) = (spec.shards.len(), spec.time_allowed);
-        let is_retry = spec.retries > 0;
+        let (request_count, time_allowed) = (spec.shards.len(), spec.time_allowed);
+        let is_retry = spec.retry_count > 0;
         let details = format!(
-            "{} index {} customer {} of {expected} in {} retry {}",
-            id.0, index.0, customer.0, left.0, spec.retries
+            "{} index {} customer {} of {request_count} in {} retry {}",
+            id.0, index.0, customer.0, time_allowed.0, spec.retry_count
         );
         self.input(process, "query", &details, |engine, now, out| {
             engine.query_received(
-                now, id, wire_no, index, customer, expected, left, is_retry, out,
+                now,
+                id,
+                wire_no,
+                index,
+                customer,
+                request_count,
+                time_allowed,
+                is_retry,
+                out,
             );
         });
-        let sum: f64 = (1..=expected).map(|rank| 1.0 / rank as f64).sum();
-        for (at, shard) in spec.shards.iter().enumerate() {
-            let weight = 1.0 / (at + 1) as f64 / sum;
-            self.send_request(id, at as u64 + 1, ShardNo(*shard), weight, spec.hints[at]);
+        let sum: f64 = (1..=request_count).map(|rank| 1.0 / rank as f64).sum();
+        for (position, shard) in spec.shards.iter().enumerate() {
+            let weight = 1.0 / (position + 1) as f64 / sum;
+            let number = position as u64 + 1;
+            self.send_request(id, number, ShardNo(*shard), weight, spec.hints[position]);
         }
     }
 
@@ -124,67 +135,67 @@
     ) {
         let id = ShardRequestId(query.0 + number);
         self.requests.insert(id, query);
-        let of = &self.queries[&query];
-        let (process, wire_no) = (of.process, of.wire_no);
+        let state = &self.queries[&query];
+        let (process, wire_no) = (state.process, state.wire_no);
         let details = format!("{} shard {} weight {weight} hint {hint:?}", id.0, shard.0);
         self.input(process, "request", &details, |engine, now, out| {
             engine.shard_request_received(now, id, wire_no, shard, weight, hint, out);
         });
     }
 
-    pub(super) fn request_is_answered(&mut self, request: ShardRequestId) {
+    pub(super) fn request_answered(&mut self, request: ShardRequestId) {
         let query = self.requests[&request];
-        if let Some(of) = self.queries.get_mut(&query) {
-            of.answered.insert(request);
+        if let Some(state) = self.queries.get_mut(&query) {
+            state.answered.insert(request);
         }
     }
 
-    pub(super) fn query_is_answered(&mut self, id: QueryId) {
-        let Some(of) = self.queries.get_mut(&id) else {
+    pub(super) fn query_answered(&mut self, id: QueryId) {
+        let Some(state) = self.queries.get_mut(&id) else {
             return;
         };
-        let index = &self.scenario.config.indexes[of.spec.index.at()];
-        if of.in_second_phase || index.second_phase_size == 0 {
-            of.ended = true;
+        let index = &self.scenario.config.indexes[state.spec.index.at()];
+        if state.in_second_phase || index.second_phase_size == 0 {
+            state.ended = true;
             return;
         }
-        of.in_second_phase = true;
+        state.in_second_phase = true;
         self.schedule(Micros(700), Event::SecondPhase(id));
     }
 
-    /// Asks for the details of what the first phase has found.
+    /// Sends the second phase of a query: shard requests for the details of what the first phase has found.
     pub(super) fn second_phase(&mut self, id: QueryId) {
-        let of = &self.queries[&id];
-        let size = self.scenario.config.indexes[of.spec.index.at()].second_phase_size;
-        let count = size.min(of.answered.len());
-        if of.ended || count == 0 {
+        let state = &self.queries[&id];
+        let size = self.scenario.config.indexes[state.spec.index.at()].second_phase_size;
+        let count = size.min(state.answered.len());
+        if state.ended || count == 0 {
             return;
         }
-        let shards = of.spec.shards.clone();
-        for (at, shard) in shards.iter().take(count).enumerate() {
+        let shards = state.spec.shards.clone();
+        for (position, shard) in shards.iter().take(count).enumerate() {
             let weight = 1.0 / count as f64;
-            self.send_request(id, 100 + at as u64, ShardNo(*shard), weight, None);
+            self.send_request(id, 100 + position as u64, ShardNo(*shard), weight, None);
         }
     }
 
-    pub(super) fn query_is_refused(&mut self, id: QueryId, retry_after: Micros) {
-        let again = self.random.per_mille(300);
-        let Some(of) = self.queries.get_mut(&id) else {
+    pub(super) fn query_ended_without_answer(&mut self, id: QueryId, retry_after: Micros) {
+        let retries_anyway = self.random.per_mille(300);
+        let Some(state) = self.queries.get_mut(&id) else {
             return;
         };
-        of.ended = true;
-        let mut spec = of.spec.clone();
-        if spec.retries < 3 && (spec.deadly || again) {
-            spec.retries += 1;
+        state.ended = true;
+        let mut spec = state.spec.clone();
+        if spec.retry_count < 3 && (spec.is_query_of_death || retries_anyway) {
+            spec.retry_count += 1;
             let delay = retry_after.min(Micros(2_000_000)) + Micros(30_000);
             self.schedule(delay, Event::ClientRetry(spec));
         }
     }
 
     pub(super) fn client_leaves(&mut self, id: QueryId) {
-        let of = self.queries.get_mut(&id).expect("a query that was sent");
-        of.ended = true;
-        let process = of.process;
+        let state = self.queries.get_mut(&id).expect("a query that was sent");
+        state.ended = true;
+        let process = state.process;
         self.input(
             process,
             "client-left",
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -1,8 +1,8 @@
-//! Plays recorded sequences of inputs and compares every decision with the fixtures in `tests/recorded/`.
+//! Plays generated sequences of inputs and compares every decision with the fixtures in `tests/recorded/`.
 //!
-//! A difference means that the router decides otherwise than when the fixtures were written. A change that is
-//! meant to alter decisions writes them anew with `TERNPICK_RECORD=1 cargo test --test recorded_decisions`;
-//! that run fails too, so that writing is never taken for passing.
+//! A difference means that the routing engine's decisions have changed since the fixtures were written. After a
+//! change that is meant to alter decisions, `TERNPICK_RECORD=1 cargo test --test recorded_decisions` rewrites the
+//! fixtures. That run fails as well, so that rewriting is never mistaken for passing.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -12,46 +12,47 @@
 use recorded::player::{play, Recording};
 use recorded::scenario;
 
-/// Steps whose lines one hash of a fixture covers.
+/// The number of steps that each hash of a fixture covers.
 const STEPS_PER_HASH: usize = 50;
-/// Steps that a fixture holds in full.
+/// The number of steps that a fixture has in full, from the first one.
 const FULL_STEPS: usize = 200;
 
 #[test]
-fn decisions_are_the_recorded_ones_where_queries_are_idempotent_and_load_comes_in_answers() {
+fn decisions_match_the_recording_with_idempotent_queries_and_load_reports_in_answers() {
     compare("idempotent");
 }
 
 #[test]
-fn decisions_are_the_recorded_ones_where_health_checks_bring_load_and_queries_have_two_phases() {
+fn decisions_match_the_recording_with_two_phase_queries_and_load_reports_in_health_checks() {
     compare("two_phases");
 }
 
 #[test]
-fn decisions_are_the_recorded_ones_where_queries_run_once_only_and_nodes_report_no_load() {
+fn decisions_match_the_recording_with_once_only_queries_and_no_load_reports() {
     compare("once_only");
 }
 
 #[test]
-fn decisions_are_the_recorded_ones_where_many_routers_share_nodes_that_warm_up() {
+fn decisions_match_the_recording_with_many_routers_and_nodes_that_warm_up() {
     compare("many_routers");
 }
 
 #[test]
-fn decisions_are_the_recorded_ones_where_the_fleet_is_overloaded() {
+fn decisions_match_the_recording_with_an_overloaded_fleet() {
     compare("overload");
 }
 
-/// Each action, reason, log line and change of suspicion occurs, so that no rule goes unexercised.
+/// Each kind of action, decision reason, input and log line must occur in some scenario: a rule that none of them
+/// exercises could change unnoticed.
 #[test]
-fn the_recorded_inputs_exercise_every_rule() {
+fn the_scenarios_exercise_every_rule() {
     let mut actions = BTreeSet::new();
-    let mut log_forms = BTreeSet::new();
+    let mut log_templates = BTreeSet::new();
     let mut inputs = BTreeSet::new();
     for scenario in scenario::all() {
         let recording = play(&scenario);
         actions.extend(recording.action_kinds);
-        log_forms.extend(recording.log_forms);
+        log_templates.extend(recording.log_templates);
         inputs.extend(recording.input_kinds);
     }
     let expected_actions = [
@@ -101,11 +102,11 @@
     ];
     assert_eq!(actions.into_iter().collect::<Vec<_>>(), expected_actions);
     assert_eq!(inputs.into_iter().collect::<Vec<_>>(), expected_inputs);
-    // Begin and end of: a lost watch, shedding, suspicion of a node, distrust of idle connections.
-    assert_eq!(log_forms.len(), 8, "{log_forms:?}");
+    // Start and end of: a failed endpoint watch, shedding, suspicion of a node, distrust of idle connections.
+    assert_eq!(log_templates.len(), 8, "{log_templates:?}");
 }
 
-/// A comparison that could not fail would be none.
+/// The comparison must be able to fail: other inputs lead to another fixture.
 #[test]
 fn another_seed_gives_another_recording() {
     let mut scenario = scenario::by_name("idempotent");
@@ -119,22 +120,29 @@
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/recorded/{name}.txt"));
     let played = fixture(&recording);
     if std::env::var_os("TERNPICK_RECORD").is_some() {
-        std::fs::write(&path, played).expect("the fixture can be written");
-        panic!("{} is written anew; run again to compare", path.display());
+        std::fs::write(&path, played).expect("cannot write the fixture");
+        panic!(
+            "{} has been rewritten; run again without TERNPICK_RECORD to compare",
+            path.display()
+        );
     }
-    let recorded = std::fs::read_to_string(&path).expect("the fixture can be read");
-    for (at, (played, recorded)) in played.lines().zip(recorded.lines()).enumerate() {
-        assert_eq!(played, recorded, "{name}, line {} of the fixture", at + 1);
+    let recorded = std::fs::read_to_string(&path).expect("cannot read the fixture");
+    for (index, (played, recorded)) in played.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(played, recorded, "{name}.txt, line {}", index + 1);
     }
-    assert_eq!(played, recorded);
+    assert_eq!(played, recorded, "{name}.txt");
 }
 
-/// The first steps in full, then the hash of each [`STEPS_PER_HASH`] steps, then their number.
+/// The text of a fixture: the first [`FULL_STEPS`] steps, a hash for each [`STEPS_PER_HASH`] steps, and the number of
+/// steps.
 fn fixture(recording: &Recording) -> String {
     let mut lines: Vec<String> = recording.steps.iter().take(FULL_STEPS).cloned().collect();
-    for (at, steps) in recording.steps.chunks(STEPS_PER_HASH).enumerate() {
+    for (chunk, steps) in recording.steps.chunks(STEPS_PER_HASH).enumerate() {
         let hash = recorded::hash(steps.join("\n").as_bytes());
-        lines.push(format!("steps from {}: {hash:016x}", at * STEPS_PER_HASH));
+        lines.push(format!(
+            "steps from {}: {hash:016x}",
+            chunk * STEPS_PER_HASH
+        ));
     }
     lines.push(format!("{} steps", recording.steps.len()));
     lines.join("\n") + "\n"
