--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,6 @@
-//! The rules as properties: whatever comes in whatever order, the retry budget, the once-only requests, the minimum
-//! weight under skewed weights and the one final answer are kept.
+//! Properties of the routing engine under any inputs in any order: it keeps to the retry budget, resends no once-only
+//! request that may have run, answers with no less than the minimum weight even if the weights are skewed, and ends
+//! each query once.
 
 use std::collections::BTreeMap;
 
@@ -13,29 +14,30 @@
 const BUDGET_RATIO: f64 = 0.1;
 const MIN_WEIGHT: f64 = 0.6;
 
-/// A shard request that was sent.
-struct SentRequest {
+/// A shard request and its attempts.
+struct RequestState {
     query: QueryId,
     once_only: bool,
     weight: f64,
-    /// How each of its attempts ended; `None` while it is in flight.
+    /// The outcome of each attempt; `None` while the attempt is in flight.
     outcomes: Vec<Option<AttemptOutcome>>,
 }
 
-impl SentRequest {
+impl RequestState {
     fn is_answered(&self) -> bool {
         self.outcomes.contains(&Some(AttemptOutcome::Satisfied))
     }
 }
 
+/// Records the attempts that the engine sends, and how it ends queries.
 #[derive(Default)]
 struct Recorder {
     sent: Vec<(ShardRequestId, NodeId)>,
-    ends: Vec<(QueryId, End)>,
+    ends: Vec<(QueryId, QueryEnd)>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum End {
+enum QueryEnd {
     Complete,
     Partial,
     WithoutAnswer,
@@ -47,17 +49,17 @@
     }
     fn answer(&mut self, query: QueryId, complete: bool) {
         let end = if complete {
-            End::Complete
+            QueryEnd::Complete
         } else {
-            End::Partial
+            QueryEnd::Partial
         };
         self.ends.push((query, end));
     }
     fn reject(&mut self, query: QueryId, _: Micros) {
-        self.ends.push((query, End::WithoutAnswer));
+        self.ends.push((query, QueryEnd::WithoutAnswer));
     }
     fn fail(&mut self, query: QueryId) {
-        self.ends.push((query, End::WithoutAnswer));
+        self.ends.push((query, QueryEnd::WithoutAnswer));
     }
     fn cancel_attempt(&mut self, _: ShardRequestId, _: AttemptNo) {}
     fn check_health(&mut self, _: NodeId) {}
@@ -67,17 +69,17 @@
     fn log(&mut self, _: &str) {}
 }
 
-/// What happens next: a query of so many requests, the end of some attempt that is in flight, time that passes.
+/// One step of a test case.
 #[derive(Clone, Debug)]
 enum Step {
-    Query {
-        once_only: bool,
-        requests: u64,
-    },
-    Return {
-        which: usize,
+    /// A query of `request_count` shard requests arrives.
+    Query { once_only: bool, request_count: u64 },
+    /// An attempt ends: the one at `choice`, modulo the number of attempts in flight.
+    AttemptFinished {
+        choice: usize,
         outcome: AttemptOutcome,
     },
+    /// This many microseconds pass, and the timer fires.
     Wait(u64),
 }
 
@@ -89,15 +91,15 @@
         3 => Just(AttemptOutcome::NeverRan),
     ];
     let step = prop_oneof![
-        1 => (any::<bool>(), 1u64..30).prop_map(|(once_only, requests)| Step::Query { once_only, requests }),
-        6 => (0usize..64, outcomes).prop_map(|(which, outcome)| Step::Return { which, outcome }),
+        1 => (any::<bool>(), 1u64..30).prop_map(|(once_only, request_count)| Step::Query { once_only, request_count }),
+        6 => (0usize..64, outcomes).prop_map(|(choice, outcome)| Step::AttemptFinished { choice, outcome }),
         3 => (1u64..400_000).prop_map(Step::Wait),
     ];
     prop::collection::vec(step, 1..120)
 }
 
 fn engine() -> RoutingEngine {
-    let row = |semantics, min_weight| IndexConfig {
+    let index = |semantics, min_weight| IndexConfig {
         latency_objective: Micros(1_000_000),
         priority_weight: 1.0,
         retry_semantics: semantics,
@@ -107,8 +109,8 @@
     };
     let config = PlatformConfig {
         indexes: vec![
-            row(RetrySemantics::Idempotent, MIN_WEIGHT),
-            row(RetrySemantics::OnceOnly, 1.0),
+            index(RetrySemantics::Idempotent, MIN_WEIGHT),
+            index(RetrySemantics::OnceOnly, 1.0),
         ],
         router_count: 1.0,
         shard_group_count: 1,
@@ -134,20 +136,20 @@
     engine
 }
 
-/// The engine, what it was given and what it did.
-struct Played {
+/// Passes inputs to an engine and tracks what the engine does.
+struct Harness {
     engine: RoutingEngine,
     recorder: Recorder,
     now: Micros,
-    next_query: u64,
-    /// When queries and requests were admitted.
-    admitted: Vec<Micros>,
-    /// When retries and hedged requests were sent.
-    extra: Vec<Micros>,
-    requests: BTreeMap<ShardRequestId, SentRequest>,
+    last_query: u64,
+    /// When each query and each shard request was admitted.
+    admitted_at: Vec<Micros>,
+    /// When each retry and each hedged request was sent.
+    further_sent_at: Vec<Micros>,
+    requests: BTreeMap<ShardRequestId, RequestState>,
     in_flight: Vec<InFlight>,
-    /// How many final answers each query has had.
-    ends: BTreeMap<QueryId, usize>,
+    /// How often each query has ended.
+    end_counts: BTreeMap<QueryId, usize>,
 }
 
 struct InFlight {
@@ -157,64 +159,66 @@
     sent_at: Micros,
 }
 
-impl Played {
-    fn new() -> Played {
-        Played {
+impl Harness {
+    fn new() -> Harness {
+        Harness {
             engine: engine(),
             recorder: Recorder::default(),
             now: Micros(1_000_000),
-            next_query: 0,
-            admitted: Vec::new(),
-            extra: Vec::new(),
+            last_query: 0,
+            admitted_at: Vec::new(),
+            further_sent_at: Vec::new(),
             requests: BTreeMap::new(),
             in_flight: Vec::new(),
-            ends: BTreeMap::new(),
+            end_counts: BTreeMap::new(),
         }
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Query {
                 once_only,
-                requests,
-            } => self.query(once_only, requests),
-            Step::Return { which, outcome } => self.attempt_returns(which, outcome),
+                request_count,
+            } => self.send_query(once_only, request_count),
+            Step::AttemptFinished { choice, outcome } => self.finish_attempt(choice, outcome),
             Step::Wait(micros) => {
                 self.now += Micros(micros);
-                self.timer_fires();
+                self.fire_timer();
             }
         }
     }
 
-    fn timer_fires(&mut self) {
+    fn fire_timer(&mut self) {
         self.engine
             .timer_fired(self.now, TimerId(0), &mut self.recorder);
     }
 
-    fn query(&mut self, once_only: bool, count: u64) {
-        self.next_query += 1;
-        let id = QueryId(self.next_query * 1000);
-        let wire_no = WireQueryNo(self.next_query);
-        self.ends.insert(id, 0);
-        self.admitted.extend((0..=count).map(|_| self.now));
+    fn send_query(&mut self, once_only: bool, request_count: u64) {
+        self.last_query += 1;
+        let id = QueryId(self.last_query * 1000);
+        let wire_no = WireQueryNo(self.last_query);
+        self.end_counts.insert(id, 0);
+        // The query and each of its shard requests count.
+        self.admitted_at
+            .extend((0..=request_count).map(|_| self.now));
         self.engine.query_received(
             self.now,
             id,
             wire_no,
             IndexNo(u8::from(once_only)),
             CustomerNo(0),
-            count as usize,
+            request_count as usize,
             Micros(3_000_000),
             false,
             &mut self.recorder,
         );
-        let sum: f64 = (1..=count).map(|rank| 1.0 / rank as f64).sum();
-        for rank in 1..=count {
+        let sum: f64 = (1..=request_count).map(|rank| 1.0 / rank as f64).sum();
+        for rank in 1..=request_count {
             let request = ShardRequestId(id.0 + rank);
             let weight = 1.0 / rank as f64 / sum;
             self.requests.insert(
                 request,
-                SentRequest {
+                RequestState {
                     query: id,
                     once_only,
                     weight,
@@ -233,13 +237,15 @@
         }
     }
 
-    fn attempt_returns(&mut self, which: usize, outcome: AttemptOutcome) {
+    fn finish_attempt(&mut self, choice: usize, outcome: AttemptOutcome) {
         if self.in_flight.is_empty() {
             return;
         }
-        let ended = self.in_flight.swap_remove(which % self.in_flight.len());
+        let ended = self.in_flight.swap_remove(choice % self.in_flight.len());
         let request = self.requests.get_mut(&ended.request);
-        request.expect("a request").outcomes[usize::from(ended.attempt.0)] = Some(outcome);
+        request
+            .expect("attempt of an unknown shard request")
+            .outcomes[usize::from(ended.attempt.0)] = Some(outcome);
         self.engine.attempt_finished(
             self.now,
             ended.request,
@@ -252,9 +258,11 @@
         );
     }
 
-    fn check_sent(&mut self) -> Result<(), TestCaseError> {
+    /// Checks the attempts that the last step has sent, and adds them to those in flight.
+    fn check_sent_attempts(&mut self) -> Result<(), TestCaseError> {
         for (request, node) in std::mem::take(&mut self.recorder.sent) {
-            let sent = self.requests.get_mut(&request).expect("a request");
+            let state = self.requests.get_mut(&request);
+            let state = state.expect("attempt of an unknown shard request");
             let may_have_run = |outcome: &Option<AttemptOutcome>| {
                 !matches!(
                     outcome,
@@ -262,14 +270,16 @@
                 )
             };
             prop_assert!(
-                !sent.once_only || !sent.outcomes.iter().any(may_have_run),
-                "a once-only request is sent again"
+                !state.once_only || !state.outcomes.iter().any(may_have_run),
+                "once-only shard request {} is sent again after outcomes {:?}",
+                request.0,
+                state.outcomes
             );
-            let attempt = AttemptNo(sent.outcomes.len() as u8);
-            sent.outcomes.push(None);
+            let attempt = AttemptNo(state.outcomes.len() as u8);
+            state.outcomes.push(None);
             if attempt.0 > 0 {
-                self.extra.push(self.now);
-                self.check_budget()?;
+                self.further_sent_at.push(self.now);
+                self.check_retry_budget()?;
             }
             self.in_flight.push(InFlight {
                 request,
@@ -281,37 +291,47 @@
         Ok(())
     }
 
-    fn check_budget(&self) -> Result<(), TestCaseError> {
-        let age = |at: &Micros| self.now.since(*at);
-        let extra = self.extra.iter().filter(|at| age(at) <= WINDOW).count() as f64;
-        let admitted = self.admitted.iter().filter(|at| age(at) < WINDOW).count() as f64;
+    /// Checks that the retries and hedged requests of the last window are within the budget.
+    fn check_retry_budget(&self) -> Result<(), TestCaseError> {
+        let age = |time: &Micros| self.now.since(*time);
+        let further = self.further_sent_at.iter();
+        let further = further.filter(|time| age(time) <= WINDOW).count() as f64;
+        let admitted = self.admitted_at.iter();
+        let admitted = admitted.filter(|time| age(time) < WINDOW).count() as f64;
+        let budget = BUDGET_MIN + BUDGET_RATIO * admitted;
         prop_assert!(
-            extra <= BUDGET_MIN + BUDGET_RATIO * admitted,
-            "{extra} further attempts for {admitted} admitted"
+            further <= budget,
+            "{further} retries and hedged requests with a budget of {budget}"
         );
         Ok(())
     }
 
-    fn check_ends(&mut self) -> Result<(), TestCaseError> {
+    /// Checks how the last step has ended queries.
+    fn check_query_ends(&mut self) -> Result<(), TestCaseError> {
         for (id, end) in std::mem::take(&mut self.recorder.ends) {
-            let ends = self.ends.get_mut(&id).expect("a query");
-            *ends += 1;
-            prop_assert!(*ends == 1, "two final answers");
-            let of_query = || self.requests.values().filter(|sent| sent.query == id);
-            let weight = of_query()
-                .filter(|sent| sent.is_answered())
-                .map(|sent| sent.weight)
+            let end_count = self
+                .end_counts
+                .get_mut(&id)
+                .expect("end of an unknown query");
+            *end_count += 1;
+            prop_assert!(*end_count == 1, "query {} ends twice", id.0);
+            let requests = || self.requests.values().filter(|state| state.query == id);
+            let weight = requests()
+                .filter(|state| state.is_answered())
+                .map(|state| state.weight)
                 .sum::<f64>();
-            let all_answered = of_query().all(SentRequest::is_answered);
-            let once_only = of_query().any(|sent| sent.once_only);
-            let minimum = if once_only { 1.0 } else { MIN_WEIGHT };
+            let all_answered = requests().all(RequestState::is_answered);
+            let once_only = requests().any(|state| state.once_only);
+            let min_weight = if once_only { 1.0 } else { MIN_WEIGHT };
             prop_assert!(
-                end == End::WithoutAnswer || weight + 1e-6 >= minimum,
-                "an answer from {weight}"
+                end == QueryEnd::WithoutAnswer || weight + 1e-6 >= min_weight,
+                "query {} is answered with a weight of {weight}, less than {min_weight}",
+                id.0
             );
             prop_assert!(
-                end != End::Complete || all_answered || weight > 1.0 - 1e-6,
-                "called complete at {weight}"
+                end != QueryEnd::Complete || all_answered || weight > 1.0 - 1e-6,
+                "the answer to query {} is called complete with a weight of {weight}",
+                id.0
             );
         }
         Ok(())
@@ -321,19 +341,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn the_rules_hold_in_any_order(steps in steps()) {
-        let mut played = Played::new();
+    fn budget_once_only_minimum_weight_and_single_end_hold_for_any_steps(steps in steps()) {
+        let mut harness = Harness::new();
         for step in steps {
-            played.play(step);
-            played.check_sent()?;
-            played.check_ends()?;
+            harness.apply(step);
+            harness.check_sent_attempts()?;
+            harness.check_query_ends()?;
         }
-        // Time alone ends what is left, each query once.
-        played.now += Micros(3_000_000);
-        played.timer_fires();
-        for (id, _) in std::mem::take(&mut played.recorder.ends) {
-            *played.ends.get_mut(&id).expect("a query") += 1;
+        // After the time allowed for all queries, each of them has ended once.
+        harness.now += Micros(3_000_000);
+        harness.fire_timer();
+        for (id, _) in std::mem::take(&mut harness.recorder.ends) {
+            *harness.end_counts.get_mut(&id).expect("end of an unknown query") += 1;
         }
-        prop_assert!(played.ends.values().all(|ends| *ends == 1));
+        prop_assert!(harness.end_counts.values().all(|count| *count == 1), "{:?}", harness.end_counts);
     }
 }
