--- a/tests/common/recorded.rs
+++ b/tests/common/recorded.rs
@@ -1,17 +1,20 @@
-//! Bytes that a released program wrote, as lines of a text file, and their comparison with what the present code writes.
+//! Compares the bytes that the current code writes with the bytes that a released program wrote, which are lines of a
+//! text file.
 //!
-//! postcard goes by the order of fields and variants, JSON by their names. A rename, a move or a new field is harmless to
-//! the compiler and to every test that encodes and decodes by the same code; only bytes that are kept outside the code
-//! show it. A line is a name and, after a space, the bytes in hexadecimal or the JSON text. A line is never changed to
-//! make a test pass: programs of the release that wrote it are still running.
+//! postcard encodes fields and variants by their order, JSON by their names. A rename, a move or a new field may
+//! change the encoding, and neither the compiler nor a test that encodes and decodes with the same code notices; only
+//! bytes that are stored outside the code show it. A line is a name and, after a space, the bytes in hexadecimal or
+//! the JSON text. Never change a line to make a test pass: programs of the release that wrote it are still running.
 
-// Each test program uses a part of it.
+// Each test program uses some of the functions only.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
+/// The recorded lines, and the results of the comparisons so far.
 pub(crate) struct Recorded<'a> {
+    /// The content of each line by its name.
     lines: BTreeMap<&'a str, &'a str>,
     compared: BTreeSet<String>,
     differences: Vec<String>,
@@ -33,7 +36,7 @@
 }
 
 impl<'a> Recorded<'a> {
-    /// Reads the lines; empty ones and those that begin with `#` say nothing.
+    /// Reads the lines of a file. Empty lines and lines that start with `#` are skipped.
     pub(crate) fn parse(text: &'a str) -> Recorded<'a> {
         let mut lines = BTreeMap::new();
         for line in text.lines() {
@@ -53,12 +56,13 @@
         }
     }
 
-    /// The bytes that were recorded under a name.
+    /// Returns the bytes that are recorded under a name.
     pub(crate) fn recorded_bytes(&self, name: &str) -> Vec<u8> {
         let line = self.lines.get(name).copied().and_then(bytes_of);
-        line.unwrap_or_else(|| panic!("no bytes are recorded as {name}"))
+        line.unwrap_or_else(|| panic!("no bytes are recorded under the name {name}"))
     }
 
+    /// Compares what the current code wrote with the line of that name, and returns the line if they are the same.
     fn compare(&mut self, name: &str, written: &str) -> Option<&'a str> {
         assert!(
             self.compared.insert(name.to_owned()),
@@ -74,13 +78,13 @@
         recorded
     }
 
-    /// Bytes that the present code wrote are those that were recorded.
+    /// Checks that bytes which the current code wrote are the recorded ones.
     pub(crate) fn bytes(&mut self, name: &str, written: &[u8]) {
         self.compare(name, &hexadecimal(written));
     }
 
-    /// A value is written as was recorded, and what was recorded is read back as the same value: `decode` reads bytes,
-    /// and `encode` writes the same bytes from what it has read.
+    /// Checks that a value is encoded as the recorded bytes, and that decoding those and encoding the result gives
+    /// the same bytes again.
     pub(crate) fn value<T>(
         &mut self,
         name: &str,
@@ -94,12 +98,13 @@
         let bytes = bytes_of(recorded).expect("a line of hexadecimal digits");
         let read = decode(&bytes).map(|read| encode(&read));
         if read != Some(bytes) {
-            self.differences
-                .push(format!("{name}\n    is not read back as it was recorded"));
+            self.differences.push(format!(
+                "{name}\n    decoding and encoding it gives other bytes"
+            ));
         }
     }
 
-    /// As [`Recorded::value`], of a value that is written as JSON on one line.
+    /// As [`Recorded::value`], for a value that is encoded as JSON on one line.
     pub(crate) fn json<T>(
         &mut self,
         name: &str,
@@ -112,12 +117,13 @@
         };
         let read = decode(recorded).map(|read| encode(&read));
         if read.as_deref() != Some(recorded) {
-            self.differences
-                .push(format!("{name}\n    is not read back as it was recorded"));
+            self.differences.push(format!(
+                "{name}\n    decoding and encoding it gives other text"
+            ));
         }
     }
 
-    /// All that is recorded was compared, and nothing differs.
+    /// Checks that every recorded line has been compared, and that none differs.
     pub(crate) fn finish(self) {
         let names = self.lines.keys();
         let missing: Vec<&&str> = names
@@ -125,7 +131,7 @@
             .collect();
         assert!(
             self.differences.is_empty() && missing.is_empty(),
-            "{} differ from the release:\n{}\nrecorded, and not compared: {missing:?}",
+            "{} differ from the release:\n{}\nrecorded but not compared: {missing:?}",
             self.differences.len(),
             self.differences.join("\n")
         );
