--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -89,7 +89,7 @@
             EndpointState::Gone => continue,
         };
         // How long it has been up by this process's clock: the next one's may read another wall clock.
-        let started_at = Some(node.started.at).filter(|at| at.0 > 0);
+        let started_at = Some(node.started.by_local_clock).filter(|at| at.0 > 0);
         let age_ms = started_at.map(|at| now.since(at).0 / 1000);
         let zone_names = &decisions.effects.bounds.zone_names;
         let zone = zone_names.get(usize::from(endpoint.zone.0));
@@ -107,7 +107,7 @@
 /// Whose state this is: the names that numbers of indexes and tenants stand for.
 fn owners(router: &Router) -> String {
     let tenants = match &router.auth {
-        Some(auth) => auth.customers(),
+        Some(auth) => auth.tenant_names(),
         None => router.bounds.customer_names.clone(),
     };
     format!(" of {:?}", (&router.bounds.index_names, tenants))
@@ -140,12 +140,12 @@
         let ListedEndpoints { list, node_names } = listed_endpoints(router);
         let now = router.clock.now();
         let auth = router.auth.as_ref();
-        let [keys, revocations] = auth.map_or([None, None], |auth| auth.kept(router));
+        let [keys, revocations] = auth.map_or([None, None], |auth| auth.known_documents(router));
         let mut decisions = router.decisions.borrow_mut();
         let limits = decisions.effects.limits.as_mut();
         let limits = limits.map(|limits| limits.snapshot(now));
         let mut engine = decisions.engine.snapshot(now);
-        engine.terms = engine.terms.map(|terms| terms + &owners(router));
+        engine.settings = engine.settings.map(|terms| terms + &owners(router));
         Snapshot {
             form: FORM,
             endpoint_list: list.to_string(),
@@ -204,9 +204,9 @@
             .into_iter()
             .filter_map(|(id, node)| Some((known(&id)?.0, node)))
             .collect();
-        let own = own_terms(self.engine.terms.as_deref(), &owners(router));
-        self.engine.terms = Some(own.terms);
-        let applied = engine.believe(now, &self.engine);
+        let own = own_terms(self.engine.settings.as_deref(), &owners(router));
+        self.engine.settings = Some(own.terms);
+        let applied = engine.restore(now, &self.engine);
         if let (Some(limits), Some(snapshot)) = (&mut effects.limits, &self.limits) {
             if own.is_own {
                 limits.restore(now, snapshot);
@@ -219,11 +219,11 @@
         let now = auth.now(router);
         let current_at = |age: u64| now.since(Micros(age));
         if let Some((age, text)) = &self.keys {
-            auth.told_of_keys(current_at(*age), text.as_bytes())
+            auth.update_keys(current_at(*age), text.as_bytes())
                 .map_err(|error| SnapshotError::Identity(error.to_string()))?;
         }
         if let Some((age, text)) = &self.revocations {
-            auth.told_of_revocations(current_at(*age), text.as_bytes())
+            auth.update_revocations(current_at(*age), text.as_bytes())
                 .map_err(|error| SnapshotError::Identity(error.to_string()))?;
         }
         Ok(())
@@ -248,7 +248,7 @@
         let id = name.and_then(|name| decisions.effects.nodes.id_of(name));
         let node = id.and_then(|id| decisions.engine.nodes.get_mut(&id));
         if let (Some(node), Some(age_ms)) = (node, entry["age_ms"].as_u64()) {
-            node.started.at = now.since(Micros(age_ms.saturating_mul(1000)));
+            node.started.by_local_clock = now.since(Micros(age_ms.saturating_mul(1000)));
         }
     }
 }
--- a/tests/recorded/operations.rs
+++ b/tests/recorded/operations.rs
@@ -157,7 +157,7 @@
             let snapshot = engine.snapshot(now);
             let mut restored = ternpick::routing::RoutingEngine::new(other_config, 1);
             restored.endpoints_changed(now, &list, true, &mut Recorder::default());
-            let restored_count = restored.believe(now, &snapshot);
+            let restored_count = restored.restore(now, &snapshot);
             let texts = [describe(&snapshot), describe(&restored.snapshot(now))];
             digest = super::hash(format!("{restored_count} {}", texts.join("\n")).as_bytes());
         });
@@ -173,7 +173,7 @@
         self.watch_result(new);
         let mut restored_count = 0;
         self.input(new, "restore", "", |engine, now, _| {
-            restored_count = engine.believe(now, &snapshot);
+            restored_count = engine.restore(now, &snapshot);
             engine.serve_share(3.0, true);
         });
         self.amend_step(&restored_count.to_string());
@@ -212,26 +212,34 @@
             (
                 id,
                 node.started,
-                node.report,
-                node.best_rate,
+                node.reported_load,
+                node.max_reported_rate,
                 node.latency,
-                node.seen,
-                &node.standings,
-                node.pace,
-                node.doubted,
-                &node.sends,
-                &node.out
+                node.latency_age,
+                &node.index_health,
+                node.latency_per_request,
+                node.suspected_for,
+                &node.recent_sends,
+                &node.in_flight
             )
         ));
     }
     lines.push(format!(
         "{:?}",
-        (snapshot.mean_hint, &snapshot.quota_left, &snapshot.taken)
+        (
+            snapshot.mean_cost_hint,
+            &snapshot.quota_left,
+            &snapshot.admitted
+        )
     ));
     lines.push(format!(
         "{:?}",
-        (&snapshot.extras, snapshot.alarm, &snapshot.fatal)
+        (
+            &snapshot.extra_attempts,
+            snapshot.last_node_failure,
+            &snapshot.queries_of_death
+        )
     ));
-    lines.push(format!("{:?}", (&snapshot.terms, snapshot.shed)));
+    lines.push(format!("{:?}", (&snapshot.settings, snapshot.last_shed)));
     lines.join("\n")
 }
--- a/tests/recorded/workload.rs
+++ b/tests/recorded/workload.rs
@@ -154,7 +154,7 @@
         let Some(state) = self.queries.get_mut(&id) else {
             return;
         };
-        let index = &self.scenario.config.indexes[state.spec.index.at()];
+        let index = &self.scenario.config.indexes[state.spec.index.as_usize()];
         if state.in_second_phase || index.second_phase_size == 0 {
             state.ended = true;
             return;
@@ -166,7 +166,7 @@
     /// Sends the second phase of a query: shard requests for the details of what the first phase has found.
     pub(super) fn second_phase(&mut self, id: QueryId) {
         let state = &self.queries[&id];
-        let size = self.scenario.config.indexes[state.spec.index.at()].second_phase_size;
+        let size = self.scenario.config.indexes[state.spec.index.as_usize()].second_phase_size;
         let count = size.min(state.answered.len());
         if state.ended || count == 0 {
             return;
