--- a/fleet_policy/src/command.rs
+++ b/fleet_policy/src/command.rs
@@ -1,46 +1,46 @@
-//! Operators' commands, as the control socket and other routers hand them over, and the log entries that they become.
+//! Operators' commands, as received from the control socket or from other routers, and their conversion to log entries.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Member, OperationId, Version};
 use crate::state_machine::{Entry, PolicyDocument};
 
-/// An operator's command. JSON encodes it by name, `postcard` by position: both are fixed.
+/// An operator's command. JSON encodes fields and variants by name, `postcard` by position: names and order are fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
     /// Propose a policy.
     Propose {
-        /// The version that the author looked at.
+        /// The version in force that the author based the proposal on.
         base: Option<u64>,
         /// The policy.
         text: String,
-        /// Who proposes it.
+        /// The name of the operator who proposes it.
         author: String,
-        /// Why.
+        /// The operator's reason.
         reason: String,
     },
     /// Confirm a proposal as a second person.
     Confirm {
         /// The proposal.
         number: u64,
-        /// Who confirms it.
+        /// The name of the operator who confirms it.
         by: String,
     },
     /// Withdraw a proposal.
     Withdraw {
         /// The proposal.
         number: u64,
-        /// Who withdraws it.
+        /// The name of the operator who withdraws it.
         by: String,
-        /// Why.
+        /// The operator's reason.
         reason: String,
     },
     /// Add a member, or change its address.
     Add {
         /// The router's name.
         member: String,
-        /// Where other routers reach it.
+        /// The address at which other routers reach it.
         address: String,
         /// Its zone.
         zone: String,
@@ -64,19 +64,20 @@
     },
     /// Transfer leadership to a member.
     Transfer {
-        /// The router.
+        /// The member that is to lead.
         to: Member,
     },
     /// A command of the extension ([`crate::Extension`]).
     #[serde(rename = "annex")]
     Extension {
-        /// Known to the extension alone.
+        /// Interpreted by the extension alone.
         entry: Vec<u8>,
     },
 }
 
 impl Command {
-    /// The log entry that the command becomes; a transfer becomes none. With `confirm` a proposal needs a second person.
+    /// Converts the command to a log entry; `None` for a transfer of leadership, which needs no entry. With `confirm`, a
+    /// second person has to confirm a proposal.
     pub fn entry(self, op: OperationId, confirm: bool) -> Option<Entry> {
         let entry = match self {
             Command::Propose {
--- a/fleet_policy/src/effective_config.rs
+++ b/fleet_policy/src/effective_config.rs
@@ -1,5 +1,5 @@
-//! Combines a policy with a platform's own settings into the configuration that routing decisions read. A policy is never
-//! beyond what the platform allows: [`Record::read_within`] has checked that.
+//! Combines a policy with a platform's own settings into the configuration that routing decisions read. The policy does
+//! not exceed the platform's limits: [`Record::read_within`] has checked it before.
 
 #[cfg(test)]
 mod tests;
@@ -8,8 +8,8 @@
 
 use crate::record::{IndexLimits, PlatformLimits, Record};
 
-/// What the platform's own settings allow, by the names that policies use. `indexes` and `customers` are the names of the
-/// rows of `config`, in order.
+/// The limits that the platform's own settings set to policies. `indexes` and `customers` are the names of the rows of
+/// `config`, in order; policies refer to rows by these names.
 pub fn platform_limits(
     config: &PlatformConfig,
     indexes: &[String],
@@ -36,8 +36,8 @@
     }
 }
 
-/// Applies a policy over the platform's own settings, for queries that are admitted from now on. `config` is the
-/// configuration in use; rows follow the order of `indexes` and `customers`.
+/// Applies a policy on top of the platform's own settings, for queries that are admitted from now on. `config` is the
+/// configuration in use; its rows have the order of `indexes` and `customers`.
 pub fn apply_policy(
     record: &Record,
     platform: &PlatformConfig,
--- a/fleet_policy/src/effective_config/tests.rs
+++ b/fleet_policy/src/effective_config/tests.rs
@@ -32,7 +32,7 @@
             prop_assert!(row.retry_budget.is_none_or(|(spare, _)| spare <= own_spare));
             prop_assert!(effective.quotas[0] <= own_quota);
         }
-        // Back to the platform's own settings, nothing is left of the policy.
+        // After a return to the platform's own settings, nothing of the policy remains.
         apply_policy(&Record::default(), &config, &names, &customers, &mut effective);
         prop_assert_eq!(format!("{effective:?}"), format!("{config:?}"));
     }
--- a/fleet_policy/src/effects.rs
+++ b/fleet_policy/src/effects.rs
@@ -1,5 +1,5 @@
-//! What goes between [`crate::FleetNode`] and its driver: effects to carry out, operators' requests and their responses, and
-//! the replica that is loaded at the start.
+//! The types exchanged between [`crate::FleetNode`] and its driver: effects to carry out, operators' requests and their
+//! responses, and the replica that is loaded at the start.
 
 use ternpick_consensus::Replica;
 
@@ -9,36 +9,37 @@
 use crate::messages::PeerMessage;
 use crate::state_machine::Outcome;
 
-/// What an operator of this router wants of the fleet.
+/// A request of an operator of this router to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorRequest {
-    /// A command, for the leader.
+    /// A command for the leader.
     Command(Command),
-    /// A question, for the leader.
+    /// A question for the leader.
     Inspect(String),
 }
 
 /// The response to an [`OperatorRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorResponse {
-    /// Of a command.
+    /// The outcome of a command.
     Outcome(Outcome),
-    /// Of a question, as JSON.
+    /// The answer to a question, as JSON.
     Inspection(String),
 }
 
-/// What the driver is to do, in order.
+/// An action for the driver; actions are carried out in order.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a message to another router.
     Send(Member, Box<PeerMessage>),
-    /// Write this image in place of the one before, then call [`crate::FleetNode::persisted`]. One at a time.
+    /// Replace the stored image of the replica by this one, then call [`crate::FleetNode::persisted`]. At most one image
+    /// is being written at a time.
     Persist(Vec<u8>),
-    /// Of this router's lease and policy.
+    /// An effect of this router's lease and its view of the policy.
     Lease(LeaseEffect),
-    /// A router asks an operator's question: answer with [`crate::FleetNode::inspection_answered`].
+    /// Answer an operator's question that this router sent: call [`crate::FleetNode::inspection_answered`].
     Inspect(Member, OperationId, String),
-    /// The response to a request of this router's operators.
+    /// Deliver the response to a request of this router's operators.
     OperatorResponse(OperationId, OperatorResponse),
     /// Write a line to the log.
     Log(LogLevel, String),
@@ -51,16 +52,16 @@
     Error,
     /// A change of state.
     Info,
-    /// What happens often and mends itself.
+    /// An event that is frequent and needs no action.
     Debug,
 }
 
-/// What a router's folder held at its start.
+/// The stored replica that a router found in its folder when it started.
 pub enum LoadedReplica {
     /// A replica that can be used.
     Replica(Box<Replica>),
-    /// Nothing.
+    /// The folder contains no replica.
     Missing,
-    /// A state that cannot be used, and why; it is left as it is.
+    /// The stored state cannot be used, for this reason; the file is left unchanged.
     Unusable(String),
 }
--- a/fleet_policy/src/extension.rs
+++ b/fleet_policy/src/extension.rs
@@ -1,7 +1,7 @@
-//! An extension is a second state machine on the same log: its entries stand beside the policy's, its state goes into the
-//! same snapshots, and what every router has to know of it before it may admit queries is sent with leases. Maintenance
-//! (`ternpick-maintenance`) is one. What its entries mean is known to the package that implements [`Extension`];
-//! [`crate::FleetNode`] calls it.
+//! An extension is a second state machine on the fleet's log: its entries are in the same log as the policy's, its state
+//! is part of the same snapshots, and the part of its state that every router must know before it may admit queries is
+//! sent with lease replies. Maintenance (`ternpick-maintenance`) is an extension. Only the package that implements
+//! [`Extension`] interprets its entries; [`crate::FleetNode`] calls it.
 
 use std::collections::BTreeMap;
 
@@ -10,47 +10,49 @@
 use crate::ids::{Index, Member};
 use crate::state_machine::MemberInfo;
 
-/// What the leader knows of a router.
+/// What the leader knows about a router.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberContact {
     /// The router.
     pub member: Member,
-    /// The latest report of its newest process; none if this leader has not received one.
+    /// The latest report of its newest process; `None` if this leader has not received one.
     pub report: Option<Vec<u8>>,
-    /// Its last request is recent enough that it counts as reachable.
+    /// Whether its last request is recent enough that the router counts as reachable.
     pub is_recent: bool,
-    /// Apart from that process none can have a lease, nor could have had one within [`Extension::in_flight_grace`].
+    /// Whether no process other than the reporting one can have a lease now or have had one within the last
+    /// [`Extension::in_flight_grace`].
     pub only_one_process: bool,
-    /// None of its processes can have a lease, nor could have had one within [`Extension::in_flight_grace`].
+    /// Whether none of its processes can have a lease now or have had one within the last [`Extension::in_flight_grace`].
     pub all_leases_expired: bool,
 }
 
 /// A second state machine on the fleet's log.
 pub trait Extension {
-    /// Applies a committed entry: the same entries in the same order give the same state on every router. Returns a number
-    /// for the operator, or why the entry is refused.
+    /// Applies a committed entry. The same entries in the same order must give the same state on every router. Returns a
+    /// number for the operator.
     ///
     /// # Errors
-    /// The entry is refused, in words for the operator.
+    /// Returns why the entry is refused, as a message for the operator.
     fn apply(&mut self, index: Index, entry: &[u8]) -> Result<u64, String>;
-    /// Who belongs to the fleet from this place in the log on.
+    /// Notifies the extension of the members of the fleet as of this position in the log.
     fn members_changed(&mut self, members: &BTreeMap<Member, MemberInfo>);
-    /// The whole state.
+    /// Encodes the whole state.
     fn snapshot(&self) -> Vec<u8>;
-    /// Replaces the state by one of [`Extension::snapshot`]; an empty one is a new fleet's.
+    /// Replaces the state by a snapshot that [`Extension::snapshot`] returned; an empty one stands for a new fleet's
+    /// state.
     fn restore(&mut self, image: &[u8]);
-    /// What every router has to know before it gets a lease.
+    /// The part of the state that every router must know before it gets a lease.
     fn machines_out(&self) -> Vec<u8>;
-    /// For how long after its lease an unreachable router may still act on queries that it admitted.
+    /// How long after the end of its lease an unreachable router may still be processing queries that it admitted.
     fn in_flight_grace(&self) -> Micros;
-    /// Members that were removed and whose processes may still act.
+    /// Members that were removed and whose processes may still be processing queries.
     fn departed_members(&self) -> Vec<Member>;
-    /// On the leader: whether a command is to be proposed.
+    /// Called on the leader: checks whether a command may be proposed.
     ///
     /// # Errors
-    /// It is refused, in words for the operator.
+    /// Returns why the command is refused, as a message for the operator.
     fn check_command(&self, now: Micros, entry: &[u8]) -> Result<(), String>;
-    /// On the leader of this term: entries to propose next, and lines for the log.
+    /// Called on the leader of this term: returns the entries to propose next, and lines for the router's log.
     fn next_entries(
         &mut self,
         now: Micros,
@@ -58,11 +60,11 @@
         term: u64,
         contacts: &[MemberContact],
     ) -> (Vec<Vec<u8>>, Vec<String>);
-    /// The answer to an operator's question, as JSON; none if the question is not the extension's.
+    /// The answer to an operator's question as JSON; `None` if the question does not concern the extension.
     fn inspect(&self, now: Micros, question: &str) -> Option<String>;
 }
 
-/// The extension of a fleet that has none.
+/// The extension of a fleet without one: it refuses every entry.
 pub struct NoExtension;
 
 const NOT_CONFIGURED: &str = "this router's settings have no such matter";
--- a/fleet_policy/src/ids.rs
+++ b/fleet_policy/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers and counters of the fleet's log, each a type of its own so that none is taken for another.
+//! Identifiers and counters of the fleet's log. Each has its own type, so that the compiler rejects a mix-up.
 
 use std::fmt;
 
@@ -6,7 +6,8 @@
 
 pub use ternpick_consensus::ReplicaId;
 
-/// Defines counters and identifiers, each a type of its own around a `u64`. The package that uses it depends on `serde`.
+/// Defines counters and identifiers, each as its own type around a `u64`. The package that uses the macro must depend on
+/// `serde`.
 #[macro_export]
 macro_rules! id_types {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
@@ -26,23 +27,24 @@
 }
 
 id_types! {
-    /// A proposal's number and, once in force, the policy's version. Some never come into force; none is used twice.
+    /// The number of a proposal and, once it is in force, the version of the policy. Some proposals never come into
+    /// force; no number is used twice.
     Version,
-    /// Counts the barriers of one proposal, from 1.
+    /// The number of a barrier within one proposal, counted from 1.
     Round,
-    /// Counts the steps after which every lease granted before is void.
+    /// The number of steps so far that voided every lease granted before them.
     Epoch,
-    /// A place in the log.
+    /// A position in the log.
     Index,
-    /// One process of a member, drawn at random; a restart is another.
+    /// A random identifier of one process of a member; a restarted router has a new one.
     Incarnation,
-    /// A lease request, counted by its process.
+    /// The number of a lease request, counted by the process that sends it.
     Seq,
-    /// An operator's command, drawn at random: the idempotency key of its retries.
+    /// A random identifier of an operator's command or question: the idempotency key of its retries.
     OperationId,
 }
 
-/// A router of the fleet, by its name.
+/// The name of a router of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Member(pub String);
--- a/fleet_policy/src/injected_bug.rs
+++ b/fleet_policy/src/injected_bug.rs
@@ -1,5 +1,5 @@
-//! Bugs that tests inject to show that the checks find them. Only unit tests and builds with the feature `planted` contain
-//! them; no build that serves queries does.
+//! Bugs that tests inject to show that the checks find them. Only unit tests and builds with the feature `planted`
+//! contain them; no build that serves queries does.
 
 use crate::leader::Leader;
 use crate::lease_holder::LeaseHolder;
--- a/fleet_policy/src/lease_config/tests.rs
+++ b/fleet_policy/src/lease_config/tests.rs
@@ -9,7 +9,7 @@
     ) {
         let config = LeaseConfig { lease_us: lease, drift_ppm: drift, ..LeaseConfig::default() };
         let d = drift as f64 / 1e6;
-        // The holder's clock counts `lease` while this much time really passes; the leader's counts more or less.
+        // The real time that passes while the holder's clock counts `lease`.
         let really = lease as f64 / (1.0 - d * slow);
         let counted = config.certainly_expired_after().0 as f64 / (1.0 + d * fast);
         prop_assert!(counted >= really - 0.001, "{counted} < {really}");
--- a/fleet_policy/src/lib.rs
+++ b/fleet_policy/src/lib.rs
@@ -1,19 +1,20 @@
-//! The fleet's policy and how a change of it takes effect, without I/O. A change is in force at all routers or at none, and
-//! no router decides under a version that another has left.
+//! The policy of a fleet of routers and the protocol that changes it, without I/O. A change comes into force at all
+//! routers or at none, and no router admits queries under a version that another router has already replaced.
 //!
-//! [`FleetNode`] is one router's part, the only entry point for a driver: `router` in the real program, the simulation in
-//! virtual time. It contains
+//! [`FleetNode`] is one router's part in the fleet and the only entry point for a driver: the package `router` in the
+//! real program, the simulation in virtual time. It contains
 //!
-//! - [`PolicyState`], the replicated state machine, derived from the log alone;
-//! - [`LeaseHolder`], this router's lease and its view of the policy: it alone says whether a query may be admitted
+//! - [`PolicyState`], the replicated state machine, which is derived from the log alone;
+//! - [`LeaseHolder`], this router's lease and its view of the policy: it alone decides whether a query may be admitted
 //!   ([`LeaseHolder::admission`]);
-//! - [`Leader`], only while this router leads: grants leases and decides the next step of a proposal;
+//! - [`Leader`], which exists only while this router leads: it grants leases and decides the next step of a proposal;
 //! - [`Extension`], a second state machine on the same log (maintenance).
 //!
-//! A [`Record`] is a policy's text, read and checked against what a platform allows.
+//! A [`Record`] is a policy's text, parsed and checked against what a platform allows.
 //!
-//! The rule: a query is decided under the policy in force when it was admitted; once one router has admitted under a
-//! version, none ever again admits under an earlier one. `docs/design/policy.md` says why it holds.
+//! The safety rule: a query is decided under the policy that is in force when the query is admitted; once one router has
+//! admitted a query under a version, no router ever again admits one under an earlier version. `docs/design/policy.md`
+//! explains why the rule holds.
 
 mod command;
 mod effective_config;
@@ -32,7 +33,7 @@
 #[cfg(any(test, feature = "planted"))]
 pub mod injected_bug;
 #[cfg(not(any(test, feature = "planted")))]
-#[expect(unreachable_pub, reason = "public where a fault can be injected")]
+#[expect(unreachable_pub, reason = "public where a bug can be injected")]
 mod injected_bug;
 
 #[cfg(test)]
--- a/fleet_policy/src/messages.rs
+++ b/fleet_policy/src/messages.rs
@@ -1,7 +1,8 @@
-//! Messages between the routers of a fleet: lease requests and replies, consensus messages, forwarded commands.
+//! Messages between the routers of a fleet: lease requests and replies, consensus messages, forwarded commands and
+//! questions.
 //!
-//! [`crate::FleetNode`] reads and writes them; the driver carries them. `postcard` encodes variants and fields by position:
-//! their order and number are fixed.
+//! [`crate::FleetNode`] creates and handles them; the driver transports them. `postcard` encodes variants and fields by
+//! position: their order and number are fixed.
 
 use std::collections::BTreeMap;
 
@@ -11,33 +12,34 @@
 use crate::ids::{Epoch, Incarnation, Index, Member, OperationId, ReplicaId, Round, Seq, Version};
 use crate::state_machine::{MemberInfo, Outcome, PolicyDocument, PolicyState, Verdict};
 
-/// A router requests a lease and reports its state. The request is the whole report: a later one replaces an earlier one,
-/// and a duplicate changes nothing.
+/// A router's request for a lease, with a report of its state. Each request contains the complete report: a later one
+/// replaces an earlier one, and a duplicate changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The router.
     pub member: Member,
-    /// Its process.
+    /// The process that sends the request.
     pub incarnation: Incarnation,
-    /// Counts the requests of this process.
+    /// The number of the request, counted by this process.
     pub seq: Seq,
-    /// Up to where it knows the policy state.
+    /// The log position up to which the router knows the policy state.
     pub index: Index,
-    /// Up to where it knows the members.
+    /// The log position up to which the router knows the members.
     pub members_at: Index,
     /// Its verdict on the pending proposal.
     pub verdict: Option<ProposalVerdict>,
-    /// It has stopped admitting for this barrier, and will not admit before it learns of the barrier's end.
+    /// The barrier for which the router has stopped admitting; it does not admit again before it learns that the barrier
+    /// has ended.
     pub paused_for: Option<BarrierId>,
-    /// No other process of this member can still have a lease.
+    /// Whether no other process of this member can still have a lease.
     pub is_only_process: bool,
-    /// It cannot use the policy in force, this version: it wants no lease.
+    /// The version in force if the router cannot apply it; the router then does not want a lease.
     pub unfit: Option<Version>,
-    /// Of a router with a voting replica.
+    /// When the router's replica last accepted a message of an earlier leader; `None` if the router has no replica.
     pub last_leader_contact: Option<LastLeaderContact>,
-    /// Up to where it acts on the extension's state.
+    /// The log position up to which the router has applied the extension's state.
     pub machines_out_at: Index,
-    /// Its report to the extension.
+    /// The router's report to the extension.
     pub extension_report: Vec<u8>,
 }
 
@@ -46,64 +48,64 @@
 pub struct ProposalVerdict {
     /// The proposal.
     pub number: Version,
-    /// Whether it can be used there.
+    /// Whether the router can apply the proposal.
     pub verdict: Verdict,
 }
 
-/// One barrier.
+/// Identifies a barrier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BarrierId {
-    /// The proposal that is to take effect.
+    /// The proposal that is to come into force.
     pub number: Version,
-    /// Counts the barriers of this proposal.
+    /// The number of the barrier within this proposal.
     pub round: Round,
 }
 
-/// A voter can no longer accept messages of a leader of a term before `term`, and last did so `ago` microseconds before
-/// this was sent.
+/// A statement of a voter: it no longer accepts messages of leaders of terms before `term`, and last accepted one
+/// `ago_us` before it sent this statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LastLeaderContact {
     /// The voter.
     pub replica: ReplicaId,
-    /// Its persisted term.
+    /// The voter's persisted term.
     pub term: u64,
-    /// In microseconds by its own clock.
+    /// The time since then in microseconds, by the voter's own clock.
     #[serde(rename = "ago")]
     pub ago_us: u64,
 }
 
-/// A lease: this process may admit queries under this version, in this epoch, for the configured time since it sent its
-/// request.
+/// A granted lease: the process may admit queries under this version and in this epoch, for the configured time from
+/// when it sent its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The process.
+    /// The process that gets the lease.
     pub incarnation: Incarnation,
-    /// The request that this answers.
+    /// The number of the request that this answers.
     pub seq: Seq,
-    /// The epoch in which it is valid.
+    /// The epoch in which the lease is valid.
     pub epoch: Epoch,
     /// The version in force.
     pub version: Version,
 }
 
-/// The pending proposal, as routers need it.
+/// The part of the pending proposal that every router needs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ProposalView {
     /// The policy.
     pub document: PolicyDocument,
-    /// A second person has yet to confirm it.
+    /// Whether a second person still has to confirm it.
     pub unconfirmed: bool,
-    /// The latest barrier.
+    /// The number of the latest barrier; 0 before the first.
     pub round: Round,
-    /// The barrier is in progress: no router admits.
+    /// Whether the barrier is in progress: no router admits queries.
     pub barrier: bool,
 }
 
-/// The policy state, as far as a router without a replica needs it. Its size does not depend on how far behind the router
-/// is.
+/// The part of the policy state that a router without a replica needs. Its size does not depend on how far behind the
+/// router is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// Where something in it last changed.
+    /// The log position of the last change of the view.
     pub index: Index,
     /// Leases of an earlier epoch are void.
     pub epoch: Epoch,
@@ -111,31 +113,31 @@
     pub in_force: PolicyDocument,
     /// The pending proposal.
     pub proposal: Option<ProposalView>,
-    /// Where the members last changed.
+    /// The log position of the last change of the members.
     pub members_at: Index,
-    /// What a router has to know of the extension's state before it gets a lease.
+    /// The part of the extension's state that a router must know before it gets a lease.
     pub machines_out: Vec<u8>,
-    /// Where that last changed.
+    /// The log position of the last change of `machines_out`.
     pub machines_out_at: Index,
 }
 
 impl View {
-    /// The barrier that is in progress.
+    /// The barrier that is in progress, if any.
     pub fn barrier(&self) -> Option<BarrierId> {
-        let next = self.proposal.as_ref().filter(|next| next.barrier)?;
+        let pending = self.proposal.as_ref().filter(|pending| pending.barrier)?;
         Some(BarrierId {
-            number: next.document.number,
-            round: next.round,
+            number: pending.document.number,
+            round: pending.round,
         })
     }
 
-    /// The view of a policy state.
+    /// Extracts the view from a policy state.
     pub fn of(state: &PolicyState) -> View {
-        let proposal = state.proposal.as_ref().map(|next| ProposalView {
-            document: next.document.clone(),
-            unconfirmed: next.unconfirmed,
-            round: next.round,
-            barrier: next.barrier.is_some(),
+        let proposal = state.proposal.as_ref().map(|pending| ProposalView {
+            document: pending.document.clone(),
+            unconfirmed: pending.unconfirmed,
+            round: pending.round,
+            barrier: pending.barrier.is_some(),
         });
         View {
             index: state.changed_at,
@@ -149,23 +151,23 @@
     }
 }
 
-/// What the leader sends to a router, in answer to a request or because the policy state has changed.
+/// A message of the leader to a router: the answer to a request, or a notification that the policy state has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseReply {
-    /// Left out where the router knows it.
+    /// The current view; omitted if the router already knows it.
     pub view: Option<View>,
-    /// Left out where the router knows them.
+    /// The current members; omitted if the router already knows them.
     pub members: Option<BTreeMap<Member, MemberInfo>>,
-    /// The lease, if it is granted.
+    /// The lease, if one is granted.
     pub grant: Option<LeaseGrant>,
-    /// The router does not belong to the fleet.
+    /// Whether the router is not a member of the fleet.
     pub not_a_member: bool,
 }
 
 /// A message between routers of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Between replicas.
+    /// A consensus message from one replica to another.
     Raft {
         /// The sender.
         from: ReplicaId,
@@ -174,13 +176,13 @@
         /// The message, encoded by `ternpick-consensus`.
         message: Vec<u8>,
     },
-    /// To the leader.
+    /// A lease request to the leader.
     LeaseRequest(LeaseRequest),
-    /// From the leader.
+    /// A lease reply of the leader.
     LeaseReply(LeaseReply),
-    /// The sender does not lead; the leader, if it knows one.
+    /// The sender does not lead. Contains the leader, if the sender knows one.
     NotLeader(Option<Member>),
-    /// An operator's command, to the leader; sent again until its outcome is received.
+    /// An operator's command to the leader; retried until its outcome is received.
     Command {
         /// Identifies the command across retries.
         op: OperationId,
@@ -189,26 +191,26 @@
     },
     /// The outcome of a command.
     CommandOutcome {
-        /// The command.
+        /// Identifies the command.
         op: OperationId,
         /// Its outcome.
         outcome: Outcome,
     },
-    /// A fragment of a message that is longer than one transport request carries: the driver reassembles it,
-    /// [`crate::FleetNode`] ignores it.
+    /// A fragment of a message that does not fit into one transport request. The driver reassembles the message;
+    /// [`crate::FleetNode`] ignores fragments.
     Fragment {
-        /// The message.
+        /// Identifies the fragmented message.
         number: u64,
         /// The position of this fragment, from 0.
         #[serde(rename = "at")]
         index: u16,
-        /// How many fragments there are.
+        /// The number of fragments of the message.
         #[serde(rename = "of")]
         count: u16,
-        /// The content.
+        /// The content of this fragment.
         bytes: Vec<u8>,
     },
-    /// An operator's question, to the leader.
+    /// An operator's question to the leader.
     Inspect {
         /// Identifies the question across retries.
         op: OperationId,
@@ -218,7 +220,7 @@
     },
     /// The answer to a question.
     InspectionResult {
-        /// The question.
+        /// Identifies the question.
         op: OperationId,
         /// The answer, as JSON.
         json: String,
--- a/fleet_policy/src/record.rs
+++ b/fleet_policy/src/record.rs
@@ -1,7 +1,8 @@
-//! A policy's text as a typed record. What the platform's own settings allow is checked in [`limits`].
+//! Parses a policy's text into a typed record; [`limits`] checks the record against what the platform's own settings
+//! allow.
 //!
-//! Routers read proposals here before they accept them, `ternpick policy` before it sends them. The keys are those of the
-//! text that operators write (`policy.cue`); that is why fields have their names.
+//! Routers parse proposals before they accept them, and `ternpick policy` parses them before it sends them. The
+//! serialized names of the fields are the keys of the text that operators write (`policy.cue`).
 
 mod limits;
 
@@ -14,20 +15,20 @@
 use ternpick::types::Micros;
 use ternpick_settings::{Read, Schema, Used};
 
-/// The definitions that a policy's text must fit.
+/// The schema of a policy's text.
 pub const DEFINITIONS: &str = include_str!("policy.cue");
 const SCHEMA: Schema = Schema::new(&[("policy.cue", DEFINITIONS)], "#Policy");
 
-/// What differs by index; a `None` leaves the platform's own setting.
+/// The settings of a policy for one index; `None` keeps the platform's own setting.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct IndexPolicyConfig {
-    /// The completeness threshold: the least share of shards that an answer may rest on.
+    /// The completeness threshold: the smallest share of shards that an answer may be based on.
     #[serde(rename = "least")]
     pub completeness_threshold: Option<f64>,
     /// The partial-response deadline, in microseconds from the query's arrival.
     #[serde(rename = "partly_at")]
     pub partial_response_after_us: Option<u64>,
-    /// The most attempts for a shard request, the first included.
+    /// The maximum number of attempts for a shard request, including the first.
     #[serde(rename = "calls")]
     pub max_attempts: Option<u64>,
     /// Whether hedged requests are sent.
@@ -35,88 +36,89 @@
     pub hedging: Option<bool>,
 }
 
-/// What differs by customer.
+/// The settings of a policy for one customer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CustomerPolicyConfig {
-    /// Queries a second.
+    /// The quota in queries per second.
     #[serde(rename = "per_second")]
     pub queries_per_second: f64,
 }
 
-/// A retry budget.
+/// The settings of a policy for the retry budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RetryBudgetConfig {
-    /// Retries in each window, whatever was admitted.
+    /// The number of retries that are allowed in each window, independent of the number of admitted queries.
     #[serde(rename = "spare")]
     pub min_per_window: f64,
-    /// Retries as a share of what was admitted.
+    /// The number of further retries that are allowed, as a share of what was admitted.
     #[serde(rename = "share")]
     pub ratio: f64,
 }
 
-/// A policy.
+/// A parsed policy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Who proposes it.
+    /// The name of the operator who proposes it.
     pub author: String,
-    /// Why.
+    /// The author's reason.
     pub reason: String,
-    /// By the index's name.
+    /// The settings for indexes, by the index's name.
     pub indexes: BTreeMap<String, IndexPolicyConfig>,
-    /// Nodes that get no new queries, by name.
+    /// The names of the data nodes that get no new queries.
     pub drained: Vec<String>,
-    /// By the customer's name.
+    /// The settings for customers, by the customer's name.
     pub customers: BTreeMap<String, CustomerPolicyConfig>,
-    /// The retry budget, over all indexes.
+    /// The retry budget, which applies to all indexes.
     #[serde(rename = "further")]
     pub retry_budget: Option<RetryBudgetConfig>,
 }
 
-/// What one router's own settings allow of an index.
+/// The limits that one router's own settings set to policies for an index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct IndexLimits {
     /// The index's name.
     pub name: String,
-    /// The lowest completeness threshold.
+    /// The lowest completeness threshold that a policy may set.
     pub min_completeness_threshold: f64,
-    /// The weight that a complete answer needs; the highest threshold.
+    /// The highest completeness threshold that a policy may set: the weight that a complete answer needs.
     pub max_completeness_threshold: f64,
-    /// The latency objective: the latest partial-response deadline.
+    /// The latency objective; a partial-response deadline may not be later.
     pub latency_objective: Micros,
 }
 
-/// What one router's own settings allow. A `None` is a limit that is not set.
+/// The limits that one router's own settings set to policies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlatformLimits {
-    /// By index.
+    /// The limits for each index.
     pub indexes: Vec<IndexLimits>,
-    /// The most attempts for a shard request.
+    /// The maximum number of attempts for a shard request; `None` sets no limit.
     pub max_attempts: Option<usize>,
     /// Whether hedged requests are allowed.
     pub hedging: bool,
-    /// Queries a second by customer.
+    /// The highest quota of each customer, in queries per second.
     pub customers: BTreeMap<String, f64>,
-    /// The retry budget, where one is set: so many retries in each window, and a share of what was admitted.
+    /// The largest retry budget: the number of retries in each window, and their share of what was admitted. `None` means
+    /// that the platform has no retry budget, and a policy may not set one.
     pub retry_budget: Option<(f64, f64)>,
 }
 
-/// One setting that two policies differ in.
+/// A setting that differs between two policies: its path, the old value and the new value.
 type Difference = (String, String, String);
 
 impl Record {
-    /// Reads a text. The empty text is the platform's own settings.
+    /// Parses a text. The empty text keeps the platform's own settings.
     ///
     /// # Errors
-    /// All that is wrong with the text, each mistake marked in it.
+    /// Returns all mistakes in the text, each with its location.
     pub fn read(name: &str, text: &str) -> Result<Record, String> {
         let parsed = Parsed::read(name, text)?;
         Ok(parsed.record)
     }
 
-    /// Reads a text and checks that a platform allows it.
+    /// Parses a text and checks that a platform allows it.
     ///
     /// # Errors
-    /// All that is wrong with the text, or each setting that goes beyond the platform's, with its line.
+    /// Returns all mistakes in the text, or each setting that exceeds the platform's limits with its line.
     pub fn read_within(
         name: &str,
         text: &str,
@@ -137,7 +139,7 @@
         Err(lines.join("\n"))
     }
 
-    /// What differs from another policy: path, before, after; for operators.
+    /// The settings that differ from those of the policy `base`, for operators.
     pub fn differences(&self, base: &Record) -> Vec<Difference> {
         let (old, new) = (base.settings_by_path(), self.settings_by_path());
         let paths: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
@@ -154,7 +156,7 @@
             .collect()
     }
 
-    /// Each setting of the policy, by its path.
+    /// The settings of the policy as text, by their path.
     pub fn settings_by_path(&self) -> BTreeMap<String, String> {
         let mut all = BTreeMap::new();
         for (name, config) in &self.indexes {
@@ -203,7 +205,7 @@
     }
 }
 
-/// A record with the places of its settings in the text.
+/// A record with the locations of its settings in the text.
 struct Parsed {
     record: Record,
     used: Vec<Used>,
@@ -226,7 +228,7 @@
         })
     }
 
-    /// The file and line of a setting; the text's first line if it is not known.
+    /// The file and line of a setting; the first line of the text if the location is unknown.
     fn location_of(&self, name: &str, path: &str) -> (String, usize) {
         self.used
             .iter()
--- a/fleet_policy/src/record/limits.rs
+++ b/fleet_policy/src/record/limits.rs
@@ -1,4 +1,5 @@
-//! Checks a policy against what a platform's own settings allow.
+//! Checks a policy against the limits of a platform's own settings. Rejections of proposals, which are kept in the
+//! replicated state, contain the texts of the violations.
 
 use super::{CustomerPolicyConfig, IndexLimits, IndexPolicyConfig, PlatformLimits, Record};
 
@@ -11,7 +12,7 @@
     kind: ViolationKind,
 }
 
-/// What the policy sets, and what the platform allows.
+/// How a setting violates a limit, with the value in the policy and the limit of the platform.
 #[derive(Debug, thiserror::Error)]
 enum ViolationKind {
     #[error("is no index here; there are {}", .known.join(", "))]
@@ -46,7 +47,7 @@
 }
 
 impl Record {
-    /// Each setting that the platform does not allow.
+    /// The settings of the policy that the platform does not allow.
     pub(super) fn violations(&self, platform: &PlatformLimits) -> Vec<Violation> {
         let mut all = Vec::new();
         for (name, config) in &self.indexes {
--- a/fleet_policy/src/record/tests.rs
+++ b/fleet_policy/src/record/tests.rs
@@ -28,14 +28,14 @@
 #[test_case("further: {spare: 4, share: 0.1}", "further is 4 and 0.1, the platform allows 3 and 0.1"; "too large a retry budget")]
 #[test_case("indexes: half: calls: 0", "p.cue:3:23"; "no attempts at all")]
 #[test_case("indexs: {}", "p.cue:3:1"; "a misspelt name")]
-fn what_goes_beyond_the_platform_is_refused_with_its_line(text: &str, words: &str) {
+fn refuses_a_setting_beyond_the_platforms_limits_with_its_line(text: &str, expected: &str) {
     let refused = Record::read_within("p.cue", &format!("{HEAD}{text}\n"), &platform());
     let got = refused.expect_err("refused");
-    assert!(got.contains(words), "{got}");
+    assert!(got.contains(expected), "{got}");
 }
 
 #[test]
-fn what_stays_within_is_accepted_and_compared_with_another() {
+fn accepts_a_policy_within_the_limits_and_lists_its_differences() {
     let text = format!("{HEAD}indexes: half: {{least: 0.75, calls: 2}}\ndrained: [\"s-1\"]\nfurther: {{spare: 1, share: 0.05}}\n");
     let record = Record::read_within("p.cue", &text, &platform()).expect("within");
     assert_eq!(
