--- a/fleet_policy/src/state_machine.rs
+++ b/fleet_policy/src/state_machine.rs
@@ -1,8 +1,9 @@
-//! The replicated state machine: what the fleet has agreed on, derived from the log alone. The same entries give the same
-//! state on every router, whatever its clock. `docs/design/policy.md` has the table of states and entries.
+//! The replicated state machine: the state that the fleet has agreed on, derived from the log alone. The same entries
+//! give the same state on every router, independent of its clock. `docs/design/policy.md` has the table of states and
+//! entries.
 //!
-//! [`crate::FleetNode`] applies committed entries here and puts the state into snapshots; [`crate::Leader`] reads it to
-//! decide the next entry. Nothing here sends, logs or reads a clock.
+//! [`crate::FleetNode`] applies committed entries here and stores the state in snapshots; [`crate::Leader`] reads it to
+//! decide the next entry. This module does not send, log or read a clock.
 
 mod entry;
 mod history;
@@ -23,49 +24,49 @@
 use crate::ids::{Epoch, Index, Member, OperationId, ReplicaId, Version};
 use outcome::{CommandRefused, CompletedCommand};
 
-/// Commands whose outcome is known when they are sent again; the oldest are forgotten first.
+/// The number of commands whose outcome is remembered for retries; the oldest are forgotten first.
 const MAX_COMPLETED_COMMANDS: usize = 128;
-/// The longest text of a policy, in bytes.
+/// The maximum length of a policy's text.
 pub const MAX_POLICY_TEXT_BYTES: usize = 8 * 1024;
-/// The longest reason or error message that is stored, in bytes.
+/// The maximum length of a reason, an error message or the texts of a member that are stored.
 pub const MAX_SHORT_TEXT_BYTES: usize = 1024;
-/// The most routers of one fleet.
+/// The maximum number of routers of a fleet.
 pub const MAX_MEMBERS: usize = 1000;
 
-/// What the fleet has agreed on up to one place in the log. Snapshots contain it in `postcard`, which encodes fields by
-/// position: their order and number are fixed.
+/// The state that the fleet has agreed on up to a position in the log. Snapshots contain it as `postcard`, which encodes
+/// fields by position: their order and number are fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PolicyState {
-    /// The place of the last entry that is applied.
+    /// The log position of the last applied entry.
     pub index: Index,
-    /// Where something last changed that every router needs to know.
+    /// The log position of the last change that every router needs to know.
     pub changed_at: Index,
     /// Leases of an earlier epoch are void.
     pub epoch: Epoch,
     /// The policy in force.
     pub in_force: PolicyDocument,
-    /// The proposal that is checked or takes effect; there is one at a time.
+    /// The pending proposal, which is being checked or is in a barrier; there is at most one at a time.
     pub proposal: Option<PendingProposal>,
-    /// The number of the newest proposal ever made.
+    /// The number of the newest proposal so far.
     pub newest_version: Version,
     /// The routers of the fleet.
     pub members: BTreeMap<Member, MemberInfo>,
-    /// Where the members last changed.
+    /// The log position of the last change of the members.
     pub members_at: Index,
-    /// Members removed since the last version came into force: their leases still count. Emptied when a version comes
-    /// into force.
+    /// Members that were removed since the last version came into force: a barrier must still wait for their leases to
+    /// expire. Emptied when a version comes into force.
     pub departed_members: BTreeSet<Member>,
-    /// The newest replica id ever assigned.
+    /// The highest replica id assigned so far.
     pub last_replica_id: ReplicaId,
-    /// Bounded by [`MAX_COMPLETED_COMMANDS`].
+    /// The latest commands and their outcomes; bounded by [`MAX_COMPLETED_COMMANDS`].
     completed_commands: VecDeque<CompletedCommand>,
-    /// The latest proposals and their status; bounded, the oldest are forgotten first.
+    /// The latest proposals and their status; bounded, the oldest are dropped first.
     pub history: VecDeque<HistoryEntry>,
-    /// What every router has to know of the extension's state before it gets a lease.
+    /// The part of the extension's state that every router must know before it gets a lease.
     pub machines_out: Vec<u8>,
-    /// Where `machines_out` last changed.
+    /// The log position of the last change of `machines_out`.
     pub machines_out_at: Index,
-    /// The extension's whole state; only in snapshots.
+    /// The extension's whole state; filled only in snapshots.
     pub extension: Vec<u8>,
 }
 
@@ -78,7 +79,7 @@
             .max()
             .unwrap_or_default();
         PolicyState {
-            // The bootstrap itself is the first place: 0 is for routers that know nothing yet.
+            // The bootstrap itself has position 1: position 0 stands for routers that know no state yet.
             index: Index(1),
             changed_at: Index(1),
             epoch: Epoch(0),
@@ -92,13 +93,14 @@
             completed_commands: VecDeque::new(),
             history: VecDeque::new(),
             machines_out: Vec::new(),
-            // Nothing has to be known of it yet: a fleet without an extension grants leases without any report of one.
+            // Routers need to know nothing of the extension yet: in a fleet without an extension, lease requests report
+            // position 0 and must be granted all the same.
             machines_out_at: Index(0),
             extension: Vec::new(),
         }
     }
 
-    /// The outcome of a command, if it is still remembered.
+    /// Returns the outcome of a command if it is still remembered.
     pub fn outcome(&self, op: OperationId) -> Option<&Outcome> {
         self.completed_commands
             .iter()
@@ -106,11 +108,11 @@
             .map(|completed| &completed.outcome)
     }
 
-    /// Whether a change is taking effect: no router admits queries.
+    /// Whether a barrier is in progress: no router admits queries.
     pub fn in_barrier(&self) -> bool {
         self.proposal
             .as_ref()
-            .is_some_and(|next| next.barrier.is_some())
+            .is_some_and(|pending| pending.barrier.is_some())
     }
 
     /// The member that has this replica.
@@ -121,8 +123,8 @@
             .map(|(member, _)| member)
     }
 
-    /// Records that an entry of the extension was applied: its result, for the command `op` if it was one, and what every
-    /// router has to know from here on.
+    /// Records that an entry of the extension was applied: its result, if the entry is the command `op`, and the part of
+    /// the extension's state that every router must know from this position on.
     pub fn extension_applied(
         &mut self,
         index: Index,
@@ -151,7 +153,7 @@
     }
 
     /// Applies one entry. The effect of an entry of the extension is recorded by [`PolicyState::extension_applied`]. The
-    /// outcome of a command is remembered, also that it is refused.
+    /// outcome of a command is remembered even if the command is refused.
     pub fn apply(&mut self, index: Index, entry: Entry) {
         self.index = index;
         if matches!(entry, Entry::Extension { .. }) {
@@ -159,7 +161,7 @@
         }
         let records_verdicts = matches!(entry, Entry::Verdicts { .. });
         self.apply_policy_entry(entry);
-        // Verdicts matter to the leader alone, until one of them ends the proposal.
+        // Only the leader uses verdicts; other routers need to know only a verdict that ends the proposal.
         if !records_verdicts || self.proposal.is_none() {
             self.changed_at = index;
         }
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Applies an operator's command. One that was applied before changes nothing: its outcome stands.
+    /// Applies an operator's command. A command that was applied before changes nothing and keeps its outcome.
     fn apply_command(
         &mut self,
         op: OperationId,
--- a/fleet_policy/src/state_machine/entry.rs
+++ b/fleet_policy/src/state_machine/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the replicated log, and what they carry.
+//! Entries of the replicated log and their contents.
 
 use std::collections::BTreeSet;
 
@@ -6,48 +6,48 @@
 
 use crate::ids::{Member, OperationId, ReplicaId, Round, Version};
 
-/// One member's check of a proposal against its own platform settings.
+/// The result of one member's check of a proposal against its own platform settings.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The policy can be used there.
+    /// The member can apply the policy.
     Fits,
-    /// It cannot be used there; the reason.
+    /// The member cannot apply the policy, for this reason.
     Refused(String),
 }
 
-/// A policy and who proposed it.
+/// A policy with its author and reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PolicyDocument {
-    /// Assigned when the proposal is applied; 0 before.
+    /// The number of the proposal, assigned when the entry is applied; 0 before that.
     pub number: Version,
-    /// The policy in the form that [`crate::Record`] reads.
+    /// The policy's text, as [`crate::Record`] parses it.
     pub text: String,
-    /// Who proposed it.
+    /// The name of the operator who proposed it.
     pub author: String,
-    /// Why, in the author's words.
+    /// The author's reason.
     pub reason: String,
 }
 
-/// An entry of the log. One that no longer fits the state when it is applied changes nothing. `postcard` encodes variants
-/// and fields by position: their order and number are fixed.
+/// An entry of the log. An entry that no longer fits the state when it is applied changes nothing. `postcard` encodes
+/// variants and fields by position: their order and number are fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
     /// An operator proposes a policy.
     Propose {
         /// The command.
         op: OperationId,
-        /// The version that its author looked at; if another one is in force, the command is refused.
+        /// The version that the proposal is based on; if another version is in force, the command is refused.
         base: Option<Version>,
         /// The policy.
         document: PolicyDocument,
-        /// A second person has to confirm it.
+        /// Whether a second person has to confirm the proposal.
         confirm: bool,
     },
-    /// Members' verdicts on a proposal, as the leader received them.
+    /// Verdicts of members on a proposal, as the leader received them.
     Verdicts {
         /// The proposal.
         number: Version,
-        /// By member.
+        /// The verdicts by member.
         verdicts: Vec<(Member, Verdict)>,
     },
     /// A second person confirms a proposal.
@@ -56,31 +56,32 @@
         op: OperationId,
         /// The proposal.
         number: Version,
-        /// Who confirms it.
+        /// The name of the operator who confirms it.
         by: String,
     },
-    /// Every router is to stop admitting: each member accepts the proposal, or its leases have certainly expired.
+    /// A barrier begins and every router has to stop admitting. Each member accepts the proposal, or its leases have
+    /// certainly expired.
     BeginBarrier {
         /// The proposal.
         number: Version,
-        /// Counts the barriers of this proposal.
+        /// The number of the barrier within this proposal.
         round: Round,
-        /// Members whose leases have certainly expired.
+        /// Members whose leases have certainly expired; the barrier does not wait for them.
         #[serde(rename = "without")]
         expired_members: BTreeSet<Member>,
     },
-    /// The proposal comes into force: all members have stopped admitting, or their leases have certainly expired.
+    /// The proposal comes into force: each member has stopped admitting, or its leases have certainly expired.
     InForce {
         /// The proposal.
         number: Version,
-        /// The barrier that this ends.
+        /// The number of the barrier that this entry ends.
         round: Round,
     },
-    /// A member did not stop admitting in time: all resume under the version in force.
+    /// The barrier ends because a member did not stop admitting in time: all routers resume under the version in force.
     Resume {
         /// The proposal.
         number: Version,
-        /// The barrier that this ends.
+        /// The number of the barrier that this entry ends.
         round: Round,
     },
     /// An operator withdraws a proposal.
@@ -89,9 +90,9 @@
         op: OperationId,
         /// The proposal.
         number: Version,
-        /// Who withdraws it.
+        /// The name of the operator who withdraws it.
         by: String,
-        /// Why.
+        /// The operator's reason.
         reason: String,
     },
     /// A router becomes a member, or a member's address changes.
@@ -100,7 +101,7 @@
         op: OperationId,
         /// The router.
         member: Member,
-        /// Where other routers reach it.
+        /// The address at which other routers reach it.
         address: String,
         /// Its zone.
         zone: String,
@@ -112,30 +113,30 @@
         /// The router.
         member: Member,
     },
-    /// A member is assigned a new replica; an earlier one of its is void.
+    /// A member is assigned a new replica; its earlier replica, if any, becomes void.
     AssignReplica {
         /// The command.
         op: OperationId,
         /// The router.
         member: Member,
     },
-    /// A member has no replica any more.
+    /// A member loses its replica.
     RemoveReplica {
         /// The command.
         op: OperationId,
         /// The router.
         member: Member,
     },
-    /// A new replica has caught up and becomes a voter: from here on it never starts from an empty state again.
+    /// A new replica has caught up and becomes a voter: from this entry on it must never start from an empty state again.
     PromoteLearner {
         /// The replica.
         replica: ReplicaId,
     },
     /// An entry of the extension ([`crate::Extension`]).
     Extension {
-        /// The command, where it is one.
+        /// The command, if an operator's command led to the entry.
         op: Option<OperationId>,
-        /// Known to the extension alone.
+        /// Interpreted by the extension alone.
         entry: Vec<u8>,
     },
 }
--- a/fleet_policy/src/state_machine/history.rs
+++ b/fleet_policy/src/state_machine/history.rs
@@ -1,23 +1,23 @@
-//! What became of earlier proposals, for operators.
+//! The status of earlier proposals, for operators.
 
 use serde::{Deserialize, Serialize};
 
 use super::{PolicyState, MAX_SHORT_TEXT_BYTES};
 use crate::ids::{Index, Member, Version};
 
-/// Proposals that are remembered with their status; the oldest are forgotten first.
+/// The number of proposals whose status is remembered; the oldest are dropped first.
 const MAX_HISTORY: usize = 32;
 
 /// The status of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ProposalStatus {
-    /// It is checked, or takes effect.
+    /// The proposal is pending: it is being checked or is in a barrier.
     Open,
-    /// It came into force.
+    /// The proposal came into force.
     InForce,
-    /// The member that refused it, and why.
+    /// The member that refused the proposal, and its reason.
     Refused(Member, String),
-    /// Who withdrew it, and why.
+    /// The operator who withdrew the proposal, and the reason.
     Withdrawn(String, String),
 }
 
@@ -26,13 +26,13 @@
 pub struct HistoryEntry {
     /// The proposal's number.
     pub number: Version,
-    /// Who proposed it.
+    /// The name of the operator who proposed it.
     pub author: String,
-    /// Why, in the author's words.
+    /// The author's reason.
     pub reason: String,
-    /// What became of it.
+    /// Its current status.
     pub status: ProposalStatus,
-    /// Where in the log its status last changed.
+    /// The log position of the last change of its status.
     #[serde(rename = "at")]
     pub changed_at: Index,
 }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The status of a proposal, if it is still remembered.
+    /// Returns the status of a proposal if it is still remembered.
     pub(crate) fn status_of(&self, number: Version) -> Option<&ProposalStatus> {
         self.history
             .iter()
@@ -62,11 +62,11 @@
     }
 }
 
-/// Shortens words to the most that is stored, at a character boundary.
-pub(super) fn truncate(words: &mut String) {
-    let mut end = words.len().min(MAX_SHORT_TEXT_BYTES);
-    while !words.is_char_boundary(end) {
+/// Truncates a text to [`MAX_SHORT_TEXT_BYTES`], at a character boundary.
+pub(super) fn truncate(text: &mut String) {
+    let mut end = text.len().min(MAX_SHORT_TEXT_BYTES);
+    while !text.is_char_boundary(end) {
         end -= 1;
     }
-    words.truncate(end);
+    text.truncate(end);
 }
--- a/fleet_policy/src/state_machine/membership.rs
+++ b/fleet_policy/src/state_machine/membership.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the fleet, and which members have a replica.
+//! The members of the fleet, and which of them have a replica.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,18 +9,19 @@
 /// A router that belongs to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Where other routers reach it.
+    /// The address at which other routers reach it.
     pub address: String,
     /// Its zone.
     pub zone: String,
     /// Its replica of the log, if it has one.
     pub replica: Option<ReplicaId>,
-    /// The replica is new: it has never voted, and has yet to catch up.
+    /// Whether the replica is a learner: it has never voted and still has to catch up.
     pub is_learner: bool,
 }
 
 impl PolicyState {
-    /// Members change only outside a barrier: who has to stop admitting stays the same throughout.
+    /// Members change only outside a barrier, so that the set of members that have to stop admitting stays the same
+    /// during a barrier.
     fn members_may_change(&self) -> Result<(), CommandRefused> {
         if self.in_barrier() {
             return Err(CommandRefused::BarrierInProgress);
@@ -63,8 +64,8 @@
             return Err(CommandRefused::HasReplica { member });
         }
         self.members.remove(&member);
-        if let Some(next) = &mut self.proposal {
-            next.accepted_by.remove(&member);
+        if let Some(pending) = &mut self.proposal {
+            pending.accepted_by.remove(&member);
         }
         self.departed_members.insert(member);
         self.members_at = self.index;
@@ -108,12 +109,12 @@
         Ok(Outcome::Done)
     }
 
-    /// The replicas that vote, in order: the consensus group's own voters are to become these.
+    /// The replicas that are to vote, in ascending order; the leader changes the consensus group's voters to these.
     pub fn voters(&self) -> Vec<ReplicaId> {
         self.replica_ids(|info| !info.is_learner)
     }
 
-    /// The replicas that have yet to catch up before they vote, in order.
+    /// The replicas that have to catch up before they vote, in ascending order.
     pub fn learners(&self) -> Vec<ReplicaId> {
         self.replica_ids(|info| info.is_learner)
     }
--- a/fleet_policy/src/state_machine/outcome.rs
+++ b/fleet_policy/src/state_machine/outcome.rs
@@ -1,4 +1,5 @@
-//! The outcome of a command, and why one is refused.
+//! The outcomes of commands, and the reasons for which a command is refused. The texts are part of the replicated state:
+//! they must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,26 +9,26 @@
 /// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The proposal was accepted for checking, under this number.
+    /// The proposal was accepted for checking and has this number.
     Proposed(Version),
     /// The member was assigned this replica.
     ReplicaAssigned(ReplicaId),
-    /// A command of the extension succeeded, with this number.
+    /// A command of the extension succeeded and returned this number.
     Numbered(u64),
     /// The command succeeded.
     Done,
-    /// The command changed nothing; why, for the operator.
+    /// The command was refused and changed nothing; the reason, for the operator.
     Refused(String),
 }
 
-/// A command and its outcome. `postcard` encodes it as the pair that it was before.
+/// A command and its outcome. `postcard` encodes it in the same way as the tuple that earlier releases stored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct CompletedCommand {
     pub(super) op: OperationId,
     pub(super) outcome: Outcome,
 }
 
-/// Why a command is refused. Its text is stored in [`Outcome::Refused`] and shown to the operator.
+/// The reason for which a command is refused. Its text is stored in [`Outcome::Refused`] and shown to the operator.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CommandRefused {
     #[error("proposal {number} by {author} is on its way")]
--- a/fleet_policy/src/state_machine/proposal.rs
+++ b/fleet_policy/src/state_machine/proposal.rs
@@ -1,5 +1,6 @@
-//! The life of a proposal: proposed, checked by all members, confirmed, a barrier during which no router admits, in force.
-//! Or refused, withdrawn, or back to checking where a member did not stop admitting in time.
+//! The life cycle of a proposal: it is proposed, checked by all members and confirmed; after a barrier, during which no
+//! router admits queries, it is in force. It ends earlier if a member refuses it or an operator withdraws it, and
+//! returns to checking if a member does not stop admitting in time.
 
 use std::collections::BTreeSet;
 
@@ -13,18 +14,18 @@
 };
 use crate::ids::{Epoch, Member, Round, Version};
 
-/// The proposal that is checked or takes effect.
+/// The pending proposal, which is being checked or is in a barrier.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PendingProposal {
     /// The policy.
     pub document: PolicyDocument,
-    /// Members whose verdict is [`Verdict::Fits`]; another verdict ends the proposal.
+    /// Members whose verdict is [`Verdict::Fits`]; any other verdict ends the proposal.
     pub accepted_by: BTreeSet<Member>,
-    /// A second person has yet to confirm it.
+    /// Whether a second person still has to confirm it.
     pub unconfirmed: bool,
-    /// The latest barrier; 0 before the first.
+    /// The number of the latest barrier; 0 before the first.
     pub round: Round,
-    /// During a barrier: members whose leases had certainly expired when it began.
+    /// While a barrier is in progress: the members whose leases had certainly expired when it began. Otherwise `None`.
     pub barrier: Option<BTreeSet<Member>>,
 }
 
@@ -35,10 +36,10 @@
         mut document: PolicyDocument,
         confirm: bool,
     ) -> Result<Outcome, CommandRefused> {
-        if let Some(next) = &self.proposal {
+        if let Some(pending) = &self.proposal {
             return Err(CommandRefused::OtherProposalPending {
-                number: next.document.number,
-                author: next.document.author.clone(),
+                number: pending.document.number,
+                author: pending.document.author.clone(),
             });
         }
         let in_force = self.in_force.number;
@@ -69,27 +70,30 @@
         Ok(Outcome::Proposed(self.newest_version))
     }
 
-    /// The pending proposal, if it has this number.
+    /// Returns the pending proposal if it has this number.
     fn pending(&mut self, number: Version) -> Option<&mut PendingProposal> {
         self.proposal
             .as_mut()
-            .filter(|next| next.document.number == number)
+            .filter(|pending| pending.document.number == number)
     }
 
-    /// The pending proposal, if it has this number and this barrier of its is in progress.
+    /// Returns the pending proposal if it has this number and its barrier with the number `round` is in progress.
     fn in_round(&mut self, number: Version, round: Round) -> Option<&mut PendingProposal> {
         self.pending(number)
-            .filter(|next| next.barrier.is_some() && next.round == round)
+            .filter(|pending| pending.barrier.is_some() && pending.round == round)
     }
 
     fn advance_epoch(&mut self) {
         self.epoch = Epoch(self.epoch.0 + 1);
     }
 
-    /// Verdicts count only outside a barrier; one refusal ends the proposal.
+    /// Records verdicts. They count only outside a barrier; one refusal ends the proposal.
     pub(super) fn record_verdicts(&mut self, number: Version, verdicts: Vec<(Member, Verdict)>) {
         let members: BTreeSet<Member> = self.members.keys().cloned().collect();
-        let Some(next) = self.pending(number).filter(|next| next.barrier.is_none()) else {
+        let Some(pending) = self
+            .pending(number)
+            .filter(|pending| pending.barrier.is_none())
+        else {
             return;
         };
         for (member, verdict) in verdicts {
@@ -98,7 +102,7 @@
             }
             match verdict {
                 Verdict::Fits => {
-                    next.accepted_by.insert(member);
+                    pending.accepted_by.insert(member);
                 }
                 Verdict::Refused(mut reason) => {
                     truncate(&mut reason);
@@ -115,13 +119,13 @@
         number: Version,
         by: String,
     ) -> Result<Outcome, CommandRefused> {
-        let next = self
+        let pending = self
             .pending(number)
             .ok_or(CommandRefused::ProposalNotPending { number })?;
-        if next.document.author == by {
+        if pending.document.author == by {
             return Err(CommandRefused::ConfirmedByAuthor { by });
         }
-        next.unconfirmed = false;
+        pending.unconfirmed = false;
         Ok(Outcome::Done)
     }
 
@@ -132,18 +136,18 @@
         expired_members: BTreeSet<Member>,
     ) {
         let members: Vec<Member> = self.members.keys().cloned().collect();
-        let Some(next) = self
+        let Some(pending) = self
             .pending(number)
-            .filter(|next| next.barrier.is_none() && !next.unconfirmed)
+            .filter(|pending| pending.barrier.is_none() && !pending.unconfirmed)
         else {
             return;
         };
         let all = members
             .iter()
-            .all(|member| next.accepted_by.contains(member) || expired_members.contains(member));
-        if all && round.0 == next.round.0 + 1 {
-            next.round = round;
-            next.barrier = Some(expired_members);
+            .all(|member| pending.accepted_by.contains(member) || expired_members.contains(member));
+        if all && round.0 == pending.round.0 + 1 {
+            pending.round = round;
+            pending.barrier = Some(expired_members);
             self.advance_epoch();
         }
     }
@@ -152,8 +156,8 @@
         if self.in_round(number, round).is_none() {
             return;
         }
-        if let Some(next) = self.proposal.take() {
-            self.in_force = next.document;
+        if let Some(pending) = self.proposal.take() {
+            self.in_force = pending.document;
             self.advance_epoch();
             self.departed_members.clear();
             self.set_status(number, ProposalStatus::InForce);
@@ -161,8 +165,8 @@
     }
 
     pub(super) fn resume(&mut self, number: Version, round: Round) {
-        if let Some(next) = self.in_round(number, round) {
-            next.barrier = None;
+        if let Some(pending) = self.in_round(number, round) {
+            pending.barrier = None;
             self.advance_epoch();
         }
     }
@@ -182,7 +186,7 @@
             };
             return Err(CommandRefused::CannotWithdraw { number, status });
         }
-        // Routers have stopped for a barrier: a new epoch has them resume.
+        // Routers have stopped admitting for the barrier: a new epoch makes them resume.
         if self.in_barrier() {
             self.advance_epoch();
         }
