--- a/fleet_policy/src/leader.rs
+++ b/fleet_policy/src/leader.rs
@@ -1,9 +1,9 @@
-//! What the leader of the fleet keeps while it leads: what each router last reported, which leases it granted, and which
-//! step of a proposal comes next. All of it may be lost: a new leader learns it anew, and waits until the leases that
-//! earlier leaders granted have expired.
+//! The volatile state of the fleet's leader: the latest report of each router, the leases that the leader granted, and
+//! the next step of a proposal. All of it may be lost: a new leader collects the reports again, and waits until the
+//! leases that earlier leaders granted have expired.
 //!
-//! [`crate::FleetNode`] creates one when its replica becomes the leader, and drops it when it no longer is. The leader reads
-//! the replicated [`PolicyState`] and proposes entries; it never changes the state itself.
+//! [`crate::FleetNode`] creates a [`Leader`] when its replica becomes the leader, and drops it when the replica ceases
+//! to be. The leader reads the replicated [`PolicyState`] and proposes entries; it never changes the state itself.
 
 mod barrier;
 mod leases;
@@ -26,10 +26,11 @@
 use crate::state_machine::{Entry, PolicyState};
 use leases::{Process, WaitingRequest};
 
-/// How long an entry or a confirmation may be in flight before it is proposed or requested again.
+/// The time after which an entry that was not applied is proposed again, and a confirmation that was not received is
+/// requested again.
 const RETRY_AFTER: Micros = Micros(300_000);
 
-/// What the driver is to do, in order.
+/// An action for [`crate::FleetNode`]; actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaderAction {
     /// Propose an entry.
@@ -42,7 +43,7 @@
     Log(String),
 }
 
-/// The latest report of a router, from its lease request.
+/// The latest report of a router, taken from its lease request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct MemberReport {
     incarnation: Incarnation,
@@ -55,18 +56,18 @@
     members_at: Index,
     machines_out_at: Index,
     extension_report: Vec<u8>,
-    /// Not where it cannot use the policy in force.
+    /// `false` if the router cannot apply the policy in force.
     wants_lease: bool,
 }
 
-/// The term in which this router leads, and who voted then.
+/// The term in which this router leads, and the voters of its election.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Election {
     term: u64,
     voters: Vec<ReplicaId>,
 }
 
-/// A confirmation of the leadership that is in flight, and the requests that it is for.
+/// A requested confirmation of the leadership, and the lease requests to answer once it is received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LeadershipConfirmation {
     number: u64,
@@ -74,38 +75,38 @@
     requests: BTreeMap<Member, WaitingRequest>,
 }
 
-/// Entries that are proposed, of which none is applied yet.
+/// Proposed entries, none of which is applied yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ProposedEntries {
-    /// The state for which they were proposed.
+    /// The index of the state for which they were proposed.
     state_index: Index,
     proposed_at: Micros,
 }
 
-/// A barrier whose beginning is proposed. From then on no lease is granted, until the state tells what has become of it: the
-/// entry names members that certainly have none.
+/// A barrier whose beginning is proposed. The leader grants no lease until the state shows whether the barrier began: the
+/// entry names members that certainly have no lease, and that must remain true.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ProposedBarrier {
     barrier: BarrierId,
     proposed_at: Micros,
 }
 
-/// A barrier, as this leader sees it.
+/// A barrier in progress, as observed by this leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ObservedBarrier {
     barrier: BarrierId,
     /// When the leader first saw the barrier in the state.
     first_seen_at: Micros,
-    /// How long after that each member's report came that it has stopped admitting.
+    /// The time from then until each member first reported that it has stopped admitting.
     stopped_after: BTreeMap<Member, Micros>,
 }
 
-/// The end of a barrier that this leader has proposed.
+/// The end of a barrier, as proposed by this leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ProposedBarrierEnd {
     barrier: BarrierId,
-    /// The latest request of each member when the end was first proposed. That the end is committed confirms the leadership
-    /// for them as a read does: a majority has answered this leader after they came.
+    /// The latest request of each member when the end was first proposed. The commit of the end confirms the leadership
+    /// for these requests, as a read does: a majority has answered this leader after it received them.
     requests: BTreeMap<Member, WaitingRequest>,
 }
 
@@ -113,40 +114,41 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leader {
     config: LeaseConfig,
-    /// Leases that earlier leaders granted were requested before this: when this router became the leader, or earlier, as
-    /// its voters report.
+    /// All leases that earlier leaders granted were requested before this time: the time at which this router became the
+    /// leader, or an earlier one that follows from the voters' reports.
     earlier_leases_requested_before: Micros,
     election: Election,
     /// When each voter last accepted a message of an earlier leader.
     earlier_leader_contacts: BTreeMap<ReplicaId, Micros>,
-    /// How long after their end leases are remembered.
+    /// How long the leader remembers leases after their end.
     pub lease_retention: Micros,
-    /// One entry for each member.
+    /// The latest report of each member.
     reports: BTreeMap<Member, MemberReport>,
-    /// When the last request that got a lease was received, by process; emptied as leases expire.
+    /// For each process, when the leader received the last request that got a lease. Entries are removed after the leases
+    /// have expired.
     leases: BTreeMap<Process, Micros>,
-    /// Requests to be answered once the leadership is confirmed; one for each member.
+    /// Requests to answer once the leadership is confirmed; at most one for each member.
     waiting_requests: BTreeMap<Member, WaitingRequest>,
-    /// One at a time covers all requests that wait.
+    /// At most one at a time; it covers all requests that waited when it was requested.
     confirmation: Option<LeadershipConfirmation>,
     last_confirmation: u64,
     proposed: Option<ProposedEntries>,
     proposed_barrier: Option<ProposedBarrier>,
-    /// Since when verdicts have been reported that are not proposed yet.
+    /// Since when there are reported verdicts that are not proposed yet.
     verdicts_since: Option<Micros>,
     observed_barrier: Option<ObservedBarrier>,
     proposed_barrier_end: Option<ProposedBarrierEnd>,
-    /// Members that did not stop admitting in time: they get no lease before the proposal is settled.
+    /// Members that did not stop admitting in time: they get no lease while a proposal is pending.
     late_members: BTreeSet<Member>,
-    /// The state that was last pushed to all.
+    /// The index of the last change of the state that was pushed to the reachable routers.
     pushed_index: Index,
-    /// A fault that tests must catch.
+    /// A bug that tests inject and must find.
     #[cfg(any(test, feature = "planted"))]
     pub injected_bug: Option<InjectedLeaderBug>,
 }
 
 impl Leader {
-    /// This router leads, and has learnt so at `now`.
+    /// The leader of a router that learnt at `now` that it leads.
     pub fn new(config: LeaseConfig, now: Micros, state: &PolicyState) -> Leader {
         Leader {
             config,
@@ -171,12 +173,12 @@
         }
     }
 
-    /// It leads in this term by the votes of a majority of these voters.
-    pub fn elected(&mut self, term: u64, voters: Vec<ReplicaId>) {
+    /// Sets the term in which this router leads, and the voters, of which a majority elected it.
+    pub fn set_election(&mut self, term: u64, voters: Vec<ReplicaId>) {
         self.election = Election { term, voters };
     }
 
-    /// A lease request has come.
+    /// Handles a lease request.
     pub fn handle_request(
         &mut self,
         now: Micros,
@@ -225,14 +227,15 @@
         self.tick(now, state)
     }
 
-    /// A request that came late, or twice, says less than what is known.
+    /// Whether a newer request, or the same one, of this process has been received already.
     fn is_outdated(&self, request: &LeaseRequest) -> bool {
         self.reports.get(&request.member).is_some_and(|known| {
             known.incarnation == request.incarnation && known.seq >= request.seq
         })
     }
 
-    /// This router still led when the confirmation with this number was requested, and `state` is at least as new as that.
+    /// Handles the confirmation that this router still led when it requested the confirmation with this number. `state`
+    /// must contain all entries that were committed by then.
     pub fn leadership_confirmed(
         &mut self,
         now: Micros,
@@ -250,7 +253,8 @@
         actions
     }
 
-    /// Does what is due. To be called after each entry that was applied, and every few milliseconds.
+    /// Takes the actions that are due. Must be called after each applied entry, and when [`Leader::next_deadline`] is
+    /// reached.
     pub fn tick(&mut self, now: Micros, state: &PolicyState) -> Vec<LeaderAction> {
         let mut actions = Vec::new();
         self.proposed.take_if(|proposed| {
@@ -265,8 +269,8 @@
         actions
     }
 
-    /// Sends a changed state to all routers that are reachable, so that none waits for its own next request. At the end of a
-    /// barrier `requests` are granted with it.
+    /// Sends a changed state to all reachable routers, so that they need not wait for the answer to their next request.
+    /// At the end of a barrier, the replies also grant the lease requests in `requests`.
     fn push_view(
         &mut self,
         now: Micros,
@@ -294,7 +298,7 @@
         }
     }
 
-    /// Before a lease is granted this router confirms that it still leads.
+    /// Requests a confirmation that this router still leads, if lease requests wait for it and none is in flight.
     fn confirm_leadership(
         &mut self,
         now: Micros,
@@ -320,7 +324,8 @@
         actions.push(LeaderAction::ConfirmLeadership(self.last_confirmation));
     }
 
-    /// A router whose last request is recent, unless it did not stop for a barrier in time.
+    /// Whether the last request of the router is recent and the router did not stop too late for a barrier of this
+    /// proposal.
     fn is_reachable(&self, now: Micros, member: &Member) -> bool {
         let recent_for = self.config.recent_contact_window();
         let is_recent = self
--- a/fleet_policy/src/leader/barrier.rs
+++ b/fleet_policy/src/leader/barrier.rs
@@ -1,5 +1,5 @@
-//! A barrier as the leader follows it: which one is in progress, who has stopped admitting for it, and whose requests its end
-//! grants.
+//! The leader's view of a barrier: which one is in progress, which members have stopped admitting for it, and which lease
+//! requests its end grants.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,26 +14,26 @@
 use crate::messages::{BarrierId, LeaseRequest};
 use crate::state_machine::{PendingProposal, PolicyState};
 
-/// Members that a log line on a barrier names at most.
+/// The maximum number of members that a log line about a barrier names.
 const MAX_NAMED_MEMBERS: usize = 8;
 
-/// The latest barrier of a proposal.
-pub(super) fn barrier_of(next: &PendingProposal) -> BarrierId {
+/// Identifies the latest barrier of a proposal.
+pub(super) fn barrier_of(pending: &PendingProposal) -> BarrierId {
     BarrierId {
-        number: next.document.number,
-        round: next.round,
+        number: pending.document.number,
+        round: pending.round,
     }
 }
 
 fn barrier_in_progress(state: &PolicyState) -> Option<BarrierId> {
-    let next = state.proposal.as_ref()?;
-    next.barrier.is_some().then(|| barrier_of(next))
+    let pending = state.proposal.as_ref()?;
+    pending.barrier.is_some().then(|| barrier_of(pending))
 }
 
-/// Whether a barrier that is over ended by [`Entry::InForce`] or [`Entry::Resume`], rather than by a withdrawal, which may
-/// have been proposed before requests that came.
+/// Whether a barrier that is over ended by `InForce` or `Resume` rather than by a withdrawal. A withdrawal may have been
+/// proposed before the lease requests were received, so its commit does not confirm the leadership for them.
 fn ended_as_proposed(state: &PolicyState, barrier: BarrierId) -> bool {
-    let resumed = |next: &PendingProposal| barrier_of(next) == barrier;
+    let resumed = |pending: &PendingProposal| barrier_of(pending) == barrier;
     state.in_force.number == barrier.number || state.proposal.as_ref().is_some_and(resumed)
 }
 
@@ -49,7 +49,8 @@
 }
 
 impl ObservedBarrier {
-    /// For the log: how long it lasted, and after how long each member had stopped, the latest first.
+    /// Describes the barrier for the log: how long it lasted, and after which time each member had stopped, the latest
+    /// first.
     fn description(&self, now: Micros) -> String {
         let BarrierId { number, round } = self.barrier;
         let lasted = now.since(self.first_seen_at).0 / 1000;
@@ -61,12 +62,12 @@
             .map(|(member, after)| format!("{member} {} ms", after.0 / 1000))
             .collect();
         let members = members.join(", ");
-        format!("policy: round {round} of proposal {number} is over after {lasted} ms, stopped after: {members}")
+        format!("policy: barrier {round} of proposal {number} ended after {lasted} ms, members stopped after: {members}")
     }
 }
 
 impl Leader {
-    /// Notes when the barrier that is in progress was first seen, and logs how long one lasted that is over.
+    /// Records when the barrier in progress was first seen, and logs how long a barrier lasted that has ended.
     pub(super) fn observe_barrier(
         &mut self,
         now: Micros,
@@ -90,7 +91,7 @@
         });
     }
 
-    /// Notes the first report of a member that it has stopped admitting for the barrier in progress.
+    /// Records the first report of a member that it has stopped admitting for the barrier in progress.
     pub(super) fn record_stopped(&mut self, now: Micros, request: &LeaseRequest) {
         let seen = self.observed_barrier.as_mut();
         let Some(seen) = seen.filter(|seen| request.paused_for == Some(seen.barrier)) else {
@@ -102,10 +103,10 @@
             .or_insert(after);
     }
 
-    /// Requests to be granted now, because the barrier is over whose end this leader has proposed.
+    /// Returns the lease requests to grant now because the barrier whose end this leader proposed is over.
     ///
-    /// Without it each router asked anew at the end of a barrier, and waited until the leadership was confirmed for that:
-    /// two further round trips in which nobody admitted.
+    /// Otherwise each router would send a new request at the end of a barrier and wait until the leadership is confirmed
+    /// for it: two further round trips during which no router admits queries.
     pub(super) fn requests_at_barrier_end(
         &mut self,
         state: &PolicyState,
@@ -118,8 +119,9 @@
         ended.map(|end| end.requests).unwrap_or_default()
     }
 
-    /// Notes that the end of a barrier is proposed. Of an end that is proposed again the first time counts: whichever is
-    /// committed, a majority answers after it.
+    /// Records that the end of a barrier is proposed, with the requests received so far. If the end is proposed again,
+    /// the requests of the first proposal count: whichever of the entries is committed, a majority has answered after
+    /// the first.
     pub(super) fn record_proposed_end(&mut self, barrier: BarrierId) {
         if self.proposed_barrier_end.as_ref().map(|end| end.barrier) == Some(barrier) {
             return;
@@ -132,27 +134,33 @@
         self.proposed_barrier_end = Some(ProposedBarrierEnd { barrier, requests });
     }
 
-    /// The state tells what has become of the barrier whose beginning was proposed.
+    /// Drops the proposed barrier once the state shows that it began or can no longer begin.
     pub(super) fn clear_settled_barrier(&mut self, state: &PolicyState) {
         let is_open = |proposed: &ProposedBarrier| {
             let BarrierId { number, round } = proposed.barrier;
-            let next = state.proposal.as_ref();
-            next.is_some_and(|next| next.document.number == number && next.round < round)
+            let pending = state.proposal.as_ref();
+            pending
+                .is_some_and(|pending| pending.document.number == number && pending.round < round)
         };
         self.proposed_barrier.take_if(|proposed| !is_open(proposed));
     }
 
-    /// During a hot restart two processes of a member may have leases: a report counts for the member only once the other
-    /// process's lease has certainly expired.
+    /// Whether the latest report of a member holds for all its processes. During a hot restart two processes of a member
+    /// may have leases: a report then counts for the member only once the other process's lease has certainly expired.
     pub(super) fn report_covers_all_processes(&self, now: Micros, member: &Member) -> bool {
         self.reports.get(member).is_none_or(|report| {
             report.is_only_process || self.leases_expired(now, member, Some(report.incarnation))
         })
     }
 
-    /// Whether this member certainly admits nothing more during this barrier.
-    pub(super) fn has_paused(&self, now: Micros, member: &Member, next: &PendingProposal) -> bool {
-        let barrier = Some(barrier_of(next));
+    /// Whether this member certainly admits no more queries during this barrier.
+    pub(super) fn has_paused(
+        &self,
+        now: Micros,
+        member: &Member,
+        pending: &PendingProposal,
+    ) -> bool {
+        let barrier = Some(barrier_of(pending));
         match self.reports.get(member) {
             Some(report) if report.paused_for == barrier => {
                 self.report_covers_all_processes(now, member)
@@ -161,11 +169,12 @@
         }
     }
 
+    /// The members that may still admit queries during this barrier.
     pub(super) fn not_paused(
         &self,
         now: Micros,
         state: &PolicyState,
-        next: &PendingProposal,
+        pending: &PendingProposal,
         expired_members: &BTreeSet<Member>,
     ) -> BTreeSet<Member> {
         if self.has_bug(InjectedLeaderBug::SkipsLeaseWait) {
@@ -175,7 +184,7 @@
             .members
             .keys()
             .filter(|member| !expired_members.contains(*member))
-            .filter(|member| !self.has_paused(now, member, next))
+            .filter(|member| !self.has_paused(now, member, pending))
             .cloned()
             .collect()
     }
--- a/fleet_policy/src/leader/leases.rs
+++ b/fleet_policy/src/leader/leases.rs
@@ -1,5 +1,5 @@
-//! Which leases may still be valid, and who gets one. A member whose leases have certainly expired admits nothing: a change
-//! can take effect without it.
+//! Which leases may still be valid, and which requests are granted. A member whose leases have certainly expired admits
+//! no queries: a proposal can come into force without waiting for it.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,8 @@
 use crate::messages::{LastLeaderContact, LeaseGrant, LeaseReply, View};
 use crate::state_machine::PolicyState;
 
-/// Processes of one member that may have a lease at a time; a further one gets none before the oldest has expired.
+/// The maximum number of processes of one member that may have a lease at the same time; a further one gets none before
+/// another one's lease has expired.
 const MAX_PROCESSES_PER_MEMBER: usize = 8;
 
 /// One process of a member.
@@ -21,20 +22,23 @@
     pub(super) incarnation: Incarnation,
 }
 
-/// A lease request that waits until the leadership is confirmed.
+/// A lease request that is answered once the leadership is confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct WaitingRequest {
     pub(super) incarnation: Incarnation,
     pub(super) seq: Seq,
     pub(super) received_at: Micros,
-    /// Not where the router cannot use the policy in force.
+    /// `false` if the router cannot apply the policy in force.
     pub(super) wants_lease: bool,
 }
 
 impl Leader {
-    /// No earlier leader granted a lease that was requested after most voters had last accepted its message: one of those
-    /// voters would have had to confirm its leadership. Without this, a change waited for the election as well as for the
-    /// leases, where two routers were silent and one of them was the leader.
+    /// Records when a voter last accepted a message of an earlier leader, and derives when the leases of earlier leaders
+    /// were requested at the latest. An earlier leader cannot have granted a lease that was requested after a majority
+    /// of the voters had last accepted its messages: one of those voters would have had to confirm its leadership.
+    ///
+    /// Without this bound, if two routers fell silent and one of them was the leader, a change waited for the election
+    /// as well as for the leases.
     pub(super) fn record_earlier_leader_contact(
         &mut self,
         now: Micros,
@@ -61,7 +65,7 @@
         }
     }
 
-    /// Whether no lease of this member, granted by any leader, can still be valid; apart from those of the process
+    /// Whether no lease of this member, granted by any leader, can still be valid, except for leases of the process
     /// `except`.
     pub(super) fn leases_expired(
         &self,
@@ -72,7 +76,7 @@
         self.leases_expired_for(now, member, except, Micros(0))
     }
 
-    /// The same, and whether none was valid within the last `span` either.
+    /// Like [`Leader::leases_expired`], but additionally no lease may have been valid within the last `span`.
     pub(super) fn leases_expired_for(
         &self,
         now: Micros,
@@ -95,7 +99,7 @@
         own_expired && earlier_expired
     }
 
-    /// Answers requests that the confirmed leadership covers.
+    /// Answers the requests for which the leadership is confirmed.
     pub(super) fn answer_requests(
         &mut self,
         now: Micros,
@@ -114,6 +118,7 @@
         actions
     }
 
+    /// Grants a lease to the process that sent the request, if it may have one.
     pub(super) fn grant(
         &mut self,
         state: &PolicyState,
@@ -136,7 +141,8 @@
         })
     }
 
-    /// During a barrier no process gets a lease; while a proposal is checked, only those of members that accept it.
+    /// Whether a process may get a lease. No process gets one during a barrier, or while the beginning of one is
+    /// proposed; while a proposal is checked, only processes of members that accept it do.
     fn may_have_lease(&self, state: &PolicyState, process: &Process) -> bool {
         let member = &process.member;
         let knows_extension = self
@@ -154,9 +160,9 @@
         {
             return false;
         }
-        state.proposal.as_ref().is_none_or(|next| {
-            next.barrier.is_none()
-                && next.accepted_by.contains(member)
+        state.proposal.as_ref().is_none_or(|pending| {
+            pending.barrier.is_none()
+                && pending.accepted_by.contains(member)
                 && !self.late_members.contains(member)
         })
     }
@@ -168,7 +174,7 @@
             .count()
     }
 
-    /// A reply leaves out what the router knows.
+    /// Creates a reply; it omits the view and the members if the router already knows them.
     pub(super) fn reply_to(
         &self,
         state: &PolicyState,
--- a/fleet_policy/src/leader/proposal.rs
+++ b/fleet_policy/src/leader/proposal.rs
@@ -1,4 +1,4 @@
-//! Which entry moves the pending proposal on: verdicts of members, the beginning of a barrier, and its end.
+//! The entries that advance the pending proposal: verdicts of members, the beginning of a barrier, and its end.
 
 use std::collections::BTreeSet;
 
@@ -10,32 +10,32 @@
 use crate::messages::BarrierId;
 use crate::state_machine::{Entry, PendingProposal, PolicyState, Verdict};
 
-/// The patience doubles with each barrier of a proposal, so many times at most.
+/// The timeout doubles with each barrier of a proposal, at most this many times.
 const MAX_TIMEOUT_DOUBLINGS: u64 = 5;
 
-/// Verdicts are held back for so long at most, so that those of all members go into one entry.
+/// The longest time for which the leader delays verdicts, so that the verdicts of all members go into one entry.
 const MAX_VERDICT_WAIT: Micros = Micros(100_000);
 
 impl Leader {
-    /// Proposes the next entries, once those before them are applied.
+    /// Proposes the next entries once the previously proposed ones are applied.
     pub(super) fn propose_next_step(
         &mut self,
         now: Micros,
         state: &PolicyState,
         actions: &mut Vec<LeaderAction>,
     ) {
-        let Some(next) = &state.proposal else {
+        let Some(pending) = &state.proposal else {
             return;
         };
         if self.proposed.is_some() {
             return;
         }
-        let entries = if next.barrier.is_some() {
-            self.end_barrier(now, state, next, actions)
+        let entries = if pending.barrier.is_some() {
+            self.end_barrier(now, state, pending, actions)
                 .into_iter()
                 .collect()
         } else {
-            self.next_entries(now, state, next)
+            self.next_entries(now, state, pending)
         };
         if entries.is_empty() {
             return;
@@ -47,39 +47,40 @@
         actions.extend(entries.into_iter().map(LeaderAction::Propose));
     }
 
-    /// While a proposal is checked: the members' verdicts, and the beginning of the barrier where they are the last that it
-    /// waits for. Both are committed together; one after the other cost a change on a busy machine up to 0.3 s.
+    /// The entries to propose while a proposal is checked: the members' verdicts and, if no further verdicts are
+    /// missing, the beginning of the barrier. Both are committed together: committing one after the other delayed a
+    /// change by up to 0.3 s on a busy machine.
     fn next_entries(
         &mut self,
         now: Micros,
         state: &PolicyState,
-        next: &PendingProposal,
+        pending: &PendingProposal,
     ) -> Vec<Entry> {
-        let verdicts = self.new_verdicts(next);
-        if self.awaits_more_verdicts(now, next, &verdicts) {
+        let verdicts = self.new_verdicts(pending);
+        if self.awaits_more_verdicts(now, pending, &verdicts) {
             return Vec::new();
         }
         let all_fit = verdicts
             .iter()
             .all(|(_, verdict)| *verdict == Verdict::Fits);
-        let mut accepted_by = next.accepted_by.clone();
+        let mut accepted_by = pending.accepted_by.clone();
         accepted_by.extend(verdicts.iter().map(|(member, _)| member.clone()));
         let mut entries = Vec::new();
         if !verdicts.is_empty() {
-            let number = next.document.number;
+            let number = pending.document.number;
             entries.push(Entry::Verdicts { number, verdicts });
         }
         if all_fit {
-            entries.extend(self.begin_barrier(now, state, next, &accepted_by));
+            entries.extend(self.begin_barrier(now, state, pending, &accepted_by));
         }
         entries
     }
 
-    /// Whether verdicts are held back for a moment, because further members are about to report theirs.
+    /// Whether to delay proposing the verdicts because reachable members have not reported theirs yet.
     fn awaits_more_verdicts(
         &mut self,
         now: Micros,
-        next: &PendingProposal,
+        pending: &PendingProposal,
         verdicts: &[(Member, Verdict)],
     ) -> bool {
         if verdicts.is_empty() {
@@ -90,40 +91,41 @@
         let is_refused = verdicts
             .iter()
             .any(|(_, verdict)| *verdict != Verdict::Fits);
-        // Without its verdict in the log a member gets no lease: well within the time between two requests for one.
+        // A member gets no lease while its verdict is not in the log: the delay must be well below the renewal interval.
         let longest = MAX_VERDICT_WAIT.min(Micros(self.config.renew_interval_us / 2));
         if is_refused || now.since(since) >= longest {
             return false;
         }
         let has_reported = |member: &Member| {
-            next.accepted_by.contains(member) || verdicts.iter().any(|(known, _)| known == member)
+            pending.accepted_by.contains(member)
+                || verdicts.iter().any(|(known, _)| known == member)
         };
         self.reports
             .keys()
             .any(|member| self.is_reachable(now, member) && !has_reported(member))
     }
 
-    /// Verdicts that members have reported and the state does not contain yet.
-    fn new_verdicts(&self, next: &PendingProposal) -> Vec<(Member, Verdict)> {
+    /// The verdicts that members have reported and that the state does not contain yet.
+    fn new_verdicts(&self, pending: &PendingProposal) -> Vec<(Member, Verdict)> {
         let mut verdicts = Vec::new();
         for (member, report) in &self.reports {
             let Some(checked) = &report.verdict else {
                 continue;
             };
-            if checked.number == next.document.number && !next.accepted_by.contains(member) {
+            if checked.number == pending.document.number && !pending.accepted_by.contains(member) {
                 verdicts.push((member.clone(), checked.verdict.clone()));
             }
         }
         verdicts
     }
 
-    /// The barrier begins once each member accepts the proposal and is reachable, or has certainly no lease; and once
-    /// members that were removed have certainly none.
+    /// The entry that begins a barrier, if it may begin: each member accepts the proposal and is reachable, or certainly
+    /// has no lease; and members that were removed certainly have no lease. At least one member must be reachable.
     fn begin_barrier(
         &mut self,
         now: Micros,
         state: &PolicyState,
-        next: &PendingProposal,
+        pending: &PendingProposal,
         accepted_by: &BTreeSet<Member>,
     ) -> Option<Entry> {
         let on_its_way = self
@@ -133,7 +135,7 @@
             .departed_members
             .iter()
             .all(|member| self.leases_expired(now, member, None));
-        if on_its_way || next.unconfirmed || !departed_expired {
+        if on_its_way || pending.unconfirmed || !departed_expired {
             return None;
         }
         let mut expired_members = BTreeSet::new();
@@ -151,8 +153,8 @@
         if expired_members.len() == state.members.len() {
             return None;
         }
-        let number = next.document.number;
-        let round = Round(next.round.0 + 1);
+        let number = pending.document.number;
+        let round = Round(pending.round.0 + 1);
         self.proposed_barrier = Some(ProposedBarrier {
             barrier: BarrierId { number, round },
             proposed_at: now,
@@ -164,20 +166,21 @@
         })
     }
 
-    /// The proposal comes into force once all have stopped admitting; if somebody has not in time, all resume.
+    /// The entry that ends the barrier: the proposal comes into force once all members have stopped admitting; if a
+    /// member has not done so in time, all resume.
     fn end_barrier(
         &mut self,
         now: Micros,
         state: &PolicyState,
-        next: &PendingProposal,
+        pending: &PendingProposal,
         actions: &mut Vec<LeaderAction>,
     ) -> Option<Entry> {
-        let number = next.document.number;
-        let round = next.round;
-        let expired_members = next.barrier.as_ref()?;
-        let missing = self.not_paused(now, state, next, expired_members);
+        let number = pending.document.number;
+        let round = pending.round;
+        let expired_members = pending.barrier.as_ref()?;
+        let missing = self.not_paused(now, state, pending, expired_members);
         if missing.is_empty() {
-            self.record_proposed_end(barrier_of(next));
+            self.record_proposed_end(barrier_of(pending));
             return Some(Entry::InForce { number, round });
         }
         let waited = now.since(self.observed_barrier.as_ref()?.first_seen_at);
@@ -186,19 +189,21 @@
         }
         let names: Vec<&str> = missing.iter().map(|member| member.0.as_str()).collect();
         actions.push(LeaderAction::Log(format!(
-            "policy: round {round} of proposal {number} ends after {} ms, not stopped: {}",
+            "policy: barrier {round} of proposal {number} ends after {} ms, members not stopped: {}",
             waited.0 / 1000,
             names.join(", ")
         )));
-        // Where most were late the fleet as a whole is slow: without a lease for anybody no change would ever end.
+        // If most members are late, the fleet as a whole is slow: members would get no lease, and the change would never
+        // complete. So late members are excluded only while they are a minority.
         if missing.len() * 2 < state.members.len() - expired_members.len() {
             self.late_members.extend(missing);
         }
-        self.record_proposed_end(barrier_of(next));
+        self.record_proposed_end(barrier_of(pending));
         Some(Entry::Resume { number, round })
     }
 
-    /// Each barrier waits longer than the one before: a fleet that is slow as a whole completes the change all the same.
+    /// How long a barrier waits for members. Each barrier of a proposal waits longer than the one before, so that a
+    /// fleet that is slow as a whole still completes the change.
     fn barrier_timeout(&self, round: Round) -> Micros {
         let doublings = round.0.saturating_sub(1).min(MAX_TIMEOUT_DOUBLINGS);
         Micros(self.config.barrier_timeout_us << doublings)
--- a/fleet_policy/src/leader/status.rs
+++ b/fleet_policy/src/leader/status.rs
@@ -1,4 +1,5 @@
-//! What the leader knows of the members: for operators, for the extension, and when to look again.
+//! The leader's information about the members, for operators and for the extension; and when the leader must be called
+//! next.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use ternpick::types::Micros;
@@ -8,24 +9,24 @@
 use crate::ids::{Index, Member};
 use crate::state_machine::PolicyState;
 
-/// While something is in flight the leader is called again after this.
+/// The interval between calls of the leader while a proposal, a confirmation or a lease request is pending.
 const BUSY_TICK: Micros = Micros(10_000);
 
-/// How the leader sees a member.
+/// The status of a member as known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The member.
     pub member: Member,
-    /// How long ago its last request came, in microseconds.
+    /// The time since its last request, in microseconds; `None` if this leader has received none.
     #[serde(serialize_with = "as_number", deserialize_with = "from_number")]
     pub since_last_contact: Option<Micros>,
-    /// Up to where it knows the policy state.
+    /// The log position up to which the member knows the policy state.
     pub known_index: Option<Index>,
-    /// Its leases have certainly expired.
+    /// Whether its leases have certainly expired.
     pub lease_over: bool,
-    /// It accepts the pending proposal; none if there is no proposal.
+    /// Whether it accepts the pending proposal; `None` if there is no proposal.
     pub fits: Option<bool>,
-    /// It has stopped admitting for the barrier; none if there is no barrier.
+    /// Whether it has stopped admitting for the barrier; `None` if no barrier is in progress.
     pub stopped: Option<bool>,
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl Leader {
-    /// Each member as the leader sees it; for operators.
+    /// The status of each member, for operators.
     pub fn member_status(&self, now: Micros, state: &PolicyState) -> Vec<MemberStatus> {
         state
             .members
@@ -50,19 +51,20 @@
 
     fn status_of(&self, now: Micros, state: &PolicyState, member: &Member) -> MemberStatus {
         let report = self.reports.get(member);
-        let next = state.proposal.as_ref();
-        let in_barrier = next.filter(|next| next.barrier.is_some());
+        let pending = state.proposal.as_ref();
+        let in_barrier = pending.filter(|pending| pending.barrier.is_some());
         MemberStatus {
             member: member.clone(),
             since_last_contact: report.map(|report| now.since(report.received_at)),
             known_index: report.map(|report| report.index),
             lease_over: self.leases_expired(now, member, None),
-            fits: next.map(|next| next.accepted_by.contains(member)),
-            stopped: in_barrier.map(|next| self.has_paused(now, member, next)),
+            fits: pending.map(|pending| pending.accepted_by.contains(member)),
+            stopped: in_barrier.map(|pending| self.has_paused(now, member, pending)),
         }
     }
 
-    /// What the extension has to know of each member, also of those in `departed` that are no longer members.
+    /// The information that the extension needs about each member, including those in `departed` that are no longer
+    /// members.
     pub fn member_contacts(
         &self,
         now: Micros,
@@ -92,12 +94,13 @@
             is_recent: report.is_some() && self.is_reachable(now, member),
             only_one_process: report
                 .is_some_and(|report| report.is_only_process || expired(Some(report.incarnation))),
-            // A router that admits without a lease may do so at any time.
+            // With this setting a router also admits queries without a lease, at any time.
             all_leases_expired: !self.config.serve_without_lease && expired(None),
         }
     }
 
-    /// How long from now until the lease of every unreachable member has certainly expired; a barrier included.
+    /// The time from now until the leases of all unreachable members have certainly expired, plus the timeout of a first
+    /// barrier.
     pub fn remaining_lease_bound(&self, now: Micros, state: &PolicyState) -> Micros {
         let latest_end = state
             .members
@@ -109,7 +112,7 @@
         latest_end.map_or(Micros(0), |end| end.since(now)) + Micros(self.config.barrier_timeout_us)
     }
 
-    /// When the last lease that this member can have has certainly expired.
+    /// When the last lease that this member may have has certainly expired.
     fn latest_lease_end(&self, member: &Member) -> Micros {
         let requested_at = self
             .leases
@@ -122,7 +125,7 @@
         requested_at + self.config.certainly_expired_after()
     }
 
-    /// When time alone may change something.
+    /// When the leader must be called next even if it receives nothing.
     pub fn next_deadline(&self, now: Micros, state: &PolicyState) -> Micros {
         let is_busy = state.proposal.is_some()
             || self.confirmation.is_some()
--- a/fleet_policy/src/leader/tests.rs
+++ b/fleet_policy/src/leader/tests.rs
@@ -18,15 +18,15 @@
     }
 }
 
-/// Leads since `NOW`, in term 4, with three voters.
+/// A leader since `NOW`, in term 4, with three voters.
 fn leader_of_three_voters(config: LeaseConfig) -> Leader {
     let mut leader = Leader::new(config, NOW, &PolicyState::bootstrap(BTreeMap::new()));
-    leader.elected(4, vec![ReplicaId(1), ReplicaId(2), ReplicaId(3)]);
+    leader.set_election(4, vec![ReplicaId(1), ReplicaId(2), ReplicaId(3)]);
     leader
 }
 
-/// In milliseconds; the leader leads since 10,000 ms.
-#[test_case(&[] => 10_000; "nobody has reported")]
+/// The result is in milliseconds; the leader has led since 10,000 ms.
+#[test_case(&[] => 10_000; "no voter has reported")]
 #[test_case(&[contact(1, 4, 700)] => 10_000; "one voter of three")]
 #[test_case(&[contact(1, 4, 700), contact(2, 4, 600)] => 9_400; "two: the later of both")]
 #[test_case(&[contact(1, 4, 700), contact(2, 4, 600), contact(3, 4, 5000)] => 9_300; "any two suffice")]
@@ -47,10 +47,11 @@
 }
 
 #[test]
-fn one_voters_report_that_counts_alone_ends_leases_too_early() {
+fn relying_on_one_voters_report_ends_leases_too_early() {
     let mut leader = leader_of_three_voters(LeaseConfig::default());
     leader.injected_bug = Some(InjectedLeaderBug::TrustsOneVoter);
-    // Cut off from the leader before for three seconds, while the others still confirmed its leases.
+    // This voter was cut off from the earlier leader for three seconds, while the others still confirmed that leader's
+    // leases.
     leader.record_earlier_leader_contact(NOW, contact(3, 4, 3000));
     assert!(
         leader.leases_expired(NOW, &"n0".into(), None),
@@ -58,7 +59,7 @@
     );
 }
 
-/// Whether a process of the only member gets a lease at this time.
+/// Requests a lease for a process of the only member, and returns whether it is granted.
 fn gets_lease(leader: &mut Leader, state: &PolicyState, now: Micros, process: u64) -> bool {
     let request = LeaseRequest {
         member: "a".into(),
@@ -105,7 +106,7 @@
     assert!(gets_lease(&mut leader, &state, expired + Micros(1), 9));
 }
 
-/// A barrier of two members that the leader has just seen, and its leader.
+/// A barrier of two members that the leader has just observed, and the leader.
 struct InBarrier {
     state: PolicyState,
     leader: Leader,
@@ -150,8 +151,8 @@
         barrier
     }
 
-    /// The barrier is over, and a second proposal is on its way.
-    fn over_and_proposed_again() -> InBarrier {
+    /// The barrier has ended, and a second proposal is pending under a new leader.
+    fn ended_with_second_proposal() -> InBarrier {
         let mut barrier = InBarrier::begin();
         barrier.apply(in_force());
         barrier.leader = Leader::new(LeaseConfig::default(), NOW, &barrier.state);
@@ -169,8 +170,8 @@
         self.state.apply(Index(self.index), entry);
     }
 
-    /// A member reports that it has stopped.
-    fn stopped(&mut self, member: &str, seq: u64, at: Micros) -> Vec<LeaderAction> {
+    /// Has a member report that it has stopped admitting for the barrier.
+    fn report_stopped(&mut self, member: &str, seq: u64, at: Micros) -> Vec<LeaderAction> {
         let request = LeaseRequest {
             member: member.into(),
             incarnation: Incarnation(1),
@@ -191,11 +192,13 @@
         self.leader.handle_request(at, &self.state, request)
     }
 
-    /// Which request of each member is granted, with the next turn.
+    /// Runs a turn of the leader, and returns for each reply the number of the granted request, if any.
     fn grants(&mut self, at: Micros) -> Vec<(String, Option<u64>)> {
         let actions = self.leader.tick(at, &self.state);
         let reply = |action| match action {
-            LeaderAction::Reply(member, reply) => Some((member.0, reply.grant.map(|of| of.seq.0))),
+            LeaderAction::Reply(member, reply) => {
+                Some((member.0, reply.grant.map(|grant| grant.seq.0)))
+            }
             _ => None,
         };
         actions.into_iter().filter_map(reply).collect()
@@ -218,13 +221,13 @@
 }
 
 #[test]
-fn the_end_of_a_barrier_grants_what_was_requested_before_it_was_proposed() {
+fn the_end_of_a_barrier_grants_the_requests_received_before_it_was_proposed() {
     let mut barrier = InBarrier::begin();
-    barrier.stopped("a", 5, later(1));
-    let actions = barrier.stopped("b", 7, later(2));
+    barrier.report_stopped("a", 5, later(1));
+    let actions = barrier.report_stopped("b", 7, later(2));
     assert!(proposes(&actions, &in_force()), "{actions:?}");
-    // A majority may have answered for the last time before this one came.
-    barrier.stopped("b", 8, later(3));
+    // A majority may have answered this leader for the last time before it received this request.
+    barrier.report_stopped("b", 8, later(3));
     barrier.apply(in_force());
     let granted = barrier.grants(later(4));
     assert_eq!(
@@ -235,11 +238,11 @@
 }
 
 #[test]
-fn an_end_that_is_proposed_again_grants_what_came_before_the_first_time() {
+fn a_barrier_end_proposed_again_grants_the_requests_received_before_its_first_proposal() {
     let mut barrier = InBarrier::begin();
-    barrier.stopped("a", 5, later(1));
-    barrier.stopped("b", 7, later(2));
-    let actions = barrier.stopped("b", 9, later(400));
+    barrier.report_stopped("a", 5, later(1));
+    barrier.report_stopped("b", 7, later(2));
+    let actions = barrier.report_stopped("b", 9, later(400));
     assert!(proposes(&actions, &in_force()), "again: {actions:?}");
     barrier.apply(in_force());
     let granted = barrier.grants(later(401));
@@ -250,9 +253,9 @@
 }
 
 #[test]
-fn a_resumption_grants_leases_to_those_that_were_in_time() {
+fn a_resumption_grants_leases_to_members_that_stopped_in_time() {
     let mut barrier = InBarrier::begin();
-    barrier.stopped("a", 5, later(100));
+    barrier.report_stopped("a", 5, later(100));
     let resume = Entry::Resume {
         number: PROPOSED,
         round: ROUND,
@@ -265,10 +268,10 @@
 }
 
 #[test]
-fn a_withdrawal_that_ends_a_barrier_grants_nothing_by_itself() {
+fn a_withdrawal_that_ends_a_barrier_grants_no_leases() {
     let mut barrier = InBarrier::begin();
-    barrier.stopped("a", 5, later(1));
-    barrier.stopped("b", 7, later(2));
+    barrier.report_stopped("a", 5, later(1));
+    barrier.report_stopped("b", 7, later(2));
     barrier.apply(Entry::Withdraw {
         op: OperationId(2),
         number: PROPOSED,
@@ -279,8 +282,8 @@
     assert_eq!(granted, [("a".to_owned(), None), ("b".to_owned(), None)]);
 }
 
-/// A leader of three members, of which `a` and `b` have reported that a proposal fits, and `c` has accepted it and been silent
-/// for longer than its lease: the barrier is proposed without it. The entry is not applied yet.
+/// A leader of three members that have accepted a proposal. `a` and `b` have sent requests; `c` has been silent for
+/// longer than its lease, so the leader has proposed the barrier without it. The entry is not applied yet.
 fn barrier_without_c() -> (Leader, PolicyState) {
     let info = MemberInfo {
         address: String::new(),
@@ -309,7 +312,7 @@
         },
     );
     for member in ["a", "b"] {
-        let actions = leader.handle_request(later(1500), &state, report(member, 1));
+        let actions = leader.handle_request(later(1500), &state, request(member, 1));
         grants(&mut leader, later(1500), &state, &actions);
     }
     let actions = leader.tick(later(2100), &state);
@@ -322,7 +325,7 @@
     (leader, state)
 }
 
-fn report(member: &str, seq: u64) -> LeaseRequest {
+fn request(member: &str, seq: u64) -> LeaseRequest {
     LeaseRequest {
         member: member.into(),
         incarnation: Incarnation(1),
@@ -339,19 +342,20 @@
     }
 }
 
-/// An entry that took longer than 0.3 s to be committed was taken as lost, and a member that it names as one without a lease
-/// could get one: it would have gone on under the old version while the others were under the new one.
+/// Guards against two versions in use at once: an entry that took longer than 0.3 s to be committed was treated as lost,
+/// and a member that the entry names as one without a lease could get a lease. It would have continued under the old
+/// version while the others were under the new one.
 #[test]
-fn a_member_without_which_a_barrier_is_proposed_gets_no_lease_however_long_that_takes() {
+fn a_member_excluded_from_a_proposed_barrier_gets_no_lease_until_the_entry_is_applied() {
     let (mut leader, state) = barrier_without_c();
-    // In contact again, while b has been silent for too long for a second proposal.
+    // `c` is in contact again, and `b` has been silent for too long for the barrier to be proposed again.
     let now = later(3000);
-    let actions = leader.handle_request(now, &state, report("c", 1));
+    let actions = leader.handle_request(now, &state, request("c", 1));
     let granted = grants(&mut leader, now, &state, &actions);
     assert!(granted.is_empty(), "{granted:?}");
 }
 
-/// Confirms the leadership where `actions` ask for it; who gets a lease.
+/// Confirms the leadership if `actions` request it, and returns the members that get a lease.
 fn grants(
     leader: &mut Leader,
     now: Micros,
@@ -374,17 +378,17 @@
 
 #[test]
 fn verdicts_of_all_members_and_the_beginning_of_the_barrier_are_proposed_together() {
-    let mut barrier = InBarrier::over_and_proposed_again();
+    let mut barrier = InBarrier::ended_with_second_proposal();
     let number = Version(2);
     let fits = |name: &str, seq| LeaseRequest {
         verdict: Some(ProposalVerdict {
             number,
             verdict: Verdict::Fits,
         }),
-        ..report(name, seq)
+        ..request(name, seq)
     };
     let (leader, state) = (&mut barrier.leader, &barrier.state);
-    leader.handle_request(later(1), state, report("b", 1));
+    leader.handle_request(later(1), state, request("b", 1));
     let first = leader.handle_request(later(2), state, fits("a", 1));
     let proposed = |actions: &[LeaderAction]| {
         let entries = actions.iter().filter_map(|action| match action {
@@ -408,24 +412,24 @@
 }
 
 #[test]
-fn verdicts_are_not_held_back_for_a_member_that_does_not_report() {
-    let mut barrier = InBarrier::over_and_proposed_again();
+fn verdicts_are_proposed_after_100_ms_if_a_member_does_not_report() {
+    let mut barrier = InBarrier::ended_with_second_proposal();
     let (leader, state) = (&mut barrier.leader, &barrier.state);
-    leader.handle_request(later(1), state, report("b", 1));
+    leader.handle_request(later(1), state, request("b", 1));
     let fits = LeaseRequest {
         verdict: Some(ProposalVerdict {
             number: Version(2),
             verdict: Verdict::Fits,
         }),
-        ..report("a", 1)
+        ..request("a", 1)
     };
     leader.handle_request(later(2), state, fits);
     let early = leader.tick(later(101), state);
     assert!(!early
         .iter()
-        .any(|of| matches!(of, LeaderAction::Propose(_))));
+        .any(|action| matches!(action, LeaderAction::Propose(_))));
     let due = leader.tick(later(102), state);
     assert!(due
         .iter()
-        .any(|of| matches!(of, LeaderAction::Propose(Entry::Verdicts { .. }))));
+        .any(|action| matches!(action, LeaderAction::Propose(Entry::Verdicts { .. }))));
 }
--- a/fleet_policy/src/leader_contact.rs
+++ b/fleet_policy/src/leader_contact.rs
@@ -1,25 +1,27 @@
-//! When a voter last accepted a leader's message, by term. A leader grants a lease only once a majority has accepted its
-//! message after the request came. So the voters of the next term can tell its leader how old the leases that earlier
-//! leaders granted are at the least, and it need not count them from its own election on.
+//! When a voter last accepted a leader's message, by term. A leader grants a lease only after a majority has accepted a
+//! message that it sent after it received the request. So the voters of the next term can report to its leader a minimum
+//! age of the leases that earlier leaders granted, and the new leader need not count these leases from its own election.
 
 #[cfg(test)]
 mod tests;
 
 use ternpick::types::Micros;
 
-/// Kept by [`crate::FleetNode`] for its own replica; reported to the leader with each lease request.
+/// When this router's replica last accepted messages of leaders. [`crate::FleetNode`] keeps it and reports it to the
+/// leader with each lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct LeaderContact {
-    /// The latest term in which a leader's message was accepted.
+    /// The latest term in which the replica accepted a leader's message.
     term: u64,
-    /// When the last one of that term was accepted.
+    /// When it accepted the last message of that term's leader.
     last: Micros,
-    /// When the last one of any earlier term was accepted.
+    /// When it accepted the last message of a leader of any earlier term.
     last_of_earlier_term: Micros,
 }
 
 impl LeaderContact {
-    /// A process that starts does not know what the one before it has accepted: that may have been just now.
+    /// The initial value. A process that starts does not know when its predecessor last accepted a message: that may
+    /// have been just before.
     pub(crate) fn at_start(now: Micros) -> LeaderContact {
         LeaderContact {
             term: 0,
@@ -28,7 +30,8 @@
         }
     }
 
-    /// A message of the leader of this term is accepted; one of an earlier term changes nothing.
+    /// Records that the replica accepted a message of the leader of this term; a message of an earlier term changes
+    /// nothing.
     pub(crate) fn accepted(&mut self, now: Micros, term: u64) {
         if term > self.term {
             self.term = term;
@@ -39,7 +42,7 @@
         }
     }
 
-    /// When the last message of a leader of any term before this one was accepted.
+    /// When the replica accepted the last message of a leader of any term before `term`.
     pub(crate) fn last_before(&self, term: u64) -> Micros {
         if term == self.term {
             self.last_of_earlier_term
--- a/fleet_policy/src/lease_holder.rs
+++ b/fleet_policy/src/lease_holder.rs
@@ -1,6 +1,6 @@
-//! One router's lease and its view of the policy. It alone says whether a query may be admitted and under which version
-//! ([`LeaseHolder::admission`]); it requests leases, and applies the leader's replies ([`reply`]). Nothing here is stored: a
-//! process that starts learns the policy first and admits afterwards.
+//! One router's lease and its view of the policy. [`LeaseHolder`] alone decides whether a query may be admitted and under
+//! which version ([`LeaseHolder::admission`]); it requests leases and applies the leader's replies ([`reply`]). It stores
+//! nothing on disk: a process that starts has to learn the policy before it admits queries.
 //!
 //! [`crate::FleetNode`] drives it. It sends nothing itself and reads no clock.
 
@@ -22,28 +22,29 @@
 use crate::messages::{BarrierId, LeaseRequest, ProposalVerdict, View};
 use crate::state_machine::{MemberInfo, PolicyDocument, Verdict};
 
-/// Requests whose replies still count; the oldest are forgotten first.
+/// The number of sent requests whose replies are still accepted; the oldest are dropped first.
 const MAX_PENDING_REQUESTS: usize = 16;
-/// How long a reply is awaited before the next request: the leader may be gone.
+/// The time without a reply after which the next request is sent: the leader may have failed.
 const RETRY_AFTER: Micros = Micros(100_000);
 
-/// What the driver is to do, in order.
+/// An action for the driver; actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseEffect {
-    /// Check whether this proposal can be used here, then call [`LeaseHolder::policy_checked`].
+    /// Check whether this router can apply the proposal, then call [`LeaseHolder::policy_checked`].
     CheckPolicy(PolicyDocument),
-    /// Queries admitted from now on are decided under this policy; those in flight stay under theirs.
+    /// Apply this policy to queries that are admitted from now on; queries in flight keep the policy under which they
+    /// were admitted.
     ApplyPolicy(PolicyDocument),
-    /// The members as they are now.
+    /// Replace the known members by these.
     Members(BTreeMap<Member, MemberInfo>),
-    /// What has to be known of the extension's state, from this place in the log on; to be acted on at once and
-    /// acknowledged with [`LeaseHolder::goes_by`].
+    /// Apply the part of the extension's state that every router must know, as of this log position, at once; then
+    /// acknowledge it with [`LeaseHolder::set_extension_report`].
     MachinesOut(Index, Vec<u8>),
     /// Write a line to the log.
     Log(String),
 }
 
-/// A lease: it is valid in its epoch, up to its end.
+/// A lease: it is valid in its epoch until its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Lease {
     epoch: Epoch,
@@ -51,14 +52,14 @@
     until: Micros,
 }
 
-/// A request that is in flight, or was answered.
+/// A sent request, whether or not it was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SentRequest {
     seq: Seq,
     sent_at: Micros,
 }
 
-/// What this router acknowledges and reports to the extension.
+/// The log position up to which this router has applied the extension's state, and its report to the extension.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct ExtensionReport {
     machines_out_at: Index,
@@ -71,35 +72,37 @@
     config: LeaseConfig,
     me: Member,
     incarnation: Incarnation,
-    /// From when on no earlier process of this member can have a lease.
+    /// The time from which no other process of this member can have a lease.
     only_process_from: Micros,
     view: Option<View>,
     lease: Option<Lease>,
-    /// When the lease that has expired ended; for the log.
+    /// The end of the last lease if it has expired and no further one was granted.
     expired_at: Option<Micros>,
-    /// Since when it does not admit: it has just started, or its lease became void with an epoch.
+    /// When the router paused admission because it started or its lease became void with a new epoch. `None` after a
+    /// lease is granted.
     paused_since: Option<Micros>,
-    /// When a leader last answered or sent its view: until then a majority was at work.
+    /// When this router last received a reply of a leader: up to then a majority of the voters was working.
     last_reply_at: Option<Micros>,
-    /// Bounded by [`MAX_PENDING_REQUESTS`].
+    /// The latest requests; bounded by [`MAX_PENDING_REQUESTS`].
     sent_requests: VecDeque<SentRequest>,
     last_seq: Seq,
     verdict: Option<ProposalVerdict>,
-    /// A version that cannot be used here.
+    /// A version that this router cannot apply.
     unfit: Option<Version>,
     not_a_member: bool,
-    /// The next request is due at once.
+    /// Whether the next request is due at once.
     request_now: bool,
-    /// The last request was answered.
+    /// Whether the last request was answered.
     is_answered: bool,
     extension_report: ExtensionReport,
-    /// A fault that tests must catch.
+    /// A bug that tests inject and must find.
     #[cfg(any(test, feature = "planted"))]
     pub injected_bug: Option<InjectedLeaseHolderBug>,
 }
 
 impl LeaseHolder {
-    /// A process that starts at `now`. `has_predecessor`: it takes over from a process that may still admit for a while.
+    /// The lease holder of a process that starts at `now`. With `has_predecessor`, the process replaces one that may
+    /// still admit queries for a while.
     pub fn new(
         config: LeaseConfig,
         me: Member,
@@ -135,28 +138,28 @@
         }
     }
 
-    /// This router.
+    /// The name of this router.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// The policy state as far as it is known here.
+    /// The latest known view of the policy state.
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
     }
 
-    /// The version that is in force as far as is known here.
+    /// The version in force in the latest known view.
     pub fn version(&self) -> Option<Version> {
         self.view.as_ref().map(|view| view.in_force.number)
     }
 
-    /// How long the lease still lasts; none if there is no valid one.
+    /// The remaining time of the lease; `None` if there is no valid lease.
     pub fn lease_left(&self, now: Micros) -> Option<Micros> {
         let valid = self.lease.filter(|lease| self.is_valid(lease, now))?;
         Some(valid.until.since(now))
     }
 
-    /// Whether the policy in force cannot be used here.
+    /// Whether this router cannot apply the policy in force.
     pub fn is_unfit(&self) -> bool {
         self.view.is_some() && self.unfit == self.version()
     }
@@ -170,12 +173,12 @@
         in_time && same_epoch
     }
 
-    /// The barrier that is in progress as far as is known here.
+    /// The barrier that is in progress in the latest known view.
     fn paused_for(&self) -> Option<BarrierId> {
         self.view.as_ref()?.barrier()
     }
 
-    /// The next request, if one is due; it counts as sent at `now`.
+    /// Returns the next request if one is due. It counts as sent at `now`.
     pub fn next_request(&mut self, now: Micros) -> Option<LeaseRequest> {
         if now < self.next_request_at(now) {
             return None;
@@ -215,7 +218,7 @@
         let wait = if self.request_now {
             Micros(0)
         } else if !self.is_answered || self.lease_left(now).is_none() {
-            // Without a lease it asks more often, so that it serves again soon.
+            // Without a lease the router sends requests more often, so that it can serve again soon.
             RETRY_AFTER
         } else {
             Micros(self.config.renew_interval_us)
@@ -223,7 +226,7 @@
         last.sent_at + wait
     }
 
-    /// Whether the last request has been unanswered for so long that whoever received it may not lead.
+    /// Whether the last request has been unanswered for so long that its recipient may not be the leader.
     pub fn is_awaiting_reply(&self, now: Micros) -> bool {
         let overdue = self
             .sent_requests
@@ -232,18 +235,18 @@
         overdue && !self.is_answered
     }
 
-    /// The next request is due at once: to another router.
+    /// Makes the next request due at once, because it has to go to another router than the last one.
     pub fn request_at_once(&mut self) {
         self.request_now = true;
     }
 
-    /// Another process of this member may have a lease from now on, or have had one until now.
+    /// Records that another process of this member may have a lease: either from now on, or until now.
     pub fn note_other_process(&mut self, now: Micros) {
         self.only_process_from = now + self.config.certainly_expired_after();
     }
 
-    /// This router acts on the extension's state up to this place, and this is its report. With `send_now` the report is sent
-    /// at once.
+    /// Records that this router has applied the extension's state up to this log position, and its report. With
+    /// `send_now`, the report is sent at once.
     pub fn set_extension_report(
         &mut self,
         machines_out_at: Index,
@@ -257,18 +260,18 @@
         };
     }
 
-    /// The answer to [`LeaseEffect::CheckPolicy`].
+    /// Records the result of [`LeaseEffect::CheckPolicy`].
     pub fn policy_checked(&mut self, number: Version, verdict: Verdict) {
         self.verdict = Some(ProposalVerdict { number, verdict });
         self.request_now = true;
     }
 
-    /// The policy in force cannot be used here: under it this router admits nothing.
+    /// Records that this router cannot apply the policy in force, and so must admit no queries under it.
     pub fn policy_does_not_fit(&mut self, number: Version) {
         self.unfit = Some(number);
     }
 
-    /// Time has passed; that a lease has expired is logged once.
+    /// Drops the lease if it has expired, and returns a log line on that once.
     pub fn expire_lease(&mut self, now: Micros) -> Option<LeaseEffect> {
         if self.has_bug(InjectedLeaseHolderBug::UsesExpiredLease) {
             return None;
@@ -278,12 +281,13 @@
         self.expired_at = Some(expired.until);
         let late = now.since(expired.until).0 / 1000;
         Some(LeaseEffect::Log(format!(
-            "lease: over since {late} ms, version {} no longer admits",
+            "lease: expired {late} ms ago, no further admission under version {}",
             expired.version
         )))
     }
 
-    /// When time alone changes something: the lease's end or the next request, whichever is earlier.
+    /// When the lease holder must be called next even if it receives nothing: at the end of the lease or when the next
+    /// request is due, whichever is earlier.
     pub fn next_deadline(&self, now: Micros) -> Micros {
         let next_request = self.next_request_at(now);
         match self.lease {
--- a/fleet_policy/src/lease_holder/admission.rs
+++ b/fleet_policy/src/lease_holder/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a query may be admitted.
+//! The decision whether a query may be admitted.
 
 use ternpick::types::Micros;
 
@@ -6,41 +6,42 @@
 use crate::ids::Version;
 use crate::injected_bug::InjectedLeaseHolderBug;
 
-/// Whether a query may be admitted at this moment.
+/// The decision whether a query may be admitted now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Under this version, with a lease.
+    /// The query is admitted under this version, with a lease.
     Leased(Version),
-    /// Under this version without a lease, because the settings allow it: answers are marked.
+    /// The query is admitted under this version without a lease, because the settings allow it; its answer is marked.
     Unguarded(Version),
-    /// A change is taking effect; ask again when something has changed, or at this time.
+    /// The query waits for the next lease: call [`LeaseHolder::admission`] again when the lease holder's state has
+    /// changed, or at this time.
     Wait(Micros),
-    /// Not now.
+    /// The query is rejected.
     Rejected {
         /// The reason.
         reason: RejectReason,
-        /// How long a client waits before it retries (Retry-After).
+        /// The time after which the client may retry (Retry-After).
         retry_after: Micros,
     },
 }
 
-/// Why a query is not admitted.
+/// The reason for which a query is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The router has just started and knows no policy.
+    /// The router has started and does not know the policy in force yet.
     PolicyUnknown,
-    /// Its lease has expired.
+    /// The router's lease has expired.
     NoLease,
     /// A barrier has been in progress for too long.
     ChangeInProgress,
-    /// The policy in force cannot be used on this router.
+    /// The router cannot apply the policy in force.
     PolicyDoesNotFit,
-    /// The router does not belong to the fleet.
+    /// The router is not a member of the fleet.
     NotMember,
 }
 
 impl RejectReason {
-    /// For the client and for operators.
+    /// The reason as text, for the client and for operators.
     pub fn description(self) -> &'static str {
         match self {
             RejectReason::PolicyUnknown => "this router has yet to learn the policy in force",
@@ -55,8 +56,8 @@
 }
 
 impl LeaseHolder {
-    /// To be called in the same turn in which the query is admitted, with the clock as it stands then: a process that was
-    /// stopped in between finds its lease expired.
+    /// Decides whether a query may be admitted now. Must be called in the same turn in which the query is admitted, with
+    /// the current time: a process that was suspended before the call then finds its lease expired.
     pub fn admission(&self, now: Micros) -> Admission {
         if self.not_a_member {
             return self.reject(RejectReason::NotMember);
@@ -93,29 +94,29 @@
         self.reject(RejectReason::NoLease)
     }
 
-    fn reject(&self, why: RejectReason) -> Admission {
+    fn reject(&self, reason: RejectReason) -> Admission {
         Admission::Rejected {
-            reason: why,
+            reason,
             retry_after: Micros(self.config.renew_interval_us),
         }
     }
 
-    /// While a router is paused, queries wait: for as long as their own deadlines allow, which is for who admits them to
-    /// see to. They are rejected once no leader has answered for a lease: a router that was not paused would have lost its
-    /// lease by then, too.
+    /// While the router is paused, queries wait as long as their own deadlines allow; the caller enforces the deadlines.
+    /// They are rejected once no leader has replied for the duration of a lease: a router that was not paused would have
+    /// lost its lease by then, too.
     ///
-    /// A fixed time in place of this (250 ms) had callers rejected with seconds left, all in one instant, wherever a
-    /// barrier lasted a little longer.
+    /// With a fixed limit of 250 ms instead, callers with seconds left were rejected all at once whenever a barrier
+    /// lasted a little longer than that.
     fn wait_while_paused(&self, now: Micros) -> Option<Admission> {
         let paused_since = self.paused_since?;
         let in_contact_at = self.last_reply_at.unwrap_or_default().max(paused_since);
         self.wait(now, in_contact_at, paused_since)
     }
 
-    /// Where a lease has run out, queries wait in the same way if a leader has answered for it within the time of a lease.
+    /// After the lease has expired, queries wait in the same way if a leader has replied within the duration of a lease.
     ///
-    /// A leader grants none while the entry that begins a barrier is on its way, and where that took longer than what the
-    /// leases still lasted (a slow disk), all routers rejected callers with seconds left.
+    /// A leader grants no lease while the entry that begins a barrier is being committed. When the commit took longer
+    /// than the remaining time of the leases (on a slow disk), all routers rejected callers with seconds left.
     fn wait_for_next_lease(&self, now: Micros) -> Option<Admission> {
         let lease_until = self.lease.map(|lease| lease.until);
         let expired_at = lease_until
@@ -124,7 +125,8 @@
         self.wait(now, self.last_reply_at?, expired_at)
     }
 
-    /// Queries wait for a lease from the last contact to a leader on, within the limit that the settings state.
+    /// Queries wait for a lease for at most the duration of a lease after the last contact with a leader, and within the
+    /// configured limit, which counts from `since`.
     fn wait(&self, now: Micros, in_contact_at: Micros, since: Micros) -> Option<Admission> {
         let in_contact_until = in_contact_at + Micros(self.config.lease_us);
         let held_until = Micros(since.0.saturating_add(self.config.max_admission_wait_us));
--- a/fleet_policy/src/lease_holder/reply.rs
+++ b/fleet_policy/src/lease_holder/reply.rs
@@ -1,4 +1,4 @@
-//! What a router makes of the leader's replies: a newer view of the policy state, and a lease.
+//! Applies the leader's replies: a newer view of the policy state, and a lease.
 
 use ternpick::types::Micros;
 
@@ -8,7 +8,7 @@
 use crate::messages::{LeaseGrant, LeaseReply, View};
 
 impl LeaseHolder {
-    /// A reply of the leader has come.
+    /// Applies a reply of the leader.
     pub fn handle_reply(&mut self, now: Micros, reply: LeaseReply) -> Vec<LeaseEffect> {
         let mut effects = Vec::new();
         self.is_answered = true;
@@ -26,7 +26,8 @@
         effects
     }
 
-    /// A grant counts if it answers a request of this process and is of the epoch and the version that are known here.
+    /// Accepts a grant if it answers a recent request of this process and has the epoch and the version of the current
+    /// view.
     fn accept_grant(&mut self, now: Micros, grant: LeaseGrant, effects: &mut Vec<LeaseEffect>) {
         if grant.incarnation != self.incarnation {
             return;
@@ -57,7 +58,7 @@
         if let Some(expired_at) = self.expired_at.take() {
             let ms = now.since(expired_at).0 / 1000;
             effects.push(LeaseEffect::Log(format!(
-                "lease: back under version {}, {ms} ms without",
+                "lease: granted again under version {}, after {ms} ms without a lease",
                 grant.version
             )));
         }
@@ -69,13 +70,14 @@
         if let Some(paused_since) = self.paused_since.take() {
             let ms = now.since(paused_since).0 / 1000;
             effects.push(LeaseEffect::Log(format!(
-                "policy: admits under version {}, {ms} ms after it paused",
+                "policy: admission resumed under version {}, after a pause of {ms} ms",
                 grant.version
             )));
         }
     }
 
-    /// A view that is older than the known one, or a duplicate, changes nothing: a version never goes back.
+    /// Accepts a view that is newer than the known one. An older one or a duplicate changes nothing, so the version
+    /// never goes back.
     fn accept_view(&mut self, now: Micros, view: View, effects: &mut Vec<LeaseEffect>) {
         if self
             .view
@@ -90,10 +92,13 @@
             self.enter_epoch(now, is_first_view);
         }
         let barrier_before = before.as_ref().and_then(View::barrier);
-        if let Some(barrier) = view.barrier().filter(|of| Some(*of) != barrier_before) {
+        if let Some(barrier) = view
+            .barrier()
+            .filter(|barrier| Some(*barrier) != barrier_before)
+        {
             effects.push(LeaseEffect::Log(format!(
-                "policy: stopped for round {}, in epoch {}",
-                barrier.round, view.epoch
+                "policy: stopped admitting for barrier {} of proposal {}, in epoch {}",
+                barrier.round, barrier.number, view.epoch
             )));
         }
         let version_before = before.as_ref().map(|before| before.in_force.number);
@@ -107,8 +112,8 @@
         self.check_proposal(&view, effects);
     }
 
-    /// The lease is void with its epoch. Queries wait for the next one, but only where this router was admitting until now
-    /// or is at its first view.
+    /// Begins a new epoch, which voids the lease. Queries wait for the next lease only if this router was admitting
+    /// until now or this is its first view.
     fn enter_epoch(&mut self, now: Micros, is_first_view: bool) {
         let was_admitting = self.lease.is_some_and(|lease| now < lease.until);
         if was_admitting || is_first_view {
@@ -120,6 +125,7 @@
         self.request_now = true;
     }
 
+    /// Has the policy in force applied if its version is new to this router.
     fn apply_version(
         &mut self,
         before: Option<Version>,
@@ -138,18 +144,18 @@
         self.unfit = None;
     }
 
-    /// A proposal is checked once, before its barrier; during the barrier nothing is admitted.
+    /// Has a new proposal checked, once and before its barrier.
     fn check_proposal(&mut self, view: &View, effects: &mut Vec<LeaseEffect>) {
-        let Some(next) = &view.proposal else {
+        let Some(pending) = &view.proposal else {
             self.verdict = None;
             return;
         };
-        if next.barrier {
+        if pending.barrier {
             return;
         }
         let checked = self.verdict.as_ref().map(|checked| checked.number);
-        if checked != Some(next.document.number) {
-            effects.push(LeaseEffect::CheckPolicy(next.document.clone()));
+        if checked != Some(pending.document.number) {
+            effects.push(LeaseEffect::CheckPolicy(pending.document.clone()));
         }
     }
 }
--- a/fleet_policy/src/lease_holder/tests.rs
+++ b/fleet_policy/src/lease_holder/tests.rs
@@ -9,7 +9,7 @@
 
 const START: Micros = Micros(10_000_000);
 
-/// The reply that grants the request with this number.
+/// A reply that grants the request with this number.
 fn grant(seq: u64) -> LeaseReply {
     let state = PolicyState::bootstrap(BTreeMap::new());
     LeaseReply {
@@ -24,11 +24,11 @@
     }
 }
 
-#[test_case(1 => None; "the first is forgotten")]
+#[test_case(1 => None; "the first is no longer accepted")]
 #[test_case(2 => Some(Micros(500_000)); "the second lasts from when it was sent")]
 #[test_case(17 => Some(Micros(2_000_000)); "the last")]
 #[test_case(18 => None; "one that was never sent")]
-fn of_seventeen_requests_the_last_sixteen_count(answered: u64) -> Option<Micros> {
+fn grants_are_accepted_only_for_the_last_sixteen_requests(answered: u64) -> Option<Micros> {
     let config = LeaseConfig::default();
     let mut holder = LeaseHolder::new(config, "a".into(), Incarnation(1), false, START);
     let mut now = START;
@@ -47,7 +47,7 @@
 
 const MS: u64 = 1000;
 
-/// The view in which a barrier is in progress.
+/// A reply with a view in which a barrier is in progress.
 fn barrier() -> LeaseReply {
     let mut state = PolicyState::bootstrap(BTreeMap::new());
     let propose = Entry::Propose {
@@ -69,7 +69,7 @@
     }
 }
 
-/// A router that has paused for a barrier at `START`, with a lease of two seconds before.
+/// A router that got a lease of two seconds and then paused for a barrier, both at `START`.
 fn paused(max_admission_wait_us: u64) -> LeaseHolder {
     let config = LeaseConfig {
         max_admission_wait_us,
@@ -83,10 +83,10 @@
     holder
 }
 
-/// Seen: five callers with over a second left were rejected in one instant, 250 ms after their router had paused; the
-/// barrier ended 23 ms later.
+/// Guards against rejections at a fixed time after the pause: five callers with over a second left were rejected at once,
+/// 250 ms after their router had paused; the barrier ended 23 ms later.
 #[test]
-fn while_a_leader_answers_queries_wait_however_long_a_barrier_lasts() {
+fn queries_wait_during_a_barrier_of_any_length_while_a_leader_replies() {
     let mut holder = paused(LeaseConfig::UNLIMITED_ADMISSION_WAIT);
     let mut now = START;
     for _ in 0..40 {
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn without_an_answer_for_a_lease_they_are_rejected() {
+fn queries_are_rejected_in_a_barrier_after_the_duration_of_a_lease_without_a_reply() {
     let mut holder = paused(LeaseConfig::UNLIMITED_ADMISSION_WAIT);
     let answered = START + Micros(700 * MS);
     holder.handle_reply(answered, LeaseReply::default());
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_limit_that_the_settings_state_is_kept() {
+fn queries_wait_in_a_barrier_no_longer_than_the_configured_limit() {
     let mut holder = paused(250 * MS);
     let until = START + Micros(250 * MS);
     holder.handle_reply(START + Micros(200 * MS), LeaseReply::default());
@@ -130,7 +130,7 @@
     ));
 }
 
-/// A router whose lease was requested and granted at `START`, and nothing since.
+/// A router whose lease was requested and granted at `START` and that has received nothing since.
 fn leased() -> LeaseHolder {
     let config = LeaseConfig {
         max_admission_wait_us: LeaseConfig::UNLIMITED_ADMISSION_WAIT,
@@ -142,11 +142,12 @@
     holder
 }
 
-/// Seen in a play of `drawn` (fleet seed 6; nothing ended, syncs of 370 ms): all five routers' leases were over at the same
-/// moment, and queries were rejected with 1,399 ms left. "stopped for round 1" came 427 ms later: the entry that begins the barrier
-/// was on its way, and the leader answers without granting then.
+/// Guards against rejections while a barrier is about to begin: the leader grants no lease while the entry that begins
+/// the barrier is being committed. In the test `drawn` (fleet seed 6, disk syncs of 370 ms, no process ended) all five
+/// routers' leases expired at the same moment, and queries were rejected with 1,399 ms left; the barrier began 427 ms
+/// later.
 #[test]
-fn where_a_lease_runs_out_while_a_leader_answers_queries_wait() {
+fn queries_wait_after_the_lease_expires_while_a_leader_replies() {
     let mut holder = leased();
     let lease = Micros(LeaseConfig::default().lease_us);
     let answered = START + Micros(lease.0 - 300 * MS);
@@ -155,7 +156,7 @@
     assert_eq!(holder.admission(over), Admission::Wait(answered + lease));
     holder.expire_lease(over);
     assert_eq!(holder.admission(over), Admission::Wait(answered + lease));
-    // Also once the barrier has begun.
+    // Queries also wait once the barrier has begun.
     holder.handle_reply(over + Micros(100 * MS), barrier());
     let until = over + Micros(100 * MS) + lease;
     assert_eq!(
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn where_nobody_has_answered_since_it_was_granted_a_lease_ends_in_rejections() {
+fn queries_are_rejected_after_the_lease_expires_without_a_reply_since_its_grant() {
     let mut holder = leased();
     let over = START + Micros(LeaseConfig::default().lease_us);
     holder.expire_lease(over);
--- a/fleet_policy/src/node.rs
+++ b/fleet_policy/src/node.rs
@@ -1,10 +1,10 @@
-//! One router's part in the fleet, without I/O: its lease holder, its replica of the log if it has one, the policy state as
-//! applied from that log, and, while it leads, the leader. A driver hands over messages and the time
-//! ([`FleetNode::step`], [`FleetNode::tick`]) and carries out the effects that come back, in order. The router and the
+//! One router's part in the fleet, without I/O: its lease holder, its replica of the log if it has one, the policy state
+//! that results from that log, and, while the router leads, the leader. A driver passes in messages and the time
+//! ([`FleetNode::step`], [`FleetNode::tick`]) and carries out the returned effects in order. The router and the
 //! simulation's fleets in virtual time drive the same code.
 //!
-//! [`replication`] drives the replica and applies entries, [`leadership`] the leader, [`membership`] changes who votes,
-//! [`lease_renewal`] requests leases, and [`operator_requests`] passes operators' commands on.
+//! [`replication`] drives the replica and applies entries, [`leadership`] drives the leader, [`membership`] changes the
+//! voters, [`lease_renewal`] requests leases, and [`operator_requests`] forwards operators' commands and questions.
 
 mod leadership;
 mod lease_renewal;
@@ -32,56 +32,56 @@
 use operator_requests::{CommandInProgress, OwnRequest};
 use replication::Persistence;
 
-/// One tick of the consensus replica.
+/// The interval between ticks of the consensus replica.
 pub const TICK: Micros = Micros(50_000);
-/// Rounds of messages to itself in one turn, before the node looks at the time again.
+/// The maximum number of rounds in one turn in which the node handles messages to itself or drives its replica.
 const MAX_ROUNDS_PER_TURN: usize = 32;
 
 /// One router's part in the fleet.
 pub struct FleetNode {
-    /// This router.
+    /// The name of this router.
     pub me: Member,
     fleet: FleetId,
     config: LeaseConfig,
     raft_config: RaftConfig,
     /// This router's lease and its view of the policy.
     pub lease_holder: LeaseHolder,
-    /// The routers of the fleet as far as is known here.
+    /// The members of the fleet as known to this router.
     pub members: BTreeMap<Member, MemberInfo>,
     replica: Option<Replica>,
     leader_contact: LeaderContact,
-    /// Why there is no replica where there should be one; for operators.
+    /// Why this router runs no replica although one is assigned to it, for operators.
     pub replica_error: Option<String>,
     state: Option<PolicyState>,
     /// A second state machine on the same log.
     pub extension: Box<dyn Extension>,
     extension_schedule: ExtensionSchedule,
     leadership: Option<Leadership>,
-    /// The leader, as far as is known.
+    /// The leader, if this router knows one.
     known_leader: Option<Member>,
-    /// Which voter is asked next where no leader is known.
+    /// The position of the voter to which requests go next while no leader is known.
     next_voter: usize,
-    /// Confirmations of the leadership that wait until the entries before them are applied.
+    /// Confirmations of the leadership that wait until the entries committed before them are applied.
     pending_reads: Vec<PendingRead>,
-    /// Commands that are proposed; taken out when their outcome is sent. Bounded.
+    /// Proposed commands whose outcome has not been sent yet. Bounded.
     commands_in_progress: VecDeque<CommandInProgress>,
-    /// Requests of this router's operators; each is taken out by who submitted it.
+    /// Requests of this router's operators; the driver removes each with [`FleetNode::cancel`].
     own_requests: BTreeMap<OperationId, OwnRequest>,
     next_tick: Micros,
     next_membership_check: Micros,
     persistence: Persistence,
-    /// Messages to itself.
+    /// Messages of this node to itself.
     local_messages: VecDeque<PeerMessage>,
     effects: Vec<Effect>,
     seed: u64,
-    /// A fault of every leader that this router becomes.
+    /// A bug that tests inject into each [`Leader`] that this node creates.
     #[cfg(any(test, feature = "planted"))]
     pub injected_bug: Option<InjectedLeaderBug>,
 }
 
 impl FleetNode {
-    /// A node without a replica; [`FleetNode::start`] hands over the one that was stored. `seed` is for the replica's
-    /// election timeouts.
+    /// A node without a replica; [`FleetNode::start`] starts the stored one. `seed` determines the election timeouts of
+    /// replicas that the node creates.
     pub fn new(
         fleet: FleetId,
         config: LeaseConfig,
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Takes the replica that the folder holds.
+    /// Starts the replica that was loaded from the router's folder, if there is one.
     pub fn start(&mut self, now: Micros, loaded: LoadedReplica) {
-        // Until now another process may have spoken for the same replica.
+        // Until now another process may have run the same replica.
         self.leader_contact = LeaderContact::at_start(now);
         match loaded {
             LoadedReplica::Replica(replica) => self.start_replica(*replica),
@@ -131,7 +131,7 @@
             LoadedReplica::Unusable(reason) => {
                 self.log(
                     LogLevel::Error,
-                    format!("fleet: {} takes part without its vote, {reason}", self.me),
+                    format!("fleet: {} takes part without a vote: {reason}", self.me),
                 );
                 self.replica_error = Some(reason);
             }
@@ -158,15 +158,15 @@
         if !has_replica {
             return;
         }
-        let reason = "its state is not there: it takes part without a vote until it is replaced (ternpick fleet replace)";
+        let reason = "its stored state is missing: it takes part without a vote until its replica is replaced (ternpick fleet replace)";
         self.log(
             LogLevel::Error,
-            format!("fleet: {} has a vote, and {reason}", self.me),
+            format!("fleet: {} has a replica assigned, but {reason}", self.me),
         );
         self.replica_error = Some(reason.to_owned());
     }
 
-    /// The leader, as far as is known.
+    /// The leader, if this router knows one.
     pub fn leader(&self) -> Option<&Member> {
         self.known_leader.as_ref()
     }
@@ -181,12 +181,12 @@
         self.replica.as_ref().map(Replica::status)
     }
 
-    /// The replica that this router has, for a driver that stores its promises.
+    /// The id of this router's replica, for a driver that stores the replica's promises.
     pub fn replica_id(&self) -> Option<ReplicaId> {
         self.replica.as_ref().map(Replica::id)
     }
 
-    /// The leader's state and the policy state; only while this router leads.
+    /// The leader's state and the policy state; `None` unless this router leads.
     pub fn leader_state(&self) -> Option<(&Leader, &PolicyState)> {
         let leadership = self.leadership.as_ref()?;
         Some((&leadership.leader, self.state.as_ref()?))
@@ -205,7 +205,7 @@
         }
     }
 
-    /// A message of another router has come.
+    /// Handles a message of another router.
     pub fn step(&mut self, now: Micros, from: &Member, message: PeerMessage) {
         if !matches!(message, PeerMessage::Raft { .. }) {
             self.note_peer_alive(from);
@@ -214,8 +214,8 @@
             PeerMessage::Raft {
                 from: sender,
                 to,
-                message: word,
-            } => self.step_replica(now, sender, to, &word),
+                message,
+            } => self.step_replica(now, sender, to, &message),
             PeerMessage::LeaseRequest(request) => self.handle_lease_request(now, from, request),
             PeerMessage::LeaseReply(reply) => self.handle_lease_reply(now, from, reply),
             PeerMessage::NotLeader(leader) => self.handle_not_leader(from, leader),
@@ -227,16 +227,16 @@
         }
     }
 
-    /// The answer to [`crate::LeaseEffect::CheckPolicy`].
+    /// Records the result of [`crate::LeaseEffect::CheckPolicy`].
     pub fn policy_checked(&mut self, number: Version, verdict: Verdict) {
         self.lease_holder.policy_checked(number, verdict);
     }
 
-    /// One turn, after whatever has come: does what is due. To be called again when anything comes, and when
-    /// [`FleetNode::next_deadline`] says.
+    /// Runs one turn: does what is due, and returns the effects. Must be called after each call of another method that
+    /// changes the node, and at [`FleetNode::next_deadline`].
     pub fn tick(&mut self, now: Micros) -> Vec<Effect> {
-        // After a stop of any length time goes on with one tick: no leader is voted out for messages that could not be
-        // received meanwhile.
+        // After a pause of any length the replica gets a single tick: otherwise it would start an election because of
+        // messages that this process could not receive during the pause.
         if now >= self.next_tick {
             self.tick_replica();
             self.next_tick = (self.next_tick + TICK).max(now);
@@ -260,7 +260,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// This process no longer speaks for its member. Its lease stays valid until its end; nothing else stays.
+    /// Makes this process stop acting for its member. It keeps its lease until the lease's end, its view and the known
+    /// members; the replica and everything else are dropped.
     pub fn suspend(&mut self, now: Micros, seed: u64) {
         let mut lease_holder = self.lease_holder.clone();
         lease_holder.note_other_process(now);
@@ -282,7 +283,7 @@
         *self = suspended;
     }
 
-    /// When time alone brings something.
+    /// When [`FleetNode::tick`] must be called next even if the node receives nothing.
     pub fn next_deadline(&self, now: Micros) -> Micros {
         let mut deadline = self.lease_holder.next_deadline(now);
         if self.replica.is_some() {
@@ -301,9 +302,11 @@
     }
 }
 
-/// The replica's timing for an election that begins after `election` microseconds without a message of the leader.
-pub fn raft_config(election: u64) -> RaftConfig {
-    let election_ticks = usize::try_from(election / TICK.0).unwrap_or(10).max(4);
+/// The timing of a replica that starts an election after `election_timeout_us` without a message of the leader.
+pub fn raft_config(election_timeout_us: u64) -> RaftConfig {
+    let election_ticks = usize::try_from(election_timeout_us / TICK.0)
+        .unwrap_or(10)
+        .max(4);
     RaftConfig {
         election_ticks,
         heartbeat_ticks: (election_ticks / 5).max(1),
--- a/fleet_policy/src/node/leadership.rs
+++ b/fleet_policy/src/node/leadership.rs
@@ -1,5 +1,5 @@
-//! Becoming the leader, leading, and ceasing to lead. The leader's actions are carried out here; the extension's entries
-//! are proposed here too.
+//! Creates and drops the [`Leader`] as this router's replica gains and loses the leadership, carries out the leader's
+//! actions, and proposes the extension's entries.
 
 use ternpick::types::Micros;
 use ternpick_consensus::{Participation, Replica};
@@ -15,20 +15,20 @@
 /// How long an entry of the extension may be in flight before the next one is proposed.
 const EXTENSION_RETRY_AFTER: Micros = Micros(200_000);
 
-/// The leader of one term.
+/// The leader that this router runs in one term.
 pub(super) struct Leadership {
     term: u64,
     pub(super) leader: Leader,
 }
 
-/// A confirmation of the leadership: it counts once the entries up to `index` are applied.
+/// A confirmation of the leadership: it is valid once the entries up to `index` are applied.
 pub(super) struct PendingRead {
     pub(super) id: u64,
     pub(super) index: u64,
 }
 
-/// The number of a read request: the leader's own number in the lower half, the term's lower half in the upper one. An
-/// answer of an earlier term is told apart by it.
+/// The id of a read request: the lower half is the leader's own number, the upper half is the lower half of the term. So
+/// a confirmation that was requested in an earlier term is recognized.
 fn read_id(term: u64, number: u64) -> u64 {
     term << 32 | number
 }
@@ -43,15 +43,15 @@
     }
 }
 
-/// When the extension is asked for entries next: one turn's entries are in flight at a time.
+/// When the extension is called for entries next. The entries of at most one call are in flight at a time.
 pub(super) struct ExtensionSchedule {
     in_flight: Option<ExtensionEntries>,
-    /// Not at each message of each router.
+    /// The earliest time of the next call, so that the extension is not called for each received message.
     next_at: Micros,
 }
 
 struct ExtensionEntries {
-    /// The state for which they were proposed.
+    /// The index of the state for which they were proposed.
     state_index: Index,
     proposed_at: Micros,
 }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether the extension is to be asked now: at once where its entries were applied, else at intervals.
+    /// Whether to call the extension now: at once after its entries were applied, otherwise at intervals.
     fn is_due(&mut self, now: Micros, applied: Index) -> bool {
         let were_applied = self
             .in_flight
@@ -77,7 +77,7 @@
 }
 
 impl FleetNode {
-    /// Becomes the leader or ceases to lead, as the replica does.
+    /// Starts or ends leading if the replica has gained or lost the leadership.
     pub(super) fn follow_replica_role(&mut self, now: Micros) {
         let Some(replica) = &self.replica else {
             self.leadership = None;
@@ -103,9 +103,9 @@
         let (Some(replica), Some(state)) = (&self.replica, &self.state) else {
             return;
         };
-        // In each turn: an answer from before the election that comes late names another leader, or none. A leader that
-        // believed it asked one voter after the other for its own lease, was late for its own barriers by hundreds of
-        // milliseconds, and was left without a lease for it.
+        // Set in each turn: a late reply from before the election may have replaced the known leader by another one, or
+        // by none. A leader that relied on such a reply sent its own lease requests to one voter after the other, was
+        // late for its own barriers by hundreds of milliseconds, and got no lease because of that.
         self.known_leader = Some(self.me.clone());
         if is_known {
             return;
@@ -114,11 +114,11 @@
             "fleet: {} leads in term {term}, entry {}",
             self.me, state.index
         );
-        // The votes that made it the leader had come by now: leases that earlier leaders granted were requested before.
+        // The votes for this leader were received before now, so all leases of earlier leaders were requested before now.
         let mut leader = Leader::new(self.config, now, state);
         leader.lease_retention = self.extension.in_flight_grace();
         if let Some(voters) = replica.committed_voters() {
-            leader.elected(term, voters);
+            leader.set_election(term, voters);
         }
         #[cfg(any(test, feature = "planted"))]
         {
@@ -136,7 +136,7 @@
             self.known_leader = None;
             self.log(
                 LogLevel::Info,
-                format!("fleet: {} leads no longer, term {term}", self.me),
+                format!("fleet: {} no longer leads, term {term}", self.me),
             );
         }
         let own = self.replica_id();
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Hands the leader the confirmations that count by now, and does what is due.
+    /// Passes the confirmations that have become valid to the leader, and carries out the actions that are due.
     pub(super) fn tick_leader(&mut self, now: Micros) {
         let (Some(replica), Some(state), Some(leadership)) =
             (&self.replica, &self.state, &mut self.leadership)
@@ -194,7 +194,7 @@
         if let Err(error) = replica.propose(encode(entry)) {
             self.log(
                 LogLevel::Debug,
-                format!("fleet: an entry cannot be proposed, {error}"),
+                format!("fleet: an entry of the leader cannot be proposed: {error}"),
             );
         }
     }
@@ -236,7 +236,8 @@
         }
     }
 
-    /// This process is to leave: the voter whose last request is the most recent is to lead.
+    /// Transfers the leadership to the voter whose last request is the most recent. Called before this process leaves
+    /// the fleet or stops.
     pub fn transfer_leadership(&mut self, now: Micros) {
         let Some((leader, state)) = self.leader_state() else {
             return;
--- a/fleet_policy/src/node/lease_renewal.rs
+++ b/fleet_policy/src/node/lease_renewal.rs
@@ -1,4 +1,4 @@
-//! Lease requests and replies, and finding the leader to send requests to.
+//! Sends and handles lease requests and replies, and finds the leader to which requests go.
 
 use ternpick::types::Micros;
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Names the leader, if it is neither this router nor the one that asks.
+    /// Answers that this router does not lead, and names the leader if it is neither this router nor the sender.
     pub(super) fn redirect(&mut self, from: &Member) {
         let leader = self
             .known_leader
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Logs that the lease has expired, and sends the next request if it is due.
+    /// Drops an expired lease, and sends the next request if it is due.
     pub(super) fn renew_lease(&mut self, now: Micros) {
         if let Some(effect) = self.lease_holder.expire_lease(now) {
             self.effects.push(Effect::Lease(effect));
@@ -80,7 +80,7 @@
         })
     }
 
-    /// The leader, if it is known; else one voter after the other.
+    /// Returns the leader if it is known; otherwise, in turn, the members that have a replica.
     pub(super) fn leader_or_next_voter(&mut self) -> Option<Member> {
         let known = self
             .known_leader
--- a/fleet_policy/src/node/membership.rs
+++ b/fleet_policy/src/node/membership.rs
@@ -1,5 +1,5 @@
-//! Who votes: the leader brings the consensus group's voters to what the policy state says, one change at a time; a router
-//! starts, stops or replaces its own replica as it is assigned.
+//! Changes of the voters: the leader changes the consensus group's voters to those of the policy state, one change at a
+//! time; a router starts, stops or replaces its own replica as the policy state assigns it.
 
 use ternpick::types::Micros;
 use ternpick_consensus::{Replica, ReplicaId};
@@ -10,11 +10,11 @@
 use crate::leader_contact::LeaderContact;
 use crate::state_machine::Entry;
 
-/// How often the voters are compared with the policy state.
+/// The interval at which the leader compares the voters with the policy state.
 const CHECK_INTERVAL: Micros = Micros(100_000);
 
 impl FleetNode {
-    /// On the leader.
+    /// On the leader: proposes changes of the voters and learners that the policy state requires.
     pub(super) fn propose_membership(&mut self, now: Micros) {
         if now < self.next_membership_check {
             return;
@@ -43,7 +43,7 @@
             Ok(false) => {}
             Err(error) => self.log(
                 LogLevel::Debug,
-                format!("fleet: voters cannot change now, {error}"),
+                format!("fleet: the voters cannot be changed now: {error}"),
             ),
         }
     }
@@ -59,13 +59,15 @@
         if replica.propose(encode(&entry)).is_ok() {
             self.log(
                 LogLevel::Info,
-                format!("fleet: replica {learner} has caught up, and is to vote"),
+                format!(
+                    "fleet: replica {learner} has caught up, its promotion to a voter is proposed"
+                ),
             );
         }
     }
 
-    /// Starts, stops or replaces this router's replica where another one is assigned than it has. Only on the word of a
-    /// router that certainly leads, which this member's valid lease shows.
+    /// Starts, stops or replaces this router's replica if a different one is assigned than it runs. Requires a valid
+    /// lease of this member, which shows that the assignment comes from a router that certainly leads.
     pub(super) fn adopt_assigned_replica(&mut self, now: Micros) {
         if self.is_persisting() || self.lease_holder.lease_left(now).is_none() {
             return;
@@ -85,7 +87,7 @@
         }
     }
 
-    /// A replica that was just assigned starts from an empty state, as it has promised nothing.
+    /// Starts a newly assigned replica. It may start from an empty state because it has made no promises.
     fn start_learner(&mut self, now: Micros, assigned: ReplicaId) {
         self.seed = self
             .seed
@@ -109,18 +111,18 @@
             }
             Err(error) => self.log(
                 LogLevel::Error,
-                format!("fleet: the new replica {assigned} cannot start, {error}"),
+                format!("fleet: the new replica {assigned} cannot start: {error}"),
             ),
         }
     }
 
-    /// Its replica is void, or another router's: it must not send anything in its name.
+    /// Stops a replica that is void or belongs to another router: this router must not send anything on its behalf.
     fn stop_void_replica(&mut self, own: ReplicaId, assigned: ReplicaId) {
         let reason =
-            format!("its state is of replica {own}, the fleet has assigned it replica {assigned}");
+            format!("its stored state belongs to replica {own}, the fleet has assigned it replica {assigned}");
         self.log(
             LogLevel::Error,
-            format!("fleet: {} takes part without its vote, {reason}", self.me),
+            format!("fleet: {} takes part without a vote: {reason}", self.me),
         );
         self.replica = None;
         self.replica_error = Some(reason);
@@ -130,7 +132,7 @@
     fn stop_removed_replica(&mut self) {
         self.log(
             LogLevel::Info,
-            format!("fleet: {} has no vote any more", self.me),
+            format!("fleet: {} no longer has a replica", self.me),
         );
         self.replica = None;
         self.state = None;
--- a/fleet_policy/src/node/operator_requests.rs
+++ b/fleet_policy/src/node/operator_requests.rs
@@ -1,5 +1,5 @@
-//! Operators' commands and questions: those of this router are sent to the leader until they are answered; the leader
-//! proposes commands, once however often they are sent, and sends their outcomes back.
+//! Operators' commands and questions. A router sends those of its own operators to the leader until they are answered.
+//! The leader proposes each command once, even if it is sent repeatedly, and returns its outcome.
 
 use ternpick::types::Micros;
 
@@ -11,9 +11,9 @@
 use crate::messages::PeerMessage;
 use crate::state_machine::Outcome;
 
-/// A request that awaits its response is sent again after this.
+/// The time without a response after which a request is sent again.
 pub(super) const RETRY_AFTER: Micros = Micros(200_000);
-/// Commands whose outcome is still to be sent; the oldest are forgotten first.
+/// The maximum number of commands whose outcome is still to be sent; the oldest are dropped first.
 const MAX_IN_PROGRESS: usize = 64;
 
 /// A request of this router's operators.
@@ -42,7 +42,7 @@
     }
 }
 
-/// A command that is proposed, and the router that sent it.
+/// A proposed command, and the router that sent it.
 pub(super) struct CommandInProgress {
     op: OperationId,
     from: Member,
@@ -59,12 +59,12 @@
         self.own_requests.insert(op, own);
     }
 
-    /// Nobody waits for this request any more. A command may be carried out all the same.
+    /// Drops a request whose response is no longer needed. If it is a command, the leader may still carry it out.
     pub fn cancel(&mut self, op: OperationId) {
         self.own_requests.remove(&op);
     }
 
-    /// The answer to [`Effect::Inspect`].
+    /// Sends the answer to [`Effect::Inspect`].
     pub fn inspection_answered(&mut self, to: &Member, op: OperationId, json: String) {
         self.send(to, PeerMessage::InspectionResult { op, json });
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Proposes a command. One whose outcome is known, or that is in progress, is not proposed again.
+    /// Handles a command: the leader proposes it, unless its outcome is known or it is already in progress.
     pub(super) fn handle_command(
         &mut self,
         now: Micros,
@@ -121,7 +121,7 @@
         command: Command,
     ) {
         if self.leader_state().is_none() || self.replica.is_none() {
-            // Unlike `redirect` this may name the sender.
+            // Unlike `redirect`, this may name the sender as the leader.
             let leader = self
                 .known_leader
                 .clone()
@@ -145,7 +145,8 @@
             .any(|command| command.op == op)
     }
 
-    /// The outcome of a command that needs no entry in the log: it has one, or is carried out or refused at once.
+    /// Returns the outcome of a command that needs no further log entry: it was applied before, or is carried out or
+    /// refused at once.
     fn known_outcome(
         &mut self,
         now: Micros,
@@ -190,7 +191,7 @@
         if let Err(error) = replica.propose(entry) {
             self.log(
                 LogLevel::Info,
-                format!("fleet: a command cannot be proposed, {error}"),
+                format!("fleet: command {op} cannot be proposed: {error}"),
             );
             return;
         }
--- a/fleet_policy/src/node/replication.rs
+++ b/fleet_policy/src/node/replication.rs
@@ -1,5 +1,5 @@
 //! Drives the consensus replica: persists its image, applies committed entries to the policy state and the extension, and
-//! passes its messages on. Nothing of what follows from an image leaves this router before the image is written.
+//! sends its messages. This router sends nothing that depends on an image before the image is written.
 
 use serde::Serialize;
 use ternpick::types::Micros;
@@ -12,14 +12,14 @@
 use crate::messages::PeerMessage;
 use crate::state_machine::{Entry, PolicyState};
 
-/// After an image could not be written the next attempt waits this long.
+/// The time after a failed write of an image until the next attempt.
 const PERSIST_RETRY_AFTER: Micros = Micros(200_000);
 
-/// The image that is being written, and the one that could not be.
+/// The image that is being written, and the one whose write failed.
 #[derive(Default)]
 pub(super) struct Persistence {
     in_progress: Option<Vec<u8>>,
-    /// Stays until a further attempt succeeds: until then the replica accepts no message.
+    /// Kept until a further attempt succeeds. Until then the replica accepts no messages.
     failure: Option<PersistFailure>,
 }
 
@@ -33,19 +33,19 @@
         self.in_progress.is_some()
     }
 
-    /// When the next attempt is due.
+    /// When the next attempt is due after a failed write.
     pub(super) fn retry_at(&self) -> Option<Micros> {
         let failure = self.failure.as_ref().filter(|_| !self.is_in_progress())?;
         Some(failure.retry_at)
     }
 
-    /// An image that could not be written belongs to a replica that this router no longer has.
+    /// Forgets a failed write, because its image belongs to a replica that this router no longer runs.
     pub(super) fn forget_failure(&mut self) {
         self.failure = None;
     }
 }
 
-/// What a line in the log is written about when it changes.
+/// The part of the policy state whose changes are logged.
 struct PolicyProgress {
     proposal: Option<Version>,
     in_force: Version,
@@ -54,7 +54,10 @@
 impl PolicyProgress {
     fn of(state: &PolicyState) -> PolicyProgress {
         PolicyProgress {
-            proposal: state.proposal.as_ref().map(|next| next.document.number),
+            proposal: state
+                .proposal
+                .as_ref()
+                .map(|pending| pending.document.number),
             in_force: state.in_force.number,
         }
     }
@@ -74,8 +77,8 @@
         }
     }
 
-    /// A consensus message has come. While an image cannot be written none is accepted: this router could not stand by
-    /// its answer.
+    /// Passes a consensus message to the replica. While an image cannot be written, messages are dropped: this router
+    /// could not persist what it answers.
     pub(super) fn step_replica(
         &mut self,
         now: Micros,
@@ -92,7 +95,8 @@
         }
     }
 
-    /// A message that is not the replicas' has come from a member. Its replica may be silent because it writes its image.
+    /// Reports to the replica that a member is alive because it sent a message other than a consensus message. The
+    /// member's replica may be silent because it is writing its image.
     pub(super) fn note_peer_alive(&mut self, from: &Member) {
         let peer = self.members.get(from).and_then(|member| member.replica);
         if let (Some(replica), Some(peer)) = (&mut self.replica, peer) {
@@ -100,25 +104,28 @@
         }
     }
 
-    /// An image is being written.
+    /// Whether an image is being written.
     pub fn is_persisting(&self) -> bool {
         self.persistence.is_in_progress()
     }
 
-    /// The image of [`Effect::Persist`] is written, or could not be.
+    /// Records the result of [`Effect::Persist`].
     pub fn persisted(&mut self, now: Micros, result: Result<(), String>) {
         let image = self.persistence.in_progress.take().unwrap_or_default();
         match result {
             Ok(()) => {
                 if self.persistence.failure.take().is_some() {
-                    self.log(LogLevel::Info, "fleet: the state can be kept again".into());
+                    self.log(
+                        LogLevel::Info,
+                        "fleet: the replica's state can be written again".into(),
+                    );
                 }
                 self.advance_replica(now);
             }
             Err(reason) => {
                 if self.persistence.failure.is_none() {
                     let line =
-                        format!("fleet: the state cannot be kept, nothing is answered until it can: {reason}");
+                        format!("fleet: the replica's state cannot be written, messages are not answered until it can: {reason}");
                     self.log(LogLevel::Error, line);
                 }
                 self.persistence.failure = Some(PersistFailure {
@@ -134,7 +141,7 @@
         self.persistence.in_progress = Some(image);
     }
 
-    /// Has images written, and carries out what follows where none has to be.
+    /// Starts or retries writing the replica's image if needed; otherwise carries out what the replica has ready.
     pub(super) fn drive_replica(&mut self, now: Micros) {
         for _ in 0..MAX_ROUNDS_PER_TURN {
             if self.persistence.is_in_progress() {
@@ -156,7 +163,7 @@
         }
     }
 
-    /// The replica's image is written: carries out what follows.
+    /// Carries out what the replica has ready, after its image is written.
     fn advance_replica(&mut self, now: Micros) {
         let advanced = self
             .replica
@@ -174,12 +181,12 @@
             return;
         };
         self.compact_if_needed();
-        for (to, word) in advanced.messages {
+        for (to, message) in advanced.messages {
             if let Some(member) = self.member_with_replica(to).cloned() {
                 let message = PeerMessage::Raft {
                     from: own,
                     to,
-                    message: word,
+                    message,
                 };
                 self.send(&member, message);
             }
@@ -195,7 +202,7 @@
             .map(|(member, _)| member)
     }
 
-    /// Replaces the log's beginning by a snapshot.
+    /// Replaces the applied entries of the log by a snapshot if the replica needs it.
     fn compact_if_needed(&mut self) {
         let Some(replica) = self
             .replica
@@ -223,7 +230,7 @@
                 Ok(entry) => self.apply_entry(&mut state, Index(*index), entry),
                 Err(error) => self.log(
                     LogLevel::Error,
-                    format!("fleet: entry {index} cannot be decoded, {error}"),
+                    format!("fleet: entry {index} cannot be decoded: {error}"),
                 ),
             }
         }
@@ -241,12 +248,12 @@
             }
             Err(error) => self.log(
                 LogLevel::Error,
-                format!("fleet: the snapshot cannot be decoded, {error}"),
+                format!("fleet: the snapshot cannot be decoded: {error}"),
             ),
         }
     }
 
-    /// The policy state is another one than was applied so far.
+    /// Updates the members and the extension after the policy state was replaced as a whole.
     pub(super) fn state_replaced(&mut self) {
         if let Some(state) = &self.state {
             self.members.clone_from(&state.members);
@@ -274,7 +281,7 @@
         op: Option<OperationId>,
         entry: &[u8],
     ) {
-        // A command that was applied before changes nothing: its outcome stands.
+        // A command that was applied before changes nothing and keeps its outcome.
         if op.is_some_and(|op| state.outcome(op).is_some()) {
             return;
         }
@@ -284,13 +291,13 @@
 
     fn log_progress(&mut self, before: &PolicyProgress, state: &PolicyState, index: Index) {
         let after = PolicyProgress::of(state);
-        if let Some(next) = &state.proposal {
+        if let Some(pending) = &state.proposal {
             if after.proposal != before.proposal {
-                let number = next.document.number;
-                let author = &next.document.author;
+                let number = pending.document.number;
+                let author = &pending.document.author;
                 self.log(
                     LogLevel::Info,
-                    format!("policy: proposal {number} by '{author}' is on its way, entry {index}"),
+                    format!("policy: proposal {number} by '{author}' is pending, entry {index}"),
                 );
             }
         }
@@ -298,7 +305,7 @@
             let number = after.in_force;
             self.log(
                 LogLevel::Info,
-                format!("policy: version {number} is agreed to be in force, entry {index}"),
+                format!("policy: version {number} comes into force, entry {index}"),
             );
             return;
         }
@@ -306,7 +313,7 @@
             let status = state.status_of(ended);
             self.log(
                 LogLevel::Info,
-                format!("policy: proposal {ended} has ended, {status:?}, entry {index}"),
+                format!("policy: proposal {ended} has ended with status {status:?}, entry {index}"),
             );
         }
     }
--- a/fleet_policy/src/tests/mod.rs
+++ b/fleet_policy/src/tests/mod.rs
@@ -1,3 +1,3 @@
-//! Tests of several modules together, with access to what is private.
+//! Tests of several modules together that need access to private items.
 
 mod model;
--- a/fleet_policy/src/tests/model.rs
+++ b/fleet_policy/src/tests/model.rs
@@ -1,7 +1,7 @@
-//! All interleavings of one change at small size, with the real state machines: two routers, two that may lead, a log that
-//! is committed at once. Requests and replies are lost, duplicated and delayed; a router pauses for any time, or restarts;
-//! the leader changes while replies of the one before are still in flight. Time goes in steps of a tenth of a second, and
-//! may pass at any point.
+//! A model check of one policy change with the real state machines, over all interleavings at a small size: two routers,
+//! up to two leaders, and a log whose entries are committed at once. Requests and replies are lost, duplicated and
+//! delayed; a router pauses for any time or restarts; the leader changes while replies of the previous one are still in
+//! flight. Time advances in steps of a tenth of a second, and may advance at any point.
 
 mod world;
 
@@ -14,7 +14,7 @@
 use world::{Budget, World, START, STEP};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Fault {
+enum InjectedBug {
     Leader(InjectedLeaderBug),
     LeaseHolder(InjectedLeaseHolderBug),
 }
@@ -25,36 +25,37 @@
     Tick,
     /// A router's messages are delayed from now on.
     DelayMessages(usize),
-    /// Its messages are delayed no more; those that are come in any order.
+    /// A router's messages are no longer delayed; those in flight are delivered in any order.
     EndDelay(usize),
     Deliver(usize),
     Lose(usize),
     Duplicate(usize),
     /// Confirmations of the leadership are delayed from now on.
     DelayConfirmations,
-    /// A delayed confirmation comes.
+    /// A delayed confirmation is delivered.
     DeliverConfirmation(usize),
-    /// Another one leads from now on; the one before does not know.
+    /// Another leader is elected; the previous one does not know it yet.
     ChangeLeader,
     /// An earlier leader learns that it no longer leads.
     Depose(usize),
     Restart(usize),
 }
 
-/// One change of the policy, and what may go wrong meanwhile.
+/// One change of the policy, and the failures that may happen during it.
 struct Change {
-    fault: Option<Fault>,
-    /// The step with which the proposal comes, and the last one.
-    proposed: u64,
-    until: u64,
+    injected_bug: Option<InjectedBug>,
+    /// The step at which the policy is proposed.
+    proposal_step: u64,
+    /// The last step.
+    last_step: u64,
     budget: Budget,
 }
 
 impl Change {
     fn lease_holder(&self, router: usize, incarnation: u64, now: u64) -> LeaseHolder {
         let mut holder = world::lease_holder(router, incarnation, now);
-        holder.injected_bug = match self.fault {
-            Some(Fault::LeaseHolder(fault)) => Some(fault),
+        holder.injected_bug = match self.injected_bug {
+            Some(InjectedBug::LeaseHolder(bug)) => Some(bug),
             _ => None,
         };
         holder
@@ -62,8 +63,8 @@
 
     fn leader(&self, now: u64, state: &PolicyState) -> Leader {
         let mut leader = Leader::new(world::config(), Micros(now), state);
-        leader.injected_bug = match self.fault {
-            Some(Fault::Leader(fault)) => Some(fault),
+        leader.injected_bug = match self.injected_bug {
+            Some(InjectedBug::Leader(bug)) => Some(bug),
             _ => None,
         };
         leader
@@ -82,13 +83,13 @@
             self.lease_holder(1, 2, START),
         ];
         let mut world = World::new(leader, state, routers, self.budget.clone());
-        // Both have their leases when the proposal comes.
+        // Both routers have their leases before the policy is proposed.
         world.settle();
         vec![world]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        if world.now < START + self.until * STEP {
+        if world.now < START + self.last_step * STEP {
             actions.push(Action::Tick);
         }
         for router in 0..world.routers.len() {
@@ -111,12 +112,12 @@
         if !world.delays_confirmations && world.budget.delays > 0 {
             actions.push(Action::DelayConfirmations);
         }
-        for (at, candidate) in world.leaders.iter().enumerate() {
+        for (leader_index, candidate) in world.leaders.iter().enumerate() {
             if candidate.delayed_confirmation.is_some() {
-                actions.push(Action::DeliverConfirmation(at));
+                actions.push(Action::DeliverConfirmation(leader_index));
             }
-            if at > 0 {
-                actions.push(Action::Depose(at));
+            if leader_index > 0 {
+                actions.push(Action::Depose(leader_index));
             }
         }
         if world.budget.leader_changes > 0 {
@@ -127,7 +128,7 @@
     fn next_state(&self, world: &World, action: Action) -> Option<World> {
         let mut world = world.clone();
         match action {
-            Action::Tick => world.tick(self.proposed),
+            Action::Tick => world.tick(self.proposal_step),
             Action::DelayMessages(router) => {
                 world.budget.delays -= 1;
                 world.is_delayed[router] = true;
@@ -149,9 +150,9 @@
                 world.budget.delays -= 1;
                 world.delays_confirmations = true;
             }
-            Action::DeliverConfirmation(at) => {
-                let number = world.leaders[at].delayed_confirmation.take()?;
-                world.with_leader(at, |leader, now, state| {
+            Action::DeliverConfirmation(leader_index) => {
+                let number = world.leaders[leader_index].delayed_confirmation.take()?;
+                world.with_leader(leader_index, |leader, now, state| {
                     leader.leadership_confirmed(now, state, number)
                 });
             }
@@ -160,8 +161,8 @@
                 let leader = self.leader(world.now, &state);
                 world.change_leader(leader, state);
             }
-            Action::Depose(at) => {
-                world.leaders.remove(at);
+            Action::Depose(leader_index) => {
+                world.leaders.remove(leader_index);
             }
             Action::Restart(router) => {
                 world.budget.restarts -= 1;
@@ -186,7 +187,7 @@
                     .all(|holder| holder.admission(now) == Admission::Leased(Version(1)))
             }),
             Property::sometimes(
-                "it comes into force without a router that is silent",
+                "the change comes into force without a silent router",
                 |_, world: &World| {
                     world.leaders[0].state.in_force.number == Version(1)
                         && world
@@ -201,9 +202,9 @@
 
 fn change() -> Change {
     Change {
-        fault: None,
-        proposed: 1,
-        until: 3,
+        injected_bug: None,
+        proposal_step: 1,
+        last_step: 3,
         budget: budget(),
     }
 }
@@ -223,49 +224,49 @@
     checker.assert_properties();
 }
 
-/// An injected bug is found, in a world where without it the rule holds.
-fn assert_found(fault: Fault, change: Change) {
+/// Checks that the model check finds the injected bug.
+fn assert_found(bug: InjectedBug, change: Change) {
     let change = Change {
-        fault: Some(fault),
+        injected_bug: Some(bug),
         ..change
     };
     let checker = change.checker().threads(4).spawn_bfs().join();
     let found = checker.discovery("no version after a later one");
     assert!(
         found.is_some(),
-        "{fault:?} is not found in {} states",
+        "{bug:?} is not found in {} states",
         checker.unique_state_count()
     );
 }
 
 #[test]
-fn no_router_admits_under_a_version_that_another_has_left() {
+fn no_router_admits_under_a_replaced_version() {
     assert_rule_holds(change());
 }
 
 #[test_case(Budget { leader_changes: 0, restarts: 1, ..budget() }; "where a router restarts")]
 #[test_case(Budget { leader_changes: 0, duplicates: 1, ..budget() }; "where a message is duplicated")]
-fn no_router_admits_under_a_version_that_another_has_left_also(budget: Budget) {
+fn no_router_admits_under_a_replaced_version_after_a_restart_or_a_duplicate(budget: Budget) {
     assert_rule_holds(Change { budget, ..change() });
 }
 
-#[test_case(Fault::Leader(InjectedLeaderBug::SkipsLeaseWait); "a change that takes effect without waiting")]
-#[test_case(Fault::Leader(InjectedLeaderBug::SkipsConfirmation); "leases granted without confirming the leadership")]
-#[test_case(Fault::Leader(InjectedLeaderBug::IgnoresEarlierLeases); "leases of the leader before not waited for")]
-#[test_case(Fault::LeaseHolder(InjectedLeaseHolderBug::UsesExpiredLease); "a lease used after its end")]
-#[test_case(Fault::LeaseHolder(InjectedLeaseHolderBug::AdmitsInBarrier); "a router that reports a stop and goes on")]
-fn an_injected_bug_is_found(fault: Fault) {
-    assert_found(fault, change());
+#[test_case(InjectedBug::Leader(InjectedLeaderBug::SkipsLeaseWait); "a change that takes effect without waiting")]
+#[test_case(InjectedBug::Leader(InjectedLeaderBug::SkipsConfirmation); "leases granted without confirming the leadership")]
+#[test_case(InjectedBug::Leader(InjectedLeaderBug::IgnoresEarlierLeases); "leases of the leader before not waited for")]
+#[test_case(InjectedBug::LeaseHolder(InjectedLeaseHolderBug::UsesExpiredLease); "a lease used after its end")]
+#[test_case(InjectedBug::LeaseHolder(InjectedLeaseHolderBug::AdmitsInBarrier); "a router that reports a stop and continues to admit")]
+fn an_injected_bug_is_found(bug: InjectedBug) {
+    assert_found(bug, change());
 }
 
 #[test]
 fn a_lease_that_counts_from_its_grant_is_found() {
-    let fault = Fault::LeaseHolder(InjectedLeaseHolderBug::LeaseFromGrant);
+    let bug = InjectedBug::LeaseHolder(InjectedLeaseHolderBug::LeaseFromGrant);
     assert_found(
-        fault,
+        bug,
         Change {
-            proposed: 2,
-            until: 4,
+            proposal_step: 2,
+            last_step: 4,
             budget: Budget {
                 leader_changes: 0,
                 ..budget()
--- a/fleet_policy/src/tests/model/world.rs
+++ b/fleet_policy/src/tests/model/world.rs
@@ -8,9 +8,9 @@
 
 /// One step of time, in microseconds.
 pub(super) const STEP: u64 = 100_000;
-/// When the model begins.
+/// The time at which the model begins, in microseconds.
 pub(super) const START: u64 = 10 * STEP;
-/// Delayed messages at a time.
+/// The maximum number of delayed messages at a time.
 const MAX_IN_FLIGHT: usize = 2;
 
 pub(super) fn config() -> LeaseConfig {
@@ -50,23 +50,23 @@
     )
 }
 
-/// Between a router and whoever leads.
+/// A message between a router and the leaders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Message {
     Request(usize, LeaseRequest),
     Reply(usize, LeaseReply),
 }
 
-/// One that may lead: it really does, or still believes so.
+/// A leader: the current one, or an earlier one that does not know yet that it no longer leads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Candidate {
     leader: Leader,
     pub(super) state: PolicyState,
-    /// A confirmation of its own that the others have given, and that is delayed.
+    /// The number of a delayed confirmation of its leadership.
     pub(super) delayed_confirmation: Option<u64>,
 }
 
-/// What may still go wrong.
+/// The number of failures of each kind that may still happen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Budget {
     pub(super) leader_changes: u8,
@@ -79,19 +79,19 @@
 pub(super) struct World {
     pub(super) now: u64,
     log: Vec<Entry>,
-    /// The first leads by the others' votes; those behind it only believe so.
+    /// The first is the current leader; the others are earlier ones that do not know yet that they no longer lead.
     pub(super) leaders: Vec<Candidate>,
     pub(super) routers: Vec<LeaseHolder>,
-    /// Messages to and from this router are delayed.
+    /// By router: whether messages to and from it are delayed.
     pub(super) is_delayed: [bool; 2],
-    /// Confirmations of the leadership are delayed.
+    /// Whether confirmations of the leadership are delayed.
     pub(super) delays_confirmations: bool,
-    /// What is delayed; all else comes at once.
+    /// Delayed messages; all others are delivered at once.
     pub(super) in_flight: Vec<Message>,
     pub(super) budget: Budget,
-    /// The highest version that anybody has admitted under.
+    /// The highest version under which a router has admitted.
     highest: Version,
-    /// A version that was admitted under after a higher one.
+    /// A version under which a router admitted after one had admitted under a higher version.
     pub(super) violation: Option<Version>,
 }
 
@@ -120,10 +120,10 @@
         }
     }
 
-    /// Time passes; the change is proposed at its step.
-    pub(super) fn tick(&mut self, proposed: u64) {
+    /// Advances time by a step, and proposes the change at `proposal_step`.
+    pub(super) fn tick(&mut self, proposal_step: u64) {
         self.now += STEP;
-        if !self.log.is_empty() || self.now < START + proposed * STEP {
+        if !self.log.is_empty() || self.now < START + proposal_step * STEP {
             return;
         }
         let entry = Entry::Propose {
@@ -139,11 +139,11 @@
         self.leaders[0].state.apply(Index(2), entry);
     }
 
-    /// The state that the log gives.
+    /// The state that results from the log.
     pub(super) fn replay(&self) -> PolicyState {
         let mut state = bootstrap();
-        for (at, entry) in self.log.iter().enumerate() {
-            state.apply(Index(at as u64 + 2), entry.clone());
+        for (position, entry) in self.log.iter().enumerate() {
+            state.apply(Index(position as u64 + 2), entry.clone());
         }
         state
     }
@@ -162,34 +162,37 @@
     /// Calls a leader, and carries out its actions.
     pub(super) fn with_leader(
         &mut self,
-        at: usize,
+        leader_index: usize,
         call: impl FnOnce(&mut Leader, Micros, &PolicyState) -> Vec<LeaderAction>,
     ) {
         let now = Micros(self.now);
-        let candidate = &mut self.leaders[at];
+        let candidate = &mut self.leaders[leader_index];
         let mut actions = call(&mut candidate.leader, now, &candidate.state);
         while !actions.is_empty() {
             for action in std::mem::take(&mut actions) {
-                actions.extend(self.execute(at, action));
+                actions.extend(self.execute(leader_index, action));
             }
         }
     }
 
-    /// Only the one that really leads gets an entry committed, or a confirmation.
-    fn execute(&mut self, at: usize, action: LeaderAction) -> Vec<LeaderAction> {
+    /// Carries out an action of a leader. Only the current leader's entries are committed, and only its leadership is
+    /// confirmed.
+    fn execute(&mut self, leader_index: usize, action: LeaderAction) -> Vec<LeaderAction> {
         let now = Micros(self.now);
-        let candidate = &mut self.leaders[at];
+        let candidate = &mut self.leaders[leader_index];
         match action {
-            LeaderAction::Propose(entry) if at == 0 => {
+            LeaderAction::Propose(entry) if leader_index == 0 => {
                 self.log.push(entry.clone());
                 let index = Index(self.log.len() as u64 + 1);
                 candidate.state.apply(index, entry);
                 return candidate.leader.tick(now, &candidate.state);
             }
-            LeaderAction::ConfirmLeadership(number) if at == 0 && self.delays_confirmations => {
+            LeaderAction::ConfirmLeadership(number)
+                if leader_index == 0 && self.delays_confirmations =>
+            {
                 candidate.delayed_confirmation.get_or_insert(number);
             }
-            LeaderAction::ConfirmLeadership(number) if at == 0 => {
+            LeaderAction::ConfirmLeadership(number) if leader_index == 0 => {
                 return candidate
                     .leader
                     .leadership_confirmed(now, &candidate.state, number);
@@ -215,10 +218,10 @@
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
             Message::Request(_, request) => {
-                // Whoever believes that it leads receives it.
-                for at in 0..self.leaders.len() {
+                // Each leader receives the request, including those that no longer lead.
+                for leader_index in 0..self.leaders.len() {
                     let request = request.clone();
-                    self.with_leader(at, |leader, now, state| {
+                    self.with_leader(leader_index, |leader, now, state| {
                         leader.handle_request(now, state, request)
                     });
                 }
@@ -235,7 +238,7 @@
         }
     }
 
-    /// What happens by itself at this moment, until nothing does.
+    /// Lets routers send requests that are due and leaders act, until no further request is due.
     pub(super) fn settle(&mut self) {
         let now = Micros(self.now);
         for _ in 0..20 {
@@ -246,8 +249,8 @@
                     self.send(Message::Request(router, request));
                 }
             }
-            for at in 0..self.leaders.len() {
-                self.with_leader(at, |leader, now, state| leader.tick(now, state));
+            for leader_index in 0..self.leaders.len() {
+                self.with_leader(leader_index, |leader, now, state| leader.tick(now, state));
             }
             if !has_request {
                 break;
@@ -256,7 +259,7 @@
         self.admit();
     }
 
-    /// Notes under which versions routers admit at this moment.
+    /// Records under which versions routers admit at this moment.
     fn admit(&mut self) {
         let now = Micros(self.now);
         let admitted: Vec<Version> = self
--- a/fleet_policy/tests/one_router.rs
+++ b/fleet_policy/tests/one_router.rs
@@ -172,7 +172,7 @@
     assert_eq!(router.outcomes(1), []);
     assert!(router.writes - writes <= 6, "five attempts a second");
     assert!(router.writes - writes >= 4, "it is tried again");
-    let line = "fleet: the state cannot be kept, nothing is answered until it can: no space left";
+    let line = "fleet: the replica's state cannot be written, messages are not answered until it can: no space left";
     assert_eq!(router.errors, [line], "said once");
     router.disk_is_full = false;
     router.run(SECOND);
