--- a/router/src/stages/listener.rs
+++ b/router/src/stages/listener.rs
@@ -18,7 +18,7 @@
 use crate::router::Router;
 use crate::stages::client_connection::{self, NewConnection};
 use crate::stages::stream::Stream;
-use crate::state::descriptors::{Peer, Permit};
+use crate::state::descriptors::{DescriptorPermit, Peer};
 use crate::state::wake_time::WakeTime;
 
 pub(crate) use crate::stages::client_connection::adopt;
@@ -102,7 +102,7 @@
     }
 
     /// A descriptor for the next connection.
-    async fn wait_for_permit(&mut self) -> Permit {
+    async fn wait_for_permit(&mut self) -> DescriptorPermit {
         if let Some(permit) = self.router.descriptors.take(Peer::Client) {
             return permit;
         }
@@ -123,7 +123,7 @@
                 Ok((stream, _)) => match Async::new(stream) {
                     Ok(stream) => self.start_connection(stream, permit),
                     Err(error) => {
-                        self.failures.passed();
+                        self.failures.reset();
                         tracing::warn!(%error, "cannot accept a client connection, it cannot be polled");
                     }
                 },
@@ -131,7 +131,7 @@
                 // Abandoned at the first failure, the connections behind it were reset with their requests.
                 Err(error) => {
                     self.back_off(&error).await;
-                    if self.failures.lasts() {
+                    if self.failures.is_persistent() {
                         return;
                     }
                 }
@@ -153,8 +153,8 @@
         }
     }
 
-    fn start_connection(&mut self, stream: Async<TcpStream>, permit: Permit) {
-        self.failures.passed();
+    fn start_connection(&mut self, stream: Async<TcpStream>, permit: DescriptorPermit) {
+        self.failures.reset();
         let stream = match &self.tls {
             None => Stream::Plain(stream),
             Some(tls) => match Stream::secure(stream, tls) {
@@ -178,9 +178,9 @@
     /// still get their turn: a failure that repeats at once must not starve them.
     async fn back_off(&mut self, error: &std::io::Error) {
         let errno = error.raw_os_error().unwrap_or(0);
-        let (pause, unreported) = self.failures.next(errno, self.router.clock.now());
+        let (pause, unreported) = self.failures.record(errno, self.router.clock.now());
         if let Some(count) = unreported {
-            let owner = io_errors::accept(errno);
+            let owner = io_errors::accept_failure_owner(errno);
             tracing::warn!(%error, ?owner, count, "cannot accept a client connection");
         }
         if pause == Micros(0) {
@@ -193,13 +193,13 @@
 
 /// Waits for a descriptor for a client. Meanwhile the connection that has been idle longest is asked to close, else the one
 /// whose request has been arriving longest: clients that send nothing, or half a request, must not shut others out.
-async fn wait_for_permit(router: &Router) -> Permit {
+async fn wait_for_permit(router: &Router) -> DescriptorPermit {
     loop {
         let freed = router.descriptors.freed();
         if let Some(permit) = router.descriptors.take(Peer::Client) {
             return permit;
         }
-        router.clients.close_longest();
+        router.clients.close_oldest();
         // A connection that is asked to close just as its request becomes complete is served, and frees nothing: then
         // another one is asked.
         let ask_another = async {
