--- a/consensus/src/replica/start.rs
+++ b/consensus/src/replica/start.rs
@@ -1,4 +1,4 @@
-//! How a replica comes into being: with a new fleet, as a new member of a running one, or from its persisted state.
+//! The construction of a replica: for a new fleet, as a new member of a running fleet, or from its persisted state.
 
 use std::collections::VecDeque;
 
@@ -17,8 +17,8 @@
 const BOOTSTRAP_TERM: u64 = 1;
 
 impl Replica {
-    /// The persisted state of the replica `id` of a new fleet, for [`Replica::open`]. All voters start from the same
-    /// membership and application state.
+    /// Returns the initial persisted state of the replica `id` of a new fleet, for [`Replica::open`]. All voters must
+    /// start from the same membership and application state.
     pub fn bootstrap(
         fleet: FleetId,
         id: ReplicaId,
@@ -41,8 +41,9 @@
         persisted_state::encode(identity, &log_storage, &PeerPromises::default())
     }
 
-    /// A replica without any state, which votes only once the others have made it a voter. Only for an id that the
-    /// replicated state has just assigned: for one that has voted before it would forget its votes.
+    /// Creates a replica without any state, which votes only once the others have made it a voter. Call this only for
+    /// an id that the replicated state has just assigned: a replica that has voted before would lose the record of its
+    /// votes.
     ///
     /// `seed` seeds the election timeouts.
     ///
@@ -66,22 +67,22 @@
         Self::from_state(state, config, seed)
     }
 
-    /// A replica with the state that it persisted last. `seed` seeds the election timeouts.
+    /// Opens a replica from the state that it persisted last. `seed` seeds the election timeouts.
     ///
     /// # Errors
-    /// [`ConsensusError::Corrupt`], [`ConsensusError::OtherFleet`] or [`ConsensusError::Outdated`]. The state is then
-    /// left as it is, and the replica has to be replaced.
+    /// [`ConsensusError::Corrupt`], [`ConsensusError::OtherFleet`] or [`ConsensusError::Outdated`]. The replica then
+    /// has to be replaced.
     pub fn open(
-        image: &[u8],
+        encoded_state: &[u8],
         fleet: FleetId,
         config: RaftConfig,
         seed: u64,
     ) -> Result<Replica, ConsensusError> {
-        let state = persisted_state::decode(image)?;
+        let state = persisted_state::decode(encoded_state)?;
         if state.identity.fleet != fleet {
             return Err(ConsensusError::OtherFleet {
                 found: state.identity.fleet,
-                wanted: fleet,
+                expected: fleet,
             });
         }
         Self::from_state(state, config, seed)
@@ -107,7 +108,8 @@
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let raft =
             RawNode::new(&raft_config, log_storage, &logger).map_err(PersistedStateError::Raft)?;
-        // What the last leader reported of this replica is stored beside its log and has to agree with it.
+        // A replica that was the leader has stored its own promise with those of its peers. Its log has to cover that
+        // promise.
         peer_promises
             .get(identity.id)
             .check_covered_by(&own_promise)?;
--- a/consensus/tests/persisted_state.rs
+++ b/consensus/tests/persisted_state.rs
@@ -1,4 +1,5 @@
-//! States that are truncated, another fleet's or out of date are rejected, and the stored and reported forms are fixed.
+//! Tests that a persisted state which is truncated, of another fleet or outdated is rejected, and that the encodings
+//! of the persisted state, of the promise query and of the status do not change.
 
 mod common;
 
@@ -37,8 +38,8 @@
     assert!(open(&state, FLEET).is_ok());
 }
 
-#[test_case(FleetId(8), "the state is of fleet 0000000000000007, this one is 0000000000000008"; "another fleet")]
-fn a_state_of_another_fleet_is_rejected_with_both_names(fleet: FleetId, text: &str) {
+#[test_case(FleetId(8), "the replica's persisted state belongs to fleet 0000000000000007, expected fleet 0000000000000008"; "another fleet")]
+fn a_state_of_another_fleet_is_rejected_with_both_fleet_ids(fleet: FleetId, text: &str) {
     let error = open(&stored_state(), fleet)
         .err()
         .map(|error| error.to_string());
@@ -60,9 +61,10 @@
     ));
 }
 
-/// The state is put back to one that lacks entries which the replica has acknowledged.
+/// Guards against a replica that takes part although its disk was rolled back, for instance from a backup, to a state
+/// without entries that it has acknowledged.
 #[test]
-fn a_replica_on_an_older_copy_of_its_state_never_takes_part() {
+fn a_replica_with_an_older_copy_of_its_state_never_takes_part() {
     let mut world = World::new(3, 5);
     world.wait_for_leader();
     for round in 0..20u64 {
@@ -88,22 +90,23 @@
             assert_eq!(world.leader(), Some(leader));
         }
     }
-    // Two of three voters are out: there is no majority, and nothing was committed differently.
+    // Two of three voters are faulted, so there is no majority, and no replica has committed different entries.
     assert_eq!(world.check_agreement(), Ok(()));
 }
 
-/// Bytes that the first release stored: a bootstrap state, and one with a vote, an entry and promises.
+/// A bootstrap state as the first release stored it.
 const BOOTSTRAP_STATE: &[u8] = &[
     1, 7, 2, 0, 4, 8, 1, 24, 1, 21, 10, 5, 115, 116, 97, 116, 101, 18, 12, 10, 6, 8, 1, 8, 2, 8, 3,
     16, 1, 24, 1, 0, 0,
 ];
+/// A state with a vote, an entry and promises, as the first release stored it.
 const STATE_WITH_ENTRIES: &[u8] = &[
     1, 7, 1, 1, 6, 8, 2, 16, 2, 24, 2, 17, 10, 1, 0, 18, 12, 10, 6, 8, 1, 8, 2, 8, 3, 16, 1, 24, 1,
     2, 4, 16, 2, 24, 2, 9, 16, 2, 24, 3, 34, 3, 111, 110, 101, 2, 2, 2, 2, 1, 1, 3, 1, 0, 1, 1,
 ];
 
 #[test]
-fn the_stored_bytes_are_those_of_earlier_releases() {
+fn the_persisted_state_has_the_bytes_of_earlier_releases() {
     let voters: Vec<ReplicaId> = (1..=3).map(ReplicaId).collect();
     let state = Replica::bootstrap(FLEET, ReplicaId(2), &voters, b"state".to_vec());
     assert_eq!(state, BOOTSTRAP_STATE);
@@ -111,7 +114,7 @@
 }
 
 #[test]
-fn the_message_that_asks_for_promises_is_that_of_earlier_releases() {
+fn the_promise_query_has_the_bytes_of_earlier_releases() {
     let mut replica = open(BOOTSTRAP_STATE, FLEET).expect("a usable state");
     replica.tick();
     assert!(replica.ready().is_some());
@@ -121,7 +124,7 @@
 }
 
 #[test]
-fn the_status_keeps_the_keys_that_the_control_socket_returns() {
+fn the_status_has_the_json_keys_that_the_control_socket_returns() {
     let replica = open(BOOTSTRAP_STATE, FLEET).expect("a usable state");
     let status = serde_json::to_value(replica.status()).expect("encodable");
     let expected = serde_json::json!({
