--- a/consensus/src/config.rs
+++ b/consensus/src/config.rs
@@ -10,17 +10,17 @@
 /// Timing, in ticks of the driver's clock, and size limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RaftConfig {
-    /// The shortest election timeout; each timeout is drawn from this many ticks up to twice as many.
+    /// The shortest election timeout. Each timeout is drawn at random from the range between this and twice this.
     pub election_ticks: usize,
-    /// The leader's heartbeat interval; also the interval at which a starting replica queries its peers.
+    /// The leader's heartbeat interval, and the interval at which a starting replica queries its peers for its promise.
     pub heartbeat_ticks: usize,
     /// The interval at which the leader sends the promises of all voters to all voters.
     pub promise_broadcast_ticks: usize,
     /// Applied entries that the log keeps before they are replaced by a snapshot.
     pub max_log_entries: u64,
-    /// The longest entry, in bytes.
+    /// The maximum length of an entry, in bytes.
     pub max_entry_bytes: u64,
-    /// The length at which raft-rs stops adding entries to a message, in bytes.
+    /// The length, in bytes, at which raft-rs stops adding entries to a message.
     pub max_message_bytes: u64,
 }
 
@@ -51,9 +51,9 @@
             max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
             max_uncommitted_size: self.max_message_bytes * 8,
             max_committed_size_per_ready: self.max_message_bytes * 4,
-            // A leader that hears from no majority steps down.
+            // A leader that has received nothing from a majority of the voters for an election timeout steps down.
             check_quorum: true,
-            // A replica that was partitioned does not disturb the others with a higher term on its return.
+            // Without it, a replica that returns from a partition could depose the leader by its higher term.
             pre_vote: true,
             ..Config::default()
         }
--- a/consensus/src/ids.rs
+++ b/consensus/src/ids.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies a replica within its fleet, from 1. The identifier of a removed replica is never assigned again.
+/// Identifies a replica within its fleet; ids start at 1. The id of a removed replica is never assigned again.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct ReplicaId(
-    /// The number that raft-rs uses as the node id; 0 is no replica.
+    /// The node id in raft-rs. 0 stands for "no replica".
     pub u64,
 );
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// The fleet that a state belongs to, derived from the fleet's name, so that states of two fleets are never mixed.
+/// Identifies the fleet that a state belongs to, so that a router rejects the state of another fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FleetId(
--- a/consensus/src/log_storage.rs
+++ b/consensus/src/log_storage.rs
@@ -10,7 +10,7 @@
 pub(crate) struct LogStorage {
     /// Term, vote and commit index.
     pub(crate) hard_state: HardState,
-    /// The application's state up to its index, with the membership at that index.
+    /// The application's state after all entries up to the snapshot's index, with the membership at that index.
     pub(crate) snapshot: Snapshot,
     /// The entries after the snapshot, in order. [`LogStorage::compact`] removes those that are applied.
     pub(crate) entries: Vec<Entry>,
@@ -23,7 +23,7 @@
         self.snapshot.get_metadata().index
     }
 
-    /// The index of the first entry after the snapshot, whether it exists yet or not.
+    /// The index of the first entry after the snapshot. The entry need not exist yet.
     pub(crate) fn first_index(&self) -> u64 {
         self.snapshot_index() + 1
     }
@@ -32,7 +32,7 @@
         self.snapshot_index() + self.entries.len() as u64
     }
 
-    /// The term of an entry in the log, or of the snapshot's last one.
+    /// The term of the entry at `index`, if it is in the log or is the last one that the snapshot covers.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         let metadata = self.snapshot.get_metadata();
         if index == metadata.index {
@@ -42,7 +42,7 @@
         self.entries.get(offset).map(|entry| entry.term)
     }
 
-    /// What the replica with this state has told its peers at most.
+    /// An upper bound of the promises that the replica with this state has sent to its peers.
     pub(crate) fn promise(&self) -> Promise {
         let index = self.last_index();
         Promise {
@@ -55,18 +55,18 @@
         }
     }
 
-    /// Appends entries; they replace those in the log from the first one's index on.
+    /// Appends entries. Existing entries at or after the index of the first new one are removed.
     pub(crate) fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else {
             return;
         };
-        let kept = first.index.saturating_sub(self.first_index());
+        let kept_count = first.index.saturating_sub(self.first_index());
         self.entries
-            .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
+            .truncate(usize::try_from(kept_count).unwrap_or(usize::MAX));
         self.entries.extend_from_slice(entries);
     }
 
-    /// Replaces the whole log by a snapshot.
+    /// Replaces the whole log by `snapshot`, which comes from the leader or is the first one of a new fleet.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
         let metadata = snapshot.get_metadata();
         self.conf_state = metadata.get_conf_state().clone();
@@ -76,8 +76,8 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces the entries up to `index` by a snapshot with the application's state at that index. Nothing happens if
-    /// the index is not after the present snapshot, or not in the log.
+    /// Replaces the entries up to `index` by a snapshot with the application's state at that index. Does
+    /// nothing if the index is not after the present snapshot, or not in the log.
     pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) {
         if index <= self.snapshot_index() {
             return;
--- a/consensus/src/message.rs
+++ b/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas send to each other. The driver carries the encoded bytes and does not look into them.
+//! Messages between replicas. The driver transports the encoded bytes and does not interpret them.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,11 +10,11 @@
 pub(crate) enum PeerMessage {
     /// A message of raft-rs, in its protobuf encoding.
     Raft(Vec<u8>),
-    /// A replica that has started sends its own promise and asks for what the peer knows of it.
+    /// A starting replica sends its own promise, and requests the promise that the peer has received from it.
     PromiseQuery(Promise),
-    /// The answer: the sender's knowledge of the receiver's promise.
+    /// The reply to a query: the receiver's promise, as far as the sender knows it.
     PromiseReply(Promise),
-    /// What the leader knows of the promises of all replicas.
+    /// The promises of all replicas, as far as the leader knows them.
     PromiseBroadcast(Vec<(ReplicaId, Promise)>),
 }
 
@@ -23,7 +23,7 @@
         postcard::to_stdvec(self).expect("sequences of known length can always be encoded")
     }
 
-    /// None for bytes that are not a message; the sender may be of another version or faulty.
+    /// Returns None for bytes that are not a message; the sender may be of another version or faulty.
     pub(crate) fn decode(bytes: &[u8]) -> Option<PeerMessage> {
         postcard::from_bytes(bytes).ok()
     }
--- a/consensus/src/participation.rs
+++ b/consensus/src/participation.rs
@@ -1,4 +1,4 @@
-//! Whether a replica takes part in elections and replication.
+//! The states of a replica between its start and its part in elections and replication.
 
 use std::fmt;
 
@@ -8,18 +8,19 @@
 ///
 /// A replica starts in [`Participation::Proving`], where it neither votes nor acknowledges entries. It moves to
 /// [`Participation::TakesPart`] once enough peers have confirmed that its state is not older than what they received
-/// from it. From either it moves to [`Participation::Faulted`] for good when its state turns out to be unusable.
+/// from it. From either variant it moves permanently to [`Participation::Faulted`] when its state proves to be
+/// unusable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Participation {
-    /// Waits for peers to confirm its state; contains those that have.
+    /// The replica waits for peers to confirm its state. Contains the peers that have confirmed it.
     Proving(Vec<ReplicaId>),
-    /// Votes and replicates.
+    /// The replica votes and replicates.
     TakesPart,
-    /// Its state cannot be used. It sends nothing more and has to be replaced.
+    /// The replica's state cannot be used. The replica sends nothing more and has to be replaced.
     Faulted(ReplicaFault),
 }
 
-/// The form that [`crate::Status`] carries; simulation and operators' scripts match on its beginning.
+/// The text in [`crate::Status`]. The simulation and operators' scripts match on its beginning.
 impl fmt::Display for Participation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -37,10 +38,10 @@
 /// Why a replica can no longer take part.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicaFault {
-    /// Its state was replaced by an earlier copy, from a backup for instance.
+    /// The replica's state is an earlier copy, for instance from a backup.
     #[error("it is an older copy: {0}")]
     Outdated(#[from] OutdatedState),
-    /// raft-rs panicked on this state.
+    /// raft-rs panicked.
     #[error("raft-rs cannot continue from this state")]
     RaftPanicked,
 }
--- a/consensus/src/peer_promises.rs
+++ b/consensus/src/peer_promises.rs
@@ -1,7 +1,7 @@
-//! What this replica knows of the promises of its peers.
+//! The promises of all replicas, as far as this replica has received them.
 //!
-//! A replica whose state is an older copy does not know what it has promised since. Its peers do: it asks them before it
-//! takes part (`replica/promise_check.rs`).
+//! A replica whose state is an older copy lacks the promises that it has made since. Its peers have received them, so a
+//! starting replica queries its peers before it takes part (`replica/promise_check.rs`).
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,12 @@
 use crate::promise::{LogPosition, Promise};
 use crate::ReplicaId;
 
-/// One promise for each replica. [`PeerPromises::retain`] removes those of replicas that have left.
+/// One promise for each replica. [`PeerPromises::retain`] removes the promises of removed replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PeerPromises(BTreeMap<ReplicaId, Promise>);
 
 impl PeerPromises {
-    /// The promise of `replica`; the lowest one if nothing is known.
+    /// The promise of `replica`, or the lowest possible one if none is known.
     pub(crate) fn get(&self, replica: ReplicaId) -> Promise {
         self.0.get(&replica).copied().unwrap_or_default()
     }
@@ -33,13 +33,13 @@
             .collect()
     }
 
-    /// Removes the promises of all replicas but these.
+    /// Removes the promises of all replicas except `replicas`.
     pub(crate) fn retain(&mut self, replicas: &[ReplicaId]) {
         self.0.retain(|replica, _| replicas.contains(replica));
     }
 
-    /// Takes the promise in from a raft-rs message of `from`. `term_at` returns the term of an entry of the log in which
-    /// the message's indexes are known to be meant.
+    /// Records the promise that a raft-rs message of `from` implies. `term_at` returns the term of the entry at an
+    /// index that the message acknowledges, or None if it is not known to be an entry of this log.
     pub(crate) fn record_message(
         &mut self,
         from: ReplicaId,
@@ -51,7 +51,7 @@
             ..Promise::default()
         };
         match message.get_msg_type() {
-            // A pre-vote asks about a term that its sender has not entered: it promises nothing.
+            // The term of a pre-vote message is one that its sender has not entered: the message promises nothing.
             MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse => return,
             MessageType::MsgRequestVote => promise.vote = message.from,
             MessageType::MsgRequestVoteResponse if !message.reject => promise.vote = message.to,
--- a/consensus/src/persisted_state.rs
+++ b/consensus/src/persisted_state.rs
@@ -8,11 +8,11 @@
 use crate::peer_promises::PeerPromises;
 use crate::{FleetId, PersistedStateError, ReplicaId};
 
-/// The format number; a state of another format is rejected.
+/// The format number of the encoding. A state of another format is rejected.
 const FORMAT: u16 = 1;
 
-/// The encoded form. postcard encodes by position: the order and types of the fields are the stored format. The types of
-/// raft-rs are in their protobuf encoding.
+/// The encoded form. postcard encodes by position: the order and types of the fields are the stored format. Values of
+/// raft-rs types are in their protobuf encoding.
 #[derive(Serialize, Deserialize)]
 struct EncodedState {
     format: u16,
@@ -25,7 +25,7 @@
     peer_promises: PeerPromises,
 }
 
-/// Which replica a state belongs to, and how often it was started.
+/// The replica that a state belongs to, and how often that replica was started.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplicaIdentity {
     pub(crate) fleet: FleetId,
@@ -40,7 +40,7 @@
     pub(crate) peer_promises: PeerPromises,
 }
 
-/// Encodes the state; it has to be durable before anything that depends on it is sent.
+/// Encodes the state. The result has to be durable before the replica sends anything that depends on it.
 pub(crate) fn encode(
     identity: ReplicaIdentity,
     log_storage: &LogStorage,
@@ -59,7 +59,7 @@
     postcard::to_stdvec(&state).expect("sequences of known length can always be encoded")
 }
 
-/// The protobuf encoding of a message of raft-rs.
+/// The protobuf encoding of a value of a raft-rs type.
 pub(crate) fn protobuf_bytes<M: protobuf::Message>(message: &M) -> Vec<u8> {
     message
         .write_to_bytes()
--- a/consensus/src/promise.rs
+++ b/consensus/src/promise.rs
@@ -1,4 +1,5 @@
-//! How far a replica has committed itself towards its peers, and the comparison that detects an older copy of its state.
+//! Promises: the term, vote and log position that a replica has sent to its peers and must not go back behind; and the
+//! comparison of promises that detects an older copy of a replica's state.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -8,12 +9,13 @@
 #[cfg(test)]
 mod tests;
 
-/// The term and index of a log entry. The last position of a log only moves up in this order.
+/// The term and index of a log entry, ordered by term first. The position of a log's last entry never decreases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct LogPosition {
-    /// The term in which a leader appended the entry. First, because the order compares it first.
+    /// The term in which a leader appended the entry. It is the first field because the derived order compares it
+    /// first.
     pub term: u64,
     /// The index of the entry in the log.
     pub index: u64,
@@ -25,13 +27,13 @@
     }
 }
 
-/// A lower bound of what a replica has told its peers: its term, its vote, its acknowledged entries.
+/// A lower bound of the term, the vote and the last entry that a replica has sent or acknowledged to its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Promise {
     pub(crate) term: u64,
-    /// The candidate that it voted for in `term`; 0 if unknown or none.
+    /// The candidate that the replica voted for in `term`; 0 if unknown or none.
     pub(crate) vote: u64,
-    /// The last entry of its log.
+    /// The last entry of the replica's log.
     pub(crate) last: LogPosition,
 }
 
@@ -51,7 +53,8 @@
         }
     }
 
-    /// Checks that the replica's `own` state covers this promise, which peers have received from it.
+    /// Checks that this promise, which peers have received from a replica, is covered by the `own` promise that the
+    /// replica's state contains.
     pub(crate) fn check_covered_by(&self, own: &Promise) -> Result<(), OutdatedState> {
         if self.term > own.term {
             return Err(OutdatedState::Term {
@@ -75,18 +78,19 @@
     }
 }
 
-/// What peers have received from a replica that its own state does not contain: the state is an older copy.
+/// A message that peers have received from a replica and that contradicts the replica's state: the state is an older
+/// copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OutdatedState {
-    /// It has sent messages of a later term.
+    /// The replica has sent messages of a later term than its state contains.
     #[error("it has sent messages in term {promised}, its own state ends in term {own}")]
     Term {
-        /// The term that peers know of.
+        /// The latest term in which peers have received messages.
         promised: u64,
         /// The term of the state.
         own: u64,
     },
-    /// It has voted in its present term, and the state does not contain that vote.
+    /// The replica has voted in its present term, and its state does not contain that vote.
     #[error("it has voted for replica {candidate} in term {term}, its own state has no such vote")]
     Vote {
         /// The candidate's replica id.
@@ -94,20 +98,20 @@
         /// The term of the vote.
         term: u64,
     },
-    /// It has acknowledged an entry after its last one.
+    /// The replica has acknowledged an entry after the last one of its log.
     #[error("it has acknowledged entry {promised}, its own log ends at {own}")]
     Entry {
-        /// The last entry that peers know it has acknowledged.
+        /// The last acknowledged entry that peers know of.
         promised: LogPosition,
-        /// The last entry of its log.
+        /// The last entry of the replica's log.
         own: LogPosition,
     },
-    /// The leader counts it among those that hold an entry after its last one.
+    /// The leader has recorded that the replica acknowledged an entry after the last one of its log.
     #[error("it has acknowledged entry {commit}, its own log ends at {last}")]
     Commit {
         /// The commit index that the leader sent.
         commit: u64,
-        /// The index of the last entry of its log.
+        /// The index of the last entry of the replica's log.
         last: u64,
     },
 }
--- a/consensus/src/replica.rs
+++ b/consensus/src/replica.rs
@@ -1,7 +1,7 @@
 //! A replica: one voter, or a learner. A wrapper around raft-rs that takes time and randomness as input, and releases
 //! messages and committed entries only once the state that they depend on is durable.
 //!
-//! This file holds the state and the entry points; the concerns are split into the modules below.
+//! This file contains the state and the entry points; the modules below contain the rest.
 
 mod election_timeout;
 mod inbound;
@@ -28,7 +28,8 @@
 pub use ready::{Advanced, Ready};
 pub use status::Status;
 
-/// Inputs that are deferred while a state is being stored. Those beyond it are dropped, as a network may drop messages.
+/// The maximum number of inputs that are deferred while a state is being stored. Further inputs are dropped, which
+/// peers tolerate as they tolerate lost messages.
 const MAX_DEFERRED_INPUTS: usize = 256;
 
 /// An input to raft-rs.
@@ -36,37 +37,38 @@
     Tick,
     Message(Message),
     Propose(Vec<u8>),
-    /// Carries the number that the caller gave its read.
+    /// A request for a read confirmation, with the caller's id of the read.
     ReadIndex(u64),
     TransferLeadership(ReplicaId),
 }
 
-/// One voter or learner of a fleet. See the package's documentation for the order of calls.
+/// A voter or learner of a fleet. See the package's documentation for the order of calls.
 pub struct Replica {
     raft: RawNode<LogStorage>,
     identity: ReplicaIdentity,
     config: RaftConfig,
     election_timeout: ElectionTimeout,
     participation: Participation,
-    /// What the state contained at the start; peers compare it with what they have received from this replica.
+    /// The promise that the state contained at the start. It has to cover all that peers have received from this
+    /// replica.
     promise_at_start: Promise,
     peer_promises: PeerPromises,
     /// Ticks since the start.
     ticks: u64,
-    /// What raft-rs has handed out and [`Replica::advance`] has not yet returned to it.
+    /// The last `Ready` of raft-rs, until [`Replica::advance`] passes it back.
     pending_ready: Option<raft::Ready>,
-    /// Inputs that arrived while `pending_ready` was being stored: raft-rs accepts none in between. At most
-    /// [`MAX_DEFERRED_INPUTS`]; emptied by [`Replica::advance`].
+    /// Inputs that arrived while `pending_ready` was being stored: raft-rs accepts no input between `ready` and
+    /// `advance`. At most [`MAX_DEFERRED_INPUTS`]; [`Replica::advance`] applies and removes them.
     deferred_inputs: VecDeque<Input>,
-    /// Messages of the promise check, sent by the next [`Replica::advance`].
+    /// Messages of the promise check, which the next [`Replica::advance`] returns.
     outbox: Vec<(ReplicaId, PeerMessage)>,
-    /// The state has to be stored before the next [`Replica::advance`].
+    /// Whether the state has to be stored before the next [`Replica::advance`].
     state_changed: bool,
-    /// The membership has changed since the last [`Replica::compact`].
+    /// Whether the membership has changed since the last [`Replica::compact`].
     membership_changed: bool,
     /// The index of the last entry that [`Replica::advance`] has returned.
     applied_index: u64,
-    /// The last term that is durable.
+    /// The latest durable term.
     persisted_term: u64,
 }
 
@@ -81,24 +83,25 @@
         &self.participation
     }
 
-    /// The index and application state of the snapshot that the log starts from, to be applied before all entries. None for
-    /// a replica that has joined and received none yet.
+    /// The index and application state of the snapshot that the log starts from, to be applied before all entries.
+    /// None if this replica has joined and not yet received a snapshot.
     pub fn initial_snapshot(&self) -> Option<(u64, Vec<u8>)> {
         let snapshot = &self.raft.store().snapshot;
         let index = snapshot.get_metadata().index;
         (index > 0).then(|| (index, snapshot.data.to_vec()))
     }
 
-    /// Whether this replica is the leader of its term. Another one may have been elected in a later term.
+    /// Whether this replica is the leader of its term. Another replica may have been elected in a later term.
     pub fn is_leader(&self) -> bool {
         self.participation == Participation::TakesPart && self.raft.raft.state == StateRole::Leader
     }
 
-    /// Something other than a message of consensus has come from the process of this peer: it is there, and reaches this one.
+    /// Marks a peer as active because this process has received something other than a consensus message from it.
     ///
-    /// A leader that hears from no majority steps down. A peer that stores a state answers nothing until that is durable: a
-    /// disk that is slow for longer than the shortest election timeout cost the leadership, and no other voter could do
-    /// better. What the leader confirms, and commits, still needs the answers.
+    /// A leader steps down if it has received nothing from a majority of the voters for an election timeout. A peer
+    /// that is storing a state sends no replies until that state is durable. Without this call, followers' disks that
+    /// are slow for longer than the shortest election timeout would cost the leader its leadership, although no other
+    /// voter could do better. Read confirmations and commits still need the peers' replies.
     pub fn note_peer_alive(&mut self, peer: ReplicaId) {
         if !self.is_leader() {
             return;
@@ -108,8 +111,8 @@
         }
     }
 
-    /// Whether this replica is the leader and has committed an entry of its own term, so that it knows of all entries
-    /// that earlier leaders have committed (Raft, section 8).
+    /// Whether this replica is the leader and has committed an entry of its own term. Only then does it know all
+    /// entries that earlier leaders have committed (Raft, section 8).
     pub fn is_confirmed_leader(&self) -> bool {
         self.is_leader() && self.raft.raft.commit_to_current_term()
     }
@@ -125,12 +128,13 @@
         (leader != raft::INVALID_ID).then_some(ReplicaId(leader))
     }
 
-    /// The present term; it may not be durable yet.
+    /// The present term, which may not be durable yet.
     pub fn term(&self) -> u64 {
         self.raft.raft.term
     }
 
-    /// The last durable term. No process of this replica accepts a message of a leader of an earlier term again.
+    /// The latest durable term. Even after a restart, this replica does not accept messages of leaders of earlier
+    /// terms.
     pub fn persisted_term(&self) -> u64 {
         self.persisted_term
     }
@@ -149,10 +153,11 @@
         self.redraw_election_timeout();
     }
 
-    /// Appends an entry to the log. It is committed once [`Replica::advance`] returns it, and may be lost before.
+    /// Appends an entry to the log. The entry is committed once [`Replica::advance`] returns it, and may be lost
+    /// before.
     ///
     /// # Errors
-    /// [`ConsensusError::NotLeader`] and [`ConsensusError::EntryTooLong`].
+    /// [`ConsensusError::NotLeader`] or [`ConsensusError::EntryTooLong`].
     pub fn propose(&mut self, data: Vec<u8>) -> Result<(), ConsensusError> {
         if !self.is_leader() {
             return Err(ConsensusError::NotLeader);
@@ -166,16 +171,16 @@
         Ok(())
     }
 
-    /// Requests confirmation that this replica is still the leader (ReadIndex, Raft dissertation, section 6.4). The answer
-    /// appears in [`Advanced::confirmed_reads`] under `number`; it may never come.
-    pub fn read_index(&mut self, number: u64) {
+    /// Requests a confirmation that this replica is still the leader (ReadIndex, Raft dissertation, section 6.4).
+    /// [`Advanced::confirmed_reads`] returns the confirmation with `read_id`; a request may stay unconfirmed.
+    pub fn read_index(&mut self, read_id: u64) {
         if self.is_leader() {
-            self.apply_input(Input::ReadIndex(number));
+            self.apply_input(Input::ReadIndex(read_id));
         }
     }
 
-    /// Hands leadership to another voter, if that one is reachable and caught up. Nothing happens unless this replica is
-    /// the leader.
+    /// Transfers leadership to another voter, if that voter is reachable and caught up. Does nothing unless this
+    /// replica is the leader.
     pub fn transfer_leadership(&mut self, to: ReplicaId) {
         if self.is_leader() {
             self.apply_input(Input::TransferLeadership(to));
@@ -198,8 +203,8 @@
             }
             Input::Message(message) => raft.step(message),
             Input::Propose(data) => raft.propose(vec![], data),
-            Input::ReadIndex(number) => {
-                raft.read_index(number.to_le_bytes().to_vec());
+            Input::ReadIndex(read_id) => {
+                raft.read_index(read_id.to_le_bytes().to_vec());
                 Ok(())
             }
             Input::TransferLeadership(to) => {
@@ -210,7 +215,7 @@
         self.redraw_election_timeout();
     }
 
-    /// Calls raft-rs. A panic there disables this replica and leaves the process running: None.
+    /// Calls raft-rs. If raft-rs panics, disables this replica, leaves the process running and returns None.
     fn call_raft<T>(&mut self, call: impl FnOnce(&mut RawNode<LogStorage>) -> T) -> Option<T> {
         let raft = &mut self.raft;
         let result = catch_unwind(AssertUnwindSafe(|| call(raft)));
@@ -220,7 +225,7 @@
         result.ok()
     }
 
-    /// Ends this replica's participation for good. What it has not sent yet is dropped.
+    /// Ends this replica's participation permanently, and drops the messages that it has not sent yet.
     fn disable(&mut self, fault: ReplicaFault) {
         self.participation = Participation::Faulted(fault);
         self.outbox.clear();
--- a/consensus/src/replica/election_timeout.rs
+++ b/consensus/src/replica/election_timeout.rs
@@ -1,12 +1,12 @@
-//! Randomized election timeouts from this replica's own generator. raft-rs draws its own from the thread's generator, which
-//! a simulation could not repeat.
+//! Randomized election timeouts from this replica's own seeded generator. raft-rs draws timeouts from the thread's
+//! generator, which would make a simulation impossible to repeat.
 
 use nanorand::{Rng, WyRand};
 use raft::{Raft, StateRole};
 
 use crate::log_storage::LogStorage;
 
-/// Term, leader and role; when any of them changes, a new election timeout begins.
+/// Term, leader and role. When any of them changes, raft-rs may have drawn a new election timeout.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ElectionState {
     term: u64,
@@ -16,6 +16,7 @@
 
 pub(super) struct ElectionTimeout {
     rng: WyRand,
+    /// The state at the last draw.
     drawn_for: Option<ElectionState>,
 }
 
@@ -27,7 +28,8 @@
         }
     }
 
-    /// Overrides the timeout of raft-rs if it may have drawn a new one since the last call.
+    /// Replaces the timeout of raft-rs by one from this generator if raft-rs may have drawn a new one since the last
+    /// call.
     pub(super) fn redraw_on_change(&mut self, raft: &mut Raft<LogStorage>, election_ticks: usize) {
         let state = ElectionState {
             term: raft.term,
--- a/consensus/src/replica/inbound.rs
+++ b/consensus/src/replica/inbound.rs
@@ -1,4 +1,4 @@
-//! Messages from peers.
+//! The handling of messages from peers.
 
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
@@ -9,8 +9,8 @@
 use crate::{Participation, ReplicaFault, ReplicaId};
 
 impl Replica {
-    /// Handles a message from a peer. Bytes that are not a message are ignored. Returns the term of a leader whose message
-    /// this replica accepts as a follower.
+    /// Handles a message from a peer. Ignores bytes that are not a message. If the message is one that only leaders
+    /// send and its term is not outdated, passes it to raft-rs and returns its term.
     pub fn step(&mut self, from: ReplicaId, bytes: &[u8]) -> Option<u64> {
         if matches!(self.participation, Participation::Faulted(_)) {
             return None;
@@ -50,7 +50,7 @@
         if message.from != from.0 || message.to != self.id().0 {
             return None;
         }
-        // raft-rs also uses messages for its own steps and for proposals; those are not accepted from a peer.
+        // raft-rs also uses messages for its internal steps and for proposals; these must not come from a peer.
         let kind = message.get_msg_type();
         if raft::raw_node::is_local_msg(kind) || kind == MessageType::MsgPropose {
             return None;
@@ -58,14 +58,17 @@
         Some(message)
     }
 
-    /// Takes the sender's promise in. An index that it acknowledges means an entry of this log only if it answers to this
-    /// replica as the leader of the same term; a leader of an earlier term may have had another entry there.
+    /// Records the sender's promise. An acknowledged index refers to an entry of this log only if the message replies
+    /// to this replica as the leader of the same term; a leader of an earlier term may have had another entry at that
+    /// index.
     fn record_promise(&mut self, from: ReplicaId, message: &Message) {
         let log_storage = self.raft.store();
-        let answers_this_leader =
+        let replies_to_this_leader =
             self.raft.raft.state == StateRole::Leader && message.term == self.raft.raft.term;
         self.peer_promises.record_message(from, message, |index| {
-            log_storage.term_at(index).filter(|_| answers_this_leader)
+            log_storage
+                .term_at(index)
+                .filter(|_| replies_to_this_leader)
         });
     }
 }
--- a/consensus/src/replica/membership.rs
+++ b/consensus/src/replica/membership.rs
@@ -1,15 +1,16 @@
-//! Voters and learners, and changes of them by joint consensus (Raft, section 6).
+//! Voters and learners, and membership changes by joint consensus (Raft, section 6).
 
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
 
 use super::Replica;
 use crate::{ConsensusError, ReplicaId};
 
-/// A learner may become a voter when it lacks at most this many committed entries.
+/// The number of committed entries that a learner may lack and still count as caught up.
 const CAUGHT_UP_LAG: u64 = 4;
 
 impl Replica {
-    /// The replicas whose votes count now, in order; during a change, the voters before and after it.
+    /// The replicas whose votes count now, in ascending order. During a change, these are the voters before and after
+    /// it.
     pub fn voters(&self) -> Vec<ReplicaId> {
         let membership = &self.raft.store().conf_state;
         let mut voters = sorted_ids(membership.get_voters(), membership.get_voters_outgoing());
@@ -17,13 +18,14 @@
         voters
     }
 
-    /// The replicas that receive entries and do not vote, in order; during a change, also those that become learners.
+    /// The replicas that receive entries and do not vote, in ascending order. During a change, these include the
+    /// voters that become learners.
     pub fn learners(&self) -> Vec<ReplicaId> {
         let membership = &self.raft.store().conf_state;
         sorted_ids(membership.get_learners(), membership.get_learners_next())
     }
 
-    /// The voters, or None while a change is under way.
+    /// The voters, or None while a membership change is in progress.
     pub fn committed_voters(&self) -> Option<Vec<ReplicaId>> {
         (!self.is_changing_membership()).then(|| self.voters())
     }
@@ -37,11 +39,12 @@
             .is_empty()
     }
 
-    /// Proposes a change to these voters and learners. Returns whether one was proposed: it is not where nothing differs,
-    /// this replica is not the leader, another change is under way, or a state is being stored.
+    /// Proposes a change to these voters and learners. Returns false, without a proposal, if the membership is already
+    /// the requested one, `voters` is empty, this replica is not the leader, another change is in progress, or a state
+    /// is being stored.
     ///
     /// # Errors
-    /// [`ConsensusError::MembershipChangeRejected`] if raft-rs rejects it.
+    /// [`ConsensusError::MembershipChangeRejected`] if raft-rs rejects the proposal.
     pub fn propose_membership(
         &mut self,
         voters: &[ReplicaId],
@@ -66,7 +69,7 @@
         Ok(true)
     }
 
-    /// The steps from the present membership to these voters and learners.
+    /// The single changes that lead from the present membership to these voters and learners.
     fn changes_to(&self, voters: &[ReplicaId], learners: &[ReplicaId]) -> Vec<ConfChangeSingle> {
         let present_voters = self.voters();
         let present_learners = self.learners();
@@ -83,7 +86,7 @@
             .collect()
     }
 
-    /// Whether a learner has nearly all committed entries, as far as this leader knows.
+    /// Whether a learner lacks at most a few committed entries (`CAUGHT_UP_LAG`), as far as this leader knows.
     pub fn is_caught_up(&self, replica: ReplicaId) -> bool {
         let raft = &self.raft.raft;
         raft.prs()
@@ -99,8 +102,8 @@
     change
 }
 
-fn sorted_ids(some: &[u64], others: &[u64]) -> Vec<ReplicaId> {
-    let mut ids: Vec<ReplicaId> = some.iter().chain(others).copied().map(ReplicaId).collect();
+fn sorted_ids(first: &[u64], second: &[u64]) -> Vec<ReplicaId> {
+    let mut ids: Vec<ReplicaId> = first.iter().chain(second).copied().map(ReplicaId).collect();
     ids.sort_unstable();
     ids
 }
--- a/consensus/src/replica/promise_check.rs
+++ b/consensus/src/replica/promise_check.rs
@@ -1,9 +1,10 @@
-//! The check at each start that this replica's state is not an older copy, and the exchange of promises that it needs.
+//! The check at each start that this replica's state is not an older copy, and the exchange of promises for that check.
 //!
-//! A replica whose state was put back, from a backup for instance, could vote twice in a term or lose entries that it has
-//! acknowledged. Therefore it asks its peers what it has promised them. It takes part once a majority of the voters, itself
-//! included, has sent nothing that its state does not contain. The leader sends what it knows of all promises to all
-//! voters, so that the answer does not depend on the peers that were promised something.
+//! A replica whose state was rolled back, for instance from a backup, could vote twice in a term or lose entries that
+//! it has acknowledged. Therefore a starting replica queries its peers for the promise that they have received from
+//! it. It takes part once a majority of the voters, itself included, has replied with promises that its state covers.
+//! The leader broadcasts all promises that it knows to all voters, so that the check does not depend on replies from
+//! the very peers that received a promise.
 
 use super::Replica;
 use crate::message::PeerMessage;
@@ -11,7 +12,7 @@
 use crate::{OutdatedState, Participation, ReplicaFault, ReplicaId};
 
 impl Replica {
-    /// Asks the voters that have not confirmed this replica's state, once each heartbeat interval.
+    /// Queries the voters that have not confirmed this replica's state yet, once per heartbeat interval.
     pub(super) fn send_promise_queries(&mut self) {
         let Participation::Proving(confirmed_by) = &self.participation else {
             return;
@@ -27,14 +28,14 @@
         }
     }
 
-    /// Answers a peer that has started.
+    /// Replies to a peer that has started with the promise that is known of it.
     pub(super) fn handle_promise_query(&mut self, from: ReplicaId, promise: Promise) {
         self.peer_promises.join(from, promise);
         let known = self.peer_promises.get(from);
         self.outbox.push((from, PeerMessage::PromiseReply(known)));
     }
 
-    /// A peer says what it has received from this replica.
+    /// Handles a peer's reply: compares the promise that the peer has received from this replica with the state.
     pub(super) fn handle_promise_reply(&mut self, from: ReplicaId, promise: Promise) {
         let Participation::Proving(confirmed_by) = &mut self.participation else {
             return;
@@ -49,7 +50,7 @@
         self.take_part_if_proven();
     }
 
-    /// The leader says what it knows of all promises.
+    /// Records the promises that the leader has broadcast.
     pub(super) fn handle_promise_broadcast(&mut self, promises: Vec<(ReplicaId, Promise)>) {
         for (replica, promise) in promises {
             if replica != self.id() {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Takes part once a majority of the voters, this one included, has confirmed the state.
+    /// Starts to take part if a majority of the voters, this replica included, has confirmed the state.
     pub(super) fn take_part_if_proven(&mut self) {
         let Participation::Proving(confirmed_by) = &self.participation else {
             return;
@@ -68,14 +69,14 @@
             .iter()
             .filter(|replica| voters.contains(replica))
             .count();
-        // A replica that is no voter has promised nothing that counts.
+        // A replica that is not a voter has made no promise that counts.
         let is_voter = voters.contains(&self.id());
         if !is_voter || confirming_voters + 1 > voters.len() / 2 {
             self.participation = Participation::TakesPart;
         }
     }
 
-    /// As the leader, sends all known promises to all other voters, once each broadcast interval.
+    /// If this replica is the leader, sends all known promises to all other voters, once per broadcast interval.
     pub(super) fn broadcast_promises(&mut self) {
         let interval = self.config.promise_broadcast_ticks as u64;
         if !self.is_leader() || !self.ticks.is_multiple_of(interval) {
@@ -92,8 +93,9 @@
             .extend(peers.map(|peer| (peer, PeerMessage::PromiseBroadcast(promises.clone()))));
     }
 
-    /// A leader sends a commit index only up to the last entry that this replica has acknowledged. One beyond the end of
-    /// the log shows that the log has lost entries since.
+    /// Checks the commit index of a heartbeat. A leader sends a commit index only up to the last entry that this
+    /// replica has acknowledged. A commit index beyond the end of the log shows that the log has lost acknowledged
+    /// entries.
     pub(super) fn check_heartbeat_commit(&self, commit: u64) -> Result<(), OutdatedState> {
         let last = self.raft.raft.raft_log.last_index();
         if commit > last {
--- a/consensus/src/replica/ready.rs
+++ b/consensus/src/replica/ready.rs
@@ -1,5 +1,5 @@
-//! What a replica hands to its driver: a state to store, and, once it is durable, messages and committed entries. Also
-//! compaction of the log.
+//! The outputs of a replica to its driver: a state to store and, once that is durable, messages and committed entries.
+//! Also compaction of the log.
 
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChangeV2, Entry, EntryType, Message, MessageType, Snapshot};
@@ -10,23 +10,24 @@
 use crate::persisted_state::{self, protobuf_bytes};
 use crate::{Participation, ReplicaId};
 
-/// A state to store before [`Replica::advance`].
+/// The output of [`Replica::ready`]: a state to store before [`Replica::advance`].
 pub struct Ready {
-    /// The whole state to store in place of the last one, or None if it has not changed.
+    /// The whole state, which replaces the one stored before; or None if the state has not changed.
     pub persisted_state: Option<Vec<u8>>,
 }
 
-/// What depends on the state that was stored.
+/// The output of [`Replica::advance`], which depends on the stored state.
 #[derive(Debug, Default)]
 pub struct Advanced {
-    /// Messages to send: receiver and bytes for its [`Replica::step`]. They may be lost, duplicated and reordered.
+    /// Messages to send, as receiver and bytes for its [`Replica::step`]. They may be lost, duplicated and reordered.
     pub messages: Vec<(ReplicaId, Vec<u8>)>,
-    /// A snapshot from the leader, as index and application state. It replaces all that was applied, before `entries`.
+    /// A snapshot from the leader, as index and application state. It replaces the application's state before
+    /// `entries` are applied.
     pub restored: Option<(u64, Vec<u8>)>,
     /// Committed entries to apply in order, as index and data.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// Confirmed reads ([`Replica::read_index`]), as number and index: this replica was the leader when the read was
-    /// requested, and the read sees all that was committed then once the entry at this index is applied.
+    /// Confirmed reads ([`Replica::read_index`]), as read id and index: this replica was the leader when the read was
+    /// requested, and once the entry at this index is applied, the read sees all entries that were committed then.
     pub confirmed_reads: Vec<(u64, u64)>,
 }
 
@@ -36,16 +37,16 @@
     }
 
     fn push_confirmed_read(&mut self, read: &ReadState) {
-        if let Ok(number) = <[u8; 8]>::try_from(read.request_ctx.as_slice()) {
+        if let Ok(read_id) = <[u8; 8]>::try_from(read.request_ctx.as_slice()) {
             self.confirmed_reads
-                .push((u64::from_le_bytes(number), read.index));
+                .push((u64::from_le_bytes(read_id), read.index));
         }
     }
 }
 
 impl Replica {
-    /// The next state to store, or None if there is nothing to do. Returns None until [`Replica::advance`] is called for
-    /// the last one.
+    /// Returns the next state to store, or None if there is nothing to do. After a state that raft-rs produced,
+    /// returns None until [`Replica::advance`] is called.
     pub fn ready(&mut self) -> Option<Ready> {
         if self.pending_ready.is_some() {
             return None;
@@ -58,16 +59,14 @@
             return None;
         }
         let state_changed = std::mem::take(&mut self.state_changed);
-        let image = state_changed.then(|| {
+        let persisted_state = state_changed.then(|| {
             persisted_state::encode(self.identity, self.raft.store(), &self.peer_promises)
         });
-        Some(Ready {
-            persisted_state: image,
-        })
+        Some(Ready { persisted_state })
     }
 
-    /// Writes what raft-rs wants durable to the log in memory. A commit index alone need not be durable: a replica that
-    /// restarts learns it again from the leader.
+    /// Writes the data that raft-rs requires to be durable to the log in memory. A commit index alone need not be
+    /// durable: after a restart the replica receives it again from the leader.
     fn write_to_log(&mut self, ready: &raft::Ready) {
         let log_storage = self.raft.mut_store();
         if *ready.snapshot() != Snapshot::default() {
@@ -87,7 +86,7 @@
         }
     }
 
-    /// The state of the last [`Replica::ready`] is durable: returns what depends on it.
+    /// Must be called once the state of the last [`Replica::ready`] is durable. Returns the output that depends on it.
     pub fn advance(&mut self) -> Advanced {
         let mut advanced = Advanced::default();
         self.persisted_term = self.raft.store().hard_state.term;
@@ -97,7 +96,7 @@
         let Some(mut ready) = self.pending_ready.take() else {
             return advanced;
         };
-        self.take_snapshot(ready.snapshot(), &mut advanced);
+        self.push_restored_snapshot(ready.snapshot(), &mut advanced);
         let mut messages = ready.take_messages();
         messages.extend(ready.take_persisted_messages());
         let mut entries = ready.take_committed_entries();
@@ -123,7 +122,7 @@
         advanced
     }
 
-    fn take_snapshot(&mut self, snapshot: &Snapshot, advanced: &mut Advanced) {
+    fn push_restored_snapshot(&mut self, snapshot: &Snapshot, advanced: &mut Advanced) {
         if *snapshot == Snapshot::default() {
             return;
         }
@@ -141,10 +140,10 @@
     fn apply_entry(&mut self, entry: Entry, advanced: &mut Advanced) {
         self.applied_index = entry.index;
         match entry.get_entry_type() {
-            // A new leader's first entry is empty and only commits those before it.
+            // A new leader's first entry is empty; its only purpose is to commit the entries before it.
             EntryType::EntryNormal if entry.data.is_empty() => {}
             EntryType::EntryNormal => advanced.entries.push((entry.index, entry.data.to_vec())),
-            // Membership changes are only proposed in the second form.
+            // Membership changes are proposed as `ConfChangeV2` only.
             EntryType::EntryConfChange => {}
             EntryType::EntryConfChangeV2 => self.apply_membership_change(&entry),
         }
@@ -165,15 +164,17 @@
     fn send_raft_message(&mut self, message: &Message, advanced: &mut Advanced) {
         let to = ReplicaId(message.to);
         if message.get_msg_type() == MessageType::MsgSnapshot {
-            // The message may be lost. raft-rs pauses replication until it is told that the snapshot has arrived, so it is
-            // told so at once; it sees from the follower's answers which entries are missing.
+            // raft-rs pauses replication to the follower until the caller reports that the snapshot has arrived. The
+            // message may be lost without a notice, so success is reported at once; raft-rs sees from the follower's
+            // replies which entries are missing.
             self.call_raft(|raft| raft.report_snapshot(to.0, SnapshotStatus::Finish));
         }
         advanced.push_message(to, &PeerMessage::Raft(protobuf_bytes(message)));
     }
 
-    /// Whether [`Replica::compact`] should be called: the log is long, or the membership has changed. After a change the
-    /// snapshot has to contain the new membership, because a new replica cannot start from one that does not name it.
+    /// Whether [`Replica::compact`] should be called: the log has reached its maximum length, or the membership has
+    /// changed. After a change the snapshot has to contain the new membership, because a new replica cannot start from
+    /// a snapshot whose membership does not include it.
     pub fn needs_compaction(&self) -> bool {
         if self.membership_changed {
             return true;
--- a/consensus/src/replica/status.rs
+++ b/consensus/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! The status of a replica, for operators.
+//! The status of a replica that operators see.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,15 +13,15 @@
     pub replica_id: ReplicaId,
     /// The present term.
     pub term: u64,
-    /// Whether it is the leader.
+    /// Whether the replica is the leader.
     #[serde(rename = "leads")]
     pub is_leader: bool,
     /// The leader of the term, if known.
     pub leader: Option<ReplicaId>,
-    /// The index of the last entry of its log.
+    /// The index of the last entry of the replica's log.
     #[serde(rename = "last")]
     pub last_index: u64,
-    /// The index of the last entry that it knows to be committed.
+    /// The index of the last entry that the replica knows to be committed.
     #[serde(rename = "agreed")]
     pub committed_index: u64,
     /// The index of the last entry that was applied.
@@ -31,7 +31,7 @@
     pub voters: Vec<ReplicaId>,
     /// The learners, as [`Replica::learners`] returns them.
     pub learners: Vec<ReplicaId>,
-    /// [`crate::Participation`] as text.
+    /// The text form of [`crate::Participation`].
     #[serde(rename = "standing")]
     pub participation: String,
 }
