--- a/consensus/tests/agreement.rs
+++ b/consensus/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! Replicas agree on the log under crashes, message loss and slow disks.
+//! Tests that replicas agree on the log under crashes, message loss, blocked links and slow disks.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use ternpick_consensus::{ConsensusError, Participation, ReplicaId};
 
-/// Crashes, restarts, lost and duplicated messages and blocked links, all the time.
+/// Runs a world for `steps` ticks under crashes, restarts, lost and duplicated messages, slow disks and blocked links.
 fn world_after_faults(voters: u64, seed: u64, steps: u64) -> World {
     let mut world = World::new(voters, seed);
     world.loss_probability = 0.05;
@@ -18,13 +18,13 @@
         if step % 7 == 0 && world.propose(&proposed.to_le_bytes()) {
             proposed += 1;
         }
-        let pick = ReplicaId(world.rng.generate_range(1..=voters));
+        let target = ReplicaId(world.rng.generate_range(1..=voters));
         match world.rng.generate_range(0..400u32) {
-            0..=1 if world.running().len() > 1 => world.crash(pick),
-            2..=6 if !world.running().contains(&pick) => world.start(pick),
+            0..=1 if world.running().len() > 1 => world.crash(target),
+            2..=6 if !world.running().contains(&target) => world.start(target),
             7 => {
                 let other = ReplicaId(world.rng.generate_range(1..=voters));
-                world.blocked_links.push((pick, other));
+                world.blocked_links.push((target, other));
             }
             8..=9 => world.blocked_links.clear(),
             _ => {}
@@ -39,8 +39,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn no_two_replicas_apply_different_entries_at_one_index(seed in any::<u64>(), five in any::<bool>()) {
-        let voters = if five { 5 } else { 3 };
+    fn no_two_replicas_apply_different_entries_at_one_index(seed in any::<u64>(), has_five_voters in any::<bool>()) {
+        let voters = if has_five_voters { 5 } else { 3 };
         let mut world = world_after_faults(voters, seed, 1500);
         world.loss_probability = 0.0;
         world.slow_disk_probability = 0.0;
@@ -52,12 +52,12 @@
         }
         world.wait_for_leader();
         world.steps(400);
-        // Without faults every replica applies every entry.
+        // Once the faults have ended, every replica applies every entry.
         prop_assert!(world.propose(b"last"));
         world.steps(100);
-        let last = |id: u64| world.nodes[&ReplicaId(id)].applied.last().map(|(_, data)| data.clone());
+        let last_applied = |id: u64| world.nodes[&ReplicaId(id)].applied.last().map(|(_, data)| data.clone());
         for id in 1..=voters {
-            prop_assert_eq!(last(id), Some(b"last".to_vec()), "replica {} of {:?}", id, world.participations());
+            prop_assert_eq!(last_applied(id), Some(b"last".to_vec()), "replica {} of {:?}", id, world.participations());
         }
         prop_assert_eq!(world.check_agreement(), Ok(()));
     }
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_run_with_the_same_seed_applies_the_same_entries() {
-    let run = |seed| {
+    let applied_entries = |seed| {
         let world = world_after_faults(3, seed, 800);
         world
             .nodes
@@ -73,13 +73,13 @@
             .map(|node| node.applied.clone())
             .collect::<Vec<_>>()
     };
-    assert_eq!(run(11), run(11));
+    assert_eq!(applied_entries(11), applied_entries(11));
 }
 
 #[test]
-fn the_agreement_check_detects_voters_that_forget_their_state() {
-    // Each voter that crashes starts from the bootstrap state again, as if it had promised nothing. Nobody contradicts: the
-    // only other running voter has lost its own state too.
+fn the_agreement_check_detects_voters_that_lost_their_state() {
+    // Both followers restart from the bootstrap state, as if they had promised nothing. No promise contradicts that:
+    // the only other running voter has lost its state too, and the former leader is down.
     let detected = (0..40).any(|seed| {
         let run = std::panic::catch_unwind(|| {
             let mut world = World::new(3, seed);
@@ -107,7 +107,7 @@
         });
         !matches!(run, Ok(Ok(())))
     });
-    assert!(detected, "no seed of 40 leads to a disagreement");
+    assert!(detected, "none of 40 seeds led to a disagreement");
 }
 
 #[test]
@@ -115,7 +115,7 @@
     let mut world = World::new(5, 3);
     let leader = world.wait_for_leader();
     world.steps(50);
-    // Its messages arrive, and it receives none.
+    // The leader's messages arrive at the others, and the leader receives none of theirs.
     world.blocked_links = world
         .running()
         .into_iter()
@@ -129,9 +129,10 @@
     assert!(world.leader().is_some_and(|other| other != leader));
 }
 
-/// Of three voters both followers store an entry for four times the shortest election timeout; whether the leader hears from their
-/// processes in another way meanwhile. Returns whether it leads on in the same term.
-fn leads_on_while_its_followers_store(hears_from_them: bool) -> bool {
+/// Runs three voters, of which both followers take four times the shortest election timeout to store an entry. With
+/// `peers_noted_alive`, the leader's process receives other messages from the followers' processes during that time.
+/// Returns whether the leader stays the leader in the same term.
+fn stays_leader_while_followers_store(peers_noted_alive: bool) -> bool {
     let mut world = World::new(3, 3);
     let leader = world.wait_for_leader();
     world.steps(50);
@@ -143,37 +144,38 @@
         .collect();
     world.stuck_disks.clone_from(&followers);
     assert!(world.propose(b"slow"));
-    let mut leads_on = true;
+    let mut stays_leader = true;
     for tick in 0..4 * world.config.election_ticks {
         world.step();
         for follower in followers
             .iter()
-            .filter(|_| hears_from_them && tick % 5 == 0)
+            .filter(|_| peers_noted_alive && tick % 5 == 0)
         {
             world.replica(leader).note_peer_alive(*follower);
         }
-        leads_on &= world.replica(leader).is_leader();
+        stays_leader &= world.replica(leader).is_leader();
     }
     world.stuck_disks.clear();
     world.steps(200);
     let is_applied = |node: &common::Node| node.applied.iter().any(|(_, data)| data == b"slow");
     assert!(world.nodes.values().all(is_applied));
-    leads_on && world.replica(leader).is_leader() && world.replica(leader).term() == term
+    stays_leader && world.replica(leader).is_leader() && world.replica(leader).term() == term
 }
 
-/// Seen in a play of `drawn` (fleet seed 6): "n1 leads no longer" 250 ms after it had sent an entry, while both followers wrote it
-/// for 370 ms; no router had a lease for 1.7 s.
+/// Guards against a leader that steps down only because its followers' disks are slow. In a run of the router's test
+/// program `drawn` (fleet seed 6), the leader logged "n1 no longer leads" 250 ms after it had sent an entry, while
+/// both followers took 370 ms to write it; no router had a lease for 1.7 s.
 #[test]
-fn a_leader_leads_on_while_its_followers_store_if_it_hears_from_them() {
-    assert!(leads_on_while_its_followers_store(true));
+fn a_leader_whose_followers_are_slow_to_store_stays_leader_if_their_processes_are_noted_alive() {
+    assert!(stays_leader_while_followers_store(true));
     assert!(
-        !leads_on_while_its_followers_store(false),
-        "it hears from nobody"
+        !stays_leader_while_followers_store(false),
+        "a leader that receives nothing from its followers stayed the leader"
     );
 }
 
 #[test]
-fn a_leader_that_hears_from_its_peers_confirms_a_read() {
+fn a_leader_that_receives_replies_confirms_a_read() {
     let mut world = World::new(5, 3);
     let leader = world.wait_for_leader();
     world.steps(50);
@@ -183,7 +185,7 @@
 }
 
 #[test]
-fn voters_that_all_restart_at_once_continue_from_the_committed_entries() {
+fn voters_that_all_restart_at_once_keep_the_committed_entries() {
     let mut world = World::new(5, 21);
     world.wait_for_leader();
     for round in 0..10u64 {
@@ -201,7 +203,7 @@
 }
 
 #[test]
-fn overlong_entries_are_rejected_and_random_bytes_change_nothing() {
+fn overlong_entries_are_rejected_and_random_messages_change_nothing() {
     let mut world = World::new(3, 4);
     let leader = world.wait_for_leader();
     let overlong = vec![0; 20_000];
--- a/consensus/tests/common/mod.rs
+++ b/consensus/tests/common/mod.rs
@@ -1,7 +1,8 @@
-//! Replicas in virtual time: a network that delays, reorders, duplicates and loses messages and blocks links in one
-//! direction; crashes that keep, lose or roll back the stored state. All randomness comes from one seed.
+//! A simulation of replicas in virtual time: the network delays, reorders, duplicates and loses messages and blocks
+//! links in one direction; a crashed node restarts from its last stored state, or from an earlier one. All randomness
+//! comes from one seed.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses some of the items")]
 
 use std::collections::BTreeMap;
 
@@ -12,14 +13,14 @@
 
 /// A machine with one replica.
 pub(crate) struct Node {
-    /// None while it is crashed.
+    /// None while the node is crashed.
     pub(crate) replica: Option<Replica>,
-    /// All states that were ever stored; the last one is on disk.
+    /// All states that the node has stored. The last one is on its disk.
     pub(crate) stored_states: Vec<Vec<u8>>,
-    /// All entries that were applied, in order, with their indexes. A snapshot replaces them by its own.
+    /// All applied entries in order, with their indexes. A snapshot from the leader replaces them by its own.
     pub(crate) applied: Vec<(u64, Vec<u8>)>,
     pub(crate) confirmed_reads: Vec<u64>,
-    /// A state is being stored.
+    /// Whether a state is being stored.
     storing: bool,
     state_being_stored: Option<Vec<u8>>,
 }
@@ -51,6 +52,7 @@
     bytes: Vec<u8>,
 }
 
+/// The nodes, the network between them and the virtual clock, which counts ticks.
 pub(crate) struct World {
     pub(crate) nodes: BTreeMap<ReplicaId, Node>,
     pub(crate) rng: WyRand,
@@ -58,7 +60,7 @@
     now: u64,
     pub(crate) loss_probability: f64,
     pub(crate) slow_disk_probability: f64,
-    /// Nodes that are in the middle of storing a state.
+    /// The nodes whose disks complete no write.
     pub(crate) stuck_disks: Vec<ReplicaId>,
     /// Sender and receiver of each blocked link.
     pub(crate) blocked_links: Vec<(ReplicaId, ReplicaId)>,
@@ -117,7 +119,7 @@
         node.replica = None;
     }
 
-    /// Puts the disk of a crashed node back to the first `count` states that it stored.
+    /// Rolls the disk of a crashed node back to the first `count` states that the node stored.
     pub(crate) fn roll_back(&mut self, id: ReplicaId, count: usize) {
         let node = self.nodes.get_mut(&id).expect("a node of this world");
         node.stored_states.truncate(count);
@@ -150,7 +152,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Whether there is a leader that has taken the entry.
+    /// Proposes an entry to the leader. Returns whether there is a leader and it has accepted the entry.
     pub(crate) fn propose(&mut self, data: &[u8]) -> bool {
         let Some(leader) = self.leader() else {
             return false;
@@ -165,7 +167,7 @@
             .expect("a running node")
     }
 
-    /// One tick of time.
+    /// Advances the virtual time by one tick.
     pub(crate) fn step(&mut self) {
         self.now += 1;
         let running = self.running();
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Applies what follows from the stored state; returns the messages.
+    /// Advances the replica after its state is stored, applies the committed entries and returns the messages.
     fn advance(&mut self, id: ReplicaId) -> Vec<(ReplicaId, Vec<u8>)> {
         let node = self.nodes.get_mut(&id).expect("a node of this world");
         let replica = node.replica.as_mut().expect("a running node");
@@ -227,16 +229,16 @@
             node.applied = postcard::from_bytes(&state).expect("decodable");
         }
         node.applied.extend(advanced.entries);
-        let confirmed = advanced.confirmed_reads.iter().map(|(number, _)| *number);
+        let confirmed = advanced.confirmed_reads.iter().map(|(read_id, _)| *read_id);
         node.confirmed_reads.extend(confirmed);
         if replica.needs_compaction() {
             replica.compact(application_state(&node.applied));
         }
         if replica.is_leader() {
             let term = replica.term();
-            let before = self.leader_of_term.insert(term, id);
+            let known_leader = self.leader_of_term.insert(term, id);
             assert!(
-                before.is_none_or(|before| before == id),
+                known_leader.is_none_or(|known_leader| known_leader == id),
                 "two leaders in term {term}"
             );
         }
@@ -287,14 +289,17 @@
             .collect()
     }
 
-    /// No two nodes have applied different entries at the same index: the state machine safety of Raft, section 5.4.
+    /// Checks that no two nodes have applied different entries at the same index (state machine safety; Raft, section
+    /// 5.4).
     pub(crate) fn check_agreement(&self) -> Result<(), String> {
         let mut first_applied: BTreeMap<u64, (ReplicaId, &[u8])> = BTreeMap::new();
         for (id, node) in &self.nodes {
             for (index, entry) in &node.applied {
-                let (first, known) = *first_applied.entry(*index).or_insert((*id, entry));
-                if known != entry.as_slice() {
-                    return Err(format!("replicas {first} and {id} differ at {index}"));
+                let (first, first_entry) = *first_applied.entry(*index).or_insert((*id, entry));
+                if first_entry != entry.as_slice() {
+                    return Err(format!(
+                        "replicas {first} and {id} have applied different entries at index {index}"
+                    ));
                 }
             }
         }
--- a/consensus/tests/membership.rs
+++ b/consensus/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of voters and learners.
+//! Tests of changes of voters and learners.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use ternpick_consensus::{Replica, ReplicaId};
 
 #[test]
-fn a_replacement_learns_before_it_votes() {
+fn a_replacement_replica_becomes_a_voter_after_it_has_caught_up_as_a_learner() {
     let mut world = World::new(3, 9);
     let leader = world.wait_for_leader();
     for round in 0..60u64 {
@@ -38,15 +38,15 @@
     world.steps(50);
     assert_eq!(world.replica(leader).voters(), voters);
 
-    // With another voter down, a majority needs the vote of the new one.
+    // With another voter down, a majority needs the new voter.
     let other = world.running_except(&[leader, new]);
     world.crash(other);
-    assert!(world.propose(b"by the new one"));
+    assert!(world.propose(b"with the new voter"));
     world.steps(100);
     let applied = &world.nodes[&leader].applied;
     assert_eq!(
         applied.last().map(|(_, data)| data.as_slice()),
-        Some(&b"by the new one"[..])
+        Some(&b"with the new voter"[..])
     );
     assert_eq!(world.check_agreement(), Ok(()));
 }
@@ -60,6 +60,6 @@
     let proposed = world.replica(leader).propose_membership(voters, learners);
     assert!(
         matches!(proposed, Ok(true)),
-        "the leader proposes the change: {proposed:?}"
+        "the leader did not propose the membership change: {proposed:?}"
     );
 }
--- a/consensus/tests/release_bytes.rs
+++ b/consensus/tests/release_bytes.rs
@@ -1,7 +1,8 @@
-//! Voters of two releases speak to each other, and a seat goes on from the image that an earlier release kept. A small
-//! fleet is played without chance of its own: founding, election, entries, a seat that learns, a state in the place of its
-//! log, a change of who leads, and a seat that is opened again. Every image and every word between seats is compared with
-//! what the released code gave out, so that the private forms of both are guarded through the public surface alone.
+//! Tests that persisted states and messages between replicas have the bytes of the released program, so that voters of
+//! two releases understand each other, and a replica opens the state that an earlier release stored. A small fleet
+//! runs deterministically: bootstrap, election, entries, a learner, a snapshot, a leadership transfer and a restart.
+//! The test compares each persisted state and each message with the recorded bytes. It uses the public interface only,
+//! although the encoded types are private.
 
 #[path = "../../tests/common/recorded.rs"]
 mod recorded;
@@ -12,7 +13,7 @@
 use ternpick_consensus::{FleetId, Participation, RaftConfig, Replica, ReplicaId};
 
 const FLEET: FleetId = FleetId(0x0102_0304_0506_0708);
-const TERMS: RaftConfig = RaftConfig {
+const CONFIG: RaftConfig = RaftConfig {
     election_ticks: 6,
     heartbeat_ticks: 2,
     promise_broadcast_ticks: 4,
@@ -21,144 +22,165 @@
     max_message_bytes: 8192,
 };
 
-/// Seats whose disks and network are exact: what is to be kept is kept at once, what is said arrives in order.
-struct Voters<'a> {
+/// A fleet whose disks store each state at once and whose network delivers all messages in order.
+struct TestFleet<'a> {
     recorded: Recorded<'a>,
-    seats: BTreeMap<ReplicaId, Replica>,
-    images: BTreeMap<ReplicaId, Vec<u8>>,
-    played: BTreeMap<ReplicaId, Vec<Vec<u8>>>,
-    kept: usize,
-    said: usize,
+    replicas: BTreeMap<ReplicaId, Replica>,
+    /// The last stored state of each replica.
+    stored_states: BTreeMap<ReplicaId, Vec<u8>>,
+    /// The data of the snapshots and entries that each replica has applied, in order.
+    applied: BTreeMap<ReplicaId, Vec<Vec<u8>>>,
+    /// How many states were stored so far.
+    stored_count: usize,
+    /// How many messages were sent so far.
+    message_count: usize,
 }
 
-impl Voters<'_> {
-    fn opens(&mut self, no: u64) {
-        let (no, seed) = (ReplicaId(no), no * 17);
-        let seat =
-            Replica::open(&self.images[&no], FLEET, TERMS, seed).expect("an image of this fleet");
-        self.seats.insert(no, seat);
+impl TestFleet<'_> {
+    /// Starts a replica from its last stored state.
+    fn open(&mut self, id: ReplicaId) {
+        let seed = id.0 * 17;
+        let replica = Replica::open(&self.stored_states[&id], FLEET, CONFIG, seed)
+            .expect("a state of this fleet");
+        self.replicas.insert(id, replica);
     }
 
-    /// Passes on all that seats have to say, until nobody has anything left.
-    fn settle(&mut self) {
-        let mut words = VecDeque::new();
+    /// Stores all states and delivers all messages, until no replica has any left.
+    fn run_until_idle(&mut self) {
+        let mut messages = VecDeque::new();
         loop {
-            for (no, seat) in &mut self.seats {
-                while let Some(work) = seat.ready() {
-                    if let Some(image) = work.persisted_state {
-                        self.kept += 1;
+            for (id, replica) in &mut self.replicas {
+                while let Some(ready) = replica.ready() {
+                    if let Some(state) = ready.persisted_state {
+                        self.stored_count += 1;
                         self.recorded
-                            .bytes(&format!("image-{}-of-seat-{no}", self.kept), &image);
-                        self.images.insert(*no, image);
+                            .bytes(&format!("image-{}-of-seat-{id}", self.stored_count), &state);
+                        self.stored_states.insert(*id, state);
                     }
-                    let done = seat.advance();
-                    words.extend(done.messages.into_iter().map(|(to, word)| (*no, to, word)));
-                    let played = self.played.entry(*no).or_default();
-                    played.extend(done.restored.map(|(_, state)| state));
-                    played.extend(done.entries.into_iter().map(|(_, entry)| entry));
+                    let advanced = replica.advance();
+                    messages.extend(
+                        advanced
+                            .messages
+                            .into_iter()
+                            .map(|(to, bytes)| (*id, to, bytes)),
+                    );
+                    let applied = self.applied.entry(*id).or_default();
+                    applied.extend(advanced.restored.map(|(_, state)| state));
+                    applied.extend(advanced.entries.into_iter().map(|(_, entry)| entry));
                 }
             }
-            let Some((from, to, word)) = words.pop_front() else {
+            let Some((from, to, bytes)) = messages.pop_front() else {
                 return;
             };
-            self.said += 1;
-            self.recorded
-                .bytes(&format!("word-{}-from-{from}-to-{to}", self.said), &word);
-            if let Some(seat) = self.seats.get_mut(&to) {
-                seat.step(from, &word);
+            self.message_count += 1;
+            self.recorded.bytes(
+                &format!("word-{}-from-{from}-to-{to}", self.message_count),
+                &bytes,
+            );
+            if let Some(replica) = self.replicas.get_mut(&to) {
+                replica.step(from, &bytes);
             }
         }
     }
 
     fn ticks(&mut self, count: usize) {
         for _ in 0..count {
-            self.seats.values_mut().for_each(Replica::tick);
-            self.settle();
+            self.replicas.values_mut().for_each(Replica::tick);
+            self.run_until_idle();
         }
     }
 
+    /// The leader, after at most 40 ticks.
     fn leader(&mut self) -> &mut Replica {
         for _ in 0..40 {
-            if self.seats.values().any(Replica::is_confirmed_leader) {
+            if self.replicas.values().any(Replica::is_confirmed_leader) {
                 break;
             }
             self.ticks(1);
         }
-        self.seats
+        self.replicas
             .values_mut()
-            .find(|seat| seat.is_confirmed_leader())
-            .expect("one that leads")
+            .find(|replica| replica.is_confirmed_leader())
+            .expect("a leader")
     }
 }
 
 #[test]
 #[allow(
     clippy::too_many_lines,
-    reason = "one value for each recorded form, in one list"
+    reason = "one sequence of events, whose steps depend on each other"
 )]
-fn every_image_and_every_word_between_seats_has_the_bytes_of_the_release() {
+fn persisted_states_and_messages_have_the_bytes_of_the_release() {
     let voters = [ReplicaId(1), ReplicaId(2), ReplicaId(3)];
-    let founded = voters.map(|no| {
+    let bootstrap_states = voters.map(|id| {
         (
-            no,
-            Replica::bootstrap(FLEET, no, &voters, b"founding state".to_vec()),
+            id,
+            Replica::bootstrap(FLEET, id, &voters, b"founding state".to_vec()),
         )
     });
-    let mut fleet = Voters {
+    let mut fleet = TestFleet {
         recorded: Recorded::parse(include_str!("release_bytes.txt")),
-        seats: BTreeMap::new(),
-        images: BTreeMap::from(founded),
-        played: BTreeMap::new(),
-        kept: 0,
-        said: 0,
+        replicas: BTreeMap::new(),
+        stored_states: BTreeMap::from(bootstrap_states),
+        applied: BTreeMap::new(),
+        stored_count: 0,
+        message_count: 0,
     };
-    for (no, image) in fleet.images.clone() {
+    for (id, state) in fleet.stored_states.clone() {
         fleet
             .recorded
-            .bytes(&format!("founding-of-seat-{no}"), &image);
-        fleet.opens(no.0);
+            .bytes(&format!("founding-of-seat-{id}"), &state);
+        fleet.open(id);
     }
     let leader = fleet.leader();
-    leader.propose(b"first entry".to_vec()).expect("it leads");
+    leader
+        .propose(b"first entry".to_vec())
+        .expect("the leader accepts the entry");
     fleet.ticks(1);
 
-    // A new seat learns; the state goes in the place of the log, and it is sent that.
-    let fresh = Replica::join(FLEET, ReplicaId(4), TERMS, 68).expect("a seat");
-    fleet.seats.insert(ReplicaId(4), fresh);
+    // A replica joins as a learner. The leader compacts its log and sends the learner the snapshot.
+    let learner = Replica::join(FLEET, ReplicaId(4), CONFIG, 68).expect("a valid id");
+    fleet.replicas.insert(ReplicaId(4), learner);
     let proposed = fleet.leader().propose_membership(&voters, &[ReplicaId(4)]);
     assert!(matches!(proposed, Ok(true)), "{proposed:?}");
-    fleet.settle();
+    fleet.run_until_idle();
     assert!(fleet.leader().needs_compaction());
     fleet.leader().compact(b"later state".to_vec());
     fleet.ticks(4);
     fleet
         .leader()
         .propose(b"second entry".to_vec())
-        .expect("it leads");
+        .expect("the leader accepts the entry");
     fleet.ticks(2);
-    let learnt = [b"later state".to_vec(), b"second entry".to_vec()];
-    assert_eq!(fleet.played[&ReplicaId(4)], learnt);
+    let expected = [b"later state".to_vec(), b"second entry".to_vec()];
+    assert_eq!(fleet.applied[&ReplicaId(4)], expected);
 
-    // Another leads, and a seat that was ended asks what it has promised.
-    let old = fleet.leader().id();
-    let next = voters.into_iter().find(|no| *no != old).expect("another");
-    fleet.leader().transfer_leadership(next);
+    // Leadership is transferred. The earlier leader restarts and queries its peers for its promise.
+    let old_leader = fleet.leader().id();
+    let new_leader = voters
+        .into_iter()
+        .find(|id| *id != old_leader)
+        .expect("another voter");
+    fleet.leader().transfer_leadership(new_leader);
     fleet.ticks(2);
-    assert_eq!(fleet.leader().id(), next);
-    fleet.opens(old.0);
+    assert_eq!(fleet.leader().id(), new_leader);
+    fleet.open(old_leader);
     assert!(matches!(
-        fleet.seats[&old].participation(),
+        fleet.replicas[&old_leader].participation(),
         Participation::Proving(_)
     ));
     fleet.ticks(3);
-    assert_eq!(fleet.seats[&old].participation(), &Participation::TakesPart);
+    assert_eq!(
+        fleet.replicas[&old_leader].participation(),
+        &Participation::TakesPart
+    );
     fleet
         .leader()
         .propose(b"third entry".to_vec())
-        .expect("it leads");
+        .expect("the leader accepts the entry");
     fleet.ticks(2);
     assert_eq!(
-        fleet.played[&ReplicaId(4)].last(),
+        fleet.applied[&ReplicaId(4)].last(),
         Some(&b"third entry".to_vec())
     );
     fleet.recorded.finish();
