--- a/fleet_policy/tests/encoding.rs
+++ b/fleet_policy/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! Stored state and messages between routers keep their bytes: `postcard` encodes by position, JSON by name. A router of
-//! one release reads what one of another release has written.
+//! Tests that the encodings of stored state and of messages between routers do not change, so that a router of one
+//! release reads the data of another. `postcard` encodes fields and variants by position, JSON by name.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -13,11 +13,11 @@
     ProposalVerdict, Record, ReplicaId, Round, Seq, Verdict, Version, View,
 };
 
-/// Written by the release that first stored these types.
+/// The encodings of the release that first stored these types.
 const EXPECTED: &str = include_str!("encoding.txt");
 
-/// Longer encodings are compared by length and hash.
-const MOST_BYTES_SHOWN: usize = 160;
+/// Encodings that are longer than this are compared by length and hash.
+const MAX_BYTES_IN_FULL: usize = 160;
 
 fn fnv1a(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
@@ -25,23 +25,24 @@
     })
 }
 
+/// Lines in the form of `encoding.txt`: a name and the encoded value.
 #[derive(Default)]
 struct Lines(String);
 
 impl Lines {
     fn postcard(&mut self, name: &str, value: &impl Serialize) {
-        let bytes = postcard::to_stdvec(value).expect("it encodes");
-        let text: String = if bytes.len() <= MOST_BYTES_SHOWN {
+        let bytes = postcard::to_stdvec(value).expect("encodable");
+        let text: String = if bytes.len() <= MAX_BYTES_IN_FULL {
             bytes.iter().map(|byte| format!("{byte:02x}")).collect()
         } else {
             format!("{} bytes, FNV-1a {:016x}", bytes.len(), fnv1a(&bytes))
         };
-        writeln!(self.0, "{name} {text}").expect("a string takes all");
+        writeln!(self.0, "{name} {text}").expect("writing to a string succeeds");
     }
 
     fn json(&mut self, name: &str, value: &impl Serialize) {
-        let text = serde_json::to_string(value).expect("it encodes");
-        writeln!(self.0, "{name} {text}").expect("a string takes all");
+        let text = serde_json::to_string(value).expect("encodable");
+        writeln!(self.0, "{name} {text}").expect("writing to a string succeeds");
     }
 }
 
@@ -172,7 +173,8 @@
     ]
 }
 
-/// Each is refused, and its outcome is remembered in words; but for those that lead up to a refusal.
+/// Entries that the policy state refuses, each with a text that the state retains as the outcome; and some accepted
+/// entries that the later refusals require.
 fn refused_entries() -> Vec<Entry> {
     let too_long = Entry::Propose {
         op: OperationId(24),
@@ -324,7 +326,7 @@
     ]
 }
 
-fn encoded() -> String {
+fn encoded_lines() -> String {
     let mut lines = Lines::default();
     let mut state = PolicyState::bootstrap(BTreeMap::from([
         ("a".into(), info("127.0.0.1:1", Some(1), false)),
@@ -333,21 +335,21 @@
     ]));
     lines.postcard("bootstrap", &state);
     let entries = accepted_entries().into_iter().chain(refused_entries());
-    for (at, entry) in entries.enumerate() {
-        lines.postcard(&format!("entry-{at}"), &entry);
-        state.apply(Index(at as u64 + 2), entry);
-        lines.postcard(&format!("state-{at}"), &state);
+    for (position, entry) in entries.enumerate() {
+        lines.postcard(&format!("entry-{position}"), &entry);
+        state.apply(Index(position as u64 + 2), entry);
+        lines.postcard(&format!("state-{position}"), &state);
     }
     for (name, message) in messages(&state) {
         lines.postcard(name, &message);
     }
-    for (at, command) in commands().into_iter().enumerate() {
-        lines.json(&format!("command-{at}"), &command);
+    for (position, command) in commands().into_iter().enumerate() {
+        lines.json(&format!("command-{position}"), &command);
         let op = OperationId(41);
         let entry = command.clone().entry(op, true);
-        lines.postcard(&format!("command-entry-{at}"), &entry);
+        lines.postcard(&format!("command-entry-{position}"), &entry);
         lines.postcard(
-            &format!("command-{at}"),
+            &format!("command-{position}"),
             &PeerMessage::Command { op, command },
         );
     }
@@ -379,7 +381,7 @@
     lines.json("lease-config", &LeaseConfig::default());
     let text = "author: \"ann\"\nreason: \"r\"\nindexes: half: {least: 0.75, partly_at: 90ms, calls: 2, copies: false}\n\
                 drained: [\"s-1\"]\ncustomers: north: per_second: 3\nfurther: {spare: 1, share: 0.05}\n";
-    let record = Record::read("p.cue", text).expect("it reads");
+    let record = Record::read("p.cue", text).expect("a valid policy document");
     lines.json("record", &record);
     lines.json("record-lines", &record.settings_by_path());
     lines.0
@@ -387,9 +389,9 @@
 
 #[test]
 fn stored_state_and_messages_keep_their_bytes() {
-    let got = encoded();
-    for (got, expected) in got.lines().zip(EXPECTED.lines()) {
-        assert_eq!(got, expected);
+    let actual = encoded_lines();
+    for (actual, expected) in actual.lines().zip(EXPECTED.lines()) {
+        assert_eq!(actual, expected);
     }
-    assert_eq!(got.lines().count(), EXPECTED.lines().count());
+    assert_eq!(actual.lines().count(), EXPECTED.lines().count());
 }
--- a/fleet_policy/tests/far_behind.rs
+++ b/fleet_policy/tests/far_behind.rs
@@ -1,4 +1,4 @@
-//! A router that was away for ten thousand entries learns all it needs from one reply of bounded size.
+//! Tests that a router which lacks ten thousand entries catches up by one lease reply of bounded size.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// The entries of one change, from its proposal until it is in force.
-fn change(number: u64) -> [Entry; 4] {
+/// The entries of one proposal, from `Propose` until it is in force.
+fn proposal_entries(number: u64) -> [Entry; 4] {
     let (op, number, round) = (OperationId(number), Version(number), Round(1));
     [
         Entry::Propose {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn ten_thousand_entries_behind_is_one_reply_away() {
+fn a_lease_holder_that_lacks_ten_thousand_entries_catches_up_by_one_reply_of_bounded_size() {
     let mut state = bootstrap();
     let mut holder = LeaseHolder::new(
         LeaseConfig::default(),
@@ -64,26 +64,26 @@
     );
     holder.handle_reply(Micros(1), reply(&state));
     let mut index = 1;
-    let mut changes = 0;
+    let mut version = 0;
     while index < 10_000 {
-        changes += 1;
-        for entry in change(changes) {
+        version += 1;
+        for entry in proposal_entries(version) {
             index += 1;
             state.apply(Index(index), entry);
         }
     }
-    let view = postcard::to_stdvec(&View::of(&state)).expect("bytes");
-    let whole = postcard::to_stdvec(&state).expect("bytes");
+    let view = postcard::to_stdvec(&View::of(&state)).expect("encodable");
+    let policy_state = postcard::to_stdvec(&state).expect("encodable");
     assert!(
-        view.len() < 4096 && whole.len() < 16 * 1024,
-        "{} and {} bytes",
+        view.len() < 4096 && policy_state.len() < 16 * 1024,
+        "the view has {} bytes, the policy state {} bytes",
         view.len(),
-        whole.len()
+        policy_state.len()
     );
     assert_eq!(holder.version(), Some(Version(0)));
     holder.handle_reply(Micros(2), reply(&state));
     assert_eq!(holder.version(), Some(Version(2500)));
-    // An older view changes nothing: a version never goes back.
+    // An older view has no effect: the version never decreases.
     holder.handle_reply(Micros(3), reply(&PolicyState::bootstrap(BTreeMap::new())));
     assert_eq!(holder.version(), Some(Version(2500)));
 }
--- a/fleet_policy/tests/release_bytes.rs
+++ b/fleet_policy/tests/release_bytes.rs
@@ -1,6 +1,6 @@
-//! Routers of two releases share one log and speak to each other, and a router reads what an earlier release kept: each
-//! form in which the policy goes into the log, into snapshots, to other routers and over the control socket stays as
-//! released programs write and read it.
+//! Tests that log entries, snapshots, messages between routers, commands on the control socket and policy documents
+//! keep the encodings of the released program. Routers of two releases share one log and exchange messages, and a
+//! router reads the state that an earlier release stored.
 
 #[path = "../../tests/common/recorded.rs"]
 mod recorded;
@@ -18,18 +18,18 @@
 };
 
 fn postcard<T: Serialize + DeserializeOwned>(recorded: &mut Recorded, name: &str, value: &T) {
-    let encode = |value: &T| postcard::to_stdvec(value).expect("bytes");
+    let encode = |value: &T| postcard::to_stdvec(value).expect("encodable");
     recorded.value(name, value, encode, |bytes| {
         postcard::from_bytes(bytes).ok()
     });
 }
 
 fn json<T: Serialize + DeserializeOwned>(recorded: &mut Recorded, name: &str, value: &T) {
-    let encode = |value: &T| serde_json::to_string(value).expect("text");
+    let encode = |value: &T| serde_json::to_string(value).expect("encodable");
     recorded.json(name, value, encode, |text| serde_json::from_str(text).ok());
 }
 
-fn paper(number: u64) -> PolicyDocument {
+fn document(number: u64) -> PolicyDocument {
     PolicyDocument {
         number: Version(number),
         text: format!("text {number}"),
@@ -38,20 +38,20 @@
     }
 }
 
-fn seated(seat: Option<u64>, learns: bool) -> MemberInfo {
+fn member_info(replica: Option<u64>, is_learner: bool) -> MemberInfo {
     MemberInfo {
         address: "127.0.0.1:9301".into(),
         zone: "south".into(),
-        replica: seat.map(ReplicaId),
-        is_learner: learns,
+        replica: replica.map(ReplicaId),
+        is_learner,
     }
 }
 
 fn members() -> BTreeMap<Member, MemberInfo> {
     BTreeMap::from([
-        ("n0".into(), seated(Some(301), false)),
-        ("n1".into(), seated(Some(302), true)),
-        ("n2".into(), seated(None, false)),
+        ("n0".into(), member_info(Some(301), false)),
+        ("n1".into(), member_info(Some(302), true)),
+        ("n2".into(), member_info(None, false)),
     ])
 }
 
@@ -73,7 +73,7 @@
             Entry::Propose {
                 op,
                 base: Some(Version(400)),
-                document: paper(403),
+                document: document(403),
                 confirm: true,
             },
         ),
@@ -82,7 +82,7 @@
             Entry::Propose {
                 op,
                 base: None,
-                document: paper(404),
+                document: document(404),
                 confirm: false,
             },
         ),
@@ -171,39 +171,40 @@
     ]
 }
 
-/// A register in which nothing is empty. What became of commands is its own: entries make it.
+/// A policy state in which no field is empty. The outcomes of commands are private, so entries are applied to create
+/// them.
 #[allow(
     clippy::too_many_lines,
     reason = "one value for each recorded form, in one list"
 )]
-fn register() -> PolicyState {
-    let mut register = PolicyState::bootstrap(members());
-    for (at, (_, outcome)) in outcomes().into_iter().enumerate() {
+fn policy_state() -> PolicyState {
+    let mut state = PolicyState::bootstrap(members());
+    for (position, (_, outcome)) in outcomes().into_iter().enumerate() {
         if let Outcome::Numbered(number) = outcome {
-            register.extension_applied(
+            state.extension_applied(
                 Index(2),
-                Some(OperationId(600 + at as u64)),
+                Some(OperationId(600 + position as u64)),
                 Ok(number),
                 vec![1],
             );
         }
     }
-    register.extension_applied(
+    state.extension_applied(
         Index(3),
         Some(OperationId(611)),
         Err("no such request".into()),
         vec![2],
     );
-    register.apply(
+    state.apply(
         Index(4),
         Entry::Propose {
             op: OperationId(612),
             base: None,
-            document: paper(9),
+            document: document(9),
             confirm: true,
         },
     );
-    register.apply(
+    state.apply(
         Index(5),
         Entry::Confirm {
             op: OperationId(613),
@@ -211,55 +212,48 @@
             by: "bob".into(),
         },
     );
-    register.apply(
+    state.apply(
         Index(6),
         Entry::AssignReplica {
             op: OperationId(614),
             member: "n2".into(),
         },
     );
-    let fates = [
+    let statuses = [
         ProposalStatus::Open,
         ProposalStatus::InForce,
         ProposalStatus::Refused("n1".into(), "calls is 9".into()),
         ProposalStatus::Withdrawn("ann".into(), "too early".into()),
     ];
-    let history = fates
+    let history = statuses
         .into_iter()
         .enumerate()
-        .map(|(at, fate)| HistoryEntry {
-            number: Version(620 + at as u64),
+        .map(|(position, status)| HistoryEntry {
+            number: Version(620 + position as u64),
             author: "ann".into(),
             reason: "a trial".into(),
-            status: fate,
-            changed_at: Index(630 + at as u64),
+            status,
+            changed_at: Index(630 + position as u64),
         });
-    register.history = history.collect::<VecDeque<HistoryEntry>>();
-    (register.index, register.changed_at, register.members_at) =
-        (Index(641), Index(642), Index(643));
-    (
-        register.epoch,
-        register.newest_version,
-        register.last_replica_id,
-    ) = (Epoch(644), Version(645), ReplicaId(646));
-    (
-        register.machines_out,
-        register.machines_out_at,
-        register.extension,
-    ) = (vec![47, 48], Index(649), vec![50, 51, 52]);
-    register.in_force = paper(653);
-    register.proposal = Some(PendingProposal {
-        document: paper(654),
+    state.history = history.collect::<VecDeque<HistoryEntry>>();
+    (state.index, state.changed_at, state.members_at) = (Index(641), Index(642), Index(643));
+    (state.epoch, state.newest_version, state.last_replica_id) =
+        (Epoch(644), Version(645), ReplicaId(646));
+    (state.machines_out, state.machines_out_at, state.extension) =
+        (vec![47, 48], Index(649), vec![50, 51, 52]);
+    state.in_force = document(653);
+    state.proposal = Some(PendingProposal {
+        document: document(654),
         accepted_by: BTreeSet::from(["n0".into()]),
         unconfirmed: true,
         round: Round(655),
         barrier: Some(BTreeSet::from(["n1".into(), "n2".into()])),
     });
-    register.departed_members = BTreeSet::from(["n8".into(), "n9".into()]);
-    register
+    state.departed_members = BTreeSet::from(["n8".into(), "n9".into()]);
+    state
 }
 
-fn renew() -> LeaseRequest {
+fn lease_request() -> LeaseRequest {
     LeaseRequest {
         member: "n1".into(),
         incarnation: Incarnation(701),
@@ -286,13 +280,13 @@
     }
 }
 
-fn told() -> LeaseReply {
+fn lease_reply() -> LeaseReply {
     let view = View {
         index: Index(721),
         epoch: Epoch(722),
-        in_force: paper(723),
+        in_force: document(723),
         proposal: Some(ProposalView {
-            document: paper(724),
+            document: document(724),
             unconfirmed: true,
             round: Round(725),
             barrier: false,
@@ -366,7 +360,7 @@
 }
 
 #[test]
-fn every_entry_of_the_log_has_the_bytes_of_the_release() {
+fn log_entries_have_the_bytes_of_the_release() {
     let mut recorded = Recorded::parse(include_str!("release_bytes/entries.txt"));
     for (name, entry) in &entries() {
         postcard(&mut recorded, name, entry);
@@ -375,9 +369,9 @@
 }
 
 #[test]
-fn the_register_of_a_snapshot_has_the_bytes_of_the_release() {
+fn the_policy_state_in_a_snapshot_has_the_bytes_of_the_release() {
     let mut recorded = Recorded::parse(include_str!("release_bytes/register.txt"));
-    postcard(&mut recorded, "register", &register());
+    postcard(&mut recorded, "register", &policy_state());
     postcard(
         &mut recorded,
         "register-of-a-new-fleet",
@@ -391,9 +385,9 @@
     clippy::too_many_lines,
     reason = "one value for each recorded form, in one list"
 )]
-fn everything_that_routers_say_to_each_other_has_the_bytes_of_the_release() {
+fn messages_between_routers_have_the_bytes_of_the_release() {
     let op = OperationId(0x0fed_cba9_8765_4321);
-    let mut said = vec![
+    let mut messages = vec![
         (
             "seat".to_owned(),
             PeerMessage::Raft {
@@ -402,8 +396,11 @@
                 message: vec![3, 4],
             },
         ),
-        ("renew".to_owned(), PeerMessage::LeaseRequest(renew())),
-        ("told".to_owned(), PeerMessage::LeaseReply(told())),
+        (
+            "renew".to_owned(),
+            PeerMessage::LeaseRequest(lease_request()),
+        ),
+        ("told".to_owned(), PeerMessage::LeaseReply(lease_reply())),
         (
             "told-nothing".to_owned(),
             PeerMessage::LeaseReply(LeaseReply::default()),
@@ -437,26 +434,26 @@
             },
         ),
     ];
-    said.extend(
+    messages.extend(
         commands()
             .into_iter()
             .map(|(name, command)| (format!("do-{name}"), PeerMessage::Command { op, command })),
     );
-    said.extend(outcomes().into_iter().map(|(name, outcome)| {
+    messages.extend(outcomes().into_iter().map(|(name, outcome)| {
         (
             format!("did-{name}"),
             PeerMessage::CommandOutcome { op, outcome },
         )
     }));
     let mut recorded = Recorded::parse(include_str!("release_bytes/said.txt"));
-    for (name, said) in &said {
-        postcard(&mut recorded, name, said);
+    for (name, message) in &messages {
+        postcard(&mut recorded, name, message);
     }
     recorded.finish();
 }
 
 #[test]
-fn every_command_has_its_words_of_the_release_on_the_control_socket() {
+fn commands_have_the_json_of_the_release_on_the_control_socket() {
     let mut recorded = Recorded::parse(include_str!("release_bytes/commands.txt"));
     for (name, command) in &commands() {
         json(&mut recorded, name, command);
@@ -464,15 +461,16 @@
     recorded.finish();
 }
 
-/// A policy's text stays in force over an upgrade: its keys mean what they meant.
+/// Guards against a policy document that has another meaning after an upgrade, because a key was renamed or
+/// reinterpreted.
 #[test]
-fn a_policy_of_the_release_is_read_with_every_key_as_before() {
+fn a_policy_document_of_the_release_has_the_same_settings() {
     let text = include_str!("release_bytes/policy.cue");
-    let record = Record::read("policy.cue", text).expect("it is read");
+    let record = Record::read("policy.cue", text).expect("a valid policy document");
     let mut recorded = Recorded::parse(include_str!("release_bytes/record.txt"));
     json(&mut recorded, "record", &record);
-    for (path, figure) in &record.settings_by_path() {
-        recorded.bytes(path, figure.as_bytes());
+    for (path, value) in &record.settings_by_path() {
+        recorded.bytes(path, value.as_bytes());
     }
     recorded.finish();
 }
