--- a/platform_config/src/platform.rs
+++ b/platform_config/src/platform.rs
@@ -10,7 +10,7 @@
 use crate::json::{flag, list, micros, number};
 
 /// Reads the configuration. What is absent has a default; what is wrong is named with its value.
-pub fn tariff(settings: &Value) -> Result<PlatformConfig, PlatformConfigError> {
+pub fn platform_config(settings: &Value) -> Result<PlatformConfig, PlatformConfigError> {
     if !settings.is_object() {
         return Err(PlatformConfigError::NotAnObject);
     }
@@ -96,7 +96,7 @@
 fn load_reporting(report: &Value) -> LoadReporting {
     match report["via"].as_str() {
         Some("inline") => LoadReporting::InAnswers,
-        Some("on_probe") => LoadReporting::OnProbe,
+        Some("on_probe") => LoadReporting::InHealthChecks,
         _ => LoadReporting::Off,
     }
 }
--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -12,7 +12,7 @@
 use event_listener::Event;
 use futures_lite::future;
 use ternpick::routing::RoutingEngine;
-use ternpick::shutdown::Shutdown;
+use ternpick::shutdown::ShutdownSchedule;
 use ternpick::types::Micros;
 use ternpick_platform_config::Bounds;
 
@@ -112,7 +112,7 @@
     pub(crate) fn before_shutdown(
         &self,
         deadline: Option<Micros>,
-        shutdown_deadline: impl Fn(Shutdown) -> Micros,
+        shutdown_deadline: impl Fn(ShutdownSchedule) -> Micros,
     ) -> Option<Micros> {
         deadline
             .into_iter()
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -140,7 +140,8 @@
     let token = auth_filter::bearer_token(request)?;
     let idempotent = index.is_none_or(|index| {
         let decisions = router.decisions.borrow();
-        decisions.engine.config.indexes[index.at()].retry_semantics == RetrySemantics::Idempotent
+        decisions.engine.config.indexes[index.as_usize()].retry_semantics
+            == RetrySemantics::Idempotent
     });
     let statement = fields
         .and_then(|fields| query::statement(fields).ok())
@@ -198,7 +199,8 @@
 ) -> AdmissionOutcome {
     let reply = Rc::new(PendingResponse::default());
     let mut decisions = router.decisions.borrow_mut();
-    let latency_objective = decisions.engine.config.indexes[checked.index.at()].latency_objective;
+    let latency_objective =
+        decisions.engine.config.indexes[checked.index.as_usize()].latency_objective;
     let admitted_as = AdmittedAs {
         tenant,
         at: now,
--- a/router/src/stages/attempt_deadline.rs
+++ b/router/src/stages/attempt_deadline.rs
@@ -1,6 +1,6 @@
 //! Handles attempts whose time to be sent or to be answered is over. Called by the turns in `dispatch.rs`.
 
-use ternpick::io_errors::Owner;
+use ternpick::io_errors::FailureOwner;
 use ternpick::types::AttemptOutcome;
 
 use crate::stages::completion::{CancelFrame, EffectQueue};
@@ -59,7 +59,7 @@
         .nodes
         .connection(connection)
         .map(|connection| connection.dials.get());
-    if dial_owner == Some(Owner::Machine) {
+    if dial_owner == Some(FailureOwner::Machine) {
         FrameStatus::BlockedByThisMachine
     } else {
         FrameStatus::NotWritten
--- a/router/src/stages/auth_filter.rs
+++ b/router/src/stages/auth_filter.rs
@@ -17,7 +17,7 @@
 use event_listener::Event;
 use ternpick::types::Micros;
 use ternpick_identity::{Ask, Calendar, Identity, Pass, Refresh, Refusal, Source, TermsFault};
-use ternpick_tenant_limits::{Limits, Terms as LimitTerms};
+use ternpick_tenant_limits::{Limits, TenantConfig as LimitTerms};
 use ternpick_wire::http::Reader;
 
 pub(crate) use crate::stages::auth_filter::answers::reserve;
@@ -31,10 +31,10 @@
 /// The limits for the number of a tenant that is no longer in the settings.
 const ZERO_LIMITS: LimitTerms = LimitTerms {
     weight: 0.0,
-    in_hand: 0,
+    max_in_flight: 0,
     per_second: 0.0,
     burst: 0.0,
-    repeats: 0.0,
+    retries_per_query: 0.0,
 };
 
 /// A source of keys or revocations, with its polling schedule.
--- a/router/src/stages/upstream_connection.rs
+++ b/router/src/stages/upstream_connection.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::future;
-use ternpick::io_errors::Owner;
+use ternpick::io_errors::FailureOwner;
 use ternpick::types::{AttemptOutcome, NodeId};
 use ternpick_wire::frames::LINE_BOUND;
 use ternpick_wire::http::BODY_BOUND;
@@ -64,7 +64,7 @@
         return None;
     };
     // The output buffer has room for at least the longest frame.
-    let output_bound = effects.bounds.parts_a_call * (BODY_BOUND + LINE_BOUND);
+    let output_bound = effects.bounds.max_shard_requests_per_call * (BODY_BOUND + LINE_BOUND);
     let id = effects
         .nodes
         .connect(node, effects.now, output_bound, permit)?;
@@ -93,7 +93,7 @@
         }
         Err(owner) => {
             tracing::debug!(%address, ?owner, "cannot connect to a node");
-            if owner == Owner::Machine {
+            if owner == FailureOwner::Machine {
                 mark_abandoned(&router, id);
             }
         }
@@ -126,7 +126,7 @@
 
 /// Returns when the connection has been idle for so long that the node is about to close it.
 async fn wait_until_idle(router: &Router, id: ConnectionId) -> UpstreamEnd {
-    let Some(node_closes_after) = router.bounds.idle_close else {
+    let Some(node_closes_after) = router.bounds.idle_timeout else {
         return future::pending().await;
     };
     let limit = node_closes_after.since(router.bounds.dial_timeout.unwrap_or_default());
--- a/router/src/stages/upstream_reader.rs
+++ b/router/src/stages/upstream_reader.rs
@@ -195,7 +195,7 @@
     let Some(finished) = finish_attempt(router, id, &answer, outcome)? else {
         return Ok(());
     };
-    let load_report = frames::report(answer.report, &router.bounds.columns);
+    let load_report = frames::report(answer.report, &router.bounds.load_metric_names);
     dispatch::attempt_finished(router, finished, &load_report);
     Ok(())
 }
@@ -256,7 +256,7 @@
         let connection = decisions.effects.nodes.connection(id);
         connection.ok_or(UnusableInput::ConnectionRemoved)?.node
     };
-    let report = frames::report(text.trim_end(), &router.bounds.columns);
+    let report = frames::report(text.trim_end(), &router.bounds.load_metric_names);
     router.apply(|engine, now, effects| {
         engine.health_check_finished(now, node, &report, effects);
     });
