--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -20,13 +20,13 @@
 use crate::lifecycle::clock::Clock;
 use crate::stages::auth_filter::AuthFilter;
 use crate::stages::completion::EffectQueue;
-use crate::state::budget::Budget;
 use crate::state::client_transfer::ClientTransfer;
 use crate::state::clients::Clients;
 use crate::state::descriptors::Descriptors;
 use crate::state::discovery::DiscoveryState;
 use crate::state::listener::ListenerState;
 use crate::state::log_limit::LogLimit;
+use crate::state::memory_budget::MemoryBudget;
 use crate::state::shutdown::ShutdownState;
 
 /// The routing engine, and the effects that it has requested and that are not carried out yet.
@@ -46,7 +46,7 @@
     /// The budget of file descriptors, by kind of peer.
     pub(crate) descriptors: Rc<Descriptors>,
     /// The budget of memory for data received from and sent to peers.
-    pub(crate) budget: Rc<Budget>,
+    pub(crate) budget: Rc<MemoryBudget>,
     /// Client connections without a complete request, by state.
     pub(crate) clients: Rc<Clients>,
     /// The single-threaded executor of all tasks.
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -18,7 +18,7 @@
 use crate::stages::dispatch::{self, NewQuery, NewShardRequest};
 use crate::stages::query_request::{self, QueryRequest};
 use crate::state::clients::{Answer, PendingResponse};
-use crate::state::in_flight::AdmittedAs;
+use crate::state::in_flight::AdmissionRecord;
 
 /// The result of admission for one request.
 pub(crate) enum AdmissionOutcome {
@@ -160,7 +160,7 @@
 /// it.
 fn check_capacity(router: &Router, request_id: &str) -> Result<Option<Mark>, Answer> {
     let mut decisions = router.decisions.borrow_mut();
-    if decisions.effects.in_flight.knows(request_id) {
+    if decisions.effects.in_flight.has_request(request_id) {
         return Err(text_answer(400, "Req-Id is in hand already"));
     }
     if decisions.effects.is_full() {
@@ -201,9 +201,9 @@
     let mut decisions = router.decisions.borrow_mut();
     let latency_objective =
         decisions.engine.config.indexes[checked.index.as_usize()].latency_objective;
-    let admitted_as = AdmittedAs {
+    let admission_record = AdmissionRecord {
         tenant,
-        at: now,
+        admitted_at: now,
         latency_objective,
         mark,
         span: tracing::debug_span!(
@@ -219,7 +219,7 @@
         checked.idempotency_key,
         shards,
         Rc::clone(&reply),
-        admitted_as,
+        admission_record,
     );
     drop(decisions);
     let shard_requests = ids
--- a/router/src/stages/admission_wait.rs
+++ b/router/src/stages/admission_wait.rs
@@ -38,7 +38,7 @@
             return AdmissionWait::default();
         };
         let started = self.router.clock.now();
-        self.io.account_memory(self.request.size());
+        self.io.account_memory(self.request.memory_bytes());
         if !self.router.budget.is_over() {
             let reserve = ANSWER_RESERVE.min(deadline.times(MAX_RESERVE_SHARE));
             let wait_until = Micros((arrived_at + deadline).0 - reserve.0);
--- a/router/src/stages/attempt_deadline.rs
+++ b/router/src/stages/attempt_deadline.rs
@@ -29,7 +29,7 @@
     };
     let frame_status = frame_status(effects, attempt);
     let due = attempt.due;
-    let sent_at = attempt.sent;
+    let sent_at = attempt.requested_at;
     let progress = attempt.progress;
     if frame_status == FrameStatus::Written {
         if due > effects.now {
@@ -58,7 +58,7 @@
     let dial_owner = effects
         .nodes
         .connection(connection)
-        .map(|connection| connection.dials.get());
+        .map(|connection| connection.dial_waits_for.get());
     if dial_owner == Some(FailureOwner::Machine) {
         FrameStatus::BlockedByThisMachine
     } else {
--- a/router/src/stages/client_connection.rs
+++ b/router/src/stages/client_connection.rs
@@ -19,9 +19,9 @@
 use crate::stages::request_reader::ReadFailure;
 use crate::stages::stream::Stream;
 use crate::stages::{dispatch, graceful_close, query_request};
-use crate::state::client_transfer::PassedClient;
+use crate::state::client_transfer::TransferredClient;
 use crate::state::clients::Answer;
-use crate::state::descriptors::{Peer, Permit};
+use crate::state::descriptors::{DescriptorPermit, Peer};
 
 /// Why a client connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -95,7 +95,7 @@
     number: u64,
     opened_at: Micros,
     requests: u64,
-    _permit: Permit,
+    _permit: DescriptorPermit,
 }
 
 /// A connection for which no task has been started yet.
@@ -103,7 +103,7 @@
     /// The stream of the connection.
     pub(crate) stream: Stream,
     /// The permit for the connection's descriptor.
-    pub(crate) permit: Permit,
+    pub(crate) permit: DescriptorPermit,
     /// The bytes that have been received already.
     pub(crate) unread: Vec<u8>,
     /// A lower bound of the arrival time: the connection may have waited in the backlog before it was accepted.
@@ -148,10 +148,10 @@
     };
     let opened_at = router.clock.now();
     let mut connection = ClientConnection {
-        number: router.clients.number(),
+        number: router.clients.next_connection_number(),
         router,
         io,
-        request: Reader::of_requests(),
+        request: Reader::for_requests(),
         awaiting_first_request: Some(opened_at),
         connection_arrived_at: Some(new.arrived_at),
         opened_at,
@@ -209,7 +209,7 @@
                 let answer = self
                     .answer_request(seen_at, sent_ahead_at.unwrap_or(seen_at))
                     .await?;
-                let client_closes = self.request.closes();
+                let client_closes = self.request.closes_connection();
                 self.write_answer(answer, client_closes).await
             }
             Err(ReadFailure::ClientGone) => Err(ConnectionEnd::ClientLeftDuringRequest),
@@ -249,7 +249,7 @@
         let admitted =
             admission::admit(&self.router, &self.request, request_arrived_at, certificate);
         self.io.account_memory(self.request.body().len());
-        self.request.forget_body();
+        self.request.release_body();
         match admitted {
             AdmissionOutcome::Answer(answer) => {
                 let request_id = query_request::request_id(&self.request).unwrap_or("-");
@@ -285,7 +285,7 @@
             return;
         };
         if let Ok(socket) = socket.into_inner() {
-            self.router.client_transfer.push(PassedClient {
+            self.router.client_transfer.push(TransferredClient {
                 socket,
                 unread,
                 set_aside_at: self.router.clock.now(),
--- a/router/src/stages/client_io.rs
+++ b/router/src/stages/client_io.rs
@@ -8,18 +8,18 @@
 use std::time::Instant;
 
 use ternpick::types::Micros;
-use ternpick_wire::http::{BODY_BOUND, HEAD_BOUND};
+use ternpick_wire::http::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use ternpick_wire::ring::Ring;
 
 use crate::stages::stream::Stream;
-use crate::state::budget::Share;
+use crate::state::memory_budget::MemoryShare;
 use crate::state::wake_time::WakeTime;
 
 /// The bound of the input buffer, in bytes. Clients send one request at a time; one further complete request may be
 /// sent ahead.
-const INPUT_BOUND: usize = HEAD_BOUND + BODY_BOUND;
+const INPUT_BOUND: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 /// The bound of the output buffer, in bytes: the longest body that the protocol allows, and its head.
-const OUTPUT_BOUND: usize = BODY_BOUND + HEAD_BOUND;
+const OUTPUT_BOUND: usize = MAX_BODY_BYTES + MAX_HEAD_BYTES;
 /// The maximum number of consecutive reads before other tasks run.
 const READS_IN_A_ROW: usize = 64;
 
@@ -44,7 +44,7 @@
     pub(crate) input: Ring,
     /// Bytes of answers that have not been written to the stream yet.
     pub(crate) output: Ring,
-    memory: Share,
+    memory: MemoryShare,
     readable_since: WakeTime,
     /// When the first of the bytes sent ahead arrived, from which the deadline of their request counts. Without it, a
     /// request that waited behind a slow one was passed on with its full deadline.
@@ -59,7 +59,7 @@
 impl ClientIo {
     /// Creates the I/O state of a connection on which `unread` was received already; returns `None` if `unread`
     /// exceeds the input buffer.
-    pub(crate) fn new(stream: Stream, memory: Share, unread: &[u8]) -> Option<Self> {
+    pub(crate) fn new(stream: Stream, memory: MemoryShare, unread: &[u8]) -> Option<Self> {
         let mut input = Ring::new(INPUT_BOUND);
         if !input.push(unread) {
             return None;
@@ -81,7 +81,7 @@
     /// Reports the memory in use to the budget: the buffers, `request_bytes` of a request, and the stream. Returns
     /// the bytes without those of the stream.
     pub(crate) fn account_memory(&mut self, request_bytes: usize) -> usize {
-        let held = self.input.size() + self.output.size() + request_bytes;
+        let held = self.input.memory_bytes() + self.output.memory_bytes() + request_bytes;
         self.memory.set(held + self.stream.size());
         held
     }
@@ -107,12 +107,12 @@
         loop {
             match self.stream.read(free) {
                 Ok(count) if count > 0 => {
-                    self.input.filled_more(count);
+                    self.input.commit(count);
                     return Ok(Received::Bytes);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.input.rest();
+                    self.input.release_if_empty();
                     return Ok(Received::Nothing);
                 }
                 Ok(_) | Err(_) => {
--- a/router/src/stages/graceful_close.rs
+++ b/router/src/stages/graceful_close.rs
@@ -4,7 +4,7 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use ternpick_wire::http::BODY_BOUND;
+use ternpick_wire::http::MAX_BODY_BYTES;
 
 use crate::router::Router;
 use crate::stages::client_io::{ClientIo, Received};
@@ -12,7 +12,7 @@
 use ternpick::types::Micros;
 
 /// The maximum number of bytes read after the last answer.
-const MAX_DRAIN_BYTES: usize = 4 * BODY_BOUND;
+const MAX_DRAIN_BYTES: usize = 4 * MAX_BODY_BYTES;
 /// The maximum time spent reading after the last answer.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
--- a/router/src/stages/request_reader.rs
+++ b/router/src/stages/request_reader.rs
@@ -45,8 +45,8 @@
         };
         let registration = self.router.clients.register(since, state);
         let mut close_requested = registration.close_requested.listen();
-        let idle_limit = self.router.descriptors.kept_idle();
-        self.router.clients.keep_idle(idle_limit);
+        let idle_limit = self.router.descriptors.idle_client_limit();
+        self.router.clients.limit_idle(idle_limit);
         // Bytes that are available at once may have arrived as early as the connection.
         let mut arrived_at = self.connection_arrived_at.take();
         loop {
@@ -147,7 +147,7 @@
             if complete {
                 return Ok(());
             }
-            registration.holds(self.io.account_memory(self.request.size()));
+            registration.set_held_bytes(self.io.account_memory(self.request.memory_bytes()));
             if self.router.budget.is_over() {
                 self.router.clients.close_largest();
             }
--- a/router/src/stages/upstream_dial.rs
+++ b/router/src/stages/upstream_dial.rs
@@ -62,7 +62,7 @@
 fn final_owner(router: &Router, failed: FailureOwner, began: Micros) -> FailureOwner {
     match failed {
         FailureOwner::Route => {
-            let others_heard = router.decisions.borrow().effects.nodes.heard >= began;
+            let others_heard = router.decisions.borrow().effects.nodes.last_received >= began;
             io_errors::route_failure_owner(others_heard)
         }
         // Interrupted until the timeout: no peer is at fault, so the failure does not count against the node.
