--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -201,7 +201,7 @@
     let mut decisions = router.decisions.borrow_mut();
     let latency_objective =
         decisions.engine.config.indexes[checked.index.as_usize()].latency_objective;
-    let admitted_as = AdmissionRecord {
+    let admission_record = AdmissionRecord {
         tenant,
         admitted_at: now,
         latency_objective,
@@ -219,7 +219,7 @@
         checked.idempotency_key,
         shards,
         Rc::clone(&reply),
-        admitted_as,
+        admission_record,
     );
     drop(decisions);
     let shard_requests = ids
