--- a/wire/src/discovery.rs
+++ b/wire/src/discovery.rs
@@ -1,6 +1,7 @@
-//! Discovery's endpoint list, as its answers and a router's configuration hold it. JSON; its keys are discovery's protocol.
+//! Discovery's endpoint list, as its responses and a router's configuration contain it. The format is JSON; the keys
+//! are part of discovery's protocol.
 //!
-//! Used by the router's watch of discovery. Does no I/O.
+//! The router's watch of discovery uses this module. It does no I/O.
 
 #[cfg(test)]
 mod tests;
@@ -11,57 +12,60 @@
 use ternpick::types::{Endpoint, EndpointState, Micros, NodeId, ShardGroupNo, ZoneNo};
 use thiserror::Error;
 
-/// The longest answer that is read, in bytes: discovery is the one peer whose answers grow with the fleet.
+/// The longest response from discovery, in bytes. Discovery is the only peer whose responses grow with the fleet.
 pub const MAX_LIST_BYTES: usize = 1024 * 1024;
 
-/// Why an entry of the list cannot be used; the others can.
+/// Why an entry of the list is invalid. The other entries of the list remain valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BadEntry {
-    /// It has no name.
-    #[error("no name")]
+    /// The entry has no name.
+    #[error("the endpoint has no name")]
     NoName,
-    /// It has no IP address with a port.
-    #[error("no address")]
+    /// The entry has no IP address with a port.
+    #[error("the endpoint's address is not an IP address and port")]
     NoAddress,
-    /// It has no zone.
-    #[error("no zone")]
+    /// The entry has no zone.
+    #[error("the endpoint has no zone")]
     NoZone,
-    /// It has no number of a shard group.
-    #[error("no group")]
+    /// The entry has no shard group number.
+    #[error("the endpoint's group is not a shard group number")]
     NoShardGroup,
-    /// Its status is none of those known.
-    #[error("no known status")]
+    /// The entry's status is missing or unknown.
+    #[error("the endpoint's status is not Ready, Terminating or Gone")]
     UnknownStatus,
 }
 
-/// The next request of a watch, which is answered with what is newer than `after`, or with nothing once `wait` has passed;
-/// without a version to go on from, a request for the whole list.
+/// Encodes the next request of a watch. Discovery responds with the changes since version `after`, or without changes
+/// once `wait` has passed. Without a version, the request asks for the complete list.
 pub fn watch_request(host: &str, after: Option<u64>, wait: Micros) -> Vec<u8> {
     let query = match after {
-        Some(after) => format!("?after={after}&wait_ms={}", wait.0 / 1000),
+        Some(version) => format!("?after={version}&wait_ms={}", wait.0 / 1000),
         None => String::new(),
     };
     format!("GET /catalog/members{query} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
-/// Parses an answer.
+/// Parses the body of a response.
 pub fn parse(body: &[u8]) -> Result<Value, String> {
-    serde_json::from_slice(body).map_err(|e| format!("a list that is not JSON: {e}"))
+    serde_json::from_slice(body).map_err(|error| format!("the endpoint list is not JSON: {error}"))
 }
 
-/// The list's version, and whether it is the whole list (else only what has changed).
+/// The list's version, and whether the list is complete. An incomplete list contains only the changed entries.
 pub fn version(list: &Value) -> Result<(u64, bool), &'static str> {
-    let version = list["index"].as_u64().ok_or("a list without its version")?;
-    let full = list["snapshot"]
+    let version = list["index"]
+        .as_u64()
+        .ok_or("the endpoint list has no version in 'index'")?;
+    let complete = list["snapshot"]
         .as_bool()
-        .ok_or("a list that does not say whether it is whole")?;
+        .ok_or("the endpoint list has no boolean 'snapshot'")?;
     list["endpoints"]
         .as_array()
-        .ok_or("a list without entries")?;
-    Ok((version, full))
+        .ok_or("the endpoint list has no 'endpoints'")?;
+    Ok((version, complete))
 }
 
-/// One entry: its name, where it listens, and what the decision module is to know of it but for its id.
+/// Parses one entry of the list: the endpoint's name, its address, and its description for the routing engine. The
+/// caller assigns the node id of the description.
 pub fn parse_entry(
     entry: &Value,
     zones: &[String],
@@ -89,10 +93,10 @@
     Ok((name.to_owned(), address, endpoint))
 }
 
-/// A zone that the settings do not name is no router's own.
+/// The index of a zone in the settings. A zone that the settings do not name gets a number that no router's zone has.
 fn zone_number(zone: &str, zones: &[String]) -> ZoneNo {
-    let at = zones.iter().position(|known| known == zone);
-    ZoneNo(at.map_or(u16::MAX, |at| at as u16))
+    let index = zones.iter().position(|known| known == zone);
+    ZoneNo(index.map_or(u16::MAX, |index| index as u16))
 }
 
 fn endpoint_state(status: &Value) -> Result<EndpointState, BadEntry> {
@@ -104,7 +108,7 @@
     }
 }
 
-/// When an endpoint started; zero if that is not known.
+/// When the endpoint started; zero if the entry does not state it.
 fn started_at(since_ms: &Value) -> Micros {
     let ms = since_ms.as_f64().unwrap_or(0.0);
     Micros((ms.max(0.0) * 1e3) as u64)
--- a/wire/src/frames.rs
+++ b/wire/src/frames.rs
@@ -1,6 +1,7 @@
-//! Frames between a router and a node: four bytes of length (least significant first), a letter that says the kind, the rest.
+//! Frames between a router and a node. A frame is a length of four bytes (little-endian), a letter for its kind, and
+//! a payload. The length counts the letter and the payload.
 //!
-//! Used by the router's upstream writer and reader. Does no I/O.
+//! The router's upstream writer and reader use this module. It does no I/O.
 
 #[cfg(test)]
 mod tests;
@@ -10,106 +11,107 @@
 use crate::http::MAX_BODY_BYTES;
 use crate::ring::Ring;
 
-/// The longest frame that a node may send, in bytes: a value that no answer has room for is of no use.
+/// The longest frame that a node may send, in bytes. A longer value would not fit into a response to the client.
 pub const MAX_FRAME_BYTES: usize = MAX_BODY_BYTES + MAX_LINE_BYTES;
 
-/// The longest line of a shard request, with what frames it, in bytes.
+/// The longest line of a shard request including its framing, in bytes.
 pub const MAX_LINE_BYTES: usize = 1024;
 
-/// The bytes of a frame's length.
+/// The size of a frame's length field.
 const LENGTH_BYTES: usize = 4;
 
-/// The letters of frames that routers send.
+/// The letters of the frames that routers send.
 mod letter {
     pub(super) const SHARD_REQUESTS: u8 = b'q';
     pub(super) const CANCEL: u8 = b'c';
     pub(super) const LOAD_REPORT: u8 = b'l';
 }
 
-/// Why a node's bytes cannot be read on; the connection ends with it.
+/// Why a node's frame is invalid. The router ends the connection on such an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BadFrame {
-    /// Its length is zero.
-    #[error("a frame without a letter")]
+    /// The frame's length is zero.
+    #[error("the frame is empty, expected a letter for its kind")]
     NoLetter,
-    /// It is longer than [`MAX_FRAME_BYTES`].
-    #[error("a frame longer than its bound")]
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
+    #[error("the frame is longer than {MAX_FRAME_BYTES} bytes")]
     TooLong,
-    /// An answer has no line end.
-    #[error("an answer without its line")]
+    /// A shard response has no line end.
+    #[error("the shard response has no line end")]
     NoLine,
-    /// An answer's value is not UTF-8, or holds a NUL.
-    #[error("an answer's value is not text")]
+    /// A shard response's value is not UTF-8, or contains a NUL.
+    #[error("the shard response's value is not UTF-8 text without NUL")]
     ValueNotText,
-    /// An answer's line has less than its four words.
-    #[error("an answer's line has not four words")]
+    /// A shard response's line has fewer than four words, or one of the first three is not UTF-8.
+    #[error("the shard response's line has fewer than four readable words")]
     MissingWord,
-    /// An answer's score is not a number.
-    #[error("an answer's score is no number")]
+    /// A shard response's score is not a decimal number.
+    #[error("the shard response's score is not a decimal number")]
     BadScore,
-    /// An answer ends in a way that is not known.
-    #[error("an answer of unknown end")]
+    /// A shard response has an unknown status.
+    #[error("the shard response's status is not served, broke or skipped")]
     UnknownStatus,
 }
 
-/// How a node ended a shard request.
+/// How a node finished a shard request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseStatus {
-    /// It has answered.
+    /// The node executed it.
     Served,
-    /// It has failed, and may have had an effect.
+    /// It failed, and may have had an effect.
     Failed,
-    /// It was not begun.
+    /// The node did not start it.
     NotStarted,
 }
 
-/// The fields of an answer.
+/// A node's response to a shard request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardResponse<'a> {
-    /// The id of the shard request, as it was sent.
+    /// The shard request's id, as the router sent it.
     pub id: &'a str,
-    /// How it ended.
+    /// How the node finished the shard request.
     pub status: ResponseStatus,
-    /// A load report for [`parse_load_report`], empty if it is not UTF-8.
+    /// The node's load report, to be parsed by [`parse_load_report`]; empty if it is not UTF-8.
     pub load_report: &'a str,
-    /// The value, empty unless it was served.
+    /// The value; empty unless the status is [`ResponseStatus::Served`].
     pub value: &'a str,
 }
 
-/// The fields of a shard request.
+/// A shard request to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardRequest<'a> {
-    /// The id that its answer names.
+    /// The id that the response carries.
     pub id: &'a str,
-    /// The number of the shard.
+    /// The shard's number.
     pub shard: u32,
-    /// For how long its answer is of use, in milliseconds.
+    /// The time left in which a response is useful, in milliseconds.
     pub wait_ms: u64,
-    /// The idempotency key of its query.
+    /// The query's idempotency key.
     pub idempotency_key: Option<&'a str>,
-    /// What the shard is asked.
+    /// The statement for the shard to execute.
     pub statement: &'a str,
 }
 
-/// Takes bytes of the next frame off `input` into `into`; its letter once it is complete, with the rest in `into`.
-pub fn read_frame(input: &mut Ring, into: &mut Vec<u8>) -> Result<Option<u8>, BadFrame> {
+/// Moves bytes of the next frame from `input` to `frame`. Once the frame is complete, returns its letter and leaves
+/// its payload in `frame`; until then returns `None`.
+pub fn read_frame(input: &mut Ring, frame: &mut Vec<u8>) -> Result<Option<u8>, BadFrame> {
     loop {
-        let wanted = if into.len() < LENGTH_BYTES {
-            LENGTH_BYTES - into.len()
+        let missing = if frame.len() < LENGTH_BYTES {
+            LENGTH_BYTES - frame.len()
         } else {
-            LENGTH_BYTES + length(into)? - into.len()
+            LENGTH_BYTES + length(frame)? - frame.len()
         };
-        if wanted == 0 {
-            let letter = into[LENGTH_BYTES];
-            into.drain(..=LENGTH_BYTES);
+        if missing == 0 {
+            let letter = frame[LENGTH_BYTES];
+            frame.drain(..=LENGTH_BYTES);
             return Ok(Some(letter));
         }
         let run = input.filled();
         if run.is_empty() {
             return Ok(None);
         }
-        let taken = run.len().min(wanted);
-        into.extend_from_slice(&run[..taken]);
+        let taken = run.len().min(missing);
+        frame.extend_from_slice(&run[..taken]);
         input.consume(taken);
     }
 }
@@ -123,23 +125,25 @@
     }
 }
 
-/// The id that a frame names first, if it can be read: also of a frame that is malformed further on.
-pub fn parse_shard_request_id(rest: &[u8]) -> Option<&str> {
-    std::str::from_utf8(rest.split(|byte| *byte == b' ').next()?).ok()
+/// The shard request id at the beginning of a payload, if it is UTF-8. It can be read even if the rest of the payload
+/// is malformed.
+pub fn parse_shard_request_id(payload: &[u8]) -> Option<&str> {
+    std::str::from_utf8(payload.split(|byte| *byte == b' ').next()?).ok()
 }
 
-/// Parses the rest of an `a` frame. A report that is not text counts as unreadable, and nothing else is lost with it. No text
-/// holds a NUL: it is the length of the frame behind, which a wrong length took in.
-pub fn parse_shard_response(rest: &[u8]) -> Result<ShardResponse<'_>, BadFrame> {
-    let line_end = rest
+/// Parses the payload of an `a` frame. A load report that is not UTF-8 does not invalidate the response. A value with
+/// a NUL does: text contains no NUL, so the byte belongs to the length field of the next frame, which a wrong length
+/// of this frame included.
+pub fn parse_shard_response(payload: &[u8]) -> Result<ShardResponse<'_>, BadFrame> {
+    let line_end = payload
         .iter()
         .position(|byte| *byte == b'\n')
         .ok_or(BadFrame::NoLine)?;
-    let value = std::str::from_utf8(&rest[line_end + 1..])
+    let value = std::str::from_utf8(&payload[line_end + 1..])
         .ok()
         .filter(|value| !value.contains('\0'))
         .ok_or(BadFrame::ValueNotText)?;
-    let mut words = rest[..line_end].splitn(4, |byte| *byte == b' ');
+    let mut words = payload[..line_end].splitn(4, |byte| *byte == b' ');
     let mut text_word = || {
         words
             .next()
@@ -149,7 +153,7 @@
     let id = text_word()?;
     let status = text_word()?;
     let score = text_word()?;
-    let report = words.next().ok_or(BadFrame::MissingWord)?;
+    let load_report = words.next().ok_or(BadFrame::MissingWord)?;
     if score.is_empty() || !score.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(BadFrame::BadScore);
     }
@@ -162,30 +166,33 @@
     Ok(ShardResponse {
         id,
         status,
-        load_report: std::str::from_utf8(report).unwrap_or_default(),
+        load_report: std::str::from_utf8(load_report).unwrap_or_default(),
         value,
     })
 }
 
-/// A load report's figures in the order of `columns`, which are the settings' names; one that is missing or unreadable is not a
-/// number. Empty if there is no report.
+/// Parses a load report into the values of `columns`, which are load metric names of the settings, in their order. A
+/// missing or unreadable value is NaN. The result is empty if there is no report.
 pub fn parse_load_report(text: &str, columns: &[String]) -> Vec<f64> {
     if text == "-" || text == "broke" {
         return Vec::new();
     }
-    columns.iter().map(|column| figure(text, column)).collect()
+    columns
+        .iter()
+        .map(|column| metric_value(text, column))
+        .collect()
 }
 
-/// The first readable figure of a column.
-fn figure(text: &str, column: &str) -> f64 {
+/// The first readable value of a load metric.
+fn metric_value(text: &str, column: &str) -> f64 {
     text.split(',')
         .filter_map(|pair| pair.split_once('='))
         .filter(|(name, _)| settings_name(name) == column)
-        .find_map(|(_, figure)| figure.parse().ok())
+        .find_map(|(_, value)| value.parse().ok())
         .unwrap_or(f64::NAN)
 }
 
-/// The settings' name for what a node's report calls by another.
+/// Converts a node's name of a load metric to the name in the settings.
 fn settings_name(name: &str) -> &str {
     match name.trim() {
         "inflight" => "concurrent",
@@ -198,17 +205,17 @@
     }
 }
 
-fn encode_frame(letter: u8, rest: &[u8]) -> Vec<u8> {
-    let mut frame = Vec::with_capacity(LENGTH_BYTES + 1 + rest.len());
-    frame.extend_from_slice(&(1 + rest.len() as u32).to_le_bytes());
+fn encode_frame(letter: u8, payload: &[u8]) -> Vec<u8> {
+    let mut frame = Vec::with_capacity(LENGTH_BYTES + 1 + payload.len());
+    frame.extend_from_slice(&(1 + payload.len() as u32).to_le_bytes());
     frame.push(letter);
-    frame.extend_from_slice(rest);
+    frame.extend_from_slice(payload);
     frame
 }
 
-/// The frame that sends shard requests to a node.
+/// Encodes the frame that sends shard requests to a node.
 pub fn encode_shard_requests<'a>(requests: impl Iterator<Item = ShardRequest<'a>>) -> Vec<u8> {
-    let mut rest = Vec::new();
+    let mut payload = Vec::new();
     for request in requests {
         let ShardRequest {
             id,
@@ -221,18 +228,18 @@
             .map(|key| format!(",k={key}"))
             .unwrap_or_default();
         let line = format!("{id} {shard} d={wait_ms}{key} {}\n", statement.len());
-        rest.extend_from_slice(line.as_bytes());
-        rest.extend_from_slice(statement.as_bytes());
+        payload.extend_from_slice(line.as_bytes());
+        payload.extend_from_slice(statement.as_bytes());
     }
-    encode_frame(letter::SHARD_REQUESTS, &rest)
+    encode_frame(letter::SHARD_REQUESTS, &payload)
 }
 
-/// The frame that cancels a shard request.
+/// Encodes the frame that cancels a shard request.
 pub fn encode_cancel(id: &str) -> Vec<u8> {
     encode_frame(letter::CANCEL, id.as_bytes())
 }
 
-/// The frame that asks a node for its load report.
+/// Encodes the frame that asks a node for its load report.
 pub fn encode_load_report_request() -> Vec<u8> {
     encode_frame(letter::LOAD_REPORT, b"")
 }
--- a/wire/src/http.rs
+++ b/wire/src/http.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 (RFC 9112) as clients, discovery and other routers speak it: one incremental parser for requests and answers, whose
-//! bodies have a length or come in chunks, and the encoding of answers.
+//! HTTP/1.1 (RFC 9112) with clients, discovery and other routers: an incremental parser for requests and responses,
+//! whose bodies have a length or are chunked, and the encoding of responses.
 //!
-//! Does no I/O: [`Reader`] takes bytes from a [`Ring`](crate::ring::Ring), [`encode_response`] returns bytes.
+//! This module does no I/O: [`Reader`] takes bytes from a [`Ring`](crate::ring::Ring), [`encode_response`] returns
+//! bytes.
 
 mod error;
 mod reader;
@@ -13,11 +14,12 @@
 pub use error::HttpError;
 pub use reader::Reader;
 
-/// The longest head, start line and headers together, in bytes; the same bounds a body's trailer.
+/// The longest head (start line and headers together), in bytes. It includes the size lines and the trailer of a
+/// chunked body.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most headers: short ones take up far more memory than their bytes.
+/// The most headers of a message. Short headers take up far more memory than their bytes.
 pub const MAX_HEADERS: usize = 100;
-/// The longest body that clients may send, in bytes.
+/// The longest body that a client may send, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 fn reason(status: u16) -> &'static str {
@@ -40,8 +42,8 @@
     }
 }
 
-/// The bytes of an answer to a client. `headers` are complete lines with their CRLF; `close` announces that the connection ends
-/// behind this answer.
+/// Encodes a response to a client. `headers` are complete lines including their CRLF. With `close`, the response
+/// announces that the connection ends after it.
 pub fn encode_response(status: u16, headers: &str, body: &str, close: bool) -> Vec<u8> {
     let content_type = if status == 200 {
         "application/json"
@@ -52,7 +54,7 @@
     let reason = reason(status);
     let length = body.len();
     let mut text = String::with_capacity(160 + headers.len() + length);
-    // Writing to a string does not fail.
+    // Writing to a String does not fail.
     let _ = write!(
         text,
         "HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\nContent-Length: {length}\r\n{headers}{connection}\r\n{body}"
--- a/wire/src/http/error.rs
+++ b/wire/src/http/error.rs
@@ -1,36 +1,37 @@
-//! Why a message cannot be read on, and what a client is told.
+//! The errors of the HTTP parser, with the text and status that a client gets for them.
 
 use thiserror::Error;
 
-/// Why a message cannot be read on; the connection ends with it. Displays as the text that a client is told.
+/// Why a message is rejected. The router ends the connection after such an error. The `Display` text is the body of
+/// the response to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// It is not HTTP, for the reason named.
+    /// The message is not HTTP, for the given reason.
     #[error("{0}")]
     Malformed(&'static str),
-    /// The body, or its chunks together, are longer than their bound.
+    /// The body, or the chunks of a body together, exceed the limit for bodies.
     #[error("the body is too large")]
     BodyTooLarge,
     /// The head is longer than [`MAX_HEAD_BYTES`](super::MAX_HEAD_BYTES), or has more than
     /// [`MAX_HEADERS`](super::MAX_HEADERS) headers.
     #[error("the head is too large")]
     HeadTooLarge,
-    /// A transfer coding other than `chunked`.
+    /// The transfer coding is not `chunked`.
     #[error("only chunked transfer is known")]
     UnknownCoding,
-    /// An HTTP version other than 1.0 and 1.1.
+    /// The HTTP version is neither 1.0 nor 1.1.
     #[error("only HTTP/1.0 and 1.1 are known")]
     UnknownVersion,
-    /// It takes longer to arrive than anybody waits for its answer. Found by the reader's caller.
+    /// The request took longer to arrive than a client waits for a response. The parser's caller detects this.
     #[error("the request came too slowly")]
     TooSlow,
-    /// It has made room for others while it was arriving. Found by the reader's caller.
+    /// The incomplete request was dropped to free resources for others. The parser's caller detects this.
     #[error("no room for a request that is not whole")]
     NoRoom,
 }
 
 impl HttpError {
-    /// The status of the answer to a request that fails so (RFC 9110, section 15).
+    /// The status of the response to a request that fails with this error (RFC 9110, section 15).
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed(_) => 400,
--- a/wire/src/http/reader.rs
+++ b/wire/src/http/reader.rs
@@ -1,4 +1,4 @@
-//! The incremental parser of one connection's messages.
+//! The incremental parser of the messages on one connection.
 
 use crate::http::{HttpError, MAX_BODY_BYTES, MAX_HEADERS, MAX_HEAD_BYTES};
 use crate::ring::Ring;
@@ -8,48 +8,48 @@
 enum State {
     StartLine,
     Headers,
-    /// So many bytes of a body of known length.
+    /// This many more bytes of a body of known length.
     Body(usize),
-    /// All that comes until the connection ends.
+    /// All bytes until the connection ends.
     UntilEnd,
-    /// So many bytes of a chunk.
+    /// This many more bytes of a chunk.
     Chunk(usize),
-    /// The line end behind a chunk.
+    /// The line end after a chunk.
     ChunkEnd,
     ChunkSize,
     Trailer,
     Complete,
 }
 
-/// Which side's messages are read.
+/// The kind of messages on the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Requests,
-    /// One without a length or chunks lasts until its connection ends.
+    /// A response with neither a length nor chunks ends with its connection.
     Responses,
 }
 
-/// Reads one message after another; between messages it holds next to nothing.
+/// Parses one message after another. A new message releases the memory of the previous one.
 pub struct Reader {
     kind: Kind,
     state: State,
-    /// The line that is not complete yet.
+    /// The bytes of the incomplete current line.
     line: Vec<u8>,
     head_bytes: usize,
     max_body_bytes: usize,
     start_line: String,
-    /// Names in lower case, and values.
+    /// Pairs of a lower-case name and a value.
     headers: Vec<(String, String)>,
     body: Vec<u8>,
 }
 
 impl Reader {
-    /// A reader of clients' requests.
+    /// Creates a reader of client requests.
     pub fn for_requests() -> Self {
         Reader::new(Kind::Requests, MAX_BODY_BYTES)
     }
 
-    /// A reader of answers whose bodies have at most `max_body_bytes` bytes.
+    /// Creates a reader of responses whose bodies have at most `max_body_bytes` bytes.
     pub fn for_responses(max_body_bytes: usize) -> Self {
         Reader::new(Kind::Responses, max_body_bytes)
     }
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Takes bytes off `input`; true once a message is complete. The next call begins the message after it.
+    /// Consumes bytes from `input`. Returns true once a message is complete; the next call then starts the next
+    /// message.
     pub fn read(&mut self, input: &mut Ring) -> Result<bool, HttpError> {
         if self.state == State::Complete {
             *self = Reader::new(self.kind, self.max_body_bytes);
@@ -111,7 +112,7 @@
         Ok(())
     }
 
-    /// Takes at most `left` bytes of the body; returns how many are left then.
+    /// Consumes at most `left` bytes of the body and returns how many are still missing.
     fn read_body(&mut self, input: &mut Ring, left: usize) -> usize {
         let run = input.filled();
         let taken = run.len().min(left);
@@ -120,7 +121,7 @@
         left - taken
     }
 
-    /// Takes bytes up to the end of a line, and interprets the line once it is complete.
+    /// Consumes bytes up to the end of a line, and processes the line once it is complete.
     fn read_line(&mut self, input: &mut Ring) -> Result<(), HttpError> {
         let run = input.filled();
         let end = run.iter().position(|byte| *byte == b'\n');
@@ -147,7 +148,7 @@
 
     fn process_line(&mut self, text: &str) -> Result<(), HttpError> {
         match self.state {
-            // Empty lines before a request are passed over (RFC 9112, section 2.2).
+            // Empty lines before a request are ignored (RFC 9112, section 2.2).
             State::StartLine if text.is_empty() && self.kind == Kind::Requests => {}
             State::StartLine => self.process_start_line(text)?,
             State::Headers if text.is_empty() => self.process_head_end()?,
@@ -226,7 +227,7 @@
         Ok(())
     }
 
-    /// Finds out how the body is delimited (RFC 9112, section 6.3).
+    /// Determines how the body is delimited (RFC 9112, section 6.3).
     fn process_head_end(&mut self) -> Result<(), HttpError> {
         let lengths = self.headers("content-length").count();
         let codings = self.headers("transfer-encoding").count();
@@ -266,7 +267,8 @@
         }
     }
 
-    /// The connection has ended in order, which a reset is not; true if that makes the message complete.
+    /// Records that the peer has closed the connection in order, not by a reset. Returns true if the message is
+    /// complete.
     pub fn end_of_input(&mut self) -> bool {
         if self.state == State::UntilEnd {
             self.state = State::Complete;
@@ -274,23 +276,23 @@
         self.state == State::Complete
     }
 
-    /// A request's method.
+    /// The method of a request.
     pub fn method(&self) -> &str {
         self.start_line.split(' ').next().unwrap_or_default()
     }
 
-    /// The path of a request's target, without what follows a question mark.
+    /// The path of a request's target, without its query string.
     pub fn path(&self) -> &str {
         let target = self.start_line.split(' ').nth(1).unwrap_or_default();
         target.split('?').next().unwrap_or_default()
     }
 
-    /// An answer's status.
+    /// The status of a response.
     pub fn status(&self) -> Option<u16> {
         self.start_line.split(' ').nth(1)?.parse().ok()
     }
 
-    /// All values of a header, by its name in lower case.
+    /// All values of the header with this lower-case name.
     pub fn headers<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.headers
             .iter()
@@ -298,7 +300,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The first value of a header, by its name in lower case.
+    /// The first value of the header with this lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -306,22 +308,22 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The body, as far as it has arrived.
+    /// The part of the body that has arrived.
     pub fn body(&self) -> &[u8] {
         &self.body
     }
 
-    /// Gives the body's memory back while its answer is awaited.
+    /// Releases the body's memory, which is not needed while the request waits for its response.
     pub fn release_body(&mut self) {
         self.body = Vec::new();
     }
 
-    /// The memory that a message takes up while it arrives, in bytes.
+    /// The memory that the current message takes up, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.head_bytes + self.line.capacity() + self.body.capacity()
     }
 
-    /// Whether its sender ends the connection after this message (RFC 9112, section 9.3).
+    /// Whether the sender closes the connection after this message (RFC 9112, section 9.3).
     pub fn closes_connection(&self) -> bool {
         let has_option = |wanted: &str| {
             let options = self.header("connection").unwrap_or_default();
--- a/wire/src/http/tests.rs
+++ b/wire/src/http/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the HTTP parser: split input, malformed messages, bounds, answers.
+//! Tests of the HTTP parser: split input, malformed messages, limits, responses.
 
 use super::*;
 use crate::ring::Ring;
@@ -9,27 +9,27 @@
 const CHUNKS: &str = "POST /a/b HTTP/1.1\r\nReq-Id: 7\r\nTransfer-Encoding: Chunked\r\n\r\n\
                       2;x=y\r\nbo\r\n2\r\ndy\r\n0\r\nTrailer: t\r\n\r\n";
 
-/// Feeds a message piece by piece.
+/// Feeds a message to the reader piece by piece. Returns whether the message is complete after the last piece.
 fn read(reader: &mut Reader, pieces: &[&[u8]]) -> Result<bool, HttpError> {
     let mut ring = Ring::new(1 << 20);
-    let mut whole = false;
+    let mut complete = false;
     for piece in pieces {
         assert!(ring.push(piece));
-        whole = reader.read(&mut ring)?;
+        complete = reader.read(&mut ring)?;
     }
-    Ok(whole)
+    Ok(complete)
 }
 
 #[test_case(PLAIN; "with a length")]
 #[test_case(CHUNKS; "in chunks")]
-fn reads_alike_wherever_the_input_is_split(message: &str) {
-    for at in 0..message.len() {
-        let (first, second) = message.as_bytes().split_at(at);
+fn reads_the_same_message_wherever_the_input_is_split(message: &str) {
+    for split in 0..message.len() {
+        let (first, second) = message.as_bytes().split_at(split);
         let mut reader = Reader::for_requests();
         assert_eq!(
             read(&mut reader, &[first, second]),
             Ok(true),
-            "split at {at}"
+            "split at {split}"
         );
         assert_eq!((reader.method(), reader.path()), ("POST", "/a/b"));
         assert_eq!(
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn leaves_what_follows_for_the_next_message() {
+fn leaves_bytes_after_a_message_for_the_next_message() {
     let (mut ring, mut reader) = (Ring::new(1 << 20), Reader::for_requests());
     assert!(ring.push(format!("{PLAIN}{CHUNKS}GET /z HTTP/1.0\r\n\r\n").as_bytes()));
     for path in ["/a/b", "/a/b", "/z"] {
@@ -57,25 +57,25 @@
 }
 
 #[test_case("GET /\r\n\r\n", 400; "no version")]
-#[test_case("GET  / HTTP/1.1\r\n\r\n", 400; "two blanks")]
+#[test_case("GET  / HTTP/1.1\r\n\r\n", 400; "two spaces")]
 #[test_case("GET / HTTP/1.1 x\r\n\r\n", 400; "too many words")]
 #[test_case("GET / HTTP/2.0\r\n\r\n", 505; "another version")]
 #[test_case("GET / HTTP/1.1\nHost: x\n\n", 400; "bare line feeds")]
 #[test_case("GET / HTTP/1.1\r\nHost x\r\n\r\n", 400; "no colon")]
-#[test_case("GET / HTTP/1.1\r\nHost : x\r\n\r\n", 400; "a blank in a name")]
+#[test_case("GET / HTTP/1.1\r\nHost : x\r\n\r\n", 400; "a space in a name")]
 #[test_case("GET / HTTP/1.1\r\n: x\r\n\r\n", 400; "no name")]
 #[test_case("GET / HTTP/1.1\r\nA: \x01\r\n\r\n", 400; "a control character")]
 #[test_case("POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400; "two lengths")]
-#[test_case("POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400; "both")]
+#[test_case("POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400; "a length and chunks")]
 #[test_case("POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", 400; "a signed length")]
-#[test_case("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413; "too long")]
-#[test_case("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n", 413; "endless")]
+#[test_case("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413; "a body over the limit")]
+#[test_case("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n", 413; "a length beyond any integer")]
 #[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", 501; "another coding")]
 #[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n", 400; "a bad chunk size")]
 #[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\r\n", 400; "no chunk size")]
-#[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 400; "a long chunk")]
-#[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\n", 413; "endless chunk")]
-fn refuses_what_makes_no_sense(message: &str, status: u16) {
+#[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 400; "a chunk longer than its size")]
+#[test_case("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\n", 413; "a chunk size beyond any integer")]
+fn rejects_malformed_requests(message: &str, status: u16) {
     let result = read(&mut Reader::for_requests(), &[message.as_bytes()]);
     assert_eq!(result.map_err(|error| error.status()), Err(status));
 }
@@ -87,16 +87,16 @@
         read(&mut Reader::for_requests(), &[head(MAX_HEADERS).as_bytes()]),
         Ok(true)
     );
-    let more = read(
+    let result = read(
         &mut Reader::for_requests(),
         &[head(MAX_HEADERS + 1).as_bytes()],
     );
-    assert_eq!(more, Err(HttpError::HeadTooLarge));
+    assert_eq!(result, Err(HttpError::HeadTooLarge));
 }
 
 #[test_case("A: b\r\n"; "many short headers")]
-#[test_case("no end of this line "; "one endless line")]
-fn bounds_a_head(piece: &str) {
+#[test_case("no end of this line "; "one line without an end")]
+fn bounds_the_length_of_a_head(piece: &str) {
     let message = format!("GET / HTTP/1.1\r\n{}", piece.repeat(MAX_HEAD_BYTES));
     assert_eq!(
         read(&mut Reader::for_requests(), &[message.as_bytes()]),
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn bounds_chunks_together() {
+fn bounds_the_total_length_of_chunks() {
     let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
     let message =
         format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{chunk}1\r\n");
@@ -115,19 +115,23 @@
     );
 }
 
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", Ok(Some(200)); "whole")]
-#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Ok(Some(503)); "busy")]
-#[test_case("HTTP/1.1 200 OK\r\n\r\n{}", Ok(None); "as long as its connection, which has not ended")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", Ok(Some(200)); "complete")]
+#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Ok(Some(503)); "complete without a body")]
+#[test_case("HTTP/1.1 200 OK\r\n\r\n{}", Ok(None); "a body delimited by the end of the connection")]
 #[test_case("HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n", Ok(None); "no status")]
-fn reads_answers(message: &str, status: Result<Option<u16>, u16>) {
+fn reads_responses(message: &str, expected: Result<Option<u16>, u16>) {
     let mut reader = Reader::for_responses(MAX_BODY_BYTES);
     let read = read(&mut reader, &[message.as_bytes()]).map_err(|error| error.status());
-    assert_eq!(read.map(|whole| reader.status().filter(|_| whole)), status);
+    assert_eq!(
+        read.map(|complete| reader.status().filter(|_| complete)),
+        expected
+    );
 }
 
-/// Discovery's answers may have no length: whole once the connection ends in order, and not before; bounded like the others.
+/// Discovery's responses may have no length. Such a response is complete once the connection ends in order, and not
+/// before; the limit for bodies applies to it as well.
 #[test]
-fn an_answer_without_a_length_is_whole_when_its_connection_ends() {
+fn a_response_without_a_length_is_complete_when_its_connection_ends() {
     let head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
     let mut reader = Reader::for_responses(MAX_BODY_BYTES);
     assert_eq!(
@@ -146,7 +150,7 @@
     ] {
         let mut reader = Reader::for_responses(MAX_BODY_BYTES);
         assert_eq!(read(&mut reader, &[cut.as_bytes()]), Ok(false));
-        assert!(!reader.end_of_input(), "{cut:?} is no whole answer");
+        assert!(!reader.end_of_input(), "{cut:?} is not a complete response");
     }
     let endless = "x".repeat(MAX_BODY_BYTES + 1);
     let read = read(
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the platform's peers send each other, as bytes: HTTP/1.1 with clients, discovery and other routers ([`http`],
-//! [`query`], [`discovery`]), frames with data nodes ([`frames`]). Parsers read from a [`ring::Ring`] as far as bytes have
-//! arrived and do no I/O.
+//! The wire formats of the platform: HTTP/1.1 with clients, discovery and other routers ([`http`], [`query`],
+//! [`discovery`]), and frames with data nodes ([`frames`]). The parsers are incremental: they consume the bytes that
+//! have arrived in a [`ring::Ring`] and do no I/O.
 
 pub mod discovery;
 pub mod frames;
--- a/wire/src/query.rs
+++ b/wire/src/query.rs
@@ -1,4 +1,5 @@
-//! A query as a client's body holds it, and the body that answers it. JSON; its keys are the clients' protocol.
+//! The body of a client's query and the body of the response. The format is JSON; the keys are part of the protocol
+//! with clients.
 
 #[cfg(test)]
 mod tests;
@@ -9,52 +10,52 @@
 use ternpick::types::{Micros, ShardNo};
 use thiserror::Error;
 
-/// Why a body is not a query. Displays as the text that the client is told.
+/// Why a body is not a valid query. The `Display` text is the body of the response to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BadQuery {
-    /// It is not JSON.
+    /// The body is not JSON.
     #[error("the body is not JSON")]
     NotJson,
-    /// It names no shards.
+    /// The query names no shards.
     #[error("no tablets")]
     NoShards,
-    /// It names a shard that does not exist, or that is not a number.
+    /// The query names a shard that does not exist or is not a number.
     #[error("an unknown tablet")]
     UnknownShard,
-    /// It names a shard twice.
+    /// The query names a shard twice.
     #[error("a tablet stands twice")]
     RepeatedShard,
-    /// The weight of a shard is missing, or not within 0 and 1.
+    /// The weight of a shard is missing or not between 0 and 1.
     #[error("a fraction that is none")]
     BadWeight,
-    /// The weights do not sum to 1.
+    /// The sum of the weights differs from 1 by more than the tolerance.
     #[error("the fractions do not sum to 1")]
     WeightSum,
-    /// It has no statement.
+    /// The query has no statement.
     #[error("no statement")]
     NoStatement,
 }
 
-/// What a query says of one shard.
+/// The fields of one shard in a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardFields {
     /// The shard.
     pub shard: ShardNo,
-    /// Its share of a complete answer, within 0 and 1.
+    /// Its share of a complete response, between 0 and 1.
     pub weight: f64,
-    /// The client's estimate of the work, if it gives one.
+    /// The client's estimate of the work, if there is one.
     pub work_hint: Option<Micros>,
 }
 
-/// The weights of one query may sum to so much more or less than 1: clients round them.
+/// How far the sum of a query's weights may differ from 1, because clients round the weights.
 const WEIGHT_TOLERANCE: f64 = 0.01;
 
-/// Parses a body.
+/// Parses the body of a query.
 pub fn parse(body: &[u8]) -> Result<Value, BadQuery> {
     serde_json::from_slice(body).map_err(|_| BadQuery::NotJson)
 }
 
-/// The shards that a query asks, of `shard_count` if that is known.
+/// The shards that a query names. Shard numbers from `shard_count` on are rejected, if the count is known.
 pub fn shards(body: &Value, shard_count: Option<u32>) -> Result<Vec<ShardFields>, BadQuery> {
     let rows = body["tablets"]
         .as_array()
@@ -92,12 +93,12 @@
     Ok(shards)
 }
 
-/// What each shard is asked.
+/// The statement for each shard to execute.
 pub fn statement(body: &Value) -> Result<&str, BadQuery> {
     body["statement"].as_str().ok_or(BadQuery::NoStatement)
 }
 
-/// The body of an answer; `complete` if all shards have a value.
+/// Encodes the body of a response; `complete` tells the client whether all shards have a value.
 pub fn encode_response_body<'a>(
     complete: bool,
     values: impl Iterator<Item = (ShardNo, &'a str)>,
--- a/wire/src/ring.rs
+++ b/wire/src/ring.rs
@@ -1,62 +1,62 @@
-//! A ring buffer: each connection has one for each direction. It starts without memory, grows by doubling up to its bound, and
-//! gives its memory back when it has been emptied.
+//! A ring buffer, of which each connection has one per direction. It starts without memory, grows in powers of two up
+//! to its capacity, and releases its memory when it becomes empty.
 
 #[cfg(test)]
 mod tests;
 
-/// The memory that a buffer begins with, in bytes.
-const INITIAL_SIZE: usize = 1024;
+/// The smallest allocation of a buffer, in bytes, unless its capacity is smaller.
+const INITIAL_BYTES: usize = 1024;
 
-/// A bounded buffer of bytes, first in, first out.
+/// A first-in, first-out byte buffer of bounded capacity.
 pub struct Ring {
     bytes: Box<[u8]>,
-    /// Where the first byte is.
+    /// The position of the first byte held.
     head: usize,
-    /// How many bytes are held; they wrap around the end.
+    /// The number of bytes held. They may wrap around the end of `bytes`.
     len: usize,
-    bound: usize,
+    capacity: usize,
 }
 
 impl Ring {
-    /// An empty buffer that never holds more than `bound` bytes.
-    pub fn new(bound: usize) -> Self {
+    /// Creates an empty buffer that holds at most `capacity` bytes.
+    pub fn new(capacity: usize) -> Self {
         Ring {
             bytes: Box::default(),
             head: 0,
             len: 0,
-            bound,
+            capacity,
         }
     }
 
-    /// Whether it holds no byte.
+    /// Whether it holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The memory that it takes up, in bytes.
+    /// The memory that it has allocated, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.bytes.len()
     }
 
-    /// How many more bytes it may take.
+    /// The number of bytes that can still be added.
     pub fn room(&self) -> usize {
-        self.bound - self.len
+        self.capacity - self.len
     }
 
-    /// The first run of bytes; the rest follows once these are consumed.
+    /// The first contiguous run of the bytes held. The rest follows once this run has been consumed.
     pub fn filled(&self) -> &[u8] {
         let end = (self.head + self.len).min(self.bytes.len());
         &self.bytes[self.head..end]
     }
 
-    /// All bytes in order.
+    /// A copy of all bytes held, in order.
     pub fn to_vec(&self) -> Vec<u8> {
         let first = self.filled();
         let rest = &self.bytes[..self.len - first.len()];
         [first, rest].concat()
     }
 
-    /// Removes the first `count` bytes, or all if there are fewer.
+    /// Removes the first `count` bytes, or all bytes if there are fewer.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
@@ -68,7 +68,8 @@
         }
     }
 
-    /// A run of free bytes to fill; empty only when the bound is reached.
+    /// A contiguous run of free space to write to. It is empty only if the buffer is full. [`Ring::commit`] adds the
+    /// bytes written.
     pub fn free(&mut self) -> &mut [u8] {
         if self.len == self.bytes.len() {
             self.grow(self.len + 1);
@@ -83,19 +84,19 @@
         &mut self.bytes[run]
     }
 
-    /// Counts `count` bytes in that a caller has written to the front of [`Ring::free`].
+    /// Adds the first `count` bytes of [`Ring::free`], which the caller has written.
     pub fn commit(&mut self, count: usize) {
         self.len = (self.len + count).min(self.bytes.len());
     }
 
-    /// Gives its memory back if nothing is in it, as after a read that found nothing.
+    /// Releases its memory if it holds no bytes, for example after a read that found no data.
     pub fn release_if_empty(&mut self) {
         if self.len == 0 {
             self.consume(0);
         }
     }
 
-    /// Appends all of `bytes`, or nothing and says so.
+    /// Appends all of `bytes`. Returns false, without appending any byte, if they do not fit.
     #[must_use]
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         if bytes.len() > self.room() {
@@ -113,12 +114,15 @@
         true
     }
 
-    fn grow(&mut self, wanted: usize) {
-        let wanted = wanted.min(self.bound);
-        if wanted <= self.bytes.len() {
+    fn grow(&mut self, needed: usize) {
+        let needed = needed.min(self.capacity);
+        if needed <= self.bytes.len() {
             return;
         }
-        let size = wanted.next_power_of_two().max(INITIAL_SIZE).min(self.bound);
+        let size = needed
+            .next_power_of_two()
+            .max(INITIAL_BYTES)
+            .min(self.capacity);
         let mut bytes = vec![0; size].into_boxed_slice();
         let first = self.filled();
         let count = first.len();
--- a/wire/src/ring/tests.rs
+++ b/wire/src/ring/tests.rs
@@ -3,33 +3,36 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(&[3, 5, 1], 2; "small steps")]
-#[test_case(&[900, 400, 700], 650; "growing while it wraps")]
-#[test_case(&[1500], 1500; "more than the least at once")]
-fn gives_back_what_it_took(pushes: &[usize], taken: usize) {
-    let (mut ring, mut sent, mut got) = (Ring::new(2000), Vec::new(), Vec::new());
+#[test_case(&[3, 5, 1], 2; "small pushes")]
+#[test_case(&[900, 400, 700], 650; "growth while the content wraps around")]
+#[test_case(&[1500], 1500; "one push larger than the initial memory")]
+fn returns_the_bytes_in_the_order_in_which_they_were_pushed(pushes: &[usize], taken: usize) {
+    let (mut ring, mut pushed, mut consumed) = (Ring::new(2000), Vec::new(), Vec::new());
     let mut take = |ring: &mut Ring, mut count: usize| {
         while count > 0 && !ring.is_empty() {
             let run = ring.filled().len().min(count);
-            got.extend_from_slice(&ring.filled()[..run]);
+            consumed.extend_from_slice(&ring.filled()[..run]);
             ring.consume(run);
             count -= run;
         }
     };
     for (round, count) in pushes.iter().cycle().take(12).enumerate() {
-        let bytes: Vec<u8> = (0..*count).map(|at| (at * 7 + round) as u8).collect();
+        let bytes: Vec<u8> = (0..*count).map(|index| (index * 7 + round) as u8).collect();
         if ring.push(&bytes) {
-            sent.extend(bytes);
+            pushed.extend(bytes);
         }
         take(&mut ring, taken);
     }
     take(&mut ring, usize::MAX);
-    assert_eq!(got, sent);
-    assert!(ring.bytes.is_empty(), "an empty buffer holds no memory");
+    assert_eq!(consumed, pushed);
+    assert!(
+        ring.bytes.is_empty(),
+        "an empty buffer has no memory allocated"
+    );
 }
 
 #[test]
-fn refuses_what_goes_over_its_bound() {
+fn rejects_a_push_beyond_its_capacity() {
     let mut ring = Ring::new(10);
     assert!(ring.push(b"12345678"));
     assert!(!ring.push(b"123"));
