--- a/router/src/state/client_transfer.rs
+++ b/router/src/state/client_transfer.rs
@@ -1,7 +1,8 @@
-//! Idle connections of clients on their way to a new process, during a hot restart.
+//! The queue of idle client connections that a hot restart transfers to the new process.
 //!
-//! Client connections put themselves here once passing is on; the upgrade sends them over the link between the processes.
-//! What cannot be sent comes back here, and is adopted again if the upgrade is given up.
+//! While a transfer is active, idle client connections add themselves to the queue and the upgrade driver sends them
+//! over the link between the processes. A connection that cannot be sent is put back. If the upgrade is abandoned,
+//! this process adopts the queued connections again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -10,17 +11,18 @@
 use event_listener::{Event, EventListener};
 use ternpick::types::Micros;
 
-/// A client's connection, with the bytes that the client has sent already and nobody has read as a request.
+/// An idle client connection, with the bytes that were received on it but not parsed as a request.
 pub(crate) struct TransferredClient {
-    /// The connection.
+    /// The connection's socket.
     pub(crate) socket: TcpStream,
-    /// What has been read from it.
+    /// The received bytes that have not been parsed.
     pub(crate) unread: Vec<u8>,
-    /// Since when nothing is read from it.
+    /// When this process stopped reading from the connection.
     pub(crate) set_aside_at: Micros,
 }
 
-/// The connections that are to go to the new process. Emptied by the upgrade; bounded by the descriptors of clients.
+/// The connections that wait for their transfer to the new process. The upgrade driver empties the queue; the
+/// descriptor limit for clients bounds it.
 #[derive(Default)]
 pub(crate) struct ClientTransfer {
     began_at: Cell<Option<Micros>>,
@@ -30,23 +32,23 @@
 }
 
 impl ClientTransfer {
-    /// Whether idle connections go to the new process.
+    /// Whether a transfer of idle connections is active.
     pub(crate) fn is_active(&self) -> bool {
         self.began_at.get().is_some()
     }
 
-    /// Since when idle connections go to the new process, if they do.
+    /// When the active transfer began; `None` if no transfer is active.
     pub(crate) fn began_at(&self) -> Option<Micros> {
         self.began_at.get()
     }
 
-    /// Passes connections on from `now` on; everyone who waits for a change is woken.
+    /// Begins a transfer at `now` and wakes all listeners of [`ClientTransfer::active_changed`].
     pub(crate) fn begin(&self, now: Micros) {
         self.began_at.set(Some(now));
         self.active_changed.notify(usize::MAX);
     }
 
-    /// Passes no more connections on; everyone who waits for a change is woken.
+    /// Ends the transfer and wakes all listeners of [`ClientTransfer::active_changed`].
     pub(crate) fn end(&self) {
         self.began_at.set(None);
         self.active_changed.notify(usize::MAX);
@@ -57,28 +59,28 @@
         self.active_changed.listen()
     }
 
-    /// Adds a connection that has become idle.
+    /// Appends an idle connection to the queue.
     pub(crate) fn push(&self, client: TransferredClient) {
         self.waiting.borrow_mut().push_back(client);
         self.added.notify(1);
     }
 
-    /// Puts back the connection that could not be sent, ahead of the others.
+    /// Puts a connection that could not be sent back at the front of the queue.
     pub(crate) fn put_back(&self, client: TransferredClient) {
         self.waiting.borrow_mut().push_front(client);
     }
 
-    /// The connection that has waited longest.
+    /// Removes and returns the connection at the front of the queue.
     pub(crate) fn pop(&self) -> Option<TransferredClient> {
         self.waiting.borrow_mut().pop_front()
     }
 
-    /// Whether no connection waits.
+    /// Whether the queue is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.waiting.borrow().is_empty()
     }
 
-    /// Resolves once a connection has been added.
+    /// Resolves once [`ClientTransfer::push`] has added a connection.
     pub(crate) fn added(&self) -> EventListener {
         self.added.listen()
     }
--- a/router/src/state/clients.rs
+++ b/router/src/state/clients.rs
@@ -1,9 +1,9 @@
-//! Connections of clients that may be closed when descriptors or memory run out, and the place where a query's response waits
-//! for the connection that sent it.
+//! Client connections that may be closed when descriptors or memory run out, and the slot in which a query's response
+//! waits for the connection that sent the query.
 //!
-//! Each connection registers while it has no complete request ([`Clients::wait`]) and listens for being closed. A query that
-//! has been admitted is never closed for want of resources. The listener decides when something has to be closed; a shutdown
-//! closes connections by state.
+//! A connection registers while it has no complete request ([`Clients::register`]) and listens for a request to
+//! close. The router never closes the connection of an admitted query to free resources. The listener (descriptors)
+//! and the request reader (memory) decide when a connection has to be closed; a shutdown closes connections by state.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -13,15 +13,15 @@
 use event_listener::Event;
 use ternpick::types::Micros;
 
-/// A response to a client: status, header lines, body.
+/// A response to a client: status, header lines and body.
 pub(crate) type Answer = (u16, String, String);
 
-/// Where a query's one response waits for its client.
+/// The slot in which a query's only response waits for the client's connection.
 #[derive(Default)]
 pub(crate) struct PendingResponse {
-    /// The response, from when it is known until the client's connection takes it.
+    /// The response, from the time it is set until the client's connection takes it.
     pub(crate) answer: RefCell<Option<Answer>>,
-    /// Notified once there is a response.
+    /// Notified when the response is set.
     pub(crate) ready: Event,
 }
 
@@ -49,54 +49,54 @@
 pub(crate) enum ClientState {
     /// Kept alive after a response.
     Idle,
-    /// Shut for writing, and read to its end.
+    /// Shut down for writing; the router reads until the client closes it.
     Closing,
-    /// It has brought no byte yet.
+    /// No byte has been received on it yet.
     New,
-    /// Its request is incomplete.
+    /// Part of a request has been received on it.
     Partial,
 }
 
 impl ClientState {
-    /// Whether nothing is owed on it: such connections are closed first.
+    /// Whether the client expects nothing on the connection. Such connections are closed first.
     pub(crate) fn is_idle(self) -> bool {
         matches!(self, ClientState::Idle | ClientState::Closing)
     }
 }
 
-/// How many connections are in one state, and since when the first of them is.
+/// The number of connections in one state, and when the first of them entered it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct StateCount {
-    /// How many.
+    /// The number of connections.
     pub(crate) count: usize,
-    /// Since when the first of them is in that state; none if there is none.
+    /// When the first of them entered the state; `None` if no connection is in it.
     pub(crate) oldest: Option<Micros>,
 }
 
-/// A connection that may be closed: it is idle, or its request is incomplete.
+/// A connection that may be closed because it has no complete request.
 struct Registered {
     state: ClientState,
     since: Micros,
-    /// What it holds of its request.
-    bytes: usize,
-    /// Notified when it is to close.
-    close: Rc<Event>,
+    /// The memory that its incomplete request takes up.
+    held_bytes: usize,
+    /// Notified when the connection has to close.
+    close_requested: Rc<Event>,
 }
 
-/// All connections of clients that may be closed.
+/// All client connections that may be closed.
 #[derive(Default)]
 pub(crate) struct Clients {
     next_key: Cell<u64>,
     last_number: Cell<u64>,
-    /// An entry goes when its request is complete, or its connection is closed or asked to close.
-    waiting: RefCell<BTreeMap<u64, Registered>>,
+    /// An entry is removed when its request is complete, or when its connection is closed or asked to close.
+    registered: RefCell<BTreeMap<u64, Registered>>,
 }
 
-/// A connection's entry among those that may be closed; removed when it is dropped.
+/// A connection's entry in [`Clients`]. Dropping it removes the entry.
 pub(crate) struct Registration {
     clients: Rc<Clients>,
     key: u64,
-    /// Notified when the connection is to close.
+    /// Notified when the connection has to close.
     pub(crate) close_requested: Rc<Event>,
 }
 
@@ -104,58 +104,64 @@
     /// Registers a connection that has been in `state` since `since`.
     pub(crate) fn register(self: &Rc<Self>, since: Micros, state: ClientState) -> Registration {
         let key = self.next_key.replace(self.next_key.get() + 1);
-        let close = Rc::new(Event::new());
-        let waiting = Registered {
+        let close_requested = Rc::new(Event::new());
+        let connection = Registered {
             state,
             since,
-            bytes: 0,
-            close: Rc::clone(&close),
+            held_bytes: 0,
+            close_requested: Rc::clone(&close_requested),
         };
-        self.waiting.borrow_mut().insert(key, waiting);
+        self.registered.borrow_mut().insert(key, connection);
         Registration {
             clients: Rc::clone(self),
             key,
-            close_requested: close,
+            close_requested,
         }
     }
 
-    /// A number of its own for each connection, from 1.
+    /// Returns a unique number for a new connection, counting from 1.
     pub(crate) fn next_connection_number(&self) -> u64 {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
         number
     }
 
-    /// Asks the connection to close whose rank is lowest, of those that have a rank; false if none has.
+    /// Asks the connection with the lowest rank to close. Connections for which `rank` returns `None` are skipped;
+    /// returns false if all are.
     fn close_lowest<T: Ord>(&self, rank: impl Fn(&Registered) -> Option<T>) -> bool {
-        let mut waiting = self.waiting.borrow_mut();
-        let ranked = waiting
+        let mut registered = self.registered.borrow_mut();
+        let ranked = registered
             .iter()
             .filter_map(|(key, connection)| Some((rank(connection)?, *key)));
         let Some((_, key)) = ranked.min() else {
             return false;
         };
-        if let Some(connection) = waiting.remove(&key) {
-            connection.close.notify(1);
+        if let Some(connection) = registered.remove(&key) {
+            connection.close_requested.notify(1);
         }
         true
     }
 
-    /// For want of a descriptor: closes the connection idle longest, else the request that has been arriving longest.
+    /// Frees a descriptor: closes the connection that has been idle longest, or if none is idle, the one that has
+    /// been waiting longest for its request. Returns false if there is nothing to close.
     pub(crate) fn close_oldest(&self) -> bool {
         self.close_lowest(|connection| Some((!connection.state.is_idle(), connection.since)))
     }
 
-    /// For want of memory: closes the incomplete request that holds the most.
+    /// Frees memory: closes the connection whose incomplete request holds the most bytes. Returns false if there is
+    /// none.
     pub(crate) fn close_largest(&self) -> bool {
-        self.close_lowest(|connection| (connection.bytes > 0).then_some(Reverse(connection.bytes)))
+        self.close_lowest(|connection| {
+            (connection.held_bytes > 0).then_some(Reverse(connection.held_bytes))
+        })
     }
 
-    /// Closes the connections idle longest until no more than `limit` are idle. Some clients send one request and keep their
-    /// connection; what clients may hold is bounded on their side too, and used up by such connections nobody else gets in.
+    /// Closes the longest idle connections until at most `limit` are idle. Some clients send one request and keep
+    /// their connection open. The clients' side limits its connections too, and idle ones would use that limit up and
+    /// shut others out.
     pub(crate) fn limit_idle(&self, limit: usize) {
         let idle = self
-            .waiting
+            .registered
             .borrow()
             .values()
             .filter(|connection| connection.state.is_idle())
@@ -165,28 +171,33 @@
         }
     }
 
-    /// Closes all connections in `state` for which `wanted` holds of the instant since which they are in it.
-    pub(crate) fn close_in_state(&self, state: ClientState, wanted: impl Fn(Micros) -> bool) {
+    /// Closes all connections in `state` for which `matches_since` accepts the time at which they entered it.
+    pub(crate) fn close_in_state(
+        &self,
+        state: ClientState,
+        matches_since: impl Fn(Micros) -> bool,
+    ) {
         let rank = |connection: &Registered| {
-            let ends = connection.state == state && wanted(connection.since);
-            ends.then_some(connection.since)
+            let closes = connection.state == state && matches_since(connection.since);
+            closes.then_some(connection.since)
         };
         while self.close_lowest(rank) {}
     }
 
-    /// How many connections have no request and are owed no response; an incomplete request is owed one.
+    /// The number of connections on which the client expects no response. An incomplete request already counts as
+    /// expecting one.
     pub(crate) fn count_without_request(&self) -> usize {
-        self.waiting
+        self.registered
             .borrow()
             .values()
             .filter(|connection| connection.state != ClientState::Partial)
             .count()
     }
 
-    /// How many connections are in `state`, and since when the first of them is.
+    /// The number of connections in `state`, and when the first of them entered it.
     pub(crate) fn count(&self, state: ClientState) -> StateCount {
-        let waiting = self.waiting.borrow();
-        let in_state = waiting
+        let registered = self.registered.borrow();
+        let in_state = registered
             .values()
             .filter(|connection| connection.state == state);
         StateCount {
@@ -197,17 +208,17 @@
 }
 
 impl Registration {
-    /// Notes how many bytes of its request the connection holds.
+    /// Sets the number of bytes that the connection's incomplete request holds.
     pub(crate) fn set_held_bytes(&self, bytes: usize) {
-        if let Some(waiting) = self.clients.waiting.borrow_mut().get_mut(&self.key) {
-            waiting.bytes = bytes;
+        if let Some(connection) = self.clients.registered.borrow_mut().get_mut(&self.key) {
+            connection.held_bytes = bytes;
         }
     }
 }
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.clients.waiting.borrow_mut().remove(&self.key);
+        self.clients.registered.borrow_mut().remove(&self.key);
     }
 }
 
--- a/router/src/state/connection.rs
+++ b/router/src/state/connection.rs
@@ -1,7 +1,7 @@
-//! One connection to a node: its buffer, the attempts that it carries, and whether it still takes more.
+//! One connection to a node: its output buffer, the attempts that it carries, and whether it accepts more attempts.
 //!
-//! Created by [`Nodes::connect`](crate::state::nodes::Nodes::connect); driven by the upstream writer and reader, which own
-//! the socket's I/O. Nothing here reads or writes a socket.
+//! [`Nodes::connect`](crate::state::nodes::Nodes::connect) creates a connection. The upstream writer and reader drive
+//! it and do the socket I/O; nothing here reads or writes a socket.
 
 use std::cell::Cell;
 use std::collections::{HashMap, VecDeque};
@@ -17,56 +17,58 @@
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::ids::AttemptKey;
 
-/// How long a finished attempt is remembered: a response that comes later ends the connection.
+/// How long a connection remembers a finished attempt. A response that arrives later ends the connection.
 pub(crate) const FINISHED_REMEMBERED_FOR: Micros = Micros(10_000_000);
-/// How many finished attempts a connection remembers.
+/// The most finished attempts that a connection remembers.
 pub(crate) const FINISHED_REMEMBERED: usize = 1024;
 
-/// An attempt that is over, of which a late or second response may still come.
+/// A finished attempt, for which a late or second response may still arrive.
 pub(crate) struct FinishedAttempt {
     finished_at: Micros,
-    name: Rc<str>,
+    /// The shard request's id on the wire.
+    wire_id: Rc<str>,
 }
 
 /// A connection to a node, from the decision to open it until it is removed.
 pub(crate) struct Connection {
-    /// The node that it leads to.
+    /// The node that it connects to.
     pub(crate) node: NodeId,
-    /// Where the node listened when the connection was opened.
+    /// The node's address when the connection was opened.
     pub(crate) address: SocketAddr,
-    /// For whom its dial waits: the node, or this machine.
+    /// What its dial is waiting for: the node, or a resource of this machine.
     pub(crate) dial_waits_for: Rc<Cell<Owner>>,
-    /// Its socket, once it is up.
+    /// Its socket, once it is connected.
     pub(crate) stream: Option<Rc<Async<TcpStream>>>,
-    /// Carries no more attempts, and is closed once it carries none.
+    /// Whether it accepts no more attempts and is closed as soon as it carries none.
     pub(crate) retired: bool,
-    /// Frames that are yet to be written.
+    /// Frames that have not been written to the socket yet.
     pub(crate) output: Ring,
-    /// Bytes ever put into `output`.
+    /// The total number of bytes ever put into `output`.
     pub(crate) queued_bytes: u64,
-    /// Bytes ever taken off `output` by the socket.
+    /// The total number of bytes ever written from `output` to the socket.
     pub(crate) written_bytes: u64,
-    /// Attempts out on it, by the id that their responses name.
+    /// Unfinished attempts that have been queued or sent on it, by the id that their responses carry.
     pub(crate) attempts: HashMap<Rc<str>, AttemptKey>,
-    /// Attempts that share a frame each, for when it is up or has room.
+    /// Attempts that wait until it is connected or its buffer has room; each inner list shares a frame.
     pub(crate) waiting: VecDeque<Vec<AttemptKey>>,
-    /// Attempts that are over; bounded by age and by number.
+    /// Recently finished attempts; bounded by age and by number.
     pub(crate) finished: VecDeque<FinishedAttempt>,
-    /// When it last carried something.
+    /// When a frame was last queued or received on it.
     pub(crate) last_used: Micros,
-    /// When it last brought a frame that could be used.
+    /// When a valid frame was last received on it.
     pub(crate) last_received: Micros,
-    /// Ended by the router itself: a frame on it is not to be finished, or it has brought what cannot be used.
+    /// Whether the router itself ends it, because a frame must not be written to its end, the dial failed on this
+    /// machine, or the node has sent invalid input.
     pub(crate) abandoned: bool,
-    /// The attempt whose response could not be used.
+    /// The attempt that is held responsible for invalid input.
     pub(crate) bad_input_attempt: Option<AttemptKey>,
-    /// Wakes its task: there is something to write, or it is retired.
+    /// Notified to wake its task when there is something to write or the connection is retired.
     pub(crate) wake: Rc<Event>,
     _permit: DescriptorPermit,
 }
 
 impl Connection {
-    /// A connection to `node` that is to be dialled, with room for `max_output_bytes` bytes that are yet to be written.
+    /// Creates a connection to `node` that its task has to dial, with an output buffer of at most `max_output_bytes`.
     pub(crate) fn new(
         node: NodeId,
         address: SocketAddr,
@@ -95,54 +97,59 @@
         }
     }
 
-    /// Whether it carries nothing and has nothing to write.
+    /// Whether it has no attempts and nothing to write.
     pub(crate) fn is_idle(&self) -> bool {
         self.attempts.is_empty() && self.waiting.is_empty() && self.output.is_empty()
     }
 
-    /// Whether it may carry more attempts.
+    /// Whether it accepts more attempts.
     pub(crate) fn is_usable(&self) -> bool {
         !self.retired && !self.abandoned
     }
 
-    /// It carries no more attempts; its task is woken, and closes it once it carries none.
+    /// Stops it from accepting attempts and wakes its task, which closes it once it carries none.
     pub(crate) fn retire(&mut self) {
         self.retired = true;
         self.wake.notify(1);
     }
 
-    /// Ends it since its node has sent what cannot be used. The attempt whose response could not be used is the one that the
-    /// bytes name, or the one out longest; of the others it is only known that they may have run.
-    pub(crate) fn abandon_on_bad_input(&mut self, named: Option<&str>) {
-        let named = named.and_then(|name| self.attempts.get(name));
-        self.bad_input_attempt = named.or_else(|| self.attempts.values().min()).copied();
+    /// Abandons it because its node has sent invalid input. The attempt held responsible is the one that the input
+    /// names by its `wire_id`, or else the oldest one; the other attempts may have run.
+    pub(crate) fn abandon_on_bad_input(&mut self, wire_id: Option<&str>) {
+        let named_attempt = wire_id.and_then(|wire_id| self.attempts.get(wire_id));
+        self.bad_input_attempt = named_attempt
+            .or_else(|| self.attempts.values().min())
+            .copied();
         self.abandoned = true;
     }
 
-    /// Remembers that an attempt which it carried is over.
-    pub(crate) fn mark_finished(&mut self, name: &Rc<str>, now: Micros) {
-        while self.forgets_oldest(now) {
+    /// Remembers that an attempt on this connection is finished.
+    pub(crate) fn mark_finished(&mut self, wire_id: &Rc<str>, now: Micros) {
+        while self.oldest_finished_expires(now) {
             self.finished.pop_front();
         }
         self.finished.push_back(FinishedAttempt {
             finished_at: now,
-            name: Rc::clone(name),
+            wire_id: Rc::clone(wire_id),
         });
     }
 
-    fn forgets_oldest(&self, now: Micros) -> bool {
+    fn oldest_finished_expires(&self, now: Micros) -> bool {
         let full = self.finished.len() >= FINISHED_REMEMBERED;
         self.finished
             .front()
             .is_some_and(|oldest| full || now.since(oldest.finished_at) > FINISHED_REMEMBERED_FOR)
     }
 
-    /// Whether it has carried an attempt of this name that is over and remembered.
-    pub(crate) fn is_finished(&self, name: &str) -> bool {
-        self.finished.iter().any(|attempt| *attempt.name == *name)
+    /// Whether it remembers a finished attempt with this id.
+    pub(crate) fn is_finished(&self, wire_id: &str) -> bool {
+        self.finished
+            .iter()
+            .any(|attempt| *attempt.wire_id == *wire_id)
     }
 
-    /// Puts a complete frame into its buffer, or nothing if there is no room.
+    /// Queues a complete frame and wakes its task. Returns false, without queueing any byte, if the buffer has no
+    /// room for it.
     pub(crate) fn push(&mut self, frame: &[u8], now: Micros) -> bool {
         let pushed = self.output.push(frame);
         if pushed {
--- a/router/src/state/descriptors.rs
+++ b/router/src/state/descriptors.rs
@@ -1,45 +1,46 @@
-//! The one count of file descriptors. A [`DescriptorPermit`] stands for one and is given back when it is dropped.
+//! Accounts for file descriptors. A [`DescriptorPermit`] allows its owner to hold one descriptor and is returned when
+//! dropped.
 //!
-//! The listener, the upstream writer and the fleet's transport take a permit before each connection. A hot restart moves the
-//! total while two processes share a router's descriptors.
+//! The listener, the upstream writer and the fleet's transport take a permit before they open a connection. A hot
+//! restart changes the total while two processes share a router's descriptors.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use event_listener::{Event, EventListener};
 
-/// Descriptors that the process holds beside those of its peers: the standard streams, the poller and its timer, the pipe of
-/// the signals, the listener, discovery, and some to spare.
+/// Descriptors that are reserved for the process itself: the standard streams, the poller and its timer, the signal
+/// pipe, the listener, discovery, and a few spare ones.
 pub(crate) const RESERVED_DESCRIPTORS: usize = 32;
 
 /// The kind of peer that a descriptor is held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Peer {
-    /// Sends queries.
+    /// A client that sends queries.
     Client,
-    /// Answers shard requests; also other routers of the fleet, and discovery.
+    /// A data node; also another router of the fleet, or discovery.
     Node,
 }
 
-/// Descriptors held, by kind of peer. Clients may hold three quarters of the total and nodes half, so neither can shut the
-/// other out.
+/// The number of descriptors held, by kind of peer. Clients may hold three quarters of the total and nodes half of
+/// it, so that neither kind can shut the other out.
 pub(crate) struct Descriptors {
     total: Cell<usize>,
     clients: Cell<usize>,
     nodes: Cell<usize>,
     highest: Cell<usize>,
-    /// Notified when one is given back.
+    /// Notified when a permit is returned or the total changes.
     freed: Event,
 }
 
-/// The right to hold one descriptor.
+/// Permission to hold one descriptor.
 pub(crate) struct DescriptorPermit {
     descriptors: Rc<Descriptors>,
     peer: Peer,
 }
 
 impl Descriptors {
-    /// The descriptors of a process that may hold `limit`, its own included.
+    /// Creates the accounting of a process that may hold `limit` descriptors, including the reserved ones.
     pub(crate) fn new(limit: usize) -> Rc<Self> {
         let total = limit.saturating_sub(RESERVED_DESCRIPTORS).max(2);
         Rc::new(Descriptors {
@@ -65,7 +66,8 @@
         }
     }
 
-    /// A permit for one more descriptor, or nothing if this kind of peer, or all together, hold what they may.
+    /// Takes a permit for one more descriptor. Returns `None` if this kind of peer, or all peers together, have
+    /// reached their limit.
     pub(crate) fn take(self: &Rc<Self>, peer: Peer) -> Option<DescriptorPermit> {
         let held_by_kind = self.held_by(peer);
         let held = self.held();
@@ -80,39 +82,39 @@
         })
     }
 
-    /// The descriptors that all peers together may hold.
+    /// The number of descriptors that all peers together may hold.
     pub(crate) fn total(&self) -> usize {
         self.total.get()
     }
 
-    /// Replaces the total: two processes share a router's descriptors while one of them leaves.
+    /// Sets the total. It changes while two processes share a router's descriptors during a hot restart.
     pub(crate) fn set_total(&self, total: usize) {
         self.total.set(total.max(2));
         self.freed.notify(usize::MAX);
     }
 
-    /// What peers hold now.
+    /// The number of descriptors that peers hold now.
     pub(crate) fn held(&self) -> usize {
         self.clients.get() + self.nodes.get()
     }
 
-    /// The most that peers held at a time.
+    /// The most descriptors that peers have held at the same time.
     pub(crate) fn highest(&self) -> usize {
         self.highest.get()
     }
 
-    /// Idle connections of clients that are kept open: clients may hold a third of all descriptors for their requests, so this
-    /// leaves most of that to those that send some.
+    /// The number of idle client connections that may stay open. Clients may hold a third of all descriptors for
+    /// their requests; an eighth leaves most of that third to clients that send requests.
     pub(crate) fn idle_client_limit(&self) -> usize {
         self.total.get() / 8
     }
 
-    /// What clients hold now.
+    /// The number of descriptors that clients hold now.
     pub(crate) fn clients(&self) -> usize {
         self.clients.get()
     }
 
-    /// Resolves once a descriptor has been given back or the total has changed.
+    /// Resolves once a permit has been returned or the total has changed.
     pub(crate) fn freed(&self) -> EventListener {
         self.freed.listen()
     }
--- a/router/src/state/descriptors/tests.rs
+++ b/router/src/state/descriptors/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn neither_kind_of_peer_shuts_the_other_out() {
+fn each_kind_of_peer_is_limited_so_that_the_other_gets_descriptors() {
     let descriptors = Descriptors::new(RESERVED_DESCRIPTORS + 16);
     let take_all =
         |peer| -> Vec<DescriptorPermit> { std::iter::from_fn(|| descriptors.take(peer)).collect() };
--- a/router/src/state/discovery.rs
+++ b/router/src/state/discovery.rs
@@ -1,67 +1,68 @@
-//! Where discovery is, and how far the endpoint list is known.
+//! The address of discovery, and the version of the endpoint list that this process has applied.
 //!
-//! Written by the reload of the configuration, by the watch of the endpoint list and by a snapshot that is applied. The
-//! decision module asks for the watch through the effect queue.
+//! A configuration reload, the watch of the endpoint list and an applied snapshot write this state. The routing
+//! engine requests the watch through the effect queue.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 
 use event_listener::{Event, EventListener};
 
-/// The address of discovery, and the version of the endpoint list that this process goes by.
+/// The address of discovery, and the version of the endpoint list that this process uses.
 pub(crate) struct DiscoveryState {
     address: Cell<SocketAddr>,
-    moved: Event,
+    address_changed: Event,
     watch_requested: Event,
     list_version: Cell<u64>,
 }
 
 impl DiscoveryState {
-    /// Discovery at `address`, with the endpoint list known up to `list_version`.
+    /// Creates the state for discovery at `address`, with `list_version` of the endpoint list already applied.
     pub(crate) fn new(address: SocketAddr, list_version: u64) -> Self {
         DiscoveryState {
             address: Cell::new(address),
-            moved: Event::new(),
+            address_changed: Event::new(),
             watch_requested: Event::new(),
             list_version: Cell::new(list_version),
         }
     }
 
-    /// Where discovery is.
+    /// The address of discovery.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Moves discovery to `address`, wakes the watch if that is another one, and returns the address before.
+    /// Sets the address of discovery, wakes the watch if it differs from the previous one, and returns the previous
+    /// one.
     pub(crate) fn move_to(&self, address: SocketAddr) -> SocketAddr {
-        let before = self.address.replace(address);
-        if before != address {
-            self.moved.notify(1);
+        let previous = self.address.replace(address);
+        if previous != address {
+            self.address_changed.notify(1);
         }
-        before
+        previous
     }
 
-    /// Resolves once discovery has moved.
+    /// Resolves once the address of discovery has changed.
     pub(crate) fn moved(&self) -> EventListener {
-        self.moved.listen()
+        self.address_changed.listen()
     }
 
-    /// The decision module wants the endpoint list watched.
+    /// Requests a watch of the endpoint list, on behalf of the routing engine.
     pub(crate) fn request_watch(&self) {
         self.watch_requested.notify(1);
     }
 
-    /// Resolves once a watch is wanted.
+    /// Resolves once a watch has been requested.
     pub(crate) fn watch_requested(&self) -> EventListener {
         self.watch_requested.listen()
     }
 
-    /// The version of the endpoint list that is known.
+    /// The version of the endpoint list that has been applied.
     pub(crate) fn list_version(&self) -> u64 {
         self.list_version.get()
     }
 
-    /// Notes the version of the endpoint list that has been applied.
+    /// Records the version of the endpoint list that has been applied.
     pub(crate) fn set_list_version(&self, version: u64) {
         self.list_version.set(version);
     }
--- a/router/src/state/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -1,8 +1,8 @@
-//! Queries in flight, their shard requests, and the attempts that are out for them.
+//! Queries in flight, their shard requests, and the unfinished attempts made for them.
 //!
-//! Admission adds a query, dispatch adds attempts, the upstream writer notes where an attempt is. A query's record goes with
-//! its one final response ([`InFlightTable::close`]) and an attempt's with its one return ([`InFlightTable::finish`]); nothing
-//! else removes them, so the table is bounded by what is admitted.
+//! Admission adds a query, dispatch adds attempts, and the upstream writer records the progress of an attempt. A
+//! query's record is removed with its final response ([`InFlightTable::close`]), an attempt's record with its outcome
+//! ([`InFlightTable::finish`]). Nothing else removes records, so the number of admitted queries bounds the table.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
@@ -14,37 +14,37 @@
 pub(crate) use crate::state::ids::AttemptKey;
 use crate::state::ids::ConnectionId;
 
-/// One shard's part of a query, and its value once a node has answered it.
+/// A shard request of a query in flight, with its value once a node has answered it.
 pub(crate) struct InFlightShardRequest {
-    /// Its number in the decision module.
+    /// Its id in the routing engine.
     pub(crate) id: ShardRequestId,
     /// The shard that is asked.
     pub(crate) shard: ShardNo,
-    /// Attempts made so far.
+    /// The number of attempts made so far.
     pub(crate) attempt_count: u8,
-    /// Connections that have carried an attempt of it. A response names the shard request alone, so no connection may carry
-    /// two attempts of one.
+    /// Connections that have carried an attempt of it. A response names only the shard request, so a connection must
+    /// not carry two attempts of the same shard request.
     pub(crate) carried_by: Vec<ConnectionId>,
-    /// The first answer's value.
+    /// The value of the first successful response.
     pub(crate) value: Option<Box<str>>,
 }
 
-/// On whose account a query was admitted, and when.
+/// When a query was admitted, for which tenant, and on which terms.
 pub(crate) struct AdmissionRecord {
-    /// The tenant that it counts for; none where tenants are not told apart.
+    /// The tenant whose limits it counts against; `None` if the router does not distinguish tenants.
     pub(crate) tenant: Option<CustomerNo>,
     /// When it was admitted.
     pub(crate) admitted_at: Micros,
-    /// Its soft deadline.
+    /// Its latency objective.
     pub(crate) latency_objective: Micros,
-    /// The policy that it is decided under; none where the fleet agrees on none.
+    /// The policy that applies to it; `None` if the router follows no fleet policy.
     pub(crate) mark: Option<Mark>,
-    /// Follows the query through the stages.
+    /// The tracing span in which all stages log the query.
     pub(crate) span: tracing::Span,
 }
 
 impl Default for AdmissionRecord {
-    /// A query of nobody, at the epoch, without a soft deadline.
+    /// The record of a query without a tenant, admitted at time zero, without a latency objective.
     fn default() -> Self {
         AdmissionRecord {
             tenant: None,
@@ -58,92 +58,93 @@
 
 /// A query that has been admitted and has no final response yet.
 pub(crate) struct InFlightQuery {
-    /// On whose account, and when.
+    /// The terms of its admission.
     pub(crate) admission: AdmissionRecord,
     /// The client's id of the request.
     pub(crate) request_id: Rc<str>,
-    /// What nodes are asked.
+    /// The statement that nodes execute.
     pub(crate) statement: Rc<str>,
     /// The idempotency key.
     pub(crate) idempotency_key: Option<Rc<str>>,
-    /// Its shard requests, in the order in which they are answered.
+    /// Its shard requests, in the order in which the response lists them.
     pub(crate) shard_requests: Vec<InFlightShardRequest>,
-    /// Where the client's connection waits for the response.
+    /// The slot in which the client's connection waits for the response.
     pub(crate) reply: Rc<PendingResponse>,
 }
 
-/// How far an attempt has come.
+/// The progress of an attempt towards its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptProgress {
-    /// Wanted by the decision module, not yet given to a connection.
+    /// Requested by the routing engine, not yet assigned to a connection.
     Ordered,
-    /// Waits for its connection to come up or to have room.
+    /// Waits until its connection is established or has room in its buffer.
     Waiting(ConnectionId),
-    /// In the connection's buffer; sent once the connection has written this many bytes.
+    /// In the connection's buffer; sent once the connection has written this many bytes in total.
     Queued(ConnectionId, u64),
 }
 
-/// One attempt of a shard request, from the decision to make it until its outcome is known.
+/// One attempt of a shard request, from the engine's decision to make it until its outcome is known.
 pub(crate) struct OutgoingAttempt {
-    /// The query that it is made for.
+    /// The query that it belongs to.
     pub(crate) query: QueryId,
-    /// Position of its shard request in [`InFlightQuery::parts`].
+    /// The position of its shard request in [`InFlightQuery::shard_requests`].
     pub(crate) position: usize,
-    /// The node that is asked.
+    /// The node that it is sent to.
     pub(crate) node: NodeId,
     /// The shard request's id on the wire.
     pub(crate) id: Rc<str>,
-    /// When the decision module wanted it.
+    /// When the routing engine requested it.
     pub(crate) requested_at: Micros,
-    /// When its time is up.
+    /// When it times out.
     pub(crate) due: Micros,
-    /// When it is examined next: first to see whether it has been sent, then at `due`.
+    /// When it is checked next: first whether it has been sent, if its connection may have to be dialled, then at
+    /// `due`.
     next_check: Micros,
-    /// How far it has come.
+    /// Its progress towards the node.
     pub(crate) progress: AttemptProgress,
 }
 
-/// Where a shard request is: its query, and its position there.
+/// The query that a shard request belongs to, and its position in that query.
 #[derive(Clone, Copy)]
 struct ShardRequestLocation {
     query: QueryId,
     position: usize,
 }
 
-/// When an attempt is to be examined; ordered by time.
+/// The next check of an attempt; ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledCheck {
     at: Micros,
     attempt: AttemptKey,
 }
 
-/// All queries in flight and all attempts out.
+/// All queries in flight and their unfinished attempts.
 #[derive(Default)]
 pub(crate) struct InFlightTable {
     last_number: u64,
     queries: HashMap<QueryId, InFlightQuery>,
-    /// Clients' ids of the requests in flight.
+    /// The client request ids of the queries in flight.
     request_ids: HashSet<Rc<str>>,
-    /// Goes with the query.
+    /// Entries are removed together with their query.
     shard_requests: HashMap<ShardRequestId, ShardRequestLocation>,
-    /// How many shard requests have their value.
+    /// The number of shard requests that have a value.
     answered: usize,
     attempts: BTreeMap<AttemptKey, OutgoingAttempt>,
     checks: BTreeSet<ScheduledCheck>,
 }
 
 impl InFlightTable {
-    /// Queries and unanswered shard requests, which the limit on what is in flight counts.
+    /// The number of queries plus unanswered shard requests, which is what the limit on work in flight counts.
     pub(crate) fn load(&self) -> usize {
         self.queries.len() + self.shard_requests.len() - self.answered
     }
 
-    /// Queries in flight.
+    /// The number of queries in flight.
     pub(crate) fn query_count(&self) -> usize {
         self.queries.len()
     }
 
-    /// When the query longest in flight was admitted.
+    /// When the oldest query in flight was admitted.
     pub(crate) fn oldest_admission(&self) -> Option<Micros> {
         self.queries
             .values()
@@ -151,12 +152,12 @@
             .min()
     }
 
-    /// Attempts out.
+    /// The number of unfinished attempts.
     pub(crate) fn attempts(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether a request with this id of the client is in flight.
+    /// Whether a query with this client request id is in flight.
     pub(crate) fn has_request(&self, request_id: &str) -> bool {
         self.request_ids.contains(request_id)
     }
@@ -166,12 +167,12 @@
         self.last_number
     }
 
-    /// Adds a query; returns its id and the ids of its shard requests, in the order of `shards`.
+    /// Adds a query. Returns its id and the ids of its shard requests, in the order of `shards`.
     pub(crate) fn open(
         &mut self,
-        name: &str,
+        request_id: &str,
         statement: &str,
-        key: Option<&str>,
+        idempotency_key: Option<&str>,
         shards: impl Iterator<Item = ShardNo>,
         reply: Rc<PendingResponse>,
         admission: AdmissionRecord,
@@ -182,13 +183,13 @@
             .map(|(position, shard)| self.add_shard_request(query, position, shard))
             .collect();
         let ids = shard_requests.iter().map(|request| request.id).collect();
-        let name = Rc::<str>::from(name);
-        self.request_ids.insert(Rc::clone(&name));
+        let request_id = Rc::<str>::from(request_id);
+        self.request_ids.insert(Rc::clone(&request_id));
         let in_flight = InFlightQuery {
             admission,
-            request_id: name,
+            request_id,
             statement: statement.into(),
-            idempotency_key: key.map(Rc::from),
+            idempotency_key: idempotency_key.map(Rc::from),
             shard_requests,
             reply,
         };
@@ -219,7 +220,7 @@
         self.queries.get(&id)
     }
 
-    /// Removes a query with its shard requests; the one place that does.
+    /// Removes a query with its shard requests. Nothing else removes queries.
     pub(crate) fn close(&mut self, id: QueryId) -> Option<InFlightQuery> {
         let query = self.queries.remove(&id)?;
         self.request_ids.remove(&query.request_id);
@@ -230,23 +231,24 @@
         Some(query)
     }
 
-    /// Adds an attempt that the decision module wants made, with `limit` from `now` to its end. Where the connection may have
-    /// to be dialled, the attempt is examined after `dial` already. Nothing if the shard request is not in flight.
+    /// Adds an attempt that the routing engine requests; it times out `time_limit` after `now`. If its connection may
+    /// have to be dialled, the attempt is first checked after `dial_limit`. Returns `None` if the shard request is
+    /// not in flight.
     pub(crate) fn add_attempt(
         &mut self,
         id: ShardRequestId,
         node: NodeId,
         now: Micros,
-        limit: Micros,
-        dial: Option<Micros>,
+        time_limit: Micros,
+        dial_limit: Option<Micros>,
     ) -> Option<AttemptKey> {
         let ShardRequestLocation { query, position } = *self.shard_requests.get(&id)?;
         let in_flight = self.queries.get_mut(&query)?;
         let shard_request = &mut in_flight.shard_requests[position];
         let key = (id, AttemptNo(shard_request.attempt_count));
         shard_request.attempt_count = shard_request.attempt_count.checked_add(1)?;
-        let due = now + limit;
-        let next_check = dial.map_or(due, |dial| due.min(now + dial));
+        let due = now + time_limit;
+        let next_check = dial_limit.map_or(due, |limit| due.min(now + limit));
         let attempt = OutgoingAttempt {
             query,
             position,
@@ -265,18 +267,18 @@
         Some(key)
     }
 
-    /// The attempt with this key, while it is out.
+    /// The attempt with this key, while it is unfinished.
     pub(crate) fn attempt(&self, key: AttemptKey) -> Option<&OutgoingAttempt> {
         self.attempts.get(&key)
     }
 
-    /// The query and the shard request that an attempt is made for, while they are in flight.
+    /// The query and the shard request that an attempt belongs to, while they are in flight.
     pub(crate) fn shard_request(
         &self,
-        call: &OutgoingAttempt,
+        attempt: &OutgoingAttempt,
     ) -> Option<(&InFlightQuery, &InFlightShardRequest)> {
-        let query = self.queries.get(&call.query)?;
-        Some((query, query.shard_requests.get(call.position)?))
+        let query = self.queries.get(&attempt.query)?;
+        Some((query, query.shard_requests.get(attempt.position)?))
     }
 
     /// Whether a connection has carried an attempt of the same shard request.
@@ -286,7 +288,7 @@
         found.is_some_and(|(_, shard_request)| shard_request.carried_by.contains(&connection))
     }
 
-    /// Notes that an attempt has been given to a connection, and how far it has come there.
+    /// Records the progress of an attempt, and which connection carries it.
     pub(crate) fn set_progress(&mut self, key: AttemptKey, progress: AttemptProgress) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
@@ -306,7 +308,7 @@
         }
     }
 
-    /// Removes an attempt; the one place that does.
+    /// Removes an attempt. Nothing else removes attempts.
     pub(crate) fn finish(&mut self, key: AttemptKey) -> Option<OutgoingAttempt> {
         let attempt = self.attempts.remove(&key)?;
         self.checks.remove(&ScheduledCheck {
@@ -316,7 +318,7 @@
         Some(attempt)
     }
 
-    /// Examines an attempt again when its time is up.
+    /// Schedules the next check of an attempt for the time at which it times out.
     pub(crate) fn check_when_due(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
@@ -332,28 +334,28 @@
         });
     }
 
-    /// Stores a shard request's value as a node gave it; only the first one counts.
-    pub(crate) fn store_value(&mut self, call: &OutgoingAttempt, value: &str) {
-        let query = self.queries.get_mut(&call.query);
-        let shard_request = query.and_then(|query| query.shard_requests.get_mut(call.position));
+    /// Stores the value that a node returned for a shard request. Values after the first one are ignored.
+    pub(crate) fn store_value(&mut self, attempt: &OutgoingAttempt, value: &str) {
+        let query = self.queries.get_mut(&attempt.query);
+        let shard_request = query.and_then(|query| query.shard_requests.get_mut(attempt.position));
         if let Some(shard_request) = shard_request {
             self.answered += usize::from(shard_request.value.is_none());
             shard_request.value.get_or_insert_with(|| value.into());
         }
     }
 
-    /// When the next attempt is to be examined.
+    /// The time of the next check of an attempt.
     pub(crate) fn next_check(&self) -> Option<Micros> {
         self.checks.first().map(|check| check.at)
     }
 
-    /// An attempt that is to be examined by `now`.
+    /// An attempt whose check is due at `now`.
     pub(crate) fn due_check(&self, now: Micros) -> Option<AttemptKey> {
         let check = self.checks.first().filter(|check| check.at <= now)?;
         Some(check.attempt)
     }
 
-    /// Attempts of a shard request that are still out.
+    /// The unfinished attempts of a shard request.
     pub(crate) fn attempts_of(
         &self,
         id: ShardRequestId,
--- a/router/src/state/listener.rs
+++ b/router/src/state/listener.rs
@@ -1,7 +1,8 @@
-//! Whether this process accepts clients, and how far its listener has been closed.
+//! Whether this process accepts clients, and whether its listener is open, closing or closed.
 //!
-//! Set by a hot restart (which process accepts) and by a shutdown (the listener goes). Read by the listener, by client
-//! connections and by the fleet's event loop, which takes part only while this process accepts.
+//! A hot restart decides which process accepts; a shutdown closes the listener. The listener, the client connections
+//! and the fleet's event loop read this state. The event loop takes part in the fleet only while this process accepts
+//! clients.
 
 use std::cell::Cell;
 
@@ -16,7 +17,7 @@
 }
 
 impl Default for ListenerState {
-    /// A process that accepts clients from its start.
+    /// The state of a process that accepts clients from its start.
     fn default() -> Self {
         ListenerState {
             accepting: Cell::new(true),
@@ -28,38 +29,40 @@
 }
 
 impl ListenerState {
-    /// Whether this process accepts connections of clients.
+    /// Whether this process accepts client connections.
     pub(crate) fn is_accepting(&self) -> bool {
         self.accepting.get()
     }
 
-    /// Accepts clients from now on, or no more; everyone who waits for a change is woken.
+    /// Sets whether this process accepts clients and wakes all listeners of [`ListenerState::accepting_changed`].
     pub(crate) fn set_accepting(&self, accepting: bool) {
         self.accepting.set(accepting);
         self.accepting_changed.notify(usize::MAX);
     }
 
-    /// Resolves at the next change of [`ListenerState::is_accepting`]. Listen first, then look: a change between is seen.
+    /// Resolves at the next call of [`ListenerState::set_accepting`]. Create the event listener before reading
+    /// [`ListenerState::is_accepting`], so that a change in between is not missed.
     pub(crate) fn accepting_changed(&self) -> EventListener {
         self.accepting_changed.listen()
     }
 
-    /// Resolves once the listener is to be closed.
+    /// Resolves once [`ListenerState::close`] has been called.
     pub(crate) fn closing(&self) -> EventListener {
         self.closing.listen()
     }
 
-    /// Asks for the listener to be closed, after what waits in it has been accepted.
+    /// Asks the listener to close once it has accepted the connections in its backlog.
     pub(crate) fn close(&self) {
         self.closing.notify(usize::MAX);
     }
 
-    /// The listener is gone: from now on a connection ends with the request on it, at once if it has none.
+    /// Records that the listener is closed. From then on a connection ends after its current request, or at once if
+    /// it has none.
     pub(crate) fn mark_closed(&self) {
         self.closed.set(true);
     }
 
-    /// Whether the listener is gone.
+    /// Whether the listener is closed.
     pub(crate) fn is_closed(&self) -> bool {
         self.closed.get()
     }
--- a/router/src/state/log_limit.rs
+++ b/router/src/state/log_limit.rs
@@ -1,13 +1,14 @@
-//! Bounds how often one kind of event is logged: one event an interval, with the count of all.
+//! Limits how often one kind of event is logged: at most once per interval, together with the total count of such
+//! events.
 
 use std::cell::Cell;
 
 use ternpick::types::Micros;
 
-/// Events of one kind come no closer than this in the log.
+/// The shortest time between two log lines of one kind.
 const LOG_INTERVAL: Micros = Micros(1_000_000);
 
-/// Events of one kind since the start, and when one was last logged.
+/// The number of events of one kind since the start, and when one was last logged.
 #[derive(Default)]
 pub(crate) struct LogLimit {
     count: Cell<u64>,
@@ -15,7 +16,7 @@
 }
 
 impl LogLimit {
-    /// Counts an event at `now`. Returns how many there were, if this one is to be logged.
+    /// Counts an event at `now`. Returns the total so far if this event should be logged.
     pub(crate) fn count(&self, now: Micros) -> Option<u64> {
         let count = self.count.get() + 1;
         self.count.set(count);
--- a/router/src/state/memory_budget.rs
+++ b/router/src/state/memory_budget.rs
@@ -1,34 +1,37 @@
-//! The one count of bytes that peers make the router hold: heads, bodies, partial frames, responses not yet read.
+//! Accounts for the memory that peers make the router hold: request heads, bodies, partial frames, and responses that
+//! the peer has not read yet.
 //!
-//! Each connection reports what it holds through its [`MemoryShare`]. The listener compares the sum with the limit and closes the
-//! largest incomplete request above it. A hot restart moves the limit while two processes share a router's memory.
+//! Each connection reports the bytes that it holds through its [`MemoryShare`]. When the sum exceeds the limit, the
+//! request reader closes the largest incomplete request. A hot restart changes the limit while two processes share a
+//! router's memory.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The bytes that all connections hold, and the limit on them.
+/// The total bytes that all connections hold, and the limit on that total.
 pub(crate) struct MemoryBudget {
     limit: Cell<usize>,
     used: Cell<usize>,
 }
 
-/// The bytes that one connection holds; given back when it is dropped.
+/// The bytes that one connection holds. Dropping the share releases them.
 pub(crate) struct MemoryShare {
     budget: Rc<MemoryBudget>,
     bytes: usize,
 }
 
 impl MemoryBudget {
-    /// The budget of a process that may take up `memory` bytes. Peers get half of it: the rest is for the program, its own
-    /// tables, and what parsing a message takes beside the message.
-    pub(crate) fn new(memory: usize) -> Rc<Self> {
+    /// Creates the budget of a process that may use `process_bytes` of memory. Connections get half of it. The other
+    /// half is for the program, its tables, and the memory that parsing a message needs in addition to the message
+    /// itself.
+    pub(crate) fn new(process_bytes: usize) -> Rc<Self> {
         Rc::new(MemoryBudget {
-            limit: Cell::new(memory / 2),
+            limit: Cell::new(process_bytes / 2),
             used: Cell::new(0),
         })
     }
 
-    /// A share for a new connection, which holds nothing yet.
+    /// Creates the share of a new connection, which holds no bytes yet.
     pub(crate) fn share(self: &Rc<Self>) -> MemoryShare {
         MemoryShare {
             budget: Rc::clone(self),
@@ -36,29 +39,28 @@
         }
     }
 
-    /// The bytes that all connections together may hold.
+    /// The number of bytes that all connections together may hold.
     pub(crate) fn limit(&self) -> usize {
         self.limit.get()
     }
 
-    /// Replaces the limit.
     pub(crate) fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
     }
 
-    /// The bytes that all connections together hold.
+    /// The number of bytes that all connections together hold.
     pub(crate) fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// Whether more is held than the limit allows.
+    /// Whether the connections hold more bytes than the limit allows.
     pub(crate) fn is_over(&self) -> bool {
         self.used.get() > self.limit.get()
     }
 }
 
 impl MemoryShare {
-    /// Replaces what this connection holds by `bytes`.
+    /// Sets the number of bytes that this connection holds.
     pub(crate) fn set(&mut self, bytes: usize) {
         let others = self.budget.used.get().saturating_sub(self.bytes);
         self.budget.used.set(others + bytes);
--- a/router/src/state/memory_budget/tests.rs
+++ b/router/src/state/memory_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_held_counts_until_it_is_given_back() {
+fn a_share_counts_against_the_limit_until_it_is_dropped() {
     let budget = MemoryBudget::new(200);
     let mut first = budget.share();
     let mut second = budget.share();
--- a/router/src/state/mod.rs
+++ b/router/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The state of a running router, one owner to a file. Nothing here does I/O or decides.
+//! The state of a running router. Each file owns one part of it. Nothing here does I/O or makes routing decisions.
 
 pub(crate) mod client_transfer;
 pub(crate) mod clients;
--- a/router/src/state/nodes.rs
+++ b/router/src/state/nodes.rs
@@ -1,7 +1,7 @@
-//! Nodes by name, and the connections to them.
+//! The known nodes by name, and the connections to them.
 //!
-//! The watch of the endpoint list adds and removes nodes; the upstream writer opens connections and picks one for an attempt.
-//! Which node is asked is the decision module's choice.
+//! The watch of the endpoint list adds and removes nodes. The upstream writer opens connections and picks one for an
+//! attempt. The routing engine chooses the node of an attempt.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -13,11 +13,11 @@
 use crate::state::descriptors::DescriptorPermit;
 pub(crate) use crate::state::ids::ConnectionId;
 
-/// A node of the endpoint list, or one that is gone and still has connections.
+/// A node of the endpoint list, or a node that is gone from the list and still has connections.
 pub(crate) struct Node {
     /// Its name in the endpoint list.
     pub(crate) name: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub(crate) address: SocketAddr,
     /// Its state in the endpoint list.
     pub(crate) state: EndpointState,
@@ -27,21 +27,21 @@
 /// All nodes and all connections to them.
 #[derive(Default)]
 pub(crate) struct Nodes {
-    /// Numbers nodes and connections.
+    /// The last number given to a node or a connection.
     last_number: u64,
-    /// Emptied of nodes that are gone and have no connection left.
+    /// Nodes that are gone are removed once they have no connection left.
     nodes: BTreeMap<NodeId, Node>,
     ids: HashMap<String, NodeId>,
     connections: BTreeMap<ConnectionId, Connection>,
-    /// Connections ever opened.
+    /// The total number of connections ever opened.
     pub(crate) opened: u64,
-    /// When any node last sent something.
+    /// When any node last sent a frame or accepted a connection.
     pub(crate) last_received: Micros,
 }
 
 impl Nodes {
-    /// Applies one entry of the endpoint list: the same name is the same node, wherever it listens. Returns its id, and
-    /// whether it was not known at that address.
+    /// Applies one entry of the endpoint list. An entry with a known name is the same node even at another address.
+    /// Returns the node's id, and whether the node is new or at a new address.
     pub(crate) fn apply_entry(
         &mut self,
         name: &str,
@@ -72,19 +72,19 @@
         id
     }
 
-    /// All nodes with their names and addresses.
+    /// All nodes with their ids, names and addresses.
     pub(crate) fn all(&self) -> impl Iterator<Item = (NodeId, &str, SocketAddr)> {
         self.nodes
             .iter()
             .map(|(id, node)| (*id, node.name.as_str(), node.address))
     }
 
-    /// The id of a node by its name.
+    /// The id of the node with this name.
     pub(crate) fn id_of(&self, name: &str) -> Option<NodeId> {
         self.ids.get(name).copied()
     }
 
-    /// Marks all nodes as gone that a complete endpoint list did not name.
+    /// Marks the nodes that are missing from a complete endpoint list as gone and retires their connections.
     pub(crate) fn retire_unlisted(&mut self, listed: &[NodeId]) {
         let unlisted: Vec<NodeId> = self
             .nodes
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Retires a node's connections that carry nothing.
+    /// Retires the idle connections of a node.
     pub(crate) fn retire_idle(&mut self, node: NodeId) {
         self.connections
             .values_mut()
@@ -141,14 +141,14 @@
         self.nodes.len()
     }
 
-    /// A node's connections that may carry more, those that are up first.
+    /// A node's connections that accept more attempts; connected ones come before those that are being dialled.
     pub(crate) fn usable(&self, id: NodeId) -> impl Iterator<Item = (ConnectionId, &Connection)> {
-        let of_state = move |up: bool| {
+        let usable = move |is_connected: bool| {
             self.connections_of(id).filter(move |(_, connection)| {
-                connection.is_usable() && connection.stream.is_some() == up
+                connection.is_usable() && connection.stream.is_some() == is_connected
             })
         };
-        of_state(true).chain(of_state(false))
+        usable(true).chain(usable(false))
     }
 
     fn connections_of(&self, id: NodeId) -> impl Iterator<Item = (ConnectionId, &Connection)> {
@@ -160,7 +160,7 @@
         ids.filter_map(|id| Some((*id, self.connections.get(id)?)))
     }
 
-    /// Adds a connection to a node, which its task is to dial; nothing if the node is not known.
+    /// Adds a connection to a node, which the connection's task has to dial. Returns `None` if the node is not known.
     pub(crate) fn connect(
         &mut self,
         node: NodeId,
@@ -170,9 +170,9 @@
     ) -> Option<ConnectionId> {
         self.last_number += 1;
         let id = ConnectionId(self.last_number);
-        let to = self.nodes.get_mut(&node)?;
-        to.connections.push(id);
-        let connection = Connection::new(node, to.address, now, max_output_bytes, permit);
+        let target = self.nodes.get_mut(&node)?;
+        target.connections.push(id);
+        let connection = Connection::new(node, target.address, now, max_output_bytes, permit);
         self.connections.insert(id, connection);
         self.opened += 1;
         Some(id)
@@ -183,39 +183,41 @@
         self.connections.get(&id)
     }
 
-    /// The connection with this id.
+    /// The connection with this id, for changes.
     pub(crate) fn connection_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&id)
     }
 
-    /// Takes an attempt off its connection; `end` counts the connection's bytes up to the end of its frame. A frame that has
-    /// not left completely may neither be finished, since the attempt is over, nor be left half: that connection ends.
+    /// Removes a finished attempt from its connection. `frame_end` is the connection's byte count at the end of the
+    /// attempt's frame. If the frame is not written completely, the connection is abandoned: the rest of the frame
+    /// must not be sent, since the attempt is finished, and an incomplete frame would make the following ones
+    /// unreadable.
     pub(crate) fn remove_attempt(
         &mut self,
         id: ConnectionId,
-        name: &Rc<str>,
-        end: u64,
+        wire_id: &Rc<str>,
+        frame_end: u64,
         now: Micros,
     ) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.attempts.remove(name);
-        connection.abandoned |= connection.written_bytes < end;
-        connection.mark_finished(name, now);
+        connection.attempts.remove(wire_id);
+        connection.abandoned |= connection.written_bytes < frame_end;
+        connection.mark_finished(wire_id, now);
         if !connection.is_usable() {
             connection.wake.notify(1);
         }
     }
 
-    /// Retires a connection that has brought nothing since `since`.
+    /// Retires a connection on which no valid frame has been received since `since`.
     pub(crate) fn retire_silent(&mut self, id: ConnectionId, since: Micros) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.retired |= connection.last_received < since;
         }
     }
 
-    /// Wakes the task of a retired connection, which closes it if it carries nothing any more.
+    /// Wakes the task of a retired connection, which closes the connection if it is idle.
     pub(crate) fn wake_retired(&self, id: ConnectionId) {
         let connection = self.connections.get(&id);
         if let Some(connection) = connection.filter(|connection| connection.retired) {
@@ -223,17 +225,17 @@
         }
     }
 
-    /// Removes a connection; the one place that does.
+    /// Removes a connection. Nothing else removes connections.
     pub(crate) fn disconnect(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         if let Some(node) = self.nodes.get_mut(&connection.node) {
-            node.connections.retain(|of| *of != id);
+            node.connections.retain(|connection| *connection != id);
         }
         self.forget_gone();
         Some(connection)
     }
 
-    /// Retires the connection that has been idle longest; false if none is idle.
+    /// Retires the connection that has been idle longest. Returns false if none is idle.
     pub(crate) fn retire_longest_idle(&mut self) -> bool {
         let idle = self
             .connections
--- a/router/src/state/nodes/tests.rs
+++ b/router/src/state/nodes/tests.rs
@@ -3,13 +3,13 @@
 use crate::state::descriptors::{Descriptors, Peer};
 use test_case::test_case;
 
-fn at(port: u16) -> SocketAddr {
+fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
 fn connected() -> (Nodes, NodeId, ConnectionId) {
     let mut nodes = Nodes::default();
-    let (node, _) = nodes.apply_entry("a", at(1), EndpointState::Ready);
+    let (node, _) = nodes.apply_entry("a", address(1), EndpointState::Ready);
     let permit = Descriptors::new(100)
         .take(Peer::Node)
         .expect("a descriptor");
@@ -19,50 +19,56 @@
     (nodes, node, id)
 }
 
-#[test_case(at(1), EndpointState::Ready, 1; "as it was")]
-#[test_case(at(1), EndpointState::Draining, 1; "draining: it finishes what it has")]
-#[test_case(at(2), EndpointState::Ready, 0; "listening elsewhere")]
-#[test_case(at(1), EndpointState::Gone, 0; "gone")]
-fn a_name_is_one_node_wherever_it_listens(
-    address: SocketAddr,
+#[test_case(address(1), EndpointState::Ready, 1; "unchanged")]
+#[test_case(address(1), EndpointState::Draining, 1; "draining")]
+#[test_case(address(2), EndpointState::Ready, 0; "at a new address")]
+#[test_case(address(1), EndpointState::Gone, 0; "gone")]
+fn an_entry_with_a_known_name_updates_that_node(
+    new_address: SocketAddr,
     state: EndpointState,
     usable: usize,
 ) {
     let (mut nodes, node, _) = connected();
     assert_eq!(
-        nodes.apply_entry("a", address, state),
-        (node, address != at(1))
+        nodes.apply_entry("a", new_address, state),
+        (node, new_address != address(1))
     );
     assert_eq!(nodes.usable(node).count(), usable);
 }
 
 #[test]
-fn a_node_that_a_whole_list_leaves_out_is_forgotten_with_its_last_connection() {
+fn a_node_missing_from_a_complete_list_is_removed_with_its_last_connection() {
     let (mut nodes, node, id) = connected();
     nodes.retire_unlisted(&[]);
     nodes.forget_gone();
-    assert!(nodes.node(node).is_some() && nodes.connection(id).is_some_and(|of| of.retired));
+    assert!(
+        nodes.node(node).is_some()
+            && nodes
+                .connection(id)
+                .is_some_and(|connection| connection.retired)
+    );
     nodes.disconnect(id);
     assert_eq!(nodes.count(), 0);
     assert_ne!(
-        nodes.apply_entry("a", at(1), EndpointState::Ready).0,
+        nodes.apply_entry("a", address(1), EndpointState::Ready).0,
         node,
-        "a name forgotten comes back as another node"
+        "a removed node that is listed again gets a new id"
     );
 }
 
 #[test]
-fn nothing_stays_of_nodes_that_come_and_go() {
+fn removed_nodes_and_their_connections_leave_no_entries() {
     let (mut nodes, _, first) = connected();
     for number in 0..1000 {
-        let (node, _) = nodes.apply_entry(&format!("n{number}"), at(number), EndpointState::Ready);
+        let (node, _) =
+            nodes.apply_entry(&format!("n{number}"), address(number), EndpointState::Ready);
         let permit = Descriptors::new(100)
             .take(Peer::Node)
             .expect("a descriptor");
         let id = nodes
             .connect(node, Micros(5), 100, permit)
             .expect("a connection");
-        nodes.apply_entry(&format!("n{number}"), at(number), EndpointState::Gone);
+        nodes.apply_entry(&format!("n{number}"), address(number), EndpointState::Gone);
         nodes.disconnect(id);
     }
     nodes.forget_gone();
@@ -73,20 +79,23 @@
     assert!(nodes.connection(first).is_some());
 }
 
-#[test_case(4, false; "heard from since")]
-#[test_case(9, true; "silent since")]
-fn a_silent_connection_carries_no_more(since: u64, retired: bool) {
+#[test_case(4, false; "input received since")]
+#[test_case(9, true; "no input since")]
+fn retire_silent_retires_a_connection_without_input_since(since: u64, retired: bool) {
     let (mut nodes, _, id) = connected();
     nodes
         .connection_mut(id)
         .expect("a connection")
         .last_received = Micros(6);
     nodes.retire_silent(id, Micros(since));
-    assert_eq!(nodes.connection(id).map(|of| of.retired), Some(retired));
+    assert_eq!(
+        nodes.connection(id).map(|connection| connection.retired),
+        Some(retired)
+    );
 }
 
 #[test]
-fn what_carries_something_is_not_let_go() {
+fn retire_idle_keeps_connections_with_attempts_and_those_of_other_nodes() {
     let (mut nodes, node, id) = connected();
     nodes
         .connection_mut(id)
@@ -101,13 +110,13 @@
         .waiting
         .clear();
     nodes.retire_idle(NodeId(node.0 + 1));
-    assert_eq!(nodes.usable(node).count(), 1, "another node's");
+    assert_eq!(nodes.usable(node).count(), 1, "another node's connections");
     nodes.retire_idle(node);
     assert_eq!(nodes.usable(node).count(), 0);
 }
 
 #[test]
-fn only_an_idle_connection_makes_room() {
+fn retire_longest_idle_retires_idle_connections_only() {
     let (mut nodes, _, id) = connected();
     nodes
         .connection_mut(id)
@@ -124,15 +133,15 @@
 }
 
 #[test]
-fn calls_that_are_over_are_known_for_a_while() {
+fn a_connection_remembers_finished_attempts_by_number_and_age() {
     let (mut nodes, _, id) = connected();
-    let name = |number: usize| Rc::<str>::from(format!("x.{number}"));
+    let wire_id = |number: usize| Rc::<str>::from(format!("x.{number}"));
     (0..2 * FINISHED_REMEMBERED)
-        .for_each(|number| nodes.remove_attempt(id, &name(number), 0, Micros(7)));
-    let known = |nodes: &Nodes, number| {
+        .for_each(|number| nodes.remove_attempt(id, &wire_id(number), 0, Micros(7)));
+    let is_remembered = |nodes: &Nodes, number| {
         nodes
             .connection(id)
-            .is_some_and(|of| of.is_finished(&name(number)))
+            .is_some_and(|connection| connection.is_finished(&wire_id(number)))
     };
     assert_eq!(
         [
@@ -141,22 +150,27 @@
             FINISHED_REMEMBERED,
             2 * FINISHED_REMEMBERED - 1
         ]
-        .map(|n| known(&nodes, n)),
+        .map(|number| is_remembered(&nodes, number)),
         [false, false, true, true]
     );
-    nodes.remove_attempt(id, &name(0), 0, Micros(8) + FINISHED_REMEMBERED_FOR);
-    assert_eq!(nodes.connection(id).map(|of| of.finished.len()), Some(1));
+    nodes.remove_attempt(id, &wire_id(0), 0, Micros(8) + FINISHED_REMEMBERED_FOR);
+    assert_eq!(
+        nodes
+            .connection(id)
+            .map(|connection| connection.finished.len()),
+        Some(1)
+    );
 }
 
-#[test_case(Some("x.2"), 2; "by its name")]
-#[test_case(Some("x.9"), 1; "or the one out longest")]
-#[test_case(None, 1; "also when nothing can be read")]
-fn what_came_spoilt_is_told_from_the_others(named: Option<&str>, call: u64) {
+#[test_case(Some("x.2"), 2; "the attempt that the input names")]
+#[test_case(Some("x.9"), 1; "the oldest attempt for an unknown id")]
+#[test_case(None, 1; "the oldest attempt without an id")]
+fn bad_input_is_held_against_one_attempt(wire_id: Option<&str>, shard_request: u64) {
     let (mut nodes, _, id) = connected();
     let connection = nodes.connection_mut(id).expect("a connection");
-    let key = |part| {
+    let key = |shard_request| {
         (
-            ternpick::types::ShardRequestId(part),
+            ternpick::types::ShardRequestId(shard_request),
             ternpick::types::AttemptNo(0),
         )
     };
@@ -165,9 +179,9 @@
         ("x.1".into(), key(1)),
         ("x.3".into(), key(3)),
     ]);
-    connection.abandon_on_bad_input(named);
+    connection.abandon_on_bad_input(wire_id);
     assert_eq!(
         (connection.bad_input_attempt, connection.abandoned),
-        (Some(key(call)), true)
+        (Some(key(shard_request)), true)
     );
 }
--- a/router/src/state/shutdown.rs
+++ b/router/src/state/shutdown.rs
@@ -1,11 +1,11 @@
-//! Whether and how this process ends: asked to stop, in a graceful shutdown, or handed over to a new process.
+//! Whether this process has been asked to stop, is in a graceful shutdown, or has handed over to a new process.
 
 use std::cell::Cell;
 
 use event_listener::{Event, EventListener};
 use ternpick::shutdown::Shutdown;
 
-/// What a stop of this process has come to.
+/// The progress of this process's shutdown.
 #[derive(Default)]
 pub(crate) struct ShutdownState {
     schedule: Cell<Option<Shutdown>>,
@@ -14,32 +14,32 @@
 }
 
 impl ShutdownState {
-    /// The instants of the shutdown that is under way.
+    /// The schedule of the shutdown in progress, if there is one.
     pub(crate) fn schedule(&self) -> Option<Shutdown> {
         self.schedule.get()
     }
 
-    /// The shutdown begins, with these instants.
+    /// Begins the shutdown with this schedule.
     pub(crate) fn begin(&self, schedule: Shutdown) {
         self.schedule.set(Some(schedule));
     }
 
-    /// Asks this process to stop: by an operator's command, or because it has nothing left to do.
+    /// Asks this process to stop, on an operator's command or because it has nothing left to do.
     pub(crate) fn request(&self) {
         self.requested.notify(1);
     }
 
-    /// Resolves once this process is asked to stop.
+    /// Resolves once this process has been asked to stop.
     pub(crate) fn requested(&self) -> EventListener {
         self.requested.listen()
     }
 
-    /// Everything has gone over to a new process.
+    /// Records that everything has been handed over to a new process.
     pub(crate) fn mark_handed_over(&self) {
         self.handed_over.set(true);
     }
 
-    /// Whether everything has gone over to a new process.
+    /// Whether everything has been handed over to a new process.
     pub(crate) fn is_handed_over(&self) -> bool {
         self.handed_over.get()
     }
--- a/router/src/state/wake_time.rs
+++ b/router/src/state/wake_time.rs
@@ -1,8 +1,9 @@
-//! When something that a task waits for has happened, as opposed to when the task gets to it.
+//! Records when the event that a task waits for happened, which may be earlier than when the task runs.
 //!
-//! All tasks run on one thread, and that thread may be held up: by a system call that takes long, or by much work at once. Sockets
-//! are polled on a thread of their own (async-io's), which wakes tasks all the same. The wake is noted at that moment, so that the
-//! deadline of a request that arrives meanwhile counts from its arrival.
+//! All tasks run on one thread, and that thread may be blocked by a slow system call or busy with much work at once.
+//! async-io polls sockets on a thread of its own, which wakes tasks even then. The time of the wake is recorded at
+//! that moment, so that the deadline of a request that arrives while the thread is blocked counts from the request's
+//! arrival.
 
 use std::future::{poll_fn, Future};
 use std::pin::pin;
@@ -10,17 +11,17 @@
 use std::task::{Context, Poll, Wake, Waker};
 use std::time::Instant;
 
-/// Notes when a wait is woken; for one wait at a time.
+/// Records when a wait is woken. It serves one wait at a time.
 #[derive(Default)]
 pub(crate) struct WakeTime {
-    woken_at: Arc<Note>,
+    woken_at: Arc<FirstWake>,
 }
 
-/// When the current wait was woken first.
+/// The time of the first wake of the current wait.
 #[derive(Default)]
-struct Note(Mutex<Option<Instant>>);
+struct FirstWake(Mutex<Option<Instant>>);
 
-impl Note {
+impl FirstWake {
     fn take(&self) -> Option<Instant> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
@@ -32,21 +33,21 @@
             .is_some()
     }
 
-    fn set_if_unset(&self, at: Instant) {
+    fn set_if_unset(&self, woken_at: Instant) {
         self.0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .get_or_insert(at);
+            .get_or_insert(woken_at);
     }
 }
 
-/// Wakes a task, and notes when.
-struct NotingWaker {
-    woken_at: Arc<Note>,
+/// Wakes a task and records the time of the first wake.
+struct RecordingWaker {
+    woken_at: Arc<FirstWake>,
     task: Waker,
 }
 
-impl Wake for NotingWaker {
+impl Wake for RecordingWaker {
     fn wake(self: Arc<Self>) {
         self.wake_by_ref();
     }
@@ -58,18 +59,20 @@
 }
 
 impl WakeTime {
-    /// Waits for `future` or for its first wake, whichever is seen first; what an earlier wait noted is forgotten. None: it was
-    /// woken, and is not ready all the same.
+    /// Waits until `future` is ready or has been woken once, and discards the time that an earlier wait recorded.
+    /// Returns `None` if the future was woken but is not ready.
     ///
-    /// Then the caller looks for itself, and waits again if there is nothing. async-io's waits for a socket are not ready at a
-    /// first wake now and then, with bytes there: noted was a second wake, after the thread had been held up.
+    /// In that case the caller checks for itself whether the event has happened, and waits again if it has not.
+    /// async-io's futures for a readable socket are sometimes not ready at their first wake although bytes have
+    /// arrived. Waiting on until they were ready recorded the time of a second wake, after the thread had been
+    /// blocked.
     pub(crate) async fn watch<F: Future>(&self, future: F) -> Option<F::Output> {
         self.woken_at.take();
         let mut future = pin!(future);
         poll_fn(|context| {
             let is_woken = self.woken_at.is_set();
-            let noting = self.noting(context.waker());
-            match future.as_mut().poll(&mut Context::from_waker(&noting)) {
+            let waker = self.recording_waker(context.waker());
+            match future.as_mut().poll(&mut Context::from_waker(&waker)) {
                 Poll::Ready(output) => Poll::Ready(Some(output)),
                 Poll::Pending if is_woken => Poll::Ready(None),
                 Poll::Pending => Poll::Pending,
@@ -78,14 +81,14 @@
         .await
     }
 
-    /// When the last wait was woken, be it to its end or before it was given up; none if nothing woke it. Asked once for each
-    /// wait.
+    /// Takes the time at which the last wait was first woken, whether that wait completed or was dropped. Returns
+    /// `None` if nothing woke it, or if the time has been taken already.
     pub(crate) fn take(&self) -> Option<Instant> {
         self.woken_at.take()
     }
 
-    fn noting(&self, task: &Waker) -> Waker {
-        Waker::from(Arc::new(NotingWaker {
+    fn recording_waker(&self, task: &Waker) -> Waker {
+        Waker::from(Arc::new(RecordingWaker {
             woken_at: Arc::clone(&self.woken_at),
             task: task.clone(),
         }))
--- a/router/src/state/wake_time/tests.rs
+++ b/router/src/state/wake_time/tests.rs
@@ -7,10 +7,11 @@
 
 use super::WakeTime;
 
-const HELD_UP: Duration = Duration::from_millis(60);
+const BLOCKED_FOR: Duration = Duration::from_millis(60);
 
-/// Polls `waiting` once; wakes it by `event` and goes on to it only when its thread has been held up.
-fn woken_while_held_up(wake_time: &WakeTime, event: &Event) -> (Instant, Instant) {
+/// Starts a wait, wakes it through `event`, blocks the thread, and only then polls the wait again. Returns the times
+/// just before and just after the wake.
+fn wake_while_blocked(wake_time: &WakeTime, event: &Event) -> (Instant, Instant) {
     let listener = event.listen();
     future::block_on(async {
         let mut waiting = Box::pin(wake_time.watch(listener));
@@ -18,38 +19,38 @@
         let before = Instant::now();
         event.notify(1);
         let after = Instant::now();
-        thread::sleep(HELD_UP);
+        thread::sleep(BLOCKED_FOR);
         waiting.await;
         (before, after)
     })
 }
 
 #[test]
-fn the_wake_counts_and_not_when_the_task_gets_to_it() {
+fn records_the_time_of_the_wake_when_the_task_runs_later() {
     let (wake_time, event) = (WakeTime::default(), Event::new());
-    let (before, after) = woken_while_held_up(&wake_time, &event);
+    let (before, after) = wake_while_blocked(&wake_time, &event);
     let woken_at = wake_time.take().expect("a wake");
     assert!(before <= woken_at && woken_at <= after);
-    assert_eq!(wake_time.take(), None, "asked once for each wait");
+    assert_eq!(wake_time.take(), None, "the time can be taken once");
 }
 
 #[test]
-fn what_was_ready_at_once_was_not_woken() {
+fn records_no_wake_for_a_future_that_is_ready_at_once() {
     let wake_time = WakeTime::default();
     future::block_on(wake_time.watch(ready(())));
     assert_eq!(wake_time.take(), None);
 }
 
 #[test]
-fn an_earlier_wait_is_forgotten() {
+fn a_new_wait_discards_the_wake_of_an_earlier_wait() {
     let (wake_time, event) = (WakeTime::default(), Event::new());
-    woken_while_held_up(&wake_time, &event);
+    wake_while_blocked(&wake_time, &event);
     future::block_on(wake_time.watch(ready(())));
     assert_eq!(wake_time.take(), None);
 }
 
 #[test]
-fn a_wake_ends_the_wait_also_where_the_future_is_not_ready() {
+fn a_wake_ends_the_wait_even_if_the_future_is_not_ready() {
     let (wake_time, event) = (WakeTime::default(), Event::new());
     let listener = event.listen();
     let ended = future::block_on(async {
@@ -66,14 +67,14 @@
 }
 
 #[test]
-fn a_future_that_wakes_itself_lets_other_tasks_go_first() {
+fn a_future_that_wakes_itself_yields_to_other_tasks() {
     let wake_time = WakeTime::default();
     let mut waiting = Box::pin(wake_time.watch(future::yield_now()));
     assert!(future::block_on(future::poll_once(&mut waiting)).is_none());
 }
 
 #[test]
-fn a_wait_that_is_given_up_has_its_wake_noted() {
+fn records_the_wake_of_a_wait_that_is_dropped() {
     let (wake_time, event) = (WakeTime::default(), Event::new());
     let listener = event.listen();
     future::block_on(async {
