--- a/router/tests/faults/main.rs
+++ b/router/tests/faults/main.rs
@@ -1,5 +1,6 @@
-//! System calls that fail in the ways that Linux documents, clocks that step, a process that is held up: the program as it
-//! ships, under plans that a preloaded library carries out. All rules hold.
+//! Tests of the program under injected faults: system calls that fail in the ways that Linux documents, clock steps,
+//! and a blocked process. The program runs unmodified; a preloaded library injects the faults of a plan. The router's
+//! guarantees must hold.
 
 mod accepts;
 mod calls;
--- a/router/tests/faults/support.rs
+++ b/router/tests/faults/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of faults share: a plan by its rules, cases beside each other.
+//! Helpers of the fault tests: a plan made of rules, and cases that run in parallel.
 
 use std::thread;
 use std::time::Duration;
@@ -15,13 +15,13 @@
     }
 }
 
-/// Cases beside each other; all of them are played, whatever one shows.
-pub(crate) fn together<T: FnOnce() + Send + 'static>(cases: impl IntoIterator<Item = T>) {
-    let played: Vec<_> = cases.into_iter().map(thread::spawn).collect();
-    let failed = played
+/// Runs cases in parallel. All of them run to their end, even if one fails.
+pub(crate) fn run_in_parallel<T: FnOnce() + Send + 'static>(cases: impl IntoIterator<Item = T>) {
+    let threads: Vec<_> = cases.into_iter().map(thread::spawn).collect();
+    let failed = threads
         .into_iter()
         .map(thread::JoinHandle::join)
         .filter(Result::is_err)
         .count();
-    assert_eq!(failed, 0, "cases that failed");
+    assert_eq!(failed, 0, "number of failed cases");
 }
--- a/router/tests/sockets/discovery.rs
+++ b/router/tests/sockets/discovery.rs
@@ -1,11 +1,11 @@
-//! What discovery says, and where it is asked.
+//! The watch of discovery's endpoint list, and a change of discovery's address.
 
 use std::time::{Duration, Instant};
 
 use crate::common::*;
 
 #[test]
-fn a_node_that_drains_gets_nothing_new() {
+fn a_draining_node_gets_no_new_shard_requests() {
     let (router, nodes, discovery) = Router::with(&[Act::Serve, Act::Serve]);
     let change = entry("s0", nodes[0].address, "Terminating");
     discovery.set(|roster| (roster.version, roster.changes) = (2, change));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn discovery_is_asked_again_until_it_is_back() {
+fn retries_discovery_until_it_answers() {
     let discovery = Discovery::default();
     discovery.set(|roster| roster.down = true);
     let router = Router::start(discovery.start(), "", 1024);
@@ -36,23 +36,24 @@
     assert_eq!(ask(&mut router.connect(), "whole", "r2").2, WHOLE);
 }
 
-/// A call that may wait a second and stays silent: what it missed counts as told two seconds after that wait, and nothing new
-/// goes to a node that drains half a second later. Given up as late as that, the next call came at 3.5 to 4 s.
+/// Discovery accepts a watch request that may wait one second, and never answers it. The platform counts a change as
+/// delivered two seconds after that wait, and no new shard requests may go to a draining node half a second after
+/// that. Guards against a watch that is abandoned only at that time: the next request then came after 3.5 to 4 s.
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_before_its_news_counts_as_told() {
+fn a_watch_without_answer_is_retried_before_its_changes_count_as_delivered() {
     let discovery = Discovery::default();
-    // It is at the version that the router knows, and answers nothing.
+    // Discovery is at the version that the router knows, and does not answer.
     discovery.set(|roster| (roster.version, roster.silent) = (1, true));
     let settings = SETTINGS.replace("9000000}}", "1000000}}");
     assert_ne!(settings, SETTINGS);
     let _router = Router::start_with(discovery.start(), "", 1024, 1, &settings, |_| ());
     discovery.wait_until(|roster| roster.calls == 1);
-    let asked = Instant::now();
+    let requested = Instant::now();
     discovery.wait_until(|roster| roster.calls >= 2);
-    let took = asked.elapsed();
+    let retried_after = requested.elapsed();
     assert!(
-        (Duration::from_millis(1500)..Duration::from_millis(3300)).contains(&took),
-        "{took:?}"
+        (Duration::from_millis(1500)..Duration::from_millis(3300)).contains(&retried_after),
+        "retried after {retried_after:?}"
     );
 }
 
@@ -60,9 +61,9 @@
 fn a_reload_follows_discovery_to_its_new_address() {
     let (router, nodes, old) = Router::with(&[Act::Serve, Act::Serve]);
     old.wait_until(|roster| roster.calls == 1);
-    // Its versions lie behind, it does not list the first node, and at first it is down.
-    let (new, left) = (Discovery::default(), entry("s1", nodes[1].address, "Ready"));
-    new.set(|roster| (roster.version, roster.changes, roster.down) = (0, left, true));
+    // The new discovery has a lower version, does not list the first node, and is down at first.
+    let (new, remaining) = (Discovery::default(), entry("s1", nodes[1].address, "Ready"));
+    new.set(|roster| (roster.version, roster.changes, roster.down) = (0, remaining, true));
     let address = new.start().to_string();
     let mut client = router.connect();
     assert_eq!(ask(&mut client, "whole", "r0").0, 200);
--- a/router/tests/sockets/main.rs
+++ b/router/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! Starts the built program on loopback and speaks to it as clients, nodes and discovery do.
+//! Tests that start the built program on loopback and exchange messages with it as clients, nodes and discovery do.
 
 mod clients;
 #[path = "../common/mod.rs"]
--- a/router/tests/sockets/nodes.rs
+++ b/router/tests/sockets/nodes.rs
@@ -1,4 +1,4 @@
-//! Lookups and their parts at nodes that serve, fail, or cannot be reached.
+//! Queries and their shard requests at nodes that serve, fail, or cannot be reached.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -9,52 +9,52 @@
 use crate::common::*;
 
 #[test]
-fn a_lookup_is_served_whole_and_its_parts_share_a_call() {
+fn a_query_gets_a_complete_response_and_its_shard_requests_share_a_frame() {
     let (router, nodes, _discovery) = Router::with(&[Act::Serve]);
     let mut client = router.connect();
     for id in ["r1", "r2"] {
         let (status, _, body) = ask(&mut client, "half", id);
         assert_eq!((status, body.as_str()), (200, WHOLE));
     }
-    let call = nodes[0].frame('q');
-    let lines: Vec<&str> = call.split("find").collect();
+    let frame = nodes[0].frame('q');
+    let lines: Vec<&str> = frame.split("find").collect();
     assert!(
         lines[0].starts_with("r1.0 0 d=") && lines[0].ends_with(",k=keyr1 4\n"),
-        "{call}"
+        "{frame}"
     );
     assert!(
         lines[1].starts_with("r1.1 1 d=") && lines[1].ends_with(",k=keyr1 4\n"),
-        "{call}"
+        "{frame}"
     );
 }
 
-#[test_case("whole", [Act::Serve, Act::Broke], 503; "nacked where a repeat is harmless")]
-#[test_case("once", [Act::Serve, Act::Broke], 502; "aborted where it may have run")]
-#[test_case("half", [Act::Serve, Act::Broke], 200; "in part where that is enough")]
-fn a_part_that_fails_everywhere(index: &str, acts: [Act; 2], status: u16) {
+#[test_case("whole", [Act::Serve, Act::Broke], 503; "rejected if the query may be repeated")]
+#[test_case("once", [Act::Serve, Act::Broke], 502; "failed if the shard request may have run")]
+#[test_case("half", [Act::Serve, Act::Broke], 200; "a partial response if that is sufficient")]
+fn a_shard_request_that_fails_at_every_node_gives(index: &str, acts: [Act; 2], status: u16) {
     let (router, nodes, _discovery) = Router::with(&[Act::Serve]);
     *nodes[0]
         .acts
         .lock()
         .expect("no test thread panicked with the lock held") = acts;
     let (got, _, body) = ask(&mut router.connect(), index, "r1");
-    let part = r#"{"full":false,"pieces":[{"cell":"v0","tablet":0}]}"#;
+    let partial_response = r#"{"full":false,"pieces":[{"cell":"v0","tablet":0}]}"#;
     assert_eq!(
-        (got, status != 200 || body == part),
+        (got, status != 200 || body == partial_response),
         (status, true),
         "{body}"
     );
 }
 
-#[test_case(Act::Broke; "which fails")]
-#[test_case(Act::Skipped; "which turns away")]
-#[test_case(Act::Reset; "which resets")]
-#[test_case(Act::Nonsense; "which sends what cannot be used")]
-#[test_case(Act::Silent; "which is silent")]
-fn another_node_answers_for_one(act: Act) {
+#[test_case(Act::Broke; "that fails")]
+#[test_case(Act::Skipped; "that does not start it")]
+#[test_case(Act::Reset; "that resets the connection")]
+#[test_case(Act::Nonsense; "that sends an invalid response")]
+#[test_case(Act::Silent; "that does not answer")]
+fn another_node_answers_instead_of_one(act: Act) {
     let (router, nodes, _discovery) = Router::with(&[act, Act::Serve]);
     let mut client = router.connect();
-    // At least one of two lookups meets the first node: the second is not sent both.
+    // At least one of two queries goes to the first node, since the second node does not get both.
     for id in ["r1", "r2", "r3"] {
         let (status, _, body) = ask(&mut client, "whole", id);
         assert_eq!((status, body.as_str()), (200, WHOLE));
@@ -62,9 +62,9 @@
     assert!(nodes[1].frame('q').contains("find"));
 }
 
-#[test_case(Act::Misnamed; "whose ids are unknown")]
-#[test_case(Act::Unfinished; "whose frames are never finished")]
-fn a_spoilt_answer_is_known_before_its_time_is_up(act: Act) {
+#[test_case(Act::Misnamed; "with an unknown id")]
+#[test_case(Act::Unfinished; "with an unfinished frame")]
+fn detects_an_invalid_response_before_the_attempt_times_out(act: Act) {
     let (router, _nodes, _discovery) = Router::with(&[act, Act::Serve]);
     let mut client = router.connect();
     for id in ["r1", "r2", "r3"] {
@@ -72,13 +72,14 @@
         assert_eq!(ask(&mut client, "whole", id).2, WHOLE);
         assert!(
             began.elapsed() < Duration::from_millis(550),
-            "before the soft deadline"
+            "answered after {:?}, expected before the latency objective",
+            began.elapsed()
         );
     }
 }
 
 #[test]
-fn a_good_answer_stays_good_whatever_comes_behind_it() {
+fn a_valid_response_counts_even_if_invalid_input_follows_it() {
     let (router, _nodes, _discovery) = Router::with(&[Act::Chatty]);
     let mut client = router.connect();
     for id in ["r1", "r2", "r3"] {
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn a_node_that_refuses_connections_is_passed_over() {
+fn another_node_answers_instead_of_one_that_refuses_connections() {
     let closed = free();
     let (node, discovery) = (Node::start([Act::Serve; 2]), Discovery::default());
     let listed = [
@@ -109,16 +110,16 @@
 }
 
 #[test]
-fn a_node_whose_connections_never_come_up_is_passed_over() {
-    // Nobody accepts, and once the backlog is full the system leaves further connections unanswered.
-    let vanished = TcpListener::bind(free()).expect("a listener");
-    let address = vanished.local_addr().expect("an address");
-    let short = Duration::from_millis(200);
-    let waiting: Vec<_> = std::iter::repeat_with(|| TcpStream::connect_timeout(&address, short))
+fn another_node_answers_instead_of_one_whose_connections_are_never_established() {
+    // No one accepts, and once the backlog is full the kernel does not answer further connection attempts.
+    let unresponsive = TcpListener::bind(free()).expect("a listener");
+    let address = unresponsive.local_addr().expect("an address");
+    let timeout = Duration::from_millis(200);
+    let backlog: Vec<_> = std::iter::repeat_with(|| TcpStream::connect_timeout(&address, timeout))
         .take(5000)
         .map_while(Result::ok)
         .collect();
-    assert!(waiting.len() < 5000, "the backlog fills");
+    assert!(backlog.len() < 5000, "the backlog is not full");
     let (node, discovery) = (Node::start([Act::Serve; 2]), Discovery::default());
     let listed = [
         entry("s0", address, "Ready"),
--- a/router/tests/sockets/process.rs
+++ b/router/tests/sockets/process.rs
@@ -1,4 +1,4 @@
-//! The process: its stop, its commands, what it cannot use.
+//! The process: its shutdown, its commands, and its errors for invalid configurations.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -8,7 +8,7 @@
 use crate::common::*;
 
 #[test]
-fn what_was_taken_before_a_stop_is_answered_and_the_router_leaves() {
+fn answers_queries_admitted_before_a_stop_and_then_exits() {
     let (mut router, nodes, _discovery) = Router::with(&[Act::Silent]);
     let (mut client, mut idle) = (router.connect(), router.connect());
     client
@@ -18,10 +18,13 @@
     router.signal("-TERM");
     let late = Instant::now() + BOUND;
     while health(&router) != 503 {
-        assert!(Instant::now() < late, "the signal is heard in time");
+        assert!(
+            Instant::now() < late,
+            "the router did not handle the signal within {BOUND:?}"
+        );
     }
     router.signal("-HUP");
-    // Connections still come, and idle ones are closed in the end.
+    // The router still accepts connections, and finally closes idle ones.
     *nodes[0]
         .acts
         .lock()
@@ -36,31 +39,31 @@
 }
 
 #[test]
-fn what_cannot_be_used_ends_with_one_line() {
+fn a_command_that_fails_prints_one_line() {
     let run = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ternpick"));
-        let out = command
+        let output = command
             .args(args)
             .env_remove("ROUTER_CONFIG")
             .output()
             .expect("it runs");
         (
-            out.status.success(),
-            String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned(),
+            output.status.success(),
+            String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned(),
         )
     };
     assert_eq!(
         run(&["version"]),
         (true, format!("ternpick {}\n", env!("CARGO_PKG_VERSION")))
     );
-    let (done, text) = run(&["serve", "--config", "/nonexistent/config.json"]);
-    assert_eq!((done, text.lines().count()), (false, 1), "{text}");
+    let (succeeded, text) = run(&["serve", "--config", "/nonexistent/config.json"]);
+    assert_eq!((succeeded, text.lines().count()), (false, 1), "{text}");
     let (router, _nodes, _discovery) = Router::with(&[Act::Serve]);
     let config = router.config.to_str().expect("a path");
     assert!(run(&["check", "--config", config]).0);
-    let (done, text) = run(&["serve", "--config", config]);
+    let (succeeded, text) = run(&["serve", "--config", config]);
     assert!(
-        !done && text.starts_with("ternpick: cannot listen on") && text.lines().count() == 1,
+        !succeeded && text.starts_with("ternpick: cannot listen on") && text.lines().count() == 1,
         "{text}"
     );
 }
