--- a/router/src/state/connection.rs
+++ b/router/src/state/connection.rs
@@ -10,7 +10,7 @@
 
 use async_io::Async;
 use event_listener::Event;
-use ternpick::io_errors::Owner;
+use ternpick::io_errors::FailureOwner;
 use ternpick::types::{Micros, NodeId};
 use ternpick_wire::ring::Ring;
 
@@ -36,7 +36,7 @@
     /// The node's address when the connection was opened.
     pub(crate) address: SocketAddr,
     /// What its dial is waiting for: the node, or a resource of this machine.
-    pub(crate) dial_waits_for: Rc<Cell<Owner>>,
+    pub(crate) dial_waits_for: Rc<Cell<FailureOwner>>,
     /// Its socket, once it is connected.
     pub(crate) stream: Option<Rc<Async<TcpStream>>>,
     /// Whether it accepts no more attempts and is closed as soon as it carries none.
@@ -79,7 +79,7 @@
         Connection {
             node,
             address,
-            dial_waits_for: Rc::new(Cell::new(Owner::Peer)),
+            dial_waits_for: Rc::new(Cell::new(FailureOwner::Peer)),
             stream: None,
             retired: false,
             output: Ring::new(max_output_bytes),
--- a/router/src/state/shutdown.rs
+++ b/router/src/state/shutdown.rs
@@ -3,24 +3,24 @@
 use std::cell::Cell;
 
 use event_listener::{Event, EventListener};
-use ternpick::shutdown::Shutdown;
+use ternpick::shutdown::ShutdownSchedule;
 
 /// The progress of this process's shutdown.
 #[derive(Default)]
 pub(crate) struct ShutdownState {
-    schedule: Cell<Option<Shutdown>>,
+    schedule: Cell<Option<ShutdownSchedule>>,
     requested: Event,
     handed_over: Cell<bool>,
 }
 
 impl ShutdownState {
     /// The schedule of the shutdown in progress, if there is one.
-    pub(crate) fn schedule(&self) -> Option<Shutdown> {
+    pub(crate) fn schedule(&self) -> Option<ShutdownSchedule> {
         self.schedule.get()
     }
 
     /// Begins the shutdown with this schedule.
-    pub(crate) fn begin(&self, schedule: Shutdown) {
+    pub(crate) fn begin(&self, schedule: ShutdownSchedule) {
         self.schedule.set(Some(schedule));
     }
 
