--- a/src/routing/endpoints/tests.rs
+++ b/src/routing/endpoints/tests.rs
@@ -8,7 +8,7 @@
 
 #[test_case(EndpointState::Draining)]
 #[test_case(EndpointState::Gone)]
-fn nothing_goes_to_a_node_that_leaves(state: EndpointState) {
+fn sends_no_requests_to_draining_and_gone_nodes(state: EndpointState) {
     let mut engine = engine_with(platform(), 2);
     node(&mut engine, 1).endpoint.state = state;
     assert_eq!(placed_nodes(engine, 2), [2, 2]);
@@ -32,18 +32,22 @@
 }
 
 #[test]
-fn a_broken_watch_is_asked_for_again() {
+fn renews_a_lost_watch() {
     let mut engine = engine_with(platform(), 0);
     let now = engine.now;
     let mut recorder = Recorder::default();
     engine.endpoint_watch_failed(now, &mut recorder);
-    engine.timer_fired(now + WATCH_RETRY + WATCH_RETRY, TimerId(0), &mut recorder);
+    engine.timer_fired(
+        now + WATCH_RETRY_DELAY + WATCH_RETRY_DELAY,
+        TimerId(0),
+        &mut recorder,
+    );
     assert_eq!(recorder.0, [Action::Log, Action::Watch]);
 }
 
-// A long day: every node is replaced by a new one again and again, some with attempts in flight.
+// Every node is repeatedly replaced by a new one, with an attempt in flight.
 #[test]
-fn nothing_stays_of_nodes_that_come_and_go() {
+fn removes_all_state_of_replaced_nodes() {
     let mut engine = engine_with(platform(), 2);
     let mut recorder = Recorder::default();
     for id in 3..500 {
@@ -93,21 +97,21 @@
 
 #[test_case(EndpointState::Ready, EndpointState::Gone, 0, true; "gone without a drain")]
 #[test_case(EndpointState::Draining, EndpointState::Gone, 0, false; "gone after a drain")]
-#[test_case(EndpointState::Ready, EndpointState::Ready, 9, true; "back before it was missed")]
-fn the_endpoint_list_shows_nodes_that_failed(
-    was: EndpointState,
+#[test_case(EndpointState::Ready, EndpointState::Ready, 9, true; "restarted unnoticed")]
+fn detects_node_failures_from_the_endpoint_list(
+    previous: EndpointState,
     state: EndpointState,
-    started: u64,
+    started_at: u64,
     nodes_are_failing: bool,
 ) {
     let mut engine = engine_with(platform(), 1);
-    node(&mut engine, 1).endpoint.state = was;
+    node(&mut engine, 1).endpoint.state = previous;
     engine.last_node_failure = None;
     let now = engine.now;
     let endpoint = Endpoint {
         node: NodeId(1),
         state,
-        started_at: Micros(started),
+        started_at: Micros(started_at),
         ..Endpoint::default()
     };
     engine.endpoints_changed(now, &[endpoint], false, &mut Recorder::default());
--- a/src/routing/snapshot/tests.rs
+++ b/src/routing/snapshot/tests.rs
@@ -7,16 +7,16 @@
 use crate::types::*;
 
 #[test]
-fn a_snapshot_goes_over_to_another_clock_unchanged() {
+fn restores_a_snapshot_unchanged_under_another_clock() {
     let here = Micros(900_000_000);
     let there = Micros(2_000_000_000);
     let mut old = engine_with_started_nodes(here);
-    let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
+    let node = old.nodes.get_mut(&NodeId(2)).expect("node 2");
     node.latency = Some(4000.0);
     node.latency_per_request = Some(1000.0);
     node.latency_updated_at = Micros(here.0 - 7_000);
     node.recent_sends.push_back(RecentSend {
-        at: Micros(here.0 - 50_000),
+        sent_at: Micros(here.0 - 50_000),
         cost: 2.0,
     });
     node.index_health = vec![IndexHealth {
@@ -27,7 +27,7 @@
     }];
     let attempt = InFlightAttempt {
         sent_at: Micros(here.0 - 80),
-        z: 1.5,
+        relative_cost: 1.5,
         depth_when_sent: 3.0,
         ..InFlightAttempt::default()
     };
@@ -36,7 +36,7 @@
     old.config.indexes = vec![Default::default()];
     old.extra_attempts.push_back(Micros(here.0 - 1000));
     old.queries_of_death.push_back(KnownQueryOfDeath {
-        until: here + Micros(5_000_000),
+        expires_at: here + Micros(5_000_000),
         fingerprint: QueryFingerprint {
             index: IndexNo(0),
             customer: CustomerNo(0),
@@ -51,16 +51,23 @@
     assert_eq!(
         new.nodes[&NodeId(2)].recent_sends[0],
         RecentSend {
-            at: Micros(there.0 - 50_000),
+            sent_at: Micros(there.0 - 50_000),
             cost: 2.0
         }
     );
-    assert_eq!(new.queries_of_death[0].until, there + Micros(5_000_000));
+    assert_eq!(
+        new.queries_of_death[0].expires_at,
+        there + Micros(5_000_000)
+    );
 }
 
-#[test_case(0, 2.0, 300_000.0; "as old as when it was reported")]
-#[test_case(900_000, 2.0, 300_000.0; "and no older later")]
-fn requests_in_flight_elsewhere_count_until_that_process_is_done(later: u64, z: f64, age: f64) {
+#[test_case(0, 2.0, 300_000.0; "the age at which it was reported")]
+#[test_case(900_000, 2.0, 300_000.0; "the same age later")]
+fn attempts_in_flight_elsewhere_count_until_that_process_has_finished(
+    elapsed_us: u64,
+    in_flight_cost: f64,
+    expected_latency_us: f64,
+) {
     let now = Micros(1_000_000_000);
     let mut new = engine_with_started_nodes(now);
     let in_flight = vec![(0, 300_000, 2.0, 1.0), (0, 1, f64::NAN, 1.0)];
@@ -80,7 +87,7 @@
         },
     );
     new.serve_share(1.0, true);
-    new.now = now + Micros(later);
+    new.now = now + Micros(elapsed_us);
     let seen = |new: &RoutingEngine| {
         let node = &new.nodes[&NodeId(2)];
         (
@@ -88,24 +95,24 @@
             new.expected_latency(node, IndexNo(0)),
         )
     };
-    assert_eq!(seen(&new), (z, age));
+    assert_eq!(seen(&new), (in_flight_cost, expected_latency_us));
     new.serve_whole();
     assert_eq!(seen(&new), (0.0, 0.0));
 }
 
-/// The first seconds under a configuration with other indexes: a node that failed one is not suspected for
-/// another that has its number, one that warms up gets no allowance twice, and no share of the retry budget
-/// is spent twice.
+/// Guards the first seconds under a configuration with other indexes: a node that failed one index must not be
+/// suspected for another index with the same number, a node that is warming up must not get its allowance twice,
+/// and no part of the retry budget may be spent twice.
 #[test_case(true, (Some(4000.0), Some(90.0), 1, 1, 1, 1); "the same settings")]
 #[test_case(false, (Some(4000.0), None, 0, 1, 1, 0); "other settings")]
-fn what_means_the_same_is_kept_under_other_settings(
+fn restores_only_state_with_the_same_meaning_under_other_settings(
     same: bool,
     kept: (Option<f64>, Option<f64>, usize, usize, usize, usize),
 ) {
     let now = Micros(900_000_000);
     let mut old = engine_with_started_nodes(now);
     old.config.indexes = vec![Default::default()];
-    let node = old.nodes.get_mut(&NodeId(2)).expect("a node");
+    let node = old.nodes.get_mut(&NodeId(2)).expect("node 2");
     node.latency = Some(4000.0);
     node.reported_load = Some(90.0);
     node.index_health = vec![IndexHealth {
@@ -113,11 +120,13 @@
         failure_cost: 1e6,
         ..IndexHealth::default()
     }];
-    node.recent_sends
-        .push_back(RecentSend { at: now, cost: 2.0 });
+    node.recent_sends.push_back(RecentSend {
+        sent_at: now,
+        cost: 2.0,
+    });
     old.extra_attempts.push_back(now);
     old.queries_of_death.push_back(KnownQueryOfDeath {
-        until: now + Micros(5_000_000),
+        expires_at: now + Micros(5_000_000),
         fingerprint: QueryFingerprint {
             index: IndexNo(0),
             customer: CustomerNo(0),
@@ -149,7 +158,7 @@
 }
 
 #[test]
-fn another_start_another_node_and_invalid_figures_are_passed_over() {
+fn ignores_other_starts_unknown_nodes_and_invalid_figures() {
     let mut new = engine_with_started_nodes(Micros(1_000_000));
     let known = |started, latency| NodeSnapshot {
         started,
