--- a/identity/src/certificate.rs
+++ b/identity/src/certificate.rs
@@ -13,11 +13,11 @@
 use crate::keys::seconds;
 
 /// The longest certificate and the longest revocation list, in bytes.
-pub const CERTIFICATE_BOUND: usize = 16 * 1024;
-pub const LIST_BOUND: usize = 4 << 20;
+pub const MAX_CERTIFICATE_BYTES: usize = 16 * 1024;
+pub const MAX_REVOCATION_LIST_BYTES: usize = 4 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CertificateFault {
+pub enum CertificateError {
     #[error("the certificate can't be read")]
     Malformed,
     #[error("the certificate is not valid yet")]
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ListFault {
+pub enum RevocationListError {
     #[error("the revocation list can't be read")]
     Malformed,
     #[error("the revocation list is not signed by the issuer that is trusted")]
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Certificate {
     /// SHA-256 of the whole, hexadecimal.
-    pub print: Rc<str>,
+    pub fingerprint: Rc<str>,
     issuer: Rc<[u8]>,
     serial: Vec<u8>,
     /// Its common name and alternative names (DNS, URI, mail).
@@ -58,17 +58,18 @@
 }
 
 impl Certificate {
-    pub fn read(der: &[u8]) -> Result<Certificate, CertificateFault> {
-        if der.len() > CERTIFICATE_BOUND {
-            return Err(CertificateFault::Malformed);
+    pub fn parse(der: &[u8]) -> Result<Certificate, CertificateError> {
+        if der.len() > MAX_CERTIFICATE_BYTES {
+            return Err(CertificateError::Malformed);
         }
-        let (_, read) = X509Certificate::from_der(der).map_err(|_| CertificateFault::Malformed)?;
-        let common = read
+        let (_, parsed) =
+            X509Certificate::from_der(der).map_err(|_| CertificateError::Malformed)?;
+        let common = parsed
             .subject()
             .iter_common_name()
             .filter_map(|name| name.as_str().ok());
         let mut names: Vec<String> = common.map(str::to_owned).collect();
-        for extension in read.extensions() {
+        for extension in parsed.extensions() {
             if let ParsedExtension::SubjectAlternativeName(other) = extension.parsed_extension() {
                 names.extend(other.general_names.iter().filter_map(|name| match name {
                     GeneralName::DNSName(name)
@@ -80,12 +81,12 @@
         }
         let time = |at: i64| u64::try_from(at).map(seconds).unwrap_or(Micros(0));
         Ok(Certificate {
-            print: hexadecimal(&Sha256::digest(der)).into(),
-            issuer: read.issuer().as_raw().into(),
-            serial: read.raw_serial().to_vec(),
+            fingerprint: hexadecimal(&Sha256::digest(der)).into(),
+            issuer: parsed.issuer().as_raw().into(),
+            serial: parsed.raw_serial().to_vec(),
             names,
-            from: time(read.validity().not_before.timestamp()),
-            until: time(read.validity().not_after.timestamp()),
+            from: time(parsed.validity().not_before.timestamp()),
+            until: time(parsed.validity().not_after.timestamp()),
         })
     }
 
@@ -95,61 +96,61 @@
     }
 }
 
-struct List {
+struct RevocationList {
     number: u64,
     serials: BTreeSet<Vec<u8>>,
-    next: Option<Micros>,
+    next_update: Option<Micros>,
 }
 
-/// The revocation lists in use, by issuer: as many as authorities are trusted, each bounded by [`LIST_BOUND`].
+/// The revocation lists in use, by issuer: as many as authorities are trusted, each bounded by [`MAX_REVOCATION_LIST_BYTES`].
 #[derive(Default)]
-pub struct Lists {
-    by_issuer: HashMap<Rc<[u8]>, List>,
+pub struct RevocationLists {
+    by_issuer: HashMap<Rc<[u8]>, RevocationList>,
 }
 
-impl Lists {
+impl RevocationLists {
     /// Takes a list signed by `authority` (a certificate, DER); tells how many it revokes. A list with a smaller
     /// number than the one in use never replaces it.
-    pub fn told_of(&mut self, list: &[u8], authority: &[u8]) -> Result<usize, ListFault> {
-        if list.len() > LIST_BOUND {
-            return Err(ListFault::Malformed);
+    pub fn update(&mut self, list: &[u8], authority: &[u8]) -> Result<usize, RevocationListError> {
+        if list.len() > MAX_REVOCATION_LIST_BYTES {
+            return Err(RevocationListError::Malformed);
         }
-        let (_, list) =
-            CertificateRevocationList::from_der(list).map_err(|_| ListFault::Malformed)?;
+        let (_, list) = CertificateRevocationList::from_der(list)
+            .map_err(|_| RevocationListError::Malformed)?;
         let (_, authority) =
-            X509Certificate::from_der(authority).map_err(|_| ListFault::Malformed)?;
+            X509Certificate::from_der(authority).map_err(|_| RevocationListError::Malformed)?;
         if list.issuer().as_raw() != authority.subject().as_raw()
             || list.verify_signature(authority.public_key()).is_err()
         {
-            return Err(ListFault::Signature);
+            return Err(RevocationListError::Signature);
         }
         let number = list.crl_number().map_or(0, |number| {
-            let low: Vec<u64> = number.to_u64_digits();
-            low.first().copied().unwrap_or(0)
+            let digits: Vec<u64> = number.to_u64_digits();
+            digits.first().copied().unwrap_or(0)
         });
         let issuer: Rc<[u8]> = list.issuer().as_raw().into();
         if self
             .by_issuer
             .get(&issuer)
-            .is_some_and(|known| known.number > number)
+            .is_some_and(|current| current.number > number)
         {
-            return Err(ListFault::Older);
+            return Err(RevocationListError::Older);
         }
         let serials: BTreeSet<Vec<u8>> = list
             .iter_revoked_certificates()
-            .map(|one| one.raw_serial().to_vec())
+            .map(|revoked| revoked.raw_serial().to_vec())
             .collect();
-        let next = list
+        let next_update = list
             .next_update()
             .and_then(|at| u64::try_from(at.timestamp()).ok())
             .map(seconds);
         let count = serials.len();
         self.by_issuer.insert(
             issuer,
-            List {
+            RevocationList {
                 number,
                 serials,
-                next,
+                next_update,
             },
         );
         Ok(count)
@@ -157,26 +158,27 @@
 
     /// Whether any list is past the time when its issuer promised the next.
     pub fn overdue(&self, now: Micros) -> bool {
-        self.by_issuer
-            .values()
-            .any(|list| list.next.is_some_and(|next| next <= now))
+        self.by_issuer.values().any(|list| {
+            list.next_update
+                .is_some_and(|next_update| next_update <= now)
+        })
     }
 
     /// Looks at a certificate that was verified as it was shown.
-    pub fn judge(
+    pub fn check(
         &self,
-        of: &Certificate,
+        certificate: &Certificate,
         now: Micros,
         skew: Micros,
-    ) -> Result<(), CertificateFault> {
+    ) -> Result<(), CertificateError> {
         let listed = self
             .by_issuer
-            .get(&of.issuer)
-            .is_some_and(|list| list.serials.contains(&of.serial));
+            .get(&certificate.issuer)
+            .is_some_and(|list| list.serials.contains(&certificate.serial));
         match () {
-            () if of.from > now + skew => Err(CertificateFault::NotYet),
-            () if of.until + skew <= now => Err(CertificateFault::Expired),
-            () if listed => Err(CertificateFault::Revoked),
+            () if certificate.from > now + skew => Err(CertificateError::NotYet),
+            () if certificate.until + skew <= now => Err(CertificateError::Expired),
+            () if listed => Err(CertificateError::Revoked),
             () => Ok(()),
         }
     }
--- a/identity/src/terms.rs
+++ b/identity/src/config.rs
@@ -11,55 +11,64 @@
 pub const DEFINITIONS: &str = include_str!("identity.cue");
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Terms {
+pub struct IdentityConfig {
     pub issuer: String,
     pub audience: String,
     /// Microseconds, as all times here.
     pub skew: u64,
-    pub longest: u64,
-    pub known: usize,
-    pub keys: Option<KeyTerms>,
-    pub revocations: Option<FeedTerms>,
+    #[serde(rename = "longest")]
+    pub max_token_lifetime: u64,
+    #[serde(rename = "known")]
+    pub token_cache_size: usize,
+    pub keys: Option<KeyConfig>,
+    pub revocations: Option<FeedConfig>,
     #[serde(default)]
-    pub certificates: Vec<CertificateTerms>,
+    pub certificates: Vec<CertificateConfig>,
     #[serde(default)]
-    pub tenants: BTreeMap<String, TenantTerms>,
+    pub tenants: BTreeMap<String, TenantConfig>,
     #[serde(default)]
-    pub roles: BTreeMap<String, RoleTerms>,
+    pub roles: BTreeMap<String, RoleConfig>,
     #[serde(default)]
-    pub delegations: Vec<DelegationTerms>,
+    pub delegations: Vec<DelegationConfig>,
     #[serde(default)]
-    pub acts: Vec<ActTerms>,
+    pub acts: Vec<ActConfig>,
 }
 
 /// Where something is had from: a file that is looked at again and again, or a service on HTTP.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Source {
+pub struct SourceConfig {
     pub file: Option<String>,
     pub address: Option<String>,
     pub path: String,
-    pub every: u64,
-    pub apart: u64,
-    pub patience: u64,
+    #[serde(rename = "every")]
+    pub poll_interval: u64,
+    #[serde(rename = "apart")]
+    pub min_poll_interval: u64,
+    #[serde(rename = "patience")]
+    pub timeout: u64,
     /// Where the last good answer is kept.
-    pub kept: Option<String>,
+    #[serde(rename = "kept")]
+    pub stored_copy: Option<String>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct KeyTerms {
-    pub from: Source,
-    pub lingers: u64,
+pub struct KeyConfig {
+    pub from: SourceConfig,
+    #[serde(rename = "lingers")]
+    pub retention: u64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct FeedTerms {
-    pub from: Source,
-    pub reads_go_on: u64,
-    pub changes_go_on: u64,
+pub struct FeedConfig {
+    pub from: SourceConfig,
+    #[serde(rename = "reads_go_on")]
+    pub reads_grace: u64,
+    #[serde(rename = "changes_go_on")]
+    pub changes_grace: u64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct CertificateTerms {
+pub struct CertificateConfig {
     pub name: String,
     pub subject: Subject,
     pub tenant: Tenant,
@@ -67,24 +76,24 @@
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct TenantTerms {
+pub struct TenantConfig {
     pub roles: Option<Vec<Role>>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct RoleTerms {
-    pub grants: Vec<GrantTerms>,
+pub struct RoleConfig {
+    pub grants: Vec<GrantConfig>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct GrantTerms {
+pub struct GrantConfig {
     pub index: String,
     pub acts: Vec<Act>,
     pub deny: bool,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct DelegationTerms {
+pub struct DelegationConfig {
     pub subject: Subject,
     pub tenant: Tenant,
     pub roles: Vec<Role>,
@@ -92,7 +101,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct ActTerms {
+pub struct ActConfig {
     pub index: String,
     pub acts: Vec<Act>,
     pub statement: String,
@@ -100,71 +109,71 @@
 
 /// Terms that read well but make no sense together.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum TermsFault {
+pub enum ConfigError {
     #[error("'{text}' is no time such as 2027-01-31T12:00:00Z")]
     Time { text: String },
-    #[error("acts[{at}].statement is no pattern, or one too large")]
-    Pattern { at: usize },
+    #[error("acts[{position}].statement is no pattern, or one too large")]
+    Pattern { position: usize },
     #[error("no tenant is named '{name}'")]
     UnknownTenant { name: String },
     #[error("no role is named '{name}'")]
     UnknownRole { name: String },
     #[error("there are more tenants than can be told apart (65,535)")]
     TooManyTenants,
-    #[error("{what}: exactly one of 'file' and 'address' is wanted")]
-    Source { what: &'static str },
+    #[error("{setting}: exactly one of 'file' and 'address' is wanted")]
+    Source { setting: &'static str },
     #[error("'{text}' is no address and port")]
     Address { text: String },
     #[error("neither 'keys' nor 'certificates' say how a caller may prove who he is")]
-    NoProof,
+    NoAuthentication,
     #[error("'changes_go_on' is longer than 'reads_go_on': setting a tag is to stop first")]
-    Graces,
+    GracePeriodsReversed,
 }
 
 /// A time in RFC 3339, UTC.
-pub fn time(text: &str) -> Result<Micros, TermsFault> {
-    let fault = || TermsFault::Time {
+pub fn time(text: &str) -> Result<Micros, ConfigError> {
+    let fault = || ConfigError::Time {
         text: text.to_owned(),
     };
-    let at = humantime::parse_rfc3339(text).map_err(|_| fault())?;
-    let since = at
+    let time = humantime::parse_rfc3339(text).map_err(|_| fault())?;
+    let since_epoch = time
         .duration_since(std::time::UNIX_EPOCH)
         .map_err(|_| fault())?;
     Ok(Micros(
-        u64::try_from(since.as_micros()).map_err(|_| fault())?,
+        u64::try_from(since_epoch.as_micros()).map_err(|_| fault())?,
     ))
 }
 
-impl Terms {
+impl IdentityConfig {
     /// What the form cannot say.
-    pub fn check(&self) -> Result<(), TermsFault> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         if self.keys.is_none() && self.certificates.is_empty() {
-            return Err(TermsFault::NoProof);
+            return Err(ConfigError::NoAuthentication);
         }
         let keys = self.keys.iter().map(|of| ("keys.from", &of.from));
         let feeds = self
             .revocations
             .iter()
             .map(|of| ("revocations.from", &of.from));
-        for (what, of) in keys.chain(feeds) {
+        for (setting, of) in keys.chain(feeds) {
             if of.file.is_some() == of.address.is_some() {
-                return Err(TermsFault::Source { what });
+                return Err(ConfigError::Source { setting });
             }
             if let Some(text) = &of.address {
                 let address = text.parse::<std::net::SocketAddr>();
-                address.map_err(|_| TermsFault::Address { text: text.clone() })?;
+                address.map_err(|_| ConfigError::Address { text: text.clone() })?;
             }
         }
         if self
             .revocations
             .as_ref()
-            .is_some_and(|of| of.changes_go_on > of.reads_go_on)
+            .is_some_and(|feed| feed.changes_grace > feed.reads_grace)
         {
-            return Err(TermsFault::Graces);
+            return Err(ConfigError::GracePeriodsReversed);
         }
         for of in &self.certificates {
             if !self.tenants.contains_key(&*of.tenant.0) {
-                return Err(TermsFault::UnknownTenant {
+                return Err(ConfigError::UnknownTenant {
                     name: of.tenant.to_string(),
                 });
             }
--- a/identity/src/key_manager.rs
+++ b/identity/src/key_manager.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use ternpick::types::Micros;
 
-use crate::keys::{Algorithm, KeyRing, KeySet, MOST_KEYS};
+use crate::keys::{Algorithm, KeyRing, KeySet, MAX_KEYS};
 use crate::names::KeyId;
 
 #[derive(Debug, thiserror::Error)]
@@ -19,22 +19,22 @@
     #[error("no key signs now: make one with 'keys new', or wait until it begins")]
     NoSigner,
     #[error("no key is named '{0}'")]
-    Unknown(String),
+    UnknownKey(String),
     #[error("a key named '{0}' is there already")]
-    Doubled(String),
-    #[error("there are {MOST_KEYS} keys already: more are not published")]
+    DuplicateId(String),
+    #[error("there are {MAX_KEYS} keys already: more are not published")]
     TooMany,
     #[error("'{0}' is the only key that signs; make another first")]
-    Last(String),
-    #[error("the key table is spoilt: {0}")]
-    Spoilt(String),
+    LastSigner(String),
+    #[error("the key table is malformed: {0}")]
+    Malformed(String),
     #[error("the system gave no random numbers")]
-    NoChance,
+    NoRandomness,
 }
 
 /// One private key. Times in seconds of Unix time, as tokens have them.
 #[derive(Clone, Serialize, Deserialize)]
-pub struct OwnKey {
+pub struct PrivateKey {
     pub id: String,
     pub algorithm: String,
     /// PKCS #8, base64.
@@ -61,7 +61,7 @@
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct KeyManager {
     pub serial: u64,
-    pub keys: Vec<OwnKey>,
+    pub keys: Vec<PrivateKey>,
 }
 
 /// What a token is to say.
@@ -78,7 +78,7 @@
     pub exp: u64,
 }
 
-impl OwnKey {
+impl PrivateKey {
     pub fn stage(&self, now: u64) -> Stage {
         match () {
             () if self.until.is_some_and(|until| until <= now) => Stage::Gone,
@@ -88,33 +88,33 @@
         }
     }
 
-    fn document(&self) -> Result<Vec<u8>, KeyManagerError> {
+    fn pkcs8(&self) -> Result<Vec<u8>, KeyManagerError> {
         STANDARD
             .decode(&self.secret)
-            .map_err(|error| KeyManagerError::Spoilt(error.to_string()))
+            .map_err(|error| KeyManagerError::Malformed(error.to_string()))
     }
 
     /// As it is published (JWK).
     fn public(&self) -> Result<Value, KeyManagerError> {
-        let (document, encode) = (self.document()?, |bytes: &[u8]| {
-            URL_SAFE_NO_PAD.encode(bytes)
-        });
-        let spoilt = |error: ring::error::KeyRejected| KeyManagerError::Spoilt(error.to_string());
-        let mut key = match Algorithm::named(&self.algorithm) {
+        let (pkcs8, encode) = (self.pkcs8()?, |bytes: &[u8]| URL_SAFE_NO_PAD.encode(bytes));
+        let malformed =
+            |error: ring::error::KeyRejected| KeyManagerError::Malformed(error.to_string());
+        let mut key = match Algorithm::from_name(&self.algorithm) {
             Some(Algorithm::EdDsa) => {
-                let pair = Ed25519KeyPair::from_pkcs8(&document).map_err(spoilt)?;
+                let pair = Ed25519KeyPair::from_pkcs8(&pkcs8).map_err(malformed)?;
                 json!({"kty": "OKP", "crv": "Ed25519", "x": encode(pair.public_key().as_ref())})
             }
             Some(Algorithm::Es256) => {
                 let random = ring::rand::SystemRandom::new();
-                let of = &ECDSA_P256_SHA256_FIXED_SIGNING;
-                let pair = EcdsaKeyPair::from_pkcs8(of, &document, &random).map_err(spoilt)?;
+                let algorithm = &ECDSA_P256_SHA256_FIXED_SIGNING;
+                let pair =
+                    EcdsaKeyPair::from_pkcs8(algorithm, &pkcs8, &random).map_err(malformed)?;
                 // 4, x, y: 1 + 32 + 32 bytes.
                 let point = pair.public_key().as_ref();
                 json!({"kty": "EC", "crv": "P-256", "x": encode(&point[1..33]), "y": encode(&point[33..])})
             }
             None => {
-                return Err(KeyManagerError::Spoilt(format!(
+                return Err(KeyManagerError::Malformed(format!(
                     "algorithm {:?}",
                     self.algorithm
                 )))
@@ -139,30 +139,30 @@
         now: u64,
         lead: u64,
         random: &dyn SecureRandom,
-    ) -> Result<&OwnKey, KeyManagerError> {
+    ) -> Result<&PrivateKey, KeyManagerError> {
         if self.keys.iter().any(|key| key.id == id) {
-            return Err(KeyManagerError::Doubled(id.to_owned()));
+            return Err(KeyManagerError::DuplicateId(id.to_owned()));
         }
-        self.elapsed(now);
-        if self.keys.len() >= MOST_KEYS {
+        self.remove_expired(now);
+        if self.keys.len() >= MAX_KEYS {
             return Err(KeyManagerError::TooMany);
         }
-        let no_chance = |_| KeyManagerError::NoChance;
-        let document = match algorithm {
-            Algorithm::EdDsa => Ed25519KeyPair::generate_pkcs8(random).map_err(no_chance)?,
+        let no_randomness = |_| KeyManagerError::NoRandomness;
+        let pkcs8 = match algorithm {
+            Algorithm::EdDsa => Ed25519KeyPair::generate_pkcs8(random).map_err(no_randomness)?,
             Algorithm::Es256 => {
                 EcdsaKeyPair::generate_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, random)
-                    .map_err(no_chance)?
+                    .map_err(no_randomness)?
             }
         };
-        let first = !self.keys.iter().any(|key| key.stage(now) == Stage::Signing);
-        self.keys.push(OwnKey {
+        let signs_at_once = !self.keys.iter().any(|key| key.stage(now) == Stage::Signing);
+        self.keys.push(PrivateKey {
             id: id.to_owned(),
-            algorithm: algorithm.word().to_owned(),
-            secret: STANDARD.encode(document.as_ref()),
+            algorithm: algorithm.name().to_owned(),
+            secret: STANDARD.encode(pkcs8.as_ref()),
             made: now,
             // `now` is cut to whole seconds: one more makes the lead no shorter than was asked for.
-            signs: if first {
+            signs: if signs_at_once {
                 now
             } else {
                 now + lead + u64::from(lead > 0)
@@ -176,14 +176,14 @@
 
     /// A key signs no more from now on, and is published for `overlap` seconds: as long as what it signed may last.
     pub fn retire(&mut self, id: &str, now: u64, overlap: u64) -> Result<(), KeyManagerError> {
-        let others = self
+        let another_signs = self
             .keys
             .iter()
             .any(|key| key.id != id && key.stage(now) == Stage::Signing);
         let key = self.keys.iter_mut().find(|key| key.id == id);
-        let key = key.ok_or_else(|| KeyManagerError::Unknown(id.to_owned()))?;
-        if key.stage(now) == Stage::Signing && !others {
-            return Err(KeyManagerError::Last(id.to_owned()));
+        let key = key.ok_or_else(|| KeyManagerError::UnknownKey(id.to_owned()))?;
+        if key.stage(now) == Stage::Signing && !another_signs {
+            return Err(KeyManagerError::LastSigner(id.to_owned()));
         }
         key.retired = Some(key.retired.unwrap_or(now).min(now));
         key.until = Some(key.until.unwrap_or(u64::MAX).min(now + overlap));
@@ -200,7 +200,7 @@
         lead: u64,
         overlap: u64,
         random: &dyn SecureRandom,
-    ) -> Result<&OwnKey, KeyManagerError> {
+    ) -> Result<&PrivateKey, KeyManagerError> {
         let signs = self.new_key(id, algorithm, now, lead, random)?.signs;
         for key in self
             .keys
@@ -216,12 +216,12 @@
     }
 
     /// Takes off what is published no more.
-    pub fn elapsed(&mut self, now: u64) {
+    pub fn remove_expired(&mut self, now: u64) {
         self.keys.retain(|key| key.stage(now) != Stage::Gone);
     }
 
     /// The key that signs now: of several the one that began last.
-    pub fn signer(&self, now: u64) -> Result<&OwnKey, KeyManagerError> {
+    pub fn signer(&self, now: u64) -> Result<&PrivateKey, KeyManagerError> {
         let signing = self
             .keys
             .iter()
@@ -234,7 +234,7 @@
     /// The set that key services serve (JWKS).
     pub fn public(&self, now: u64) -> Result<Value, KeyManagerError> {
         let live = self.keys.iter().filter(|key| key.stage(now) != Stage::Gone);
-        let keys: Vec<Value> = live.map(OwnKey::public).collect::<Result<_, _>>()?;
+        let keys: Vec<Value> = live.map(PrivateKey::public).collect::<Result<_, _>>()?;
         Ok(json!({"ternpick_serial": self.serial, "keys": keys}))
     }
 
@@ -245,19 +245,20 @@
 }
 
 /// Signs by a key whatever its stage; tests make bad tokens so.
-pub fn sign(key: &OwnKey, claims: &impl Serialize) -> Result<String, KeyManagerError> {
-    let algorithm = Algorithm::named(&key.algorithm);
+pub fn sign(key: &PrivateKey, claims: &impl Serialize) -> Result<String, KeyManagerError> {
+    let algorithm = Algorithm::from_name(&key.algorithm);
     let algorithm = algorithm
-        .ok_or_else(|| KeyManagerError::Spoilt(format!("algorithm {:?}", key.algorithm)))?;
-    let mut header = jsonwebtoken::Header::new(algorithm.of_crate());
+        .ok_or_else(|| KeyManagerError::Malformed(format!("algorithm {:?}", key.algorithm)))?;
+    let mut header = jsonwebtoken::Header::new(algorithm.to_jsonwebtoken());
     header.kid = Some(key.id.clone());
-    let document = key.document()?;
+    let pkcs8 = key.pkcs8()?;
     let secret = match algorithm {
-        Algorithm::EdDsa => EncodingKey::from_ed_der(&document),
-        Algorithm::Es256 => EncodingKey::from_ec_der(&document),
+        Algorithm::EdDsa => EncodingKey::from_ed_der(&pkcs8),
+        Algorithm::Es256 => EncodingKey::from_ec_der(&pkcs8),
     };
-    let spoilt = |error: jsonwebtoken::errors::Error| KeyManagerError::Spoilt(error.to_string());
-    jsonwebtoken::encode(&header, claims, &secret).map_err(spoilt)
+    let malformed =
+        |error: jsonwebtoken::errors::Error| KeyManagerError::Malformed(error.to_string());
+    jsonwebtoken::encode(&header, claims, &secret).map_err(malformed)
 }
 
 /// `now` in whole seconds, as this file counts.
@@ -266,40 +267,44 @@
 }
 
 /// What a token says, unverified.
-pub struct Seen {
+pub struct UnverifiedToken {
     pub header: Value,
     pub claims: Value,
 }
 
 /// Takes a token apart without believing it.
-pub fn inspect(token: &str) -> Result<Seen, KeyManagerError> {
-    let spoilt = || KeyManagerError::Spoilt("this is no token".into());
+pub fn inspect(token: &str) -> Result<UnverifiedToken, KeyManagerError> {
+    let malformed = || KeyManagerError::Malformed("this is no token".into());
     let parts: Vec<&str> = token.split('.').collect();
     let [header, claims, _] = parts.as_slice() else {
-        return Err(spoilt());
+        return Err(malformed());
     };
     let read = |text: &str| {
         let bytes = URL_SAFE_NO_PAD.decode(text).ok()?;
         serde_json::from_slice(&bytes).ok()
     };
-    Ok(Seen {
-        header: read(header).ok_or_else(spoilt)?,
-        claims: read(claims).ok_or_else(spoilt)?,
+    Ok(UnverifiedToken {
+        header: read(header).ok_or_else(malformed)?,
+        claims: read(claims).ok_or_else(malformed)?,
     })
 }
 
 /// Whether a token's signature is right by a published set; its issuer, audience and times are not looked at.
 pub fn verify(token: &str, set: &[u8], now: Micros) -> Result<bool, KeyManagerError> {
-    let seen = inspect(token)?;
-    let set = KeySet::parse(set).map_err(|fault| KeyManagerError::Spoilt(fault.to_string()))?;
+    let unverified = inspect(token)?;
+    let set = KeySet::parse(set).map_err(|fault| KeyManagerError::Malformed(fault.to_string()))?;
     let mut ring = KeyRing::new(Micros(0));
-    let _ = ring.told_of(now, &set);
-    let id = KeyId::from(seen.header["kid"].as_str().unwrap_or_default());
+    let _ = ring.update(now, &set);
+    let id = KeyId::from(unverified.header["kid"].as_str().unwrap_or_default());
     let Ok((key, algorithm)) = ring.find(now, &id) else {
         return Ok(false);
     };
     let (message, signature) = token.rsplit_once('.').unwrap_or_default();
-    let right =
-        jsonwebtoken::crypto::verify(signature, message.as_bytes(), key, algorithm.of_crate());
-    Ok(seen.header["alg"] == algorithm.word() && right.unwrap_or(false))
+    let verified = jsonwebtoken::crypto::verify(
+        signature,
+        message.as_bytes(),
+        key,
+        algorithm.to_jsonwebtoken(),
+    );
+    Ok(unverified.header["alg"] == algorithm.name() && verified.unwrap_or(false))
 }
--- a/identity/src/keys.rs
+++ b/identity/src/keys.rs
@@ -10,9 +10,9 @@
 use crate::names::KeyId;
 
 /// The most keys of a ring; a set with more is refused.
-pub const MOST_KEYS: usize = 64;
+pub const MAX_KEYS: usize = 64;
 /// The longest set, in bytes.
-pub const SET_BOUND: usize = 64 * 1024;
+pub const MAX_KEY_SET_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Algorithm {
@@ -21,20 +21,20 @@
 }
 
 impl Algorithm {
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Algorithm::EdDsa => "EdDSA",
             Algorithm::Es256 => "ES256",
         }
     }
 
-    pub fn named(word: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         [Algorithm::EdDsa, Algorithm::Es256]
             .into_iter()
-            .find(|of| of.word() == word)
+            .find(|algorithm| algorithm.name() == name)
     }
 
-    pub(crate) fn of_crate(self) -> jsonwebtoken::Algorithm {
+    pub(crate) fn to_jsonwebtoken(self) -> jsonwebtoken::Algorithm {
         match self {
             Algorithm::EdDsa => jsonwebtoken::Algorithm::EdDSA,
             Algorithm::Es256 => jsonwebtoken::Algorithm::ES256,
@@ -44,7 +44,7 @@
 
 /// One key of a set, as it is published.
 #[derive(Clone)]
-pub struct Published {
+pub struct PublishedKey {
     pub id: KeyId,
     pub algorithm: Algorithm,
     /// The public coordinates: the same id with others is another key.
@@ -57,7 +57,7 @@
 /// A set of keys as it was served.
 #[derive(Clone, Default)]
 pub struct KeySet {
-    pub keys: Vec<Published>,
+    pub keys: Vec<PublishedKey>,
     /// Counts up with each change, where the service says it (`ternpick_serial`).
     pub serial: Option<u64>,
     /// Keys that were passed over, and why.
@@ -65,15 +65,15 @@
 }
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SetFault {
+pub enum KeySetError {
     #[error("the key set is no JSON object with 'keys'")]
     Malformed,
     #[error("the key set has no usable key ({0})")]
     Empty(String),
-    #[error("the key set has more than {MOST_KEYS} keys")]
+    #[error("the key set has more than {MAX_KEYS} keys")]
     TooMany,
-    #[error("the key set is older than the one in use: serial {got}, {have} is known")]
-    Older { got: u64, have: u64 },
+    #[error("the key set is older than the one in use: serial {received}, {current} is known")]
+    Older { received: u64, current: u64 },
 }
 
 #[derive(Deserialize)]
@@ -98,40 +98,40 @@
     ternpick_until: Option<u64>,
 }
 
-pub(crate) fn seconds(of: u64) -> Micros {
-    Micros(of.saturating_mul(1_000_000))
+pub(crate) fn seconds(count: u64) -> Micros {
+    Micros(count.saturating_mul(1_000_000))
 }
 
 impl KeySet {
-    pub fn parse(text: &[u8]) -> Result<KeySet, SetFault> {
-        let read: Jwks = serde_json::from_slice(text).map_err(|_| SetFault::Malformed)?;
-        if read.keys.len() > MOST_KEYS {
-            return Err(SetFault::TooMany);
+    pub fn parse(text: &[u8]) -> Result<KeySet, KeySetError> {
+        let read: Jwks = serde_json::from_slice(text).map_err(|_| KeySetError::Malformed)?;
+        if read.keys.len() > MAX_KEYS {
+            return Err(KeySetError::TooMany);
         }
         let mut set = KeySet {
             serial: read.ternpick_serial,
             ..KeySet::default()
         };
-        for (at, row) in read.keys.into_iter().enumerate() {
-            let name = row["kid"]
+        for (position, value) in read.keys.into_iter().enumerate() {
+            let name = value["kid"]
                 .as_str()
-                .map_or_else(|| format!("key {at}"), |kid| format!("key {kid:?}"));
-            match Self::key(row) {
+                .map_or_else(|| format!("key {position}"), |kid| format!("key {kid:?}"));
+            match Self::key(value) {
                 Ok(key) if set.keys.iter().any(|known| known.id == key.id) => {
                     set.skipped.push(format!("{name} stands twice"));
                 }
                 Ok(key) => set.keys.push(key),
-                Err(what) => set.skipped.push(format!("{name} {what}")),
+                Err(reason) => set.skipped.push(format!("{name} {reason}")),
             }
         }
         if set.keys.is_empty() {
-            return Err(SetFault::Empty(set.skipped.join(", ")));
+            return Err(KeySetError::Empty(set.skipped.join(", ")));
         }
         Ok(set)
     }
 
-    fn key(row: serde_json::Value) -> Result<Published, &'static str> {
-        let key: Jwk = serde_json::from_value(row).map_err(|_| "is malformed")?;
+    fn key(value: serde_json::Value) -> Result<PublishedKey, &'static str> {
+        let key: Jwk = serde_json::from_value(value).map_err(|_| "is malformed")?;
         if key.d.is_some() {
             return Err("is a private one: it must not be published, revoke it");
         }
@@ -155,7 +155,7 @@
             }
             _ => return Err("is of a kind that is not used here (Ed25519 and P-256 are)"),
         };
-        if key.alg.is_some_and(|alg| alg != algorithm.word()) {
+        if key.alg.is_some_and(|alg| alg != algorithm.name()) {
             return Err("is for another algorithm than its kind");
         }
         let decoding = decoding.map_err(|_| "has malformed coordinates")?;
@@ -163,7 +163,7 @@
             seconds(key.ternpick_from.unwrap_or(0)),
             key.ternpick_until.map(seconds),
         );
-        Ok(Published {
+        Ok(PublishedKey {
             id: id.as_str().into(),
             algorithm,
             material,
@@ -174,15 +174,15 @@
     }
 }
 
-struct Held {
-    key: Published,
+struct RingKey {
+    key: PublishedKey,
     /// Since when the sets served have lacked it.
-    missed: Option<Micros>,
+    missing_since: Option<Micros>,
 }
 
 /// Why a key is not to be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyFault {
+pub enum KeyError {
     Unknown,
     NotYet,
     Retired,
@@ -190,34 +190,34 @@
 
 /// What a set has changed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Change {
-    pub came: Vec<KeyId>,
-    pub missed: Vec<KeyId>,
+pub struct KeyChanges {
+    pub added: Vec<KeyId>,
+    pub missing: Vec<KeyId>,
     /// Passed over: the same id with other coordinates.
-    pub clashed: Vec<KeyId>,
+    pub conflicting: Vec<KeyId>,
 }
 
 /// All keys by id. A key leaves when its time is over, or when no set has had it for the time it lingers; a set
-/// brings [`MOST_KEYS`] at most, and beyond twice that the longest missed go first.
+/// brings [`MAX_KEYS`] at most, and beyond twice that the longest missed go first.
 pub struct KeyRing {
-    held: BTreeMap<KeyId, Held>,
+    keys: BTreeMap<KeyId, RingKey>,
     serial: Option<u64>,
     /// How long a key that is no longer served goes on verifying: what it signed just before is still under way, and
     /// two key services that serve different sets by turns must not refuse half of the callers.
-    lingers: Micros,
+    retention: Micros,
 }
 
 impl KeyRing {
-    pub fn new(lingers: Micros) -> Self {
+    pub fn new(retention: Micros) -> Self {
         KeyRing {
-            held: BTreeMap::new(),
+            keys: BTreeMap::new(),
             serial: None,
-            lingers,
+            retention,
         }
     }
 
     pub fn ids(&self) -> impl Iterator<Item = &KeyId> {
-        self.held.keys()
+        self.keys.keys()
     }
 
     pub fn serial(&self) -> Option<u64> {
@@ -225,91 +225,91 @@
     }
 
     /// Takes a set that was served. An older one than the last is refused whole: it would bring retired keys back.
-    pub fn told_of(&mut self, now: Micros, set: &KeySet) -> Result<Change, SetFault> {
-        if let (Some(got), Some(have)) = (set.serial, self.serial) {
-            if got < have {
-                return Err(SetFault::Older { got, have });
+    pub fn update(&mut self, now: Micros, set: &KeySet) -> Result<KeyChanges, KeySetError> {
+        if let (Some(received), Some(current)) = (set.serial, self.serial) {
+            if received < current {
+                return Err(KeySetError::Older { received, current });
             }
         }
         self.serial = set.serial.or(self.serial);
-        let mut change = Change::default();
+        let mut change = KeyChanges::default();
         for key in &set.keys {
-            match self.held.get_mut(&key.id) {
-                Some(held) if held.key.material == key.material => {
+            match self.keys.get_mut(&key.id) {
+                Some(ring_key) if ring_key.key.material == key.material => {
                     // Times may be shortened by a later set, and a set that lacks an end does not take one back.
-                    let until = key.until.or(held.key.until);
-                    *held = Held {
-                        key: Published {
+                    let until = key.until.or(ring_key.key.until);
+                    *ring_key = RingKey {
+                        key: PublishedKey {
                             until,
                             ..key.clone()
                         },
-                        missed: None,
+                        missing_since: None,
                     };
                 }
-                Some(_) => change.clashed.push(key.id.clone()),
+                Some(_) => change.conflicting.push(key.id.clone()),
                 None => {
-                    self.held.insert(
+                    self.keys.insert(
                         key.id.clone(),
-                        Held {
+                        RingKey {
                             key: key.clone(),
-                            missed: None,
+                            missing_since: None,
                         },
                     );
-                    change.came.push(key.id.clone());
+                    change.added.push(key.id.clone());
                 }
             }
         }
-        for (id, held) in &mut self.held {
-            if held.missed.is_none() && !set.keys.iter().any(|key| key.id == *id) {
-                held.missed = Some(now);
-                change.missed.push(id.clone());
+        for (id, ring_key) in &mut self.keys {
+            if ring_key.missing_since.is_none() && !set.keys.iter().any(|key| key.id == *id) {
+                ring_key.missing_since = Some(now);
+                change.missing.push(id.clone());
             }
         }
-        while self.held.len() > 2 * MOST_KEYS {
-            let longest = self
-                .held
+        while self.keys.len() > 2 * MAX_KEYS {
+            let longest_missing = self
+                .keys
                 .iter()
-                .filter_map(|(id, held)| Some((held.missed?, id)))
+                .filter_map(|(id, ring_key)| Some((ring_key.missing_since?, id)))
                 .min();
-            let Some(id) = longest.map(|(_, id)| id.clone()) else {
+            let Some(id) = longest_missing.map(|(_, id)| id.clone()) else {
                 break;
             };
-            self.held.remove(&id);
+            self.keys.remove(&id);
         }
         Ok(change)
     }
 
     /// Takes keys off whose time is over; tells which.
-    pub fn elapsed(&mut self, now: Micros) -> Vec<KeyId> {
-        let over = |held: &Held| {
-            held.key.until.is_some_and(|until| until <= now)
-                || held
-                    .missed
-                    .is_some_and(|since| now.since(since) >= self.lingers)
+    pub fn remove_expired(&mut self, now: Micros) -> Vec<KeyId> {
+        let expired = |ring_key: &RingKey| {
+            ring_key.key.until.is_some_and(|until| until <= now)
+                || ring_key
+                    .missing_since
+                    .is_some_and(|since| now.since(since) >= self.retention)
         };
-        let gone: Vec<KeyId> = self
-            .held
+        let removed: Vec<KeyId> = self
+            .keys
             .iter()
-            .filter(|(_, held)| over(held))
+            .filter(|(_, ring_key)| expired(ring_key))
             .map(|(id, _)| id.clone())
             .collect();
-        gone.iter().for_each(|id| drop(self.held.remove(id)));
-        gone
+        removed.iter().for_each(|id| drop(self.keys.remove(id)));
+        removed
     }
 
     /// The key of an id, if it verifies at this time.
-    pub fn find(&self, now: Micros, id: &KeyId) -> Result<(&DecodingKey, Algorithm), KeyFault> {
-        let held = self.held.get(id).ok_or(KeyFault::Unknown)?;
-        if now < held.key.from {
-            return Err(KeyFault::NotYet);
+    pub fn find(&self, now: Micros, id: &KeyId) -> Result<(&DecodingKey, Algorithm), KeyError> {
+        let ring_key = self.keys.get(id).ok_or(KeyError::Unknown)?;
+        if now < ring_key.key.from {
+            return Err(KeyError::NotYet);
         }
-        let retired = held.key.until.is_some_and(|until| until <= now)
-            || held
-                .missed
-                .is_some_and(|since| now.since(since) >= self.lingers);
+        let retired = ring_key.key.until.is_some_and(|until| until <= now)
+            || ring_key
+                .missing_since
+                .is_some_and(|since| now.since(since) >= self.retention);
         if retired {
-            return Err(KeyFault::Retired);
+            return Err(KeyError::Retired);
         }
-        Ok((&held.key.decoding, held.key.algorithm))
+        Ok((&ring_key.key.decoding, ring_key.key.algorithm))
     }
 }
--- a/identity/src/names.rs
+++ b/identity/src/names.rs
@@ -13,8 +13,8 @@
         pub struct $name(pub Rc<str>);
 
         impl From<&str> for $name {
-            fn from(of: &str) -> Self {
-                $name(of.into())
+            fn from(text: &str) -> Self {
+                $name(text.into())
             }
         }
 
@@ -52,7 +52,7 @@
         self != Act::Read
     }
 
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Act::Read => "read",
             Act::Set => "set",
@@ -77,7 +77,7 @@
         match self {
             Proof::Token { key, id: Some(id) } => write!(f, "token {id} by key {key}"),
             Proof::Token { key, id: None } => write!(f, "a token by key {key}"),
-            Proof::Certificate(print) => write!(f, "certificate {print}"),
+            Proof::Certificate(fingerprint) => write!(f, "certificate {fingerprint}"),
         }
     }
 }
--- a/identity/src/refresh.rs
+++ b/identity/src/poll_schedule.rs
@@ -5,36 +5,36 @@
 use ternpick::types::Micros;
 
 /// A failing source is first asked again after this part of the regular time, then twice as late each time.
-const FIRST_AGAIN: f64 = 0.2;
+const FIRST_RETRY_INTERVALS: f64 = 0.2;
 /// Waiting times are spread by this share, so that many routers do not ask together.
-const SPREAD: f64 = 0.2;
+const JITTER_FRACTION: f64 = 0.2;
 /// A failing source is asked this many regular times apart at the most.
-const MOST_APART: f64 = 8.0;
+const MAX_RETRY_INTERVALS: f64 = 8.0;
 
-pub struct Refresh {
-    every: Micros,
+pub struct PollSchedule {
+    interval: Micros,
     /// Between two calls, whatever comes up.
-    least_apart: Micros,
+    min_interval: Micros,
     /// When it is asked next; none while a call is out.
     next: Option<Micros>,
-    began: Option<Micros>,
+    started_at: Option<Micros>,
     /// Something unknown came up while a call was out.
-    again: bool,
+    early_poll_requested: bool,
     failures: u32,
-    chance: WyRand,
+    rng: WyRand,
 }
 
-impl Refresh {
-    pub fn new(every: Micros, least_apart: Micros, seed: u64) -> Self {
-        let chance = WyRand::new_seed(seed);
-        Refresh {
-            every,
-            least_apart,
+impl PollSchedule {
+    pub fn new(interval: Micros, min_interval: Micros, seed: u64) -> Self {
+        let rng = WyRand::new_seed(seed);
+        PollSchedule {
+            interval,
+            min_interval,
             next: Some(Micros(0)),
-            began: None,
-            again: false,
+            started_at: None,
+            early_poll_requested: false,
             failures: 0,
-            chance,
+            rng,
         }
     }
 
@@ -43,51 +43,51 @@
         self.next
     }
 
-    fn not_before(&self) -> Micros {
-        self.began
-            .map_or(Micros(0), |began| began + self.least_apart)
+    fn earliest(&self) -> Micros {
+        self.started_at
+            .map_or(Micros(0), |started_at| started_at + self.min_interval)
     }
 
     /// Something came up that the source may know by now. True if it is asked sooner for it.
-    pub fn wanted(&mut self, now: Micros) -> bool {
+    pub fn request_early(&mut self, now: Micros) -> bool {
         // A source that fails is not asked sooner for being needed.
         if self.failures > 0 {
             return false;
         }
         match self.next {
-            None => !std::mem::replace(&mut self.again, true),
+            None => !std::mem::replace(&mut self.early_poll_requested, true),
             Some(next) => {
-                let sooner = self.not_before().max(now);
+                let sooner = self.earliest().max(now);
                 self.next = Some(next.min(sooner));
                 sooner < next
             }
         }
     }
 
-    pub fn began(&mut self, now: Micros) {
-        (self.next, self.began, self.again) = (None, Some(now), false);
+    pub fn started(&mut self, now: Micros) {
+        (self.next, self.started_at, self.early_poll_requested) = (None, Some(now), false);
     }
 
-    fn spread(&mut self, of: Micros) -> Micros {
-        let lot = self.chance.generate::<f64>();
-        of.times(1.0 - SPREAD + 2.0 * SPREAD * lot)
+    fn jittered(&mut self, duration: Micros) -> Micros {
+        let fraction = self.rng.generate::<f64>();
+        duration.times(1.0 - JITTER_FRACTION + 2.0 * JITTER_FRACTION * fraction)
     }
 
     pub fn succeeded(&mut self, now: Micros) {
         self.failures = 0;
-        let regular = now + self.spread(self.every);
-        self.next = Some(if self.again {
-            self.not_before().max(now)
+        let at_interval = now + self.jittered(self.interval);
+        self.next = Some(if self.early_poll_requested {
+            self.earliest().max(now)
         } else {
-            regular
+            at_interval
         });
     }
 
     pub fn failed(&mut self, now: Micros) {
-        let apart = FIRST_AGAIN * f64::from(2u32.saturating_pow(self.failures));
+        let intervals = FIRST_RETRY_INTERVALS * f64::from(2u32.saturating_pow(self.failures));
         self.failures = self.failures.saturating_add(1);
-        let wait = self.spread(self.every.times(apart.min(MOST_APART)));
-        self.next = Some((now + wait).max(self.not_before()));
+        let wait = self.jittered(self.interval.times(intervals.min(MAX_RETRY_INTERVALS)));
+        self.next = Some((now + wait).max(self.earliest()));
     }
 
     /// How many calls in a row have failed.
@@ -103,20 +103,20 @@
 
     const S: u64 = 1_000_000;
 
-    fn refresh() -> Refresh {
-        Refresh::new(Micros(5 * S), Micros(S), 7)
+    fn schedule() -> PollSchedule {
+        PollSchedule::new(Micros(5 * S), Micros(S), 7)
     }
 
     #[test]
     fn a_flood_of_unknown_keys_asks_once_a_second_at_most() {
-        let (mut refresh, mut calls) = (refresh(), 0);
+        let (mut schedule, mut calls) = (schedule(), 0);
         for ms in 0..20_000 {
             let now = Micros(ms * 1000);
-            refresh.wanted(now);
-            if refresh.next().is_some_and(|next| next <= now) {
+            schedule.request_early(now);
+            if schedule.next().is_some_and(|next| next <= now) {
                 calls += 1;
-                refresh.began(now);
-                refresh.succeeded(now + Micros(3000));
+                schedule.started(now);
+                schedule.succeeded(now + Micros(3000));
             }
         }
         assert!((19..=21).contains(&calls), "{calls} calls in 20 s");
@@ -124,12 +124,12 @@
 
     #[test]
     fn a_source_that_fails_is_asked_later_and_later_needed_or_not() {
-        let (mut refresh, mut now, mut waits) = (refresh(), Micros(0), Vec::new());
+        let (mut schedule, mut now, mut waits) = (schedule(), Micros(0), Vec::new());
         for _ in 0..9 {
-            refresh.began(now);
-            refresh.failed(now);
-            refresh.wanted(now);
-            let next = refresh.next().expect("a time");
+            schedule.started(now);
+            schedule.failed(now);
+            schedule.request_early(now);
+            let next = schedule.next().expect("a time");
             waits.push(next.since(now).0 as f64 / S as f64);
             now = next;
         }
@@ -137,9 +137,9 @@
             waits[0] < 1.3 && waits[3] > 4.0 && waits[8] > 30.0 && waits[8] < 50.0,
             "{waits:?}"
         );
-        refresh.began(now);
-        refresh.succeeded(now);
-        assert!(refresh
+        schedule.started(now);
+        schedule.succeeded(now);
+        assert!(schedule
             .next()
             .is_some_and(|next| next.since(now).0 <= 6 * S));
     }
@@ -148,21 +148,21 @@
         #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
         #[test]
         fn calls_never_come_closer_than_stated(steps in proptest::collection::vec((0u8..4, 0u64..3 * S), 1..80)) {
-            let (mut refresh, mut now, mut last) = (refresh(), Micros(0), None::<Micros>);
+            let (mut schedule, mut now, mut last) = (schedule(), Micros(0), None::<Micros>);
             for (what, later) in steps {
                 now += Micros(later);
-                match (what, refresh.next()) {
-                    (0, _) => drop(refresh.wanted(now)),
-                    (1, None) => refresh.succeeded(now),
-                    (2, None) => refresh.failed(now),
+                match (what, schedule.next()) {
+                    (0, _) => drop(schedule.request_early(now)),
+                    (1, None) => schedule.succeeded(now),
+                    (2, None) => schedule.failed(now),
                     (_, Some(next)) if next <= now => {
                         prop_assert!(last.is_none_or(|last| now.since(last).0 >= S));
                         last = Some(now);
-                        refresh.began(now);
+                        schedule.started(now);
                     }
                     _ => {}
                 }
-                prop_assert!(refresh.next().is_none_or(|next| next.since(now).0 <= 60 * S), "it is always asked again");
+                prop_assert!(schedule.next().is_none_or(|next| next.since(now).0 <= 60 * S), "it is always asked again");
             }
         }
     }
--- a/identity/src/revocation.rs
+++ b/identity/src/revocation.rs
@@ -11,14 +11,14 @@
 use crate::names::{Act, Caller, Proof};
 
 /// The most that may be revoked at a time. A feed beyond it is not taken, so that trust in it ends with its age.
-pub const MOST_REVOKED: usize = 200_000;
+pub const MAX_REVOCATIONS: usize = 200_000;
 /// The longest page, in bytes.
-pub const PAGE_BOUND: usize = 32 << 20;
+pub const MAX_PAGE_BYTES: usize = 32 << 20;
 /// A word that takes a revocation back is remembered so long, lest an older page bring the revocation again.
-const LIFTED_FOR: Micros = Micros(86_400_000_000);
+const LIFTED_RETENTION: Micros = Micros(86_400_000_000);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum What {
+pub enum RevokedItem {
     Token(Rc<str>),
     Subject(Rc<str>),
     Key(Rc<str>),
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub number: u64,
-    pub what: What,
+    pub item: RevokedItem,
     /// Taken back.
     pub lifted: bool,
     /// When it no longer matters: what it revokes has ended by itself.
@@ -69,7 +69,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum FeedFault {
+pub enum FeedError {
     #[error("the page is malformed")]
     Malformed,
     #[error("the page names one number for two things")]
@@ -83,24 +83,24 @@
 }
 
 impl Page {
-    pub fn parse(text: &[u8]) -> Result<Page, FeedFault> {
-        let form: PageForm = serde_json::from_slice(text).map_err(|_| FeedFault::Malformed)?;
+    pub fn parse(text: &[u8]) -> Result<Page, FeedError> {
+        let form: PageForm = serde_json::from_slice(text).map_err(|_| FeedError::Malformed)?;
         let entry = |form: EntryForm| {
-            let whats = [
-                form.token.map(|of| What::Token(of.into())),
-                form.subject.map(|of| What::Subject(of.into())),
-                form.key.map(|of| What::Key(of.into())),
+            let items = [
+                form.token.map(|of| RevokedItem::Token(of.into())),
+                form.subject.map(|of| RevokedItem::Subject(of.into())),
+                form.key.map(|of| RevokedItem::Key(of.into())),
                 form.certificate
-                    .map(|of| What::Certificate(of.to_ascii_lowercase().into())),
+                    .map(|of| RevokedItem::Certificate(of.to_ascii_lowercase().into())),
             ];
-            let mut named = whats.into_iter().flatten();
-            let (Some(what), None) = (named.next(), named.next()) else {
-                return Err(FeedFault::Malformed);
+            let mut named = items.into_iter().flatten();
+            let (Some(item), None) = (named.next(), named.next()) else {
+                return Err(FeedError::Malformed);
             };
             let until = form.until.map(seconds);
             Ok(Entry {
                 number: form.number,
-                what,
+                item,
                 lifted: form.lifted,
                 until,
             })
@@ -120,7 +120,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct LatestEntry {
     number: u64,
     lifted: bool,
     until: Option<Micros>,
@@ -137,7 +137,7 @@
 
 /// How long a feed may be silent.
 #[derive(Clone, Copy, Debug)]
-pub struct Grace {
+pub struct GracePeriods {
     pub reads: Micros,
     /// Shorter: setting and clearing stops first.
     pub changes: Micros,
@@ -145,21 +145,21 @@
 
 pub struct Revocations {
     /// By what they name; a word goes once its own end has passed, or a while after it was taken back.
-    words: HashMap<What, Word>,
+    entries: HashMap<RevokedItem, LatestEntry>,
     number: u64,
-    told: Option<Micros>,
-    grace: Grace,
-    said: Trust,
+    updated_at: Option<Micros>,
+    grace_periods: GracePeriods,
+    reported_trust: Trust,
 }
 
 impl Revocations {
-    pub fn new(grace: Grace) -> Self {
+    pub fn new(grace_periods: GracePeriods) -> Self {
         Revocations {
-            words: HashMap::new(),
+            entries: HashMap::new(),
             number: 0,
-            told: None,
-            grace,
-            said: Trust::Full,
+            updated_at: None,
+            grace_periods,
+            reported_trust: Trust::Full,
         }
     }
 
@@ -170,70 +170,70 @@
 
     /// All that is known, as a whole page in the form of [`Page::parse`], and when it was last heard.
     pub fn page(&self) -> (Option<Micros>, String) {
-        let entry = |(what, word): (&What, &Word)| {
-            let (kind, name) = match what {
-                What::Token(name) => ("token", name),
-                What::Subject(name) => ("subject", name),
-                What::Key(name) => ("key", name),
-                What::Certificate(name) => ("certificate", name),
+        let entry = |(item, entry): (&RevokedItem, &LatestEntry)| {
+            let (kind, name) = match item {
+                RevokedItem::Token(name) => ("token", name),
+                RevokedItem::Subject(name) => ("subject", name),
+                RevokedItem::Key(name) => ("key", name),
+                RevokedItem::Certificate(name) => ("certificate", name),
             };
-            let until = word.until.map(|until| until.0.div_ceil(1_000_000));
-            serde_json::json!({"number": word.number, kind: name.as_ref(), "lifted": word.lifted, "until": until})
+            let until = entry.until.map(|until| until.0.div_ceil(1_000_000));
+            serde_json::json!({"number": entry.number, kind: name.as_ref(), "lifted": entry.lifted, "until": until})
         };
-        let entries: Vec<serde_json::Value> = self.words.iter().map(entry).collect();
+        let entries: Vec<serde_json::Value> = self.entries.iter().map(entry).collect();
         let page = serde_json::json!({"to": self.number, "whole": true, "entries": entries});
-        (self.told, page.to_string())
+        (self.updated_at, page.to_string())
     }
 
     pub fn count(&self) -> usize {
-        self.words.values().filter(|word| !word.lifted).count()
+        self.entries.values().filter(|entry| !entry.lifted).count()
     }
 
     /// Takes a page, as it was at `then` (now, or when a kept page was saved); tells how many words were news. After
     /// a gap nothing of it is taken: the whole list is to be asked for.
-    pub fn told_of(&mut self, then: Micros, page: Page) -> Result<usize, FeedFault> {
+    pub fn update(&mut self, updated_at: Micros, page: Page) -> Result<usize, FeedError> {
         let mut entries = page.entries;
         entries.sort_by_key(|entry| entry.number);
         if entries
             .windows(2)
-            .any(|two| two[0].number == two[1].number && two[0] != two[1])
+            .any(|pair| pair[0].number == pair[1].number && pair[0] != pair[1])
         {
-            return Err(FeedFault::Contradicts);
+            return Err(FeedError::Contradicts);
         }
         entries.dedup();
         if entries
             .iter()
             .any(|entry| entry.number == 0 || entry.number > page.to)
         {
-            return Err(FeedFault::Malformed);
+            return Err(FeedError::Malformed);
         }
         if page.to < self.number {
-            return Err(FeedFault::Older);
+            return Err(FeedError::Older);
         }
         if !page.whole {
-            let first = page.after.checked_add(1).ok_or(FeedFault::Malformed)?;
-            let all = entries
+            let expected_first = page.after.checked_add(1).ok_or(FeedError::Malformed)?;
+            let numbers = entries
                 .iter()
                 .map(|entry| entry.number)
-                .filter(|number| *number >= first);
-            if page.after > self.number || !all.eq(first..=page.to) {
-                return Err(FeedFault::Gap);
+                .filter(|number| *number >= expected_first);
+            if page.after > self.number || !numbers.eq(expected_first..=page.to) {
+                return Err(FeedError::Gap);
             }
         }
-        if self.words.len() + entries.len() > MOST_REVOKED {
-            self.elapsed(then);
+        if self.entries.len() + entries.len() > MAX_REVOCATIONS {
+            self.remove_expired(updated_at);
         }
-        let fresh = entries
+        let new_items = entries
             .iter()
-            .filter(|entry| !self.words.contains_key(&entry.what))
+            .filter(|entry| !self.entries.contains_key(&entry.item))
             .count();
-        if self.words.len() + fresh > MOST_REVOKED {
-            return Err(FeedFault::TooMany);
+        if self.entries.len() + new_items > MAX_REVOCATIONS {
+            return Err(FeedError::TooMany);
         }
-        let mut news = 0;
+        let mut applied = 0;
         for Entry {
             number,
-            what,
+            item,
             lifted,
             until,
         } in entries
@@ -241,73 +241,73 @@
             // What a whole list lacks stays: only a later word on the same thing, or its own end, takes it off. A
             // service that serves half of its list brings nobody back.
             if self
-                .words
-                .get(&what)
-                .is_none_or(|known| known.number < number)
+                .entries
+                .get(&item)
+                .is_none_or(|latest| latest.number < number)
             {
                 let until = if lifted {
-                    Some(then + LIFTED_FOR)
+                    Some(updated_at + LIFTED_RETENTION)
                 } else {
                     until
                 };
-                self.words.insert(
-                    what,
-                    Word {
+                self.entries.insert(
+                    item,
+                    LatestEntry {
                         number,
                         lifted,
                         until,
                     },
                 );
-                news += 1;
+                applied += 1;
             }
         }
         self.number = page.to;
-        self.told = self.told.max(Some(then));
-        Ok(news)
+        self.updated_at = self.updated_at.max(Some(updated_at));
+        Ok(applied)
     }
 
     /// Takes off what no longer matters.
-    pub fn elapsed(&mut self, now: Micros) {
-        self.words
-            .retain(|_, word| word.until.is_none_or(|until| until > now));
+    pub fn remove_expired(&mut self, now: Micros) {
+        self.entries
+            .retain(|_, entry| entry.until.is_none_or(|until| until > now));
     }
 
-    fn names(&self, what: &What) -> bool {
-        self.words.get(what).is_some_and(|word| !word.lifted)
+    fn is_revoked(&self, item: &RevokedItem) -> bool {
+        self.entries.get(item).is_some_and(|entry| !entry.lifted)
     }
 
     /// What of a caller has been revoked.
-    pub fn of(&self, caller: &Caller) -> Option<&'static str> {
-        let proof = match &caller.proof {
+    pub fn revocation_of(&self, caller: &Caller) -> Option<&'static str> {
+        let by_proof = match &caller.proof {
             Proof::Token { key, id } => {
                 let token = id
                     .as_ref()
-                    .is_some_and(|id| self.names(&What::Token(Rc::clone(&id.0))));
-                let key = self.names(&What::Key(Rc::clone(&key.0)));
+                    .is_some_and(|id| self.is_revoked(&RevokedItem::Token(Rc::clone(&id.0))));
+                let key = self.is_revoked(&RevokedItem::Key(Rc::clone(&key.0)));
                 if key {
                     Some("the token's key is revoked")
                 } else {
                     token.then_some("the token is revoked")
                 }
             }
-            Proof::Certificate(print) => self
-                .names(&What::Certificate(Rc::clone(print)))
+            Proof::Certificate(fingerprint) => self
+                .is_revoked(&RevokedItem::Certificate(Rc::clone(fingerprint)))
                 .then_some("the certificate is revoked"),
         };
-        let subject = || self.names(&What::Subject(Rc::clone(&caller.subject.0)));
-        proof.or_else(|| subject().then_some("the subject is revoked"))
+        let subject = || self.is_revoked(&RevokedItem::Subject(Rc::clone(&caller.subject.0)));
+        by_proof.or_else(|| subject().then_some("the subject is revoked"))
     }
 
     pub fn trust(&self, now: Micros) -> Trust {
-        match self.told.map(|told| now.since(told)) {
-            Some(age) if age <= self.grace.changes => Trust::Full,
-            Some(age) if age <= self.grace.reads => Trust::Reads,
+        match self.updated_at.map(|updated_at| now.since(updated_at)) {
+            Some(age) if age <= self.grace_periods.changes => Trust::Full,
+            Some(age) if age <= self.grace_periods.reads => Trust::Reads,
             _ => Trust::None,
         }
     }
 
     /// Whether an act may rely on what is known.
-    pub fn bears(&self, now: Micros, act: Act) -> bool {
+    pub fn permits(&self, now: Micros, act: Act) -> bool {
         self.trust(now)
             >= if act.changes() {
                 Trust::Full
@@ -317,8 +317,8 @@
     }
 
     /// The trust, where it has changed since this was last asked.
-    pub fn changed(&mut self, now: Micros) -> Option<Trust> {
+    pub fn trust_change(&mut self, now: Micros) -> Option<Trust> {
         let trust = self.trust(now);
-        (std::mem::replace(&mut self.said, trust) != trust).then_some(trust)
+        (std::mem::replace(&mut self.reported_trust, trust) != trust).then_some(trust)
     }
 }
--- a/identity/src/rights.rs
+++ b/identity/src/rights.rs
@@ -6,13 +6,13 @@
 use regex::Regex;
 use ternpick::types::{CustomerNo, Micros};
 
+use crate::config::{ConfigError, GrantConfig, IdentityConfig};
 use crate::names::{Act, Caller, Role, Subject, Tenant};
-use crate::terms::{GrantTerms, Terms, TermsFault};
 
 /// All indexes, in a grant.
 const ANY_INDEX: &str = "*";
 
-struct OfTenant {
+struct TenantRights {
     number: CustomerNo,
     /// The roles that its callers may have; a token that claims another has it in vain.
     roles: Option<BTreeSet<Role>>,
@@ -26,7 +26,7 @@
 }
 
 /// Told from what a node will run: a statement of an index that matches does these acts.
-struct Telling {
+struct StatementPattern {
     index: String,
     acts: Vec<Act>,
     statement: Regex,
@@ -34,17 +34,17 @@
 
 #[derive(Default)]
 pub struct Rights {
-    tenants: BTreeMap<Tenant, OfTenant>,
-    roles: BTreeMap<Role, Vec<GrantTerms>>,
+    tenants: BTreeMap<Tenant, TenantRights>,
+    roles: BTreeMap<Role, Vec<GrantConfig>>,
     delegations: Vec<Delegation>,
-    tellings: Vec<Telling>,
+    statement_patterns: Vec<StatementPattern>,
 }
 
 /// Why something may be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Allowed {
     pub tenant: CustomerNo,
-    pub by: String,
+    pub granted_by: String,
     pub until: Micros,
 }
 
@@ -54,15 +54,15 @@
     Tenant,
     #[error("no delegation to that tenant holds")]
     Delegation,
-    #[error("role {role} denies {act} here", act = .act.word())]
+    #[error("role {role} denies {act} here", act = .act.name())]
     Denies { role: Role, act: Act },
-    #[error("no role grants {act} here", act = .act.word())]
+    #[error("no role grants {act} here", act = .act.name())]
     NotGranted { act: Act },
 }
 
 /// One line of what a caller may do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Explained {
+pub struct ExplainedRight {
     pub index: String,
     pub act: Act,
     pub allowed: Result<String, String>,
@@ -71,21 +71,22 @@
 
 impl Rights {
     /// Takes new terms. A tenant that was known keeps its number.
-    pub fn told_of(&mut self, terms: &Terms) -> Result<(), TermsFault> {
-        let mut tellings = Vec::new();
-        for (at, of) in terms.acts.iter().enumerate() {
-            let statement = Regex::new(&of.statement).map_err(|_| TermsFault::Pattern { at })?;
-            tellings.push(Telling {
+    pub fn update(&mut self, config: &IdentityConfig) -> Result<(), ConfigError> {
+        let mut statement_patterns = Vec::new();
+        for (position, of) in config.acts.iter().enumerate() {
+            let statement =
+                Regex::new(&of.statement).map_err(|_| ConfigError::Pattern { position })?;
+            statement_patterns.push(StatementPattern {
                 index: of.index.clone(),
                 acts: of.acts.clone(),
                 statement,
             });
         }
         let mut delegations = Vec::new();
-        for of in &terms.delegations {
-            let until = crate::terms::time(&of.until)?;
-            if !terms.tenants.contains_key(&*of.tenant.0) {
-                return Err(TermsFault::UnknownTenant {
+        for of in &config.delegations {
+            let until = crate::config::time(&of.until)?;
+            if !config.tenants.contains_key(&*of.tenant.0) {
+                return Err(ConfigError::UnknownTenant {
                     name: of.tenant.to_string(),
                 });
             }
@@ -98,33 +99,35 @@
                 until,
             });
         }
-        let of_tenants = terms
+        let of_tenants = config
             .tenants
             .values()
             .flat_map(|of| of.roles.iter().flatten());
-        let of_delegations = terms.delegations.iter().flat_map(|of| &of.roles);
-        let of_certificates = terms.certificates.iter().flat_map(|of| &of.roles);
+        let of_delegations = config.delegations.iter().flat_map(|of| &of.roles);
+        let of_certificates = config.certificates.iter().flat_map(|of| &of.roles);
         for role in of_tenants.chain(of_delegations).chain(of_certificates) {
-            if !terms.roles.contains_key(&*role.0) {
-                return Err(TermsFault::UnknownRole {
+            if !config.roles.contains_key(&*role.0) {
+                return Err(ConfigError::UnknownRole {
                     name: role.to_string(),
                 });
             }
         }
-        let mut next = self
+        let mut next_number = self
             .tenants
             .values()
             .map(|of| of.number.0 + 1)
             .max()
             .unwrap_or(0);
         let mut tenants = BTreeMap::new();
-        for (name, of) in &terms.tenants {
+        for (name, of) in &config.tenants {
             let name = Tenant::from(name.as_str());
             let number = match self.tenants.get(&name) {
                 Some(known) => known.number,
                 None => {
-                    let number = CustomerNo(next);
-                    next = next.checked_add(1).ok_or(TermsFault::TooManyTenants)?;
+                    let number = CustomerNo(next_number);
+                    next_number = next_number
+                        .checked_add(1)
+                        .ok_or(ConfigError::TooManyTenants)?;
                     number
                 }
             };
@@ -132,9 +135,9 @@
                 .roles
                 .as_ref()
                 .map(|roles| roles.iter().cloned().collect());
-            tenants.insert(name, OfTenant { number, roles });
+            tenants.insert(name, TenantRights { number, roles });
         }
-        let roles = terms
+        let roles = config
             .roles
             .iter()
             .map(|(name, of)| (Role::from(name.as_str()), of.grants.clone()));
@@ -142,7 +145,7 @@
             tenants,
             roles: roles.collect(),
             delegations,
-            tellings,
+            statement_patterns,
         };
         Ok(())
     }
@@ -155,13 +158,13 @@
     /// What a request does: as its statement tells, or, where it tells nothing, everything that its index could. A
     /// caller's own word on it does not count.
     pub fn acts(&self, index: &str, idempotent: bool, statement: &str) -> Vec<Act> {
-        let told = self
-            .tellings
+        let patterns = self
+            .statement_patterns
             .iter()
-            .filter(|telling| telling.index == index);
-        let acts: BTreeSet<Act> = told
-            .filter(|telling| telling.statement.is_match(statement))
-            .flat_map(|telling| telling.acts.iter().copied())
+            .filter(|pattern| pattern.index == index);
+        let acts: BTreeSet<Act> = patterns
+            .filter(|pattern| pattern.statement.is_match(statement))
+            .flat_map(|pattern| pattern.acts.iter().copied())
             .collect();
         match (acts.is_empty(), idempotent) {
             (false, _) => acts.into_iter().collect(),
@@ -171,15 +174,15 @@
     }
 
     /// On whose account and in which roles a caller asks, and until when: its own tenant's, or as one delegated.
-    fn standing<'a>(
+    fn effective_roles<'a>(
         &'a self,
         caller: &'a Caller,
         behalf: Option<&str>,
         now: Micros,
-    ) -> Result<(&'a OfTenant, Vec<&'a Role>, Micros), Denied> {
+    ) -> Result<(&'a TenantRights, Vec<&'a Role>, Micros), Denied> {
         let Some(behalf) = behalf.filter(|name| **name != *caller.tenant.0) else {
             let tenant = self.tenants.get(&caller.tenant).ok_or(Denied::Tenant)?;
-            let may = |role: &&Role| {
+            let is_permitted = |role: &&Role| {
                 tenant
                     .roles
                     .as_ref()
@@ -187,19 +190,19 @@
             };
             return Ok((
                 tenant,
-                caller.roles.iter().filter(may).collect(),
+                caller.roles.iter().filter(is_permitted).collect(),
                 caller.until,
             ));
         };
-        let holds = |of: &&Delegation| {
+        let is_valid = |of: &&Delegation| {
             of.subject == caller.subject && *of.tenant.0 == *behalf && of.until > now
         };
-        let last = self
+        let longest = self
             .delegations
             .iter()
-            .filter(holds)
+            .filter(is_valid)
             .max_by_key(|of| of.until);
-        let of = last.ok_or(Denied::Delegation)?;
+        let of = longest.ok_or(Denied::Delegation)?;
         let tenant = self.tenants.get(&of.tenant).ok_or(Denied::Tenant)?;
         Ok((
             tenant,
@@ -209,13 +212,13 @@
     }
 
     /// Whether a caller may do an act on an index, and by which role.
-    fn judge(&self, roles: &[&Role], index: &str, act: Act) -> Result<String, Denied> {
-        let here = |grant: &&GrantTerms| {
+    fn grant_for(&self, roles: &[&Role], index: &str, act: Act) -> Result<String, Denied> {
+        let applies = |grant: &&GrantConfig| {
             (grant.index == ANY_INDEX || grant.index == index) && grant.acts.contains(&act)
         };
         let mut granted = None;
         for role in roles {
-            for grant in self.roles.get(*role).into_iter().flatten().filter(here) {
+            for grant in self.roles.get(*role).into_iter().flatten().filter(applies) {
                 if grant.deny {
                     return Err(Denied::Denies {
                         role: (*role).clone(),
@@ -239,23 +242,28 @@
         acts: &[Act],
         now: Micros,
     ) -> Result<Allowed, Denied> {
-        let (tenant, roles, until) = self.standing(caller, behalf, now)?;
-        let mut by = String::new();
+        let (tenant, roles, until) = self.effective_roles(caller, behalf, now)?;
+        let mut grant = String::new();
         for act in acts {
-            by = self.judge(&roles, index, *act)?;
+            grant = self.grant_for(&roles, index, *act)?;
         }
         if let Some(behalf) = behalf.filter(|name| **name != *caller.tenant.0) {
-            by = format!("{by}, delegated by {behalf}");
+            grant = format!("{grant}, delegated by {behalf}");
         }
         Ok(Allowed {
             tenant: tenant.number,
-            by,
+            granted_by: grant,
             until,
         })
     }
 
     /// All that a caller may and may not do, on every index that any grant names.
-    pub fn explain(&self, caller: &Caller, behalf: Option<&str>, now: Micros) -> Vec<Explained> {
+    pub fn explain(
+        &self,
+        caller: &Caller,
+        behalf: Option<&str>,
+        now: Micros,
+    ) -> Vec<ExplainedRight> {
         let indexes: BTreeSet<&str> = self
             .roles
             .values()
@@ -268,10 +276,10 @@
         pairs
             .map(|(index, act)| {
                 let (allowed, until) = match self.decide(caller, behalf, index, &[act], now) {
-                    Ok(allowed) => (Ok(allowed.by), Some(allowed.until)),
+                    Ok(allowed) => (Ok(allowed.granted_by), Some(allowed.until)),
                     Err(denied) => (Err(denied.to_string()), None),
                 };
-                Explained {
+                ExplainedRight {
                     index: index.to_owned(),
                     act,
                     allowed,
--- a/identity/src/token.rs
+++ b/identity/src/token.rs
@@ -7,29 +7,29 @@
 use serde::Deserialize;
 use ternpick::types::Micros;
 
-use crate::keys::{KeyFault, KeyRing};
+use crate::keys::{KeyError, KeyRing};
 use crate::names::{Caller, KeyId, Proof, Role, Tenant, TokenId};
 
 /// The longest token, in bytes. A header line may be twice as long; what is longer is no caller of ours.
-pub const TOKEN_BOUND: usize = 8 * 1024;
+pub const MAX_TOKEN_BYTES: usize = 8 * 1024;
 /// The most roles of a token.
-pub const MOST_ROLES: usize = 64;
+pub const MAX_ROLES: usize = 64;
 /// The longest name in a token, in bytes.
-const NAME_BOUND: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 
 /// What tokens must say, and how exactly.
 #[derive(Clone, Debug)]
-pub struct Wanted {
+pub struct TokenRequirements {
     pub issuer: String,
     pub audience: String,
     /// So far may the issuer's clock be off.
     pub skew: Micros,
     /// The longest time that a token may be made for.
-    pub longest: Micros,
+    pub max_lifetime: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum TokenFault {
+pub enum TokenError {
     #[error("the token is longer than any is")]
     TooLong,
     #[error("the token is malformed")]
@@ -96,35 +96,35 @@
     roles: Vec<String>,
 }
 
-fn part<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, TokenFault> {
+fn decode_part<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, TokenError> {
     let bytes = URL_SAFE_NO_PAD
         .decode(text)
-        .map_err(|_| TokenFault::Malformed)?;
+        .map_err(|_| TokenError::Malformed)?;
     // A claim that stands twice is an error of the reader's already.
-    serde_json::from_slice(&bytes).map_err(|_| TokenFault::Malformed)
+    serde_json::from_slice(&bytes).map_err(|_| TokenError::Malformed)
 }
 
 /// Seconds with a fraction, as tokens word times, within what a clock can show.
-fn time(seconds: f64) -> Result<Micros, TokenFault> {
+fn time(seconds: f64) -> Result<Micros, TokenError> {
     (seconds.is_finite() && (0.0..1e11).contains(&seconds))
         .then_some(Micros((seconds * 1e6) as u64))
-        .ok_or(TokenFault::Malformed)
+        .ok_or(TokenError::Malformed)
 }
 
 /// Reads a token and verifies it; the caller that it proves comes back.
-pub fn open(
+pub fn verify(
     token: &str,
     ring: &KeyRing,
-    wanted: &Wanted,
+    requirements: &TokenRequirements,
     now: Micros,
-) -> Result<Caller, TokenFault> {
-    if token.len() > TOKEN_BOUND {
-        return Err(TokenFault::TooLong);
+) -> Result<Caller, TokenError> {
+    if token.len() > MAX_TOKEN_BYTES {
+        return Err(TokenError::TooLong);
     }
-    let (message, signature) = token.rsplit_once('.').ok_or(TokenFault::Malformed)?;
-    let (head, claims) = message.split_once('.').ok_or(TokenFault::Malformed)?;
-    let header: Header = part(head)?;
-    let asks = [
+    let (message, signature) = token.rsplit_once('.').ok_or(TokenError::Malformed)?;
+    let (head, claims) = message.split_once('.').ok_or(TokenError::Malformed)?;
+    let header: Header = decode_part(head)?;
+    let unsupported = [
         &header.crit,
         &header.jku,
         &header.jwk,
@@ -133,62 +133,74 @@
         &header.b64,
         &header.zip,
     ];
-    let typed = header.typ.as_deref().is_none_or(|typ| {
+    let type_allowed = header.typ.as_deref().is_none_or(|typ| {
         let typ = typ.to_ascii_lowercase();
         matches!(typ.trim_start_matches("application/"), "jwt" | "at+jwt")
     });
-    if asks.iter().any(|asked| asked.is_some()) || !typed {
-        return Err(TokenFault::Header);
+    if unsupported.iter().any(|field| field.is_some()) || !type_allowed {
+        return Err(TokenError::Header);
     }
-    let id = KeyId::from(header.kid.as_deref().ok_or(TokenFault::NoKey)?);
+    let id = KeyId::from(header.kid.as_deref().ok_or(TokenError::NoKey)?);
     let (key, algorithm) = ring.find(now, &id).map_err(|fault| match fault {
-        KeyFault::Unknown => TokenFault::UnknownKey,
-        KeyFault::NotYet => TokenFault::KeyNotYet,
-        KeyFault::Retired => TokenFault::KeyRetired,
+        KeyError::Unknown => TokenError::UnknownKey,
+        KeyError::NotYet => TokenError::KeyNotYet,
+        KeyError::Retired => TokenError::KeyRetired,
     })?;
-    if header.alg != algorithm.word() {
-        return Err(TokenFault::Algorithm);
+    if header.alg != algorithm.name() {
+        return Err(TokenError::Algorithm);
     }
-    let holds =
-        jsonwebtoken::crypto::verify(signature, message.as_bytes(), key, algorithm.of_crate());
-    if !holds.unwrap_or(false) {
-        return Err(TokenFault::Signature);
+    let verified = jsonwebtoken::crypto::verify(
+        signature,
+        message.as_bytes(),
+        key,
+        algorithm.to_jsonwebtoken(),
+    );
+    if !verified.unwrap_or(false) {
+        return Err(TokenError::Signature);
     }
-    judge(part(claims)?, id, wanted, now)
+    check_claims(decode_part(claims)?, id, requirements, now)
 }
 
 /// What a token says, its signature being right.
-fn judge(claims: Claims, key: KeyId, wanted: &Wanted, now: Micros) -> Result<Caller, TokenFault> {
+fn check_claims(
+    claims: Claims,
+    key: KeyId,
+    requirements: &TokenRequirements,
+    now: Micros,
+) -> Result<Caller, TokenError> {
     let (expires, issued) = (time(claims.exp)?, time(claims.iat)?);
     let from = claims.nbf.map_or(Ok(issued), time)?;
-    let ours = match &claims.aud {
-        OneOrMore::One(audience) => *audience == wanted.audience,
-        OneOrMore::More(all) => all.contains(&wanted.audience),
+    let audience_matches = match &claims.aud {
+        OneOrMore::One(audience) => *audience == requirements.audience,
+        OneOrMore::More(all) => all.contains(&requirements.audience),
     };
-    let named = |name: &str| {
-        (1..=NAME_BOUND).contains(&name.len()) && name.chars().all(|c| !c.is_control())
+    let is_valid_name = |name: &str| {
+        (1..=MAX_NAME_BYTES).contains(&name.len()) && name.chars().all(|c| !c.is_control())
     };
     let names = claims
         .roles
         .iter()
         .chain([&claims.sub, &claims.tenant])
         .chain(&claims.jti);
-    let until = expires + wanted.skew;
-    let wrong = [
-        (claims.iss != wanted.issuer, TokenFault::Issuer),
-        (!ours, TokenFault::Audience),
+    let until = expires + requirements.skew;
+    let checks = [
+        (claims.iss != requirements.issuer, TokenError::Issuer),
+        (!audience_matches, TokenError::Audience),
+        (
+            !names.into_iter().all(|name| is_valid_name(name)) || claims.roles.len() > MAX_ROLES,
+            TokenError::Malformed,
+        ),
+        (until <= now, TokenError::Expired),
         (
-            !names.into_iter().all(|name| named(name)) || claims.roles.len() > MOST_ROLES,
-            TokenFault::Malformed,
+            from.max(issued) > now + requirements.skew,
+            TokenError::NotYet,
         ),
-        (until <= now, TokenFault::Expired),
-        (from.max(issued) > now + wanted.skew, TokenFault::NotYet),
         (
-            expires.since(issued) > wanted.longest,
-            TokenFault::TooLongLived,
+            expires.since(issued) > requirements.max_lifetime,
+            TokenError::TooLongLived,
         ),
     ];
-    if let Some((_, fault)) = wrong.iter().find(|(wrong, _)| *wrong) {
+    if let Some((_, fault)) = checks.iter().find(|(fails, _)| *fails) {
         return Err(*fault);
     }
     Ok(Caller {
--- a/identity/src/known.rs
+++ b/identity/src/token_cache.rs
@@ -12,7 +12,7 @@
 
 pub type TokenDigest = [u8; 32];
 
-pub struct Known {
+pub struct TokenCache {
     callers: LruCache<TokenDigest, Rc<Caller>>,
 }
 
@@ -20,10 +20,10 @@
     Sha256::digest(token.as_bytes()).into()
 }
 
-impl Known {
-    pub fn new(most: usize) -> Self {
-        Known {
-            callers: LruCache::new(NonZeroUsize::new(most).unwrap_or(NonZeroUsize::MIN)),
+impl TokenCache {
+    pub fn new(capacity: usize) -> Self {
+        TokenCache {
+            callers: LruCache::new(NonZeroUsize::new(capacity).unwrap_or(NonZeroUsize::MIN)),
         }
     }
 
@@ -36,27 +36,27 @@
         None
     }
 
-    pub fn learn(&mut self, token: TokenDigest, caller: &Rc<Caller>) {
+    pub fn insert(&mut self, token: TokenDigest, caller: &Rc<Caller>) {
         self.callers.put(token, Rc::clone(caller));
     }
 
-    pub fn forget(&mut self, token: &TokenDigest) {
+    pub fn remove(&mut self, token: &TokenDigest) {
         self.callers.pop(token);
     }
 
     /// Keys that have left the ring take their tokens with them.
-    pub fn forget_keys(&mut self, gone: &[KeyId]) {
-        let of_gone = |caller: &Caller| matches!(&caller.proof, Proof::Token { key, .. } if gone.contains(key));
+    pub fn remove_keys(&mut self, removed: &[KeyId]) {
+        let signed_by_removed_key = |caller: &Caller| matches!(&caller.proof, Proof::Token { key, .. } if removed.contains(key));
         let tokens: Vec<TokenDigest> = self
             .callers
             .iter()
-            .filter(|(_, caller)| of_gone(caller))
+            .filter(|(_, caller)| signed_by_removed_key(caller))
             .map(|(token, _)| *token)
             .collect();
-        tokens.iter().for_each(|token| self.forget(token));
+        tokens.iter().for_each(|token| self.remove(token));
     }
 
-    pub fn count(&self) -> usize {
+    pub fn len(&self) -> usize {
         self.callers.len()
     }
 }
--- a/identity/tests/any_order.rs
+++ b/identity/tests/any_order.rs
@@ -8,12 +8,12 @@
 use serde_json::json;
 use ternpick::types::Micros;
 use ternpick_identity::key_manager::{Claims, KeyManager};
-use ternpick_identity::{Algorithm, Ask, Identity, KeySet, Page, Terms};
+use ternpick_identity::{Algorithm, AuthRequest, Identity, IdentityConfig, KeySet, Page};
 
 const T0: u64 = 1_800_000_000;
 const LIFE: u64 = 60;
 
-fn terms() -> Terms {
+fn config() -> IdentityConfig {
     serde_json::from_value(json!({
         "issuer": "i", "audience": "a", "skew": 0, "longest": LIFE * 1_000_000, "known": 4,
         "keys": {"from": {"file": "k", "path": "/", "every": 1, "apart": 1, "patience": 1}, "lingers": LIFE * 1_000_000},
@@ -43,7 +43,7 @@
     HearNew,
     HearAgain(usize),
     Tick(u64),
-    Ask(usize),
+    Authorize(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -60,7 +60,7 @@
         2 => Just(Step::HearNew),
         1 => (0usize..8).prop_map(Step::HearAgain),
         2 => (1u64..20).prop_map(Step::Tick),
-        8 => (0usize..64).prop_map(Step::Ask),
+        8 => (0usize..64).prop_map(Step::Authorize),
     ]
 }
 
@@ -77,17 +77,17 @@
 
     #[test]
     fn no_revoked_caller_is_admitted_and_no_valid_one_refused(steps in proptest::collection::vec(step(), 1..120)) {
-        let (mut now, mut shop, random) = (0u64, KeyManager::default(), SystemRandom::new());
-        shop.new_key("k0", Algorithm::EdDsa, T0, 0, &random).expect("a key");
-        let mut identity = Identity::new(terms()).expect("good terms");
-        let mut sets = vec![shop.public(T0).expect("a set").to_string()];
+        let (mut now, mut manager, random) = (0u64, KeyManager::default(), SystemRandom::new());
+        manager.new_key("k0", Algorithm::EdDsa, T0, 0, &random).expect("a key");
+        let mut identity = Identity::new(config()).expect("good terms");
+        let mut sets = vec![manager.public(T0).expect("a set").to_string()];
         let hear_keys = |identity: &mut Identity, text: &str, now: u64| {
             let set = KeySet::parse(text.as_bytes()).expect("good");
-            let _ = identity.told_of_keys(Micros((T0 + now) * 1_000_000), &set);
+            let _ = identity.update_keys(Micros((T0 + now) * 1_000_000), &set);
         };
         hear_keys(&mut identity, &sets[0], 0);
         let micros = |now: u64| Micros((T0 + now) * 1_000_000);
-        identity.told_of_revocations(micros(0), Page { whole: true, ..Page::default() }).expect("taken");
+        identity.update_revocations(micros(0), Page { whole: true, ..Page::default() }).expect("taken");
         // The feed as it was written, what of it the router was told, and the pages it heard.
         let (mut feed, mut told, mut pages): (Vec<serde_json::Value>, usize, Vec<String>) = (vec![], 0, vec![]);
         let (mut minted, mut made): (Vec<Minted>, usize) = (Vec::new(), 1);
@@ -99,20 +99,20 @@
                         iss: "i".into(), aud: "a".into(), sub: subject.clone(), tenant: "t".into(),
                         roles: vec!["r".into()], jti: id.clone(), iat: T0 + now, nbf: T0 + now, exp: T0 + now + LIFE,
                     };
-                    let key = shop.signer(T0 + now).expect("a signer").id.clone();
-                    let token = shop.mint(&claims, T0 + now).expect("a token");
+                    let key = manager.signer(T0 + now).expect("a signer").id.clone();
+                    let token = manager.mint(&claims, T0 + now).expect("a token");
                     minted.push(Minted { token, id, subject, key, until: now + LIFE });
                 }
                 Step::Rotate => {
                     let id = format!("k{made}");
                     made += 1;
                     // It signs after five seconds, in which the router hears of it: what a key service does.
-                    if shop.rotate(&id, Algorithm::EdDsa, T0 + now, 5, LIFE, &random).is_ok() {
-                        sets.push(shop.public(T0 + now).expect("a set").to_string());
+                    if manager.rotate(&id, Algorithm::EdDsa, T0 + now, 5, LIFE, &random).is_ok() {
+                        sets.push(manager.public(T0 + now).expect("a set").to_string());
                         hear_keys(&mut identity, &sets[sets.len() - 1], now);
                     }
                 }
-                Step::HearKeys => hear_keys(&mut identity, &shop.public(T0 + now).expect("a set").to_string(), now),
+                Step::HearKeys => hear_keys(&mut identity, &manager.public(T0 + now).expect("a set").to_string(), now),
                 Step::HearOldKeys(back) => hear_keys(&mut identity, &sets[sets.len().saturating_sub(1 + back)], now),
                 Step::RevokeToken(at) if !minted.is_empty() => {
                     let id = &minted[at % minted.len()].id;
@@ -130,21 +130,21 @@
                     let page = json!({"after": from, "to": feed.len(), "whole": whole, "entries": feed[from..]});
                     pages.push(page.to_string());
                     let page = Page::parse(page.to_string().as_bytes()).expect("good");
-                    identity.told_of_revocations(micros(now), page).expect("taken");
+                    identity.update_revocations(micros(now), page).expect("taken");
                     told = feed.len();
                 }
                 Step::HearAgain(back) if !pages.is_empty() => {
                     let text = &pages[pages.len().saturating_sub(1 + back)];
-                    let _ = identity.told_of_revocations(micros(now), Page::parse(text.as_bytes()).expect("good"));
+                    let _ = identity.update_revocations(micros(now), Page::parse(text.as_bytes()).expect("good"));
                 }
                 Step::Tick(seconds) => {
                     now += seconds;
-                    identity.elapsed(micros(now));
+                    identity.remove_expired(micros(now));
                 }
-                Step::Ask(at) if !minted.is_empty() => {
+                Step::Authorize(at) if !minted.is_empty() => {
                     let of = &minted[at % minted.len()];
-                    let ask = Ask { token: Some(&of.token), index: "x", idempotent: true, ..Ask::default() };
-                    let admitted = identity.judge(micros(now), &ask).map_err(|refusal| refusal.why);
+                    let ask = AuthRequest { token: Some(&of.token), index: "x", idempotent: true, ..AuthRequest::default() };
+                    let admitted = identity.authorize(micros(now), &ask).map_err(|refusal| refusal.why);
                     let mut revoked = HashSet::new();
                     for word in &feed[..told] {
                         for kind in ["token", "subject", "key"] {
@@ -157,7 +157,7 @@
                     let names = [format!("token {}", of.id), format!("subject {}", of.subject), format!("key {}", of.key)];
                     let valid = of.until > now && !names.iter().any(|name| revoked.contains(name));
                     prop_assert_eq!(admitted.is_ok(), valid, "{:?} for {} at {}", admitted, of.id, now);
-                    prop_assert!(identity.known() <= 4);
+                    prop_assert!(identity.cached_tokens() <= 4);
                 }
                 _ => {}
             }
--- a/identity/tests/hard_cases.rs
+++ b/identity/tests/hard_cases.rs
@@ -7,8 +7,8 @@
 use ternpick::types::Micros;
 use ternpick_identity::key_manager::{sign, Claims, KeyManager, KeyManagerError};
 use ternpick_identity::{
-    Act, Algorithm, Ask, Certificate, Identity, KeySet, ListFault, Page, Refusal, Refused,
-    SetFault, Terms, DEFINITIONS,
+    Act, Algorithm, AuthRequest, Certificate, Identity, IdentityConfig, KeySet, KeySetError, Page,
+    Refusal, RefusalKind, RevocationListError, DEFINITIONS,
 };
 use ternpick_settings::Schema;
 use test_case::test_case;
@@ -16,7 +16,7 @@
 const S: u64 = 1_000_000;
 const T0: u64 = 1_800_000_000;
 
-const TERMS: &str = r##"
+const SETTINGS: &str = r##"
 issuer: "https://sign-on.example"
 audience: "search"
 keys: {from: file: "k"}
@@ -41,10 +41,10 @@
 whole: {}
 "##;
 
-fn terms(change: impl Fn(&str) -> String) -> Terms {
+fn config(change: impl Fn(&str) -> String) -> IdentityConfig {
     let schema = Schema::new(&[("identity.cue", DEFINITIONS)], "#Identity");
     schema
-        .read("t.cue", &change(TERMS))
+        .read("t.cue", &change(SETTINGS))
         .unwrap_or_else(|fault| panic!("{fault}"))
         .value
 }
@@ -68,72 +68,76 @@
 }
 
 /// An identity that has heard of the workshop's keys and that nothing is revoked.
-fn identity(shop: &KeyManager) -> Identity {
-    let mut identity = Identity::new(terms(str::to_owned)).expect("good terms");
-    hear(&mut identity, shop, 0);
+fn identity(manager: &KeyManager) -> Identity {
+    let mut identity = Identity::new(config(str::to_owned)).expect("good terms");
+    hear(&mut identity, manager, 0);
     let page = Page {
         whole: true,
         ..Page::default()
     };
     identity
-        .told_of_revocations(at(0), page)
+        .update_revocations(at(0), page)
         .expect("a good page");
     identity
 }
 
-fn hear(identity: &mut Identity, shop: &KeyManager, now: u64) {
-    let set = shop.public(T0 + now).expect("a set").to_string();
+fn hear(identity: &mut Identity, manager: &KeyManager, now: u64) {
+    let set = manager.public(T0 + now).expect("a set").to_string();
     let set = KeySet::parse(set.as_bytes()).expect("a good set");
-    let _ = identity.told_of_keys(at(now), &set);
+    let _ = identity.update_keys(at(now), &set);
 }
 
-fn shop(algorithm: Algorithm) -> KeyManager {
-    let mut shop = KeyManager::default();
-    shop.new_key("k1", algorithm, T0, 60, &SystemRandom::new())
+fn manager(algorithm: Algorithm) -> KeyManager {
+    let mut manager = KeyManager::default();
+    manager
+        .new_key("k1", algorithm, T0, 60, &SystemRandom::new())
         .expect("a key");
-    shop
+    manager
 }
 
-fn history<'a>(token: &'a str) -> Ask<'a> {
-    Ask {
+fn history<'a>(token: &'a str) -> AuthRequest<'a> {
+    AuthRequest {
         token: Some(token),
         index: "history",
         idempotent: true,
         statement: "c41e",
-        ..Ask::default()
+        ..AuthRequest::default()
     }
 }
 
-fn tag<'a>(token: &'a str, statement: &'a str) -> Ask<'a> {
-    Ask {
+fn tag<'a>(token: &'a str, statement: &'a str) -> AuthRequest<'a> {
+    AuthRequest {
         token: Some(token),
         index: "lockout-tag",
         statement,
-        ..Ask::default()
+        ..AuthRequest::default()
     }
 }
 
-fn why(judged: Result<ternpick_identity::Pass, Refusal>) -> String {
+fn why(judged: Result<ternpick_identity::Authorized, Refusal>) -> String {
     judged.map_or_else(
         |refusal| refusal.why,
-        |pass| format!("admitted by {}", pass.by),
+        |pass| format!("admitted by {}", pass.granted_by),
     )
 }
 
 #[test_case(Algorithm::EdDsa; "EdDSA")]
 #[test_case(Algorithm::Es256; "ES256")]
 fn a_token_of_a_known_key_is_let_in_and_remembered(algorithm: Algorithm) {
-    let shop = shop(algorithm);
-    let (mut identity, token) = (identity(&shop), shop.mint(&claims(0), T0).expect("a token"));
+    let manager = manager(algorithm);
+    let (mut identity, token) = (
+        identity(&manager),
+        manager.mint(&claims(0), T0).expect("a token"),
+    );
     for _ in 0..2 {
         let pass = identity
-            .judge(at(1), &tag(&token, "set tag 7"))
+            .authorize(at(1), &tag(&token, "set tag 7"))
             .expect("let in");
         assert_eq!(
-            (pass.acts.as_slice(), pass.by.as_str()),
+            (pass.acts.as_slice(), pass.granted_by.as_str()),
             (&[Act::Set][..], "role safety")
         );
-        assert_eq!(identity.known(), 1);
+        assert_eq!(identity.cached_tokens(), 1);
     }
 }
 
@@ -163,18 +167,21 @@
 #[test_case(json!({"alg": "EdDSA", "kid": "k1"}), Some(DOUBLED), "the token's signature is wrong"; "doubled and unsigned")]
 #[test_case(json!(["EdDSA"]), None, "the token is malformed"; "no object")]
 fn a_forged_token_is_refused(header: Value, body: Option<&str>, says: &str) {
-    let shop = shop(Algorithm::EdDsa);
-    let (mut identity, token) = (identity(&shop), shop.mint(&claims(0), T0).expect("a token"));
+    let manager = manager(Algorithm::EdDsa);
+    let (mut identity, token) = (
+        identity(&manager),
+        manager.mint(&claims(0), T0).expect("a token"),
+    );
     let forged = forge(&token, header, body);
     let refusal = identity
-        .judge(at(1), &history(&forged))
+        .authorize(at(1), &history(&forged))
         .expect_err("refused");
     assert_eq!(
-        (refusal.why.as_str(), refusal.refused),
-        (says, Refused::Unproved)
+        (refusal.why.as_str(), refusal.kind),
+        (says, RefusalKind::InvalidCredentials)
     );
     assert_eq!(refusal.unknown_key, says.contains("not known"));
-    assert_eq!(identity.known(), 0, "nothing of it is remembered");
+    assert_eq!(identity.cached_tokens(), 0, "nothing of it is remembered");
 }
 
 #[test_case("", "the token is malformed"; "nothing")]
@@ -183,19 +190,19 @@
 #[test_case("%%.%%.%%", "the token is malformed"; "no base64")]
 #[test_case(&"x".repeat(64 * 1024), "the token is longer than any is"; "64 kB")]
 fn what_is_no_token_is_refused(token: &str, says: &str) {
-    let mut identity = identity(&shop(Algorithm::EdDsa));
-    assert_eq!(why(identity.judge(at(1), &history(token))), says);
+    let mut identity = identity(&manager(Algorithm::EdDsa));
+    assert_eq!(why(identity.authorize(at(1), &history(token))), says);
 }
 
 /// A signed token whose claims are changed.
 fn signed(change: impl Fn(&mut Value)) -> String {
     let mut said = serde_json::to_value(claims(0)).expect("JSON");
     change(&mut said);
-    SHOP.with(|shop| sign(shop.signer(T0).expect("a key"), &said).expect("a token"))
+    MANAGER.with(|manager| sign(manager.signer(T0).expect("a key"), &said).expect("a token"))
 }
 
 thread_local! {
-    static SHOP: KeyManager = shop(Algorithm::EdDsa);
+    static MANAGER: KeyManager = manager(Algorithm::EdDsa);
 }
 
 #[test_case(|c| c["iss"] = json!("https://other"), 1, "the token is of another issuer"; "issuer")]
@@ -217,9 +224,9 @@
 #[test_case(|c| c["tenant"] = json!("east"), 1, "the tenant is not known"; "unknown tenant")]
 #[test_case(|c| c["roles"] = json!(["reader"]), 1, "no role grants read here"; "a role that its tenant may not give")]
 fn a_signed_token_is_judged_by_what_it_says(change: fn(&mut Value), now: u64, says: &str) {
-    let mut identity = SHOP.with(identity);
+    let mut identity = MANAGER.with(identity);
     identity
-        .told_of_revocations(
+        .update_revocations(
             at(now),
             Page {
                 whole: true,
@@ -228,7 +235,7 @@
         )
         .expect("a page");
     assert_eq!(
-        why(identity.judge(at(now), &history(&signed(change)))),
+        why(identity.authorize(at(now), &history(&signed(change)))),
         says
     );
 }
@@ -237,8 +244,8 @@
 fn a_claim_that_stands_twice_is_refused_though_signed() {
     let body = URL_SAFE_NO_PAD.encode(DOUBLED);
     let head = URL_SAFE_NO_PAD.encode(r#"{"alg":"EdDSA","kid":"k1"}"#);
-    SHOP.with(|shop| {
-        let key = serde_json::to_value(shop.signer(T0).expect("a key")).expect("JSON");
+    MANAGER.with(|manager| {
+        let key = serde_json::to_value(manager.signer(T0).expect("a key")).expect("JSON");
         let secret = base64::engine::general_purpose::STANDARD
             .decode(key["secret"].as_str().unwrap())
             .unwrap();
@@ -247,30 +254,31 @@
         let signature =
             jsonwebtoken::crypto::sign(message.as_bytes(), &secret, jsonwebtoken::Algorithm::EdDSA)
                 .unwrap();
-        let mut identity = identity(shop);
-        let judged = identity.judge(at(1), &history(&format!("{message}.{signature}")));
+        let mut identity = identity(manager);
+        let judged = identity.authorize(at(1), &history(&format!("{message}.{signature}")));
         assert_eq!(why(judged), "the token is malformed");
     });
 }
 
 #[test]
 fn a_key_retired_a_moment_later_verifies_until_its_end_and_not_beyond() {
-    let mut shop = shop(Algorithm::EdDsa);
-    let mut identity = identity(&shop);
-    let old = shop.mint(&claims(0), T0).expect("a token");
-    shop.rotate("k2", Algorithm::EdDsa, T0 + 1, 10, 60, &SystemRandom::new())
+    let mut manager = manager(Algorithm::EdDsa);
+    let mut identity = identity(&manager);
+    let old = manager.mint(&claims(0), T0).expect("a token");
+    manager
+        .rotate("k2", Algorithm::EdDsa, T0 + 1, 10, 60, &SystemRandom::new())
         .expect("a key");
-    hear(&mut identity, &shop, 2);
+    hear(&mut identity, &manager, 2);
     assert_eq!(
-        shop.signer(T0 + 11).expect("a signer").id,
+        manager.signer(T0 + 11).expect("a signer").id,
         "k1",
         "the new one is only published"
     );
-    let new = shop.mint(&claims(12), T0 + 12).expect("a token");
+    let new = manager.mint(&claims(12), T0 + 12).expect("a token");
     for now in [12, 40, 71] {
-        hear(&mut identity, &shop, now);
+        hear(&mut identity, &manager, now);
         identity
-            .told_of_revocations(
+            .update_revocations(
                 at(now),
                 Page {
                     whole: true,
@@ -279,42 +287,42 @@
             )
             .expect("a page");
         assert_eq!(
-            why(identity.judge(at(now), &history(&old))),
+            why(identity.authorize(at(now), &history(&old))),
             "admitted by role crew",
             "at {now}"
         );
         assert_eq!(
-            why(identity.judge(at(now), &history(&new))),
+            why(identity.authorize(at(now), &history(&new))),
             "admitted by role crew",
             "at {now}"
         );
     }
     // Its end acts by itself, remembered or not, before any set says so.
     assert_eq!(
-        why(identity.judge(at(72), &history(&old))),
+        why(identity.authorize(at(72), &history(&old))),
         "the token's key is no longer in use"
     );
-    assert_eq!(identity.elapsed(at(72)).len(), 1);
+    assert_eq!(identity.remove_expired(at(72)).len(), 1);
     assert_eq!(
-        why(identity.judge(at(73), &history(&old))),
+        why(identity.authorize(at(73), &history(&old))),
         "the token's key is not known"
     );
     assert_eq!(
-        why(identity.judge(at(73), &history(&new))),
+        why(identity.authorize(at(73), &history(&new))),
         "admitted by role crew"
     );
 }
 
 #[test]
 fn two_sets_by_turns_refuse_nobody_and_a_lasting_one_retires_a_key() {
-    let (mut one, mut other) = (shop(Algorithm::EdDsa), KeyManager::default());
+    let (mut one, mut other) = (manager(Algorithm::EdDsa), KeyManager::default());
     other
         .new_key("k2", Algorithm::Es256, T0, 60, &SystemRandom::new())
         .expect("a key");
     let mut identity = identity(&one);
     // Two services that do not count their sets.
-    let public = |shop: &KeyManager| {
-        let mut set = shop.public(T0).expect("a set");
+    let public = |manager: &KeyManager| {
+        let mut set = manager.public(T0).expect("a set");
         set.as_object_mut().unwrap().remove("ternpick_serial");
         KeySet::parse(set.to_string().as_bytes()).expect("good")
     };
@@ -325,9 +333,9 @@
     ];
     for now in 1..100 {
         let set = public(if now % 2 == 0 { &one } else { &other });
-        identity.told_of_keys(at(now), &set).expect("taken");
+        identity.update_keys(at(now), &set).expect("taken");
         identity
-            .told_of_revocations(
+            .update_revocations(
                 at(now),
                 Page {
                     whole: true,
@@ -337,7 +345,7 @@
             .expect("a page");
         for token in &tokens {
             assert_eq!(
-                why(identity.judge(at(now), &history(token))),
+                why(identity.authorize(at(now), &history(token))),
                 "admitted by role crew",
                 "at {now}"
             );
@@ -345,44 +353,51 @@
     }
     for now in 100..161 {
         identity
-            .told_of_keys(at(now), &public(&other))
+            .update_keys(at(now), &public(&other))
             .expect("taken");
     }
     assert_eq!(
-        why(identity.judge(at(161), &history(&tokens[0]))),
+        why(identity.authorize(at(161), &history(&tokens[0]))),
         "the token's key is not known"
     );
 }
 
 #[test]
 fn an_older_set_a_reused_id_and_half_a_set_do_no_harm() {
-    let mut shop = shop(Algorithm::EdDsa);
-    let mut identity = identity(&shop);
-    let old = shop.public(T0).expect("a set").to_string();
-    shop.new_key("k2", Algorithm::EdDsa, T0 + 1, 60, &SystemRandom::new())
+    let mut manager = manager(Algorithm::EdDsa);
+    let mut identity = identity(&manager);
+    let old = manager.public(T0).expect("a set").to_string();
+    manager
+        .new_key("k2", Algorithm::EdDsa, T0 + 1, 60, &SystemRandom::new())
         .expect("a key");
-    hear(&mut identity, &shop, 1);
-    let older = identity.told_of_keys(at(2), &KeySet::parse(old.as_bytes()).expect("good"));
-    assert_eq!(older, Err(SetFault::Older { got: 1, have: 2 }));
-    let mut clash = self::shop(Algorithm::EdDsa);
+    hear(&mut identity, &manager, 1);
+    let older = identity.update_keys(at(2), &KeySet::parse(old.as_bytes()).expect("good"));
+    assert_eq!(
+        older,
+        Err(KeySetError::Older {
+            received: 1,
+            current: 2
+        })
+    );
+    let mut clash = self::manager(Algorithm::EdDsa);
     clash.serial = 3;
     let set = KeySet::parse(clash.public(T0).expect("a set").to_string().as_bytes()).expect("good");
-    let change = identity.told_of_keys(at(2), &set).expect("taken");
-    assert_eq!((change.clashed.len(), change.missed.len()), (1, 1));
-    let token = shop.mint(&claims(0), T0 + 2).expect("a token");
+    let change = identity.update_keys(at(2), &set).expect("taken");
+    assert_eq!((change.conflicting.len(), change.missing.len()), (1, 1));
+    let token = manager.mint(&claims(0), T0 + 2).expect("a token");
     assert_eq!(
-        why(identity.judge(at(3), &history(&token))),
+        why(identity.authorize(at(3), &history(&token))),
         "admitted by role crew"
     );
 }
 
-#[test_case("", SetFault::Malformed; "nothing")]
-#[test_case("{\"keys\": [", SetFault::Malformed; "cut")]
-#[test_case("{\"keys\": []}", SetFault::Empty("".into()); "no key")]
-#[test_case("{\"keys\": [{\"kty\":\"RSA\",\"kid\":\"a\",\"x\":\"\"}]}", SetFault::Empty("key \"a\" is of a kind that is not used here (Ed25519 and P-256 are)".into()); "another kind")]
-#[test_case("{\"keys\": [{\"kty\":\"OKP\",\"crv\":\"Ed25519\",\"kid\":\"a\",\"x\":\"AA\",\"d\":\"AA\"}]}", SetFault::Empty("key \"a\" is a private one: it must not be published, revoke it".into()); "a private key")]
-#[test_case("{\"keys\": [{\"kty\":\"OKP\",\"crv\":\"Ed25519\",\"kid\":\"a\",\"alg\":\"ES256\",\"x\":\"AA\"}]}", SetFault::Empty("key \"a\" is for another algorithm than its kind".into()); "another algorithm")]
-fn a_set_that_is_none_is_refused_and_says_why(text: &str, fault: SetFault) {
+#[test_case("", KeySetError::Malformed; "nothing")]
+#[test_case("{\"keys\": [", KeySetError::Malformed; "cut")]
+#[test_case("{\"keys\": []}", KeySetError::Empty("".into()); "no key")]
+#[test_case("{\"keys\": [{\"kty\":\"RSA\",\"kid\":\"a\",\"x\":\"\"}]}", KeySetError::Empty("key \"a\" is of a kind that is not used here (Ed25519 and P-256 are)".into()); "another kind")]
+#[test_case("{\"keys\": [{\"kty\":\"OKP\",\"crv\":\"Ed25519\",\"kid\":\"a\",\"x\":\"AA\",\"d\":\"AA\"}]}", KeySetError::Empty("key \"a\" is a private one: it must not be published, revoke it".into()); "a private key")]
+#[test_case("{\"keys\": [{\"kty\":\"OKP\",\"crv\":\"Ed25519\",\"kid\":\"a\",\"alg\":\"ES256\",\"x\":\"AA\"}]}", KeySetError::Empty("key \"a\" is for another algorithm than its kind".into()); "another algorithm")]
+fn a_set_that_is_none_is_refused_and_says_why(text: &str, fault: KeySetError) {
     assert_eq!(KeySet::parse(text.as_bytes()).err(), Some(fault));
 }
 
@@ -395,27 +410,30 @@
 #[test_case("c41e", &["safety"], "admitted by role safety"; "and needs every right")]
 fn the_act_is_told_from_what_a_node_will_run(statement: &str, roles: &[&str], says: &str) {
     let token = signed(|claims| claims["roles"] = json!(roles));
-    let mut identity = SHOP.with(identity);
-    assert_eq!(why(identity.judge(at(1), &tag(&token, statement))), says);
+    let mut identity = MANAGER.with(identity);
+    assert_eq!(
+        why(identity.authorize(at(1), &tag(&token, statement))),
+        says
+    );
 }
 
 #[test]
 fn a_denial_goes_before_any_grant_and_rights_explain_themselves() {
-    let terms = terms(|text| {
+    let config = config(|text| {
         text.replace(
             "roles: [\"crew\", \"safety\"]",
             "roles: [\"crew\", \"safety\", \"trainee\"]",
         )
     });
-    let mut identity = SHOP.with(identity);
-    identity.told_of_terms(terms).expect("good terms");
+    let mut identity = MANAGER.with(identity);
+    identity.update_config(config).expect("good terms");
     let token = signed(|claims| claims["roles"] = json!(["safety", "trainee"]));
     assert_eq!(
-        why(identity.judge(at(1), &tag(&token, "clear 7"))),
+        why(identity.authorize(at(1), &tag(&token, "clear 7"))),
         "role trainee denies clear here"
     );
     let pass = identity
-        .judge(at(1), &tag(&token, "set 7"))
+        .authorize(at(1), &tag(&token, "set 7"))
         .expect("let in");
     let lines = identity.rights.explain(&pass.caller, None, at(1));
     let of = |act| {
@@ -441,30 +459,30 @@
             json!(["reader", "safety"]),
         );
     });
-    let mut identity = SHOP.with(identity);
-    let ask = |statement, behalf| Ask {
+    let mut identity = MANAGER.with(identity);
+    let ask = |statement, behalf| AuthRequest {
         behalf,
         ..tag(&token, statement)
     };
     let judged = identity
-        .judge(at(1), &ask("get 7", Some("north")))
+        .authorize(at(1), &ask("get 7", Some("north")))
         .expect("let in");
-    assert_eq!(judged.by, "role crew, delegated by north");
+    assert_eq!(judged.granted_by, "role crew, delegated by north");
     assert_eq!(
-        why(identity.judge(at(1), &ask("get 7", None))),
+        why(identity.authorize(at(1), &ask("get 7", None))),
         "no role grants read here"
     );
     assert_eq!(
-        why(identity.judge(at(1), &ask("set 7", Some("north")))),
+        why(identity.authorize(at(1), &ask("set 7", Some("north")))),
         "no role grants set here"
     );
     assert_eq!(
-        why(identity.judge(at(1), &ask("get 7", Some("south")))),
+        why(identity.authorize(at(1), &ask("get 7", Some("south")))),
         "no delegation to that tenant holds"
     );
     // 2027-01-16T12:00:00Z is 1800100800.
     identity
-        .told_of_revocations(
+        .update_revocations(
             Micros(1_800_100_800 * S),
             Page {
                 whole: true,
@@ -473,24 +491,24 @@
         )
         .expect("a page");
     let late = claims(100_790);
-    let token = SHOP.with(|shop| {
+    let token = MANAGER.with(|manager| {
         let late = Claims {
             sub: "contractor-9".into(),
             tenant: "works".into(),
             ..late
         };
-        sign(shop.signer(T0).expect("a key"), &late).expect("a token")
+        sign(manager.signer(T0).expect("a key"), &late).expect("a token")
     });
-    let ask = Ask {
+    let ask = AuthRequest {
         behalf: Some("north"),
         ..tag(&token, "get 7")
     };
     assert_eq!(
-        why(identity.judge(Micros(1_800_100_799 * S), &ask)),
+        why(identity.authorize(Micros(1_800_100_799 * S), &ask)),
         "admitted by role crew, delegated by north"
     );
     assert_eq!(
-        why(identity.judge(Micros(1_800_100_800 * S), &ask)),
+        why(identity.authorize(Micros(1_800_100_800 * S), &ask)),
         "no delegation to that tenant holds"
     );
 }
@@ -504,17 +522,17 @@
     act: &str,
     says: &str,
 ) {
-    let mut identity = SHOP.with(identity);
+    let mut identity = MANAGER.with(identity);
     let token = signed(|claims| claims["exp"] = json!(T0 + 700));
     let ask = if act == "read" {
         history(&token)
     } else {
         tag(&token, "set 7")
     };
-    let judged = identity.judge(at(now), &ask);
+    let judged = identity.authorize(at(now), &ask);
     let unsure = judged
         .as_ref()
-        .is_err_and(|refusal| refusal.refused == Refused::Unsure);
+        .is_err_and(|refusal| refusal.kind == RefusalKind::RevocationsOutdated);
     assert_eq!(
         (why(judged).as_str(), unsure),
         (says, says.contains("enough"))
@@ -531,19 +549,18 @@
 #[test_case(r#"{"after":0,"to":1,"entries":[{"number":1,"token":"t-1"}]}"#, "admitted by role crew"; "another token")]
 #[test_case(r#"{"to":2,"whole":true,"entries":[{"number":2,"subject":"dispatcher-1","until":1800000001}]}"#, "the subject is revoked"; "in a whole list")]
 fn a_revoked_caller_is_refused_at_once_though_remembered(text: &str, says: &str) {
-    let (mut identity, token) = (SHOP.with(identity), signed(|_| {}));
-    assert!(identity.judge(at(1), &history(&token)).is_ok());
+    let (mut identity, token) = (MANAGER.with(identity), signed(|_| {}));
+    assert!(identity.authorize(at(1), &history(&token)).is_ok());
     identity
-        .told_of_revocations(at(1), page(text))
+        .update_revocations(at(1), page(text))
         .expect("taken");
-    assert_eq!(why(identity.judge(at(1), &history(&token))), says);
+    assert_eq!(why(identity.authorize(at(1), &history(&token))), says);
 }
 
 #[test]
 fn a_gap_a_doubled_an_older_and_a_reordered_page_never_undo_a_revocation() {
-    let (mut identity, token) = (SHOP.with(identity), signed(|_| {}));
-    let hear =
-        |identity: &mut Identity, text: &str| identity.told_of_revocations(at(1), page(text));
+    let (mut identity, token) = (MANAGER.with(identity), signed(|_| {}));
+    let hear = |identity: &mut Identity, text: &str| identity.update_revocations(at(1), page(text));
     let revoke = r#"{"after":0,"to":2,"entries":[{"number":2,"token":"t-0"},{"number":1,"token":"x"},{"number":1,"token":"x"}]}"#;
     assert_eq!(hear(&mut identity, revoke), Ok(2));
     assert_eq!(hear(&mut identity, revoke), Ok(0), "doubled");
@@ -564,7 +581,7 @@
         Ok(0)
     );
     assert_eq!(
-        why(identity.judge(at(1), &history(&token))),
+        why(identity.authorize(at(1), &history(&token))),
         "the token is revoked"
     );
     assert_eq!(
@@ -575,7 +592,7 @@
         Ok(1)
     );
     assert_eq!(
-        why(identity.judge(at(1), &history(&token))),
+        why(identity.authorize(at(1), &history(&token))),
         "admitted by role crew"
     );
     // An older word on it, in a whole list, stays undone.
@@ -584,7 +601,7 @@
         r#"{"to":10,"whole":true,"entries":[{"number":2,"token":"t-0"}]}"#,
     );
     assert_eq!(
-        why(identity.judge(at(1), &history(&token))),
+        why(identity.authorize(at(1), &history(&token))),
         "admitted by role crew"
     );
 }
@@ -629,7 +646,7 @@
         params.not_before = rcgen::date_time_ymd(2026, 1, 1);
         params.not_after = rcgen::date_time_ymd(2028, 1, 1);
         let made = params.signed_by(&key, &self.issuer).expect("a certificate");
-        Certificate::read(made.der()).expect("it reads")
+        Certificate::parse(made.der()).expect("it reads")
     }
 
     fn list(&self, number: u64, serials: &[u64]) -> Vec<u8> {
@@ -658,57 +675,63 @@
 #[test]
 fn a_certificate_shown_on_an_open_connection_is_judged_again_with_each_request() {
     let (ours, other) = (authority("ours"), authority("other"));
-    let mut identity = SHOP.with(identity);
+    let mut identity = MANAGER.with(identity);
     let crew = ours.client("crew-7.field.example", 7);
-    fn ask(certificate: &Certificate) -> Ask<'_> {
-        Ask {
+    fn ask(certificate: &Certificate) -> AuthRequest<'_> {
+        AuthRequest {
             certificate: Some(certificate),
             index: "history",
             idempotent: true,
-            ..Ask::default()
+            ..AuthRequest::default()
         }
     }
     assert_eq!(
-        why(identity.judge(at(1), &ask(&crew))),
+        why(identity.authorize(at(1), &ask(&crew))),
         "admitted by role crew"
     );
     assert_eq!(
-        why(identity.judge(at(1), &ask(&ours.client("x.example", 8)))),
+        why(identity.authorize(at(1), &ask(&ours.client("x.example", 8)))),
         "the certificate names nobody who is known here"
     );
     // A list by somebody else, or an older one, changes nothing.
     let trusted = ours.certificate.der();
     assert_eq!(
-        identity.told_of_list(&other.list(5, &[7]), trusted),
-        Err(ListFault::Signature)
+        identity.update_revocation_list(&other.list(5, &[7]), trusted),
+        Err(RevocationListError::Signature)
     );
-    assert_eq!(identity.told_of_list(&ours.list(5, &[7]), trusted), Ok(1));
     assert_eq!(
-        identity.told_of_list(&ours.list(4, &[]), trusted),
-        Err(ListFault::Older)
+        identity.update_revocation_list(&ours.list(5, &[7]), trusted),
+        Ok(1)
+    );
+    assert_eq!(
+        identity.update_revocation_list(&ours.list(4, &[]), trusted),
+        Err(RevocationListError::Older)
     );
     assert_eq!(
-        why(identity.judge(at(1), &ask(&crew))),
+        why(identity.authorize(at(1), &ask(&crew))),
         "the certificate is revoked"
     );
     // With a token beside it, a revoked certificate still shuts its connection out.
     let token = signed(|_| {});
-    let both = Ask {
+    let both = AuthRequest {
         certificate: Some(&crew),
         ..history(&token)
     };
     assert_eq!(
-        why(identity.judge(at(1), &both)),
+        why(identity.authorize(at(1), &both)),
         "the certificate is revoked"
     );
     let good = ours.client("unnamed.example", 9);
-    let both = Ask {
+    let both = AuthRequest {
         certificate: Some(&good),
         ..history(&token)
     };
-    assert_eq!(why(identity.judge(at(1), &both)), "admitted by role crew");
+    assert_eq!(
+        why(identity.authorize(at(1), &both)),
+        "admitted by role crew"
+    );
     let year = 365 * 86_400;
-    let _ = identity.told_of_revocations(
+    let _ = identity.update_revocations(
         at(2 * year),
         Page {
             whole: true,
@@ -716,51 +739,54 @@
         },
     );
     assert_eq!(
-        why(identity.judge(at(2 * year), &ask(&ours.client("crew-7.field.example", 10)))),
+        why(identity.authorize(at(2 * year), &ask(&ours.client("crew-7.field.example", 10)))),
         "the certificate has expired"
     );
-    assert!(identity.lists.overdue(at(year)) && !identity.lists.overdue(at(1)));
+    assert!(
+        identity.revocation_lists.overdue(at(year)) && !identity.revocation_lists.overdue(at(1))
+    );
 }
 
 #[test]
 fn no_proof_is_told_apart_from_a_bad_one() {
-    let mut identity = SHOP.with(identity);
+    let mut identity = MANAGER.with(identity);
     let refusal = identity
-        .judge(
+        .authorize(
             at(1),
-            &Ask {
+            &AuthRequest {
                 index: "history",
                 idempotent: true,
-                ..Ask::default()
+                ..AuthRequest::default()
             },
         )
         .expect_err("refused");
-    assert_eq!(refusal.refused, Refused::NoProof);
+    assert_eq!(refusal.kind, RefusalKind::NoCredentials);
 }
 
 #[test]
 fn a_workshop_never_stands_without_a_signer_and_publishes_before_it_signs() {
-    let (mut shop, random) = (shop(Algorithm::EdDsa), SystemRandom::new());
+    let (mut manager, random) = (manager(Algorithm::EdDsa), SystemRandom::new());
     assert!(matches!(
-        shop.retire("k1", T0, 60),
-        Err(KeyManagerError::Last(_))
+        manager.retire("k1", T0, 60),
+        Err(KeyManagerError::LastSigner(_))
     ));
     assert!(matches!(
-        shop.retire("k9", T0, 60),
-        Err(KeyManagerError::Unknown(_))
+        manager.retire("k9", T0, 60),
+        Err(KeyManagerError::UnknownKey(_))
     ));
     assert!(matches!(
-        shop.new_key("k1", Algorithm::EdDsa, T0, 60, &random),
-        Err(KeyManagerError::Doubled(_))
+        manager.new_key("k1", Algorithm::EdDsa, T0, 60, &random),
+        Err(KeyManagerError::DuplicateId(_))
     ));
     let mut signers = Vec::new();
     for round in 1..20 {
         let now = T0 + round * 30;
-        shop.rotate(&format!("r{round}"), Algorithm::EdDsa, now, 10, 60, &random)
+        manager
+            .rotate(&format!("r{round}"), Algorithm::EdDsa, now, 10, 60, &random)
             .expect("a key");
         for later in 0..30 {
-            let signer = shop.signer(now + later).expect("always one");
-            let served = shop.public(now + later).expect("a set");
+            let signer = manager.signer(now + later).expect("always one");
+            let served = manager.public(now + later).expect("a set");
             assert!(served["keys"]
                 .as_array()
                 .unwrap()
@@ -772,8 +798,8 @@
             );
             signers.push(signer.id.clone());
         }
-        shop.elapsed(now + 29);
-        assert!(shop.keys.len() <= 5, "{} keys", shop.keys.len());
+        manager.remove_expired(now + 29);
+        assert!(manager.keys.len() <= 5, "{} keys", manager.keys.len());
     }
     signers.dedup();
     assert_eq!(signers.len(), 20);
@@ -787,9 +813,9 @@
 #[test_case("from: file: \"k\"", "from: {file: \"k\", address: \"127.0.0.1:1\"}", "keys.from: exactly one of 'file' and 'address' is wanted"; "two sources")]
 #[test_case("{file: \"r\"}", "{address: \"key.example\"}", "'key.example' is no address and port"; "a name for an address")]
 fn terms_that_make_no_sense_together_are_refused(from: &str, to: &str, says: &str) {
-    let terms = terms(|text| text.replace(from, to));
+    let config = config(|text| text.replace(from, to));
     assert_eq!(
-        Identity::new(terms)
+        Identity::new(config)
             .err()
             .map(|fault| fault.to_string())
             .as_deref(),
--- a/identity/tests/release_bytes.rs
+++ b/identity/tests/release_bytes.rs
@@ -6,8 +6,8 @@
 
 use recorded::Recorded;
 use ternpick::types::Micros;
-use ternpick_identity::key_manager::{inspect, verify, Claims, KeyManager, OwnKey, Stage};
-use ternpick_identity::{Entry, Page, What};
+use ternpick_identity::key_manager::{inspect, verify, Claims, KeyManager, PrivateKey, Stage};
+use ternpick_identity::{Entry, Page, RevokedItem};
 
 /// The table of private keys as the release keeps it, one line of JSON.
 const TABLE: &str = include_str!("release_bytes/private-keys.json");
@@ -21,8 +21,8 @@
 
 #[test]
 fn the_table_of_private_keys_is_read_and_written_as_the_release_did() {
-    let shop: KeyManager = serde_json::from_str(TABLE).expect("it is read");
-    let rows = shop
+    let manager: KeyManager = serde_json::from_str(TABLE).expect("it is read");
+    let rows = manager
         .keys
         .iter()
         .map(|of| key(&of.id, of.made, of.signs, of.retired, of.until));
@@ -37,26 +37,26 @@
         key("second", 1_790_000_005, 1_790_000_006, None, None),
     ];
     assert_eq!(
-        (shop.serial, rows.collect::<Vec<_>>()),
+        (manager.serial, rows.collect::<Vec<_>>()),
         (7, wanted.to_vec())
     );
     assert_eq!(
-        serde_json::to_string(&shop).expect("text"),
+        serde_json::to_string(&manager).expect("text"),
         TABLE.trim_end()
     );
-    let stage = |key: &OwnKey, now| serde_json::to_string(&key.stage(now)).expect("text");
+    let stage = |key: &PrivateKey, now| serde_json::to_string(&key.stage(now)).expect("text");
     let stages = [1_790_000_001, 1_790_000_002, 1_790_000_003, 1_790_000_004];
-    let words = stages.map(|now| stage(&shop.keys[0], now));
+    let words = stages.map(|now| stage(&manager.keys[0], now));
     assert_eq!(
         words,
         ["\"published\"", "\"signing\"", "\"retired\"", "\"gone\""]
     );
-    assert_eq!(shop.keys[1].stage(1_790_000_006), Stage::Signing);
+    assert_eq!(manager.keys[1].stage(1_790_000_006), Stage::Signing);
 }
 
 #[test]
 fn a_key_set_and_a_token_have_the_names_of_the_release() {
-    let shop: KeyManager = serde_json::from_str(TABLE).expect("it is read");
+    let manager: KeyManager = serde_json::from_str(TABLE).expect("it is read");
     let claims = Claims {
         iss: "sign-on".into(),
         aud: "search".into(),
@@ -69,14 +69,14 @@
         exp: 1_790_000_009,
     };
     let mut recorded = Recorded::parse(include_str!("release_bytes/public.txt"));
-    let set = shop.public(1_790_000_003).expect("a set").to_string();
+    let set = manager.public(1_790_000_003).expect("a set").to_string();
     recorded.json("key-set", &set, String::clone, |text| Some(text.to_owned()));
     let text = |claims: &Claims| serde_json::to_string(claims).expect("text");
     recorded.json("claims", &text(&claims), String::clone, |text| {
         Some(text.to_owned())
     });
     // Of Ed25519: the same bytes are signed the same.
-    let token = shop.mint(&claims, 1_790_000_002).expect("a token");
+    let token = manager.mint(&claims, 1_790_000_002).expect("a token");
     recorded.json("token", &token, String::clone, |text| Some(text.to_owned()));
     recorded.finish();
     assert_eq!(
@@ -91,17 +91,17 @@
 fn a_feed_of_the_release_is_read_with_every_kind_of_word() {
     let page = Page::parse(include_bytes!("release_bytes/feed.json")).expect("it is read");
     let until = Some(Micros(1_790_000_012_000_000));
-    let entry = |number, what, lifted, until| Entry {
+    let entry = |number, item, lifted, until| Entry {
         number,
-        what,
+        item,
         lifted,
         until,
     };
     let entries = vec![
-        entry(11, What::Token("t1".into()), false, until),
-        entry(12, What::Subject("bob".into()), true, None),
-        entry(13, What::Key("first".into()), false, None),
-        entry(14, What::Certificate("abcd12".into()), false, None),
+        entry(11, RevokedItem::Token("t1".into()), false, until),
+        entry(12, RevokedItem::Subject("bob".into()), true, None),
+        entry(13, RevokedItem::Key("first".into()), false, None),
+        entry(14, RevokedItem::Certificate("abcd12".into()), false, None),
     ];
     assert_eq!(
         page,
--- a/router/src/lifecycle/key_commands/error.rs
+++ b/router/src/lifecycle/key_commands/error.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use ternpick_identity::key_manager::KeyManagerError;
-use ternpick_identity::{FeedFault, TermsFault};
+use ternpick_identity::{ConfigError, FeedError};
 use ternpick_store::StoreError;
 
 /// Why a command has failed. The operator gets the text.
@@ -41,7 +41,7 @@
     NotAFeed { path: PathBuf },
     /// A router would refuse the feed.
     #[error(transparent)]
-    Feed(#[from] FeedFault),
+    Feed(#[from] FeedError),
     /// It is not said what is revoked.
     #[error("say what is revoked: --token, --subject, --key or --certificate")]
     NothingToRevoke,
@@ -53,7 +53,7 @@
     NoIdentity { settings: PathBuf },
     /// The settings of identity contradict each other.
     #[error(transparent)]
-    Terms(#[from] TermsFault),
+    Terms(#[from] ConfigError),
 }
 
 impl KeyCommandError {
--- a/router/src/lifecycle/key_commands/key_folder.rs
+++ b/router/src/lifecycle/key_commands/key_folder.rs
@@ -4,7 +4,7 @@
 
 use clap::Args;
 use serde_json::{json, Value};
-use ternpick_identity::key_manager::{KeyManager, OwnKey, Stage};
+use ternpick_identity::key_manager::{KeyManager, PrivateKey, Stage};
 
 use super::error::KeyCommandError;
 use super::format_time;
@@ -72,7 +72,7 @@
     }
 }
 
-fn json_row(key: &OwnKey, now: u64) -> Value {
+fn json_row(key: &PrivateKey, now: u64) -> Value {
     json!({
         "id": key.id,
         "algorithm": key.algorithm,
@@ -84,7 +84,7 @@
     })
 }
 
-fn describe_stage(key: &OwnKey, now: u64) -> String {
+fn describe_stage(key: &PrivateKey, now: u64) -> String {
     match key.stage(now) {
         Stage::Published => format!("published, signs from {}", format_time(key.signs)),
         Stage::Signing => "signing".into(),
--- a/router/src/lifecycle/key_commands/rights.rs
+++ b/router/src/lifecycle/key_commands/rights.rs
@@ -5,7 +5,7 @@
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
 use ternpick::types::Micros;
-use ternpick_identity::{Caller, Explained, KeyId, Proof, Rights, Role, Subject, Tenant};
+use ternpick_identity::{Caller, ExplainedRight, KeyId, Proof, Rights, Role, Subject, Tenant};
 
 use super::error::KeyCommandError;
 use super::{as_micros, format_time, wall_clock_seconds};
@@ -84,33 +84,33 @@
         });
     };
     let mut rights = Rights::default();
-    rights.told_of(&identity.terms)?;
+    rights.update(&identity.terms)?;
     Ok(rights)
 }
 
 /// When a permission ends; none: with the proof.
-fn ends_at(line: &Explained) -> Option<String> {
+fn ends_at(line: &ExplainedRight) -> Option<String> {
     line.until
         .filter(|at| *at < Micros(u64::MAX))
         .map(|at| format_time(at.0 / 1_000_000))
 }
 
-fn json_row(line: &Explained) -> Value {
+fn json_row(line: &ExplainedRight) -> Value {
     let why = match &line.allowed {
         Ok(why) | Err(why) => why,
     };
     json!({
         "index": line.index,
-        "act": line.act.word(),
+        "act": line.act.name(),
         "allowed": line.allowed.is_ok(),
         "why": why,
         "until": ends_at(line),
     })
 }
 
-fn print_line(line: &Explained) {
+fn print_line(line: &ExplainedRight) {
     let index = &line.index;
-    let act = line.act.word();
+    let act = line.act.name();
     match &line.allowed {
         Ok(grant) => {
             let until = ends_at(line).unwrap_or_else(|| "its proof ends".into());
--- a/router/src/lifecycle/key_commands/token.rs
+++ b/router/src/lifecycle/key_commands/token.rs
@@ -7,7 +7,7 @@
 use clap::{Args, Subcommand};
 use ring::rand::{SecureRandom, SystemRandom};
 use serde_json::{json, Value};
-use ternpick_identity::key_manager::{self, Claims, Seen};
+use ternpick_identity::key_manager::{self, Claims, UnverifiedToken};
 
 use super::error::KeyCommandError;
 use super::key_folder::KeyFolder;
@@ -133,7 +133,7 @@
 }
 
 /// A line for each field of the header and the claims; times are printed as such.
-fn print_fields(token: &Seen) {
+fn print_fields(token: &UnverifiedToken) {
     let header = token.header.as_object().into_iter().flatten();
     let claims = token.claims.as_object().into_iter().flatten();
     for (name, value) in header.chain(claims) {
--- a/router/src/lifecycle/key_sources.rs
+++ b/router/src/lifecycle/key_sources.rs
@@ -1,5 +1,5 @@
 //! Where keys and revocations come from: a file, or a service over HTTP. When to ask is identity's to say
-//! ([`ternpick_identity::Refresh`]); the last good answer is stored on disk, where the settings name a place.
+//! ([`ternpick_identity::PollSchedule`]); the last good answer is stored on disk, where the settings name a place.
 //!
 //! One task for each source, started with the router. Answers go to the [`AuthFilter`], which judges them.
 
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use ternpick::types::Micros;
-use ternpick_identity::{Source, PAGE_BOUND, SET_BOUND};
+use ternpick_identity::{SourceConfig, MAX_KEY_SET_BYTES, MAX_PAGE_BYTES};
 
 use crate::lifecycle::http_client::{self, HttpError};
 use crate::router::Router;
@@ -53,8 +53,8 @@
     /// The longest document, in bytes.
     fn bound(self) -> usize {
         match self {
-            Kind::Keys => SET_BOUND,
-            Kind::Revocations => PAGE_BOUND,
+            Kind::Keys => MAX_KEY_SET_BYTES,
+            Kind::Revocations => MAX_PAGE_BYTES,
         }
     }
 
@@ -94,7 +94,7 @@
         let Some(watched) = kind.source(auth) else {
             continue;
         };
-        if let Some(path) = &watched.source.kept {
+        if let Some(path) = &watched.source.stored_copy {
             restore(router, auth, kind, Path::new(path));
         }
         let task = watch(Rc::clone(router), kind);
@@ -197,7 +197,7 @@
     /// Asks the source once, and applies what it has.
     async fn refresh(&mut self) {
         let began = self.auth.now(self.router);
-        self.watched.refresh.borrow_mut().began(began);
+        self.watched.refresh.borrow_mut().started(began);
         let fetched = self.fetch().await;
         let now = self.auth.now(self.router);
         let applied =
@@ -222,14 +222,14 @@
         let source = &self.watched.source;
         // Pages of what is new cannot be stored alone; the whole list comes again with the next start.
         let complete = self.kind == Kind::Keys || self.extent == Extent::Complete;
-        if let Some(path) = &source.kept {
+        if let Some(path) = &source.stored_copy {
             if complete && text != self.stored_text {
                 store(self.kind, PathBuf::from(path), now, text.clone()).await;
                 self.stored_text = text;
             }
         }
-        let asks_for_all =
-            self.kind == Kind::Revocations && (source.file.is_some() || source.kept.is_some());
+        let asks_for_all = self.kind == Kind::Revocations
+            && (source.file.is_some() || source.stored_copy.is_some());
         self.extent = if asks_for_all {
             Extent::Complete
         } else {
@@ -252,10 +252,10 @@
 
     async fn fetch(&self) -> Result<Vec<u8>, SourceError> {
         let bound = self.kind.bound();
-        let Source {
+        let SourceConfig {
             file,
             path,
-            patience,
+            timeout,
             ..
         } = &self.watched.source;
         if let Some(file) = file {
@@ -268,7 +268,7 @@
         } else {
             path.clone()
         };
-        let text = http_client::get(self.router, address, &path, bound, Micros(*patience)).await?;
+        let text = http_client::get(self.router, address, &path, bound, Micros(*timeout)).await?;
         Ok(text)
     }
 }
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -10,7 +10,7 @@
 
 use serde::Deserialize;
 use serde_json::Value;
-use ternpick_identity::Terms;
+use ternpick_identity::IdentityConfig;
 use ternpick_settings::{Read, Refused, Schema};
 use ternpick_tenant_limits::{SharedLimitConfig, TenantConfig as LimitTerms};
 
@@ -223,7 +223,7 @@
 /// Identity's settings, and the limits of its tenants.
 pub(crate) struct IdentityTerms {
     /// Who may do what.
-    pub(crate) terms: Terms,
+    pub(crate) terms: IdentityConfig,
     /// Limits of tenants, by name.
     pub(crate) limits: Vec<(String, LimitTerms)>,
     /// The limit on all tenants together.
@@ -291,7 +291,7 @@
         let tenant: TenantLimits = serde_json::from_value(tenant.clone())?;
         limits.push((name.clone(), tenant.limits));
     }
-    let terms: Terms = serde_json::from_value(value)?;
+    let terms: IdentityConfig = serde_json::from_value(value)?;
     terms
         .check()
         .map_err(|error| InvalidSettings::Identity(error.to_string()))?;
--- a/router/src/lifecycle/tls.rs
+++ b/router/src/lifecycle/tls.rs
@@ -14,14 +14,14 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use rustls::server::{ServerSessionMemoryCache, VerifierBuilderError, WebPkiClientVerifier};
 use rustls::{RootCertStore, ServerConfig};
-use ternpick_identity::LIST_BOUND;
+use ternpick_identity::MAX_REVOCATION_LIST_BYTES;
 
 use crate::lifecycle::settings::TlsSettings;
 use crate::router::Router;
 use crate::stages::auth_filter::AuthFilter;
 
 /// The longest of these files, in bytes.
-const FILE_BOUND: u64 = LIST_BOUND as u64;
+const FILE_BOUND: u64 = MAX_REVOCATION_LIST_BYTES as u64;
 /// Sessions that may be resumed; each holds its client's certificate.
 const SESSIONS: usize = 128;
 
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -8,7 +8,7 @@
 
 use serde_json::Value;
 use ternpick::types::{CustomerNo, IndexNo, Micros, QueryId, RetrySemantics};
-use ternpick_identity::{Ask, Certificate};
+use ternpick_identity::{AuthRequest, Certificate};
 use ternpick_wire::http::Reader;
 use ternpick_wire::query;
 
@@ -136,7 +136,7 @@
     certificate: Option<&'a Rc<Certificate>>,
     index: Option<IndexNo>,
     fields: Option<&'a Value>,
-) -> Result<Ask<'a>, Answer> {
+) -> Result<AuthRequest<'a>, Answer> {
     let token = auth_filter::bearer_token(request)?;
     let idempotent = index.is_none_or(|index| {
         let decisions = router.decisions.borrow();
@@ -146,7 +146,7 @@
     let statement = fields
         .and_then(|fields| query::statement(fields).ok())
         .unwrap_or_default();
-    Ok(Ask {
+    Ok(AuthRequest {
         token,
         certificate: certificate.map(Rc::as_ref),
         behalf: request.header("on-behalf-of"),
--- a/router/src/stages/auth_filter.rs
+++ b/router/src/stages/auth_filter.rs
@@ -16,7 +16,9 @@
 
 use event_listener::Event;
 use ternpick::types::Micros;
-use ternpick_identity::{Ask, Calendar, Identity, Pass, Refresh, Refusal, Source, TermsFault};
+use ternpick_identity::{
+    AuthRequest, Authorized, ConfigError, Identity, PollSchedule, Refusal, SourceConfig, WallClock,
+};
 use ternpick_tenant_limits::{Limits, TenantConfig as LimitTerms};
 use ternpick_wire::http::Reader;
 
@@ -40,11 +42,11 @@
 /// A source of keys or revocations, with its polling schedule.
 pub(crate) struct PolledSource {
     /// The source as configured in the settings.
-    pub(crate) source: Source,
+    pub(crate) source: SourceConfig,
     /// The address of the source, if it is not a file.
     pub(crate) address: Option<SocketAddr>,
     /// Schedules the polls of the source.
-    pub(crate) refresh: RefCell<Refresh>,
+    pub(crate) refresh: RefCell<PollSchedule>,
     /// Notified when the time of the next poll has changed.
     pub(crate) next_poll_changed: Event,
     /// Whether a usable document has been read from the source.
@@ -52,8 +54,12 @@
 }
 
 impl PolledSource {
-    fn new(source: &Source, seed: u64) -> Self {
-        let refresh = Refresh::new(Micros(source.every), Micros(source.apart), seed);
+    fn new(source: &SourceConfig, seed: u64) -> Self {
+        let refresh = PollSchedule::new(
+            Micros(source.poll_interval),
+            Micros(source.min_poll_interval),
+            seed,
+        );
         PolledSource {
             source: source.clone(),
             address: source.address.as_deref().and_then(|text| text.parse().ok()),
@@ -70,7 +76,7 @@
 /// Decides which callers may send which queries.
 pub(crate) struct AuthFilter {
     identity: RefCell<Identity>,
-    calendar: RefCell<Calendar>,
+    wall_clock: RefCell<WallClock>,
     /// The source of keys, if keys are polled.
     pub(crate) key_source: Option<PolledSource>,
     /// The source of revocations, if one is configured.
@@ -113,14 +119,14 @@
     pub(crate) fn new(
         settings: &IdentityTerms,
         seed: u64,
-    ) -> Result<(AuthFilter, Limits), TermsFault> {
+    ) -> Result<(AuthFilter, Limits), ConfigError> {
         let identity = Identity::new(settings.terms.clone())?;
         let limits = Limits::new(tenant_limits(&identity, settings), settings.whole);
         let keys = settings.terms.keys.as_ref();
         let feed = settings.terms.revocations.as_ref();
         let filter = AuthFilter {
             identity: RefCell::new(identity),
-            calendar: RefCell::default(),
+            wall_clock: RefCell::default(),
             key_source: keys.map(|keys| PolledSource::new(&keys.from, seed)),
             revocation_source: feed.map(|feed| PolledSource::new(&feed.from, seed ^ 1)),
             published_keys: RefCell::default(),
@@ -159,7 +165,7 @@
             .unwrap_or_default();
         let machine_time = Micros(u64::try_from(machine_time.as_micros()).unwrap_or(u64::MAX));
         let (now, step) = self
-            .calendar
+            .wall_clock
             .borrow_mut()
             .now(router.clock.now(), machine_time);
         if let Some(step) = step {
@@ -174,10 +180,10 @@
         &self,
         router: &Router,
         request: &Reader,
-        asked: &Ask,
-    ) -> Result<Pass, Answer> {
+        asked: &AuthRequest,
+    ) -> Result<Authorized, Answer> {
         let now = self.now(router);
-        let judged = self.identity.borrow_mut().judge(now, asked);
+        let judged = self.identity.borrow_mut().authorize(now, asked);
         match judged {
             Ok(pass) => {
                 audit::record_allowed(&pass, request, asked);
@@ -197,7 +203,7 @@
     /// Polls the source of keys early, because it may know a key that this router does not know yet.
     fn poll_keys_soon(&self, now: Micros) {
         if let Some(keys) = &self.key_source {
-            if keys.refresh.borrow_mut().wanted(now) {
+            if keys.refresh.borrow_mut().request_early(now) {
                 keys.next_poll_changed.notify(1);
             }
         }
--- a/router/src/stages/auth_filter/answers.rs
+++ b/router/src/stages/auth_filter/answers.rs
@@ -2,7 +2,7 @@
 //! reveal which indexes exist.
 
 use ternpick::types::{CustomerNo, Micros};
-use ternpick_identity::{Refusal, Refused};
+use ternpick_identity::{Refusal, RefusalKind};
 use ternpick_tenant_limits::Limits;
 
 use crate::stages::admission::text_answer;
@@ -14,11 +14,11 @@
 
 /// Returns the answer to a request that is refused (RFC 6750, section 3).
 pub(super) fn refusal(refusal: &Refusal) -> Answer {
-    let (status, error) = match refusal.refused {
-        Refused::NoProof => (401, String::new()),
-        Refused::Unproved => (401, challenge_error("invalid_token", &refusal.why)),
-        Refused::Forbidden => (403, challenge_error("insufficient_scope", &refusal.why)),
-        Refused::Unsure => {
+    let (status, error) = match refusal.kind {
+        RefusalKind::NoCredentials => (401, String::new()),
+        RefusalKind::InvalidCredentials => (401, challenge_error("invalid_token", &refusal.why)),
+        RefusalKind::Forbidden => (403, challenge_error("insufficient_scope", &refusal.why)),
+        RefusalKind::RevocationsOutdated => {
             let (status, _, body) = text_answer(503, &refusal.why);
             return (status, retry_after(UNKNOWN_REVOCATIONS_RETRY_AFTER), body);
         }
--- a/router/src/stages/auth_filter/audit.rs
+++ b/router/src/stages/auth_filter/audit.rs
@@ -3,22 +3,22 @@
 //! Records have the target `audit` and are written at every log level (`lifecycle/logging.rs`).
 //! `docs/ops/identity.md` describes their fields.
 
-use ternpick_identity::{Act, Ask, Caller, Pass, Refusal};
+use ternpick_identity::{Act, AuthRequest, Authorized, Caller, Refusal};
 use ternpick_wire::http::Reader;
 
 /// The maximum number of characters of a client's request id in a record.
 const MAX_REQUEST_ID_CHARS: usize = 128;
 
 /// Records an allowed request, if it would make a change.
-pub(super) fn record_allowed(pass: &Pass, request: &Reader, asked: &Ask) {
+pub(super) fn record_allowed(pass: &Authorized, request: &Reader, asked: &AuthRequest) {
     if pass.acts.iter().any(|act| act.changes()) {
         let caller = Some(pass.caller.as_ref());
-        Record::new(caller, &pass.acts, request, asked).write(true, &pass.by);
+        Record::new(caller, &pass.acts, request, asked).write(true, &pass.granted_by);
     }
 }
 
 /// Records a denied request, if it would make a change.
-pub(super) fn record_denied(refusal: &Refusal, request: &Reader, asked: &Ask) {
+pub(super) fn record_denied(refusal: &Refusal, request: &Reader, asked: &AuthRequest) {
     if refusal.acts.iter().any(|act| act.changes()) {
         let caller = refusal.caller.as_deref();
         Record::new(caller, &refusal.acts, request, asked).write(false, &refusal.why);
@@ -35,12 +35,17 @@
 }
 
 impl<'a> Record<'a> {
-    fn new(caller: Option<&Caller>, acts: &[Act], request: &Reader, asked: &Ask<'a>) -> Self {
+    fn new(
+        caller: Option<&Caller>,
+        acts: &[Act],
+        request: &Reader,
+        asked: &AuthRequest<'a>,
+    ) -> Self {
         let who = caller.map_or("nobody proved".into(), |caller| {
             format!("{} of {}", caller.subject, caller.tenant)
         });
         let proof = caller.map_or("no proof".into(), |caller| caller.proof.to_string());
-        let acts: Vec<&str> = acts.iter().map(|act| act.word()).collect();
+        let acts: Vec<&str> = acts.iter().map(|act| act.name()).collect();
         Record {
             who,
             proof,
--- a/router/src/stages/auth_filter/first_reads.rs
+++ b/router/src/stages/auth_filter/first_reads.rs
@@ -7,7 +7,7 @@
 
 use event_listener::EventListener;
 use ternpick::types::Micros;
-use ternpick_identity::{Ask, Refused};
+use ternpick_identity::{AuthRequest, RefusalKind};
 
 use crate::router::Router;
 use crate::stages::auth_filter::{AuthFilter, PolledSource};
@@ -46,17 +46,20 @@
 
     /// Whether the request would be refused now only because a source that was never read may hold the missing keys or
     /// revocations.
-    pub(crate) fn may_pass_after_first_read(&self, router: &Router, asked: &Ask) -> bool {
+    pub(crate) fn may_pass_after_first_read(&self, router: &Router, asked: &AuthRequest) -> bool {
         let keys_unread = is_unread(self.key_source.as_ref());
         let revocations_unread = is_unread(self.revocation_source.as_ref());
         if !keys_unread && !revocations_unread {
             return false;
         }
-        let judged = self.identity.borrow_mut().judge(self.now(router), asked);
-        judged.is_err_and(|refusal| match refusal.refused {
-            Refused::Unproved => keys_unread && refusal.unknown_key,
-            Refused::Unsure => revocations_unread,
-            Refused::NoProof | Refused::Forbidden => false,
+        let judged = self
+            .identity
+            .borrow_mut()
+            .authorize(self.now(router), asked);
+        judged.is_err_and(|refusal| match refusal.kind {
+            RefusalKind::InvalidCredentials => keys_unread && refusal.unknown_key,
+            RefusalKind::RevocationsOutdated => revocations_unread,
+            RefusalKind::NoCredentials | RefusalKind::Forbidden => false,
         })
     }
 }
--- a/router/src/stages/auth_filter/status.rs
+++ b/router/src/stages/auth_filter/status.rs
@@ -31,7 +31,7 @@
             revocations.map(|revocations| format!("{:?}", revocations.trust(now)).to_lowercase());
         let number = revocations.map(|revocations| revocations.number());
         serde_json::json!({
-            "keys": keys, "revocations": number, "trust": trust, "remembered": identity.known()
+            "keys": keys, "revocations": number, "trust": trust, "remembered": identity.cached_tokens()
         })
     }
 
--- a/router/src/stages/auth_filter/updates.rs
+++ b/router/src/stages/auth_filter/updates.rs
@@ -5,7 +5,7 @@
 
 use rustls::pki_types::CertificateDer;
 use ternpick::types::Micros;
-use ternpick_identity::{Change, Identity, KeyId, KeySet, Page, TermsFault, Trust};
+use ternpick_identity::{ConfigError, Identity, KeyChanges, KeyId, KeySet, Page, Trust};
 use ternpick_tenant_limits::Limits;
 
 use crate::lifecycle::settings::IdentityTerms;
@@ -20,7 +20,7 @@
         }
         let mut identity = self.identity.borrow_mut();
         let change = identity
-            .told_of_keys(now, &set)
+            .update_keys(now, &set)
             .map_err(|fault| fault.to_string())?;
         let published = String::from_utf8_lossy(document).into_owned();
         self.published_keys.replace(Some((now, published)));
@@ -37,7 +37,7 @@
         let page = Page::parse(document).map_err(|fault| fault.to_string())?;
         let mut identity = self.identity.borrow_mut();
         let new_entries = identity
-            .told_of_revocations(updated_at, page)
+            .update_revocations(updated_at, page)
             .map_err(|fault| fault.to_string())?;
         if let Some(revocations) = identity.revocations.as_ref().filter(|_| new_entries > 0) {
             tracing::info!(
@@ -59,7 +59,7 @@
         let mut identity = self.identity.borrow_mut();
         let mut error = "no certificate authority of clients is configured".to_owned();
         for authority in authorities {
-            match identity.told_of_list(list, authority) {
+            match identity.update_revocation_list(list, authority) {
                 Ok(count) => return Ok(count),
                 Err(fault) => error = fault.to_string(),
             }
@@ -72,9 +72,9 @@
         &self,
         new: IdentityTerms,
         limits: &mut Limits,
-    ) -> Result<(), TermsFault> {
+    ) -> Result<(), ConfigError> {
         let mut identity = self.identity.borrow_mut();
-        identity.told_of_terms(new.terms.clone())?;
+        identity.update_config(new.terms.clone())?;
         limits.update(tenant_limits(&identity, &new), new.whole);
         Ok(())
     }
@@ -82,11 +82,11 @@
     /// Advances to `now` (Unix time), and logs the keys, revocations and lists that have expired.
     pub(crate) fn advance_time(&self, now: Micros) {
         let mut identity = self.identity.borrow_mut();
-        for key in identity.elapsed(now) {
+        for key in identity.remove_expired(now) {
             tracing::info!(%key, "identity: a key is no longer in use");
         }
         log_trust_change(&mut identity, now);
-        let overdue = identity.lists.overdue(now);
+        let overdue = identity.revocation_lists.overdue(now);
         let was_overdue = self.certificate_list_overdue.replace(overdue);
         if overdue && !was_overdue {
             tracing::warn!(
@@ -96,18 +96,18 @@
     }
 }
 
-fn log_key_change(identity: &Identity, change: &Change) {
-    for key in &change.clashed {
+fn log_key_change(identity: &Identity, change: &KeyChanges) {
+    for key in &change.conflicting {
         tracing::warn!(
             %key,
             "identity: a key is published with other coordinates than it has, the known key stays"
         );
     }
-    if !change.came.is_empty() || !change.missed.is_empty() {
+    if !change.added.is_empty() || !change.missing.is_empty() {
         tracing::info!(
             keys = identity.ring.ids().count(),
-            new = join(&change.came),
-            no_longer_published = join(&change.missed),
+            new = join(&change.added),
+            no_longer_published = join(&change.missing),
             "identity: keys changed"
         );
     }
@@ -122,7 +122,7 @@
     let change = identity
         .revocations
         .as_mut()
-        .and_then(|revocations| revocations.changed(now));
+        .and_then(|revocations| revocations.trust_change(now));
     match change {
         Some(Trust::Full) => tracing::info!("identity: revocations are known again"),
         Some(Trust::Reads) => {
--- a/router/src/stages/tls_stream.rs
+++ b/router/src/stages/tls_stream.rs
@@ -156,7 +156,7 @@
             let chain = self.connection.peer_certificates();
             self.certificate = chain
                 .and_then(|chain| chain.first())
-                .and_then(|der| Certificate::read(der).ok())
+                .and_then(|der| Certificate::parse(der).ok())
                 .map(Rc::new);
         }
         self.certificate
--- a/router/tests/common/guarded/world.rs
+++ b/router/tests/common/guarded/world.rs
@@ -107,7 +107,7 @@
             &SystemRandom::new(),
         )
         .expect("a key");
-        shop.elapsed(now());
+        shop.remove_expired(now());
         drop(shop);
         self.publish();
     }
