--- a/router/src/fleet/admission.rs
+++ b/router/src/fleet/admission.rs
@@ -74,7 +74,7 @@
             }),
             // It has waited for as long as its deadline allowed; the next one may find the change over.
             Admission::Wait(until) => {
-                let come_back = until.since(now).min(Micros(self.settings.renew));
+                let come_back = until.since(now).min(Micros(self.settings.renew_interval));
                 Err(rejection("a change of policy takes hold", come_back))
             }
             Admission::Rejected {
--- a/router/src/fleet/cli/fleet_init.rs
+++ b/router/src/fleet/cli/fleet_init.rs
@@ -9,7 +9,7 @@
 use super::{CommandError, CommandResult, ExitStatus};
 use crate::fleet::replica_file;
 use crate::fleet::settings::{fleet_id, initial_members};
-use crate::lifecycle::settings::FleetTerms;
+use crate::lifecycle::settings::FleetConfig;
 use crate::lifecycle::{config, settings};
 
 pub(super) fn run(config_path: &Path, settings_path: &Path) -> CommandResult {
@@ -41,7 +41,7 @@
     CommandError::Settings(error.to_string())
 }
 
-fn create_folder(fleet: &FleetTerms, me: &Member) -> CommandResult {
+fn create_folder(fleet: &FleetConfig, me: &Member) -> CommandResult {
     let folder = PathBuf::from(&fleet.folder);
     if let Err(source) = std::fs::create_dir_all(&folder) {
         return Err(CommandError::CreateFolder { folder, source });
@@ -51,7 +51,7 @@
 }
 
 fn write_first_state(
-    fleet: &FleetTerms,
+    fleet: &FleetConfig,
     me: &Member,
     replica: ReplicaId,
     members: BTreeMap<Member, MemberInfo>,
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -38,7 +38,7 @@
 use ternpick_fleet_policy::{FleetNode, Incarnation, LeaseHolder, Member};
 use ternpick_store::Journal;
 
-use crate::lifecycle::settings::FleetTerms;
+use crate::lifecycle::settings::FleetConfig;
 use crate::router::Router;
 use crate::state::log_limit::LogLimit;
 
@@ -54,7 +54,7 @@
 /// This router as a member of its fleet.
 pub(crate) struct Fleet {
     /// The settings `fleet`.
-    settings: FleetTerms,
+    settings: FleetConfig,
     /// This router's name in the fleet.
     me: Member,
     /// The fleet's id, from its name.
@@ -139,7 +139,7 @@
     /// This router's part in the fleet of its settings; it takes part once [`event_loop::run`] drives it. `inherits`: the
     /// process takes the place of one that may still admit for a while.
     pub(crate) fn new(
-        settings: FleetTerms,
+        settings: FleetConfig,
         name: &str,
         platform: &PlatformConfig,
         index_names: &[String],
@@ -149,7 +149,7 @@
     ) -> Rc<Fleet> {
         let me = Member::from(name);
         let id = settings::fleet_id(&settings.name);
-        let maintenance = settings.works.map(MaintenanceParticipant::new);
+        let maintenance = settings.maintenance.map(MaintenanceParticipant::new);
         let node = new_node(&settings, &me, maintenance.as_ref(), inherits, now);
         Rc::new(Fleet {
             id,
@@ -201,7 +201,7 @@
 }
 
 fn new_node(
-    settings: &FleetTerms,
+    settings: &FleetConfig,
     me: &Member,
     maintenance: Option<&MaintenanceParticipant>,
     inherits: bool,
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -5,7 +5,7 @@
 use ternpick_consensus::{FleetId, RaftConfig};
 use ternpick_fleet_policy::{LeaseConfig, Member, MemberInfo, ReplicaId};
 
-use crate::lifecycle::settings::FleetTerms;
+use crate::lifecycle::settings::FleetConfig;
 
 #[cfg(test)]
 mod tests;
@@ -22,7 +22,7 @@
 }
 
 /// The timing of leases.
-pub(super) fn lease_config(settings: &FleetTerms) -> LeaseConfig {
+pub(super) fn lease_config(settings: &FleetConfig) -> LeaseConfig {
     let serve_without_lease = settings.without_lease == "serve-and-mark";
     // A router that may serve without a lease has queries wait only a little for one, and then serves them.
     let default_wait_us = if serve_without_lease {
@@ -31,27 +31,27 @@
         LeaseConfig::UNLIMITED_ADMISSION_WAIT
     };
     LeaseConfig {
-        lease_us: settings.lease,
-        renew_interval_us: settings.renew,
+        lease_us: settings.lease_duration,
+        renew_interval_us: settings.renew_interval,
         drift_ppm: settings.drift_ppm,
-        max_admission_wait_us: settings.hold.unwrap_or(default_wait_us),
-        barrier_timeout_us: settings.patience,
+        max_admission_wait_us: settings.max_admission_wait.unwrap_or(default_wait_us),
+        barrier_timeout_us: settings.barrier_timeout,
         serve_without_lease,
-        confirmation_required: settings.confirm,
+        confirmation_required: settings.confirmation_required,
     }
 }
 
 /// The timing of consensus.
-pub(super) fn raft_config(settings: &FleetTerms) -> RaftConfig {
-    ternpick_fleet_policy::raft_config(settings.election)
+pub(super) fn raft_config(settings: &FleetConfig) -> RaftConfig {
+    ternpick_fleet_policy::raft_config(settings.election_timeout)
 }
 
 /// The members at the bootstrap of the fleet. Voters get replica ids from 1, in the order of their names.
-pub(super) fn initial_members(settings: &FleetTerms) -> BTreeMap<Member, MemberInfo> {
+pub(super) fn initial_members(settings: &FleetConfig) -> BTreeMap<Member, MemberInfo> {
     let mut members = BTreeMap::new();
     let mut last_replica = 0;
     for (name, member) in &settings.members {
-        let replica = if member.vote {
+        let replica = if member.is_voter {
             last_replica += 1;
             Some(ReplicaId(last_replica))
         } else {
--- a/router/src/lifecycle/build.rs
+++ b/router/src/lifecycle/build.rs
@@ -14,7 +14,7 @@
 use crate::fleet::Fleet;
 use crate::lifecycle::clock::Clock;
 use crate::lifecycle::config::RouterConfig;
-use crate::lifecycle::settings::{FleetTerms, IdentityTerms};
+use crate::lifecycle::settings::{FleetConfig, IdentityConfig};
 use crate::router::{Decisions, Router};
 use crate::stages::auth_filter::AuthFilter;
 use crate::stages::completion::EffectQueue;
@@ -50,9 +50,9 @@
     /// The configuration file.
     pub(crate) config: RouterConfig,
     /// Identity's settings; everybody may send queries without them.
-    pub(crate) identity: Option<IdentityTerms>,
+    pub(crate) identity: Option<IdentityConfig>,
     /// The fleet's settings; the router belongs to none without them.
-    pub(crate) fleet: Option<FleetTerms>,
+    pub(crate) fleet: Option<FleetConfig>,
     /// File descriptors that the process may hold.
     pub(crate) descriptor_limit: usize,
     /// The version of the endpoint list that the configuration has.
@@ -119,7 +119,10 @@
 
     /// A router that has lost its lease answers what it has admitted; a permit for maintenance waits that long.
     fn check_lingers(&self) -> Result<(), BuildError> {
-        let maintenance = self.fleet.as_ref().and_then(|fleet| fleet.works.as_ref());
+        let maintenance = self
+            .fleet
+            .as_ref()
+            .and_then(|fleet| fleet.maintenance.as_ref());
         let (Some(maintenance), Some(longest_deadline)) =
             (maintenance, self.config.bounds.longest_deadline)
         else {
--- a/router/src/lifecycle/capacity_share.rs
+++ b/router/src/lifecycle/capacity_share.rs
@@ -11,9 +11,9 @@
 use crate::state::descriptors::RESERVED_DESCRIPTORS;
 
 /// Connections to nodes that a draining process may still open for what it has in flight.
-const SPARE_SOCKETS: usize = 8;
+const SPARE_NODE_CONNECTIONS: usize = 8;
 /// Queries and shard requests that a request which is not admitted yet may bring to a draining process.
-const HELD_A_CLIENT: usize = 4;
+const LOAD_PER_UNADMITTED_REQUEST: usize = 4;
 
 /// Whether a process that has a part of the capacity admits new queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,12 +75,12 @@
         let half_read = router.clients.count(ClientState::Partial).count;
         let may_bring = router.clients.count_without_request() + half_read;
         let unadmitted = clients.saturating_sub(may_bring + in_flight.query_count());
-        let in_use = saturating_u32(in_flight.load() + HELD_A_CLIENT * unadmitted);
-        let may_come = saturating_u32(HELD_A_CLIENT * may_bring);
+        let in_use = saturating_u32(in_flight.load() + LOAD_PER_UNADMITTED_REQUEST * unadmitted);
+        let may_come = saturating_u32(LOAD_PER_UNADMITTED_REQUEST * may_bring);
         Lease {
             held: places_kept(self.all.held, in_use, may_come),
             extra: 0,
-            sockets: saturating_u32(router.descriptors.held() + SPARE_SOCKETS),
+            sockets: saturating_u32(router.descriptors.held() + SPARE_NODE_CONNECTIONS),
             memory: router.budget.used() as u64,
         }
     }
--- a/router/src/lifecycle/cli.rs
+++ b/router/src/lifecycle/cli.rs
@@ -12,7 +12,7 @@
 use crate::fleet::cli as fleet;
 use crate::fleet::maintenance_cli;
 use crate::lifecycle::config::RouterConfig;
-use crate::lifecycle::reload::Source;
+use crate::lifecycle::reload::StartupFiles;
 use crate::lifecycle::settings::Settings;
 use crate::lifecycle::start::Origin;
 use crate::lifecycle::takeover::PreviousProcess;
@@ -118,8 +118,8 @@
         Some(path) => settings::read(path)?,
         None => Settings::default(),
     };
-    let source = Source {
-        path: config_path,
+    let files = StartupFiles {
+        config: config_path,
         settings: settings_path,
         fixed: config.fixed.clone(),
     };
@@ -130,7 +130,7 @@
         }),
         None => Origin::Fresh,
     };
-    start::serve(config, settings, source, origin)?;
+    start::serve(config, settings, files, origin)?;
     Ok(())
 }
 
--- a/router/src/lifecycle/clock.rs
+++ b/router/src/lifecycle/clock.rs
@@ -9,8 +9,8 @@
 /// Time since the Unix epoch as this process counts it.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
-    started_at: Micros,
-    started: Instant,
+    unix_at_start: Micros,
+    monotonic_at_start: Instant,
 }
 
 impl Clock {
@@ -20,8 +20,8 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            started_at: micros(unix),
-            started: Instant::now(),
+            unix_at_start: micros(unix),
+            monotonic_at_start: Instant::now(),
         }
     }
 
@@ -32,7 +32,7 @@
 
     /// The time of a monotonic instant.
     pub(crate) fn time_of(&self, instant: Instant) -> Micros {
-        self.started_at + micros(instant.saturating_duration_since(self.started))
+        self.unix_at_start + micros(instant.saturating_duration_since(self.monotonic_at_start))
     }
 
     /// The time of an arrival: when it was noted, else now.
@@ -42,7 +42,7 @@
 
     /// The monotonic instant of a time of this clock, for timers.
     pub(crate) fn instant(&self, at: Micros) -> Instant {
-        self.started + Duration::from_micros(at.since(self.started_at).0)
+        self.monotonic_at_start + Duration::from_micros(at.since(self.unix_at_start).0)
     }
 }
 
--- a/router/src/lifecycle/config.rs
+++ b/router/src/lifecycle/config.rs
@@ -17,7 +17,7 @@
 
 /// What a router says of itself and may hold: a change needs a restart. Its endpoint list and its seed are for starts only,
 /// and differ with each.
-pub(crate) const FIXED: [&str; 4] = ["name", "listen", "limits", "settings"];
+pub(crate) const FIXED_FIELDS: [&str; 4] = ["name", "listen", "limits", "settings"];
 
 /// A configuration that can be used.
 pub(crate) struct RouterConfig {
@@ -39,8 +39,8 @@
     pub(crate) platform: PlatformConfig,
     /// What the router itself goes by.
     pub(crate) bounds: Bounds,
-    /// What a reload compares, in the order of [`FIXED`].
-    pub(crate) fixed: [Value; FIXED.len()],
+    /// What a reload compares, in the order of [`FIXED_FIELDS`].
+    pub(crate) fixed: [Value; FIXED_FIELDS.len()],
 }
 
 /// Why a configuration file cannot be used.
@@ -124,7 +124,7 @@
         known_endpoints: all["known"].clone(),
         platform,
         bounds,
-        fixed: FIXED.map(|name| all[name].clone()),
+        fixed: FIXED_FIELDS.map(|name| all[name].clone()),
     })
 }
 
--- a/router/src/lifecycle/config/tests.rs
+++ b/router/src/lifecycle/config/tests.rs
@@ -11,14 +11,14 @@
 #[test_case("8c1f", "seed", "'seed' is not a hexadecimal number"; "no seed")]
 #[test_case("{\"name\":\"a\",\"semantics\":\"idempotent\"}", "", "'settings': no classes, or one without a name"; "no classes")]
 #[test_case("[0]", "[3]", "'settings': class a has a second step, which this protocol cannot ask for"; "a second step")]
-fn says_in_one_line_what_is_wrong(from: &str, to: &str, wrong: &str) {
+fn rejects_a_bad_configuration_with_one_line_that_names_the_key(from: &str, to: &str, wrong: &str) {
     let read = parse(GOOD.replacen(from, to, 1).as_bytes());
     let error = read.err().map(|error| error.to_string());
     assert_eq!(error.unwrap_or_default(), wrong);
 }
 
 #[test]
-fn reads_what_it_is_given() {
+fn reads_a_valid_configuration_and_rejects_text_that_is_not_json() {
     let read = parse(GOOD.as_bytes()).expect("a good configuration");
     assert_eq!(read.seed, 0x8c1f);
     assert_eq!(read.descriptor_limit, 512);
--- a/router/src/lifecycle/control.rs
+++ b/router/src/lifecycle/control.rs
@@ -11,8 +11,8 @@
 
 use std::cell::Cell;
 
-use crate::lifecycle::settings::ControlTerms;
-use crate::lifecycle::upgrade::{Start, Upgrades};
+use crate::lifecycle::settings::ControlConfig;
+use crate::lifecycle::upgrade::{LaunchSpec, Upgrades};
 
 pub(crate) use client::{request_with_timeout, ControlError, Socket};
 pub(crate) use command::{run, ControlCommand};
@@ -21,9 +21,9 @@
 /// What the control socket of one router answers from.
 pub(crate) struct Control {
     /// The settings `control`.
-    pub(crate) terms: ControlTerms,
+    pub(crate) config: ControlConfig,
     /// The program and files that this process was started with.
-    pub(crate) start: Start,
+    pub(crate) launch_spec: LaunchSpec,
     /// The state of hot restarts of this process.
     pub(crate) upgrades: Upgrades,
     /// Connections that are being answered.
@@ -34,10 +34,15 @@
 
 impl Control {
     /// The control socket's state at the start of a router.
-    pub(crate) fn new(terms: ControlTerms, start: Start, upgrades: Upgrades, name: &str) -> Self {
+    pub(crate) fn new(
+        config: ControlConfig,
+        launch_spec: LaunchSpec,
+        upgrades: Upgrades,
+        name: &str,
+    ) -> Self {
         Control {
-            terms,
-            start,
+            config,
+            launch_spec,
             upgrades,
             open_connections: Cell::new(0),
             name: name.to_owned(),
--- a/router/src/lifecycle/control/command.rs
+++ b/router/src/lifecycle/control/command.rs
@@ -63,7 +63,7 @@
 }
 
 /// The program and files that an upgrade starts; what is left out is the running router's.
-struct NewProcess {
+struct LaunchOptions {
     program: Option<PathBuf>,
     config: Option<PathBuf>,
     settings: Option<PathBuf>,
@@ -81,12 +81,12 @@
             settings,
             dry_run,
         } => {
-            let start = NewProcess {
+            let options = LaunchOptions {
                 program,
                 config,
                 settings,
             };
-            upgrade(&socket, start, dry_run)
+            upgrade(&socket, options, dry_run)
         }
     };
     status
@@ -114,16 +114,20 @@
     finish(socket, &answer)
 }
 
-fn upgrade(socket: &Socket, start: NewProcess, dry_run: bool) -> Result<ExitStatus, CommandError> {
-    let start = NewProcess {
-        program: absolute(start.program)?,
-        config: absolute(start.config)?,
-        settings: absolute(start.settings)?,
+fn upgrade(
+    socket: &Socket,
+    options: LaunchOptions,
+    dry_run: bool,
+) -> Result<ExitStatus, CommandError> {
+    let options = LaunchOptions {
+        program: absolute(options.program)?,
+        config: absolute(options.config)?,
+        settings: absolute(options.settings)?,
     };
     if dry_run {
-        return check_files(start);
+        return check_files(options);
     }
-    let question = json!({"do": "upgrade", "program": start.program, "config": start.config, "settings": start.settings});
+    let question = json!({"do": "upgrade", "program": options.program, "config": options.config, "settings": options.settings});
     let answer = request(&socket.socket, &question, &mut |step| {
         print_step(socket, step);
     })?;
@@ -222,14 +226,17 @@
 }
 
 /// Has the new program check the files that it would be started with.
-fn check_files(start: NewProcess) -> Result<ExitStatus, CommandError> {
-    let program = match start.program {
+fn check_files(options: LaunchOptions) -> Result<ExitStatus, CommandError> {
+    let program = match options.program {
         Some(program) => program,
         None => std::env::current_exe().map_err(CommandError::CurrentProgram)?,
     };
     let mut command = Command::new(&program);
     command.arg("check");
-    for (flag, path) in [("--config", start.config), ("--settings", start.settings)] {
+    for (flag, path) in [
+        ("--config", options.config),
+        ("--settings", options.settings),
+    ] {
         if let Some(path) = path {
             command.arg(flag).arg(path);
         }
--- a/router/src/lifecycle/control/server.rs
+++ b/router/src/lifecycle/control/server.rs
@@ -24,7 +24,7 @@
 use super::Control;
 use crate::fleet::commands;
 use crate::lifecycle::socket_io::{uninterrupted, write_all};
-use crate::lifecycle::upgrade::{self, Start};
+use crate::lifecycle::upgrade::{self, LaunchSpec};
 use crate::router::Router;
 
 /// The longest request, in bytes.
@@ -44,11 +44,11 @@
 /// # Errors
 /// The file or the socket that cannot be had.
 pub(crate) fn open(control: &Control) -> Result<Async<UnixListener>, ControlError> {
-    if let Some(path) = &control.terms.pid_file {
+    if let Some(path) = &control.config.pid_file {
         let text = format!("{}\n", std::process::id());
         ternpick_store::replace_file(path.as_ref(), text.as_bytes())?;
     }
-    bind(control.terms.socket.as_ref())
+    bind(control.config.socket.as_ref())
 }
 
 /// Opens the socket as soon as it can be had, and serves on it.
@@ -190,7 +190,7 @@
     stream: &Async<UnixStream>,
     request: &Value,
 ) {
-    if !control.terms.upgrade {
+    if !control.config.upgrade {
         let line = refused("upgrades are off: control.upgrade is not set");
         return write_line(stream, &line).await;
     }
@@ -199,12 +199,12 @@
             .as_str()
             .map_or_else(|| own.clone(), PathBuf::from)
     };
-    let start = Start {
-        program: path("program", &control.start.program),
-        config: path("config", &control.start.config),
-        settings: path("settings", &control.start.settings),
+    let launch_spec = LaunchSpec {
+        program: path("program", &control.launch_spec.program),
+        config: path("config", &control.launch_spec.config),
+        settings: path("settings", &control.launch_spec.settings),
     };
-    match upgrade_with_progress(router, control, stream, &start).await {
+    match upgrade_with_progress(router, control, stream, &launch_spec).await {
         Ok(()) => {
             let line = json!({"done": true, "ok": true, "line": "upgraded"});
             write_line(stream, &line).await;
@@ -219,7 +219,7 @@
     router: &Rc<Router>,
     control: &Control,
     stream: &Async<UnixStream>,
-    start: &Start,
+    launch_spec: &LaunchSpec,
 ) -> Result<(), String> {
     let steps = RefCell::new(VecDeque::new());
     let step_added = Event::new();
@@ -231,7 +231,7 @@
             .push_back(json!({"line": line, "after_ms": after_ms}));
         step_added.notify(1);
     };
-    let upgrade = upgrade::upgrade(router, &control.upgrades, start, &mut note);
+    let upgrade = upgrade::upgrade(router, &control.upgrades, launch_spec, &mut note);
     let outcome = future::or(upgrade, write_steps_forever(stream, &steps, &step_added)).await;
     write_steps(stream, &steps).await;
     outcome.map_err(|reason| reason.to_string())
--- a/router/src/lifecycle/control/status.rs
+++ b/router/src/lifecycle/control/status.rs
@@ -56,7 +56,7 @@
             .latency
             .map(|_| now.since(node.latency_updated_at).0 / 1000);
         Some(json!({
-            "node": snapshot::number(id),
+            "node": snapshot::format_node_id(id),
             "name": name,
             "address": address.to_string(),
             "phase": format!("{:?}", node.endpoint.state).to_lowercase(),
--- a/router/src/lifecycle/hot_restart_link.rs
+++ b/router/src/lifecycle/hot_restart_link.rs
@@ -18,9 +18,9 @@
 use crate::lifecycle::socket_io::uninterrupted;
 
 /// Descriptors in one message: the listeners, or one client's.
-const MOST_DESCRIPTORS: usize = 4;
+const MAX_DESCRIPTORS_PER_MESSAGE: usize = 4;
 /// Bytes read at a time.
-const READ_SIZE: usize = 64 * 1024;
+const READ_BYTES: usize = 64 * 1024;
 
 /// One end of the link.
 pub(crate) struct Link {
@@ -78,7 +78,7 @@
                 self.input.drain(..length);
                 Ok(Some(message))
             }
-            Ok(None) if self.input.len() > FRAME_BOUND + READ_SIZE => {
+            Ok(None) if self.input.len() > FRAME_BOUND + READ_BYTES => {
                 Err(ErrorKind::InvalidData.into())
             }
             Ok(None) => Ok(None),
@@ -93,9 +93,10 @@
 
     /// Reads once; returns how many bytes came.
     fn receive_some(&mut self) -> Result<usize> {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+        let mut space =
+            [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
         let mut ancillary = RecvAncillaryBuffer::new(&mut space);
-        let mut bytes = vec![0; READ_SIZE];
+        let mut bytes = vec![0; READ_BYTES];
         let received = recvmsg(
             self.stream.get_ref(),
             &mut [IoSliceMut::new(&mut bytes)],
@@ -114,7 +115,8 @@
 
 /// Writes once, with descriptors beside; returns how many bytes went.
 fn send_some(stream: &UnixStream, bytes: &[u8], fds: &[BorrowedFd]) -> Result<usize> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+    let mut space =
+        [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
     if !fds.is_empty() && !ancillary.push(SendAncillaryMessage::ScmRights(fds)) {
         return Err(Error::other("too many descriptors for one message"));
--- a/router/src/lifecycle/http_client.rs
+++ b/router/src/lifecycle/http_client.rs
@@ -15,7 +15,7 @@
 use crate::stages::upstream_writer;
 
 /// Bytes of a response that are read before they are parsed.
-const INPUT_BUFFER: usize = 16 * 1024;
+const INPUT_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Why a call has brought no document.
 #[derive(Debug, thiserror::Error)]
@@ -51,19 +51,19 @@
 pub(crate) async fn exchange(
     stream: &Async<TcpStream>,
     request: &[u8],
-    bound: usize,
+    max_bytes: usize,
 ) -> Result<Reader, HttpError> {
     write_all(stream, request).await?;
-    let response = read_response(stream, bound).await?;
+    let response = read_response(stream, max_bytes).await?;
     match response.status() {
         Some(200) => Ok(response),
         status => Err(HttpError::Status(status.unwrap_or_default())),
     }
 }
 
-async fn read_response(stream: &Async<TcpStream>, bound: usize) -> Result<Reader, HttpError> {
-    let mut input = Ring::new(INPUT_BUFFER);
-    let mut response = Reader::for_responses(bound);
+async fn read_response(stream: &Async<TcpStream>, max_bytes: usize) -> Result<Reader, HttpError> {
+    let mut input = Ring::new(INPUT_BUFFER_BYTES);
+    let mut response = Reader::for_responses(max_bytes);
     while !response.read(&mut input).map_err(HttpError::Malformed)? {
         stream.readable().await?;
         match stream.get_ref().read(input.free()) {
@@ -83,7 +83,7 @@
     router: &Router,
     address: SocketAddr,
     path: &str,
-    bound: usize,
+    max_bytes: usize,
     timeout: Micros,
 ) -> Result<Vec<u8>, HttpError> {
     let call = async {
@@ -93,7 +93,7 @@
         let request = format!(
             "GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\nConnection: close\r\n\r\n"
         );
-        let response = exchange(&stream, request.as_bytes(), bound).await?;
+        let response = exchange(&stream, request.as_bytes(), max_bytes).await?;
         Ok(response.body().to_vec())
     };
     let deadline = router.clock.now() + timeout;
--- a/router/src/lifecycle/key_commands/keys.rs
+++ b/router/src/lifecycle/key_commands/keys.rs
@@ -13,18 +13,18 @@
 
 /// The algorithm of a new key.
 #[derive(Clone, Copy, ValueEnum)]
-pub(crate) enum Kind {
+pub(crate) enum KeyAlgorithm {
     /// Ed25519
     Eddsa,
     /// ECDSA on P-256
     Es256,
 }
 
-impl Kind {
+impl KeyAlgorithm {
     fn algorithm(self) -> Algorithm {
         match self {
-            Kind::Eddsa => Algorithm::EdDsa,
-            Kind::Es256 => Algorithm::Es256,
+            KeyAlgorithm::Eddsa => Algorithm::EdDsa,
+            KeyAlgorithm::Es256 => Algorithm::Es256,
         }
     }
 }
@@ -36,7 +36,7 @@
     #[arg(long)]
     id: Option<String>,
     #[arg(long, value_enum, default_value = "eddsa")]
-    kind: Kind,
+    kind: KeyAlgorithm,
     /// How long it is published before it signs, so that every router knows it
     #[arg(long, default_value = "30s", value_parser = humantime::parse_duration)]
     lead: Duration,
--- a/router/src/lifecycle/key_commands/revoke.rs
+++ b/router/src/lifecycle/key_commands/revoke.rs
@@ -13,7 +13,7 @@
 /// What is revoked.
 #[derive(Args)]
 #[group(id = "revoked", required = true, multiple = false)]
-pub(crate) struct RevokedWhat {
+pub(crate) struct RevocationOptions {
     /// A token, by its id (jti)
     #[arg(long)]
     token: Option<String>,
@@ -35,7 +35,7 @@
     #[arg(long, env = "TERNPICK_REVOCATIONS")]
     feed: PathBuf,
     #[command(flatten)]
-    what: RevokedWhat,
+    options: RevocationOptions,
     /// How long it matters: as long as the longest token lasts. Without it, for good
     #[arg(long, value_parser = humantime::parse_duration)]
     matters: Option<Duration>,
@@ -47,15 +47,15 @@
 }
 
 /// The subject of an entry, as the feed names it.
-struct Target {
+struct RevocationTarget {
     kind: &'static str,
     name: String,
 }
 
-impl RevokedWhat {
+impl RevocationOptions {
     /// What is named; none: nothing is.
-    fn target(self) -> Option<Target> {
-        let target = |kind| move |name| Target { kind, name };
+    fn target(self) -> Option<RevocationTarget> {
+        let target = |kind| move |name| RevocationTarget { kind, name };
         let fingerprint = self
             .certificate
             .map(|fingerprint| fingerprint.replace(':', "").to_ascii_lowercase());
@@ -79,8 +79,8 @@
     };
     let now = wall_clock_seconds();
     let number = feed["to"].as_u64().ok_or_else(not_a_feed)? + 1;
-    let Target { kind, name } = command
-        .what
+    let RevocationTarget { kind, name } = command
+        .options
         .target()
         .ok_or(KeyCommandError::NothingToRevoke)?;
     let mut entry = json!({"number": number, kind: name});
--- a/router/src/lifecycle/key_sources.rs
+++ b/router/src/lifecycle/key_sources.rs
@@ -24,8 +24,8 @@
 enum SourceError {
     #[error("{}: {source}", path.display())]
     Unreadable { path: PathBuf, source: io::Error },
-    #[error("{}: it is longer than {bound} bytes", path.display())]
-    TooLong { path: PathBuf, bound: usize },
+    #[error("{}: it is longer than {max_bytes} bytes", path.display())]
+    TooLong { path: PathBuf, max_bytes: usize },
     #[error("no address")]
     NoAddress,
     #[error("{0}")]
@@ -36,40 +36,40 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum SourceKind {
     Keys,
     Revocations,
 }
 
-impl Kind {
+impl SourceKind {
     /// The kind of the stored file, and the name in the log.
     fn name(self) -> &'static str {
         match self {
-            Kind::Keys => "keys",
-            Kind::Revocations => "revocations",
+            SourceKind::Keys => "keys",
+            SourceKind::Revocations => "revocations",
         }
     }
 
     /// The longest document, in bytes.
-    fn bound(self) -> usize {
+    fn max_bytes(self) -> usize {
         match self {
-            Kind::Keys => SET_BOUND,
-            Kind::Revocations => PAGE_BOUND,
+            SourceKind::Keys => SET_BOUND,
+            SourceKind::Revocations => PAGE_BOUND,
         }
     }
 
     fn source(self, auth: &AuthFilter) -> Option<&PolledSource> {
         match self {
-            Kind::Keys => auth.key_source.as_ref(),
-            Kind::Revocations => auth.revocation_source.as_ref(),
+            SourceKind::Keys => auth.key_source.as_ref(),
+            SourceKind::Revocations => auth.revocation_source.as_ref(),
         }
     }
 
     /// Applies a document that was current at `at`.
     fn apply(self, auth: &AuthFilter, at: Micros, text: &[u8]) -> Result<(), SourceError> {
         let applied = match self {
-            Kind::Keys => auth.update_keys(at, text),
-            Kind::Revocations => auth.update_revocations(at, text),
+            SourceKind::Keys => auth.update_keys(at, text),
+            SourceKind::Revocations => auth.update_revocations(at, text),
         };
         applied.map_err(|error| SourceError::Rejected(error.to_string()))
     }
@@ -90,7 +90,7 @@
         return;
     };
     auth.sources_started(router.clock.now());
-    for kind in [Kind::Keys, Kind::Revocations] {
+    for kind in [SourceKind::Keys, SourceKind::Revocations] {
         let Some(watched) = kind.source(auth) else {
             continue;
         };
@@ -106,7 +106,7 @@
         .detach();
 }
 
-fn restore(router: &Router, auth: &AuthFilter, kind: Kind, path: &Path) {
+fn restore(router: &Router, auth: &AuthFilter, kind: SourceKind, path: &Path) {
     let now = auth.now(router);
     let name = kind.name();
     let stored = match ternpick_store::load(path, name) {
@@ -139,7 +139,7 @@
     }
 }
 
-async fn watch(router: Rc<Router>, kind: Kind) {
+async fn watch(router: Rc<Router>, kind: SourceKind) {
     let Some(auth) = &router.auth else {
         return;
     };
@@ -166,7 +166,7 @@
     router: &'a Router,
     auth: &'a AuthFilter,
     watched: &'a PolledSource,
-    kind: Kind,
+    kind: SourceKind,
     /// After a failure everything is asked for: there may be a gap.
     extent: Extent,
     failing: bool,
@@ -221,15 +221,15 @@
         }
         let source = &self.watched.source;
         // Pages of what is new cannot be stored alone; the whole list comes again with the next start.
-        let complete = self.kind == Kind::Keys || self.extent == Extent::Complete;
+        let complete = self.kind == SourceKind::Keys || self.extent == Extent::Complete;
         if let Some(path) = &source.kept {
             if complete && text != self.stored_text {
                 store(self.kind, PathBuf::from(path), now, text.clone()).await;
                 self.stored_text = text;
             }
         }
-        let asks_for_all =
-            self.kind == Kind::Revocations && (source.file.is_some() || source.kept.is_some());
+        let asks_for_all = self.kind == SourceKind::Revocations
+            && (source.file.is_some() || source.kept.is_some());
         self.extent = if asks_for_all {
             Extent::Complete
         } else {
@@ -251,7 +251,7 @@
     }
 
     async fn fetch(&self) -> Result<Vec<u8>, SourceError> {
-        let bound = self.kind.bound();
+        let max_bytes = self.kind.max_bytes();
         let Source {
             file,
             path,
@@ -260,32 +260,33 @@
         } = &self.watched.source;
         if let Some(file) = file {
             let file = PathBuf::from(file);
-            return blocking::unblock(move || read(&file, bound)).await;
+            return blocking::unblock(move || read(&file, max_bytes)).await;
         }
         let address = self.watched.address.ok_or(SourceError::NoAddress)?;
-        let path = if self.kind == Kind::Revocations && self.extent == Extent::Newer {
+        let path = if self.kind == SourceKind::Revocations && self.extent == Extent::Newer {
             format!("{path}?after={}", self.auth.revocations_known())
         } else {
             path.clone()
         };
-        let text = http_client::get(self.router, address, &path, bound, Micros(*patience)).await?;
+        let text =
+            http_client::get(self.router, address, &path, max_bytes, Micros(*patience)).await?;
         Ok(text)
     }
 }
 
-fn read(path: &Path, bound: usize) -> Result<Vec<u8>, SourceError> {
+fn read(path: &Path, max_bytes: usize) -> Result<Vec<u8>, SourceError> {
     let unreadable = |source| SourceError::Unreadable {
         path: path.to_owned(),
         source,
     };
-    if std::fs::metadata(path).map_err(unreadable)?.len() > bound as u64 {
+    if std::fs::metadata(path).map_err(unreadable)?.len() > max_bytes as u64 {
         let path = path.to_owned();
-        return Err(SourceError::TooLong { path, bound });
+        return Err(SourceError::TooLong { path, max_bytes });
     }
     std::fs::read(path).map_err(unreadable)
 }
 
-async fn store(kind: Kind, path: PathBuf, now: Micros, text: Vec<u8>) {
+async fn store(kind: SourceKind, path: PathBuf, now: Micros, text: Vec<u8>) {
     let name = kind.name();
     let stored =
         blocking::unblock(move || ternpick_store::save(&path, name, 1, now.0, &text)).await;
--- a/router/src/lifecycle/reload.rs
+++ b/router/src/lifecycle/reload.rs
@@ -8,19 +8,19 @@
 use serde_json::Value;
 use ternpick_tenant_limits::Limits;
 
-use crate::lifecycle::config::{self, RouterConfig, FIXED};
+use crate::lifecycle::config::{self, RouterConfig, FIXED_FIELDS};
 use crate::lifecycle::settings::{self, SettingsError};
 use crate::router::Router;
 use crate::stages::auth_filter::AuthFilter;
 
 /// The files that a router was started with, and what is fixed in them.
-pub(crate) struct Source {
+pub(crate) struct StartupFiles {
     /// The configuration file.
-    pub(crate) path: PathBuf,
+    pub(crate) config: PathBuf,
     /// The settings file, where there is one.
     pub(crate) settings: Option<PathBuf>,
-    /// The configuration's values that need a restart, in the order of [`FIXED`].
-    pub(crate) fixed: [Value; FIXED.len()],
+    /// The configuration's values that need a restart, in the order of [`FIXED_FIELDS`].
+    pub(crate) fixed: [Value; FIXED_FIELDS.len()],
 }
 
 /// Why identity's settings stay as they were.
@@ -35,10 +35,10 @@
     Rejected(String),
 }
 
-impl Source {
+impl StartupFiles {
     /// Reads the files again. One that cannot be used changes nothing.
     pub(crate) fn reload(&self, router: &Router) {
-        let config = match config::read(&self.path) {
+        let config = match config::read(&self.config) {
             Ok(config) => config,
             Err(error) => {
                 tracing::warn!(%error, "reload: configuration unusable, keeping the running one");
@@ -72,7 +72,7 @@
     /// The fixed values that differ in another configuration.
     fn changed(&self, config: &RouterConfig) -> Vec<&'static str> {
         let pairs = self.fixed.iter().zip(&config.fixed);
-        FIXED
+        FIXED_FIELDS
             .into_iter()
             .zip(pairs)
             .filter(|(_, (old, new))| old != new)
--- a/router/src/lifecycle/reload/tests.rs
+++ b/router/src/lifecycle/reload/tests.rs
@@ -9,12 +9,15 @@
 #[test_case("512", "256", &["limits"]; "limits")]
 #[test_case("9000", "9001", &["listen"]; "the address")]
 #[test_case("idempotent", "deduplicated", &["settings"]; "settings")]
-fn tells_what_needs_a_restart(from: &str, to: &str, names: &[&str]) {
-    let opening = |text: &str| config::parse(text.as_bytes()).expect("a good configuration");
-    let source = Source {
-        path: "x".into(),
+fn lists_the_changed_fields_that_need_a_restart(from: &str, to: &str, names: &[&str]) {
+    let parse_config = |text: &str| config::parse(text.as_bytes()).expect("a good configuration");
+    let files = StartupFiles {
+        config: "x".into(),
         settings: None,
-        fixed: opening(TEXT).fixed,
+        fixed: parse_config(TEXT).fixed,
     };
-    assert_eq!(source.changed(&opening(&TEXT.replacen(from, to, 1))), names);
+    assert_eq!(
+        files.changed(&parse_config(&TEXT.replacen(from, to, 1))),
+        names
+    );
 }
--- a/router/src/lifecycle/run.rs
+++ b/router/src/lifecycle/run.rs
@@ -5,7 +5,7 @@
 use futures_lite::future;
 use ternpick::types::Micros;
 
-use crate::lifecycle::reload::Source;
+use crate::lifecycle::reload::StartupFiles;
 use crate::lifecycle::signals::{SignalRequest, Signals};
 use crate::lifecycle::stop;
 use crate::router::Router;
@@ -22,10 +22,10 @@
 pub(crate) async fn until_stopped(
     router: &Router,
     signals: Signals,
-    source: &Source,
+    files: &StartupFiles,
     accepting: Task<()>,
 ) {
-    match serve(router, &signals, source).await {
+    match serve(router, &signals, files).await {
         ServingEnded::HandedOver => {}
         ServingEnded::StopRequested(requested_at) => {
             let stop = stop::stop(router, accepting, requested_at);
@@ -34,7 +34,7 @@
     }
 }
 
-async fn serve(router: &Router, signals: &Signals, source: &Source) -> ServingEnded {
+async fn serve(router: &Router, signals: &Signals, files: &StartupFiles) -> ServingEnded {
     loop {
         let stop_requested = router.shutdown.requested();
         if router.shutdown.is_handed_over() {
@@ -47,7 +47,7 @@
         };
         match future::or(signal, commanded).await {
             Some(signal) => match signal.request {
-                SignalRequest::Reload => source.reload(router),
+                SignalRequest::Reload => files.reload(router),
                 SignalRequest::Stop => {
                     let requested_at = router.clock.time_of(signal.received_at);
                     return ServingEnded::StopRequested(requested_at);
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use ternpick_identity::Terms;
 use ternpick_settings::{Read, Refused, Schema};
-use ternpick_tenant_limits::{SharedLimitConfig, TenantConfig as LimitTerms};
+use ternpick_tenant_limits::{SharedLimitConfig, TenantConfig as TenantLimitConfig};
 
 const SCHEMA: Schema = Schema::new(
     &[
@@ -23,7 +23,7 @@
 );
 
 /// The most voting members that a fleet may have.
-const MOST_VOTERS: usize = 9;
+const MAX_VOTERS: usize = 9;
 
 /// How lines of the log are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
@@ -69,7 +69,7 @@
 
 /// The control socket, and upgrades over it.
 #[derive(Clone, Debug, Deserialize)]
-pub(crate) struct ControlTerms {
+pub(crate) struct ControlConfig {
     /// Path of the socket.
     pub(crate) socket: String,
     /// Whether upgrades are allowed.
@@ -95,45 +95,53 @@
 
 /// A founding member of a fleet.
 #[derive(Clone, Debug, Deserialize)]
-pub(crate) struct MemberTerms {
+pub(crate) struct MemberConfig {
     /// Address and port for other members.
     pub(crate) address: String,
     /// Its zone.
     pub(crate) zone: String,
     /// Whether it is a voter.
-    pub(crate) vote: bool,
+    #[serde(rename = "vote")]
+    pub(crate) is_voter: bool,
 }
 
 /// The fleet that a router belongs to.
 #[derive(Clone, Debug, Deserialize)]
-pub(crate) struct FleetTerms {
+pub(crate) struct FleetConfig {
     /// The fleet's name.
     pub(crate) name: String,
     /// The founding members, by name.
-    pub(crate) members: BTreeMap<String, MemberTerms>,
+    pub(crate) members: BTreeMap<String, MemberConfig>,
     /// Where this router listens for other members, if not at its member's address.
     pub(crate) listen: Option<String>,
     /// Folder of the stored state.
     pub(crate) folder: String,
     /// How long a router may admit on its own, from when it asked for the lease.
-    pub(crate) lease: u64,
+    #[serde(rename = "lease")]
+    pub(crate) lease_duration: u64,
     /// Interval between renewals of a lease.
-    pub(crate) renew: u64,
+    #[serde(rename = "renew")]
+    pub(crate) renew_interval: u64,
     /// The largest difference between the rates of two clocks, in parts per million.
     pub(crate) drift_ppm: u64,
     /// How long queries wait while a change takes effect, before they are rejected; without it as long as their own
     /// deadlines allow.
-    pub(crate) hold: Option<u64>,
+    #[serde(rename = "hold")]
+    pub(crate) max_admission_wait: Option<u64>,
     /// How long a change that takes effect waits for all routers to have stopped.
-    pub(crate) patience: u64,
+    #[serde(rename = "patience")]
+    pub(crate) barrier_timeout: u64,
     /// What a router without a lease does: `refuse` or `serve-and-mark`.
     pub(crate) without_lease: String,
     /// Whether a change needs a second operator's confirmation.
-    pub(crate) confirm: bool,
+    #[serde(rename = "confirm")]
+    pub(crate) confirmation_required: bool,
     /// Election timeout; up to as much more is added at random.
-    pub(crate) election: u64,
+    #[serde(rename = "election")]
+    pub(crate) election_timeout: u64,
     /// Maintenance of machines; off without it.
-    pub(crate) works: Option<ternpick_maintenance::MaintenanceConfig>,
+    #[serde(rename = "works")]
+    pub(crate) maintenance: Option<ternpick_maintenance::MaintenanceConfig>,
 }
 
 /// Why a settings file cannot be used.
@@ -169,7 +177,7 @@
     #[error("fleet.listen is no address and port")]
     FleetListen,
     /// No voter, or too many.
-    #[error("fleet.members: {found} vote, there have to be 1 to {MOST_VOTERS}, best 3, 5 or 7")]
+    #[error("fleet.members: {found} vote, there have to be 1 to {MAX_VOTERS}, best 3, 5 or 7")]
     Voters { found: usize },
     /// Renewals too far apart.
     #[error("fleet.renew is over half of fleet.lease: a lease would end between two requests")]
@@ -183,7 +191,7 @@
     }
 }
 
-impl FleetTerms {
+impl FleetConfig {
     /// Checks what the schema cannot express.
     fn check(&self) -> Result<(), InvalidSettings> {
         for (member, settings) in &self.members {
@@ -192,14 +200,22 @@
                 return Err(InvalidSettings::MemberAddress { member });
             }
         }
-        if self.listen.as_deref().is_some_and(|of| !is_address(of)) {
+        if self
+            .listen
+            .as_deref()
+            .is_some_and(|address| !is_address(address))
+        {
             return Err(InvalidSettings::FleetListen);
         }
-        let found = self.members.values().filter(|member| member.vote).count();
-        if !(1..=MOST_VOTERS).contains(&found) {
+        let found = self
+            .members
+            .values()
+            .filter(|member| member.is_voter)
+            .count();
+        if !(1..=MAX_VOTERS).contains(&found) {
             return Err(InvalidSettings::Voters { found });
         }
-        if self.renew * 2 > self.lease {
+        if self.renew_interval * 2 > self.lease_duration {
             return Err(InvalidSettings::RenewInterval);
         }
         Ok(())
@@ -214,20 +230,20 @@
 #[derive(Debug, Deserialize)]
 struct SettingsFile {
     log: LogSettings,
-    control: Option<ControlTerms>,
+    control: Option<ControlConfig>,
     identity: Option<Value>,
     tls: Option<TlsSettings>,
-    fleet: Option<FleetTerms>,
+    fleet: Option<FleetConfig>,
 }
 
 /// Identity's settings, and the limits of its tenants.
-pub(crate) struct IdentityTerms {
+pub(crate) struct IdentityConfig {
     /// Who may do what.
     pub(crate) terms: Terms,
     /// Limits of tenants, by name.
-    pub(crate) limits: Vec<(String, LimitTerms)>,
+    pub(crate) limits: Vec<(String, TenantLimitConfig)>,
     /// The limit on all tenants together.
-    pub(crate) whole: SharedLimitConfig,
+    pub(crate) shared_limit: SharedLimitConfig,
 }
 
 /// All settings of a router.
@@ -235,13 +251,13 @@
     /// The log.
     pub(crate) log: LogSettings,
     /// The control socket; off without it.
-    pub(crate) control: Option<ControlTerms>,
+    pub(crate) control: Option<ControlConfig>,
     /// Identity and limits of tenants; off without it.
-    pub(crate) identity: Option<IdentityTerms>,
+    pub(crate) identity: Option<IdentityConfig>,
     /// The TLS listener; off without it.
     pub(crate) tls: Option<TlsSettings>,
     /// The fleet; off without it.
-    pub(crate) fleet: Option<FleetTerms>,
+    pub(crate) fleet: Option<FleetConfig>,
     /// Every value used, a line each with its origin.
     pub(crate) used: Vec<String>,
 }
@@ -266,13 +282,13 @@
 impl Settings {
     /// Replaces `{name}` in paths by the router's name: several routers of one machine may share a file.
     pub(crate) fn for_router(mut self, name: &str) -> Settings {
-        let own = |path: &mut String| *path = path.replace("{name}", name);
+        let expand = |path: &mut String| *path = path.replace("{name}", name);
         if let Some(control) = &mut self.control {
-            own(&mut control.socket);
-            control.pid_file.iter_mut().for_each(own);
+            expand(&mut control.socket);
+            control.pid_file.iter_mut().for_each(expand);
         }
         if let Some(fleet) = &mut self.fleet {
-            own(&mut fleet.folder);
+            expand(&mut fleet.folder);
         }
         self
     }
@@ -281,11 +297,11 @@
 /// The limits of a tenant, beside what identity reads of it.
 #[derive(Deserialize)]
 struct TenantLimits {
-    limits: LimitTerms,
+    limits: TenantLimitConfig,
 }
 
-fn identity(value: Value) -> Result<IdentityTerms, InvalidSettings> {
-    let whole = serde_json::from_value(value["whole"].clone())?;
+fn identity(value: Value) -> Result<IdentityConfig, InvalidSettings> {
+    let shared_limit = serde_json::from_value(value["whole"].clone())?;
     let mut limits = Vec::new();
     for (name, tenant) in value["tenants"].as_object().into_iter().flatten() {
         let tenant: TenantLimits = serde_json::from_value(tenant.clone())?;
@@ -295,10 +311,10 @@
     terms
         .check()
         .map_err(|error| InvalidSettings::Identity(error.to_string()))?;
-    Ok(IdentityTerms {
+    Ok(IdentityConfig {
         terms,
         limits,
-        whole,
+        shared_limit,
     })
 }
 
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -1,7 +1,7 @@
 //! What a router passes to the process that takes its place: one form, each field as plain data with ages, not times.
 //!
 //! A reader that lacks a field, or cannot use it, does as after a plain start. Encoded by position (postcard): fields are
-//! neither reordered nor added or removed under one [`FORM`].
+//! neither reordered nor added or removed under one [`FORMAT_VERSION`].
 
 use std::collections::HashMap;
 
@@ -16,10 +16,10 @@
 use crate::stages::auth_filter::AuthFilter;
 
 /// The form of the snapshot; another one is not read.
-pub(crate) const FORM: u16 = 2;
+pub(crate) const FORMAT_VERSION: u16 = 2;
 
 /// The terms that the engine is given where its own do not apply: they agree with none.
-const FOREIGN_TERMS: &str = "somebody else's";
+const FOREIGN_SETTINGS: &str = "settings of another router";
 
 /// A document, and its age in microseconds.
 type AgedDocument = (u64, String);
@@ -27,8 +27,8 @@
 /// The state of a router.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Snapshot {
-    /// [`FORM`].
-    pub(crate) form: u16,
+    /// [`FORMAT_VERSION`].
+    pub(crate) format_version: u16,
     /// The endpoint list as discovery words it, with its version. Without it: the list of the configuration.
     pub(crate) endpoint_list: String,
     /// The numbers by which the engine's state names nodes, and the nodes' names.
@@ -51,7 +51,7 @@
     Encoding(#[from] postcard::Error),
     /// Of another form.
     #[error("form {0} is not known")]
-    Form(u16),
+    FormatVersion(u16),
     /// The endpoint list is not JSON.
     #[error("{0}")]
     EndpointListSyntax(#[from] serde_json::Error),
@@ -105,7 +105,7 @@
 }
 
 /// Whose state this is: the names that numbers of indexes and tenants stand for.
-fn owners(router: &Router) -> String {
+fn settings_suffix(router: &Router) -> String {
     let tenants = match &router.auth {
         Some(auth) => auth.tenant_names(),
         None => router.bounds.customer_names.clone(),
@@ -114,21 +114,21 @@
 }
 
 /// The engine's terms without their owners.
-struct OwnTerms {
-    terms: String,
+struct ParsedSettings {
+    settings: String,
     /// Whether the owners are this router's.
     is_own: bool,
 }
 
 /// Under other names a number means somebody else: what was learnt of one customer's index would be held against another's.
-fn own_terms(terms: Option<&str>, owners: &str) -> OwnTerms {
-    match terms.and_then(|terms| terms.strip_suffix(owners)) {
-        Some(own) => OwnTerms {
-            terms: own.to_owned(),
+fn parse_settings(settings: Option<&str>, suffix: &str) -> ParsedSettings {
+    match settings.and_then(|settings| settings.strip_suffix(suffix)) {
+        Some(own) => ParsedSettings {
+            settings: own.to_owned(),
             is_own: true,
         },
-        None => OwnTerms {
-            terms: FOREIGN_TERMS.to_owned(),
+        None => ParsedSettings {
+            settings: FOREIGN_SETTINGS.to_owned(),
             is_own: false,
         },
     }
@@ -145,9 +145,11 @@
         let limits = decisions.effects.limits.as_mut();
         let limits = limits.map(|limits| limits.snapshot(now));
         let mut engine = decisions.engine.snapshot(now);
-        engine.settings = engine.settings.map(|terms| terms + &owners(router));
+        engine.settings = engine
+            .settings
+            .map(|settings| settings + &settings_suffix(router));
         Snapshot {
-            form: FORM,
+            format_version: FORMAT_VERSION,
             endpoint_list: list.to_string(),
             node_names,
             engine,
@@ -165,9 +167,9 @@
     /// Decodes a snapshot of this form.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
         let snapshot: Snapshot = postcard::from_bytes(bytes)?;
-        match snapshot.form {
-            FORM => Ok(snapshot),
-            other => Err(SnapshotError::Form(other)),
+        match snapshot.format_version {
+            FORMAT_VERSION => Ok(snapshot),
+            other => Err(SnapshotError::FormatVersion(other)),
         }
     }
 
@@ -204,8 +206,8 @@
             .into_iter()
             .filter_map(|(id, node)| Some((known(&id)?.0, node)))
             .collect();
-        let own = own_terms(self.engine.settings.as_deref(), &owners(router));
-        self.engine.settings = Some(own.terms);
+        let own = parse_settings(self.engine.settings.as_deref(), &settings_suffix(router));
+        self.engine.settings = Some(own.settings);
         let applied = engine.restore(now, &self.engine);
         if let (Some(limits), Some(snapshot)) = (&mut effects.limits, &self.limits) {
             if own.is_own {
@@ -254,7 +256,7 @@
 }
 
 /// The number of a node, as status and log print it.
-pub(crate) fn number(id: NodeId) -> String {
+pub(crate) fn format_node_id(id: NodeId) -> String {
     format!("{:x}", id.0)
 }
 
--- a/router/src/lifecycle/snapshot/release_bytes.rs
+++ b/router/src/lifecycle/snapshot/release_bytes.rs
@@ -7,7 +7,7 @@
 use crate::recorded::Recorded;
 
 fn full() -> Snapshot {
-    let belief = NodeSnapshot {
+    let node = NodeSnapshot {
         started: 1_790_000_000_000_001,
         reported_load: Some(2.5),
         max_reported_rate: 3.5,
@@ -19,8 +19,8 @@
         recent_sends: vec![(14, 15.5), (16, 17.5)],
         in_flight: vec![(18, 19, 20.5, 21.5)],
     };
-    let beliefs = EngineSnapshot {
-        nodes: vec![(22, belief), (23, NodeSnapshot::default())],
+    let engine = EngineSnapshot {
+        nodes: vec![(22, node), (23, NodeSnapshot::default())],
         mean_cost_hint: Some(24.5),
         quota_left: vec![(25.5, 26)],
         admitted: vec![27, 28],
@@ -36,10 +36,10 @@
         in_flight: vec![42, 43],
     };
     Snapshot {
-        form: FORM,
+        format_version: FORMAT_VERSION,
         endpoint_list: r#"{"index":44}"#.into(),
         node_names: vec![(22, "s-1".into()), (23, "s-2".into())],
-        engine: beliefs,
+        engine,
         limits: Some(limits),
         keys: Some((45, r#"{"keys":[]}"#.into())),
         revocations: Some((46, r#"{"to":0}"#.into())),
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_snapshot_has_the_bytes_of_the_release() {
+fn a_snapshot_encodes_to_the_bytes_recorded_from_the_release() {
     let mut recorded = Recorded::parse(include_str!("release_bytes.txt"));
     let bare = Snapshot {
         engine: EngineSnapshot::default(),
--- a/router/src/lifecycle/snapshot/tests.rs
+++ b/router/src/lifecycle/snapshot/tests.rs
@@ -28,7 +28,7 @@
     };
     let node_names = (0..nodes).map(|at| (at, format!("s-{at:08x}"))).collect();
     Snapshot {
-        form: FORM,
+        format_version: FORMAT_VERSION,
         endpoint_list,
         node_names,
         engine,
@@ -41,7 +41,7 @@
 #[test_case(12; "twelve")]
 #[test_case(1_200; "twelve hundred")]
 #[test_case(12_000; "twelve thousand")]
-fn a_snapshot_grows_with_nodes_alone_and_is_soon_read(nodes: u64) {
+fn a_snapshot_takes_less_than_400_bytes_per_node_and_is_parsed(nodes: u64) {
     let bytes = snapshot(nodes).bytes();
     let began = std::time::Instant::now();
     let read = Snapshot::parse(&bytes).expect("read");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_snapshot_cut_at_any_length_or_of_another_form_is_not_read() {
+fn rejects_a_snapshot_that_is_truncated_or_of_another_format_version() {
     let whole = snapshot(3);
     let bytes = whole.bytes();
     for length in 0..bytes.len() {
@@ -66,7 +66,7 @@
     }
     assert!(Snapshot::parse(
         &Snapshot {
-            form: FORM + 1,
+            format_version: FORMAT_VERSION + 1,
             ..whole
         }
         .bytes()
@@ -75,11 +75,15 @@
 }
 
 #[test_case(Some("soft 5 of a, b"), "soft 5", true; "the same names")]
-#[test_case(Some("soft 5 of b, a"), "somebody else's", false; "in another order")]
-#[test_case(Some("soft 5"), "somebody else's", false; "from a program that did not say whose they are")]
-#[test_case(None, "somebody else's", false; "nothing said")]
-fn beliefs_by_number_hold_for_the_same_names_alone(terms: Option<&str>, own: &str, ours: bool) {
-    let parsed = own_terms(terms, " of a, b");
-    assert_eq!(parsed.terms, own);
-    assert_eq!(parsed.is_own, ours);
+#[test_case(Some("soft 5 of b, a"), "settings of another router", false; "in another order")]
+#[test_case(Some("soft 5"), "settings of another router", false; "without names of indexes and tenants")]
+#[test_case(None, "settings of another router", false; "no settings")]
+fn engine_settings_are_own_only_with_the_same_names_in_the_same_order(
+    settings: Option<&str>,
+    expected: &str,
+    is_own: bool,
+) {
+    let parsed = parse_settings(settings, " of a, b");
+    assert_eq!(parsed.settings, expected);
+    assert_eq!(parsed.is_own, is_own);
 }
--- a/router/src/lifecycle/start.rs
+++ b/router/src/lifecycle/start.rs
@@ -17,13 +17,13 @@
 use crate::lifecycle::config::RouterConfig;
 use crate::lifecycle::control::{self, Control};
 use crate::lifecycle::parent::{self, ParentError};
-use crate::lifecycle::reload::Source;
-use crate::lifecycle::settings::{ControlTerms, Settings};
+use crate::lifecycle::reload::StartupFiles;
+use crate::lifecycle::settings::{ControlConfig, Settings};
 use crate::lifecycle::signals::{SignalError, Signals};
 use crate::lifecycle::sockets::{self, ListenError};
 use crate::lifecycle::takeover::{PreviousProcess, TakeoverError};
 use crate::lifecycle::tls::{self, Tls, TlsError};
-use crate::lifecycle::upgrade::{self, Start, Upgrades};
+use crate::lifecycle::upgrade::{self, LaunchSpec, Upgrades};
 use crate::lifecycle::{key_sources, logging, run, signals, takeover, watch};
 use crate::router::Router;
 use crate::stages::{dispatch, listener};
@@ -75,13 +75,13 @@
 pub(crate) fn serve(
     mut config: RouterConfig,
     settings: Settings,
-    source: Source,
+    files: StartupFiles,
     origin: Origin,
 ) -> Result<(), StartError> {
     logging::start(&settings.log);
     let settings = settings.for_router(&config.name);
     let signals = signals::listen()?;
-    let digest = digest(&source);
+    let digest = digest(&files);
     let descriptor_limit = sockets::raise_descriptor_limit(config.descriptor_limit);
     let tls = settings.tls.map(Tls::new).transpose()?;
     let addresses = std::iter::once(config.listen).chain(tls.as_ref().map(|tls| tls.listen));
@@ -113,7 +113,7 @@
         tls,
         known_endpoints,
         discovery_is_polled,
-        source,
+        files,
         digest,
     };
     let serving = serving.run(listeners, schedule, settings.control, signals);
@@ -125,13 +125,13 @@
 }
 
 /// The digest of what a router runs on, for the process that is to take its place.
-fn digest(source: &Source) -> u64 {
-    let settings = source
+fn digest(files: &StartupFiles) -> u64 {
+    let settings = files
         .settings
         .as_ref()
         .and_then(|path| std::fs::read(path).ok())
         .unwrap_or_default();
-    let fixed: String = source.fixed.iter().map(Value::to_string).collect();
+    let fixed: String = files.fixed.iter().map(Value::to_string).collect();
     u64::from(crc32fast::hash(fixed.as_bytes())) << 32 | u64::from(crc32fast::hash(&settings))
 }
 
@@ -148,7 +148,7 @@
     known_endpoints: Value,
     /// Whether the decision module asks for the endpoint list itself, rather than having it watched from the start on.
     discovery_is_polled: bool,
-    source: Source,
+    files: StartupFiles,
     digest: u64,
 }
 
@@ -158,7 +158,7 @@
         self,
         listeners: ListenerSource,
         schedule: WatchSchedule,
-        control: Option<ControlTerms>,
+        control: Option<ControlConfig>,
         signals: Signals,
     ) -> Result<Option<Child>, StartError> {
         self.spawn(watch::watch(Rc::clone(&self.router), schedule));
@@ -190,9 +190,9 @@
             .map(|settings| self.open_control(settings, &listeners, replaces_process))
             .transpose()?;
         let accepting = self.accept(listeners);
-        run::until_stopped(&self.router, signals, &self.source, accepting).await;
+        run::until_stopped(&self.router, signals, &self.files, accepting).await;
         let stays = control.filter(|control| {
-            control.terms.stays_as_parent && self.router.shutdown.is_handed_over()
+            control.config.stays_as_parent && self.router.shutdown.is_handed_over()
         });
         Ok(stays.and_then(|control| control.upgrades.successor.take()))
     }
@@ -215,7 +215,7 @@
     async fn take_over(
         &self,
         previous: PreviousProcess,
-        control: Option<&ControlTerms>,
+        control: Option<&ControlConfig>,
     ) -> Result<Vec<TcpListener>, StartError> {
         let timeouts = control.map(upgrade::step_timeouts).unwrap_or_default();
         let taken =
@@ -241,17 +241,17 @@
     /// A process that replaces another one serves already: it serves on, and tries again, where the socket cannot be opened yet.
     fn open_control(
         &self,
-        settings: ControlTerms,
+        settings: ControlConfig,
         listeners: &[Rc<Async<TcpListener>>],
         replaces_process: bool,
     ) -> Result<Rc<Control>, StartError> {
-        let start = Start {
+        let launch_spec = LaunchSpec {
             program: std::env::current_exe().map_err(StartError::Program)?,
-            config: self.source.path.clone(),
-            settings: self.source.settings.clone().unwrap_or_default(),
+            config: self.files.config.clone(),
+            settings: self.files.settings.clone().unwrap_or_default(),
         };
         let upgrades = Upgrades::new(&self.share, &settings, self.digest, listeners.to_vec());
-        let control = Rc::new(Control::new(settings, start, upgrades, &self.name));
+        let control = Rc::new(Control::new(settings, launch_spec, upgrades, &self.name));
         let router = Rc::clone(&self.router);
         match control::open(&control) {
             Ok(socket) => self.spawn(control::serve(router, Rc::clone(&control), socket)),
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -32,7 +32,7 @@
     router.listener.close();
     accepting.await;
     log_progress(router, "stopping: listener closed");
-    wait_until_nothing_owed(router, schedule).await;
+    wait_until_all_answered(router, schedule).await;
     log_progress(router, "stopping: exiting");
     log_totals(router);
 }
@@ -82,17 +82,17 @@
 }
 
 /// Closes connections without a request and waits until nothing is owed, or until the process may be killed.
-async fn wait_until_nothing_owed(router: &Router, schedule: ShutdownSchedule) {
+async fn wait_until_all_answered(router: &Router, schedule: ShutdownSchedule) {
     router.listener.mark_closed();
     // Only those that are idle: one that closes in order has a response on its way.
     router.clients.close_in_state(ClientState::Idle, |_| true);
     loop {
         let now = router.clock.now();
         let clients = router.descriptors.clients();
-        let owed = clients.saturating_sub(router.clients.count_without_request());
+        let unanswered_clients = clients.saturating_sub(router.clients.count_without_request());
         // A process that hands over leaves when that is done: whoever asked for it is owed the outcome.
         let handing_over = router.client_transfer.is_active() && !router.shutdown.is_handed_over();
-        if schedule.may_exit(now, clients + usize::from(handing_over), owed) {
+        if schedule.may_exit(now, clients + usize::from(handing_over), unanswered_clients) {
             return;
         }
         // Connections that had brought no request yet were left open, and got first requests up to the kill.
--- a/router/src/lifecycle/tls.rs
+++ b/router/src/lifecycle/tls.rs
@@ -21,9 +21,9 @@
 use crate::stages::auth_filter::AuthFilter;
 
 /// The longest of these files, in bytes.
-const FILE_BOUND: u64 = LIST_BOUND as u64;
+const MAX_FILE_BYTES: u64 = LIST_BOUND as u64;
 /// Sessions that may be resumed; each holds its client's certificate.
-const SESSIONS: usize = 128;
+const MAX_RESUMABLE_SESSIONS: usize = 128;
 
 /// Why TLS files cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -79,7 +79,7 @@
     pub(crate) listen: SocketAddr,
     config: RefCell<Arc<ServerConfig>>,
     /// Counts the changes of the authorities.
-    epoch: Cell<u64>,
+    authorities_epoch: Cell<u64>,
     authorities: RefCell<Authorities>,
     /// Kept when other files change; new authorities begin with none.
     sessions: RefCell<Sessions>,
@@ -92,7 +92,7 @@
         path: path.to_owned(),
         source,
     };
-    if std::fs::metadata(path).map_err(unreadable)?.len() > FILE_BOUND {
+    if std::fs::metadata(path).map_err(unreadable)?.len() > MAX_FILE_BYTES {
         let path = path.to_owned();
         return Err(TlsError::TooLong { path });
     }
@@ -174,13 +174,13 @@
     pub(crate) fn new(settings: TlsSettings) -> Result<Rc<Tls>, TlsError> {
         let listen = settings.listen.parse().map_err(|_| TlsError::Listen)?;
         let authorities = read_authorities(&settings)?;
-        let sessions = ServerSessionMemoryCache::new(SESSIONS);
+        let sessions = ServerSessionMemoryCache::new(MAX_RESUMABLE_SESSIONS);
         let config = build_config(&settings, &authorities, Arc::clone(&sessions))?;
         let tls = Tls {
             settings,
             listen,
             config: RefCell::new(config),
-            epoch: Cell::new(0),
+            authorities_epoch: Cell::new(0),
             authorities: RefCell::new(authorities),
             sessions: RefCell::new(sessions),
             files_in_use: RefCell::default(),
@@ -195,8 +195,8 @@
     }
 
     /// Counts the changes of the authorities: who a connection's certificate stands for holds for one epoch.
-    pub(crate) fn epoch(&self) -> u64 {
-        self.epoch.get()
+    pub(crate) fn authorities_epoch(&self) -> u64 {
+        self.authorities_epoch.get()
     }
 
     fn file_versions(&self) -> Vec<FileVersion> {
@@ -218,10 +218,10 @@
             self.config.replace(config);
             return Ok(());
         }
-        let sessions = ServerSessionMemoryCache::new(SESSIONS);
+        let sessions = ServerSessionMemoryCache::new(MAX_RESUMABLE_SESSIONS);
         let config = build_config(&self.settings, &authorities, Arc::clone(&sessions))?;
         self.sessions.replace(sessions);
-        self.epoch.set(self.epoch.get() + 1);
+        self.authorities_epoch.set(self.authorities_epoch.get() + 1);
         self.authorities.replace(authorities);
         self.config.replace(config);
         Ok(())
--- a/router/src/lifecycle/upgrade.rs
+++ b/router/src/lifecycle/upgrade.rs
@@ -17,12 +17,12 @@
 use ternpick_hot_restart::{OldProcess, StepTimeouts};
 
 use crate::lifecycle::capacity_share::CapacityShare;
-use crate::lifecycle::settings::ControlTerms;
+use crate::lifecycle::settings::ControlConfig;
 use crate::router::Router;
 
 /// What a new process is started as.
 #[derive(Clone, Debug)]
-pub(crate) struct Start {
+pub(crate) struct LaunchSpec {
     /// The program.
     pub(crate) program: PathBuf,
     /// Its configuration file.
@@ -50,7 +50,7 @@
 }
 
 /// How long each step of an upgrade may take.
-pub(crate) fn step_timeouts(settings: &ControlTerms) -> StepTimeouts {
+pub(crate) fn step_timeouts(settings: &ControlConfig) -> StepTimeouts {
     StepTimeouts {
         hello: Micros(settings.hello_timeout),
         step: Micros(settings.step_timeout),
@@ -77,7 +77,7 @@
     /// For a process that runs on the settings of this `digest`.
     pub(crate) fn new(
         share: &Rc<CapacityShare>,
-        settings: &ControlTerms,
+        settings: &ControlConfig,
         digest: u64,
         listeners: Vec<Rc<Async<TcpListener>>>,
     ) -> Self {
@@ -97,8 +97,8 @@
 pub(crate) async fn upgrade(
     router: &Rc<Router>,
     upgrades: &Upgrades,
-    start: &Start,
-    report: &mut dyn FnMut(&str),
+    launch_spec: &LaunchSpec,
+    on_step: &mut dyn FnMut(&str),
 ) -> Result<(), UpgradeError> {
     let begun = upgrades
         .machine
@@ -106,7 +106,7 @@
         .start(router.clock.now(), upgrades.share.current());
     let effects = begun.map_err(|error| UpgradeError::NotNow(error.to_string()))?;
     upgrades.begun.set(upgrades.begun.get() + 1);
-    let driver = driver::Driver::new(router, upgrades, start, report);
+    let driver = driver::Driver::new(router, upgrades, launch_spec, on_step);
     let new_process = driver.run(effects).await?;
     upgrades.successor.replace(new_process);
     Ok(())
--- a/router/src/lifecycle/upgrade/driver.rs
+++ b/router/src/lifecycle/upgrade/driver.rs
@@ -14,7 +14,7 @@
 use ternpick::types::Micros;
 use ternpick_hot_restart::{Effect, Lease, Message, NewProcessEvent};
 
-use super::{Start, UpgradeError, Upgrades};
+use super::{LaunchSpec, UpgradeError, Upgrades};
 use crate::lifecycle::capacity_share::Role;
 use crate::lifecycle::hot_restart_link::Link;
 use crate::lifecycle::snapshot::Snapshot;
@@ -25,11 +25,11 @@
 /// How often it is checked whether the new process lives, and whether anything is left here.
 const CHECK_INTERVAL: Micros = Micros(10_000);
 /// A link that has ended while the process lives is only broken once the process had the time to be seen dead.
-const DEATH_SEEN_WITHIN: Micros = Micros(200_000);
+const DEATH_DETECTION_WINDOW: Micros = Micros(200_000);
 /// How long passing a client's connection on may take.
 const PASS_TIMEOUT: Micros = Micros(1_000_000);
 /// Bytes of the snapshot in one message.
-const SNAPSHOT_PIECE: usize = 64 * 1024;
+const SNAPSHOT_PIECE_BYTES: usize = 64 * 1024;
 
 /// Why the new process could not be started.
 #[derive(Debug, thiserror::Error)]
@@ -52,16 +52,16 @@
 pub(super) struct Driver<'a> {
     router: &'a Rc<Router>,
     upgrades: &'a Upgrades,
-    start: &'a Start,
-    report: &'a mut dyn FnMut(&str),
+    launch_spec: &'a LaunchSpec,
+    on_step: &'a mut dyn FnMut(&str),
     link: Option<Link>,
     child: Option<Child>,
     /// Whether the new process has been asked to end; the next time it is killed.
-    asked_to_end: bool,
+    termination_requested: bool,
     /// When the link was first found broken.
     link_broken_at: Option<Micros>,
     /// Whether the protocol has been told so.
-    link_broken_reported: bool,
+    link_broken_handled: bool,
     /// Nothing is left here.
     finished: bool,
     /// What the upgrade fails with, if it fails.
@@ -72,19 +72,19 @@
     pub(super) fn new(
         router: &'a Rc<Router>,
         upgrades: &'a Upgrades,
-        start: &'a Start,
-        report: &'a mut dyn FnMut(&str),
+        launch_spec: &'a LaunchSpec,
+        on_step: &'a mut dyn FnMut(&str),
     ) -> Self {
         Driver {
             router,
             upgrades,
-            start,
-            report,
+            launch_spec,
+            on_step,
             link: None,
             child: None,
-            asked_to_end: false,
+            termination_requested: false,
             link_broken_at: None,
-            link_broken_reported: false,
+            link_broken_handled: false,
             finished: false,
             failure: "the new process has ended".into(),
         }
@@ -159,10 +159,10 @@
             return;
         };
         if event == NewProcessEvent::LinkBroken {
-            if self.link_broken_reported {
+            if self.link_broken_handled {
                 return;
             }
-            self.link_broken_reported = true;
+            self.link_broken_handled = true;
         }
         let effects = self
             .upgrades
@@ -188,7 +188,7 @@
         }
         let now = self.router.clock.now();
         let broken_since = self.link_broken_at?;
-        (now.since(broken_since) >= DEATH_SEEN_WITHIN).then_some(NewProcessEvent::LinkBroken)
+        (now.since(broken_since) >= DEATH_DETECTION_WINDOW).then_some(NewProcessEvent::LinkBroken)
     }
 
     fn note_broken_link(&mut self) {
@@ -220,14 +220,14 @@
     }
 
     fn spawn(&mut self) {
-        match start_process(self.start) {
+        match start_process(self.launch_spec) {
             Ok((child, link)) => {
                 self.child = Some(child);
                 self.link = Some(link);
             }
             Err(error) => {
                 self.failure = error.to_string();
-                (self.report)(&self.failure);
+                (self.on_step)(&self.failure);
                 self.child = None;
             }
         }
@@ -257,11 +257,11 @@
 
     async fn pass_snapshot(&mut self) {
         let bytes = Snapshot::take(self.router).bytes();
-        (self.report)(&format!("state: {} bytes", bytes.len()));
-        let pieces = bytes.chunks(SNAPSHOT_PIECE);
+        (self.on_step)(&format!("state: {} bytes", bytes.len()));
+        let pieces = bytes.chunks(SNAPSHOT_PIECE_BYTES);
         let count = pieces.len();
-        for (at, piece) in pieces.enumerate() {
-            let left = u32::try_from(count - 1 - at).unwrap_or(u32::MAX);
+        for (index, piece) in pieces.enumerate() {
+            let left = u32::try_from(count - 1 - index).unwrap_or(u32::MAX);
             let piece = piece.to_vec();
             self.send(&Message::State { left, piece }, &[]).await;
         }
@@ -281,12 +281,12 @@
         let Some(child) = &mut self.child else {
             return;
         };
-        let ended = if self.asked_to_end {
+        let ended = if self.termination_requested {
             child.kill().is_ok()
         } else {
             kill_process(Pid::from_child(child), Signal::TERM).is_ok()
         };
-        self.asked_to_end = true;
+        self.termination_requested = true;
         if !ended {
             tracing::debug!("hot restart: the new process has ended already");
         }
@@ -294,7 +294,7 @@
 
     fn log(&mut self, step: &str) {
         tracing::info!(step, "hot restart: old process");
-        (self.report)(step);
+        (self.on_step)(step);
         if let Some((_, reason)) = step.split_once("given up, ") {
             self.failure = reason.to_owned();
         }
@@ -371,20 +371,20 @@
 }
 
 /// Starts the new process, with its end of the link as its standard input.
-fn start_process(start: &Start) -> Result<(Child, Link), SpawnError> {
+fn start_process(launch_spec: &LaunchSpec) -> Result<(Child, Link), SpawnError> {
     let (ours, theirs) = UnixStream::pair().map_err(SpawnError::Link)?;
-    let child = Command::new(&start.program)
+    let child = Command::new(&launch_spec.program)
         .arg("serve")
         .arg("--config")
-        .arg(&start.config)
+        .arg(&launch_spec.config)
         .arg("--settings")
-        .arg(&start.settings)
+        .arg(&launch_spec.settings)
         .arg("--take-over")
         .arg(std::process::id().to_string())
         .stdin(Stdio::from(OwnedFd::from(theirs)))
         .spawn()
         .map_err(|source| SpawnError::Program {
-            program: start.program.clone(),
+            program: launch_spec.program.clone(),
             source,
         })?;
     let link = Link::new(ours).map_err(SpawnError::Link)?;
--- a/router/src/lifecycle/watch.rs
+++ b/router/src/lifecycle/watch.rs
@@ -83,10 +83,10 @@
             if let Some(fleet) = &router.fleet {
                 fleet.lists(&name, &mut endpoint);
             }
-            let (node, new_there) = effects.nodes.apply_entry(&name, address, endpoint.state);
+            let (node, address_is_new) = effects.nodes.apply_entry(&name, address, endpoint.state);
             endpoint.node = node;
             // The decision module's lines name nodes by these numbers.
-            if new_there {
+            if address_is_new {
                 let node = format_args!("{:x}", node.0);
                 tracing::info!(%node, name, %address, "endpoint list: node at a new address");
             }
--- a/router/src/stages/auth_filter.rs
+++ b/router/src/stages/auth_filter.rs
@@ -22,7 +22,7 @@
 
 pub(crate) use crate::stages::auth_filter::answers::reserve;
 
-use crate::lifecycle::settings::IdentityTerms;
+use crate::lifecycle::settings::IdentityConfig;
 use crate::router::Router;
 use crate::stages::admission::text_answer;
 use crate::state::clients::Answer;
@@ -88,7 +88,7 @@
 }
 
 /// Returns the tenants' limits in the order of their numbers. Numbers without a tenant get [`ZERO_LIMITS`].
-fn tenant_limits(identity: &Identity, settings: &IdentityTerms) -> Vec<LimitTerms> {
+fn tenant_limits(identity: &Identity, settings: &IdentityConfig) -> Vec<LimitTerms> {
     let mut limits = Vec::new();
     for (name, number) in identity.rights.tenants() {
         let position = usize::from(number.0);
@@ -111,11 +111,11 @@
     /// Creates the filter and the tenants' limits from the settings. `seed` varies the times at which sources are
     /// polled.
     pub(crate) fn new(
-        settings: &IdentityTerms,
+        settings: &IdentityConfig,
         seed: u64,
     ) -> Result<(AuthFilter, Limits), TermsFault> {
         let identity = Identity::new(settings.terms.clone())?;
-        let limits = Limits::new(tenant_limits(&identity, settings), settings.whole);
+        let limits = Limits::new(tenant_limits(&identity, settings), settings.shared_limit);
         let keys = settings.terms.keys.as_ref();
         let feed = settings.terms.revocations.as_ref();
         let filter = AuthFilter {
@@ -133,7 +133,7 @@
     }
 
     /// Returns the queries per second of each tenant, for the routing engine's quotas.
-    pub(crate) fn quotas(&self, settings: &IdentityTerms) -> Vec<f64> {
+    pub(crate) fn quotas(&self, settings: &IdentityConfig) -> Vec<f64> {
         tenant_limits(&self.identity.borrow(), settings)
             .iter()
             .map(|limits| limits.per_second)
--- a/router/src/stages/auth_filter/updates.rs
+++ b/router/src/stages/auth_filter/updates.rs
@@ -8,7 +8,7 @@
 use ternpick_identity::{Change, Identity, KeyId, KeySet, Page, TermsFault, Trust};
 use ternpick_tenant_limits::Limits;
 
-use crate::lifecycle::settings::IdentityTerms;
+use crate::lifecycle::settings::IdentityConfig;
 use crate::stages::auth_filter::{tenant_limits, AuthFilter};
 
 impl AuthFilter {
@@ -70,12 +70,12 @@
     /// Applies new settings; updates `limits` with the tenants' limits.
     pub(crate) fn update_settings(
         &self,
-        new: IdentityTerms,
+        new: IdentityConfig,
         limits: &mut Limits,
     ) -> Result<(), TermsFault> {
         let mut identity = self.identity.borrow_mut();
         identity.told_of_terms(new.terms.clone())?;
-        limits.update(tenant_limits(&identity, &new), new.whole);
+        limits.update(tenant_limits(&identity, &new), new.shared_limit);
         Ok(())
     }
 
--- a/router/src/stages/tls_stream.rs
+++ b/router/src/stages/tls_stream.rs
@@ -43,7 +43,7 @@
         Ok(TlsStream {
             connection: ServerConnection::new(tls.config())?,
             socket,
-            authorities_epoch: tls.epoch(),
+            authorities_epoch: tls.authorities_epoch(),
             tls: Rc::clone(tls),
             certificate: None,
             may_have_more: false,
@@ -161,7 +161,7 @@
         }
         self.certificate
             .clone()
-            .filter(|_| self.authorities_epoch == self.tls.epoch())
+            .filter(|_| self.authorities_epoch == self.tls.authorities_epoch())
     }
 
     /// Returns the memory in use besides the buffers of the owner, in bytes.
