--- a/router/src/fleet/admission.rs
+++ b/router/src/fleet/admission.rs
@@ -12,14 +12,14 @@
 
 /// The policy under which a query was admitted, as its answer tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Mark {
+pub(crate) struct PolicyMark {
     /// The policy's version.
     pub(crate) version: Version,
     /// Whether it was admitted without a lease.
     pub(crate) unguarded: bool,
 }
 
-impl Mark {
+impl PolicyMark {
     /// Header lines of the answer.
     pub(crate) fn headers(self) -> String {
         let guard = if self.unguarded {
@@ -33,13 +33,13 @@
 
 impl Fleet {
     /// Has queries that wait for admission ask again.
-    pub(crate) fn look_again(&self) {
+    pub(crate) fn notify_admission_changed(&self) {
         self.admission_changed.notify(usize::MAX);
     }
 
     /// Waits while a policy change takes effect, until `give_up_at` at most; what holds then is for [`Fleet::admit`], in the
     /// same turn.
-    pub(crate) async fn settled(&self, router: &Router, give_up_at: Micros) {
+    pub(crate) async fn wait_for_policy_change(&self, router: &Router, give_up_at: Micros) {
         loop {
             let changed = self.admission_changed.listen();
             let Admission::Wait(until) = self
@@ -62,13 +62,13 @@
     }
 
     /// The policy under which a query is admitted now, or else its answer.
-    pub(crate) fn admit(&self, now: Micros) -> Result<Mark, Answer> {
+    pub(crate) fn admit(&self, now: Micros) -> Result<PolicyMark, Answer> {
         match self.node.borrow().lease_holder.admission(now) {
-            Admission::Leased(version) => Ok(Mark {
+            Admission::Leased(version) => Ok(PolicyMark {
                 version,
                 unguarded: false,
             }),
-            Admission::Unguarded(version) => Ok(Mark {
+            Admission::Unguarded(version) => Ok(PolicyMark {
                 version,
                 unguarded: true,
             }),
--- a/router/src/fleet/cli/mod.rs
+++ b/router/src/fleet/cli/mod.rs
@@ -22,11 +22,7 @@
 
 use std::process::ExitCode;
 
-use arguments::PolicyCommand;
-
-/// The name by which the program's command line has it.
-pub(crate) use arguments::PolicyCommand as Policy;
-pub(crate) use arguments::{FleetCommand, OperationOptions, Wait};
+pub(crate) use arguments::{FleetCommand, OperationOptions, PolicyCommand, Wait};
 pub(crate) use client::{ask_fleet, submit, INSPECTION_WAIT_MS};
 pub(crate) use error::{CommandError, CommandResult};
 pub(crate) use exit_status::ExitStatus;
--- a/router/src/fleet/endpoints.rs
+++ b/router/src/fleet/endpoints.rs
@@ -36,7 +36,7 @@
 
 impl Fleet {
     /// Takes an endpoint that discovery lists, and makes its state the stricter of discovery's and the fleet's.
-    pub(crate) fn lists(&self, name: &str, endpoint: &mut Endpoint) {
+    pub(crate) fn endpoint_listed(&self, name: &str, endpoint: &mut Endpoint) {
         let mut endpoints = self.endpoints.borrow_mut();
         if endpoint.state == EndpointState::Gone {
             endpoints.listed.remove(name);
@@ -47,7 +47,7 @@
     }
 
     /// Discovery's whole list has these names: others are removed.
-    pub(crate) fn lists_only(&self, names: &BTreeSet<&str>) {
+    pub(crate) fn retain_listed_endpoints(&self, names: &BTreeSet<&str>) {
         self.endpoints
             .borrow_mut()
             .listed
@@ -55,7 +55,7 @@
     }
 
     /// The state in which discovery itself last listed an endpoint.
-    pub(crate) fn discovery_says(&self, name: &str) -> Option<EndpointState> {
+    pub(crate) fn discovery_state(&self, name: &str) -> Option<EndpointState> {
         let endpoints = self.endpoints.borrow();
         endpoints.listed.get(name).map(|endpoint| endpoint.state)
     }
--- a/router/src/fleet/maintenance_cli/arguments.rs
+++ b/router/src/fleet/maintenance_cli/arguments.rs
@@ -46,7 +46,7 @@
         #[command(flatten)]
         options: OperationOptions,
         #[command(flatten)]
-        which: MachineSelection,
+        selection: MachineSelection,
         #[arg(long)]
         why: String,
         #[arg(long)]
@@ -57,7 +57,7 @@
         #[command(flatten)]
         socket: Socket,
         #[command(flatten)]
-        which: MachineSelection,
+        selection: MachineSelection,
     },
     /// Lists the machines in work: states, since when, who waits for what
     List {
--- a/router/src/fleet/maintenance_cli/client.rs
+++ b/router/src/fleet/maintenance_cli/client.rs
@@ -40,24 +40,24 @@
 }
 
 /// A request for machines. Machines of groups and zones are looked up by the router.
-pub(super) fn machine_request(which: &MachineSelection, why: &str, by: &str) -> Value {
+pub(super) fn machine_request(selection: &MachineSelection, why: &str, by: &str) -> Value {
     let request = json!({
         "machines": [],
         "why": why,
         "by": by,
-        "lasts": as_micros(which.lasts),
-        "not_before": which.after.map(wall_clock_in_ms),
-        "by_when": which.within.map(wall_clock_in_ms),
-        "priority": which.priority,
-        "together": which.together,
+        "lasts": as_micros(selection.lasts),
+        "not_before": selection.after.map(wall_clock_in_ms),
+        "by_when": selection.within.map(wall_clock_in_ms),
+        "priority": selection.priority,
+        "together": selection.together,
     });
     json!({
         "ask": "works",
         "request": request,
-        "machines": which.machines,
-        "groups": which.group,
-        "zones": which.zone,
-        "up_for": which.up_for.map(as_micros),
+        "machines": selection.machines,
+        "groups": selection.group,
+        "zones": selection.zone,
+        "up_for": selection.up_for.map(as_micros),
     })
 }
 
--- a/router/src/fleet/maintenance_cli/mod.rs
+++ b/router/src/fleet/maintenance_cli/mod.rs
@@ -11,15 +11,12 @@
 
 use std::process::ExitCode;
 
-/// The name by which the program's command line has it.
-pub(crate) use arguments::MaintenanceCommand as Works;
-
-use arguments::MaintenanceCommand;
+pub(crate) use arguments::MaintenanceCommand;
 
 use crate::fleet::cli::{exit_code, CommandResult};
 
 /// Runs a command `ternpick maintenance ...`; the error is one line for the operator.
-pub(crate) fn works(command: Works) -> Result<ExitCode, String> {
+pub(crate) fn maintenance(command: MaintenanceCommand) -> Result<ExitCode, String> {
     exit_code(run(command))
 }
 
@@ -27,11 +24,11 @@
     match command {
         MaintenanceCommand::Ask {
             options,
-            which,
+            selection,
             why,
             by,
-        } => operations::ask(&options, &which, &why, &by),
-        MaintenanceCommand::Plan { socket, which } => plan::run(&socket, &which),
+        } => operations::ask(&options, &selection, &why, &by),
+        MaintenanceCommand::Plan { socket, selection } => plan::run(&socket, &selection),
         MaintenanceCommand::List { socket } => list::list(&socket),
         MaintenanceCommand::Show { socket, request } => list::show(&socket, request),
         MaintenanceCommand::Next { options, request } => next::run(&options, request),
--- a/router/src/fleet/maintenance_cli/operations.rs
+++ b/router/src/fleet/maintenance_cli/operations.rs
@@ -10,11 +10,11 @@
 
 pub(super) fn ask(
     options: &OperationOptions,
-    which: &MachineSelection,
+    selection: &MachineSelection,
     why: &str,
     by: &str,
 ) -> CommandResult {
-    let answer = submit(options, machine_request(which, why, by))?;
+    let answer = submit(options, machine_request(selection, why, by))?;
     finish(&options.socket, &answer, || {
         format!("request {} is taken", answer["number"])
     })
--- a/router/src/fleet/maintenance_cli/plan.rs
+++ b/router/src/fleet/maintenance_cli/plan.rs
@@ -10,8 +10,8 @@
 };
 use crate::lifecycle::control::Socket;
 
-pub(super) fn run(socket: &Socket, which: &MachineSelection) -> CommandResult {
-    let mut question = machine_request(which, "", "");
+pub(super) fn run(socket: &Socket, selection: &MachineSelection) -> CommandResult {
+    let mut question = machine_request(selection, "", "");
     question["what"] = "works-plan".into();
     question["wait_ms"] = INSPECTION_WAIT_MS.into();
     let answer = ask_fleet(socket, question)?;
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -42,7 +42,7 @@
 use crate::router::Router;
 use crate::state::log_limit::LogLimit;
 
-pub(crate) use admission::Mark;
+pub(crate) use admission::PolicyMark;
 use endpoints::EndpointOverrides;
 use maintenance::MaintenanceParticipant;
 use peer_inbox::PeerInbox;
--- a/router/src/lifecycle/cli.rs
+++ b/router/src/lifecycle/cli.rs
@@ -62,13 +62,13 @@
     Control(control::ControlCommand),
     /// Shows, proposes and withdraws the fleet's policy
     #[command(subcommand)]
-    Policy(fleet::Policy),
+    Policy(fleet::PolicyCommand),
     /// Tells and changes who belongs to the fleet, and who votes
     #[command(subcommand)]
     Fleet(fleet::FleetCommand),
     /// Takes machines out of service for maintenance, in an order that the routers agree on, and back
     #[command(subcommand, name = "maintenance", visible_alias = "works")]
-    Works(maintenance_cli::Works),
+    Works(maintenance_cli::MaintenanceCommand),
     /// Tells what callers may do
     #[command(subcommand)]
     Rights(key_commands::RightsCommand),
@@ -102,7 +102,7 @@
         Command::Control(command) => return Ok(control::run(command)?),
         Command::Policy(command) => return Ok(fleet::policy(command)?),
         Command::Fleet(command) => return Ok(fleet::fleet(command)?),
-        Command::Works(command) => return Ok(maintenance_cli::works(command)?),
+        Command::Works(command) => return Ok(maintenance_cli::maintenance(command)?),
         Command::Version => println!("ternpick {}", env!("CARGO_PKG_VERSION")),
     }
     Ok(ExitCode::SUCCESS)
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -82,7 +82,7 @@
         // Discovery's own state: what operators take out is the fleet's, and the new process learns it from there.
         // Seen: a machine that was out at an upgrade never came back, the new process had it from discovery.
         let fleet = router.fleet.as_ref();
-        let at_discovery = fleet.and_then(|fleet| fleet.discovery_says(name));
+        let at_discovery = fleet.and_then(|fleet| fleet.discovery_state(name));
         let status = match at_discovery.unwrap_or(endpoint.state) {
             EndpointState::Ready => "Ready",
             EndpointState::Draining => "Terminating",
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -22,7 +22,7 @@
     router.shutdown.begin(schedule);
     router.apply(|engine, now, effects| engine.shutdown_started(now, schedule.answers_by, effects));
     if let Some(fleet) = &router.fleet {
-        fleet.look_again();
+        fleet.notify_admission_changed();
     }
     if let Some(auth) = &router.auth {
         auth.recheck_waiting_requests();
--- a/router/src/lifecycle/watch.rs
+++ b/router/src/lifecycle/watch.rs
@@ -81,7 +81,7 @@
     match discovery::parse_entry(entry, &effects.bounds.zone_names) {
         Ok((name, address, mut endpoint)) => {
             if let Some(fleet) = &router.fleet {
-                fleet.lists(&name, &mut endpoint);
+                fleet.endpoint_listed(&name, &mut endpoint);
             }
             let (node, new_there) = effects.nodes.apply_entry(&name, address, endpoint.state);
             endpoint.node = node;
@@ -110,7 +110,7 @@
         .iter()
         .filter_map(|entry| entry["name"].as_str())
         .collect();
-    fleet.lists_only(&names);
+    fleet.retain_listed_endpoints(&names);
 }
 
 /// Watches whenever the decision module wants it, from the version that the router started with.
--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -12,7 +12,7 @@
 use ternpick_wire::http::Reader;
 use ternpick_wire::query;
 
-use crate::fleet::Mark;
+use crate::fleet::PolicyMark;
 use crate::router::Router;
 use crate::stages::auth_filter;
 use crate::stages::dispatch::{self, NewQuery, NewShardRequest};
@@ -158,7 +158,7 @@
 
 /// Checks a well-formed query against the queries in flight and the fleet's lease; returns the policy that applies to
 /// it.
-fn check_capacity(router: &Router, request_id: &str) -> Result<Option<Mark>, Answer> {
+fn check_capacity(router: &Router, request_id: &str) -> Result<Option<PolicyMark>, Answer> {
     let mut decisions = router.decisions.borrow_mut();
     if decisions.effects.in_flight.has_request(request_id) {
         return Err(text_answer(400, "Req-Id is in hand already"));
@@ -194,7 +194,7 @@
     now: Micros,
     time_left: Micros,
     tenant: Option<CustomerNo>,
-    mark: Option<Mark>,
+    mark: Option<PolicyMark>,
     checked: QueryRequest,
 ) -> AdmissionOutcome {
     let reply = Rc::new(PendingResponse::default());
--- a/router/src/stages/admission_wait.rs
+++ b/router/src/stages/admission_wait.rs
@@ -44,7 +44,7 @@
             let wait_until = Micros((arrived_at + deadline).0 - reserve.0);
             self.wait_for_sources(wait_until).await;
             if let Some(fleet) = &self.router.fleet {
-                fleet.settled(&self.router, wait_until).await;
+                fleet.wait_for_policy_change(&self.router, wait_until).await;
             }
         }
         let now = self.router.clock.now();
--- a/router/src/stages/completion.rs
+++ b/router/src/stages/completion.rs
@@ -22,7 +22,7 @@
 
 pub(crate) use crate::stages::completion::counts::Counts;
 
-use crate::fleet::Mark;
+use crate::fleet::PolicyMark;
 use crate::stages::upstream_reader::UnusableInput;
 use crate::stages::upstream_writer;
 use crate::state::in_flight::{AttemptKey, AttemptProgress, InFlightTable, OutgoingAttempt};
@@ -199,7 +199,11 @@
         for shard_request in &query.shard_requests {
             self.end_unwritten_attempts(shard_request.id);
         }
-        let mark = query.admission.mark.map(Mark::headers).unwrap_or_default();
+        let mark = query
+            .admission
+            .mark
+            .map(PolicyMark::headers)
+            .unwrap_or_default();
         query.reply.set(status, headers + &mark, body);
     }
 
--- a/router/src/state/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -9,7 +9,7 @@
 
 use ternpick::types::{AttemptNo, CustomerNo, Micros, NodeId, QueryId, ShardNo, ShardRequestId};
 
-use crate::fleet::Mark;
+use crate::fleet::PolicyMark;
 use crate::state::clients::PendingResponse;
 pub(crate) use crate::state::ids::AttemptKey;
 use crate::state::ids::ConnectionId;
@@ -38,7 +38,7 @@
     /// Its soft deadline.
     pub(crate) latency_objective: Micros,
     /// The policy that it is decided under; none where the fleet agrees on none.
-    pub(crate) mark: Option<Mark>,
+    pub(crate) mark: Option<PolicyMark>,
     /// Follows the query through the stages.
     pub(crate) span: tracing::Span,
 }
