--- a/router/src/state/in_flight.rs
+++ b/router/src/state/in_flight.rs
@@ -9,7 +9,7 @@
 
 use ternpick::types::{AttemptNo, CustomerNo, Micros, NodeId, QueryId, ShardNo, ShardRequestId};
 
-use crate::fleet::Mark;
+use crate::fleet::PolicyMark;
 use crate::state::clients::PendingResponse;
 pub(crate) use crate::state::ids::AttemptKey;
 use crate::state::ids::ConnectionId;
@@ -38,7 +38,7 @@
     /// Its latency objective.
     pub(crate) latency_objective: Micros,
     /// The policy that applies to it; `None` if the router follows no fleet policy.
-    pub(crate) mark: Option<Mark>,
+    pub(crate) mark: Option<PolicyMark>,
     /// The tracing span in which all stages log the query.
     pub(crate) span: tracing::Span,
 }
