--- a/router/src/stages/admission.rs
+++ b/router/src/stages/admission.rs
@@ -8,11 +8,11 @@
 
 use serde_json::Value;
 use ternpick::types::{CustomerNo, IndexNo, Micros, QueryId, RetrySemantics};
-use ternpick_identity::{Ask, Certificate};
+use ternpick_identity::{AuthRequest, Certificate};
 use ternpick_wire::http::Reader;
 use ternpick_wire::query;
 
-use crate::fleet::Mark;
+use crate::fleet::PolicyMark;
 use crate::router::Router;
 use crate::stages::auth_filter;
 use crate::stages::dispatch::{self, NewQuery, NewShardRequest};
@@ -136,7 +136,7 @@
     certificate: Option<&'a Rc<Certificate>>,
     index: Option<IndexNo>,
     fields: Option<&'a Value>,
-) -> Result<Ask<'a>, Answer> {
+) -> Result<AuthRequest<'a>, Answer> {
     let token = auth_filter::bearer_token(request)?;
     let idempotent = index.is_none_or(|index| {
         let decisions = router.decisions.borrow();
@@ -146,7 +146,7 @@
     let statement = fields
         .and_then(|fields| query::statement(fields).ok())
         .unwrap_or_default();
-    Ok(Ask {
+    Ok(AuthRequest {
         token,
         certificate: certificate.map(Rc::as_ref),
         behalf: request.header("on-behalf-of"),
@@ -158,7 +158,7 @@
 
 /// Checks a well-formed query against the queries in flight and the fleet's lease; returns the policy that applies to
 /// it.
-fn check_capacity(router: &Router, request_id: &str) -> Result<Option<Mark>, Answer> {
+fn check_capacity(router: &Router, request_id: &str) -> Result<Option<PolicyMark>, Answer> {
     let mut decisions = router.decisions.borrow_mut();
     if decisions.effects.in_flight.has_request(request_id) {
         return Err(text_answer(400, "Req-Id is in hand already"));
@@ -194,14 +194,14 @@
     now: Micros,
     time_left: Micros,
     tenant: Option<CustomerNo>,
-    mark: Option<Mark>,
+    mark: Option<PolicyMark>,
     checked: QueryRequest,
 ) -> AdmissionOutcome {
     let reply = Rc::new(PendingResponse::default());
     let mut decisions = router.decisions.borrow_mut();
     let latency_objective =
         decisions.engine.config.indexes[checked.index.as_usize()].latency_objective;
-    let admitted_as = AdmissionRecord {
+    let admission_record = AdmissionRecord {
         tenant,
         admitted_at: now,
         latency_objective,
@@ -219,7 +219,7 @@
         checked.idempotency_key,
         shards,
         Rc::clone(&reply),
-        admitted_as,
+        admission_record,
     );
     drop(decisions);
     let shard_requests = ids
