--- a/router/src/lifecycle/build.rs
+++ b/router/src/lifecycle/build.rs
@@ -14,7 +14,7 @@
 use crate::fleet::Fleet;
 use crate::lifecycle::clock::Clock;
 use crate::lifecycle::config::RouterConfig;
-use crate::lifecycle::settings::{FleetConfig, IdentityConfig};
+use crate::lifecycle::settings::{FleetConfig, IdentitySettings};
 use crate::router::{Decisions, Router};
 use crate::stages::auth_filter::AuthFilter;
 use crate::stages::completion::EffectQueue;
@@ -50,7 +50,7 @@
     /// The configuration file.
     pub(crate) config: RouterConfig,
     /// Identity's settings; everybody may send queries without them.
-    pub(crate) identity: Option<IdentityConfig>,
+    pub(crate) identity: Option<IdentitySettings>,
     /// The fleet's settings; the router belongs to none without them.
     pub(crate) fleet: Option<FleetConfig>,
     /// File descriptors that the process may hold.
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -237,7 +237,7 @@
 }
 
 /// Identity's settings, and the limits of its tenants.
-pub(crate) struct IdentityConfig {
+pub(crate) struct IdentitySettings {
     /// Who may do what.
     pub(crate) terms: IdentityConfig,
     /// Limits of tenants, by name.
@@ -253,7 +253,7 @@
     /// The control socket; off without it.
     pub(crate) control: Option<ControlConfig>,
     /// Identity and limits of tenants; off without it.
-    pub(crate) identity: Option<IdentityConfig>,
+    pub(crate) identity: Option<IdentitySettings>,
     /// The TLS listener; off without it.
     pub(crate) tls: Option<TlsSettings>,
     /// The fleet; off without it.
@@ -300,7 +300,7 @@
     limits: TenantLimitConfig,
 }
 
-fn identity(value: Value) -> Result<IdentityConfig, InvalidSettings> {
+fn identity(value: Value) -> Result<IdentitySettings, InvalidSettings> {
     let shared_limit = serde_json::from_value(value["whole"].clone())?;
     let mut limits = Vec::new();
     for (name, tenant) in value["tenants"].as_object().into_iter().flatten() {
@@ -311,7 +311,7 @@
     terms
         .check()
         .map_err(|error| InvalidSettings::Identity(error.to_string()))?;
-    Ok(IdentityConfig {
+    Ok(IdentitySettings {
         terms,
         limits,
         shared_limit,
--- a/router/src/stages/auth_filter.rs
+++ b/router/src/stages/auth_filter.rs
@@ -24,7 +24,7 @@
 
 pub(crate) use crate::stages::auth_filter::answers::reserve;
 
-use crate::lifecycle::settings::IdentityConfig;
+use crate::lifecycle::settings::IdentitySettings;
 use crate::router::Router;
 use crate::stages::admission::text_answer;
 use crate::state::clients::Answer;
@@ -94,7 +94,7 @@
 }
 
 /// Returns the tenants' limits in the order of their numbers. Numbers without a tenant get [`ZERO_LIMITS`].
-fn tenant_limits(identity: &Identity, settings: &IdentityConfig) -> Vec<LimitTerms> {
+fn tenant_limits(identity: &Identity, settings: &IdentitySettings) -> Vec<LimitTerms> {
     let mut limits = Vec::new();
     for (name, number) in identity.rights.tenants() {
         let position = usize::from(number.0);
@@ -117,7 +117,7 @@
     /// Creates the filter and the tenants' limits from the settings. `seed` varies the times at which sources are
     /// polled.
     pub(crate) fn new(
-        settings: &IdentityConfig,
+        settings: &IdentitySettings,
         seed: u64,
     ) -> Result<(AuthFilter, Limits), ConfigError> {
         let identity = Identity::new(settings.terms.clone())?;
@@ -139,7 +139,7 @@
     }
 
     /// Returns the queries per second of each tenant, for the routing engine's quotas.
-    pub(crate) fn quotas(&self, settings: &IdentityConfig) -> Vec<f64> {
+    pub(crate) fn quotas(&self, settings: &IdentitySettings) -> Vec<f64> {
         tenant_limits(&self.identity.borrow(), settings)
             .iter()
             .map(|limits| limits.per_second)
--- a/router/src/stages/auth_filter/updates.rs
+++ b/router/src/stages/auth_filter/updates.rs
@@ -8,7 +8,7 @@
 use ternpick_identity::{ConfigError, Identity, KeyChanges, KeyId, KeySet, Page, Trust};
 use ternpick_tenant_limits::Limits;
 
-use crate::lifecycle::settings::IdentityConfig;
+use crate::lifecycle::settings::IdentitySettings;
 use crate::stages::auth_filter::{tenant_limits, AuthFilter};
 
 impl AuthFilter {
@@ -70,7 +70,7 @@
     /// Applies new settings; updates `limits` with the tenants' limits.
     pub(crate) fn update_settings(
         &self,
-        new: IdentityConfig,
+        new: IdentitySettings,
         limits: &mut Limits,
     ) -> Result<(), ConfigError> {
         let mut identity = self.identity.borrow_mut();
