--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -20,7 +20,7 @@
     },
     /// The file does not start with a line of this package.
     #[error("{path} was not written by this program, or its first line is corrupt")]
-    NotOurs {
+    UnknownFormat {
         /// The file.
         path: PathBuf,
     },
@@ -70,7 +70,7 @@
     pub(crate) fn record(error: RecordError, path: &Path, wanted: &str) -> StoreError {
         let path = path.to_owned();
         match error {
-            RecordError::NotARecord => StoreError::NotOurs { path },
+            RecordError::NotARecord => StoreError::UnknownFormat { path },
             RecordError::WrongKind { found } => StoreError::WrongKind {
                 path,
                 found,
--- a/store/tests/file.rs
+++ b/store/tests/file.rs
@@ -55,7 +55,7 @@
     fs::write(&path, "{}\n").expect("written");
     assert!(matches!(
         load(&path, "list"),
-        Err(StoreError::NotOurs { .. })
+        Err(StoreError::UnknownFormat { .. })
     ));
     let missing = directory.path().join("none");
     assert!(load(&missing, "list").is_err_and(|error| error.is_missing()));
