--- a/hot_restart/src/effect.rs
+++ b/hot_restart/src/effect.rs
@@ -20,11 +20,11 @@
     /// Start (true) or stop (false) sending idle client connections over the link, one at a time.
     PassClients(bool),
     /// Use at most this much from now on.
-    Use(Lease),
+    ApplyLease(Lease),
     /// End the other process: the first time by a signal that it can handle, then by one that it cannot.
     EndPeer,
     /// Bind the listeners and serve from the configuration alone: the old process ended before it passed any.
-    BindAnew,
+    BindListeners,
     /// End this process; nothing is in flight here.
     Exit,
     /// Log one line for operators.
--- a/hot_restart/src/lease.rs
+++ b/hot_restart/src/lease.rs
@@ -7,17 +7,21 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
     /// Queries and shard requests in flight.
-    pub held: u32,
+    #[serde(rename = "held")]
+    pub in_flight: u32,
     /// Retries and hedged requests left in the retry budget.
-    pub extra: u32,
+    #[serde(rename = "extra")]
+    pub retries: u32,
     /// File descriptors.
-    pub sockets: u32,
+    #[serde(rename = "sockets")]
+    pub descriptors: u32,
     /// Bytes of memory for what peers send.
-    pub memory: u64,
+    #[serde(rename = "memory")]
+    pub memory_bytes: u64,
 }
 
 /// The old process keeps at most one in so many of its free places for requests that may still come to it.
-const KEPT_OF_FREE: u32 = 4;
+const FREE_PLACES_PER_RETAINED: u32 = 4;
 
 /// How many places for queries and shard requests the old process keeps: for the `in_use` of its `capacity`, and for the
 /// `may_come` that clients with half a request or none may bring before their connections go over, as far as a part of what
@@ -25,10 +29,10 @@
 ///
 /// The rest is the new process's until the old one has left. When all that might come was kept, 25 connections left a new
 /// process with a capacity of 100 nothing, and it rejected every query for as long as the old one drained.
-pub fn places_kept(capacity: u32, in_use: u32, may_come: u32) -> u32 {
+pub fn retained_places(capacity: u32, in_use: u32, may_come: u32) -> u32 {
     let in_use = in_use.min(capacity);
     let free = capacity - in_use;
-    in_use + may_come.min(free / KEPT_OF_FREE)
+    in_use + may_come.min(free / FREE_PLACES_PER_RETAINED)
 }
 
 /// A lease divided between the old and the new process.
@@ -45,16 +49,16 @@
     /// retry budget. The rest is granted.
     pub fn split(self, in_use: Lease) -> LeaseSplit {
         let retained = Lease {
-            held: in_use.held.min(self.held),
-            extra: self.extra / 4,
-            sockets: in_use.sockets.min(self.sockets),
-            memory: in_use.memory.min(self.memory),
+            in_flight: in_use.in_flight.min(self.in_flight),
+            retries: self.retries / 4,
+            descriptors: in_use.descriptors.min(self.descriptors),
+            memory_bytes: in_use.memory_bytes.min(self.memory_bytes),
         };
         let granted = Lease {
-            held: self.held - retained.held,
-            extra: self.extra - retained.extra,
-            sockets: self.sockets - retained.sockets,
-            memory: self.memory - retained.memory,
+            in_flight: self.in_flight - retained.in_flight,
+            retries: self.retries - retained.retries,
+            descriptors: self.descriptors - retained.descriptors,
+            memory_bytes: self.memory_bytes - retained.memory_bytes,
         };
         LeaseSplit { retained, granted }
     }
@@ -62,18 +66,18 @@
     /// Both leases together, for the process that remains.
     pub fn combine(self, other: Lease) -> Lease {
         Lease {
-            held: self.held.saturating_add(other.held),
-            extra: self.extra.saturating_add(other.extra),
-            sockets: self.sockets.saturating_add(other.sockets),
-            memory: self.memory.saturating_add(other.memory),
+            in_flight: self.in_flight.saturating_add(other.in_flight),
+            retries: self.retries.saturating_add(other.retries),
+            descriptors: self.descriptors.saturating_add(other.descriptors),
+            memory_bytes: self.memory_bytes.saturating_add(other.memory_bytes),
         }
     }
 
     /// Whether no part of this lease exceeds that of `capacity`.
     pub fn fits_within(self, capacity: Lease) -> bool {
-        self.held <= capacity.held
-            && self.extra <= capacity.extra
-            && self.sockets <= capacity.sockets
-            && self.memory <= capacity.memory
+        self.in_flight <= capacity.in_flight
+            && self.retries <= capacity.retries
+            && self.descriptors <= capacity.descriptors
+            && self.memory_bytes <= capacity.memory_bytes
     }
 }
--- a/hot_restart/src/lib.rs
+++ b/hot_restart/src/lib.rs
@@ -21,9 +21,9 @@
 #[cfg(test)]
 mod tests;
 
-pub use connections::goes_over;
+pub use connections::should_migrate;
 pub use effect::Effect;
-pub use lease::{places_kept, Lease, LeaseSplit};
+pub use lease::{retained_places, Lease, LeaseSplit};
 pub use message::{decode, encode, DecodeError, Decoded, Message, FRAME_BOUND, VERSION};
 pub use new_process::{NewProcess, OldProcessEvent};
 pub use old_process::{NewProcessEvent, OldProcess};
--- a/hot_restart/src/new_process.rs
+++ b/hot_restart/src/new_process.rs
@@ -21,7 +21,7 @@
     AwaitingCommit,
     Serving,
     /// Has been told to exit.
-    Over,
+    Exiting,
 }
 
 /// What the driver of the new process reports.
@@ -32,7 +32,7 @@
     /// The link has ended, or carried something that is not a message.
     LinkLost {
         /// Whether the old process still runs.
-        old_lives: bool,
+        old_process_runs: bool,
     },
     /// The last piece of the snapshot has arrived; whether it could be loaded.
     SnapshotLoaded(bool),
@@ -84,8 +84,8 @@
     }
 
     /// Whether it has been told to exit.
-    pub fn is_over(&self) -> bool {
-        self.step == Step::Over
+    pub fn is_exiting(&self) -> bool {
+        self.step == Step::Exiting
     }
 
     /// What this process may use now; nothing before the commit.
@@ -102,8 +102,12 @@
     ) -> Vec<Effect> {
         match event {
             OldProcessEvent::Received(message) => self.handle_message(now, message),
-            OldProcessEvent::LinkLost { old_lives: true } => self.handle_link_broken(),
-            OldProcessEvent::LinkLost { old_lives: false } => self.handle_old_ended(capacity),
+            OldProcessEvent::LinkLost {
+                old_process_runs: true,
+            } => self.handle_link_broken(),
+            OldProcessEvent::LinkLost {
+                old_process_runs: false,
+            } => self.handle_old_ended(capacity),
             OldProcessEvent::SnapshotLoaded(loaded) => self.handle_snapshot_loaded(now, loaded),
         }
     }
@@ -118,7 +122,7 @@
 
     fn handle_message(&mut self, now: Micros, message: Message) -> Vec<Effect> {
         match (self.step, message) {
-            (Step::Over, _) => Vec::new(),
+            (Step::Exiting, _) => Vec::new(),
             (Step::Serving, message) => self.handle_message_while_serving(message),
             (_, Message::Abandon { why }) => self.leave(&why),
             (Step::AwaitingOffer, Message::Offer { version, settings }) => {
@@ -140,7 +144,7 @@
             Message::Ping => vec![Effect::Send(Message::Pong)],
             Message::Done { lease } => {
                 self.lease = self.lease.combine(lease);
-                vec![Effect::Use(self.lease)]
+                vec![Effect::ApplyLease(self.lease)]
             }
             // The old process serves again and ends this one, which still answers what it has accepted.
             Message::Abandon { why } => {
@@ -166,7 +170,7 @@
     fn handle_commit(&mut self, lease: Lease) -> Vec<Effect> {
         self.serve(lease);
         vec![
-            Effect::Use(lease),
+            Effect::ApplyLease(lease),
             Effect::Accept(true),
             Effect::Send(Message::Took),
         ]
@@ -186,7 +190,7 @@
     /// The link is lost and the old process still runs: it serves, unless it has handed over.
     fn handle_link_broken(&mut self) -> Vec<Effect> {
         match self.step {
-            Step::Over | Step::Serving => Vec::new(),
+            Step::Exiting | Step::Serving => Vec::new(),
             _ => self.leave("the link broke"),
         }
     }
@@ -194,11 +198,11 @@
     /// The old process has ended: the whole capacity belongs to this one.
     fn handle_old_ended(&mut self, capacity: Lease) -> Vec<Effect> {
         match self.step {
-            Step::Over => Vec::new(),
+            Step::Exiting => Vec::new(),
             Step::Serving if self.lease == capacity => Vec::new(),
             Step::Serving => {
                 self.lease = capacity;
-                vec![Effect::Use(capacity)]
+                vec![Effect::ApplyLease(capacity)]
             }
             _ => self.serve_without_commit(capacity),
         }
@@ -211,11 +215,11 @@
         let start_accepting = if has_listeners {
             Effect::Accept(true)
         } else {
-            Effect::BindAnew
+            Effect::BindListeners
         };
         vec![
             Effect::Log("upgrade: the old process has died, this one serves".into()),
-            Effect::Use(capacity),
+            Effect::ApplyLease(capacity),
             start_accepting,
         ]
     }
@@ -232,7 +236,7 @@
     }
 
     fn leave(&mut self, why: &str) -> Vec<Effect> {
-        self.step = Step::Over;
+        self.step = Step::Exiting;
         self.deadline = None;
         self.lease = Lease::default();
         vec![
--- a/hot_restart/src/old_process.rs
+++ b/hot_restart/src/old_process.rs
@@ -226,7 +226,7 @@
         self.enter(Step::Committing, now + self.timeouts.step);
         // This process uses less before the new one uses more.
         let mut effects = vec![
-            Effect::Use(self.lease),
+            Effect::ApplyLease(self.lease),
             Effect::Send(Message::Commit {
                 lease: split.granted,
             }),
@@ -295,7 +295,7 @@
         self.step = Step::Serving;
         self.deadline = None;
         self.lease = self.capacity;
-        effects.push(Effect::Use(self.lease));
+        effects.push(Effect::ApplyLease(self.lease));
         effects
     }
 
--- a/hot_restart/src/tests/model.rs
+++ b/hot_restart/src/tests/model.rs
@@ -11,10 +11,10 @@
 
 /// What the old process has in use when it commits.
 const IN_USE: Lease = Lease {
-    held: 2,
-    extra: 0,
-    sockets: 2,
-    memory: 2,
+    in_flight: 2,
+    retries: 0,
+    descriptors: 2,
+    memory_bytes: 2,
 };
 const NOW: Micros = Micros(0);
 /// After every deadline.
@@ -148,8 +148,8 @@
             Action::TellOldOfLoss => self.tell_old_of_loss()?,
             Action::TellNewOfLoss => {
                 self.new_knows_link_lost = true;
-                let old_lives = self.old.is_some();
-                self.tell_new(OldProcessEvent::LinkLost { old_lives })?;
+                let old_process_runs = self.old.is_some();
+                self.tell_new(OldProcessEvent::LinkLost { old_process_runs })?;
             }
             Action::TimeOutOld => {
                 self.timeouts_left -= 1;
--- a/hot_restart/src/tests/world.rs
+++ b/hot_restart/src/tests/world.rs
@@ -8,10 +8,10 @@
 use crate::{Effect, Lease, Message, NewProcess, OldProcess, StepTimeouts};
 
 pub(super) const CAPACITY: Lease = Lease {
-    held: 8,
-    extra: 8,
-    sockets: 8,
-    memory: 8,
+    in_flight: 8,
+    retries: 8,
+    descriptors: 8,
+    memory_bytes: 8,
 };
 
 /// A process and what its driver has done for it.
@@ -103,7 +103,7 @@
                     new.accepts = accepts;
                     new.has_listener = true;
                 }
-                Effect::BindAnew => {
+                Effect::BindListeners => {
                     new.accepts = true;
                     new.has_listener = true;
                 }
--- a/hot_restart/tests/lease.rs
+++ b/hot_restart/tests/lease.rs
@@ -1,16 +1,16 @@
 //! The division of a lease.
 
 use proptest::prelude::*;
-use ternpick_hot_restart::{places_kept, Lease};
+use ternpick_hot_restart::{retained_places, Lease};
 
 type Parts = (u32, u32, u32, u64);
 
-fn lease((held, extra, sockets, memory): Parts) -> Lease {
+fn lease((in_flight, retries, descriptors, memory_bytes): Parts) -> Lease {
     Lease {
-        held,
-        extra,
-        sockets,
-        memory,
+        in_flight,
+        retries,
+        descriptors,
+        memory_bytes,
     }
 }
 
@@ -18,7 +18,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
     fn what_is_in_use_is_kept_and_most_of_what_is_free_is_granted(capacity: u32, in_use: u32, may_come: u32) {
-        let kept = places_kept(capacity, in_use, may_come);
+        let kept = retained_places(capacity, in_use, may_come);
         let free = capacity.saturating_sub(in_use);
         prop_assert!(kept >= in_use.min(capacity));
         prop_assert!(capacity - kept >= free - free / 4);
--- a/hot_restart/tests/message.rs
+++ b/hot_restart/tests/message.rs
@@ -5,15 +5,15 @@
 use test_case::test_case;
 
 const LEASE: Lease = Lease {
-    held: 1,
-    extra: 2,
-    sockets: 3,
-    memory: 400,
+    in_flight: 1,
+    retries: 2,
+    descriptors: 3,
+    memory_bytes: 400,
 };
 
 #[test_case(Message::Hello { version: 1, program: "x".into() }; "hello")]
 #[test_case(Message::State { left: 3, piece: vec![1; 70_000] }; "a piece")]
-#[test_case(Message::Done { lease: Lease { held: 1, extra: 2, sockets: 3, memory: 4 } }; "done")]
+#[test_case(Message::Done { lease: Lease { in_flight: 1, retries: 2, descriptors: 3, memory_bytes: 4 } }; "done")]
 fn a_frame_truncated_at_any_length_is_incomplete_and_a_whole_one_is_decoded(message: Message) {
     let frame = encode(&message);
     for length in (0..frame.len()).step_by(1 + frame.len() / 500) {
--- a/hot_restart/tests/old_process.rs
+++ b/hot_restart/tests/old_process.rs
@@ -5,14 +5,14 @@
 use test_case::test_case;
 
 const CAPACITY: Lease = Lease {
-    held: 8,
-    extra: 8,
-    sockets: 8,
-    memory: 8,
+    in_flight: 8,
+    retries: 8,
+    descriptors: 8,
+    memory_bytes: 8,
 };
 
 #[test_case(CAPACITY, true; "the whole capacity")]
-#[test_case(Lease { held: 6, ..CAPACITY }, false; "less, while the predecessor drains")]
+#[test_case(Lease { in_flight: 6, ..CAPACITY }, false; "less, while the predecessor drains")]
 fn a_restart_starts_only_with_the_whole_capacity(current_lease: Lease, starts: bool) {
     let mut old = OldProcess::new(StepTimeouts::default(), CAPACITY, 1);
     assert_eq!(old.start(Micros(0), current_lease).is_ok(), starts);
--- a/hot_restart/tests/release_bytes.rs
+++ b/hot_restart/tests/release_bytes.rs
@@ -21,16 +21,16 @@
 )]
 fn every_message_of_a_hand_over_has_the_frame_of_the_release() {
     let lease = Lease {
-        held: 301,
-        extra: 302,
-        sockets: 303,
-        memory: 70_000_000_004,
+        in_flight: 301,
+        retries: 302,
+        descriptors: 303,
+        memory_bytes: 70_000_000_004,
     };
     let other = Lease {
-        held: 311,
-        extra: 312,
-        sockets: 313,
-        memory: 70_000_000_014,
+        in_flight: 311,
+        retries: 312,
+        descriptors: 313,
+        memory_bytes: 70_000_000_014,
     };
     let messages = [
         (
--- a/router/src/lifecycle/capacity_share.rs
+++ b/router/src/lifecycle/capacity_share.rs
@@ -4,7 +4,7 @@
 
 use std::cell::Cell;
 
-use ternpick_hot_restart::{places_kept, Lease};
+use ternpick_hot_restart::{retained_places, Lease};
 
 use crate::router::Router;
 use crate::state::clients::ClientState;
@@ -41,11 +41,11 @@
         let memory = router.budget.limit();
         let max_in_flight = decisions.effects.bounds.max_in_flight;
         let all = Lease {
-            held: max_in_flight.map_or(u32::MAX, saturating_u32),
-            extra: decisions.engine.config.retry_budget_min.clamp(0.0, 1e9) as u32,
+            in_flight: max_in_flight.map_or(u32::MAX, saturating_u32),
+            retries: decisions.engine.config.retry_budget_min.clamp(0.0, 1e9) as u32,
             // The new process has descriptors of its own beside its peers', out of the same number.
-            sockets: saturating_u32(descriptors.saturating_sub(RESERVED_DESCRIPTORS)),
-            memory: memory as u64,
+            descriptors: saturating_u32(descriptors.saturating_sub(RESERVED_DESCRIPTORS)),
+            memory_bytes: memory as u64,
         };
         CapacityShare {
             all,
@@ -78,10 +78,10 @@
         let in_use = saturating_u32(in_flight.load() + LOAD_PER_UNADMITTED_REQUEST * unadmitted);
         let may_come = saturating_u32(LOAD_PER_UNADMITTED_REQUEST * may_bring);
         Lease {
-            held: places_kept(self.all.held, in_use, may_come),
-            extra: 0,
-            sockets: saturating_u32(router.descriptors.held() + SPARE_NODE_CONNECTIONS),
-            memory: router.budget.used() as u64,
+            in_flight: retained_places(self.all.in_flight, in_use, may_come),
+            retries: 0,
+            descriptors: saturating_u32(router.descriptors.held() + SPARE_NODE_CONNECTIONS),
+            memory_bytes: router.budget.used() as u64,
         }
     }
 
@@ -109,14 +109,15 @@
 
 fn apply_part(router: &Router, lease: Lease, role: Role) {
     let mut decisions = router.decisions.borrow_mut();
-    decisions.effects.shared_limit = (lease.held < u32::MAX).then_some(lease.held as usize);
+    decisions.effects.shared_limit =
+        (lease.in_flight < u32::MAX).then_some(lease.in_flight as usize);
     decisions
         .engine
-        .serve_share(f64::from(lease.extra), role == Role::Serving);
-    router.descriptors.set_total(lease.sockets as usize);
+        .serve_share(f64::from(lease.retries), role == Role::Serving);
+    router.descriptors.set_total(lease.descriptors as usize);
     router
         .budget
-        .set_limit(usize::try_from(lease.memory).unwrap_or(usize::MAX));
+        .set_limit(usize::try_from(lease.memory_bytes).unwrap_or(usize::MAX));
 }
 
 fn saturating_u32(count: usize) -> u32 {
--- a/router/src/lifecycle/takeover.rs
+++ b/router/src/lifecycle/takeover.rs
@@ -159,10 +159,10 @@
         for effect in effects {
             match effect {
                 Effect::Send(message) => self.send(&message).await,
-                Effect::Use(lease) => self.share.apply(self.router, lease, Role::Serving),
+                Effect::ApplyLease(lease) => self.share.apply(self.router, lease, Role::Serving),
                 Effect::Log(step) => tracing::info!(step, "hot restart: new process"),
                 Effect::Exit => return Err(TakeoverError::NotTakenOver),
-                Effect::BindAnew => self.listeners = None,
+                Effect::BindListeners => self.listeners = None,
                 // Of the other side, or of a process that serves.
                 Effect::Spawn
                 | Effect::PassListeners
@@ -203,10 +203,10 @@
     }
 
     async fn handle_lost_link(&mut self) -> Vec<Effect> {
-        let old_lives = old_process_lives(self.router, self.parent).await;
+        let old_process_runs = old_process_lives(self.router, self.parent).await;
         self.machine.handle_event(
             self.router.clock.now(),
-            OldProcessEvent::LinkLost { old_lives },
+            OldProcessEvent::LinkLost { old_process_runs },
             self.share.all(),
         )
     }
@@ -277,7 +277,7 @@
             Err(_) => old.wait_until_gone(&router, &share).await,
         };
         old.carry_out(&router, &share, effects).await;
-        if link_lost || old.machine.is_over() {
+        if link_lost || old.machine.is_exiting() {
             tracing::info!(
                 connections = adopted,
                 "hot restart: the old process has left"
@@ -306,7 +306,7 @@
 impl DrainingProcess {
     /// After the link has ended. What the old process kept is its own until it has left, link or none.
     async fn wait_until_gone(&mut self, router: &Router, share: &CapacityShare) -> Vec<Effect> {
-        while !self.machine.is_over()
+        while !self.machine.is_exiting()
             && self.machine.lease() != share.all()
             && old_process_lives(router, self.parent).await
         {
@@ -315,7 +315,9 @@
         }
         self.machine.handle_event(
             router.clock.now(),
-            OldProcessEvent::LinkLost { old_lives: false },
+            OldProcessEvent::LinkLost {
+                old_process_runs: false,
+            },
             share.all(),
         )
     }
@@ -328,7 +330,7 @@
                     let message_name = message.name();
                     tracing::debug!(message_name, ?sent, "hot restart: message sent");
                 }
-                Effect::Use(lease) => share.apply(router, lease, Role::Serving),
+                Effect::ApplyLease(lease) => share.apply(router, lease, Role::Serving),
                 Effect::Accept(accepts) => router.listener.set_accepting(accepts),
                 Effect::Log(step) => tracing::warn!(step, "hot restart: new process"),
                 Effect::Exit => router.shutdown.request(),
@@ -338,7 +340,7 @@
                 | Effect::PassState
                 | Effect::PassClients(_)
                 | Effect::EndPeer
-                | Effect::BindAnew => {}
+                | Effect::BindListeners => {}
             }
         }
     }
--- a/router/src/lifecycle/upgrade/driver.rs
+++ b/router/src/lifecycle/upgrade/driver.rs
@@ -209,12 +209,12 @@
                     self.router.client_transfer.begin(self.router.clock.now());
                 }
                 Effect::PassClients(false) => self.router.client_transfer.end(),
-                Effect::Use(lease) => self.apply_share(lease),
+                Effect::ApplyLease(lease) => self.apply_share(lease),
                 Effect::EndPeer => self.end_new_process(),
                 Effect::Exit => self.finished = true,
                 Effect::Log(step) => self.log(&step),
                 // Of the other side.
-                Effect::BindAnew => {}
+                Effect::BindListeners => {}
             }
         }
     }
--- a/router/src/stages/client_connection.rs
+++ b/router/src/stages/client_connection.rs
@@ -188,7 +188,7 @@
     fn must_migrate(&self) -> bool {
         let began_at = self.router.client_transfer.began_at();
         began_at.is_some_and(|began_at| {
-            ternpick_hot_restart::goes_over(began_at, self.io.sent_ahead_since())
+            ternpick_hot_restart::should_migrate(began_at, self.io.sent_ahead_since())
         })
     }
 
