--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -18,24 +18,24 @@
         /// The error of the system call.
         source: std::io::Error,
     },
-    /// The file does not start with a line of this package.
+    /// The file does not start with a line of the form that this package writes.
     #[error("{path} was not written by this program, or its first line is corrupt")]
     UnknownFormat {
         /// The file.
         path: PathBuf,
     },
-    /// The file is intact and of another kind.
-    #[error("{path} holds '{found}', not '{wanted}'")]
+    /// The file is intact and holds a record of another kind.
+    #[error("{path} holds a record of kind '{found}', expected '{expected}'")]
     WrongKind {
         /// The file.
         path: PathBuf,
         /// The kind that its first line names.
         found: String,
         /// The kind that the caller asked for.
-        wanted: String,
+        expected: String,
     },
     /// The file was truncated or modified.
-    #[error("{path} is corrupt: its length or checksum is not what its first line says")]
+    #[error("{path} is corrupt: its length or checksum does not match its first line")]
     Corrupt {
         /// The file.
         path: PathBuf,
@@ -54,7 +54,7 @@
         matches!(self, StoreError::Io { source, .. } if source.kind() == std::io::ErrorKind::NotFound)
     }
 
-    /// For `map_err`: the failure of a system call that was to `action` the file at `path`.
+    /// For `map_err`: converts the failure of a system call that should `action` the file at `path`.
     pub(crate) fn io<'a>(
         action: &'static str,
         path: &'a Path,
@@ -66,15 +66,15 @@
         }
     }
 
-    /// The failure to read a record of kind `wanted` from the file at `path`.
-    pub(crate) fn record(error: RecordError, path: &Path, wanted: &str) -> StoreError {
+    /// Converts the failure to read a record of kind `expected` from the file at `path`.
+    pub(crate) fn record(error: RecordError, path: &Path, expected: &str) -> StoreError {
         let path = path.to_owned();
         match error {
             RecordError::NotARecord => StoreError::UnknownFormat { path },
             RecordError::WrongKind { found } => StoreError::WrongKind {
                 path,
                 found,
-                wanted: wanted.to_owned(),
+                expected: expected.to_owned(),
             },
             RecordError::Corrupt => StoreError::Corrupt { path },
         }
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -8,17 +8,17 @@
 use crate::record::{self, StoredFile};
 use crate::StoreError;
 
-/// The longest file that is read, in bytes.
+/// The maximum length of a file that is read, in bytes.
 pub const MAX_FILE_BYTES: u64 = 64 << 20;
 
-/// Only the owner may read and write: some files hold private keys.
+/// Only the owner may read and write a file, because some files hold private keys.
 const FILE_MODE: u32 = 0o600;
 
-/// Saves `bytes` in the file at `path` as content of `kind` and `version`; `now` is Unix time in microseconds. Readers see
-/// the old or the new content, and the new one is durable on return.
+/// Saves `bytes` in the file at `path` as content of `kind` and `version`; `now` is Unix time in microseconds.
+/// Readers see either the old or the new content, and the new content is durable on return.
 ///
 /// # Errors
-/// [`StoreError::Io`]. The old content then remains, unless only the directory could not be synchronized.
+/// [`StoreError::Io`]. The old content remains then, unless the error occurred while the directory was synchronized.
 pub fn save(
     path: &Path,
     kind: &str,
@@ -32,13 +32,14 @@
 /// Loads the content of `kind` from the file at `path`.
 ///
 /// # Errors
-/// Any [`StoreError`]; [`StoreError::is_missing`] tells whether there is no such file.
+/// Any [`StoreError`]; [`StoreError::is_missing`] is true if the file does not exist.
 pub fn load(path: &Path, kind: &str) -> Result<StoredFile, StoreError> {
     let bytes = read_file(path)?;
     record::decode(&bytes, kind).map_err(|error| StoreError::record(error, path, kind))
 }
 
-/// Replaces the file at `path` atomically by `bytes`, without a first line, readable by its owner only. Durable on return.
+/// Replaces the file at `path` atomically by `bytes`, without adding a first line. Only the owner may read the file.
+/// The new content is durable on return.
 ///
 /// # Errors
 /// [`StoreError::Io`], as for [`save`].
@@ -47,16 +48,16 @@
         .parent()
         .filter(|parent| !parent.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    let mut temporary =
-        tempfile::NamedTempFile::new_in(directory).map_err(StoreError::io("write beside", path))?;
+    let mut temporary = tempfile::NamedTempFile::new_in(directory)
+        .map_err(StoreError::io("create a temporary file next to", path))?;
     write_durably(temporary.as_file_mut(), bytes).map_err(StoreError::io("write", path))?;
     temporary
         .persist(path)
         .map_err(|error| StoreError::io("replace", path)(error.error))?;
-    // The new name is durable only once its directory is synchronized too.
+    // The replacement is durable only once the directory has been synchronized too.
     fs::File::open(directory)
         .and_then(|directory| directory.sync_all())
-        .map_err(StoreError::io("write the directory of", path))
+        .map_err(StoreError::io("synchronize the directory of", path))
 }
 
 fn write_durably(file: &mut fs::File, bytes: &[u8]) -> std::io::Result<()> {
--- a/store/src/journal.rs
+++ b/store/src/journal.rs
@@ -1,4 +1,4 @@
-//! A file that is saved often: each record is appended, which costs about a hundredth of replacing the file.
+//! Journals, for content that is saved often: appending a record costs about a hundredth of replacing the file.
 
 use std::fs;
 use std::io::{Seek, SeekFrom, Write};
@@ -11,13 +11,14 @@
 #[cfg(test)]
 mod tests;
 
-/// A journal that would grow beyond this many bytes is replaced by its new record.
+/// The maximum length of a journal, in bytes. An append beyond it replaces the file by the new record.
 const MAX_JOURNAL_BYTES: u64 = 1 << 20;
 
-/// A file of records of which the last intact one counts.
+/// A file of records, of which the last intact one holds the current content.
 ///
-/// A record at the end that is incomplete was being written when the machine or process stopped; its append has not
-/// returned, so it is ignored. A corrupt record before an intact one means that the file was damaged: it is rejected.
+/// An incomplete record at the end was being written when the machine or process stopped. Its append has not
+/// returned, so the record is ignored. A corrupt record before an intact one means that the file was damaged, so the
+/// file is rejected.
 ///
 /// ```
 /// let directory = tempfile::tempdir().expect("a directory");
@@ -33,8 +34,8 @@
 pub struct Journal {
     path: PathBuf,
     kind: String,
-    /// The file and the length of its intact records. None before the first append to a new journal, and after a failure:
-    /// the next append then replaces the file.
+    /// The file and the length of its intact records. None before the first append to a new journal and after a failed
+    /// append; the next append then replaces the file.
     end: Option<JournalEnd>,
 }
 
@@ -45,7 +46,7 @@
     length: u64,
 }
 
-/// What a journal's bytes contain.
+/// The decoded content of a journal.
 struct JournalContent {
     last: Option<StoredFile>,
     /// The length of the intact records, in bytes.
@@ -53,10 +54,10 @@
 }
 
 impl Journal {
-    /// Opens the journal at `path`, and returns it with its last record. There is none if the file does not exist.
+    /// Opens the journal at `path` and returns it with its last record, which is None if the file does not exist.
     ///
     /// # Errors
-    /// Any [`StoreError`]; the file is then left as it is.
+    /// Any [`StoreError`]; the file is left unchanged then.
     pub fn open(path: &Path, kind: &str) -> Result<(Journal, Option<StoredFile>), StoreError> {
         let mut journal = Journal::replacing(path, kind);
         let bytes = match read_file(path) {
@@ -70,7 +71,7 @@
         Ok((journal, content.last))
     }
 
-    /// A journal whose first append replaces whatever is at `path`.
+    /// A journal whose first append replaces any file at `path`.
     pub fn replacing(path: &Path, kind: &str) -> Journal {
         Journal {
             path: path.to_owned(),
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Appends a record of `bytes` in `version`, at `now` (Unix time in microseconds). It is durable on return.
+    /// Appends a record of `bytes` in `version`, saved at `now` (Unix time in microseconds). The record is durable on
+    /// return.
     ///
     /// # Errors
     /// [`StoreError::Io`]. The next append then replaces the file.
@@ -111,7 +113,7 @@
 
 impl JournalEnd {
     fn append(mut self, record: &[u8]) -> std::io::Result<JournalEnd> {
-        // An incomplete record that an earlier process left here must not follow the new one.
+        // Without this, the rest of a longer incomplete record of an earlier process would follow the new record.
         self.file.set_len(self.length)?;
         self.file.write_all(record)?;
         self.file.sync_all()?;
@@ -120,8 +122,8 @@
     }
 }
 
-/// Opens the file to write from `length` on. Until the first append an incomplete record behind it stays. None if the file
-/// cannot be opened for writing; an append then tries to replace it.
+/// Opens the file for writing at offset `length`. An incomplete record after that offset remains until the first
+/// append. None if the file cannot be opened for writing; the next append tries to replace it then.
 fn open_at(path: &Path, length: u64) -> Option<JournalEnd> {
     let mut file = fs::OpenOptions::new().write(true).open(path).ok()?;
     file.seek(SeekFrom::Start(length)).ok()?;
@@ -151,7 +153,7 @@
     Ok(content)
 }
 
-/// Whether there is an intact record anywhere in `bytes`.
+/// Whether an intact record starts anywhere in `bytes`.
 fn contains_record(bytes: &[u8], kind: &str) -> bool {
     (0..bytes.len())
         .filter(|start| bytes[*start..].starts_with(MAGIC.as_bytes()))
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,11 +1,11 @@
-//! Durable files of a router: its keys, its key and revocation lists, its replica's state.
+//! Durable files of a router: its keys, its key and revocation lists, and its replica's state.
 //!
 //! Each file starts with a line that names its kind, version, time and checksum (`record.rs`). [`save`] and [`load`]
 //! replace and read a file as a whole; [`Journal`] appends to one that changes often. Reading verifies the checksum, so
-//! that a file that was truncated, modified or confused with another is rejected with a [`StoreError`] that names the
-//! path. [`lock_directory`] keeps two processes from using the same directory.
+//! that a file that was truncated, modified or exchanged for another is rejected with a [`StoreError`] that names the
+//! path. [`lock_directory`] prevents two processes from using the same directory.
 //!
-//! All functions block; callers on an executor move them to a thread.
+//! All functions block; callers on an executor must call them on a separate thread.
 //!
 //! ```
 //! let directory = tempfile::tempdir().expect("a directory");
--- a/store/src/lock.rs
+++ b/store/src/lock.rs
@@ -5,15 +5,15 @@
 
 use crate::StoreError;
 
-/// Exclusive use of a directory, until it is dropped or the process ends.
+/// Exclusive use of a directory until this value is dropped or the process ends.
 #[derive(Debug)]
 pub struct DirectoryLock {
-    /// The lock belongs to the open file.
+    /// The open directory. Closing it releases the lock.
     _directory: fs::File,
 }
 
-/// Locks a directory for this process; None if another process holds it. The directory is created if it is missing. One
-/// that this process may only read can be locked too.
+/// Locks a directory for this process; None if it is locked already. The directory is created if it is missing. Read
+/// permission on the directory is sufficient.
 ///
 /// # Errors
 /// [`StoreError::Io`] if the directory cannot be created, opened or locked.
--- a/store/src/record.rs
+++ b/store/src/record.rs
@@ -1,22 +1,23 @@
-//! The form of a record: one line of text, then the content as it is. A file holds one, a journal several.
+//! The format of a record: one line of text, then the unencoded content. A file holds one record, a journal several.
 //!
-//! The line consists of the magic word, the kind, the version, the time, the length of the content in bytes and the
-//! SHA-256 of the line up to there, a newline and the content; separated by spaces, ended by a newline.
+//! The line consists of the magic word, the kind, the version, the time, the length of the content in bytes and a
+//! checksum, separated by spaces and ended by a newline. The checksum is the SHA-256 of the line before it, a newline
+//! and the content.
 
 use sha2::{Digest, Sha256};
 
 #[cfg(test)]
 mod tests;
 
-/// The first word of every record; its number changes with the form of the line.
+/// The first word of every record. The number at its end changes with the format of the line.
 pub(crate) const MAGIC: &str = "ternpick-kept-1";
-/// The longest first line, in bytes.
+/// The maximum length of the first line with its newline, in bytes.
 const MAX_LINE_BYTES: usize = 256;
 
 /// The content of a file, or of a journal's last record.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StoredFile {
-    /// The version of the content's form, as the caller gave it.
+    /// The version of the content's format, as given by the caller.
     pub version: u64,
     /// When it was saved, in microseconds of Unix time by the clock of the process that saved it.
     pub saved_at: u64,
@@ -25,25 +26,25 @@
 }
 
 impl StoredFile {
-    /// The time since it was saved, in microseconds; `now` is Unix time in microseconds. 0 for a file from the future,
-    /// which was saved before a clock was set back.
+    /// The time since the file was saved, in microseconds; `now` is Unix time in microseconds. 0 if the file was
+    /// saved after `now`, which happens when the clock is set back.
     pub fn age(&self, now: u64) -> u64 {
         now.saturating_sub(self.saved_at)
     }
 }
 
-/// Why bytes are not an intact record of the expected kind.
+/// Why bytes cannot be decoded as a record of the expected kind.
 #[derive(Debug, PartialEq)]
 pub(crate) enum RecordError {
-    /// There is no line of the right form.
+    /// The bytes do not start with a valid first line.
     NotARecord,
-    /// The record is intact and of another kind.
+    /// The record is intact and has another kind.
     WrongKind { found: String },
-    /// The content is incomplete, or the checksum differs.
+    /// The content is incomplete or too long, or the checksum does not match.
     Corrupt,
 }
 
-/// An intact record at the start of some bytes.
+/// An intact record at the start of the decoded bytes.
 pub(crate) struct DecodedRecord {
     pub(crate) file: StoredFile,
     /// The length of the whole record, in bytes.
@@ -67,7 +68,7 @@
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Decodes bytes that are one record and nothing else.
+/// Decodes bytes that consist of exactly one record.
 pub(crate) fn decode(bytes: &[u8], kind: &str) -> Result<StoredFile, RecordError> {
     let record = decode_first(bytes, kind)?;
     if record.length != bytes.len() {
@@ -84,8 +85,8 @@
         .position(|byte| *byte == b'\n')
         .ok_or(RecordError::NotARecord)?;
     let line = std::str::from_utf8(&bytes[..line_end]).map_err(|_| RecordError::NotARecord)?;
-    let words: Vec<&str> = line.split(' ').collect();
-    let [MAGIC, found_kind, version, saved_at, length, found_checksum] = words.as_slice() else {
+    let fields: Vec<&str> = line.split(' ').collect();
+    let [MAGIC, found_kind, version, saved_at, length, found_checksum] = fields.as_slice() else {
         return Err(RecordError::NotARecord);
     };
     let length: usize = length.parse().map_err(|_| RecordError::NotARecord)?;
@@ -93,8 +94,8 @@
     let content = bytes[content_start..]
         .get(..length)
         .ok_or(RecordError::Corrupt)?;
-    let checked_line = &line[..line.len() - found_checksum.len() - 1];
-    if checksum(checked_line, content) != *found_checksum {
+    let line_without_checksum = &line[..line.len() - found_checksum.len() - 1];
+    if checksum(line_without_checksum, content) != *found_checksum {
         return Err(RecordError::Corrupt);
     }
     if *found_kind != kind {
@@ -113,6 +114,6 @@
     })
 }
 
-fn parse_number(word: &str) -> Result<u64, RecordError> {
-    word.parse().map_err(|_| RecordError::NotARecord)
+fn parse_number(field: &str) -> Result<u64, RecordError> {
+    field.parse().map_err(|_| RecordError::NotARecord)
 }
--- a/store/src/record/tests.rs
+++ b/store/src/record/tests.rs
@@ -38,12 +38,12 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
     fn a_record_with_a_changed_byte_is_rejected(
-        at in 0usize..200, to in any::<u8>(), content in proptest::collection::vec(any::<u8>(), 0..64)
+        position in 0usize..200, new_byte in any::<u8>(), content in proptest::collection::vec(any::<u8>(), 0..64)
     ) {
         let mut record = encode("list", 7, 1000, &content);
-        let at = at % record.len();
-        prop_assume!(record[at] != to);
-        record[at] = to;
+        let position = position % record.len();
+        prop_assume!(record[position] != new_byte);
+        record[position] = new_byte;
         prop_assert!(decode(&record, "list").is_err());
     }
 }
--- a/store/tests/file.rs
+++ b/store/tests/file.rs
@@ -6,7 +6,7 @@
 
 use ternpick_store::{load, save, StoreError, StoredFile};
 
-fn saved(content: &[u8]) -> (tempfile::TempDir, PathBuf) {
+fn save_to_temporary_directory(content: &[u8]) -> (tempfile::TempDir, PathBuf) {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("file");
     save(&path, "list", 7, 1000, content).expect("saved");
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_file_truncated_at_any_length_is_rejected() {
-    let (_directory, path) = saved(b"some\nlines");
+    let (_directory, path) = save_to_temporary_directory(b"some\nlines");
     let bytes = fs::read(&path).expect("read");
     for length in 0..bytes.len() {
         fs::write(&path, &bytes[..length]).expect("truncated");
@@ -27,7 +27,7 @@
 
 #[test]
 fn only_the_owner_may_read_a_file_and_no_temporary_file_remains() {
-    let (directory, path) = saved(b"x");
+    let (directory, path) = save_to_temporary_directory(b"x");
     save(&path, "list", 8, 2000, b"y").expect("saved again");
     let mode = fs::metadata(&path).expect("a file").permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn a_wrong_kind_a_foreign_file_and_a_missing_file_are_different_errors() {
-    let (directory, path) = saved(b"x");
+fn a_wrong_kind_an_unknown_format_and_a_missing_file_are_different_errors() {
+    let (directory, path) = save_to_temporary_directory(b"x");
     assert!(matches!(
         load(&path, "keys"),
         Err(StoreError::WrongKind { .. })
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn a_file_saved_by_a_clock_that_was_ahead_has_no_age() {
-    let (_directory, path) = saved(b"x");
+fn a_file_saved_later_than_now_has_age_zero() {
+    let (_directory, path) = save_to_temporary_directory(b"x");
     let file = load(&path, "list").expect("intact");
     assert_eq!(file.age(1500), 500);
     assert_eq!(file.age(900), 0);
--- a/store/tests/journal.rs
+++ b/store/tests/journal.rs
@@ -1,4 +1,4 @@
-//! What a journal returns after a crash in the middle of an append, and after damage.
+//! Reading a journal after a crash during an append and after its file was damaged.
 
 use std::fs;
 
--- a/store/tests/lock.rs
+++ b/store/tests/lock.rs
@@ -1,4 +1,4 @@
-//! Exclusive use of a directory.
+//! Exclusive locks of directories.
 
 use ternpick_store::lock_directory;
 
