--- a/hot_restart/src/lease.rs
+++ b/hot_restart/src/lease.rs
@@ -1,38 +1,39 @@
-//! The division of one router's capacity between two processes that serve at the same time: the sum of their leases never
-//! exceeds the capacity of one.
+//! The division of one router's capacity between two processes that serve at the same time: the sum of their leases
+//! never exceeds the capacity of one.
 
 use serde::{Deserialize, Serialize};
 
-/// How much of the router's capacity one process may use. Part of the wire format: postcard encodes the fields by position.
+/// How much of the router's capacity one process may use. Part of the wire format: postcard encodes the fields by
+/// position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
     /// Queries and shard requests in flight.
     #[serde(rename = "held")]
     pub in_flight: u32,
-    /// Retries and hedged requests left in the retry budget.
+    /// Retries and hedged requests that are left in the retry budget.
     #[serde(rename = "extra")]
     pub retries: u32,
     /// File descriptors.
     #[serde(rename = "sockets")]
     pub descriptors: u32,
-    /// Bytes of memory for what peers send.
+    /// Bytes of memory for data that clients and nodes send.
     #[serde(rename = "memory")]
     pub memory_bytes: u64,
 }
 
-/// The old process keeps at most one in so many of its free places for requests that may still come to it.
+/// The old process retains at most one of this many free places for requests that it may still receive.
 const FREE_PLACES_PER_RETAINED: u32 = 4;
 
-/// How many places for queries and shard requests the old process keeps: for the `in_use` of its `capacity`, and for the
-/// `may_come` that clients with half a request or none may bring before their connections go over, as far as a part of what
-/// is free allows.
+/// How many of the places for queries and shard requests the old process retains: those `in_use` of its `capacity`,
+/// and those that `may_arrive` from clients with an incomplete request or none before their connections migrate. The
+/// latter are limited to a quarter of the free places.
 ///
-/// The rest is the new process's until the old one has left. When all that might come was kept, 25 connections left a new
-/// process with a capacity of 100 nothing, and it rejected every query for as long as the old one drained.
-pub fn retained_places(capacity: u32, in_use: u32, may_come: u32) -> u32 {
+/// The new process may use the rest until the old one exits. Without that limit 25 connections left nothing to a new
+/// process with a capacity of 100, and it rejected every query while the old one drained.
+pub fn retained_places(capacity: u32, in_use: u32, may_arrive: u32) -> u32 {
     let in_use = in_use.min(capacity);
     let free = capacity - in_use;
-    in_use + may_come.min(free / FREE_PLACES_PER_RETAINED)
+    in_use + may_arrive.min(free / FREE_PLACES_PER_RETAINED)
 }
 
 /// A lease divided between the old and the new process.
@@ -45,8 +46,8 @@
 }
 
 impl Lease {
-    /// Divides this lease: the old process accepts nothing new, so it retains what it has `in_use`, and a quarter of the
-    /// retry budget. The rest is granted.
+    /// Divides this lease. The old process accepts no new clients, so it retains what it has `in_use` and a quarter
+    /// of the retry budget. The new process is granted the rest.
     pub fn split(self, in_use: Lease) -> LeaseSplit {
         let retained = Lease {
             in_flight: in_use.in_flight.min(self.in_flight),
@@ -63,7 +64,7 @@
         LeaseSplit { retained, granted }
     }
 
-    /// Both leases together, for the process that remains.
+    /// The sum of both leases, for the process that remains.
     pub fn combine(self, other: Lease) -> Lease {
         Lease {
             in_flight: self.in_flight.saturating_add(other.in_flight),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Whether no part of this lease exceeds that of `capacity`.
+    /// Whether no field of this lease exceeds that of `capacity`.
     pub fn fits_within(self, capacity: Lease) -> bool {
         self.in_flight <= capacity.in_flight
             && self.retries <= capacity.retries
--- a/hot_restart/src/lib.rs
+++ b/hot_restart/src/lib.rs
@@ -1,13 +1,13 @@
 //! Hot restart: how a running process hands listeners, state and connections to a new one, without I/O.
 //!
-//! [`OldProcess`] and [`NewProcess`] are the two sides as state machines. Their drivers (`router/src/lifecycle/upgrade.rs`
-//! and `takeover.rs`) report messages, lost links, ended processes and the time to them, and carry out the [`Effect`]s that
-//! they return, in order. [`encode`] and [`decode`] turn a [`Message`] into a frame for the link and back. The drivers own
-//! sockets, descriptors, processes and the clock.
+//! [`OldProcess`] and [`NewProcess`] are the two sides as state machines. Their drivers
+//! (`router/src/lifecycle/upgrade.rs` and `takeover.rs`) pass them messages, lost links, ended processes and the
+//! time, and carry out the [`Effect`]s that they return, in order. [`encode`] and [`decode`] convert a [`Message`] to
+//! a frame for the link and back. The drivers own sockets, descriptors, processes and the clock.
 //!
-//! The steps: hello, offer, checked, descriptors, got, state, ready, commit, took; then the old process drains. Until the
-//! old process has received [`Message::Took`], every failure ends with the old process serving. From then on the new one
-//! serves, unless it ends while the old one still drains: then the old one serves again.
+//! The steps: hello, offer, checked, descriptors, got, state, ready, commit, took; then the old process drains. Until
+//! the old process has received [`Message::Took`], the old process continues to serve after every failure. From then
+//! on the new one serves. If the new one ends while the old one still drains, the old one serves again.
 
 mod connections;
 mod effect;
@@ -24,7 +24,7 @@
 pub use connections::should_migrate;
 pub use effect::Effect;
 pub use lease::{retained_places, Lease, LeaseSplit};
-pub use message::{decode, encode, DecodeError, Decoded, Message, FRAME_BOUND, VERSION};
+pub use message::{decode, encode, DecodeError, Decoded, Message, MAX_BODY_BYTES, VERSION};
 pub use new_process::{NewProcess, OldProcessEvent};
 pub use old_process::{NewProcessEvent, OldProcess};
 pub use timeouts::StepTimeouts;
--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -1,28 +1,29 @@
-//! The messages between the two processes and their frames: the length and the CRC-32 of the body, four bytes each, least
-//! significant first; then the body, a [`Message`] in postcard.
+//! The messages between the two processes and their frames: the length and the CRC-32 of the body, four bytes each,
+//! least significant first; then the body, a [`Message`] in postcard.
 
 use serde::{Deserialize, Serialize};
 
 use crate::lease::Lease;
 
-/// The version of the messages. Processes of different versions do not hand over; the old one continues to serve.
+/// The version of the protocol. Processes with different versions abandon the restart, and the old one continues to
+/// serve.
 pub const VERSION: u16 = 1;
 /// The longest body of a frame, in bytes. A longer snapshot is sent in pieces.
-pub const FRAME_BOUND: usize = 128 * 1024;
+pub const MAX_BODY_BYTES: usize = 128 * 1024;
 
 const LENGTH_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 4;
 const HEADER_BYTES: usize = LENGTH_BYTES + CHECKSUM_BYTES;
 
-/// A message between the two processes. postcard encodes variants and fields by position: their order is the wire format,
-/// which also the release before this one has to read.
+/// A message between the two processes. postcard encodes variants and fields by position: their order is the wire
+/// format, which the previous release must be able to read too.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// New to old: the new process has started.
     Hello {
         /// The sender's [`VERSION`].
         version: u16,
-        /// The sender's program, version and process id, for the log.
+        /// The sender's program name, version and process id, for the log.
         program: String,
     },
     /// Old to new: asks whether the new process runs on the same settings.
@@ -32,17 +33,17 @@
         /// The digest of the sender's settings.
         settings: u64,
     },
-    /// New to old: the new process can use its settings.
+    /// New to old: the new process can use its settings and has compared them with the offer.
     Checked {
-        /// Whether they have the digest that was offered.
+        /// Whether its settings have the digest that was offered.
         same: bool,
     },
-    /// Old to new: the listeners' descriptors come with this message.
+    /// Old to new: the listeners, whose descriptors are attached to this message.
     Descriptors {
         /// The number of descriptors.
         count: u8,
     },
-    /// New to old: the descriptors have been received.
+    /// New to old: the new process has received the descriptors.
     Got,
     /// Old to new: a piece of the snapshot.
     State {
@@ -55,14 +56,14 @@
     Ready,
     /// Old to new: the new process is to accept clients.
     Commit {
-        /// What the new process may use.
+        /// The part of the capacity that the new process may use.
         lease: Lease,
     },
     /// New to old: the new process accepts clients.
     Took,
-    /// Old to new: a client connection, whose descriptor comes with this message.
+    /// Old to new: a client connection, whose descriptor is attached to this message.
     Client {
-        /// What the client has sent and the old process has not handled.
+        /// Bytes that the old process has read from the client and not handled.
         unread: Vec<u8>,
     },
     /// Old to new: asks whether the new process responds.
@@ -82,7 +83,7 @@
 }
 
 impl Message {
-    /// What the message is, for the log.
+    /// A description of the kind of message, for the log.
     pub fn name(&self) -> &'static str {
         match self {
             Message::Hello { .. } => "hello",
@@ -103,28 +104,32 @@
     }
 }
 
-/// Why bytes are not a frame.
+/// Why bytes cannot be decoded as a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The length in the header exceeds [`FRAME_BOUND`].
-    #[error("a frame is longer than {FRAME_BOUND} bytes")]
-    TooLong,
+    /// The length in the header exceeds [`MAX_BODY_BYTES`].
+    #[error("frame body of {length} bytes exceeds the limit of {MAX_BODY_BYTES} bytes")]
+    TooLong {
+        /// The length in the header, in bytes.
+        length: usize,
+    },
     /// The body does not have the checksum in the header.
-    #[error("a frame has a wrong checksum")]
+    #[error("frame body does not match the checksum in its header")]
     Checksum,
     /// The body is not a message of this version.
-    #[error("a frame holds an unknown message")]
+    #[error("frame body is not a message of protocol version {VERSION}")]
     Unknown,
 }
 
-/// The first message in some bytes and the length of its frame, or None if the frame is incomplete.
+/// The first message in the decoded bytes and the length of its frame, or None if the frame is incomplete.
 pub type Decoded = Option<(Message, usize)>;
 
-/// The frame of a message.
+/// Encodes a message as a frame.
 pub fn encode(message: &Message) -> Vec<u8> {
     let body =
         postcard::to_stdvec(message).expect("sequences of known length can always be encoded");
-    // A body beyond the bound is rejected by the receiver, whatever length stands in its header.
+    // The receiver rejects a body longer than MAX_BODY_BYTES, so a length that does not fit the header may be
+    // saturated.
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
     let checksum = crc32fast::hash(&body);
     [
@@ -138,14 +143,14 @@
 /// Decodes the frame that `bytes` starts with.
 ///
 /// # Errors
-/// Any [`DecodeError`]; the link cannot be used any further then.
+/// Any [`DecodeError`]. The link cannot be used after an error.
 pub fn decode(bytes: &[u8]) -> Result<Decoded, DecodeError> {
     let Some(length) = read_u32(bytes, 0) else {
         return Ok(None);
     };
     let length = length as usize;
-    if length > FRAME_BOUND {
-        return Err(DecodeError::TooLong);
+    if length > MAX_BODY_BYTES {
+        return Err(DecodeError::TooLong { length });
     }
     let Some(checksum) = read_u32(bytes, LENGTH_BYTES) else {
         return Ok(None);
@@ -163,7 +168,7 @@
     }
 }
 
-fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
-    let four = bytes.get(at..at + 4)?;
-    four.try_into().ok().map(u32::from_le_bytes)
+fn read_u32(bytes: &[u8], offset: usize) -> Option<u32> {
+    let encoded = bytes.get(offset..offset + 4)?;
+    encoded.try_into().ok().map(u32::from_le_bytes)
 }
--- a/hot_restart/src/new_process.rs
+++ b/hot_restart/src/new_process.rs
@@ -1,7 +1,7 @@
-//! The side of the process that takes over.
+//! The new process: it takes over from the old one.
 //!
-//! It accepts clients once the old process commits. Then it serves until the old process abandons the restart. If the old
-//! process ends before the commit, it serves from what it has received.
+//! It accepts clients once the old process commits, and stops if the old process abandons the restart after that. If
+//! the old process ends before the commit, the new one serves with what it has received.
 
 use ternpick::types::Micros;
 
@@ -11,30 +11,30 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// Has sent its hello.
+    /// This process has sent its hello.
     AwaitingOffer,
-    /// Has confirmed its settings.
+    /// This process has reported whether its settings are the same.
     AwaitingListeners,
-    /// Has the listeners, and loads the state.
+    /// This process has the listeners and loads the state.
     LoadingState,
-    /// Has reported that it is ready.
+    /// This process has reported that it is ready.
     AwaitingCommit,
     Serving,
-    /// Has been told to exit.
+    /// The driver has been asked to end this process.
     Exiting,
 }
 
-/// What the driver of the new process reports.
+/// An event that the driver of the new process reports.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OldProcessEvent {
     /// A message has arrived.
     Received(Message),
-    /// The link has ended, or carried something that is not a message.
+    /// The link was closed or carried an invalid frame.
     LinkLost {
         /// Whether the old process still runs.
         old_process_runs: bool,
     },
-    /// The last piece of the snapshot has arrived; whether it could be loaded.
+    /// The last piece of the snapshot has arrived; the value is whether the snapshot could be loaded.
     SnapshotLoaded(bool),
 }
 
@@ -43,16 +43,16 @@
 pub struct NewProcess {
     step: Step,
     timeouts: StepTimeouts,
-    /// The digest of the settings that it was started with.
+    /// The digest of the settings that this process was started with.
     settings: u64,
     lease: Lease,
-    /// When the present step has taken too long.
+    /// When the current step times out.
     deadline: Option<Micros>,
 }
 
 impl NewProcess {
-    /// A new process, and the effects to start with. `settings` is the digest of its settings; `program` names it in the
-    /// old process's log.
+    /// A new process and its first effects. `settings` is the digest of its settings; `program` names it in the old
+    /// process's log.
     pub fn start(
         timeouts: StepTimeouts,
         settings: u64,
@@ -73,27 +73,27 @@
         (new, vec![Effect::Send(hello)])
     }
 
-    /// When [`NewProcess::handle_timeout`] is to be called; None if no step has a deadline.
+    /// When the driver must call [`NewProcess::handle_timeout`]; None if the current step has no deadline.
     pub fn next_timeout(&self) -> Option<Micros> {
         self.deadline
     }
 
-    /// Whether it accepts clients.
+    /// Whether this process accepts clients.
     pub fn is_serving(&self) -> bool {
         self.step == Step::Serving
     }
 
-    /// Whether it has been told to exit.
+    /// Whether the driver has been asked to end this process.
     pub fn is_exiting(&self) -> bool {
         self.step == Step::Exiting
     }
 
-    /// What this process may use now; nothing before the commit.
+    /// The part of the capacity that this process may use now; nothing before the commit.
     pub fn lease(&self) -> Lease {
         self.lease
     }
 
-    /// Handles an event; `capacity` is what the whole router may use.
+    /// Handles an event; `capacity` is the capacity of the whole router.
     pub fn handle_event(
         &mut self,
         now: Micros,
@@ -112,10 +112,10 @@
         }
     }
 
-    /// Abandons the takeover if the present step has reached its deadline.
+    /// Abandons the takeover if the current step has reached its deadline.
     pub fn handle_timeout(&mut self, now: Micros) -> Vec<Effect> {
         if self.deadline.is_some_and(|deadline| deadline <= now) {
-            return self.leave("nothing came from the old process in time");
+            return self.abandon("the old process did not answer in time");
         }
         Vec::new()
     }
@@ -124,7 +124,7 @@
         match (self.step, message) {
             (Step::Exiting, _) => Vec::new(),
             (Step::Serving, message) => self.handle_message_while_serving(message),
-            (_, Message::Abandon { why }) => self.leave(&why),
+            (_, Message::Abandon { why }) => self.abandon(&why),
             (Step::AwaitingOffer, Message::Offer { version, settings }) => {
                 self.handle_offer(now, version, settings)
             }
@@ -135,7 +135,10 @@
             // The driver collects the pieces and reports when the snapshot is loaded.
             (Step::LoadingState, Message::State { .. }) => Vec::new(),
             (Step::AwaitingCommit, Message::Commit { lease }) => self.handle_commit(lease),
-            (_, message) => self.leave(&format!("{} was not expected", message.name())),
+            (_, message) => self.abandon(&format!(
+                "the old process sent {} unexpectedly",
+                message.name()
+            )),
         }
     }
 
@@ -146,10 +149,10 @@
                 self.lease = self.lease.combine(lease);
                 vec![Effect::ApplyLease(self.lease)]
             }
-            // The old process serves again and ends this one, which still answers what it has accepted.
+            // The old process serves again and ends this one, which still answers the requests that it has accepted.
             Message::Abandon { why } => {
                 let mut effects = vec![Effect::Accept(false)];
-                effects.extend(self.leave(&why));
+                effects.extend(self.abandon(&why));
                 effects
             }
             _ => Vec::new(),
@@ -158,8 +161,8 @@
 
     fn handle_offer(&mut self, now: Micros, version: u16, settings: u64) -> Vec<Effect> {
         if version != VERSION {
-            return self.leave(&format!(
-                "the old process speaks version {version}, not {VERSION}"
+            return self.abandon(&format!(
+                "the old process uses protocol version {version}, expected {VERSION}"
             ));
         }
         self.enter(Step::AwaitingListeners, now + self.timeouts.step);
@@ -181,21 +184,22 @@
             return Vec::new();
         }
         if !loaded {
-            return self.leave("the state cannot be used");
+            return self.abandon("the snapshot could not be loaded");
         }
         self.enter(Step::AwaitingCommit, now + self.timeouts.step);
         vec![Effect::Send(Message::Ready)]
     }
 
-    /// The link is lost and the old process still runs: it serves, unless it has handed over.
+    /// Handles the loss of the link while the old process still runs: the old process serves, unless this one serves
+    /// already.
     fn handle_link_broken(&mut self) -> Vec<Effect> {
         match self.step {
             Step::Exiting | Step::Serving => Vec::new(),
-            _ => self.leave("the link broke"),
+            _ => self.abandon("the link to the old process broke"),
         }
     }
 
-    /// The old process has ended: the whole capacity belongs to this one.
+    /// Handles the end of the old process: this one may use the whole capacity.
     fn handle_old_ended(&mut self, capacity: Lease) -> Vec<Effect> {
         match self.step {
             Step::Exiting => Vec::new(),
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Serves from what has arrived: on the old process's listeners if it has them, else on its own.
+    /// Serves with what has arrived: on the old process's listeners if it has received them, else on its own.
     fn serve_without_commit(&mut self, capacity: Lease) -> Vec<Effect> {
         let has_listeners = matches!(self.step, Step::LoadingState | Step::AwaitingCommit);
         self.serve(capacity);
@@ -218,7 +222,9 @@
             Effect::BindListeners
         };
         vec![
-            Effect::Log("upgrade: the old process has died, this one serves".into()),
+            Effect::Log(
+                "upgrade: the old process ended before the commit, this process serves".into(),
+            ),
             Effect::ApplyLease(capacity),
             start_accepting,
         ]
@@ -235,12 +241,12 @@
         self.lease = lease;
     }
 
-    fn leave(&mut self, why: &str) -> Vec<Effect> {
+    fn abandon(&mut self, why: &str) -> Vec<Effect> {
         self.step = Step::Exiting;
         self.deadline = None;
         self.lease = Lease::default();
         vec![
-            Effect::Log(format!("upgrade: not taken over, {why}")),
+            Effect::Log(format!("upgrade: takeover abandoned, {why}")),
             Effect::Exit,
         ]
     }
--- a/hot_restart/src/old_process.rs
+++ b/hot_restart/src/old_process.rs
@@ -1,7 +1,7 @@
-//! The side of the process that serves and is to be replaced.
+//! The old process: it serves until the new one replaces it.
 //!
-//! It accepts clients until the new process has confirmed that it accepts them, then drains. It serves again if the new
-//! process fails while it drains.
+//! It accepts clients until the new process has confirmed that it accepts them, then drains. If the new process fails
+//! while the old one drains, the old one serves again.
 
 mod step;
 
@@ -13,12 +13,12 @@
 use crate::{Effect, StepTimeouts};
 use step::Step;
 
-/// What the driver of the old process reports.
+/// An event that the driver of the old process reports.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum NewProcessEvent {
     /// A message has arrived.
     Received(Message),
-    /// The link has ended, or carried something that is not a message, and the new process still runs.
+    /// The link was closed or carried an invalid frame, and the new process still runs.
     LinkBroken,
     /// The new process has ended.
     ProcessDied,
@@ -29,18 +29,18 @@
 pub struct OldProcess {
     step: Step,
     timeouts: StepTimeouts,
-    /// What the whole router may use.
+    /// The capacity of the whole router.
     capacity: Lease,
-    /// What this process may use; the new one has the rest.
+    /// The part of the capacity that this process may use; the new one has the rest.
     lease: Lease,
-    /// When the present step has taken too long, or the next ping is due.
+    /// When the current step times out or the next ping is due.
     deadline: Option<Micros>,
-    /// A ping has been sent and not been answered.
+    /// Whether a ping has been sent and not been answered.
     awaiting_pong: bool,
-    /// The new process has answered a ping since it serves. Until it has, this one does not exit: a process that hangs just
-    /// after the commit must not be left alone.
+    /// Whether the new process has answered a ping since it began to serve. The old process does not exit before that:
+    /// otherwise a new process that hangs just after the commit would remain as the only one.
     has_answered_ping: bool,
-    /// The digest of the settings that it runs on.
+    /// The digest of the settings that this process runs on.
     settings: u64,
     #[cfg(test)]
     pub(crate) injected_bug: Option<InjectedBug>,
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Starts a hot restart. `current_lease` is what this process may use now: less than the capacity while its own
-    /// predecessor drains.
+    /// Starts a hot restart. `current_lease` is the part of the capacity that this process may use now. It is less
+    /// than the whole while this process's own predecessor drains.
     ///
     /// # Errors
-    /// The reason in words, if a restart is under way or done, or the predecessor still drains: three processes would use
-    /// more than the capacity.
+    /// Returns the reason as text if a restart is in progress or finished, or if the predecessor still drains: three
+    /// processes would use more than the capacity.
     pub fn start(
         &mut self,
         now: Micros,
@@ -76,7 +76,7 @@
     ) -> Result<Vec<Effect>, &'static str> {
         match self.step {
             Step::Serving if current_lease != self.capacity => {
-                Err("the process before this one still has a part of the share, ask again when it has left")
+                Err("the predecessor of this process still has a part of the capacity, ask again when it has exited")
             }
             Step::Serving => {
                 self.enter(Step::AwaitingHello, now + self.timeouts.hello);
@@ -89,22 +89,22 @@
         }
     }
 
-    /// When [`OldProcess::handle_timeout`] is to be called; None if no step has a deadline.
+    /// When the driver must call [`OldProcess::handle_timeout`]; None if the current step has no deadline.
     pub fn next_timeout(&self) -> Option<Micros> {
         self.deadline
     }
 
-    /// Whether it is the only process, and no restart is under way.
+    /// Whether this is the only process and no restart is in progress.
     pub fn is_serving(&self) -> bool {
         self.step == Step::Serving
     }
 
-    /// Whether the new process serves and this one answers what it has accepted.
+    /// Whether the new process serves and this one answers the requests that it has accepted.
     pub fn is_draining(&self) -> bool {
         self.step == Step::Draining
     }
 
-    /// What this process may use now.
+    /// The part of the capacity that this process may use now.
     pub fn lease(&self) -> Lease {
         self.lease
     }
@@ -114,7 +114,7 @@
         self.step.name()
     }
 
-    /// Handles an event; `in_use` is what this process uses at present.
+    /// Handles an event; `in_use` is what this process currently uses.
     pub fn handle_event(
         &mut self,
         now: Micros,
@@ -138,7 +138,7 @@
                 self.deadline = None;
                 Vec::new()
             }
-            // It was told to end and has not: the driver ends it for good the second time.
+            // The new process was asked to exit and still runs: the driver kills it the second time.
             Step::EndingNewProcess => {
                 self.enter(Step::EndingNewProcess, now + self.timeouts.step);
                 vec![Effect::EndPeer]
@@ -148,11 +148,11 @@
                 self.awaiting_pong = true;
                 vec![Effect::Send(Message::Ping)]
             }
-            _ => self.abandon(now, &format!("nothing came while it {}", self.step.name())),
+            _ => self.abandon(now, &self.timeout_reason()),
         }
     }
 
-    /// Nothing is in flight in this process any more, and no client is connected to it.
+    /// Handles the end of draining: nothing is in flight in this process, and no client is connected to it.
     pub fn drain_finished(&mut self) -> Vec<Effect> {
         if self.step != Step::Draining || !self.has_answered_ping {
             return Vec::new();
@@ -163,6 +163,13 @@
         vec![Effect::Send(done), Effect::Exit]
     }
 
+    fn timeout_reason(&self) -> String {
+        format!(
+            "the new process did not answer in time while this process {}",
+            self.step.name()
+        )
+    }
+
     fn handle_message(&mut self, now: Micros, message: Message, in_use: Lease) -> Vec<Effect> {
         match (self.step, message) {
             (Step::AwaitingHello, Message::Hello { version, program }) => {
@@ -181,22 +188,30 @@
                 self.has_answered_ping = true;
                 Vec::new()
             }
-            // Messages that were under way when the restart was abandoned or done.
+            // Messages that the new process sent before it learned that the restart was abandoned or finished.
             (Step::EndingNewProcess | Step::Serving | Step::HandedOver | Step::Draining, _) => {
                 Vec::new()
             }
-            (_, message) => self.abandon(now, &format!("{} was not expected", message.name())),
+            (_, message) => {
+                let why = format!(
+                    "the new process sent {} while this process {}",
+                    message.name(),
+                    self.step.name()
+                );
+                self.abandon(now, &why)
+            }
         }
     }
 
     fn handle_hello(&mut self, now: Micros, version: u16, program: &str) -> Vec<Effect> {
         if version != VERSION {
-            let why = format!("the new process speaks version {version}, not {VERSION}");
+            let why =
+                format!("the new process uses protocol version {version}, expected {VERSION}");
             return self.abandon(now, &why);
         }
         self.enter(Step::CheckingSettings, now + self.timeouts.step);
         vec![
-            Effect::Log(format!("upgrade: {program} is there")),
+            Effect::Log(format!("upgrade: {program} has started")),
             Effect::Send(Message::Offer {
                 version: VERSION,
                 settings: self.settings,
@@ -212,7 +227,7 @@
             "other settings"
         };
         vec![
-            Effect::Log(format!("upgrade: it runs on {settings}")),
+            Effect::Log(format!("upgrade: the new process runs on {settings}")),
             Effect::PassListeners,
         ]
     }
@@ -224,7 +239,7 @@
             self.lease = self.capacity;
         }
         self.enter(Step::Committing, now + self.timeouts.step);
-        // This process uses less before the new one uses more.
+        // This process reduces its use before the new one receives its lease.
         let mut effects = vec![
             Effect::ApplyLease(self.lease),
             Effect::Send(Message::Commit {
@@ -241,7 +256,7 @@
         self.enter(Step::Draining, now + self.timeouts.silence);
         self.awaiting_pong = true;
         self.has_answered_ping = false;
-        let line = "upgrade: the new process serves, this one finishes what it has taken";
+        let line = "upgrade: the new process serves, this process drains";
         vec![
             Effect::Send(Message::Ping),
             Effect::Accept(false),
@@ -253,12 +268,12 @@
     fn handle_link_broken(&mut self, now: Micros) -> Vec<Effect> {
         match self.step {
             Step::Serving | Step::EndingNewProcess | Step::HandedOver => Vec::new(),
-            // The new process accepts clients and needs nothing more from this one.
+            // The new process already accepts clients and needs no further message from this one.
             Step::Draining => {
                 self.deadline = None;
                 vec![Effect::PassClients(false)]
             }
-            _ => self.abandon(now, "the link broke"),
+            _ => self.abandon(now, "the link to the new process broke"),
         }
     }
 
@@ -269,7 +284,7 @@
         }
     }
 
-    /// Serves again, and ends the new process; its lease returns when it has ended.
+    /// Serves again and ends the new process. This process regains its lease once it has ended.
     fn abandon(&mut self, now: Micros, why: &str) -> Vec<Effect> {
         let mut effects = vec![abandoned_line(why)];
         if self.step == Step::Draining {
@@ -282,10 +297,10 @@
         effects
     }
 
-    /// The new process has ended: serves with the whole capacity.
+    /// Serves with the whole capacity after the new process has ended.
     fn serve_alone(&mut self, why: &str) -> Vec<Effect> {
         let mut effects = Vec::new();
-        // The line was already logged when the new process was told to end.
+        // The line was already logged when the new process was asked to exit.
         if self.step != Step::EndingNewProcess {
             effects.push(abandoned_line(why));
         }
@@ -315,9 +330,11 @@
     }
 }
 
-/// The driver reads the reason from this line, after "given up, ".
+/// The driver parses the reason out of this line: the text after "given up, ".
 fn abandoned_line(why: &str) -> Effect {
-    Effect::Log(format!("upgrade: given up, {why}; this process goes on"))
+    Effect::Log(format!(
+        "upgrade: given up, {why}; this process continues to serve"
+    ))
 }
 
 fn accept_again() -> [Effect; 2] {
--- a/hot_restart/src/old_process/step.rs
+++ b/hot_restart/src/old_process/step.rs
@@ -1,4 +1,4 @@
-//! The steps of a hot restart at the old process, in order.
+//! The steps of a hot restart in the old process, in order.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Step {
@@ -8,11 +8,11 @@
     CheckingSettings,
     PassingListeners,
     PassingState,
-    /// The commit is sent; the lease is already reduced to what this process retains.
+    /// The commit has been sent; this process has already reduced its lease to what it retains.
     Committing,
-    /// The new process serves; this one answers what it has accepted.
+    /// The new process serves; this one answers the requests that it has accepted.
     Draining,
-    /// The new process has been told to end; its lease returns when it has ended.
+    /// The new process has been asked to exit; this one regains its lease when it has ended.
     EndingNewProcess,
     HandedOver,
 }
--- a/hot_restart/src/tests.rs
+++ b/hot_restart/src/tests.rs
@@ -1,4 +1,5 @@
-//! The rules of a hot restart hold in every interleaving of the two sides, and the model detects injected bugs.
+//! Model checks: the properties of a hot restart hold in every interleaving of the two processes, and each injected bug
+//! violates one.
 
 mod model;
 mod properties;
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn no_interleaving_breaks_a_rule() {
+fn every_interleaving_satisfies_the_properties() {
     let started = std::time::Instant::now();
     let checked = explore(None, 2);
     println!(
@@ -40,11 +41,11 @@
 
 #[test_case::test_case(InjectedBug::StaysDrained, properties::SOME_PROCESS_ACCEPTS; "stays drained")]
 #[test_case::test_case(InjectedBug::StopsAcceptingEarly, properties::SOME_PROCESS_ACCEPTS; "stops accepting early")]
-#[test_case::test_case(InjectedBug::KeepsWholeLease, properties::LEASES_FIT; "keeps the whole lease")]
-fn an_injected_bug_breaks_its_rule(bug: InjectedBug, rule: &'static str) {
+#[test_case::test_case(InjectedBug::KeepsWholeLease, properties::LEASES_FIT_CAPACITY; "keeps the whole lease")]
+fn an_injected_bug_violates_its_property(bug: InjectedBug, property: &'static str) {
     let checked = explore(Some(bug), 1);
     assert!(
-        checked.discovery(rule).is_some(),
-        "{rule} holds with {bug:?}"
+        checked.discovery(property).is_some(),
+        "the property '{property}' holds with {bug:?}"
     );
 }
--- a/hot_restart/src/tests/model.rs
+++ b/hot_restart/src/tests/model.rs
@@ -1,5 +1,6 @@
-//! All interleavings of the two sides at small size: crashes of either at any point, links that break with the messages on
-//! them, steps that take too long, restarts requested twice. The state machines are the real ones.
+//! The model: all interleavings of the two processes with a small number of faults. Either process crashes at any
+//! point, the link breaks and loses its messages, steps time out, and a restart is requested during another. The
+//! state machines are the real ones.
 
 use stateright::{Model, Property};
 use ternpick::types::Micros;
@@ -9,7 +10,7 @@
 use crate::injected_bug::InjectedBug;
 use crate::{Lease, Message, NewProcessEvent, OldProcessEvent};
 
-/// What the old process has in use when it commits.
+/// The part of the capacity that the old process uses when it commits.
 const IN_USE: Lease = Lease {
     in_flight: 2,
     retries: 0,
@@ -17,29 +18,29 @@
     memory_bytes: 2,
 };
 const NOW: Micros = Micros(0);
-/// After every deadline.
-const LATE: Micros = Micros(u64::MAX / 2);
+/// A time after every deadline.
+const AFTER_EVERY_DEADLINE: Micros = Micros(u64::MAX / 2);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Action {
     RequestRestart,
-    /// While one is under way.
+    /// A restart is requested while one is in progress.
     RequestAnotherRestart,
     DeliverToNew,
     DeliverToOld,
-    /// The snapshot turns out to be unusable.
+    /// The new process cannot load the snapshot.
     FailToLoadSnapshot,
     CrashOld,
     CrashNew,
     BreakLink,
-    TellOldOfLoss,
-    TellNewOfLoss,
+    ReportLossToOld,
+    ReportLossToNew,
     TimeOutOld,
     TimeOutNew,
-    /// The new process was told to end and does.
+    /// The new process was asked to exit and does so.
     EndNew,
     AnswerQuery,
-    /// Nothing is in flight in the old process any more.
+    /// Nothing is in flight in the old process.
     FinishDrain,
 }
 
@@ -80,12 +81,12 @@
     } else if world.restarts_left > 0 && !is_serving {
         actions.push(Action::RequestAnotherRestart);
     }
-    let has_unknown_loss = !world.old_knows_link_lost && !world.is_linked
+    let has_unreported_loss = !world.old_knows_link_lost && !world.is_linked
         || world.new.is_none() && !world.old_knows_new_died;
     if !world.to_old.is_empty() {
         actions.push(Action::DeliverToOld);
-    } else if has_unknown_loss {
-        actions.push(Action::TellOldOfLoss);
+    } else if has_unreported_loss {
+        actions.push(Action::ReportLossToOld);
     }
     if world.timeouts_left > 0 && old.machine.next_timeout().is_some() {
         actions.push(Action::TimeOutOld);
@@ -105,7 +106,7 @@
     if !world.to_new.is_empty() {
         actions.push(Action::DeliverToNew);
     } else if !world.new_knows_link_lost && !world.is_linked {
-        actions.push(Action::TellNewOfLoss);
+        actions.push(Action::ReportLossToNew);
     }
     if world.timeouts_left > 0 && new.machine.next_timeout().is_some() {
         actions.push(Action::TimeOutNew);
@@ -122,7 +123,7 @@
     actions.push(Action::FailToLoadSnapshot);
 }
 
-/// One method for each action; None where it cannot happen.
+/// Performs the actions. A method returns None if its action is impossible in this state.
 impl World {
     fn perform(&mut self, action: Action) -> Option<()> {
         match action {
@@ -131,7 +132,7 @@
             Action::DeliverToOld => self.deliver_to_old()?,
             Action::DeliverToNew => self.deliver_to_new()?,
             Action::FailToLoadSnapshot => {
-                self.tell_new(OldProcessEvent::SnapshotLoaded(false))?;
+                self.handle_event_of_new(OldProcessEvent::SnapshotLoaded(false))?;
             }
             Action::CrashOld => {
                 self.crashes_left -= 1;
@@ -145,20 +146,28 @@
                 self.link_breaks_left -= 1;
                 self.break_link();
             }
-            Action::TellOldOfLoss => self.tell_old_of_loss()?,
-            Action::TellNewOfLoss => {
+            Action::ReportLossToOld => self.report_loss_to_old()?,
+            Action::ReportLossToNew => {
                 self.new_knows_link_lost = true;
                 let old_process_runs = self.old.is_some();
-                self.tell_new(OldProcessEvent::LinkLost { old_process_runs })?;
+                self.handle_event_of_new(OldProcessEvent::LinkLost { old_process_runs })?;
             }
             Action::TimeOutOld => {
                 self.timeouts_left -= 1;
-                let effects = self.old.as_mut()?.machine.handle_timeout(LATE);
+                let effects = self
+                    .old
+                    .as_mut()?
+                    .machine
+                    .handle_timeout(AFTER_EVERY_DEADLINE);
                 self.carry_out_for_old(effects);
             }
             Action::TimeOutNew => {
                 self.timeouts_left -= 1;
-                let effects = self.new.as_mut()?.machine.handle_timeout(LATE);
+                let effects = self
+                    .new
+                    .as_mut()?
+                    .machine
+                    .handle_timeout(AFTER_EVERY_DEADLINE);
                 self.carry_out_for_new(effects);
             }
             Action::EndNew => self.end_new(),
@@ -178,7 +187,7 @@
         Some(())
     }
 
-    /// It is rejected in every step.
+    /// The old process rejects the request in every step.
     fn request_another_restart(&mut self) -> Option<()> {
         self.restarts_left -= 1;
         let started = self.old.as_mut()?.machine.start(NOW, CAPACITY);
@@ -187,7 +196,7 @@
 
     fn deliver_to_old(&mut self) -> Option<()> {
         let message = self.to_old.pop_front()?;
-        self.tell_old(NewProcessEvent::Received(message))
+        self.handle_event_of_old(NewProcessEvent::Received(message))
     }
 
     fn deliver_to_new(&mut self) -> Option<()> {
@@ -205,23 +214,23 @@
         Some(())
     }
 
-    fn tell_old_of_loss(&mut self) -> Option<()> {
+    fn report_loss_to_old(&mut self) -> Option<()> {
         self.old_knows_link_lost = true;
         if self.new.is_some() {
-            return self.tell_old(NewProcessEvent::LinkBroken);
+            return self.handle_event_of_old(NewProcessEvent::LinkBroken);
         }
         self.old_knows_new_died = true;
-        self.tell_old(NewProcessEvent::ProcessDied)
+        self.handle_event_of_old(NewProcessEvent::ProcessDied)
     }
 
-    fn tell_old(&mut self, event: NewProcessEvent) -> Option<()> {
+    fn handle_event_of_old(&mut self, event: NewProcessEvent) -> Option<()> {
         let old = self.old.as_mut()?;
         let effects = old.machine.handle_event(NOW, event, IN_USE);
         self.carry_out_for_old(effects);
         Some(())
     }
 
-    fn tell_new(&mut self, event: OldProcessEvent) -> Option<()> {
+    fn handle_event_of_new(&mut self, event: OldProcessEvent) -> Option<()> {
         let new = self.new.as_mut()?;
         let effects = new.machine.handle_event(NOW, event, CAPACITY);
         self.carry_out_for_new(effects);
--- a/hot_restart/src/tests/properties.rs
+++ b/hot_restart/src/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The rules that every state keeps, and the outcomes that some state reaches.
+//! The properties that hold in every state, and the outcomes that some state reaches.
 
 use stateright::Property;
 
@@ -7,12 +7,12 @@
 use crate::Lease;
 
 pub(super) const SOME_PROCESS_ACCEPTS: &str = "a process accepts clients while one lives";
-pub(super) const LEASES_FIT: &str = "the leases never exceed the capacity";
+pub(super) const LEASES_FIT_CAPACITY: &str = "the leases never exceed the capacity";
 
 pub(super) fn all() -> Vec<Property<HotRestart>> {
     vec![
         Property::always(SOME_PROCESS_ACCEPTS, |_, world: &World| {
-            some_process_accepts(world) || !some_process_lives(world) || !world.is_quiet()
+            some_process_accepts(world) || !some_process_lives(world) || !world.is_settled()
         }),
         Property::always(
             "the listener stays open while the old process or its successor lives",
@@ -22,7 +22,7 @@
             "both processes accept only during a commit",
             |_, world: &World| both_accept_only_during_a_commit(world),
         ),
-        Property::always(LEASES_FIT, |_, world: &World| {
+        Property::always(LEASES_FIT_CAPACITY, |_, world: &World| {
             old_lease(world)
                 .combine(new_lease(world))
                 .fits_within(CAPACITY)
@@ -31,11 +31,11 @@
             "a process that serves alone has the whole capacity",
             |_, world: &World| {
                 let is_alone = world.old.is_none() && new_serves(world);
-                !is_alone || new_lease(world) == CAPACITY || !world.is_quiet()
+                !is_alone || new_lease(world) == CAPACITY || !world.is_settled()
             },
         ),
         Property::always(
-            "a process that exits leaves no query behind",
+            "a process exits only when it has no query in flight",
             |_, world: &World| {
                 world.old.is_some() || world.in_flight == 0 || world.crashes_left < 2
             },
@@ -43,7 +43,7 @@
         Property::sometimes("a restart succeeds", |_, world: &World| succeeded(world)),
         Property::sometimes(
             "a failed restart leaves the old process as it was",
-            |_, world: &World| failed_without_a_trace(world),
+            |_, world: &World| failed_without_effect(world),
         ),
     ]
 }
@@ -65,19 +65,19 @@
 }
 
 fn listener_is_open(world: &World) -> bool {
-    let at_old = world.old.as_ref().is_some_and(|old| old.has_listener);
-    let at_new = world
+    let open_in_old = world.old.as_ref().is_some_and(|old| old.has_listener);
+    let open_in_new = world
         .new
         .as_ref()
         .is_none_or(|new| new.has_listener || !new.machine.is_serving());
-    at_old || at_new
+    open_in_old || open_in_new
 }
 
 fn both_accept_only_during_a_commit(world: &World) -> bool {
     let (Some(old), Some(new)) = (&world.old, &world.new) else {
         return true;
     };
-    let both_accept = old.accepts && new.accepts && world.is_quiet();
+    let both_accept = old.accepts && new.accepts && world.is_settled();
     !both_accept || old.machine.step_name() == "commits"
 }
 
@@ -102,14 +102,14 @@
     world.old.is_none() && world.crashes_left == 2 && new_accepts && new_lease(world) == CAPACITY
 }
 
-fn failed_without_a_trace(world: &World) -> bool {
+fn failed_without_effect(world: &World) -> bool {
     let old_serves = world
         .old
         .as_ref()
         .is_some_and(|old| old.machine.is_serving());
     world.restarts_left == 0
         && world.new.is_none()
-        && world.is_quiet()
+        && world.is_settled()
         && old_serves
         && old_lease(world) == CAPACITY
 }
--- a/hot_restart/src/tests/world.rs
+++ b/hot_restart/src/tests/world.rs
@@ -1,4 +1,4 @@
-//! The state of the model: two processes, the link between them, and the faults that are still to come.
+//! The state of the model: two processes, the link between them, and the faults that may still happen.
 
 use std::collections::VecDeque;
 
@@ -14,13 +14,13 @@
     memory_bytes: 8,
 };
 
-/// A process and what its driver has done for it.
+/// A process and the state that its driver keeps for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Process<M> {
     pub(super) machine: M,
     pub(super) accepts: bool,
     pub(super) has_listener: bool,
-    /// It has been told to end and will.
+    /// Whether the process has been asked to exit and still runs.
     pub(super) is_ending: bool,
 }
 
@@ -31,7 +31,7 @@
     /// Messages on the link, in order.
     pub(super) to_new: VecDeque<Message>,
     pub(super) to_old: VecDeque<Message>,
-    /// The link works. After it breaks, each side learns of it once it has read what had arrived.
+    /// Whether the link works. After it breaks, each process learns so once it has read the messages that had arrived.
     pub(super) is_linked: bool,
     pub(super) old_knows_link_lost: bool,
     pub(super) new_knows_link_lost: bool,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The new process learns of it, whether the link worked until then or not.
+    /// Ends the old process. The new one learns of it, whether or not the link worked until then.
     pub(super) fn end_old(&mut self) {
         self.old = None;
         self.is_linked = false;
@@ -156,29 +156,29 @@
         self.to_old.clear();
     }
 
-    /// Whether no process has yet to learn of something that has happened.
-    pub(super) fn is_quiet(&self) -> bool {
+    /// Whether the processes have learned of everything that has happened, and none of them is about to exit.
+    pub(super) fn is_settled(&self) -> bool {
         let old_has_messages = self.old.is_some() && !self.to_old.is_empty();
         let new_has_messages = self.new.is_some() && !self.to_new.is_empty();
         let new_is_ending = self.new.as_ref().is_some_and(|new| new.is_ending);
         !old_has_messages
             && !new_has_messages
-            && !self.link_loss_is_unknown()
-            && !self.death_of_new_is_unknown()
+            && !self.has_unreported_link_loss()
+            && !self.has_unreported_end_of_new()
             && !new_is_ending
     }
 
-    fn link_loss_is_unknown(&self) -> bool {
-        let to_old = self.old.is_some() && !self.old_knows_link_lost;
-        let to_new = self.new.is_some() && !self.new_knows_link_lost;
-        !self.is_linked && (to_old || to_new)
+    fn has_unreported_link_loss(&self) -> bool {
+        let unreported_to_old = self.old.is_some() && !self.old_knows_link_lost;
+        let unreported_to_new = self.new.is_some() && !self.new_knows_link_lost;
+        !self.is_linked && (unreported_to_old || unreported_to_new)
     }
 
-    fn death_of_new_is_unknown(&self) -> bool {
-        let old_waits = self
+    fn has_unreported_end_of_new(&self) -> bool {
+        let old_is_restarting = self
             .old
             .as_ref()
             .is_some_and(|old| !old.machine.is_serving());
-        self.new.is_none() && old_waits && !self.old_knows_new_died
+        self.new.is_none() && old_is_restarting && !self.old_knows_new_died
     }
 }
--- a/hot_restart/src/timeouts.rs
+++ b/hot_restart/src/timeouts.rs
@@ -2,16 +2,16 @@
 
 use ternpick::types::Micros;
 
-/// How long each step may take. The restart is abandoned when one takes longer.
+/// The maximum duration of each step. The restart is abandoned when a step takes longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StepTimeouts {
-    /// From the start of the new process until its hello.
+    /// The time from the start of the new process until its hello.
     pub hello: Micros,
-    /// Each step without a timeout of its own.
+    /// The duration of each step that has no timeout of its own.
     pub step: Micros,
-    /// From the listeners until the new process has loaded the state.
+    /// The time from passing the listeners until the new process has loaded the state.
     pub ready: Micros,
-    /// While the old process drains: the interval of its pings, and the time that each answer may take.
+    /// The interval of the old process's pings while it drains, and the time that the answer to each may take.
     pub silence: Micros,
 }
 
--- a/hot_restart/tests/connections.rs
+++ b/hot_restart/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Which client connections go over to the new process.
+//! Which client connections the old process passes to the new one.
 
 use ternpick::types::Micros;
 use ternpick_hot_restart::should_migrate;
@@ -6,12 +6,12 @@
 const BEGAN_AT: Micros = Micros(50_000_000);
 
 #[test]
-fn a_connection_without_a_request_goes_over() {
+fn a_connection_with_no_request_sent_ahead_migrates() {
     assert!(should_migrate(BEGAN_AT, None));
 }
 
 #[test]
-fn what_was_sent_ahead_is_answered_where_it_was_read() {
+fn a_connection_with_a_request_sent_ahead_stays_for_three_seconds() {
     assert!(!should_migrate(BEGAN_AT, Some(Micros(0))));
     assert!(!should_migrate(BEGAN_AT, Some(BEGAN_AT)));
     assert!(!should_migrate(
@@ -21,6 +21,6 @@
 }
 
 #[test]
-fn a_client_that_sends_ahead_for_ever_does_not_keep_the_old_process() {
+fn a_connection_with_a_request_sent_ahead_migrates_after_three_seconds() {
     assert!(should_migrate(BEGAN_AT, Some(BEGAN_AT + Micros(3_000_000))));
 }
--- a/hot_restart/tests/message.rs
+++ b/hot_restart/tests/message.rs
@@ -1,7 +1,7 @@
-//! Frames: incomplete, damaged and unknown ones, and the bytes of each message.
+//! Decoding of incomplete, corrupt and unknown frames, and the encoded bytes of each message.
 
 use proptest::prelude::*;
-use ternpick_hot_restart::{decode, encode, DecodeError, Lease, Message, FRAME_BOUND, VERSION};
+use ternpick_hot_restart::{decode, encode, DecodeError, Lease, Message, MAX_BODY_BYTES, VERSION};
 use test_case::test_case;
 
 const LEASE: Lease = Lease {
@@ -19,8 +19,11 @@
     for length in (0..frame.len()).step_by(1 + frame.len() / 500) {
         assert_eq!(decode(&frame[..length]), Ok(None), "truncated at {length}");
     }
-    let with_more = [&frame[..], b"rest"].concat();
-    assert_eq!(decode(&with_more), Ok(Some((message, frame.len()))));
+    let with_following_bytes = [&frame[..], b"rest"].concat();
+    assert_eq!(
+        decode(&with_following_bytes),
+        Ok(Some((message, frame.len())))
+    );
 }
 
 #[test_case(Message::Hello { version: 1, program: "x".into() }, &[4, 0, 0, 0, 100, 125, 67, 103, 0, 1, 1, 120]; "hello")]
@@ -42,20 +45,25 @@
 }
 
 #[test]
-fn a_frame_longer_than_the_bound_is_rejected_by_its_length_alone() {
-    let length = u32::try_from(FRAME_BOUND + 1).expect("fits");
-    assert_eq!(decode(&length.to_le_bytes()), Err(DecodeError::TooLong));
+fn a_frame_with_too_long_a_body_is_rejected_as_soon_as_its_length_is_read() {
+    let length = u32::try_from(MAX_BODY_BYTES + 1).expect("fits");
+    assert_eq!(
+        decode(&length.to_le_bytes()),
+        Err(DecodeError::TooLong {
+            length: MAX_BODY_BYTES + 1
+        })
+    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn a_frame_with_a_changed_byte_is_not_decoded(at in 0usize..64, to in any::<u8>()) {
+    fn a_frame_with_a_changed_byte_is_not_decoded(position in 0usize..64, new_byte in any::<u8>()) {
         let message = Message::Hello { version: VERSION, program: "ternpick 0.2.0".into() };
         let mut frame = encode(&message);
-        let at = at % frame.len();
-        prop_assume!(frame[at] != to);
-        frame[at] = to;
+        let position = position % frame.len();
+        prop_assume!(frame[position] != new_byte);
+        frame[position] = new_byte;
         prop_assert!(!matches!(decode(&frame), Ok(Some(_))));
     }
 
--- a/hot_restart/tests/old_process.rs
+++ b/hot_restart/tests/old_process.rs
@@ -12,7 +12,7 @@
 };
 
 #[test_case(CAPACITY, true; "the whole capacity")]
-#[test_case(Lease { in_flight: 6, ..CAPACITY }, false; "less, while the predecessor drains")]
+#[test_case(Lease { in_flight: 6, ..CAPACITY }, false; "a part of it, while the predecessor drains")]
 fn a_restart_starts_only_with_the_whole_capacity(current_lease: Lease, starts: bool) {
     let mut old = OldProcess::new(StepTimeouts::default(), CAPACITY, 1);
     assert_eq!(old.start(Micros(0), current_lease).is_ok(), starts);
--- a/hot_restart/tests/release_bytes.rs
+++ b/hot_restart/tests/release_bytes.rs
@@ -1,5 +1,5 @@
-//! An old process and the new one that takes its place are of two releases: each message of the hand-over keeps the frame
-//! that released programs write and read.
+//! The old and the new process of a hot restart may be of different releases, so each message keeps the frame that
+//! released programs write and read.
 
 #[path = "../../tests/common/recorded.rs"]
 mod recorded;
@@ -7,7 +7,7 @@
 use recorded::Recorded;
 use ternpick_hot_restart::{decode, encode, Lease, Message};
 
-fn whole(frame: &[u8]) -> Option<Message> {
+fn decode_whole(frame: &[u8]) -> Option<Message> {
     match decode(frame) {
         Ok(Some((message, length))) if length == frame.len() => Some(message),
         _ => None,
@@ -17,16 +17,16 @@
 #[test]
 #[allow(
     clippy::too_many_lines,
-    reason = "one value for each recorded form, in one list"
+    reason = "a list with one value for each recorded message"
 )]
-fn every_message_of_a_hand_over_has_the_frame_of_the_release() {
+fn every_message_has_the_frame_of_the_release() {
     let lease = Lease {
         in_flight: 301,
         retries: 302,
         descriptors: 303,
         memory_bytes: 70_000_000_004,
     };
-    let other = Lease {
+    let returned_lease = Lease {
         in_flight: 311,
         retries: 312,
         descriptors: 313,
@@ -69,7 +69,12 @@
         ),
         ("ping", Message::Ping),
         ("pong", Message::Pong),
-        ("done", Message::Done { lease: other }),
+        (
+            "done",
+            Message::Done {
+                lease: returned_lease,
+            },
+        ),
         (
             "abandon",
             Message::Abandon {
@@ -79,7 +84,7 @@
     ];
     let mut recorded = Recorded::parse(include_str!("release_bytes.txt"));
     for (name, message) in &messages {
-        recorded.value(name, message, encode, whole);
+        recorded.value(name, message, encode, decode_whole);
     }
     recorded.finish();
 }
--- a/router/src/lifecycle/hot_restart_link.rs
+++ b/router/src/lifecycle/hot_restart_link.rs
@@ -13,7 +13,7 @@
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
 };
-use ternpick_hot_restart::{decode, encode, Message, FRAME_BOUND};
+use ternpick_hot_restart::{decode, encode, Message, MAX_BODY_BYTES};
 
 use crate::lifecycle::socket_io::uninterrupted;
 
@@ -78,7 +78,7 @@
                 self.input.drain(..length);
                 Ok(Some(message))
             }
-            Ok(None) if self.input.len() > FRAME_BOUND + READ_BYTES => {
+            Ok(None) if self.input.len() > MAX_BODY_BYTES + READ_BYTES => {
                 Err(ErrorKind::InvalidData.into())
             }
             Ok(None) => Ok(None),
