--- a/identity/benches/cost.rs
+++ b/identity/benches/cost.rs
@@ -1,4 +1,4 @@
-//! What judging one request costs: a token verified, one that is remembered, a certificate.
+//! The cost of authorizing one request with a token that is verified, a cached token, and a certificate.
 
 use criterion::{criterion_group, criterion_main, Criterion};
 use ring::rand::SystemRandom;
--- a/identity/src/certificate.rs
+++ b/identity/src/certificate.rs
@@ -1,5 +1,6 @@
-//! Client certificates after the handshake (RFC 5280). Their chain is verified as they are shown; what changes while a
-//! connection stands is looked at again here, with each request: their times, and lists of revoked ones.
+//! Client certificates after the handshake (RFC 5280). TLS verifies their chain during the handshake. What can change
+//! while a connection is open is checked here with each request: the validity period and the lists of revoked
+//! certificates.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -12,10 +13,12 @@
 
 use crate::keys::seconds;
 
-/// The longest certificate and the longest revocation list, in bytes.
+/// The maximum size of a certificate.
 pub const MAX_CERTIFICATE_BYTES: usize = 16 * 1024;
+/// The maximum size of a list of revoked certificates.
 pub const MAX_REVOCATION_LIST_BYTES: usize = 4 << 20;
 
+/// Why a certificate is refused. The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CertificateError {
     #[error("the certificate can't be read")]
@@ -30,24 +33,25 @@
     Unnamed,
 }
 
+/// Why a list of revoked certificates is not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RevocationListError {
-    #[error("the revocation list can't be read")]
+    #[error("the revocation list is malformed, or longer than {MAX_REVOCATION_LIST_BYTES} bytes")]
     Malformed,
-    #[error("the revocation list is not signed by the issuer that is trusted")]
+    #[error("the revocation list is not signed by the trusted issuer")]
     Signature,
     #[error("the revocation list is older than the one in use")]
     Older,
 }
 
-/// What is kept of a certificate that a client has shown.
+/// The parts of a client certificate that are kept with its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Certificate {
-    /// SHA-256 of the whole, hexadecimal.
+    /// The SHA-256 of the DER encoding, in hexadecimal.
     pub fingerprint: Rc<str>,
     issuer: Rc<[u8]>,
     serial: Vec<u8>,
-    /// Its common name and alternative names (DNS, URI, mail).
+    /// The common names and the alternative names (DNS, URI, email).
     pub names: Vec<String>,
     pub from: Micros,
     pub until: Micros,
@@ -58,6 +62,7 @@
 }
 
 impl Certificate {
+    /// Reads a certificate in DER.
     pub fn parse(der: &[u8]) -> Result<Certificate, CertificateError> {
         if der.len() > MAX_CERTIFICATE_BYTES {
             return Err(CertificateError::Malformed);
@@ -90,27 +95,29 @@
         })
     }
 
-    /// Its serial number, hexadecimal, as operators read it.
+    /// Returns the serial number in hexadecimal, for operators.
     pub fn serial(&self) -> String {
         hexadecimal(&self.serial)
     }
 }
 
+/// The list of revoked certificates of one issuer.
 struct RevocationList {
     number: u64,
     serials: BTreeSet<Vec<u8>>,
     next_update: Option<Micros>,
 }
 
-/// The revocation lists in use, by issuer: as many as authorities are trusted, each bounded by [`MAX_REVOCATION_LIST_BYTES`].
+/// The revocation lists in use, by issuer. There is at most one for each trusted authority, each no longer than
+/// [`MAX_REVOCATION_LIST_BYTES`].
 #[derive(Default)]
 pub struct RevocationLists {
     by_issuer: HashMap<Rc<[u8]>, RevocationList>,
 }
 
 impl RevocationLists {
-    /// Takes a list signed by `authority` (a certificate, DER); tells how many it revokes. A list with a smaller
-    /// number than the one in use never replaces it.
+    /// Applies a list signed by `authority` (a certificate in DER); returns the number of certificates that it revokes.
+    /// A list with a smaller number than the one in use never replaces it.
     pub fn update(&mut self, list: &[u8], authority: &[u8]) -> Result<usize, RevocationListError> {
         if list.len() > MAX_REVOCATION_LIST_BYTES {
             return Err(RevocationListError::Malformed);
@@ -156,7 +163,7 @@
         Ok(count)
     }
 
-    /// Whether any list is past the time when its issuer promised the next.
+    /// Whether any list is past the time of its next update.
     pub fn overdue(&self, now: Micros) -> bool {
         self.by_issuer.values().any(|list| {
             list.next_update
@@ -164,7 +171,7 @@
         })
     }
 
-    /// Looks at a certificate that was verified as it was shown.
+    /// Checks the validity period and revocation of a certificate whose chain was verified in the handshake.
     pub fn check(
         &self,
         certificate: &Certificate,
--- a/identity/src/config.rs
+++ b/identity/src/config.rs
@@ -1,4 +1,4 @@
-//! The terms on which callers are let in, as settings give them; `identity.cue` is their definition.
+//! The settings of authentication and authorization. `identity.cue` defines their format.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,20 @@
 
 use crate::names::{Act, Role, Subject, Tenant};
 
-/// The definitions of the settings' record `#Identity`.
+/// The definitions of the settings in the record `#Identity`.
 pub const DEFINITIONS: &str = include_str!("identity.cue");
 
+/// The settings of authentication and authorization. All durations are in microseconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct IdentityConfig {
     pub issuer: String,
     pub audience: String,
-    /// Microseconds, as all times here.
+    /// The permitted difference between the clocks of the issuer and this machine.
     pub skew: u64,
+    /// The maximum time between a token's issue and its expiry.
     #[serde(rename = "longest")]
     pub max_token_lifetime: u64,
+    /// The maximum number of cached tokens.
     #[serde(rename = "known")]
     pub token_cache_size: usize,
     pub keys: Option<KeyConfig>,
@@ -34,39 +37,48 @@
     pub acts: Vec<ActConfig>,
 }
 
-/// Where something is had from: a file that is looked at again and again, or a service on HTTP.
+/// A source of documents: a file that is read regularly, or an HTTP service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct SourceConfig {
     pub file: Option<String>,
     pub address: Option<String>,
     pub path: String,
+    /// The regular time between two polls.
     #[serde(rename = "every")]
     pub poll_interval: u64,
+    /// The minimum time between two polls.
     #[serde(rename = "apart")]
     pub min_poll_interval: u64,
+    /// The maximum duration of one request.
     #[serde(rename = "patience")]
     pub timeout: u64,
-    /// Where the last good answer is kept.
+    /// The file in which the last usable document is stored.
     #[serde(rename = "kept")]
     pub stored_copy: Option<String>,
 }
 
+/// The settings of the keys that verify tokens.
 #[derive(Clone, Debug, Deserialize)]
 pub struct KeyConfig {
     pub from: SourceConfig,
+    /// How long a key that is no longer published still verifies.
     #[serde(rename = "lingers")]
     pub retention: u64,
 }
 
+/// The settings of the revocation feed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct FeedConfig {
     pub from: SourceConfig,
+    /// How long after the last page requests that read are allowed.
     #[serde(rename = "reads_go_on")]
     pub reads_grace: u64,
+    /// How long after the last page requests that set or clear are allowed.
     #[serde(rename = "changes_go_on")]
     pub changes_grace: u64,
 }
 
+/// Maps a name in client certificates to a caller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CertificateConfig {
     pub name: String,
@@ -75,16 +87,19 @@
     pub roles: Vec<Role>,
 }
 
+/// A tenant, and the roles that its callers may have; without them, any.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct TenantConfig {
     pub roles: Option<Vec<Role>>,
 }
 
+/// A role with its grants.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RoleConfig {
     pub grants: Vec<GrantConfig>,
 }
 
+/// Grants, or denies, acts on an index.
 #[derive(Clone, Debug, Deserialize)]
 pub struct GrantConfig {
     pub index: String,
@@ -92,6 +107,7 @@
     pub deny: bool,
 }
 
+/// Permits a subject to act on behalf of a tenant until a time (RFC 3339).
 #[derive(Clone, Debug, Deserialize)]
 pub struct DelegationConfig {
     pub subject: Subject,
@@ -100,6 +116,7 @@
     pub until: String,
 }
 
+/// A regular expression for statements of an index, and the acts of the statements that match.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ActConfig {
     pub index: String,
@@ -107,30 +124,30 @@
     pub statement: String,
 }
 
-/// Terms that read well but make no sense together.
+/// Settings that match the format, but are invalid or contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    #[error("'{text}' is no time such as 2027-01-31T12:00:00Z")]
+    #[error("'{text}' is not a time such as 2027-01-31T12:00:00Z")]
     Time { text: String },
-    #[error("acts[{position}].statement is no pattern, or one too large")]
+    #[error("acts[{position}].statement is not a valid regular expression, or too large")]
     Pattern { position: usize },
-    #[error("no tenant is named '{name}'")]
+    #[error("there is no tenant with the name '{name}'")]
     UnknownTenant { name: String },
-    #[error("no role is named '{name}'")]
+    #[error("there is no role with the name '{name}'")]
     UnknownRole { name: String },
-    #[error("there are more tenants than can be told apart (65,535)")]
+    #[error("there are more than 65,535 tenants")]
     TooManyTenants,
-    #[error("{setting}: exactly one of 'file' and 'address' is wanted")]
+    #[error("{setting}: exactly one of 'file' and 'address' is required")]
     Source { setting: &'static str },
-    #[error("'{text}' is no address and port")]
+    #[error("'{text}' is not an IP address and port")]
     Address { text: String },
-    #[error("neither 'keys' nor 'certificates' say how a caller may prove who he is")]
+    #[error("neither 'keys' nor 'certificates' are configured: no caller could be authenticated")]
     NoAuthentication,
-    #[error("'changes_go_on' is longer than 'reads_go_on': setting a tag is to stop first")]
+    #[error("'changes_go_on' is longer than 'reads_go_on': requests that change something must be refused first")]
     GracePeriodsReversed,
 }
 
-/// A time in RFC 3339, UTC.
+/// Reads a time in RFC 3339, in UTC.
 pub fn time(text: &str) -> Result<Micros, ConfigError> {
     let fault = || ConfigError::Time {
         text: text.to_owned(),
@@ -145,7 +162,7 @@
 }
 
 impl IdentityConfig {
-    /// What the form cannot say.
+    /// Checks the rules that the definitions in `identity.cue` cannot express.
     pub fn check(&self) -> Result<(), ConfigError> {
         if self.keys.is_none() && self.certificates.is_empty() {
             return Err(ConfigError::NoAuthentication);
--- a/identity/src/key_manager.rs
+++ b/identity/src/key_manager.rs
@@ -1,6 +1,8 @@
-//! The other side: making keys and tokens. For operators who have no key service of their own, and for tests. A
-//! workshop is a small table of private keys, each first published, then signing, then only published, then gone; the
-//! times of these steps are decided here, so that no router meets a token whose key it cannot know yet.
+//! Creation of keys and tokens, for operators without a key service of their own, and for tests.
+//!
+//! A [`KeyManager`] is a small table of private keys. Each key is first only published, then signs, is then published
+//! without signing (retired), and is finally removed. The key manager sets the times of these stages so that no router
+//! receives a token whose key it cannot know yet.
 
 use base64::engine::general_purpose::{STANDARD, URL_SAFE_NO_PAD};
 use base64::Engine;
@@ -14,41 +16,44 @@
 use crate::keys::{Algorithm, KeyRing, KeySet, MAX_KEYS};
 use crate::names::KeyId;
 
+/// Why the key manager cannot do what an operator asks for.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyManagerError {
-    #[error("no key signs now: make one with 'keys new', or wait until it begins")]
+    #[error(
+        "no key signs now: make one with 'keys new', or wait until a published key starts to sign"
+    )]
     NoSigner,
-    #[error("no key is named '{0}'")]
+    #[error("there is no key with the id '{0}'")]
     UnknownKey(String),
-    #[error("a key named '{0}' is there already")]
+    #[error("there is already a key with the id '{0}'")]
     DuplicateId(String),
-    #[error("there are {MAX_KEYS} keys already: more are not published")]
+    #[error("there are already {MAX_KEYS} keys, the maximum of a key set")]
     TooMany,
-    #[error("'{0}' is the only key that signs; make another first")]
+    #[error("'{0}' is the only key that signs: make another first")]
     LastSigner(String),
     #[error("the key table is malformed: {0}")]
     Malformed(String),
-    #[error("the system gave no random numbers")]
+    #[error("the system's random number generator failed")]
     NoRandomness,
 }
 
-/// One private key. Times in seconds of Unix time, as tokens have them.
+/// One private key. All times are in seconds of Unix time, as in tokens.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct PrivateKey {
     pub id: String,
     pub algorithm: String,
-    /// PKCS #8, base64.
+    /// The key in PKCS #8, in base64.
     secret: String,
-    /// Published from then on.
+    /// The time from which the key is published.
     pub made: u64,
-    /// Signs from then on.
+    /// The time from which the key signs.
     pub signs: u64,
-    /// Signs no more from then on; published until `until`.
+    /// The time from which the key does not sign any more; it stays published until `until`.
     pub retired: Option<u64>,
     pub until: Option<u64>,
 }
 
-/// What a key does at a time.
+/// The stage of a key at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
@@ -58,13 +63,15 @@
     Gone,
 }
 
+/// The table of private keys.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct KeyManager {
+    /// Increases with each change; published as `ternpick_serial`.
     pub serial: u64,
     pub keys: Vec<PrivateKey>,
 }
 
-/// What a token is to say.
+/// The claims of a token to be signed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Claims {
     pub iss: String,
@@ -79,6 +86,7 @@
 }
 
 impl PrivateKey {
+    /// Returns the stage of the key at `now`.
     pub fn stage(&self, now: u64) -> Stage {
         match () {
             () if self.until.is_some_and(|until| until <= now) => Stage::Gone,
@@ -88,13 +96,14 @@
         }
     }
 
+    /// Decodes the private key.
     fn pkcs8(&self) -> Result<Vec<u8>, KeyManagerError> {
         STANDARD
             .decode(&self.secret)
             .map_err(|error| KeyManagerError::Malformed(error.to_string()))
     }
 
-    /// As it is published (JWK).
+    /// Returns the public key as published (JWK).
     fn public(&self) -> Result<Value, KeyManagerError> {
         let (pkcs8, encode) = (self.pkcs8()?, |bytes: &[u8]| URL_SAFE_NO_PAD.encode(bytes));
         let malformed =
@@ -109,7 +118,7 @@
                 let algorithm = &ECDSA_P256_SHA256_FIXED_SIGNING;
                 let pair =
                     EcdsaKeyPair::from_pkcs8(algorithm, &pkcs8, &random).map_err(malformed)?;
-                // 4, x, y: 1 + 32 + 32 bytes.
+                // An uncompressed point: the byte 4, then x and y with 32 bytes each.
                 let point = pair.public_key().as_ref();
                 json!({"kty": "EC", "crv": "P-256", "x": encode(&point[1..33]), "y": encode(&point[33..])})
             }
@@ -131,7 +140,8 @@
 }
 
 impl KeyManager {
-    /// Makes a key that signs after `lead` seconds, in which every router hears of it. The first signs at once.
+    /// Creates a key that signs after `lead` seconds, so that every router receives it before. If no key signs now, the
+    /// new one signs at once.
     pub fn new_key(
         &mut self,
         id: &str,
@@ -161,7 +171,8 @@
             algorithm: algorithm.name().to_owned(),
             secret: STANDARD.encode(pkcs8.as_ref()),
             made: now,
-            // `now` is cut to whole seconds: one more makes the lead no shorter than was asked for.
+            // `now` is rounded down to whole seconds; the additional second keeps the lead from being shorter than
+            // requested.
             signs: if signs_at_once {
                 now
             } else {
@@ -174,7 +185,8 @@
         Ok(&self.keys[self.keys.len() - 1])
     }
 
-    /// A key signs no more from now on, and is published for `overlap` seconds: as long as what it signed may last.
+    /// Ends the signing of a key now. It stays published for `overlap` seconds, which should be as long as its tokens may
+    /// be valid. The only key that signs cannot be retired.
     pub fn retire(&mut self, id: &str, now: u64, overlap: u64) -> Result<(), KeyManagerError> {
         let another_signs = self
             .keys
@@ -191,7 +203,7 @@
         Ok(())
     }
 
-    /// A new key, and an end for those that sign now, once it does.
+    /// Creates a key, and ends the signing of all other keys when the new one starts to sign.
     pub fn rotate(
         &mut self,
         id: &str,
@@ -215,12 +227,12 @@
         Ok(&self.keys[self.keys.len() - 1])
     }
 
-    /// Takes off what is published no more.
+    /// Removes the keys that are not published any more.
     pub fn remove_expired(&mut self, now: u64) {
         self.keys.retain(|key| key.stage(now) != Stage::Gone);
     }
 
-    /// The key that signs now: of several the one that began last.
+    /// Returns the key that signs now: if several do, the one that started last.
     pub fn signer(&self, now: u64) -> Result<&PrivateKey, KeyManagerError> {
         let signing = self
             .keys
@@ -231,20 +243,20 @@
             .ok_or(KeyManagerError::NoSigner)
     }
 
-    /// The set that key services serve (JWKS).
+    /// Returns the public key set that key services publish (JWKS).
     pub fn public(&self, now: u64) -> Result<Value, KeyManagerError> {
         let live = self.keys.iter().filter(|key| key.stage(now) != Stage::Gone);
         let keys: Vec<Value> = live.map(PrivateKey::public).collect::<Result<_, _>>()?;
         Ok(json!({"ternpick_serial": self.serial, "keys": keys}))
     }
 
-    /// Signs a token by the key that signs at `now`.
+    /// Signs a token with the key that signs at `now`.
     pub fn mint(&self, claims: &Claims, now: u64) -> Result<String, KeyManagerError> {
         sign(self.signer(now)?, claims)
     }
 }
 
-/// Signs by a key whatever its stage; tests make bad tokens so.
+/// Signs claims with a key, whatever its stage. Tests use it to make invalid tokens.
 pub fn sign(key: &PrivateKey, claims: &impl Serialize) -> Result<String, KeyManagerError> {
     let algorithm = Algorithm::from_name(&key.algorithm);
     let algorithm = algorithm
@@ -261,18 +273,18 @@
     jsonwebtoken::encode(&header, claims, &secret).map_err(malformed)
 }
 
-/// `now` in whole seconds, as this file counts.
+/// Converts `now` to whole seconds, the unit of this module.
 pub fn in_seconds(now: Micros) -> u64 {
     now.0 / 1_000_000
 }
 
-/// What a token says, unverified.
+/// The content of a token whose signature has not been verified.
 pub struct UnverifiedToken {
     pub header: Value,
     pub claims: Value,
 }
 
-/// Takes a token apart without believing it.
+/// Decodes a token without verifying it.
 pub fn inspect(token: &str) -> Result<UnverifiedToken, KeyManagerError> {
     let malformed = || KeyManagerError::Malformed("this is no token".into());
     let parts: Vec<&str> = token.split('.').collect();
@@ -289,7 +301,7 @@
     })
 }
 
-/// Whether a token's signature is right by a published set; its issuer, audience and times are not looked at.
+/// Whether a token's signature is valid by a published key set. The issuer, audience and times are not checked.
 pub fn verify(token: &str, set: &[u8], now: Micros) -> Result<bool, KeyManagerError> {
     let unverified = inspect(token)?;
     let set = KeySet::parse(set).map_err(|fault| KeyManagerError::Malformed(fault.to_string()))?;
--- a/identity/src/keys.rs
+++ b/identity/src/keys.rs
@@ -1,5 +1,6 @@
-//! The key ring: which keys verify tokens, each with the one algorithm that it is for and the times of its use. Sets
-//! of keys (JWKS, RFC 7517) come from a key service that may be late, split in two, or serve half of what it should.
+//! The key ring: the keys that verify tokens, each with its only algorithm and its period of use. Key sets (JWKS,
+//! RFC 7517) come from a key service that may be late, may consist of instances that serve different sets, or may serve
+//! incomplete sets.
 
 use std::collections::BTreeMap;
 
@@ -9,11 +10,12 @@
 
 use crate::names::KeyId;
 
-/// The most keys of a ring; a set with more is refused.
+/// The maximum number of keys in a key set; a larger set is refused.
 pub const MAX_KEYS: usize = 64;
-/// The longest set, in bytes.
+/// The maximum size of the document of a key set.
 pub const MAX_KEY_SET_BYTES: usize = 64 * 1024;
 
+/// A signature algorithm of tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Algorithm {
     EdDsa,
@@ -21,6 +23,7 @@
 }
 
 impl Algorithm {
+    /// Returns the name in tokens and key sets (`alg`).
     pub fn name(self) -> &'static str {
         match self {
             Algorithm::EdDsa => "EdDSA",
@@ -42,37 +45,38 @@
     }
 }
 
-/// One key of a set, as it is published.
+/// One key of a published key set.
 #[derive(Clone)]
 pub struct PublishedKey {
     pub id: KeyId,
     pub algorithm: Algorithm,
-    /// The public coordinates: the same id with others is another key.
+    /// The public coordinates. A key with the same id and other coordinates is a different key.
     material: String,
     decoding: DecodingKey,
     pub from: Micros,
     pub until: Option<Micros>,
 }
 
-/// A set of keys as it was served.
+/// A key set as received from its source.
 #[derive(Clone, Default)]
 pub struct KeySet {
     pub keys: Vec<PublishedKey>,
-    /// Counts up with each change, where the service says it (`ternpick_serial`).
+    /// A number that increases with each change of the set, if the service publishes it (`ternpick_serial`).
     pub serial: Option<u64>,
-    /// Keys that were passed over, and why.
+    /// Which published keys are not used, each with the reason.
     pub skipped: Vec<String>,
 }
 
+/// Why a key set is not applied.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeySetError {
-    #[error("the key set is no JSON object with 'keys'")]
+    #[error("the key set is not a JSON object with a list 'keys'")]
     Malformed,
     #[error("the key set has no usable key ({0})")]
     Empty(String),
     #[error("the key set has more than {MAX_KEYS} keys")]
     TooMany,
-    #[error("the key set is older than the one in use: serial {received}, {current} is known")]
+    #[error("the key set is older than the one in use: it has serial {received}, the one in use has {current}")]
     Older { received: u64, current: u64 },
 }
 
@@ -93,16 +97,19 @@
     x: Option<String>,
     y: Option<String>,
     d: Option<serde_json::Value>,
-    /// Seconds of Unix time.
+    /// The first time at which the key verifies, in seconds of Unix time.
     ternpick_from: Option<u64>,
+    /// The time from which the key does not verify any more, in seconds of Unix time.
     ternpick_until: Option<u64>,
 }
 
+/// Converts whole seconds.
 pub(crate) fn seconds(count: u64) -> Micros {
     Micros(count.saturating_mul(1_000_000))
 }
 
 impl KeySet {
+    /// Reads a document (JWKS). Unusable keys are skipped; a set without any usable key is an error.
     pub fn parse(text: &[u8]) -> Result<KeySet, KeySetError> {
         let read: Jwks = serde_json::from_slice(text).map_err(|_| KeySetError::Malformed)?;
         if read.keys.len() > MAX_KEYS {
@@ -118,7 +125,7 @@
                 .map_or_else(|| format!("key {position}"), |kid| format!("key {kid:?}"));
             match Self::key(value) {
                 Ok(key) if set.keys.iter().any(|known| known.id == key.id) => {
-                    set.skipped.push(format!("{name} stands twice"));
+                    set.skipped.push(format!("{name} appears more than once"));
                 }
                 Ok(key) => set.keys.push(key),
                 Err(reason) => set.skipped.push(format!("{name} {reason}")),
@@ -133,7 +140,7 @@
     fn key(value: serde_json::Value) -> Result<PublishedKey, &'static str> {
         let key: Jwk = serde_json::from_value(value).map_err(|_| "is malformed")?;
         if key.d.is_some() {
-            return Err("is a private one: it must not be published, revoke it");
+            return Err("is a private key: it must not be published, revoke it");
         }
         let id = key
             .kid
@@ -142,21 +149,21 @@
         if key.used_for.is_some_and(|of| of != "sig") {
             return Err("is not for signatures");
         }
-        let x = key.x.ok_or("has no coordinate")?;
+        let x = key.x.ok_or("has no coordinate x")?;
         let (algorithm, decoding, material) = match (key.kty.as_str(), key.crv.as_deref()) {
             ("OKP", Some("Ed25519")) => (Algorithm::EdDsa, DecodingKey::from_ed_components(&x), x),
             ("EC", Some("P-256")) => {
-                let y = key.y.ok_or("has no second coordinate")?;
+                let y = key.y.ok_or("has no coordinate y")?;
                 (
                     Algorithm::Es256,
                     DecodingKey::from_ec_components(&x, &y),
                     format!("{x}.{y}"),
                 )
             }
-            _ => return Err("is of a kind that is not used here (Ed25519 and P-256 are)"),
+            _ => return Err("has an unsupported type (supported are Ed25519 and P-256)"),
         };
         if key.alg.is_some_and(|alg| alg != algorithm.name()) {
-            return Err("is for another algorithm than its kind");
+            return Err("has an algorithm that does not match its type");
         }
         let decoding = decoding.map_err(|_| "has malformed coordinates")?;
         let (from, until) = (
@@ -174,13 +181,14 @@
     }
 }
 
+/// A key in the ring.
 struct RingKey {
     key: PublishedKey,
-    /// Since when the sets served have lacked it.
+    /// Since when the received key sets have not contained the key; none if the last one contained it.
     missing_since: Option<Micros>,
 }
 
-/// Why a key is not to be used.
+/// Why a key cannot verify a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyError {
     Unknown,
@@ -188,22 +196,23 @@
     Retired,
 }
 
-/// What a set has changed.
+/// The changes of the key ring by a received key set.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct KeyChanges {
     pub added: Vec<KeyId>,
+    /// Keys that the set does not contain any more.
     pub missing: Vec<KeyId>,
-    /// Passed over: the same id with other coordinates.
+    /// Keys that were ignored because the ring has a key with the same id and other coordinates.
     pub conflicting: Vec<KeyId>,
 }
 
-/// All keys by id. A key leaves when its time is over, or when no set has had it for the time it lingers; a set
-/// brings [`MAX_KEYS`] at most, and beyond twice that the longest missed go first.
+/// The keys by id. A key is removed when it expires, or when no key set has contained it for the retention time. A key
+/// set has at most [`MAX_KEYS`] keys; if the ring holds more than twice as many, those missing for longest are removed.
 pub struct KeyRing {
     keys: BTreeMap<KeyId, RingKey>,
     serial: Option<u64>,
-    /// How long a key that is no longer served goes on verifying: what it signed just before is still under way, and
-    /// two key services that serve different sets by turns must not refuse half of the callers.
+    /// How long a key that is no longer published still verifies. Tokens that it signed shortly before are still in use,
+    /// and two key services that serve different sets in turn must not cause refusals of half of the callers.
     retention: Micros,
 }
 
@@ -216,15 +225,18 @@
         }
     }
 
+    /// Returns the ids of all keys.
     pub fn ids(&self) -> impl Iterator<Item = &KeyId> {
         self.keys.keys()
     }
 
+    /// Returns the serial of the last key set that had one.
     pub fn serial(&self) -> Option<u64> {
         self.serial
     }
 
-    /// Takes a set that was served. An older one than the last is refused whole: it would bring retired keys back.
+    /// Applies a received key set. A set with a smaller serial than the current one is refused as a whole, because it
+    /// would reinstate retired keys.
     pub fn update(&mut self, now: Micros, set: &KeySet) -> Result<KeyChanges, KeySetError> {
         if let (Some(received), Some(current)) = (set.serial, self.serial) {
             if received < current {
@@ -236,7 +248,8 @@
         for key in &set.keys {
             match self.keys.get_mut(&key.id) {
                 Some(ring_key) if ring_key.key.material == key.material => {
-                    // Times may be shortened by a later set, and a set that lacks an end does not take one back.
+                    // A later set may change the time at which the key expires; a set without that time does not
+                    // remove it.
                     let until = key.until.or(ring_key.key.until);
                     *ring_key = RingKey {
                         key: PublishedKey {
@@ -279,7 +292,7 @@
         Ok(change)
     }
 
-    /// Takes keys off whose time is over; tells which.
+    /// Removes expired keys and those missing for the retention time; returns their ids.
     pub fn remove_expired(&mut self, now: Micros) -> Vec<KeyId> {
         let expired = |ring_key: &RingKey| {
             ring_key.key.until.is_some_and(|until| until <= now)
@@ -297,7 +310,7 @@
         removed
     }
 
-    /// The key of an id, if it verifies at this time.
+    /// Returns the key with this id, if it may verify tokens at `now`.
     pub fn find(&self, now: Micros, id: &KeyId) -> Result<(&DecodingKey, Algorithm), KeyError> {
         let ring_key = self.keys.get(id).ok_or(KeyError::Unknown)?;
         if now < ring_key.key.from {
--- a/identity/src/lib.rs
+++ b/identity/src/lib.rs
@@ -1,8 +1,10 @@
-//! Who asks, and what he may do. One [`Identity`] holds all that a router knows of keys, revocations, certificates
-//! and rights; it does no I/O and reads no clock. It is told what was heard ([`Identity::update_keys`],
-//! [`Identity::update_revocations`], [`Identity::update_revocation_list`], [`Identity::update_config`]) and asked about each
-//! request ([`Identity::authorize`]); the answer is a [`Authorized`], or a [`Refusal`] that says why without telling what exists.
-//! [`Identity::elapsed`] goes with time.
+//! Authentication and authorization of callers.
+//!
+//! One [`Identity`] holds what a router knows about keys, revocations, certificates and rights. It performs no I/O and
+//! reads no clock. The router passes in new documents ([`Identity::update_keys`], [`Identity::update_revocations`],
+//! [`Identity::update_revocation_list`], [`Identity::update_config`]), calls [`Identity::remove_expired`] regularly, and
+//! has each request checked by [`Identity::authorize`]. The result is an [`Authorized`], or a [`Refusal`] that gives the
+//! reason without revealing which indexes exist.
 
 mod certificate;
 mod config;
@@ -39,57 +41,60 @@
 pub use token_cache::TokenCache;
 pub use wall_clock::{ClockStep, WallClock};
 
-/// A request, as far as it matters here.
+/// The parts of a request on which its authorization depends.
 #[derive(Clone, Copy, Default)]
 pub struct AuthRequest<'a> {
     pub token: Option<&'a str>,
     pub certificate: Option<&'a Certificate>,
-    /// The tenant on whose account it is asked, where it is not the caller's own.
+    /// The tenant on whose behalf the request is made, if it is not the caller's own.
     pub behalf: Option<&'a str>,
     pub index: &'a str,
-    /// Whether repeating it changes nothing; of an index that nobody has, true.
+    /// Whether the index's queries are idempotent; true for an index that does not exist.
     pub idempotent: bool,
     pub statement: &'a str,
 }
 
-/// Leave to ask.
+/// The result for a request that is allowed.
 #[derive(Clone, Debug)]
 pub struct Authorized {
     pub caller: Rc<Caller>,
     pub tenant: CustomerNo,
     pub acts: Vec<Act>,
-    /// The grant.
+    /// The role that grants the last of the acts, and the tenant that delegated it, if any; for the audit log.
     pub granted_by: String,
 }
 
+/// Why a request is refused, by the status of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalKind {
-    /// Nothing proves who asks (401, without an error code).
+    /// The request has neither a token nor a certificate (401, without an error code).
     NoCredentials,
-    /// What was shown proves nothing (401, `invalid_token`).
+    /// The token or certificate is not valid (401, `invalid_token`).
     InvalidCredentials,
-    /// Proved, and not allowed (403, `insufficient_scope`).
+    /// The caller is authenticated, but not allowed to do this (403, `insufficient_scope`).
     Forbidden,
-    /// Cannot be judged just now, through no fault of the caller's (503).
+    /// The known revocations are too old to rely on, through no fault of the caller (503).
     RevocationsOutdated,
 }
 
+/// The result for a request that is refused.
 #[derive(Clone, Debug)]
 pub struct Refusal {
     pub kind: RefusalKind,
     pub why: String,
-    /// Who asks, where that is proved.
+    /// The caller, if it is authenticated.
     pub caller: Option<Rc<Caller>>,
     pub acts: Vec<Act>,
-    /// The key service may know the key by now.
+    /// Whether the token names an unknown key, which the key service may know by now.
     pub unknown_key: bool,
 }
 
+/// The state of authentication and authorization.
 pub struct Identity {
     config: IdentityConfig,
     token_requirements: TokenRequirements,
     pub ring: KeyRing,
-    /// None: nothing is ever revoked before its time, by the terms.
+    /// None if no revocation feed is configured: nothing is revoked before it expires.
     pub revocations: Option<Revocations>,
     pub revocation_lists: RevocationLists,
     pub rights: Rights,
@@ -101,15 +106,15 @@
         config.check()?;
         let mut rights = Rights::default();
         rights.update(&config)?;
-        let retention = config.keys.as_ref().map_or(0, |of| of.retention);
-        let grace_periods = |of: &FeedConfig| GracePeriods {
-            reads: Micros(of.reads_grace),
-            changes: Micros(of.changes_grace),
+        let retention = config.keys.as_ref().map_or(0, |keys| keys.retention);
+        let grace_periods = |feed: &FeedConfig| GracePeriods {
+            reads: Micros(feed.reads_grace),
+            changes: Micros(feed.changes_grace),
         };
         let revocations = config
             .revocations
             .as_ref()
-            .map(|of| Revocations::new(grace_periods(of)));
+            .map(|feed| Revocations::new(grace_periods(feed)));
         let token_cache = TokenCache::new(config.token_cache_size);
         let (ring, revocation_lists, token_requirements) = (
             KeyRing::new(Micros(retention)),
@@ -137,23 +142,26 @@
         }
     }
 
-    /// Takes new terms while it serves: rights, names, skew. Where keys and revocations come from stays.
+    /// Applies new settings for rights, token requirements, certificates and the token cache. The sources of keys and
+    /// revocations, and their retention and grace periods, stay as at the start.
     pub fn update_config(&mut self, config: IdentityConfig) -> Result<(), ConfigError> {
         config.check()?;
         self.rights.update(&config)?;
         self.token_requirements = Self::token_requirements(&config);
-        // What was verified was verified by other terms.
+        // The cached tokens were verified against the previous settings.
         self.token_cache = TokenCache::new(config.token_cache_size);
         self.config = config;
         Ok(())
     }
 
+    /// Applies a key set received at `now`, and removes expired keys.
     pub fn update_keys(&mut self, now: Micros, set: &KeySet) -> Result<KeyChanges, KeySetError> {
         let change = self.ring.update(now, set);
         self.remove_expired(now);
         change
     }
 
+    /// Applies a page of the revocation feed as of `updated_at`; returns the number of entries that were new.
     pub fn update_revocations(
         &mut self,
         updated_at: Micros,
@@ -164,6 +172,7 @@
             .map_or(Ok(0), |revocations| revocations.update(updated_at, page))
     }
 
+    /// Applies a list of revoked certificates; see [`RevocationLists::update`].
     pub fn update_revocation_list(
         &mut self,
         list: &[u8],
@@ -172,7 +181,7 @@
         self.revocation_lists.update(list, authority)
     }
 
-    /// Time goes by: keys whose time is over leave, with the tokens they had signed. Tells which keys left.
+    /// Removes expired keys with the cached tokens that they signed, and expired revocations. Returns the removed keys.
     pub fn remove_expired(&mut self, now: Micros) -> Vec<KeyId> {
         let removed = self.ring.remove_expired(now);
         if !removed.is_empty() {
@@ -184,7 +193,7 @@
         removed
     }
 
-    /// How many verified tokens are remembered.
+    /// Returns the number of cached tokens.
     pub fn cached_tokens(&self) -> usize {
         self.token_cache.len()
     }
@@ -195,7 +204,7 @@
         }
         let digest = token_cache::digest(token);
         if let Some(caller) = self.token_cache.get(now, &digest) {
-            // A key may have gone by its own end since the last look at the time.
+            // The key may have expired since the last call of `remove_expired`.
             if let Proof::Token { key, .. } = &caller.proof {
                 if self.ring.find(now, key).is_ok() {
                     return Ok(caller);
@@ -235,8 +244,8 @@
         }))
     }
 
-    /// Judges one request. Whoever shows a token is who the token says; a certificate that its connection has shown
-    /// must still be good all the same.
+    /// Authorizes one request. With a token, the caller is the token's subject; a certificate that the connection
+    /// presented must be valid nevertheless.
     pub fn authorize(&mut self, now: Micros, request: &AuthRequest) -> Result<Authorized, Refusal> {
         let refusal = |kind, why: String| Refusal {
             kind,
@@ -254,7 +263,7 @@
             ..invalid.clone()
         };
         let certificate_caller = match request.certificate {
-            // Besides a token, one that nobody is known by is not looked at further.
+            // Next to a token, a certificate that the settings do not name is ignored.
             Some(certificate) => match self.caller_by_certificate(now, certificate) {
                 Ok(caller) => Some(caller),
                 Err(CertificateError::Unnamed) if request.token.is_some() => None,
--- a/identity/src/names.rs
+++ b/identity/src/names.rs
@@ -1,4 +1,4 @@
-//! Ids and small words that the files of this package share.
+//! Ids, acts and callers: types that the modules of this package share.
 
 use std::fmt;
 use std::rc::Rc;
@@ -27,18 +27,19 @@
 }
 
 name! {
-    /// A key's id (`kid`).
+    /// The id of a key (`kid`).
     KeyId,
-    /// A token's id (`jti`).
+    /// The id of a token (`jti`).
     TokenId,
-    /// Who asks (`sub`).
+    /// The authenticated subject of a caller (`sub`).
     Subject,
-    /// On whose account.
+    /// The tenant on whose behalf a request is made.
     Tenant,
+    /// A role, which holds grants.
     Role,
 }
 
-/// What a request does with what an index holds.
+/// What a request does with the content of an index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Act {
@@ -48,10 +49,12 @@
 }
 
 impl Act {
+    /// Whether the act modifies the index.
     pub fn changes(self) -> bool {
         self != Act::Read
     }
 
+    /// The name in settings, messages and the audit log.
     pub fn name(self) -> &'static str {
         match self {
             Act::Read => "read",
@@ -61,14 +64,14 @@
     }
 }
 
-/// By what a caller proved who he is.
+/// The credential by which a caller was authenticated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Proof {
     Token {
         key: KeyId,
         id: Option<TokenId>,
     },
-    /// A client certificate, by its fingerprint (SHA-256, hexadecimal).
+    /// The fingerprint of a client certificate (SHA-256 in hexadecimal).
     Certificate(Rc<str>),
 }
 
@@ -82,13 +85,13 @@
     }
 }
 
-/// Somebody who has proved who he is.
+/// An authenticated caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     pub subject: Subject,
     pub tenant: Tenant,
     pub roles: Vec<Role>,
     pub proof: Proof,
-    /// From then on the proof proves nothing, skew included.
+    /// When the credential expires, including the permitted clock skew.
     pub until: Micros,
 }
--- a/identity/src/revocation.rs
+++ b/identity/src/revocation.rs
@@ -1,5 +1,5 @@
-//! What has been revoked before its time: tokens, subjects, keys, certificates. The word comes as a numbered feed, of
-//! which pages may be lost, doubled, late or out of order; and it may fall silent.
+//! Revocations of tokens, subjects, keys and certificates before they expire. They come from a feed of numbered entries,
+//! whose pages may be lost, duplicated, late or out of order, and which may stop to answer.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,33 +10,39 @@
 use crate::keys::seconds;
 use crate::names::{Act, Caller, Proof};
 
-/// The most that may be revoked at a time. A feed beyond it is not taken, so that trust in it ends with its age.
+/// The maximum number of entries that are held. Pages that would exceed it are refused, so that the trust in the known
+/// revocations ends with their age.
 pub const MAX_REVOCATIONS: usize = 200_000;
-/// The longest page, in bytes.
+/// The maximum size of the document of a page.
 pub const MAX_PAGE_BYTES: usize = 32 << 20;
-/// A word that takes a revocation back is remembered so long, lest an older page bring the revocation again.
+/// How long an entry that lifts a revocation is kept, so that an older page cannot reinstate the revocation: one day.
 const LIFTED_RETENTION: Micros = Micros(86_400_000_000);
 
+/// An item that can be revoked.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RevokedItem {
+    /// The id of a token (`jti`).
     Token(Rc<str>),
     Subject(Rc<str>),
+    /// The id of a key (`kid`).
     Key(Rc<str>),
-    /// By fingerprint (SHA-256, hexadecimal).
+    /// The fingerprint of a certificate (SHA-256 in hexadecimal).
     Certificate(Rc<str>),
 }
 
+/// One entry of the feed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub number: u64,
     pub item: RevokedItem,
-    /// Taken back.
+    /// Whether the entry lifts an earlier revocation of the item.
     pub lifted: bool,
-    /// When it no longer matters: what it revokes has ended by itself.
+    /// When the entry can be removed, because the item has expired.
     pub until: Option<Micros>,
 }
 
-/// Entries `after + 1` to `to`; or, of a whole list, all that still matter up to `to`.
+/// A page of the feed: the entries with the numbers `after + 1` to `to`; or, if `whole`, all entries up to `to` that are
+/// not obsolete.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
     pub after: u64,
@@ -64,25 +70,27 @@
     certificate: Option<String>,
     #[serde(default)]
     lifted: bool,
-    /// Seconds of Unix time.
+    /// In seconds of Unix time.
     until: Option<u64>,
 }
 
+/// Why a page is not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FeedError {
-    #[error("the page is malformed")]
+    #[error("the revocation page is malformed")]
     Malformed,
-    #[error("the page names one number for two things")]
+    #[error("the revocation page has different entries with the same number")]
     Contradicts,
-    #[error("numbers are missing before the page, or in it")]
+    #[error("entry numbers are missing before or in the revocation page")]
     Gap,
-    #[error("the page is older than what is known")]
+    #[error("the revocation page ends before the last known entry")]
     Older,
-    #[error("more is revoked than can be held")]
+    #[error("the revocation page would exceed the maximum of {MAX_REVOCATIONS} entries")]
     TooMany,
 }
 
 impl Page {
+    /// Reads the JSON document of a page.
     pub fn parse(text: &[u8]) -> Result<Page, FeedError> {
         let form: PageForm = serde_json::from_slice(text).map_err(|_| FeedError::Malformed)?;
         let entry = |form: EntryForm| {
@@ -119,6 +127,7 @@
     }
 }
 
+/// The entry with the largest number for an item.
 #[derive(Clone, Copy, Debug)]
 struct LatestEntry {
     number: u64,
@@ -126,29 +135,32 @@
     until: Option<Micros>,
 }
 
-/// How far what is known may be relied on.
+/// Which requests the known revocations are recent enough for. The variants' names are part of the status output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trust {
     None,
-    /// Reading goes on.
+    /// Only requests that read are allowed.
     Reads,
     Full,
 }
 
-/// How long a feed may be silent.
+/// How long after its last page the known revocations are relied on.
 #[derive(Clone, Copy, Debug)]
 pub struct GracePeriods {
     pub reads: Micros,
-    /// Shorter: setting and clearing stops first.
+    /// Not longer than `reads`, so that requests that set or clear are refused first.
     pub changes: Micros,
 }
 
+/// The known revocations.
 pub struct Revocations {
-    /// By what they name; a word goes once its own end has passed, or a while after it was taken back.
+    /// The latest entry for each item. It is removed at its own end, or [`LIFTED_RETENTION`] after it lifted a revocation.
     entries: HashMap<RevokedItem, LatestEntry>,
     number: u64,
+    /// When the newest page was current; none before the first page.
     updated_at: Option<Micros>,
     grace_periods: GracePeriods,
+    /// The trust at the last call of [`Revocations::trust_change`].
     reported_trust: Trust,
 }
 
@@ -163,12 +175,12 @@
         }
     }
 
-    /// Up to which number all is known.
+    /// Returns the number up to which all entries are known.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// All that is known, as a whole page in the form of [`Page::parse`], and when it was last heard.
+    /// Returns the time of the last update, and all known entries as a whole page in the form that [`Page::parse`] reads.
     pub fn page(&self) -> (Option<Micros>, String) {
         let entry = |(item, entry): (&RevokedItem, &LatestEntry)| {
             let (kind, name) = match item {
@@ -185,12 +197,14 @@
         (self.updated_at, page.to_string())
     }
 
+    /// Returns the number of items that are revoked.
     pub fn count(&self) -> usize {
         self.entries.values().filter(|entry| !entry.lifted).count()
     }
 
-    /// Takes a page, as it was at `then` (now, or when a kept page was saved); tells how many words were news. After
-    /// a gap nothing of it is taken: the whole list is to be asked for.
+    /// Applies a page that was current at `updated_at` (now, or the time at which a stored page was saved); returns the
+    /// number of entries that were applied. If entries are missing, the whole page is refused: the caller has to request
+    /// the whole list.
     pub fn update(&mut self, updated_at: Micros, page: Page) -> Result<usize, FeedError> {
         let mut entries = page.entries;
         entries.sort_by_key(|entry| entry.number);
@@ -238,8 +252,8 @@
             until,
         } in entries
         {
-            // What a whole list lacks stays: only a later word on the same thing, or its own end, takes it off. A
-            // service that serves half of its list brings nobody back.
+            // An entry that is missing from a whole list stays until a later entry for the same item, or its own end. A
+            // service that serves an incomplete list reinstates no revoked caller.
             if self
                 .entries
                 .get(&item)
@@ -266,7 +280,7 @@
         Ok(applied)
     }
 
-    /// Takes off what no longer matters.
+    /// Removes entries whose end has passed.
     pub fn remove_expired(&mut self, now: Micros) {
         self.entries
             .retain(|_, entry| entry.until.is_none_or(|until| until > now));
@@ -276,7 +290,7 @@
         self.entries.get(item).is_some_and(|entry| !entry.lifted)
     }
 
-    /// What of a caller has been revoked.
+    /// Returns the text that names what is revoked of a caller, if anything is. It is sent to the client.
     pub fn revocation_of(&self, caller: &Caller) -> Option<&'static str> {
         let by_proof = match &caller.proof {
             Proof::Token { key, id } => {
@@ -298,6 +312,7 @@
         by_proof.or_else(|| subject().then_some("the subject is revoked"))
     }
 
+    /// Returns the trust in the known revocations, by their age.
     pub fn trust(&self, now: Micros) -> Trust {
         match self.updated_at.map(|updated_at| now.since(updated_at)) {
             Some(age) if age <= self.grace_periods.changes => Trust::Full,
@@ -306,7 +321,7 @@
         }
     }
 
-    /// Whether an act may rely on what is known.
+    /// Whether the known revocations are recent enough for an act.
     pub fn permits(&self, now: Micros, act: Act) -> bool {
         self.trust(now)
             >= if act.changes() {
@@ -316,7 +331,7 @@
             }
     }
 
-    /// The trust, where it has changed since this was last asked.
+    /// Returns the trust if it has changed since the last call.
     pub fn trust_change(&mut self, now: Micros) -> Option<Trust> {
         let trust = self.trust(now);
         (std::mem::replace(&mut self.reported_trust, trust) != trust).then_some(trust)
--- a/identity/src/rights.rs
+++ b/identity/src/rights.rs
@@ -1,5 +1,5 @@
-//! What a caller may do: tenants and their roles, grants by index and act, delegation for a time. A denial goes
-//! before any grant, and what nobody grants is denied.
+//! The rights of callers: tenants and their roles, grants by index and act, and delegations with an end. A denial
+//! overrides any grant, and what no role grants is denied.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,15 +9,17 @@
 use crate::config::{ConfigError, GrantConfig, IdentityConfig};
 use crate::names::{Act, Caller, Role, Subject, Tenant};
 
-/// All indexes, in a grant.
+/// The index name that stands for all indexes in a grant.
 const ANY_INDEX: &str = "*";
 
+/// A tenant.
 struct TenantRights {
     number: CustomerNo,
-    /// The roles that its callers may have; a token that claims another has it in vain.
+    /// The roles that the tenant's callers may have; other roles in a token are ignored. None permits all roles.
     roles: Option<BTreeSet<Role>>,
 }
 
+/// Permits a subject to act on behalf of a tenant, in these roles and until this time.
 struct Delegation {
     subject: Subject,
     tenant: Tenant,
@@ -25,13 +27,14 @@
     until: Micros,
 }
 
-/// Told from what a node will run: a statement of an index that matches does these acts.
+/// Derives acts from a statement: a statement of the index that matches the pattern performs these acts.
 struct StatementPattern {
     index: String,
     acts: Vec<Act>,
     statement: Regex,
 }
 
+/// The rights as configured.
 #[derive(Default)]
 pub struct Rights {
     tenants: BTreeMap<Tenant, TenantRights>,
@@ -40,14 +43,16 @@
     statement_patterns: Vec<StatementPattern>,
 }
 
-/// Why something may be done.
+/// The decision that a caller may do something.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Allowed {
     pub tenant: CustomerNo,
+    /// The role that grants it, and the tenant that delegated it, if any.
     pub granted_by: String,
     pub until: Micros,
 }
 
+/// Why a caller may not do something. The texts are sent to clients.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Denied {
     #[error("the tenant is not known")]
@@ -60,17 +65,18 @@
     NotGranted { act: Act },
 }
 
-/// One line of what a caller may do.
+/// Whether a caller may perform one act on one index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExplainedRight {
     pub index: String,
     pub act: Act,
+    /// The grant, or the reason of the denial.
     pub allowed: Result<String, String>,
     pub until: Option<Micros>,
 }
 
 impl Rights {
-    /// Takes new terms. A tenant that was known keeps its number.
+    /// Applies new settings. A tenant that is already known keeps its number.
     pub fn update(&mut self, config: &IdentityConfig) -> Result<(), ConfigError> {
         let mut statement_patterns = Vec::new();
         for (position, of) in config.acts.iter().enumerate() {
@@ -150,13 +156,13 @@
         Ok(())
     }
 
-    /// The tenants by number, for what is kept by tenant elsewhere.
+    /// Returns the tenants and their numbers, which index the state of tenants elsewhere.
     pub fn tenants(&self) -> impl Iterator<Item = (&Tenant, CustomerNo)> {
         self.tenants.iter().map(|(name, of)| (name, of.number))
     }
 
-    /// What a request does: as its statement tells, or, where it tells nothing, everything that its index could. A
-    /// caller's own word on it does not count.
+    /// Returns the acts of a request: those of all patterns that match its statement, or, if none matches, all acts that
+    /// the index may perform. Nothing that the caller declares about the request has any influence.
     pub fn acts(&self, index: &str, idempotent: bool, statement: &str) -> Vec<Act> {
         let patterns = self
             .statement_patterns
@@ -173,7 +179,8 @@
         }
     }
 
-    /// On whose account and in which roles a caller asks, and until when: its own tenant's, or as one delegated.
+    /// Returns the tenant for which a caller acts, its roles there, and the time until which they are valid: its own
+    /// tenant, or the one in `behalf` if a delegation permits it.
     fn effective_roles<'a>(
         &'a self,
         caller: &'a Caller,
@@ -211,7 +218,7 @@
         ))
     }
 
-    /// Whether a caller may do an act on an index, and by which role.
+    /// Returns which of the roles grants an act on an index, unless any of them denies it.
     fn grant_for(&self, roles: &[&Role], index: &str, act: Act) -> Result<String, Denied> {
         let applies = |grant: &&GrantConfig| {
             (grant.index == ANY_INDEX || grant.index == index) && grant.acts.contains(&act)
@@ -233,7 +240,7 @@
             .ok_or(Denied::NotGranted { act })
     }
 
-    /// Whether a caller may do all these acts on an index.
+    /// Decides whether a caller may perform all these acts on an index.
     pub fn decide(
         &self,
         caller: &Caller,
@@ -257,7 +264,7 @@
         })
     }
 
-    /// All that a caller may and may not do, on every index that any grant names.
+    /// Lists for each act on each index that any grant names whether a caller may perform it.
     pub fn explain(
         &self,
         caller: &Caller,
--- a/identity/src/token.rs
+++ b/identity/src/token.rs
@@ -1,6 +1,6 @@
-//! Signed tokens (JWT, RFC 7519), by their best current practice (RFC 8725): the algorithm is the key's and not the
-//! token's word, nothing in a token names where a key is to be had, every claim stands once, and times, issuer and
-//! audience are checked whatever the signature says.
+//! Verification of signed tokens (JWT, RFC 7519) by the best current practices (RFC 8725): the key determines the
+//! algorithm, not the token; no header field can name a source of keys; no claim may appear twice; and a valid signature
+//! does not replace the checks of times, issuer and audience.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -10,24 +10,25 @@
 use crate::keys::{KeyError, KeyRing};
 use crate::names::{Caller, KeyId, Proof, Role, Tenant, TokenId};
 
-/// The longest token, in bytes. A header line may be twice as long; what is longer is no caller of ours.
+/// The maximum size of a token. A header line may be twice as long; no valid caller has a longer token.
 pub const MAX_TOKEN_BYTES: usize = 8 * 1024;
-/// The most roles of a token.
+/// The maximum number of roles in a token.
 pub const MAX_ROLES: usize = 64;
-/// The longest name in a token, in bytes.
+/// The maximum size of a name in a token.
 const MAX_NAME_BYTES: usize = 256;
 
-/// What tokens must say, and how exactly.
+/// The requirements on the claims of tokens.
 #[derive(Clone, Debug)]
 pub struct TokenRequirements {
     pub issuer: String,
     pub audience: String,
-    /// So far may the issuer's clock be off.
+    /// The permitted difference between the clocks of the issuer and this machine.
     pub skew: Micros,
-    /// The longest time that a token may be made for.
+    /// The maximum time between a token's issue and its expiry.
     pub max_lifetime: Micros,
 }
 
+/// Why a token is refused. The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     #[error("the token is longer than any is")]
@@ -60,7 +61,7 @@
     TooLongLived,
 }
 
-/// Everything in a header that this reader knows of; what asks for another key, or for an extension, is refused.
+/// The header fields that are examined. Tokens that use the fields for another key or for an extension are refused.
 #[derive(Deserialize)]
 struct Header {
     alg: String,
@@ -100,18 +101,18 @@
     let bytes = URL_SAFE_NO_PAD
         .decode(text)
         .map_err(|_| TokenError::Malformed)?;
-    // A claim that stands twice is an error of the reader's already.
+    // The JSON reader refuses a claim that appears twice.
     serde_json::from_slice(&bytes).map_err(|_| TokenError::Malformed)
 }
 
-/// Seconds with a fraction, as tokens word times, within what a clock can show.
+/// Converts a time in a token (seconds, possibly with a fraction), if it is within the range of plausible times.
 fn time(seconds: f64) -> Result<Micros, TokenError> {
     (seconds.is_finite() && (0.0..1e11).contains(&seconds))
         .then_some(Micros((seconds * 1e6) as u64))
         .ok_or(TokenError::Malformed)
 }
 
-/// Reads a token and verifies it; the caller that it proves comes back.
+/// Decodes and verifies a token; returns the caller that it authenticates.
 pub fn verify(
     token: &str,
     ring: &KeyRing,
@@ -161,7 +162,7 @@
     check_claims(decode_part(claims)?, id, requirements, now)
 }
 
-/// What a token says, its signature being right.
+/// Checks the claims of a token whose signature is valid; returns the caller.
 fn check_claims(
     claims: Claims,
     key: KeyId,
--- a/identity/src/token_cache.rs
+++ b/identity/src/token_cache.rs
@@ -1,5 +1,6 @@
-//! Callers whose token has been verified already, by the digest of the token: a bounded index whose least used entry
-//! gives way. An entry lasts no longer than its token, and leaves at once with its key or its revocation.
+//! The cache of callers whose token has been verified, by the digest of the token. When it is full, the least recently
+//! used entry is evicted. An entry expires with its token, and is removed together with the key of its token. Revocations
+//! do not change the cache: they are checked with each request.
 
 use std::num::NonZeroUsize;
 use std::rc::Rc;
@@ -10,8 +11,10 @@
 
 use crate::names::{Caller, KeyId, Proof};
 
+/// The SHA-256 of a whole token.
 pub type TokenDigest = [u8; 32];
 
+/// A bounded cache of verified tokens.
 pub struct TokenCache {
     callers: LruCache<TokenDigest, Rc<Caller>>,
 }
@@ -27,6 +30,7 @@
         }
     }
 
+    /// Returns the caller of a cached token that has not expired.
     pub fn get(&mut self, now: Micros, token: &TokenDigest) -> Option<Rc<Caller>> {
         let caller = self.callers.get(token)?;
         if caller.until > now {
@@ -44,7 +48,7 @@
         self.callers.pop(token);
     }
 
-    /// Keys that have left the ring take their tokens with them.
+    /// Removes the tokens signed by keys that are no longer in the key ring.
     pub fn remove_keys(&mut self, removed: &[KeyId]) {
         let signed_by_removed_key = |caller: &Caller| matches!(&caller.proof, Proof::Token { key, .. } if removed.contains(key));
         let tokens: Vec<TokenDigest> = self
--- a/identity/tests/any_order.rs
+++ b/identity/tests/any_order.rs
@@ -1,5 +1,6 @@
-//! For any order of rotate, revoke, tick and request: no revoked caller is admitted after the telling, and no valid
-//! one is refused. What should be is kept here in plain tables, apart from the package's own state.
+//! Random sequences of key rotations, revocations, time steps and requests: a caller is refused from the moment at which
+//! the router has received its revocation, and no valid caller is refused. The expected decisions are derived from
+//! plain tables in this file, independently of the package's state.
 
 use std::collections::HashSet;
 
@@ -30,18 +31,20 @@
         subject: u8,
     },
     Rotate,
-    /// The router hears of the keys as they are.
-    HearKeys,
-    /// The router hears of the keys as they were some steps ago.
-    HearOldKeys(usize),
+    /// The router receives the current key set.
+    ReceiveKeys,
+    /// The router receives a key set from some rotations ago.
+    ReceiveOldKeys(usize),
     RevokeToken(usize),
     RevokeSubject(u8),
     RevokeKey(usize),
     LiftSubject(u8),
-    /// The feed is heard: whole, what is new, or a page that was heard before.
-    HearWhole,
-    HearNew,
-    HearAgain(usize),
+    /// The router receives the feed as a whole list.
+    ReceiveWholeFeed,
+    /// The router receives the new entries of the feed.
+    ReceiveNewEntries,
+    /// The router receives an earlier page again.
+    ReceiveOldPage(usize),
     Tick(u64),
     Authorize(usize),
 }
@@ -50,15 +53,15 @@
     prop_oneof![
         3 => (0u8..4).prop_map(|subject| Step::Mint { subject }),
         1 => Just(Step::Rotate),
-        2 => Just(Step::HearKeys),
-        1 => (0usize..8).prop_map(Step::HearOldKeys),
+        2 => Just(Step::ReceiveKeys),
+        1 => (0usize..8).prop_map(Step::ReceiveOldKeys),
         1 => (0usize..64).prop_map(Step::RevokeToken),
         1 => (0u8..4).prop_map(Step::RevokeSubject),
         1 => (0usize..64).prop_map(Step::RevokeKey),
         1 => (0u8..4).prop_map(Step::LiftSubject),
-        1 => Just(Step::HearWhole),
-        2 => Just(Step::HearNew),
-        1 => (0usize..8).prop_map(Step::HearAgain),
+        1 => Just(Step::ReceiveWholeFeed),
+        2 => Just(Step::ReceiveNewEntries),
+        1 => (0usize..8).prop_map(Step::ReceiveOldPage),
         2 => (1u64..20).prop_map(Step::Tick),
         8 => (0usize..64).prop_map(Step::Authorize),
     ]
@@ -76,20 +79,20 @@
     #![proptest_config(ProptestConfig { cases: 150, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_revoked_caller_is_admitted_and_no_valid_one_refused(steps in proptest::collection::vec(step(), 1..120)) {
+    fn refuses_every_revoked_caller_and_no_valid_one(steps in proptest::collection::vec(step(), 1..120)) {
         let (mut now, mut manager, random) = (0u64, KeyManager::default(), SystemRandom::new());
         manager.new_key("k0", Algorithm::EdDsa, T0, 0, &random).expect("a key");
         let mut identity = Identity::new(config()).expect("good terms");
         let mut sets = vec![manager.public(T0).expect("a set").to_string()];
-        let hear_keys = |identity: &mut Identity, text: &str, now: u64| {
+        let receive_keys = |identity: &mut Identity, text: &str, now: u64| {
             let set = KeySet::parse(text.as_bytes()).expect("good");
             let _ = identity.update_keys(Micros((T0 + now) * 1_000_000), &set);
         };
-        hear_keys(&mut identity, &sets[0], 0);
+        receive_keys(&mut identity, &sets[0], 0);
         let micros = |now: u64| Micros((T0 + now) * 1_000_000);
         identity.update_revocations(micros(0), Page { whole: true, ..Page::default() }).expect("taken");
-        // The feed as it was written, what of it the router was told, and the pages it heard.
-        let (mut feed, mut told, mut pages): (Vec<serde_json::Value>, usize, Vec<String>) = (vec![], 0, vec![]);
+        // The entries of the feed, how many of them the router has received, and the pages that it received.
+        let (mut feed, mut received, mut pages): (Vec<serde_json::Value>, usize, Vec<String>) = (vec![], 0, vec![]);
         let (mut minted, mut made): (Vec<Minted>, usize) = (Vec::new(), 1);
         for step in steps {
             match step {
@@ -106,14 +109,14 @@
                 Step::Rotate => {
                     let id = format!("k{made}");
                     made += 1;
-                    // It signs after five seconds, in which the router hears of it: what a key service does.
+                    // The new key signs after five seconds, so that the router receives it before.
                     if manager.rotate(&id, Algorithm::EdDsa, T0 + now, 5, LIFE, &random).is_ok() {
                         sets.push(manager.public(T0 + now).expect("a set").to_string());
-                        hear_keys(&mut identity, &sets[sets.len() - 1], now);
+                        receive_keys(&mut identity, &sets[sets.len() - 1], now);
                     }
                 }
-                Step::HearKeys => hear_keys(&mut identity, &manager.public(T0 + now).expect("a set").to_string(), now),
-                Step::HearOldKeys(back) => hear_keys(&mut identity, &sets[sets.len().saturating_sub(1 + back)], now),
+                Step::ReceiveKeys => receive_keys(&mut identity, &manager.public(T0 + now).expect("a set").to_string(), now),
+                Step::ReceiveOldKeys(back) => receive_keys(&mut identity, &sets[sets.len().saturating_sub(1 + back)], now),
                 Step::RevokeToken(at) if !minted.is_empty() => {
                     let id = &minted[at % minted.len()].id;
                     feed.push(json!({"number": feed.len() + 1, "token": id}));
@@ -125,15 +128,15 @@
                 Step::LiftSubject(of) => {
                     feed.push(json!({"number": feed.len() + 1, "subject": format!("s{of}"), "lifted": true}));
                 }
-                Step::HearWhole | Step::HearNew => {
-                    let (whole, from) = match step { Step::HearWhole => (true, 0), _ => (false, told) };
+                Step::ReceiveWholeFeed | Step::ReceiveNewEntries => {
+                    let (whole, from) = match step { Step::ReceiveWholeFeed => (true, 0), _ => (false, received) };
                     let page = json!({"after": from, "to": feed.len(), "whole": whole, "entries": feed[from..]});
                     pages.push(page.to_string());
                     let page = Page::parse(page.to_string().as_bytes()).expect("good");
                     identity.update_revocations(micros(now), page).expect("taken");
-                    told = feed.len();
+                    received = feed.len();
                 }
-                Step::HearAgain(back) if !pages.is_empty() => {
+                Step::ReceiveOldPage(back) if !pages.is_empty() => {
                     let text = &pages[pages.len().saturating_sub(1 + back)];
                     let _ = identity.update_revocations(micros(now), Page::parse(text.as_bytes()).expect("good"));
                 }
@@ -146,11 +149,11 @@
                     let ask = AuthRequest { token: Some(&of.token), index: "x", idempotent: true, ..AuthRequest::default() };
                     let admitted = identity.authorize(micros(now), &ask).map_err(|refusal| refusal.why);
                     let mut revoked = HashSet::new();
-                    for word in &feed[..told] {
+                    for entry in &feed[..received] {
                         for kind in ["token", "subject", "key"] {
-                            if let Some(name) = word[kind].as_str() {
+                            if let Some(name) = entry[kind].as_str() {
                                 let what = format!("{kind} {name}");
-                                if word["lifted"] == true { revoked.remove(&what) } else { revoked.insert(what) };
+                                if entry["lifted"] == true { revoked.remove(&what) } else { revoked.insert(what) };
                             }
                         }
                     }
--- a/identity/tests/hard_cases.rs
+++ b/identity/tests/hard_cases.rs
@@ -1,4 +1,4 @@
-//! Each hard case of keys, tokens, certificates, revocations and rights, over the border of the package.
+//! Edge cases of keys, tokens, certificates, revocations and rights, through the public interface of the package.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -67,10 +67,10 @@
     }
 }
 
-/// An identity that has heard of the workshop's keys and that nothing is revoked.
+/// An identity that has the key manager's keys and an empty list of revocations.
 fn identity(manager: &KeyManager) -> Identity {
     let mut identity = Identity::new(config(str::to_owned)).expect("good terms");
-    hear(&mut identity, manager, 0);
+    publish_keys(&mut identity, manager, 0);
     let page = Page {
         whole: true,
         ..Page::default()
@@ -81,7 +81,7 @@
     identity
 }
 
-fn hear(identity: &mut Identity, manager: &KeyManager, now: u64) {
+fn publish_keys(identity: &mut Identity, manager: &KeyManager, now: u64) {
     let set = manager.public(T0 + now).expect("a set").to_string();
     let set = KeySet::parse(set.as_bytes()).expect("a good set");
     let _ = identity.update_keys(at(now), &set);
@@ -123,7 +123,7 @@
 
 #[test_case(Algorithm::EdDsa; "EdDSA")]
 #[test_case(Algorithm::Es256; "ES256")]
-fn a_token_of_a_known_key_is_let_in_and_remembered(algorithm: Algorithm) {
+fn accepts_and_caches_a_token_signed_by_a_known_key(algorithm: Algorithm) {
     let manager = manager(algorithm);
     let (mut identity, token) = (
         identity(&manager),
@@ -154,19 +154,19 @@
 const DOUBLED: &str = r#"{"iss":"https://sign-on.example","sub":"a","sub":"b","aud":"search","exp":1,"iat":1,"tenant":"north"}"#;
 
 #[test_case(json!({"alg": "none", "kid": "k1"}), None, "the token's algorithm is not its key's"; "none")]
-#[test_case(json!({"alg": "HS256", "kid": "k1"}), None, "the token's algorithm is not its key's"; "a secret's")]
-#[test_case(json!({"alg": "ES256", "kid": "k1"}), None, "the token's algorithm is not its key's"; "another's")]
+#[test_case(json!({"alg": "HS256", "kid": "k1"}), None, "the token's algorithm is not its key's"; "the algorithm of a shared secret")]
+#[test_case(json!({"alg": "ES256", "kid": "k1"}), None, "the token's algorithm is not its key's"; "the algorithm of another key")]
 #[test_case(json!({"alg": "EdDSA"}), None, "the token names no key"; "no key")]
 #[test_case(json!({"alg": "EdDSA", "kid": "k9"}), None, "the token's key is not known"; "an unknown key")]
 #[test_case(json!({"alg": "EdDSA", "kid": "k1", "jku": "https://x"}), None, "the token's header asks for what is not done here"; "a key by URL")]
-#[test_case(json!({"alg": "EdDSA", "kid": "k1", "jwk": {}}), None, "the token's header asks for what is not done here"; "its own key")]
+#[test_case(json!({"alg": "EdDSA", "kid": "k1", "jwk": {}}), None, "the token's header asks for what is not done here"; "a key in the header")]
 #[test_case(json!({"alg": "EdDSA", "kid": "k1", "x5u": "https://x"}), None, "the token's header asks for what is not done here"; "a certificate by URL")]
 #[test_case(json!({"alg": "EdDSA", "kid": "k1", "crit": ["exp"]}), None, "the token's header asks for what is not done here"; "an extension")]
-#[test_case(json!({"alg": "EdDSA", "kid": "k1", "typ": "secevent+jwt"}), None, "the token's header asks for what is not done here"; "another kind")]
+#[test_case(json!({"alg": "EdDSA", "kid": "k1", "typ": "secevent+jwt"}), None, "the token's header asks for what is not done here"; "another type")]
 #[test_case(json!({"alg": "EdDSA", "kid": "k1"}), Some("{}"), "the token's signature is wrong"; "another body")]
-#[test_case(json!({"alg": "EdDSA", "kid": "k1"}), Some(DOUBLED), "the token's signature is wrong"; "doubled and unsigned")]
-#[test_case(json!(["EdDSA"]), None, "the token is malformed"; "no object")]
-fn a_forged_token_is_refused(header: Value, body: Option<&str>, says: &str) {
+#[test_case(json!({"alg": "EdDSA", "kid": "k1"}), Some(DOUBLED), "the token's signature is wrong"; "a duplicate claim with the wrong signature")]
+#[test_case(json!(["EdDSA"]), None, "the token is malformed"; "not an object")]
+fn refuses_a_forged_token(header: Value, body: Option<&str>, expected: &str) {
     let manager = manager(Algorithm::EdDsa);
     let (mut identity, token) = (
         identity(&manager),
@@ -178,27 +178,28 @@
         .expect_err("refused");
     assert_eq!(
         (refusal.why.as_str(), refusal.kind),
-        (says, RefusalKind::InvalidCredentials)
+        (expected, RefusalKind::InvalidCredentials)
     );
-    assert_eq!(refusal.unknown_key, says.contains("not known"));
-    assert_eq!(identity.cached_tokens(), 0, "nothing of it is remembered");
+    assert_eq!(refusal.unknown_key, expected.contains("not known"));
+    assert_eq!(identity.cached_tokens(), 0, "a forged token is not cached");
 }
 
-#[test_case("", "the token is malformed"; "nothing")]
+#[test_case("", "the token is malformed"; "empty")]
 #[test_case("a.b", "the token is malformed"; "two parts")]
 #[test_case("a.b.c.d", "the token is malformed"; "four parts")]
-#[test_case("%%.%%.%%", "the token is malformed"; "no base64")]
+#[test_case("%%.%%.%%", "the token is malformed"; "not base64")]
 #[test_case(&"x".repeat(64 * 1024), "the token is longer than any is"; "64 kB")]
-fn what_is_no_token_is_refused(token: &str, says: &str) {
+fn refuses_malformed_and_oversized_tokens(token: &str, expected: &str) {
     let mut identity = identity(&manager(Algorithm::EdDsa));
-    assert_eq!(why(identity.authorize(at(1), &history(token))), says);
+    assert_eq!(why(identity.authorize(at(1), &history(token))), expected);
 }
 
-/// A signed token whose claims are changed.
+/// Returns a signed token with changed claims.
 fn signed(change: impl Fn(&mut Value)) -> String {
-    let mut said = serde_json::to_value(claims(0)).expect("JSON");
-    change(&mut said);
-    MANAGER.with(|manager| sign(manager.signer(T0).expect("a key"), &said).expect("a token"))
+    let mut changed_claims = serde_json::to_value(claims(0)).expect("JSON");
+    change(&mut changed_claims);
+    MANAGER
+        .with(|manager| sign(manager.signer(T0).expect("a key"), &changed_claims).expect("a token"))
 }
 
 thread_local! {
@@ -208,22 +209,22 @@
 #[test_case(|c| c["iss"] = json!("https://other"), 1, "the token is of another issuer"; "issuer")]
 #[test_case(|c| c["aud"] = json!(["a", "b"]), 1, "the token is for another audience"; "audience")]
 #[test_case(|c| c["aud"] = json!(["a", "search"]), 1, "admitted by role crew"; "one of several audiences")]
-#[test_case(|_| {}, 304, "admitted by role crew"; "ended within the skew")]
-#[test_case(|_| {}, 305, "the token has expired"; "ended beyond the skew")]
-#[test_case(|c| { c["nbf"] = json!(T0 + 6); c["iat"] = json!(T0 + 6); }, 1, "admitted by role crew"; "early within the skew")]
-#[test_case(|c| c["nbf"] = json!(T0 + 7), 1, "the token is not valid yet"; "early beyond the skew")]
-#[test_case(|c| c["iat"] = json!(T0 + 60), 1, "the token is not valid yet"; "made in the future")]
+#[test_case(|_| {}, 304, "admitted by role crew"; "expired within the skew")]
+#[test_case(|_| {}, 305, "the token has expired"; "expired beyond the skew")]
+#[test_case(|c| { c["nbf"] = json!(T0 + 6); c["iat"] = json!(T0 + 6); }, 1, "admitted by role crew"; "not valid yet within the skew")]
+#[test_case(|c| c["nbf"] = json!(T0 + 7), 1, "the token is not valid yet"; "not valid yet beyond the skew")]
+#[test_case(|c| c["iat"] = json!(T0 + 60), 1, "the token is not valid yet"; "issued in the future")]
 #[test_case(|c| c["exp"] = json!(T0 + 3601), 1, "the token is made for longer than is allowed"; "long lived")]
-#[test_case(|c| c["exp"] = json!(1e300), 1, "the token is malformed"; "no time")]
-#[test_case(|c| c["exp"] = json!(-1), 1, "the token is malformed"; "before all time")]
-#[test_case(|c| c["exp"] = json!("1800000300"), 1, "the token is malformed"; "a time in quotes")]
-#[test_case(|c| { c.as_object_mut().unwrap().remove("exp"); }, 1, "the token is malformed"; "no end")]
-#[test_case(|c| { c.as_object_mut().unwrap().remove("iat"); }, 1, "the token is malformed"; "no beginning")]
+#[test_case(|c| c["exp"] = json!(1e300), 1, "the token is malformed"; "a time out of range")]
+#[test_case(|c| c["exp"] = json!(-1), 1, "the token is malformed"; "a negative time")]
+#[test_case(|c| c["exp"] = json!("1800000300"), 1, "the token is malformed"; "a time as a string")]
+#[test_case(|c| { c.as_object_mut().unwrap().remove("exp"); }, 1, "the token is malformed"; "no expiry")]
+#[test_case(|c| { c.as_object_mut().unwrap().remove("iat"); }, 1, "the token is malformed"; "no issue time")]
 #[test_case(|c| c["sub"] = json!("a\nb"), 1, "the token is malformed"; "a line end in a name")]
 #[test_case(|c| c["roles"] = json!(vec!["crew"; 65]), 1, "the token is malformed"; "too many roles")]
 #[test_case(|c| c["tenant"] = json!("east"), 1, "the tenant is not known"; "unknown tenant")]
-#[test_case(|c| c["roles"] = json!(["reader"]), 1, "no role grants read here"; "a role that its tenant may not give")]
-fn a_signed_token_is_judged_by_what_it_says(change: fn(&mut Value), now: u64, says: &str) {
+#[test_case(|c| c["roles"] = json!(["reader"]), 1, "no role grants read here"; "a role that the tenant does not permit")]
+fn checks_the_claims_of_a_signed_token(change: fn(&mut Value), now: u64, expected: &str) {
     let mut identity = MANAGER.with(identity);
     identity
         .update_revocations(
@@ -236,12 +237,12 @@
         .expect("a page");
     assert_eq!(
         why(identity.authorize(at(now), &history(&signed(change)))),
-        says
+        expected
     );
 }
 
 #[test]
-fn a_claim_that_stands_twice_is_refused_though_signed() {
+fn refuses_a_signed_token_with_a_duplicate_claim() {
     let body = URL_SAFE_NO_PAD.encode(DOUBLED);
     let head = URL_SAFE_NO_PAD.encode(r#"{"alg":"EdDSA","kid":"k1"}"#);
     MANAGER.with(|manager| {
@@ -261,22 +262,22 @@
 }
 
 #[test]
-fn a_key_retired_a_moment_later_verifies_until_its_end_and_not_beyond() {
+fn a_rotated_key_verifies_until_it_expires_and_not_longer() {
     let mut manager = manager(Algorithm::EdDsa);
     let mut identity = identity(&manager);
     let old = manager.mint(&claims(0), T0).expect("a token");
     manager
         .rotate("k2", Algorithm::EdDsa, T0 + 1, 10, 60, &SystemRandom::new())
         .expect("a key");
-    hear(&mut identity, &manager, 2);
+    publish_keys(&mut identity, &manager, 2);
     assert_eq!(
         manager.signer(T0 + 11).expect("a signer").id,
         "k1",
-        "the new one is only published"
+        "the new key is only published"
     );
     let new = manager.mint(&claims(12), T0 + 12).expect("a token");
     for now in [12, 40, 71] {
-        hear(&mut identity, &manager, now);
+        publish_keys(&mut identity, &manager, now);
         identity
             .update_revocations(
                 at(now),
@@ -297,7 +298,7 @@
             "at {now}"
         );
     }
-    // Its end acts by itself, remembered or not, before any set says so.
+    // The key expires by time alone, without a new key set, even for a cached token.
     assert_eq!(
         why(identity.authorize(at(72), &history(&old))),
         "the token's key is no longer in use"
@@ -314,13 +315,13 @@
 }
 
 #[test]
-fn two_sets_by_turns_refuse_nobody_and_a_lasting_one_retires_a_key() {
+fn alternating_key_sets_refuse_no_caller_and_a_lasting_absence_removes_a_key() {
     let (mut one, mut other) = (manager(Algorithm::EdDsa), KeyManager::default());
     other
         .new_key("k2", Algorithm::Es256, T0, 60, &SystemRandom::new())
         .expect("a key");
     let mut identity = identity(&one);
-    // Two services that do not count their sets.
+    // Two services that do not publish serials.
     let public = |manager: &KeyManager| {
         let mut set = manager.public(T0).expect("a set");
         set.as_object_mut().unwrap().remove("ternpick_serial");
@@ -363,14 +364,14 @@
 }
 
 #[test]
-fn an_older_set_a_reused_id_and_half_a_set_do_no_harm() {
+fn an_older_set_a_reused_key_id_and_an_incomplete_set_keep_the_known_keys() {
     let mut manager = manager(Algorithm::EdDsa);
     let mut identity = identity(&manager);
     let old = manager.public(T0).expect("a set").to_string();
     manager
         .new_key("k2", Algorithm::EdDsa, T0 + 1, 60, &SystemRandom::new())
         .expect("a key");
-    hear(&mut identity, &manager, 1);
+    publish_keys(&mut identity, &manager, 1);
     let older = identity.update_keys(at(2), &KeySet::parse(old.as_bytes()).expect("good"));
     assert_eq!(
         older,
@@ -391,34 +392,34 @@
     );
 }
 
-#[test_case("", KeySetError::Malformed; "nothing")]
-#[test_case("{\"keys\": [", KeySetError::Malformed; "cut")]
+#[test_case("", KeySetError::Malformed; "empty")]
+#[test_case("{\"keys\": [", KeySetError::Malformed; "truncated")]
 #[test_case("{\"keys\": []}", KeySetError::Empty("".into()); "no key")]
-#[test_case("{\"keys\": [{\"kty\":\"RSA\",\"kid\":\"a\",\"x\":\"\"}]}", KeySetError::Empty("key \"a\" is of a kind that is not used here (Ed25519 and P-256 are)".into()); "another kind")]
-#[test_case("{\"keys\": [{\"kty\":\"OKP\",\"crv\":\"Ed25519\",\"kid\":\"a\",\"x\":\"AA\",\"d\":\"AA\"}]}", KeySetError::Empty("key \"a\" is a private one: it must not be published, revoke it".into()); "a private key")]
-#[test_case("{\"keys\": [{\"kty\":\"OKP\",\"crv\":\"Ed25519\",\"kid\":\"a\",\"alg\":\"ES256\",\"x\":\"AA\"}]}", KeySetError::Empty("key \"a\" is for another algorithm than its kind".into()); "another algorithm")]
-fn a_set_that_is_none_is_refused_and_says_why(text: &str, fault: KeySetError) {
+#[test_case("{\"keys\": [{\"kty\":\"RSA\",\"kid\":\"a\",\"x\":\"\"}]}", KeySetError::Empty("key \"a\" has an unsupported type (supported are Ed25519 and P-256)".into()); "another type")]
+#[test_case("{\"keys\": [{\"kty\":\"OKP\",\"crv\":\"Ed25519\",\"kid\":\"a\",\"x\":\"AA\",\"d\":\"AA\"}]}", KeySetError::Empty("key \"a\" is a private key: it must not be published, revoke it".into()); "a private key")]
+#[test_case("{\"keys\": [{\"kty\":\"OKP\",\"crv\":\"Ed25519\",\"kid\":\"a\",\"alg\":\"ES256\",\"x\":\"AA\"}]}", KeySetError::Empty("key \"a\" has an algorithm that does not match its type".into()); "another algorithm")]
+fn refuses_an_unusable_key_set_with_the_reason(text: &str, fault: KeySetError) {
     assert_eq!(KeySet::parse(text.as_bytes()).err(), Some(fault));
 }
 
-#[test_case("get tag 7", &["crew"], "admitted by role crew"; "reads")]
-#[test_case("set tag 7", &["crew"], "no role grants set here"; "may read, not set")]
-#[test_case("set tag 7", &["crew", "safety"], "admitted by role safety"; "may set")]
-#[test_case("get tag 7; set tag 7", &["crew"], "admitted by role crew"; "what only the node would tell apart is the pattern's to say")]
-#[test_case("reset tag 7", &["safety", "trainee"], "admitted by role safety"; "a role that its tenant may not give denies nothing")]
-#[test_case("c41e", &["crew"], "no role grants set here"; "a statement that tells nothing could do everything")]
-#[test_case("c41e", &["safety"], "admitted by role safety"; "and needs every right")]
-fn the_act_is_told_from_what_a_node_will_run(statement: &str, roles: &[&str], says: &str) {
+#[test_case("get tag 7", &["crew"], "admitted by role crew"; "a read")]
+#[test_case("set tag 7", &["crew"], "no role grants set here"; "a role that may read but not set")]
+#[test_case("set tag 7", &["crew", "safety"], "admitted by role safety"; "a role that may set")]
+#[test_case("get tag 7; set tag 7", &["crew"], "admitted by role crew"; "only the patterns determine the acts of a compound statement")]
+#[test_case("reset tag 7", &["safety", "trainee"], "admitted by role safety"; "a role that the tenant does not permit denies nothing")]
+#[test_case("c41e", &["crew"], "no role grants set here"; "a statement without a matching pattern needs all acts")]
+#[test_case("c41e", &["safety"], "admitted by role safety"; "a statement without a matching pattern and a role with all acts")]
+fn derives_the_acts_from_the_statement(statement: &str, roles: &[&str], expected: &str) {
     let token = signed(|claims| claims["roles"] = json!(roles));
     let mut identity = MANAGER.with(identity);
     assert_eq!(
         why(identity.authorize(at(1), &tag(&token, statement))),
-        says
+        expected
     );
 }
 
 #[test]
-fn a_denial_goes_before_any_grant_and_rights_explain_themselves() {
+fn a_denial_overrides_grants_and_rights_are_explained() {
     let config = config(|text| {
         text.replace(
             "roles: [\"crew\", \"safety\"]",
@@ -451,7 +452,7 @@
 }
 
 #[test]
-fn a_contractor_acts_for_a_tenant_until_its_time_and_in_the_roles_given() {
+fn a_delegation_holds_until_its_end_and_only_in_its_roles() {
     let token = signed(|claims| {
         (claims["sub"], claims["tenant"], claims["roles"]) = (
             json!("contractor-9"),
@@ -513,15 +514,11 @@
     );
 }
 
-#[test_case(31, "read", "admitted by role crew"; "reading goes on")]
-#[test_case(31, "set", "what is revoked is not known well enough to set here"; "setting stops first")]
-#[test_case(30, "set", "admitted by role safety"; "within its grace")]
-#[test_case(601, "read", "what is revoked is not known well enough to read here"; "all stops")]
-fn a_feed_fallen_silent_is_trusted_by_its_age_and_by_what_is_asked(
-    now: u64,
-    act: &str,
-    says: &str,
-) {
+#[test_case(31, "read", "admitted by role crew"; "reads are still allowed")]
+#[test_case(31, "set", "what is revoked is not known well enough to set here"; "changes are refused first")]
+#[test_case(30, "set", "admitted by role safety"; "changes within the grace period")]
+#[test_case(601, "read", "what is revoked is not known well enough to read here"; "reads are refused later")]
+fn outdated_revocations_stop_changes_first_and_then_reads(now: u64, act: &str, expected: &str) {
     let mut identity = MANAGER.with(identity);
     let token = signed(|claims| claims["exp"] = json!(T0 + 700));
     let ask = if act == "read" {
@@ -535,7 +532,7 @@
         .is_err_and(|refusal| refusal.kind == RefusalKind::RevocationsOutdated);
     assert_eq!(
         (why(judged).as_str(), unsure),
-        (says, says.contains("enough"))
+        (expected, expected.contains("enough"))
     );
 }
 
@@ -548,22 +545,23 @@
 #[test_case(r#"{"after":0,"to":1,"entries":[{"number":1,"key":"k1"}]}"#, "the token's key is revoked"; "by key")]
 #[test_case(r#"{"after":0,"to":1,"entries":[{"number":1,"token":"t-1"}]}"#, "admitted by role crew"; "another token")]
 #[test_case(r#"{"to":2,"whole":true,"entries":[{"number":2,"subject":"dispatcher-1","until":1800000001}]}"#, "the subject is revoked"; "in a whole list")]
-fn a_revoked_caller_is_refused_at_once_though_remembered(text: &str, says: &str) {
+fn refuses_a_revoked_caller_at_once_although_its_token_is_cached(text: &str, expected: &str) {
     let (mut identity, token) = (MANAGER.with(identity), signed(|_| {}));
     assert!(identity.authorize(at(1), &history(&token)).is_ok());
     identity
         .update_revocations(at(1), page(text))
         .expect("taken");
-    assert_eq!(why(identity.authorize(at(1), &history(&token))), says);
+    assert_eq!(why(identity.authorize(at(1), &history(&token))), expected);
 }
 
 #[test]
-fn a_gap_a_doubled_an_older_and_a_reordered_page_never_undo_a_revocation() {
+fn pages_with_gaps_duplicates_old_or_unordered_entries_never_undo_a_revocation() {
     let (mut identity, token) = (MANAGER.with(identity), signed(|_| {}));
-    let hear = |identity: &mut Identity, text: &str| identity.update_revocations(at(1), page(text));
+    let apply =
+        |identity: &mut Identity, text: &str| identity.update_revocations(at(1), page(text));
     let revoke = r#"{"after":0,"to":2,"entries":[{"number":2,"token":"t-0"},{"number":1,"token":"x"},{"number":1,"token":"x"}]}"#;
-    assert_eq!(hear(&mut identity, revoke), Ok(2));
-    assert_eq!(hear(&mut identity, revoke), Ok(0), "doubled");
+    assert_eq!(apply(&mut identity, revoke), Ok(2));
+    assert_eq!(apply(&mut identity, revoke), Ok(0), "a duplicate page");
     let refused = [
         r#"{"after":3,"to":4,"entries":[{"number":4,"token":"y"}]}"#,
         r#"{"after":2,"to":4,"entries":[{"number":4,"token":"y"}]}"#,
@@ -573,11 +571,11 @@
         r#"{"after":2,"to":3,"entries":[{"number":5,"token":"y"}]}"#,
     ];
     for text in refused {
-        assert!(hear(&mut identity, text).is_err(), "{text}");
+        assert!(apply(&mut identity, text).is_err(), "{text}");
     }
-    // A service that serves half of its list brings nobody back.
+    // An incomplete whole list does not reinstate the revoked token.
     assert_eq!(
-        hear(&mut identity, r#"{"to":9,"whole":true,"entries":[]}"#),
+        apply(&mut identity, r#"{"to":9,"whole":true,"entries":[]}"#),
         Ok(0)
     );
     assert_eq!(
@@ -585,7 +583,7 @@
         "the token is revoked"
     );
     assert_eq!(
-        hear(
+        apply(
             &mut identity,
             r#"{"after":9,"to":10,"entries":[{"number":10,"token":"t-0","lifted":true}]}"#
         ),
@@ -595,8 +593,8 @@
         why(identity.authorize(at(1), &history(&token))),
         "admitted by role crew"
     );
-    // An older word on it, in a whole list, stays undone.
-    let _ = hear(
+    // An older entry in a whole list does not revoke it again.
+    let _ = apply(
         &mut identity,
         r#"{"to":10,"whole":true,"entries":[{"number":2,"token":"t-0"}]}"#,
     );
@@ -607,14 +605,14 @@
 }
 
 #[test_case(r#"{"to":1}"#; "no entries")]
-#[test_case(r#"{"to":1,"entries":[{"number":1}]}"#; "of nothing")]
-#[test_case(r#"{"to":1,"entries":[{"number":1,"token":"a","key":"b"}]}"#; "of two things")]
-#[test_case(r#"{"to":-1,"entries":[]}"#; "below nothing")]
-fn a_page_that_makes_no_sense_is_refused(text: &str) {
+#[test_case(r#"{"to":1,"entries":[{"number":1}]}"#; "an entry without an item")]
+#[test_case(r#"{"to":1,"entries":[{"number":1,"token":"a","key":"b"}]}"#; "an entry with two items")]
+#[test_case(r#"{"to":-1,"entries":[]}"#; "a negative number")]
+fn refuses_a_malformed_revocation_page(text: &str) {
     assert!(Page::parse(text.as_bytes()).is_err());
 }
 
-/// An authority, a certificate of it for `name`, and lists that revoke what is told, by number.
+/// A certificate authority, which issues client certificates and lists of revoked certificates.
 struct Authority {
     certificate: rcgen::Certificate,
     issuer: rcgen::Issuer<'static, rcgen::KeyPair>,
@@ -673,7 +671,7 @@
 }
 
 #[test]
-fn a_certificate_shown_on_an_open_connection_is_judged_again_with_each_request() {
+fn checks_the_certificate_of_an_open_connection_with_each_request() {
     let (ours, other) = (authority("ours"), authority("other"));
     let mut identity = MANAGER.with(identity);
     let crew = ours.client("crew-7.field.example", 7);
@@ -693,7 +691,7 @@
         why(identity.authorize(at(1), &ask(&ours.client("x.example", 8)))),
         "the certificate names nobody who is known here"
     );
-    // A list by somebody else, or an older one, changes nothing.
+    // A list of another authority or an older list changes nothing.
     let trusted = ours.certificate.der();
     assert_eq!(
         identity.update_revocation_list(&other.list(5, &[7]), trusted),
@@ -711,7 +709,7 @@
         why(identity.authorize(at(1), &ask(&crew))),
         "the certificate is revoked"
     );
-    // With a token beside it, a revoked certificate still shuts its connection out.
+    // A revoked certificate is refused even if the request has a valid token.
     let token = signed(|_| {});
     let both = AuthRequest {
         certificate: Some(&crew),
@@ -748,7 +746,7 @@
 }
 
 #[test]
-fn no_proof_is_told_apart_from_a_bad_one() {
+fn distinguishes_missing_credentials_from_invalid_ones() {
     let mut identity = MANAGER.with(identity);
     let refusal = identity
         .authorize(
@@ -764,7 +762,7 @@
 }
 
 #[test]
-fn a_workshop_never_stands_without_a_signer_and_publishes_before_it_signs() {
+fn a_key_manager_always_has_a_signer_and_publishes_keys_before_they_sign() {
     let (mut manager, random) = (manager(Algorithm::EdDsa), SystemRandom::new());
     assert!(matches!(
         manager.retire("k1", T0, 60),
@@ -805,20 +803,20 @@
     assert_eq!(signers.len(), 20);
 }
 
-#[test_case("tenant: \"north\", roles: [\"crew\"], until", "tenant: \"nowhere\", roles: [\"crew\"], until", "no tenant is named 'nowhere'"; "tenant")]
-#[test_case("roles: [\"reader\"]", "roles: [\"chief\"]", "no role is named 'chief'"; "role")]
-#[test_case("\"^get \"", "\"(\"", "acts[0].statement is no pattern, or one too large"; "pattern")]
-#[test_case("2027-01-16T12", "2027-13-16T12", "'2027-13-16T12:00:00Z' is no time such as 2027-01-31T12:00:00Z"; "time")]
-#[test_case("changes_go_on: 30s", "changes_go_on: 1h", "'changes_go_on' is longer than 'reads_go_on': setting a tag is to stop first"; "graces")]
-#[test_case("from: file: \"k\"", "from: {file: \"k\", address: \"127.0.0.1:1\"}", "keys.from: exactly one of 'file' and 'address' is wanted"; "two sources")]
-#[test_case("{file: \"r\"}", "{address: \"key.example\"}", "'key.example' is no address and port"; "a name for an address")]
-fn terms_that_make_no_sense_together_are_refused(from: &str, to: &str, says: &str) {
+#[test_case("tenant: \"north\", roles: [\"crew\"], until", "tenant: \"nowhere\", roles: [\"crew\"], until", "there is no tenant with the name 'nowhere'"; "tenant")]
+#[test_case("roles: [\"reader\"]", "roles: [\"chief\"]", "there is no role with the name 'chief'"; "role")]
+#[test_case("\"^get \"", "\"(\"", "acts[0].statement is not a valid regular expression, or too large"; "pattern")]
+#[test_case("2027-01-16T12", "2027-13-16T12", "'2027-13-16T12:00:00Z' is not a time such as 2027-01-31T12:00:00Z"; "time")]
+#[test_case("changes_go_on: 30s", "changes_go_on: 1h", "'changes_go_on' is longer than 'reads_go_on': requests that change something must be refused first"; "reversed grace periods")]
+#[test_case("from: file: \"k\"", "from: {file: \"k\", address: \"127.0.0.1:1\"}", "keys.from: exactly one of 'file' and 'address' is required"; "a file and an address")]
+#[test_case("{file: \"r\"}", "{address: \"key.example\"}", "'key.example' is not an IP address and port"; "a host name as address")]
+fn refuses_contradictory_settings(from: &str, to: &str, expected: &str) {
     let config = config(|text| text.replace(from, to));
     assert_eq!(
         Identity::new(config)
             .err()
             .map(|fault| fault.to_string())
             .as_deref(),
-        Some(says)
+        Some(expected)
     );
 }
--- a/identity/tests/release_bytes.rs
+++ b/identity/tests/release_bytes.rs
@@ -1,5 +1,5 @@
-//! Private keys outlive every release, and tokens, key sets and feeds are read by other programs: the names in each stay as
-//! released programs write and read them.
+//! Private keys are stored for longer than a release, and tokens, key sets and revocation feeds are read by other
+//! programs. The names in all of them must stay as the recorded release writes and reads them.
 
 #[path = "../../tests/common/recorded.rs"]
 mod recorded;
@@ -9,7 +9,7 @@
 use ternpick_identity::key_manager::{inspect, verify, Claims, KeyManager, PrivateKey, Stage};
 use ternpick_identity::{Entry, Page, RevokedItem};
 
-/// The table of private keys as the release keeps it, one line of JSON.
+/// The table of private keys as stored by the release: one line of JSON.
 const TABLE: &str = include_str!("release_bytes/private-keys.json");
 
 fn key(id: &str, made: u64, signs: u64, retired: Option<u64>, until: Option<u64>) -> [String; 2] {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_table_of_private_keys_is_read_and_written_as_the_release_did() {
+fn reads_and_writes_the_private_key_table_of_the_release() {
     let manager: KeyManager = serde_json::from_str(TABLE).expect("it is read");
     let rows = manager
         .keys
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_key_set_and_a_token_have_the_names_of_the_release() {
+fn key_sets_and_tokens_have_the_names_of_the_release() {
     let manager: KeyManager = serde_json::from_str(TABLE).expect("it is read");
     let claims = Claims {
         iss: "sign-on".into(),
@@ -75,7 +75,7 @@
     recorded.json("claims", &text(&claims), String::clone, |text| {
         Some(text.to_owned())
     });
-    // Of Ed25519: the same bytes are signed the same.
+    // Ed25519 signatures are deterministic.
     let token = manager.mint(&claims, 1_790_000_002).expect("a token");
     recorded.json("token", &token, String::clone, |text| Some(text.to_owned()));
     recorded.finish();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_feed_of_the_release_is_read_with_every_kind_of_word() {
+fn reads_every_kind_of_revocation_entry_of_the_release() {
     let page = Page::parse(include_bytes!("release_bytes/feed.json")).expect("it is read");
     let until = Some(Micros(1_790_000_012_000_000));
     let entry = |number, item, lifted, until| Entry {
--- a/router/tests/identity/audit.rs
+++ b/router/tests/identity/audit.rs
@@ -1,4 +1,4 @@
-//! What the log and the audit tell, and what they never do.
+//! The content of the log and of the audit log.
 
 use std::process::Stdio;
 
@@ -6,7 +6,7 @@
 use crate::common::{self, Act};
 
 #[test]
-fn no_secret_stands_in_a_log_and_every_act_on_a_tag_does() {
+fn logs_no_part_of_a_token_and_audits_every_protected_change() {
     let world = World::new();
     let guarded = Guarded::with(&world, None, None, "trace", 1024);
     let (crew, safety) = (world.token(&["crew"]), world.token(&["safety"]));
@@ -33,33 +33,33 @@
         .lines()
         .filter(|line| line.contains("audit: "))
         .collect();
-    let of = |word: &str| lines.iter().filter(|line| line.contains(word)).count();
+    let count = |text: &str| lines.iter().filter(|line| line.contains(text)).count();
     assert_eq!(
         (
             lines.len(),
-            of("index=\"half\""),
-            of("allowed=true"),
-            of("allowed=false")
+            count("index=\"half\""),
+            count("allowed=true"),
+            count("allowed=false")
         ),
         (4, 4, 2, 2),
         "{lines:#?}"
     );
     assert!(
-        of("by key k1") == 2 && of("nobody proved") == 1 && of("request=\"q") == 4,
+        count("by key k1") == 2 && count("nobody proved") == 1 && count("request=\"q") == 4,
         "{lines:#?}"
     );
     assert!(
         log.contains("query{request_id=\"q"),
-        "spans follow a query: {log}"
+        "the span with the request id is missing: {log}"
     );
 }
 
 #[test]
 #[allow(
     clippy::too_many_lines,
-    reason = "one scenario, told in the order in which it happens"
+    reason = "one scenario, whose steps depend on each other"
 )]
-fn audit_goes_out_in_json_whatever_the_level() {
+fn writes_audit_records_as_json_at_the_log_level_error() {
     let world = World::new();
     let (guarded, log) = {
         let settings = world.settings(None, None, None);
--- a/router/tests/identity/certificates.rs
+++ b/router/tests/identity/certificates.rs
@@ -1,10 +1,10 @@
-//! Certificates as who asks, and their revocation on open connections.
+//! Authentication by client certificates, and their revocation on open connections.
 
 use crate::common::guarded::*;
 use crate::common::Act;
 
 #[test]
-fn a_certificate_is_who_asks_and_its_revocation_holds_on_an_open_idle_connection() {
+fn authenticates_by_certificate_and_refuses_it_once_revoked_on_an_open_connection() {
     let world = World::new();
     let guarded = Guarded::start(&world);
     let (crew, none, unknown) = (
@@ -42,7 +42,7 @@
         status == 401 && head.contains("the certificate is revoked"),
         "{head}"
     );
-    // A resumed session is judged as any.
+    // The certificate of a resumed session is checked as well.
     let resumed = guarded.secure(&crew);
     assert_eq!(
         resumed.0.conn.handshake_kind(),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_certificate_revoked_under_a_request_gets_that_answer_and_no_other() {
+fn a_request_in_flight_when_its_certificate_is_revoked_is_answered_and_the_next_refused() {
     let world = World::new();
     let guarded = Guarded::start(&world);
     *guarded.nodes[0]
@@ -73,6 +73,10 @@
     {
         guarded.nodes[0].answer(id);
     }
-    assert_eq!(receive(&mut stream.0).0, 200, "taken before");
+    assert_eq!(
+        receive(&mut stream.0).0,
+        200,
+        "the request was admitted before the revocation"
+    );
     assert_eq!(ask(&mut stream.0, "whole", "find", "").0, 401);
 }
--- a/router/tests/identity/commands.rs
+++ b/router/tests/identity/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of keys, tokens, revocations and rights.
+//! The commands for keys, tokens, revocations and rights.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -6,7 +6,7 @@
 use crate::common::free;
 use crate::common::guarded::*;
 
-/// Runs the program; its success and what it printed on both streams.
+/// Runs the program; returns whether it succeeded, and its standard output followed by its standard error.
 fn run(args: &[&str], input: &str) -> (bool, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ternpick"));
     let mut child = command
@@ -32,9 +32,9 @@
 #[test]
 #[allow(
     clippy::too_many_lines,
-    reason = "one scenario, told in the order in which it happens"
+    reason = "one scenario, whose steps depend on each other"
 )]
-fn the_commands_make_keys_tokens_and_revocations_that_a_router_takes() {
+fn commands_create_keys_tokens_and_revocations_and_check_settings_and_rights() {
     let folder = tempfile::tempdir().expect("a folder");
     let keys = folder.path().join("keys");
     let keys = keys.to_str().expect("a path");
--- a/router/tests/identity/first_reads.rs
+++ b/router/tests/identity/first_reads.rs
@@ -1,10 +1,10 @@
-//! Requests that come before a source of keys or revocations has brought its first document.
+//! Requests that arrive before a source of keys or revocations has been read for the first time.
 //!
-//! What happened: a router listens as soon as it starts, and reads its keys and its feed of revocations in two tasks from then
-//! on. A valid caller whose request was judged before the slower one had finished got 503 ("what is revoked is not known well
-//! enough to read here") or 401 (its key was not known). Shown by the bodies of the answers: all nine failures in 21 plays of
-//! this test program beside 12 busy processes had the first text. Such a request waits now, for as long as its own deadline
-//! allows and for two seconds after the start at most, until the source has been read.
+//! A router listens as soon as it starts, and reads its keys and its revocation feed in two separate tasks. Before requests
+//! waited for these reads, a valid caller that was checked before the slower read had finished got 503 ("what is revoked is
+//! not known well enough to read here") or 401 (unknown key). All nine failures in 21 runs of this test program next to 12
+//! busy processes were such 503 answers. Now the request waits until the source has been read, no longer than its own
+//! deadline and no longer than two seconds after the start.
 
 use std::time::{Duration, Instant};
 
@@ -12,12 +12,12 @@
 
 use crate::common::guarded::*;
 
-/// How late a first document is.
-const LATE: Duration = Duration::from_millis(200);
-/// Beyond this after its deadline an answer is lost (the protocol's own slack).
-const LOST_AFTER: Duration = Duration::from_millis(500);
+/// The delay of the first document.
+const FIRST_DOCUMENT_DELAY: Duration = Duration::from_millis(200);
+/// How long after its deadline a request may still be answered (the protocol's own slack).
+const ANSWER_SLACK: Duration = Duration::from_millis(500);
 
-/// A source of revocations that says nothing, and is waited for longer than any request.
+/// A source of revocations that does not answer, with a time-out longer than any request.
 fn silent_source() -> String {
     Service::start(Serves::Slow)
         .source(None)
@@ -37,14 +37,14 @@
 
 #[test_case(true; "keys")]
 #[test_case(false; "revocations")]
-fn a_request_before_the_first_document_of_a_source_waits_for_it(keys_are_late: bool) {
+fn a_request_waits_for_the_first_read_of_a_source(keys_are_late: bool) {
     let world = World::new();
     let document = if keys_are_late {
         world.public()
     } else {
         world.page(None)
     };
-    let late = Service::start(Serves::Late(LATE, document));
+    let late = Service::start(Serves::Late(FIRST_DOCUMENT_DELAY, document));
     let source = late.source(None);
     let token = world.token(&["crew"]);
     let (keys, feed) = if keys_are_late {
@@ -60,11 +60,11 @@
     assert_eq!(answer.0, 200, "on the same connection: {answer:?}");
 }
 
-/// The first calls fail: at once, or by their time. A later one within the request's own deadline brings what is wanted.
+/// The first polls fail, at once or by time-out. A later poll within the request's deadline succeeds.
 #[test_case(Serves::Down; "refused")]
 #[test_case(Serves::Reset; "ended without an answer")]
 #[test_case(Serves::Slow; "timed out")]
-fn a_first_call_that_fails_refuses_nobody_whose_deadline_allows_for_a_second(trouble: Serves) {
+fn a_request_waits_past_a_failed_first_poll(trouble: Serves) {
     let world = World::new();
     let feed = Service::start(trouble);
     let guarded = Guarded::with(&world, None, Some(&feed.source(None)), "info", 1024);
@@ -82,35 +82,38 @@
 }
 
 #[test]
-fn a_source_that_brings_nothing_is_waited_for_only_after_the_start() {
+fn requests_wait_for_a_failing_source_only_after_the_start() {
     let world = World::new();
     let down = Service::start(Serves::Down);
     let guarded = Guarded::with(&world, None, Some(&down.source(None)), "info", 1024);
     let token = world.token(&["crew"]);
     let (status, took) = ask_with_deadline(&guarded, &token, 3000);
     assert_eq!(status, 503);
-    assert!(took < Duration::from_millis(2000) + LOST_AFTER, "{took:?}");
-    // From then on what is not known fails closed at once.
+    assert!(
+        took < Duration::from_millis(2000) + ANSWER_SLACK,
+        "{took:?}"
+    );
+    // After that, requests that need the unread source are refused at once.
     let (status, took) = ask_with_deadline(&guarded, &token, 3000);
     assert_eq!(status, 503);
-    assert!(took < LOST_AFTER, "{took:?}");
+    assert!(took < ANSWER_SLACK, "{took:?}");
 }
 
 #[test]
-fn a_request_whose_deadline_is_shorter_than_the_wait_is_answered_by_then() {
+fn a_waiting_request_is_answered_by_its_deadline() {
     let world = World::new();
     let source = silent_source();
     let guarded = Guarded::with(&world, None, Some(&source), "info", 1024);
     let (status, took) = ask_with_deadline(&guarded, &world.token(&["crew"]), 300);
     assert_eq!(status, 503);
     assert!(
-        took < Duration::from_millis(300) + LOST_AFTER,
+        took < Duration::from_millis(300) + ANSWER_SLACK,
         "{took:?} for a deadline of 300 ms"
     );
 }
 
 #[test]
-fn a_request_that_waits_for_a_source_is_answered_in_a_stop() {
+fn a_waiting_request_is_answered_when_the_router_stops() {
     let world = World::new();
     let source = silent_source();
     let mut guarded = Guarded::with(&world, None, Some(&source), "info", 1024);
@@ -123,11 +126,11 @@
     );
     guarded.router.signal("-TERM");
     assert_eq!(receive(&mut stream).0, 503);
-    assert!(guarded.router.ended(), "it leaves in order");
+    assert!(guarded.router.ended(), "the router does not stop in order");
 }
 
 #[test]
-fn a_caller_who_proves_nothing_is_refused_at_once() {
+fn an_invalid_token_is_refused_without_waiting() {
     let world = World::new();
     let source = silent_source();
     let guarded = Guarded::with(&world, None, Some(&source), "info", 1024);
--- a/router/tests/identity/key_service.rs
+++ b/router/tests/identity/key_service.rs
@@ -1,4 +1,4 @@
-//! A key service in trouble, and a start while it is away.
+//! A failing key service, and a start while it is unavailable.
 
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -15,14 +15,14 @@
 #[test_case(Serves::Slow; "slow")]
 #[test_case(Serves::Endless; "endless")]
 #[test_case(Serves::Reset; "resetting")]
-#[test_case(Serves::Text("{\"keys\": []}".into()); "serving nothing")]
-#[test_case(Serves::Text("<html>".into()); "serving nonsense")]
-#[test_case(Serves::Half("HALF".into()); "serving half a set")]
-#[test_case(Serves::Turns(vec![]); "serving two sets by turns")]
+#[test_case(Serves::Text("{\"keys\": []}".into()); "serving an empty set")]
+#[test_case(Serves::Text("<html>".into()); "serving HTML")]
+#[test_case(Serves::Half("HALF".into()); "serving an incomplete set")]
+#[test_case(Serves::Turns(vec![]); "serving two sets in turn")]
 #[test_case(Serves::Abort(Moment::Before, String::new()); "reset before the answer")]
 #[test_case(Serves::Abort(Moment::Within, String::new()); "reset within the answer")]
 #[test_case(Serves::Abort(Moment::After, String::new()); "reset after the answer")]
-fn a_key_service_in_trouble_refuses_no_valid_caller_and_is_not_hammered(trouble: Serves) {
+fn a_failing_key_service_causes_no_refusals_and_is_not_polled_too_often(trouble: Serves) {
     let world = World::new();
     let service = Service::start(Serves::Text(world.public()));
     let guarded = Guarded::with(&world, Some(&service.source(None)), None, "info", 1024);
@@ -49,7 +49,7 @@
     });
     let (before, began) = (service.calls.load(Ordering::Relaxed), Instant::now());
     let mut stream = guarded.router.connect();
-    // Tokens of unknown keys flood in between.
+    // Tokens with unknown keys request early polls.
     let unknown = token.replacen(
         &token[..token.find('.').expect("a dot")],
         "eyJhbGciOiJFZERTQSIsImtpZCI6Ing5In0",
@@ -79,18 +79,24 @@
 }
 
 #[test]
-fn a_start_while_the_key_service_is_away_goes_by_what_was_kept() {
+fn starts_from_stored_copies_while_the_sources_are_unavailable() {
     let world = World::new();
-    let (service, kept, feed) = (
+    let (service, stored_keys, stored_feed) = (
         Service::start(Serves::Text(world.public())),
         world.path("kept-keys"),
         world.path("kept-feed"),
     );
     let revocations = Service::start(Serves::Text(world.page(None)));
-    let (keys_from, feed_from) = (service.source(Some(&kept)), revocations.source(Some(&feed)));
+    let (keys_from, feed_from) = (
+        service.source(Some(&stored_keys)),
+        revocations.source(Some(&stored_feed)),
+    );
     let token = world.token(&["crew"]);
     let first = Guarded::with(&world, Some(&keys_from), Some(&feed_from), "info", 1024);
-    within(|| kept.exists() && feed.exists(), "kept");
+    within(
+        || stored_keys.exists() && stored_feed.exists(),
+        "stored copies",
+    );
     drop(first);
     service.set(Serves::Down);
     revocations.set(Serves::Down);
@@ -106,9 +112,9 @@
         200
     );
     drop(second);
-    // Half a file is told from a whole one, and believed in nothing.
-    let whole = std::fs::read(&kept).expect("kept");
-    std::fs::write(&kept, &whole[..whole.len() - 1]).expect("cut");
+    // A truncated copy is detected and ignored as a whole.
+    let whole = std::fs::read(&stored_keys).expect("a stored copy");
+    std::fs::write(&stored_keys, &whole[..whole.len() - 1]).expect("written");
     let third = Guarded::with(&world, Some(&keys_from), Some(&feed_from), "info", 1024);
     third.log_has("identity: stored copy ignored kind=\"keys\"");
     assert_eq!(
@@ -121,7 +127,7 @@
         .0,
         401
     );
-    // A service that is back before its first failed call has never been away for this router.
+    // Without a failed poll before, the router would not log that the source answers again.
     third.log_has("identity: source failed kind=\"keys\"");
     service.set(Serves::Text(world.public()));
     third.log_has("identity: source answers again kind=\"keys\"");
--- a/router/tests/identity/main.rs
+++ b/router/tests/identity/main.rs
@@ -1,4 +1,5 @@
-//! A guarded router on loopback: each hard case of identity caused in front of the program.
+//! The router program with authentication on loopback: edge cases of keys, tokens, certificates, revocations, TLS and
+//! settings.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/router/tests/identity/reload.rs
+++ b/router/tests/identity/reload.rs
@@ -1,9 +1,9 @@
-//! Rights read anew while the router runs.
+//! Settings of rights that are reloaded while the router runs.
 
 use crate::common::guarded::*;
 
 #[test]
-fn rights_are_read_anew_on_sighup_and_wrong_ones_change_nothing() {
+fn reloads_rights_on_sighup_and_ignores_invalid_ones() {
     let world = World::new();
     let guarded = Guarded::start(&world);
     let token = bearer(&world.token(&["crew"]));
--- a/router/tests/identity/revocations.rs
+++ b/router/tests/identity/revocations.rs
@@ -1,10 +1,10 @@
-//! Tokens revoked under a request, and a feed that leaves numbers out.
+//! Tokens revoked while a request is in flight, and a feed with missing numbers.
 
 use crate::common::guarded::*;
 use crate::common::Act;
 
 #[test]
-fn what_was_taken_before_a_revocation_gets_its_answer_and_nothing_new_is_taken() {
+fn a_request_in_flight_when_its_token_is_revoked_is_answered_and_the_next_refused() {
     let world = World::new();
     let guarded = Guarded::start(&world);
     *guarded.nodes[0]
@@ -27,7 +27,11 @@
     world.revoke("token", &id);
     guarded.log_has("identity: revocations received new_entries=1 ");
     ids.iter().for_each(|id| guarded.nodes[0].answer(id));
-    assert_eq!(receive(&mut stream).0, 200, "taken before");
+    assert_eq!(
+        receive(&mut stream).0,
+        200,
+        "the request was admitted before the revocation"
+    );
     *guarded.nodes[0]
         .acts
         .lock()
@@ -40,12 +44,12 @@
     assert_eq!(
         ask(&mut stream, "whole", "find", &bearer(&other)).0,
         200,
-        "another's token"
+        "a token that is not revoked"
     );
 }
 
 #[test]
-fn a_feed_with_a_gap_is_asked_for_whole() {
+fn requests_the_whole_list_after_a_gap_in_the_feed() {
     let world = World::new();
     let feed = Service::start(Serves::Text(world.page(None)));
     let guarded = Guarded::with(&world, None, Some(&feed.source(None)), "info", 1024);
@@ -63,7 +67,7 @@
     );
     world.revoke("token", "x");
     world.revoke("token", &id);
-    // Only the second word is served, then the whole list.
+    // Only the second entry is served, then the whole list.
     feed.set(Serves::Text(world.page(Some(1))));
     guarded.log_has("numbers are missing");
     assert_eq!(
@@ -75,7 +79,7 @@
         )
         .0,
         200,
-        "not told yet"
+        "the router cannot know the revocation yet"
     );
     feed.set(Serves::Text(world.page(None)));
     guarded.log_has("identity: revocations received new_entries=2 ");
--- a/router/tests/identity/tls.rs
+++ b/router/tests/identity/tls.rs
@@ -1,4 +1,4 @@
-//! TLS itself: new files, clients that stall or talk garbage, key updates, the end of a connection.
+//! TLS: renewed files, clients that stall or send garbage, key updates, and the end of a connection.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -9,15 +9,16 @@
 use crate::common::{health, BOUND};
 
 #[test]
-fn new_server_files_serve_the_next_connections_and_drop_none() {
+fn renewed_files_apply_to_new_connections_and_close_no_open_one() {
     let world = World::new();
     let guarded = Guarded::start(&world);
     let client = world.client(Some(("crew-7.example", 7)));
     let mut stream = guarded.secure(&client);
-    let of = |stream: &Secure| stream.0.conn.peer_certificates().expect("shown")[0].to_vec();
-    let first = of(&stream);
+    let server_certificate =
+        |stream: &Secure| stream.0.conn.peer_certificates().expect("shown")[0].to_vec();
+    let first = server_certificate(&stream);
     assert_eq!(ask(&mut stream.0, "whole", "find", "").0, 200);
-    // Half of the files, then spoilt ones: those in use stay.
+    // Unusable files are ignored, the ones in use stay.
     world.write("server.pem", "-----BEGIN CERTIFICATE-----\nAAAA\n");
     guarded.log_has("tls: files unusable, keeping the ones in use");
     assert_eq!(
@@ -27,15 +28,15 @@
     world.renew_server(50);
     guarded.log_has("tls: new files in use");
     within(
-        || of(&guarded.secure(&world.client(None))) != first,
+        || server_certificate(&guarded.secure(&world.client(None))) != first,
         "the new certificate",
     );
     assert_eq!(
         ask(&mut stream.0, "whole", "find", "").0,
         200,
-        "the standing connection"
+        "the open connection"
     );
-    // An authority that is gone takes its clients with it.
+    // Clients of an authority that is removed are refused.
     let other = World::new();
     world.write(
         "authorities.pem",
@@ -55,7 +56,7 @@
         .is_err());
 }
 
-/// The bytes that a client sends of a handshake and a request, as they are on the wire.
+/// Returns the writes of a client during a handshake, as they are on the wire.
 fn transcript(guarded: &Guarded, config: &std::sync::Arc<rustls::ClientConfig>) -> Vec<Vec<u8>> {
     struct Tee(TcpStream, Vec<Vec<u8>>);
     impl Read for Tee {
@@ -86,9 +87,9 @@
 }
 
 #[test]
-fn clients_that_stall_talk_garbage_or_say_nothing_hold_nothing_up() {
+fn clients_that_stall_send_garbage_or_nothing_delay_no_other_client() {
     let world = World::new();
-    // 256 descriptors, as on the smallest machine.
+    // 256 file descriptors, as on the smallest machine.
     let guarded = Guarded::with(&world, None, None, "info", 256);
     let client = world.client(Some(("crew-7.example", 7)));
     let flights = transcript(&guarded, &client);
@@ -130,7 +131,7 @@
         );
     }
     assert!(began.elapsed() < BOUND, "{:?}", began.elapsed());
-    // Each of them is closed in its time.
+    // The router closes each of these connections by a time-out.
     for mut stream in held {
         stream.set_read_timeout(Some(BOUND)).expect("a time-out");
         let mut rest = Vec::new();
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn key_updates_without_end_end_their_connection() {
+fn closes_a_connection_with_endless_key_updates() {
     let world = World::new();
     let guarded = Guarded::start(&world);
     let mut stream = guarded.secure(&world.client(Some(("crew-7.example", 7))));
@@ -153,19 +154,23 @@
         ended = updated.is_err() || stream.0.conn.write_tls(&mut stream.0.sock).is_err();
         thread::sleep(Duration::from_micros(100));
     }
-    assert!(ended, "it goes on for {:?}", began.elapsed());
+    assert!(
+        ended,
+        "the connection is still open after {:?}",
+        began.elapsed()
+    );
     assert_eq!(health(&guarded.router), 200);
 }
 
 #[test]
-fn a_connection_that_ends_says_so_and_cuts_no_record() {
+fn ends_a_connection_with_close_notify() {
     let world = World::new();
     let mut guarded = Guarded::start(&world);
     let mut stream = guarded.secure(&world.client(Some(("crew-7.example", 7))));
     assert_eq!(ask(&mut stream.0, "whole", "find", "").0, 200);
     guarded.router.signal("-TERM");
     let mut rest = Vec::new();
-    // An end without the word of TLS would be an error here.
+    // Without a close_notify alert, reading would fail here.
     assert_eq!(stream.0.read_to_end(&mut rest).expect("a clean end"), 0);
     assert!(guarded.router.ended());
 }
--- a/router/tests/identity/tokens.rs
+++ b/router/tests/identity/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens: what each is told, across a rotation of keys, and beyond its tenant's terms.
+//! Answers to requests with tokens, key rotation, and tenants that exceed their limits.
 
 use std::time::Instant;
 
@@ -8,24 +8,24 @@
 use crate::common::{health, Act};
 
 #[test_case("whole", "find", "", 401, "Bearer realm=\"ternpick\"\r\n"; "no token")]
-#[test_case("nowhere", "find", "", 401, "Bearer realm=\"ternpick\"\r\n"; "no token and no such index")]
+#[test_case("nowhere", "find", "", 401, "Bearer realm=\"ternpick\"\r\n"; "no token and an unknown index")]
 #[test_case("whole", "find", "Authorization: Basic YTpi\r\n", 401, "invalid_token"; "another scheme")]
-#[test_case("whole", "find", "Authorization: Bearer a.b.c\r\n", 401, "invalid_token"; "no token at all")]
+#[test_case("whole", "find", "Authorization: Bearer a.b.c\r\n", 401, "invalid_token"; "a malformed token")]
 #[test_case("whole", "find", "Authorization: Bearer a\r\nAuthorization: Bearer b\r\n", 400, ""; "two tokens")]
-#[test_case("whole", "find", "CREW", 200, ""; "a right")]
-#[test_case("half", "find", "CREW", 200, ""; "a right to read tags")]
-#[test_case("half", "set tag 7", "CREW", 403, "insufficient_scope"; "which sets none")]
-#[test_case("half", "set tag 7", "CREW-AGAIN", 403, "insufficient_scope"; "nor does a repeat of one that had it")]
-#[test_case("half", "set tag 7", "SAFETY", 200, ""; "a right to set")]
-#[test_case("half", "c41e", "SAFETY", 200, ""; "all rights for what tells nothing")]
-#[test_case("once", "find", "CREW", 403, "insufficient_scope"; "no grant")]
-#[test_case("nowhere", "find", "CREW", 403, "insufficient_scope"; "no such index is told as no grant")]
-fn a_request_is_judged_before_anything_is_told(
+#[test_case("whole", "find", "CREW", 200, ""; "a granted read")]
+#[test_case("half", "find", "CREW", 200, ""; "a granted read of tags")]
+#[test_case("half", "set tag 7", "CREW", 403, "insufficient_scope"; "a set without a grant")]
+#[test_case("half", "set tag 7", "CREW-AGAIN", 403, "insufficient_scope"; "a set without a grant declared as a retry")]
+#[test_case("half", "set tag 7", "SAFETY", 200, ""; "a granted set")]
+#[test_case("half", "c41e", "SAFETY", 200, ""; "a statement without a pattern with grants for all acts")]
+#[test_case("once", "find", "CREW", 403, "insufficient_scope"; "an index without a grant")]
+#[test_case("nowhere", "find", "CREW", 403, "insufficient_scope"; "an unknown index looks like one without a grant")]
+fn authorizes_a_request_before_revealing_anything(
     index: &str,
     statement: &str,
     headers: &str,
     status: u16,
-    says: &str,
+    expected: &str,
 ) {
     let world = World::new();
     let guarded = Guarded::start(&world);
@@ -37,9 +37,13 @@
     };
     let mut stream = guarded.router.connect();
     let (got, head, body) = ask(&mut stream, index, statement, &headers);
-    assert_eq!((got, head.contains(says)), (status, true), "{head}{body}");
+    assert_eq!(
+        (got, head.contains(expected)),
+        (status, true),
+        "{head}{body}"
+    );
     if matches!(status, 401 | 403) {
-        // The connection stays, and with the right token it is served.
+        // The connection stays open, and a request with a valid token is served.
         assert_eq!(
             ask(
                 &mut stream,
@@ -55,7 +59,7 @@
 }
 
 #[test]
-fn a_rotation_in_the_middle_of_a_request_refuses_nobody() {
+fn a_key_rotation_during_a_request_refuses_no_caller() {
     let world = World::new();
     let guarded = Guarded::start(&world);
     *guarded.nodes[0]
@@ -89,7 +93,7 @@
 }
 
 #[test]
-fn a_tenant_beyond_its_terms_is_told_when_to_come_back_and_others_are_served() {
+fn a_tenant_above_its_limits_gets_retry_after_and_other_tenants_are_served() {
     let world = World::new();
     let guarded = Guarded::start(&world);
     let flood = world.mint(&world.claims("f", "flood", &["crew"], 300));
@@ -103,11 +107,11 @@
             "{head}"
         );
     }
-    // Five at once and twenty a second, whatever this took.
-    let most = 6 + (began.elapsed().as_millis() / 50) as usize;
+    // A burst of five and twenty requests per second, for the duration of the loop.
+    let max_served = 6 + (began.elapsed().as_millis() / 50) as usize;
     assert!(
-        got[1] >= 5 && got[1] <= most && got[0] > 0,
-        "{got:?}, at most {most}"
+        got[1] >= 5 && got[1] <= max_served && got[0] > 0,
+        "{got:?}, at most {max_served}"
     );
     assert_eq!(
         ask(
