--- a/identity/src/config.rs
+++ b/identity/src/config.rs
@@ -167,16 +167,16 @@
         if self.keys.is_none() && self.certificates.is_empty() {
             return Err(ConfigError::NoAuthentication);
         }
-        let keys = self.keys.iter().map(|of| ("keys.from", &of.from));
+        let keys = self.keys.iter().map(|keys| ("keys.from", &keys.from));
         let feeds = self
             .revocations
             .iter()
-            .map(|of| ("revocations.from", &of.from));
-        for (setting, of) in keys.chain(feeds) {
-            if of.file.is_some() == of.address.is_some() {
+            .map(|feed| ("revocations.from", &feed.from));
+        for (setting, source) in keys.chain(feeds) {
+            if source.file.is_some() == source.address.is_some() {
                 return Err(ConfigError::Source { setting });
             }
-            if let Some(text) = &of.address {
+            if let Some(text) = &source.address {
                 let address = text.parse::<std::net::SocketAddr>();
                 address.map_err(|_| ConfigError::Address { text: text.clone() })?;
             }
@@ -188,10 +188,10 @@
         {
             return Err(ConfigError::GracePeriodsReversed);
         }
-        for of in &self.certificates {
-            if !self.tenants.contains_key(&*of.tenant.0) {
+        for certificate in &self.certificates {
+            if !self.tenants.contains_key(&*certificate.tenant.0) {
                 return Err(ConfigError::UnknownTenant {
-                    name: of.tenant.to_string(),
+                    name: certificate.tenant.to_string(),
                 });
             }
         }
--- a/identity/src/identity.cue
+++ b/identity/src/identity.cue
@@ -1,21 +1,21 @@
-// What may stand in the record 'identity' of a settings file.
+// The definitions of the record 'identity' in a settings file.
 
 #Name: string & =~"^[A-Za-z0-9][A-Za-z0-9._@/-]{0,127}$"
 #Index: string & =~"^([a-z0-9][a-z0-9-]*|\\*)$"
 #Act: "read" | "set" | "clear"
 #Time: string & =~"^[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9]{2}:[0-9]{2}:[0-9]{2}Z$"
 
-// A file that is looked at again and again, or a service on plain HTTP: one of the two.
+// A source of documents: either a file that is read regularly, or a service over plain HTTP.
 #Source: {
 	file?: string
 	address?: string
 	path: string & =~"^/[!-~]*$" | *"/"
-	// The regular time between two looks, and the least whatever comes up.
+	// The regular and the minimum time between two polls.
 	every: duration & >=100ms & <=1h | *5s
 	apart: duration & >=50ms & <=10min | *1s
-	// How long one call may take.
+	// The maximum duration of one request.
 	patience: duration & >=50ms & <=30s | *2s
-	// Where the last good answer is kept, for a start while the source is away.
+	// The file in which the last usable document is stored, for a start while the source is unavailable.
 	kept?: string
 }
 
@@ -26,17 +26,17 @@
 }
 
 #Limits: {
-	// Its part where the whole is short, against the other tenants' parts.
+	// The tenant's share relative to those of the other tenants, when the total capacity is exhausted.
 	weight: number & >0 & <=1000 | *1
 	in_hand: int & >=1 & <=100000 | *1000
 	per_second: number & >0 & <=1000000 | *1000
 	burst: number & >=1 & <=1000000 | *200
-	// Repeats of clients, for each lookup that is none.
+	// Retries that clients may send, for each query that is not a retry.
 	repeats: number & >=0 & <=10 | *0.2
 }
 
 #Tenant: {
-	// The roles that its callers may have; without it, any.
+	// The roles that the tenant's callers may have; without this field, any.
 	roles?: [...#Name]
 	limits: #Limits
 }
@@ -45,9 +45,9 @@
 	issuer: string
 	audience: string
 	skew: duration & >=0s & <=5min | *5s
-	// The longest time that a token may be made for.
+	// The maximum time between a token's issue and its expiry.
 	longest: duration & >=1s & <=7d | *1h
-	// Verified tokens that are remembered.
+	// The maximum number of cached tokens.
 	known: int & >=1 & <=100000 | *2048
 	keys?: {
 		from: #Source
@@ -72,14 +72,14 @@
 		roles: [...#Name]
 		until: #Time
 	}]
-	// What a request does, told from its statement: all acts of all patterns that match.
+	// The acts of a request: those of all patterns that match its statement.
 	acts?: [...{
 		index: #Index
 		acts: [...#Act]
 		statement: string
 	}]
 	whole: {
-		// Lookups in hand of all tenants: where the limit begins, and between what it moves.
+		// The limit on all tenants' queries in flight: its initial, minimum and maximum value.
 		begins: int & >=1 & <=100000 | *64
 		least: int & >=1 & <=100000 | *8
 		most: int & >=1 & <=100000 | *1000
--- a/identity/src/keys.rs
+++ b/identity/src/keys.rs
@@ -146,7 +146,7 @@
             .kid
             .filter(|kid| (1..=128).contains(&kid.len()))
             .ok_or("has no id")?;
-        if key.used_for.is_some_and(|of| of != "sig") {
+        if key.used_for.is_some_and(|usage| usage != "sig") {
             return Err("is not for signatures");
         }
         let x = key.x.ok_or("has no coordinate x")?;
--- a/identity/src/lib.rs
+++ b/identity/src/lib.rs
@@ -195,7 +195,7 @@
 
     /// Returns the number of cached tokens.
     pub fn cached_tokens(&self) -> usize {
-        self.token_cache.len()
+        self.token_cache.count()
     }
 
     fn caller_by_token(&mut self, now: Micros, token: &str) -> Result<Rc<Caller>, TokenError> {
--- a/identity/src/revocation.rs
+++ b/identity/src/revocation.rs
@@ -95,11 +95,11 @@
         let form: PageForm = serde_json::from_slice(text).map_err(|_| FeedError::Malformed)?;
         let entry = |form: EntryForm| {
             let items = [
-                form.token.map(|of| RevokedItem::Token(of.into())),
-                form.subject.map(|of| RevokedItem::Subject(of.into())),
-                form.key.map(|of| RevokedItem::Key(of.into())),
+                form.token.map(|name| RevokedItem::Token(name.into())),
+                form.subject.map(|name| RevokedItem::Subject(name.into())),
+                form.key.map(|name| RevokedItem::Key(name.into())),
                 form.certificate
-                    .map(|of| RevokedItem::Certificate(of.to_ascii_lowercase().into())),
+                    .map(|name| RevokedItem::Certificate(name.to_ascii_lowercase().into())),
             ];
             let mut named = items.into_iter().flatten();
             let (Some(item), None) = (named.next(), named.next()) else {
--- a/identity/src/rights.rs
+++ b/identity/src/rights.rs
@@ -79,25 +79,28 @@
     /// Applies new settings. A tenant that is already known keeps its number.
     pub fn update(&mut self, config: &IdentityConfig) -> Result<(), ConfigError> {
         let mut statement_patterns = Vec::new();
-        for (position, of) in config.acts.iter().enumerate() {
+        for (position, pattern) in config.acts.iter().enumerate() {
             let statement =
-                Regex::new(&of.statement).map_err(|_| ConfigError::Pattern { position })?;
+                Regex::new(&pattern.statement).map_err(|_| ConfigError::Pattern { position })?;
             statement_patterns.push(StatementPattern {
-                index: of.index.clone(),
-                acts: of.acts.clone(),
+                index: pattern.index.clone(),
+                acts: pattern.acts.clone(),
                 statement,
             });
         }
         let mut delegations = Vec::new();
-        for of in &config.delegations {
-            let until = crate::config::time(&of.until)?;
-            if !config.tenants.contains_key(&*of.tenant.0) {
+        for delegation in &config.delegations {
+            let until = crate::config::time(&delegation.until)?;
+            if !config.tenants.contains_key(&*delegation.tenant.0) {
                 return Err(ConfigError::UnknownTenant {
-                    name: of.tenant.to_string(),
+                    name: delegation.tenant.to_string(),
                 });
             }
-            let (subject, tenant, roles) =
-                (of.subject.clone(), of.tenant.clone(), of.roles.clone());
+            let (subject, tenant, roles) = (
+                delegation.subject.clone(),
+                delegation.tenant.clone(),
+                delegation.roles.clone(),
+            );
             delegations.push(Delegation {
                 subject,
                 tenant,
@@ -105,13 +108,22 @@
                 until,
             });
         }
-        let of_tenants = config
+        let tenant_roles = config
             .tenants
             .values()
-            .flat_map(|of| of.roles.iter().flatten());
-        let of_delegations = config.delegations.iter().flat_map(|of| &of.roles);
-        let of_certificates = config.certificates.iter().flat_map(|of| &of.roles);
-        for role in of_tenants.chain(of_delegations).chain(of_certificates) {
+            .flat_map(|tenant| tenant.roles.iter().flatten());
+        let delegation_roles = config
+            .delegations
+            .iter()
+            .flat_map(|delegation| &delegation.roles);
+        let certificate_roles = config
+            .certificates
+            .iter()
+            .flat_map(|certificate| &certificate.roles);
+        for role in tenant_roles
+            .chain(delegation_roles)
+            .chain(certificate_roles)
+        {
             if !config.roles.contains_key(&*role.0) {
                 return Err(ConfigError::UnknownRole {
                     name: role.to_string(),
@@ -121,11 +133,11 @@
         let mut next_number = self
             .tenants
             .values()
-            .map(|of| of.number.0 + 1)
+            .map(|tenant| tenant.number.0 + 1)
             .max()
             .unwrap_or(0);
         let mut tenants = BTreeMap::new();
-        for (name, of) in &config.tenants {
+        for (name, tenant) in &config.tenants {
             let name = Tenant::from(name.as_str());
             let number = match self.tenants.get(&name) {
                 Some(known) => known.number,
@@ -137,7 +149,7 @@
                     number
                 }
             };
-            let roles = of
+            let roles = tenant
                 .roles
                 .as_ref()
                 .map(|roles| roles.iter().cloned().collect());
@@ -146,7 +158,7 @@
         let roles = config
             .roles
             .iter()
-            .map(|(name, of)| (Role::from(name.as_str()), of.grants.clone()));
+            .map(|(name, role)| (Role::from(name.as_str()), role.grants.clone()));
         *self = Rights {
             tenants,
             roles: roles.collect(),
@@ -158,7 +170,9 @@
 
     /// Returns the tenants and their numbers, which index the state of tenants elsewhere.
     pub fn tenants(&self) -> impl Iterator<Item = (&Tenant, CustomerNo)> {
-        self.tenants.iter().map(|(name, of)| (name, of.number))
+        self.tenants
+            .iter()
+            .map(|(name, tenant)| (name, tenant.number))
     }
 
     /// Returns the acts of a request: those of all patterns that match its statement, or, if none matches, all acts that
@@ -201,20 +215,22 @@
                 caller.until,
             ));
         };
-        let is_valid = |of: &&Delegation| {
-            of.subject == caller.subject && *of.tenant.0 == *behalf && of.until > now
+        let is_valid = |delegation: &&Delegation| {
+            delegation.subject == caller.subject
+                && *delegation.tenant.0 == *behalf
+                && delegation.until > now
         };
         let longest = self
             .delegations
             .iter()
             .filter(is_valid)
-            .max_by_key(|of| of.until);
-        let of = longest.ok_or(Denied::Delegation)?;
-        let tenant = self.tenants.get(&of.tenant).ok_or(Denied::Tenant)?;
+            .max_by_key(|delegation| delegation.until);
+        let delegation = longest.ok_or(Denied::Delegation)?;
+        let tenant = self.tenants.get(&delegation.tenant).ok_or(Denied::Tenant)?;
         Ok((
             tenant,
-            of.roles.iter().collect(),
-            of.until.min(caller.until),
+            delegation.roles.iter().collect(),
+            delegation.until.min(caller.until),
         ))
     }
 
--- a/identity/src/token_cache.rs
+++ b/identity/src/token_cache.rs
@@ -60,7 +60,7 @@
         tokens.iter().for_each(|token| self.remove(token));
     }
 
-    pub fn len(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.callers.len()
     }
 }
--- a/identity/src/wall_clock/tests.rs
+++ b/identity/src/wall_clock/tests.rs
@@ -10,9 +10,9 @@
 fn applies_only_small_steps_at_once(step: i64, applied: i64) {
     let mut wall_clock = WallClock::default();
     assert_eq!(wall_clock.now(Micros(0), Micros(BASE)).0, Micros(BASE));
-    let machine = Micros((BASE + S).saturating_add_signed(step * S as i64));
+    let system_time = Micros((BASE + S).saturating_add_signed(step * S as i64));
     let expected = Micros((BASE + S).saturating_add_signed(applied * S as i64));
-    assert_eq!(wall_clock.now(Micros(S), machine), (expected, None));
+    assert_eq!(wall_clock.now(Micros(S), system_time), (expected, None));
 }
 
 #[test]
