--- a/identity/src/certificate.rs
+++ b/identity/src/certificate.rs
@@ -36,7 +36,7 @@
 /// Why a list of revoked certificates is not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RevocationListError {
-    #[error("the revocation list is malformed, or longer than {MAX_REVOCATION_LIST_BYTES} bytes")]
+    #[error("the revocation list or its authority's certificate is malformed, or the list is longer than {MAX_REVOCATION_LIST_BYTES} bytes")]
     Malformed,
     #[error("the revocation list is not signed by the trusted issuer")]
     Signature,
--- a/identity/src/identity.cue
+++ b/identity/src/identity.cue
@@ -26,7 +26,7 @@
 }
 
 #Limits: {
-	// The tenant's share relative to those of the other tenants, when the total capacity is exhausted.
+	// The tenant's share of the shared limit while that limit is reached, relative to the other tenants' weights.
 	weight: number & >0 & <=1000 | *1
 	in_hand: int & >=1 & <=100000 | *1000
 	per_second: number & >0 & <=1000000 | *1000
@@ -79,7 +79,7 @@
 		statement: string
 	}]
 	whole: {
-		// The limit on all tenants' queries in flight: its initial, minimum and maximum value.
+		// The shared limit on all tenants' queries in flight: its initial, minimum and maximum value.
 		begins: int & >=1 & <=100000 | *64
 		least: int & >=1 & <=100000 | *8
 		most: int & >=1 & <=100000 | *1000
