--- a/maintenance/src/coordinator.rs
+++ b/maintenance/src/coordinator.rs
@@ -36,11 +36,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedBug {
     /// A permit is granted as soon as the machine is out.
-    NoWaiting,
+    NoDrainWait,
     /// A router that has not reported counts as drained.
-    SilentIsQuiet,
+    SilentRouterIsDrained,
     /// A report from before the machine went out counts.
-    AnyWord,
+    StaleReportCounts,
 }
 
 /// Applies the maintenance log, and proposes entries while its router is the leader.
@@ -192,7 +192,7 @@
     }
 
     fn in_flight_grace(&self) -> Micros {
-        Micros(self.config.lingers)
+        Micros(self.config.in_flight_grace_us)
     }
 
     fn departed_members(&self) -> Vec<Member> {
--- a/maintenance/src/coordinator/command.rs
+++ b/maintenance/src/coordinator/command.rs
@@ -38,7 +38,7 @@
 impl Coordinator {
     pub(super) fn check_operator_command(&self, entry: &[u8]) -> Result<(), CommandError> {
         match postcard::from_bytes::<Entry>(entry)? {
-            Entry::Ask { request } => self.check_request(&request),
+            Entry::OpenRequest { request } => self.check_request(&request),
             command if command.is_operator_command() => Ok(()),
             _ => Err(CommandError::NotACommand),
         }
--- a/maintenance/src/coordinator/config.rs
+++ b/maintenance/src/coordinator/config.rs
@@ -12,7 +12,8 @@
     pub limits: Limits,
     /// How long past the end of its lease a router may still act on a query: the longest deadline there is. In microseconds;
     /// the router compares it with its deadlines at its start.
-    pub lingers: u64,
+    #[serde(rename = "lingers")]
+    pub in_flight_grace_us: u64,
     /// A machine that has not shown that it serves load for so long after its permit was given back stays out of service.
     #[serde(rename = "back_within")]
     pub return_timeout_us: u64,
@@ -28,7 +29,7 @@
     fn default() -> Self {
         MaintenanceConfig {
             limits: Limits::default(),
-            lingers: 10_000_000,
+            in_flight_grace_us: 10_000_000,
             return_timeout_us: 600_000_000,
             stabilization_us: 5_000_000,
             max_late_share: 0.1,
--- a/maintenance/src/coordinator/contacts.rs
+++ b/maintenance/src/coordinator/contacts.rs
@@ -41,7 +41,7 @@
 /// Machines that enough routers call unhealthy.
 pub(super) fn unhealthy_machines<'a>(reports: &[&'a RouterReport]) -> BTreeSet<&'a str> {
     let mut counts = BTreeMap::<&str, usize>::new();
-    for name in reports.iter().flat_map(|report| &report.unsound) {
+    for name in reports.iter().flat_map(|report| &report.unhealthy) {
         *counts.entry(name).or_default() += 1;
     }
     let enough = (reports.len() / UNHEALTHY_QUORUM_DIVISOR).max(1);
@@ -93,8 +93,8 @@
         let is_drained = contact.only_one_process && reports_idle || contact.all_leases_expired;
         #[cfg(any(test, feature = "planted"))]
         let is_drained = match self.injected_bug {
-            Some(InjectedBug::NoWaiting) => true,
-            Some(InjectedBug::SilentIsQuiet) => is_drained || contact.report.is_none(),
+            Some(InjectedBug::NoDrainWait) => true,
+            Some(InjectedBug::SilentRouterIsDrained) => is_drained || contact.report.is_none(),
             _ => is_drained,
         };
         is_drained
@@ -103,9 +103,9 @@
     /// Whether the report comes from a time at which its router applied the list of this log index.
     fn reports_since(&self, report: &RouterReport, out_since: Index) -> bool {
         #[cfg(any(test, feature = "planted"))]
-        if self.injected_bug == Some(InjectedBug::AnyWord) {
+        if self.injected_bug == Some(InjectedBug::StaleReportCounts) {
             return true;
         }
-        report.goes_by >= out_since
+        report.applied_index >= out_since
     }
 }
--- a/maintenance/src/coordinator/load.rs
+++ b/maintenance/src/coordinator/load.rs
@@ -16,7 +16,7 @@
         let reported: u64 = self
             .reports()
             .iter()
-            .map(|report| u64::from(report.calls))
+            .map(|report| u64::from(report.requests_per_second))
             .sum();
         let agreed = self.state.load;
         let has_moved = reported.abs_diff(agreed) > agreed / MIN_CHANGE_DIVISOR + MIN_CHANGE;
@@ -29,7 +29,7 @@
         self.load_proposed_at = Some(now);
         Some(Entry::SetLoad {
             fence: self.state.fence,
-            calls_per_second: reported,
+            requests_per_second: reported,
         })
     }
 }
--- a/maintenance/src/coordinator/operations.rs
+++ b/maintenance/src/coordinator/operations.rs
@@ -105,7 +105,9 @@
         reports: &[&RouterReport],
         waited_us: Option<u64>,
     ) -> bool {
-        let answers = reports.iter().any(|report| report.bear.contains(machine));
+        let answers = reports
+            .iter()
+            .any(|report| report.serving.contains(machine));
         let is_idle =
             !reports.is_empty() && reports.iter().all(|report| report.idle.contains(machine));
         let is_stable = waited_us.is_some_and(|waited| waited >= self.config.stabilization_us);
--- a/maintenance/src/coordinator/take_out.rs
+++ b/maintenance/src/coordinator/take_out.rs
@@ -67,7 +67,10 @@
         if self.state.active_machines().len() >= self.config.limits.max_out(machines) {
             return false;
         }
-        let incomplete = reports.iter().filter(|report| report.more > 0).count();
+        let incomplete = reports
+            .iter()
+            .filter(|report| report.unlisted_unhealthy > 0)
+            .count();
         incomplete * UNHEALTHY_QUORUM_DIVISOR < reports.len().max(1)
     }
 
--- a/maintenance/src/coordinator/tests.rs
+++ b/maintenance/src/coordinator/tests.rs
@@ -88,7 +88,7 @@
             at: 0,
             now: 0,
         };
-        fleet.commit(Entry::Ask {
+        fleet.commit(Entry::OpenRequest {
             request: request(machines),
         });
         fleet
@@ -125,9 +125,9 @@
 }
 
 /// A report of a router that applies the list of this log index, and has nothing else to say.
-fn report_at(goes_by: u64) -> RouterReport {
+fn report_at(applied_index: u64) -> RouterReport {
     RouterReport {
-        goes_by: Index(goes_by),
+        applied_index: Index(applied_index),
         ..RouterReport::default()
     }
 }
--- a/maintenance/src/coordinator/tests/commands.rs
+++ b/maintenance/src/coordinator/tests/commands.rs
@@ -8,12 +8,12 @@
 #[test_case(&["s0", "s1"], |request| request.deadline_ms = Some(130_000), None; "time enough")]
 fn a_request_is_accepted_or_rejected_at_once(
     machines: &[&str],
-    more: fn(&mut Request),
+    adjust: fn(&mut Request),
     expected: Option<&str>,
 ) {
     let mut request = request(machines);
-    more(&mut request);
-    let entry = postcard::to_stdvec(&Entry::Ask { request }).expect("bytes");
+    adjust(&mut request);
+    let entry = postcard::to_stdvec(&Entry::OpenRequest { request }).expect("bytes");
     let rejection = coordinator().check_command(Micros(0), &entry).err();
     assert_eq!(rejection.is_some(), expected.is_some(), "{rejection:?}");
     assert!(
@@ -39,7 +39,7 @@
         },
         0,
     );
-    let entry = postcard::to_stdvec(&Entry::Ask {
+    let entry = postcard::to_stdvec(&Entry::OpenRequest {
         request: request(&["s0"]),
     })
     .expect("bytes");
@@ -61,7 +61,7 @@
     let coordinator = coordinator();
     let plan = coordinator.plan_json(Some(&request));
     assert_eq!(plan["rounds"].as_array().map(Vec::len), Some(3), "{plan}");
-    let entry = postcard::to_stdvec(&Entry::Ask { request }).expect("bytes");
+    let entry = postcard::to_stdvec(&Entry::OpenRequest { request }).expect("bytes");
     let rejection = coordinator.check_command(Micros(0), &entry).err();
     assert_eq!(rejection.is_none(), rounds > 0, "{rejection:?}");
 }
@@ -70,11 +70,11 @@
 fn a_machine_that_fails_for_a_moment_rejects_no_request() {
     let mut fleet = Fleet::with_request(&["s3"]);
     let dead = RouterReport {
-        unsound: vec!["s1".into()],
+        unhealthy: vec!["s1".into()],
         ..report_at(100)
     };
     fleet.run(2, &[contact("n0", &dead)]);
-    let entry = postcard::to_stdvec(&Entry::Ask {
+    let entry = postcard::to_stdvec(&Entry::OpenRequest {
         request: request(&["s0"]),
     })
     .expect("bytes");
--- a/maintenance/src/coordinator/tests/model.rs
+++ b/maintenance/src/coordinator/tests/model.rs
@@ -30,7 +30,7 @@
             Vec::new()
         };
         RouterReport {
-            goes_by: Index(self.applied_index),
+            applied_index: Index(self.applied_index),
             busy,
             ..RouterReport::default()
         }
@@ -286,7 +286,7 @@
             requested_by: "ann".into(),
             ..Request::default()
         };
-        fleet.commit(Entry::Ask { request });
+        fleet.commit(Entry::OpenRequest { request });
         fleet.commit(Entry::BecomeCoordinator {
             member: "b".into(),
             term: 1,
@@ -407,9 +407,9 @@
     eprintln!("{states} states");
 }
 
-#[test_case(InjectedBug::NoWaiting)]
-#[test_case(InjectedBug::SilentIsQuiet)]
-#[test_case(InjectedBug::AnyWord)]
+#[test_case(InjectedBug::NoDrainWait)]
+#[test_case(InjectedBug::SilentRouterIsDrained)]
+#[test_case(InjectedBug::StaleReportCounts)]
 fn an_injected_bug_is_found(injected_bug: InjectedBug) {
     assert!(explore(Some(injected_bug)).discovery(RULE).is_some());
 }
--- a/maintenance/src/coordinator/tests/pause.rs
+++ b/maintenance/src/coordinator/tests/pause.rs
@@ -4,7 +4,7 @@
 fn an_unplanned_failure_pauses_and_a_stable_fleet_resumes() {
     let mut fleet = Fleet::with_request(&["s0", "s3"]);
     let dead = RouterReport {
-        unsound: vec!["s1".into()],
+        unhealthy: vec!["s1".into()],
         ..report_at(100)
     };
     let healthy = [contact("n0", &report_at(100))];
@@ -59,7 +59,7 @@
     assert_eq!(fleet.out(), ["s0", "s3"]);
     let permit = fleet.coordinator.permit_of("s3").expect("a permit");
     let dead = RouterReport {
-        unsound: vec!["s1".into()],
+        unhealthy: vec!["s1".into()],
         ..report_at(100)
     };
     let entries = fleet.run(3, &[contact("n0", &dead)]);
@@ -74,7 +74,7 @@
     });
     // Its own set is complete again, and the next machine waits all the same until the failure is known for long enough.
     let serving = RouterReport {
-        bear: vec!["s3".into()],
+        serving: vec!["s3".into()],
         ..dead
     };
     fleet.run(1, &[contact("n0", &serving)]);
--- a/maintenance/src/coordinator/tests/return_to_service.rs
+++ b/maintenance/src/coordinator/tests/return_to_service.rs
@@ -24,7 +24,7 @@
         &[contact(
             "n0",
             &RouterReport {
-                bear: vec!["s0".into()],
+                serving: vec!["s0".into()],
                 ..report_at(1000)
             },
         )],
@@ -43,8 +43,8 @@
         unfit_reason: None,
     });
     let listed = RouterReport {
-        unsound: vec!["s0".into()],
-        bear: vec!["s0".into()],
+        unhealthy: vec!["s0".into()],
+        serving: vec!["s0".into()],
         ..report_at(100)
     };
     fleet.run(20, &[contact("n0", &listed)]);
@@ -57,7 +57,7 @@
         &[contact(
             "n0",
             &RouterReport {
-                bear: vec!["s0".into()],
+                serving: vec!["s0".into()],
                 ..report_at(100)
             },
         )],
--- a/maintenance/src/coordinator/tests/routers.rs
+++ b/maintenance/src/coordinator/tests/routers.rs
@@ -17,7 +17,7 @@
         .map(|at| (Member(format!("n{at}")), member_info(at + 1)))
         .collect();
     fleet.coordinator.members_changed(&members);
-    fleet.commit(Entry::Ask {
+    fleet.commit(Entry::OpenRequest {
         request: request(&["router:n0", "router:n1", "router:n2"]),
     });
     let all: Vec<MemberContact> = (0..3)
--- a/maintenance/src/coordinator/tests/take_out.rs
+++ b/maintenance/src/coordinator/tests/take_out.rs
@@ -22,7 +22,7 @@
         "it has yet to show that it serves load"
     );
     let serving = RouterReport {
-        bear: vec!["s0".into()],
+        serving: vec!["s0".into()],
         ..report_at(100)
     };
     fleet.run(
@@ -36,11 +36,11 @@
 fn a_load_that_grows_lets_nothing_more_out() {
     let mut fleet = Fleet::with_request(&["s0", "s3"]);
     fleet.coordinator.config.limits.node_capacity = Some(10.0);
-    let load = |calls| {
+    let load = |requests_per_second| {
         [contact(
             "n0",
             &RouterReport {
-                calls,
+                requests_per_second,
                 ..report_at(100)
             },
         )]
@@ -64,7 +64,7 @@
     let mut fleet = Fleet::with_request(&["s0", "s3"]);
     // Known for long: one of the first set is listed as terminating all the time.
     let released = RouterReport {
-        unsound: vec!["s2".into()],
+        unhealthy: vec!["s2".into()],
         ..report_at(100)
     };
     fleet.run(20, &[contact("n0", &released)]);
@@ -74,7 +74,7 @@
 #[test]
 fn a_machine_that_one_router_of_many_calls_unhealthy_is_healthy() {
     let one = RouterReport {
-        unsound: vec!["s1".into()],
+        unhealthy: vec!["s1".into()],
         ..RouterReport::default()
     };
     let others = vec![RouterReport::default(); 6];
--- a/maintenance/src/entry.rs
+++ b/maintenance/src/entry.rs
@@ -9,9 +9,9 @@
 use crate::schedule::Urgency;
 
 /// The most requests that are open at a time.
-pub const MOST_REQUESTS: usize = 64;
+pub const MAX_OPEN_REQUESTS: usize = 64;
 /// The most machines that one request names.
-pub const MOST_MACHINES: usize = 200;
+pub const MAX_MACHINES_PER_REQUEST: usize = 200;
 
 /// An operator's request for maintenance of some machines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -57,9 +57,11 @@
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
     /// Opens a request.
-    Ask { request: Request },
+    #[serde(rename = "ask")]
+    OpenRequest { request: Request },
     /// Gives an open request another deadline and priority.
-    Change {
+    #[serde(rename = "change")]
+    ChangeRequest {
         request: RequestNo,
         #[serde(rename = "by_when")]
         deadline_ms: Option<u64>,
@@ -67,7 +69,8 @@
         by: String,
     },
     /// Cancels what has no permit yet.
-    Cancel { request: RequestNo, by: String },
+    #[serde(rename = "cancel")]
+    CancelRequest { request: RequestNo, by: String },
     /// Nothing more goes out until an operator resumes.
     #[serde(rename = "hold")]
     Pause {
@@ -141,7 +144,7 @@
     SetLoad {
         fence: Fence,
         #[serde(rename = "calls")]
-        calls_per_second: u64,
+        requests_per_second: u64,
     },
     /// A member that left the fleet can no longer act on anything it admitted.
     #[serde(rename = "forget")]
@@ -168,9 +171,9 @@
     pub fn is_operator_command(&self) -> bool {
         matches!(
             self,
-            Entry::Ask { .. }
-                | Entry::Change { .. }
-                | Entry::Cancel { .. }
+            Entry::OpenRequest { .. }
+                | Entry::ChangeRequest { .. }
+                | Entry::CancelRequest { .. }
                 | Entry::Pause { .. }
                 | Entry::Resume { .. }
                 | Entry::StartWork { .. }
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -25,7 +25,7 @@
 pub use coordinator::InjectedBug;
 pub use coordinator::{Coordinator, MaintenanceConfig};
 pub use disruption_budget::{ClusterView, DisruptionBudget, Limits, Node, Violation};
-pub use entry::{Entry, Request, MOST_MACHINES, MOST_REQUESTS};
+pub use entry::{Entry, Request, MAX_MACHINES_PER_REQUEST, MAX_OPEN_REQUESTS};
 pub use ids::{Fence, PermitNo, RequestNo};
 pub use operation::{Operation, OperationKey, Phase};
 pub use router_removal::{router_of, OtherRouters, RouterFleet, RouterViolation};
--- a/maintenance/src/router_report.rs
+++ b/maintenance/src/router_report.rs
@@ -7,19 +7,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RouterReport {
     /// The router applies the list of machines out that was agreed up to this log index.
-    pub goes_by: Index,
+    #[serde(rename = "goes_by")]
+    pub applied_index: Index,
     /// Machines of that list at which it still has a shard request in flight.
     pub busy: Vec<String>,
     /// Machines that it considers unhealthy: not listed as ready, just started, or failing. Bounded by the reporter.
-    pub unsound: Vec<String>,
-    /// Unhealthy machines beyond those that `unsound` names.
-    pub more: u32,
+    #[serde(rename = "unsound")]
+    pub unhealthy: Vec<String>,
+    /// Unhealthy machines beyond those that `unhealthy` names.
+    #[serde(rename = "more")]
+    pub unlisted_unhealthy: u32,
     /// Returning machines whose answers show that they serve load.
-    pub bear: Vec<String>,
+    #[serde(rename = "bear")]
+    pub serving: Vec<String>,
     /// Returning machines that are ready according to discovery, and to which this router has sent nothing.
     pub idle: Vec<String>,
     /// Shard requests a second, over the last few observations.
-    pub calls: u32,
+    #[serde(rename = "calls")]
+    pub requests_per_second: u32,
     /// Queries answered in that time.
     pub answered: u32,
     /// Of those, the ones that were late, failed or rejected.
--- a/maintenance/src/state.rs
+++ b/maintenance/src/state.rs
@@ -64,7 +64,7 @@
     pub fence: Fence,
     /// Who proposes the next entries; none before the first request.
     pub coordinator: Option<CoordinatorTerm>,
-    /// Open requests, at most [`crate::MOST_REQUESTS`]; one is removed once all its operations are finished.
+    /// Open requests, at most [`crate::MAX_OPEN_REQUESTS`]; one is removed once all its operations are finished.
     pub requests: BTreeMap<RequestNo, Request>,
     /// The operations of open requests.
     pub operations: BTreeMap<OperationKey, Operation>,
@@ -93,14 +93,14 @@
             });
         }
         match entry {
-            Entry::Ask { request } => self.open_request(at, request),
-            Entry::Change {
+            Entry::OpenRequest { request } => self.open_request(at, request),
+            Entry::ChangeRequest {
                 request,
                 deadline_ms,
                 priority,
                 by,
             } => self.change_request(at, request, deadline_ms, priority, &by),
-            Entry::Cancel { request, by } => self.cancel_request(at, request, &by),
+            Entry::CancelRequest { request, by } => self.cancel_request(at, request, &by),
             Entry::Pause { by, reason } => self.pause_by_operator(at, by, reason),
             Entry::Resume { by } => self.resume(at, &by),
             Entry::StartWork { permit, by } => self.start_work(at, permit, by),
@@ -129,8 +129,9 @@
             Entry::AutoPause { reason, .. } => self.auto_pause(at, reason),
             Entry::AutoResume { .. } => self.auto_resume(at),
             Entry::SetLoad {
-                calls_per_second, ..
-            } => self.set_load(at, calls_per_second),
+                requests_per_second,
+                ..
+            } => self.set_load(at, requests_per_second),
             Entry::ForgetMember { member, .. } => self.forget_member(at, &member),
         }
     }
--- a/maintenance/src/state/coordinator_entries.rs
+++ b/maintenance/src/state/coordinator_entries.rs
@@ -101,8 +101,8 @@
         Ok(at.0)
     }
 
-    pub(super) fn set_load(&mut self, at: Index, calls_per_second: u64) -> Applied {
-        self.load = calls_per_second;
+    pub(super) fn set_load(&mut self, at: Index, requests_per_second: u64) -> Applied {
+        self.load = requests_per_second;
         Ok(at.0)
     }
 
--- a/maintenance/src/state/operator_entries.rs
+++ b/maintenance/src/state/operator_entries.rs
@@ -5,13 +5,13 @@
 use ternpick_fleet_policy::Index;
 
 use super::{Applied, MaintenanceState, Pause, Rejection, MAX_TEXT_BYTES};
-use crate::entry::{Request, MOST_MACHINES, MOST_REQUESTS};
+use crate::entry::{Request, MAX_MACHINES_PER_REQUEST, MAX_OPEN_REQUESTS};
 use crate::ids::{PermitNo, RequestNo};
 use crate::operation::{Operation, OperationKey, Phase};
 
 /// What the state refuses to keep, whatever else it holds.
 fn check_form(request: &Request) -> Result<(), Rejection> {
-    if request.machines.is_empty() || request.machines.len() > MOST_MACHINES {
+    if request.machines.is_empty() || request.machines.len() > MAX_MACHINES_PER_REQUEST {
         return Err(Rejection::MachineCount);
     }
     let names: BTreeSet<&String> = request.machines.iter().collect();
@@ -29,7 +29,7 @@
 impl MaintenanceState {
     pub(super) fn open_request(&mut self, at: Index, request: Request) -> Applied {
         check_form(&request)?;
-        if self.requests.len() >= MOST_REQUESTS {
+        if self.requests.len() >= MAX_OPEN_REQUESTS {
             return Err(Rejection::TooManyRequests);
         }
         let number = RequestNo(at.0);
--- a/maintenance/src/state/rejection.rs
+++ b/maintenance/src/state/rejection.rs
@@ -1,6 +1,6 @@
 //! Why an entry changes nothing when its turn in the log comes.
 
-use crate::entry::{MOST_MACHINES, MOST_REQUESTS};
+use crate::entry::{MAX_MACHINES_PER_REQUEST, MAX_OPEN_REQUESTS};
 use crate::ids::{Fence, PermitNo, RequestNo};
 
 /// An entry that no longer fits the state, or never did. The sentences reach operators and are kept with the outcome of
@@ -10,8 +10,8 @@
     /// The entry's bytes have another form.
     #[error("it cannot be read: {0}")]
     Unreadable(#[from] postcard::Error),
-    /// A request names no machine, or more than [`MOST_MACHINES`].
-    #[error("a request names 1 to {MOST_MACHINES} machines")]
+    /// A request names no machine, or more than [`MAX_MACHINES_PER_REQUEST`].
+    #[error("a request names 1 to {MAX_MACHINES_PER_REQUEST} machines")]
     MachineCount,
     /// A request names a machine more than once.
     #[error("it names a machine twice")]
@@ -19,8 +19,8 @@
     /// A machine's name is empty, or a name or reason is longer than the state keeps.
     #[error("its words are longer than any are")]
     TextLength,
-    /// [`MOST_REQUESTS`] are open.
-    #[error("{MOST_REQUESTS} requests are open: close some first")]
+    /// [`MAX_OPEN_REQUESTS`] are open.
+    #[error("{MAX_OPEN_REQUESTS} requests are open: close some first")]
     TooManyRequests,
     /// The request is closed, or never was.
     #[error("there is no open request {0}")]
--- a/maintenance/src/state/tests.rs
+++ b/maintenance/src/state/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::entry::MOST_REQUESTS;
+use crate::entry::MAX_OPEN_REQUESTS;
 use proptest::prelude::*;
 
 fn open_request(machines: &[&str]) -> Entry {
     let machines = machines.iter().map(|name| (*name).to_owned()).collect();
-    Entry::Ask {
+    Entry::OpenRequest {
         request: Request {
             machines,
             requested_by: "ann".into(),
@@ -89,7 +89,7 @@
     };
     assert_eq!(state.apply(Index(4), permit.clone()), Ok(4));
     assert!(state.apply(Index(5), permit).is_err(), "a second permit");
-    let cancel = Entry::Cancel {
+    let cancel = Entry::CancelRequest {
         request: RequestNo(1),
         by: "ann".into(),
     };
@@ -172,7 +172,7 @@
     prop_oneof![
         Just(open_request(&["a", "b"])),
         Just(open_request(&["c", "d"])),
-        (1u64..4).prop_map(|request| Entry::Cancel {
+        (1u64..4).prop_map(|request| Entry::CancelRequest {
             request: RequestNo(request),
             by: "ann".into()
         }),
@@ -219,9 +219,9 @@
             reason: "late".into()
         }),
         fence().prop_map(|fence| Entry::AutoResume { fence }),
-        (fence(), 0u64..9).prop_map(|(fence, calls_per_second)| Entry::SetLoad {
+        (fence(), 0u64..9).prop_map(|(fence, requests_per_second)| Entry::SetLoad {
             fence,
-            calls_per_second
+            requests_per_second
         }),
     ]
 }
@@ -249,7 +249,7 @@
                     prop_assert_eq!(after, Some(Some(permit)));
                 }
             }
-            prop_assert!(state.history.len() <= MAX_HISTORY && state.requests.len() <= MOST_REQUESTS);
+            prop_assert!(state.history.len() <= MAX_HISTORY && state.requests.len() <= MAX_OPEN_REQUESTS);
             prop_assert!(state.operations.keys().all(|key| state.requests.contains_key(&key.request)));
         }
     }
--- a/maintenance/tests/release_bytes.rs
+++ b/maintenance/tests/release_bytes.rs
@@ -50,10 +50,10 @@
     let (request_no, permit) = (RequestNo(504), PermitNo(505));
     let by = || "bob".to_owned();
     vec![
-        ("ask", Entry::Ask { request: request() }),
+        ("ask", Entry::OpenRequest { request: request() }),
         (
             "change",
-            Entry::Change {
+            Entry::ChangeRequest {
                 request: request_no,
                 deadline_ms: Some(1_790_000_000_506),
                 priority: 7,
@@ -62,7 +62,7 @@
         ),
         (
             "cancel",
-            Entry::Cancel {
+            Entry::CancelRequest {
                 request: request_no,
                 by: by(),
             },
@@ -138,7 +138,7 @@
             "load",
             Entry::SetLoad {
                 fence,
-                calls_per_second: 510,
+                requests_per_second: 510,
             },
         ),
         (
@@ -224,13 +224,13 @@
     assert_eq!((out.len(), returning), (3, vec!["s-3".to_owned()]));
     json(&mut recorded, "hold.json", &books().pause);
     let word = RouterReport {
-        goes_by: Index(701),
+        applied_index: Index(701),
         busy: vec!["s-1".into()],
-        unsound: vec!["s-2".into(), "s-3".into()],
-        more: 702,
-        bear: vec!["s-4".into()],
+        unhealthy: vec!["s-2".into(), "s-3".into()],
+        unlisted_unhealthy: 702,
+        serving: vec!["s-4".into()],
         idle: vec!["s-5".into()],
-        calls: 703,
+        requests_per_second: 703,
         answered: 704,
         late: 705,
     };
@@ -249,7 +249,7 @@
             load_growth: 0.75,
             reserve_nodes: 2,
         },
-        lingers: 11_000_000,
+        in_flight_grace_us: 11_000_000,
         return_timeout_us: 12_000_000,
         stabilization_us: 13_000_000,
         max_late_share: 0.0625,
--- a/router/src/fleet/maintenance/mod.rs
+++ b/router/src/fleet/maintenance/mod.rs
@@ -72,9 +72,9 @@
         use ternpick_maintenance::InjectedBug;
         let name = std::env::var("TERNPICK_PLANTED").unwrap_or_default();
         let bug = match name.as_str() {
-            "no-waiting" => Some(InjectedBug::NoWaiting),
-            "silent-is-quiet" => Some(InjectedBug::SilentIsQuiet),
-            "any-word" => Some(InjectedBug::AnyWord),
+            "no-waiting" => Some(InjectedBug::NoDrainWait),
+            "silent-is-quiet" => Some(InjectedBug::SilentRouterIsDrained),
+            "any-word" => Some(InjectedBug::StaleReportCounts),
             _ => None,
         };
         self.coordinator.set_injected_bug(bug);
@@ -174,7 +174,7 @@
         let before = maintenance.last_report.replace(report.clone());
         let is_news = report::differs(&before, &report);
         self.node.borrow_mut().lease_holder.set_extension_report(
-            report.goes_by,
+            report.applied_index,
             report.encode(),
             is_news,
         );
--- a/router/src/fleet/maintenance/report.rs
+++ b/router/src/fleet/maintenance/report.rs
@@ -136,13 +136,13 @@
         let sample = Sample::new(now, &decisions.effects.counts);
         let figures = self.recent_counts.borrow_mut().add(sample);
         RouterReport {
-            goes_by: self.applied_index.get(),
+            applied_index: self.applied_index.get(),
             busy: busy.cloned().collect(),
-            more: unhealthy.len().saturating_sub(MAX_NAMES) as u32,
-            unsound: unhealthy.into_iter().take(MAX_NAMES).cloned().collect(),
-            bear: returning.serving,
+            unlisted_unhealthy: unhealthy.len().saturating_sub(MAX_NAMES) as u32,
+            unhealthy: unhealthy.into_iter().take(MAX_NAMES).cloned().collect(),
+            serving: returning.serving,
             idle: returning.idle,
-            calls: figures.attempts_per_second,
+            requests_per_second: figures.attempts_per_second,
             answered: figures.finished,
             late: figures.failed,
         }
@@ -175,8 +175,8 @@
 
 /// Whether a report has anything that the coordinator waits for; figures alone have not.
 pub(super) fn differs(before: &RouterReport, after: &RouterReport) -> bool {
-    before.goes_by != after.goes_by
+    before.applied_index != after.applied_index
         || before.busy != after.busy
-        || before.unsound != after.unsound
-        || before.bear != after.bear
+        || before.unhealthy != after.unhealthy
+        || before.serving != after.serving
 }
--- a/router/src/fleet/maintenance/requests.rs
+++ b/router/src/fleet/maintenance/requests.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use ternpick::types::{Endpoint, Micros};
 use ternpick_fleet_policy::Command;
-use ternpick_maintenance::{Entry, Request, MOST_MACHINES};
+use ternpick_maintenance::{Entry, Request, MAX_MACHINES_PER_REQUEST};
 
 use crate::fleet::commands::{ask_leader, refused, submit_command, RequestOptions};
 use crate::fleet::Fleet;
@@ -19,7 +19,7 @@
     EmptyGroup(Value),
     #[error("discovery lists nobody in zone {0}")]
     EmptyZone(String),
-    #[error("{0} machines are asked for, it has to be 1 to {MOST_MACHINES}")]
+    #[error("{0} machines are asked for, it has to be 1 to {MAX_MACHINES_PER_REQUEST}")]
     MachineCount(usize),
     #[error("{0}")]
     Form(#[from] serde_json::Error),
@@ -70,7 +70,7 @@
 /// The entry for the log.
 fn encoded_entry(router: &Router, fleet: &Fleet, request: &Value) -> Result<Vec<u8>, RequestError> {
     let entry = if request["request"].is_object() {
-        Entry::Ask {
+        Entry::OpenRequest {
             request: machine_request(router, fleet, request)?,
         }
     } else {
@@ -125,7 +125,7 @@
                 .is_none_or(|endpoint| now.since(endpoint.started_at) >= Micros(up_for))
         });
     }
-    if names.is_empty() || names.len() > MOST_MACHINES {
+    if names.is_empty() || names.len() > MAX_MACHINES_PER_REQUEST {
         return Err(RequestError::MachineCount(names.len()));
     }
     Ok(names.into_iter().collect())
--- a/router/src/lifecycle/build.rs
+++ b/router/src/lifecycle/build.rs
@@ -128,7 +128,7 @@
         else {
             return Ok(());
         };
-        let lingers = Micros(maintenance.lingers);
+        let lingers = Micros(maintenance.in_flight_grace_us);
         if lingers < longest_deadline {
             return Err(BuildError::LingersTooShort {
                 lingers,
--- a/simulation/src/fleet/works_size.rs
+++ b/simulation/src/fleet/works_size.rs
@@ -84,7 +84,7 @@
         let _ = carrier.apply(Index(at), &postcard::to_stdvec(entry).unwrap_or_default());
     };
     let names: Vec<String> = nodes.iter().map(|node| node.name.clone()).collect();
-    for some in names.chunks(ternpick_maintenance::MOST_MACHINES) {
+    for some in names.chunks(ternpick_maintenance::MAX_MACHINES_PER_REQUEST) {
         let request = Request {
             machines: some.to_vec(),
             reason: "kernels".into(),
@@ -92,7 +92,7 @@
             duration_us: site.work * STEP,
             ..Request::default()
         };
-        put(&mut carrier, &Entry::Ask { request });
+        put(&mut carrier, &Entry::OpenRequest { request });
     }
     let mut went = Went {
         nodes: site.nodes,
@@ -137,11 +137,11 @@
             .iter()
             .filter(|(_, job)| matches!(job.phase, Phase::Returning { .. }));
         let word = RouterReport {
-            goes_by: Index(u64::MAX),
-            bear: returning.map(|(key, _)| key.machine.clone()).collect(),
-            unsound: storm.iter().take(64).cloned().collect(),
-            more: storm.len().saturating_sub(64) as u32,
-            calls: 100,
+            applied_index: Index(u64::MAX),
+            serving: returning.map(|(key, _)| key.machine.clone()).collect(),
+            unhealthy: storm.iter().take(64).cloned().collect(),
+            unlisted_unhealthy: storm.len().saturating_sub(64) as u32,
+            requests_per_second: 100,
             answered: 100,
             ..RouterReport::default()
         };
