--- a/fleet_policy/src/record.rs
+++ b/fleet_policy/src/record.rs
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 use ternpick::types::Micros;
-use ternpick_settings::{Read, Schema, Used};
+use ternpick_settings::{LoadedSettings, Schema, UsedValue};
 
 /// The schema of a policy's text.
 pub const DEFINITIONS: &str = include_str!("policy.cue");
@@ -208,7 +208,7 @@
 /// A record with the locations of its settings in the text.
 struct Parsed {
     record: Record,
-    used: Vec<Used>,
+    used: Vec<UsedValue>,
 }
 
 impl Parsed {
@@ -219,7 +219,7 @@
                 used: Vec::new(),
             });
         }
-        let Read { value, used } = SCHEMA
+        let LoadedSettings { value, used } = SCHEMA
             .read::<Record>(name, text)
             .map_err(|error| error.to_string())?;
         Ok(Parsed {
@@ -233,7 +233,7 @@
         self.used
             .iter()
             .find(|used| used.path.starts_with(path))
-            .and_then(|used| used.from.clone())
+            .and_then(|used| used.origin.clone())
             .unwrap_or((name.to_owned(), 1))
     }
 }
--- a/history/src/check.rs
+++ b/history/src/check.rs
@@ -6,14 +6,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::event::{Came, Event, Seen, What};
+use crate::event::{Event, EventKind, ProposalOutcome, VisiblePolicy};
 
 /// What a history must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
     /// Lines stand in order, and say things that go together.
-    Sense,
+    #[serde(rename = "sense")]
+    WellFormed,
     /// No lookup that was asked after another had been answered under a version is decided under an earlier one: the
     /// policy is a register whose versions only grow.
     NoEarlierVersion,
@@ -22,23 +23,30 @@
     /// What an operator was told to be in force is so for whoever asks afterwards.
     InForceMeansAll,
     /// What was refused or withdrawn is never seen.
-    NowhereMeansNever,
+    #[serde(rename = "nowhere-means-never")]
+    RejectedNeverSeen,
     /// Each lookup has one final answer; none only where its router was ended, or nobody had taken it.
     OneAnswer,
     /// A router that is asked never names an earlier version than it did.
-    NeverBack,
+    #[serde(rename = "never-back")]
+    ReportsNeverDecrease,
     /// A part is called at most as often as the policy of its lookup says.
-    Calls,
+    #[serde(rename = "calls")]
+    CallLimit,
     /// A drained node begins nothing of lookups that were asked under the drain.
-    Drains,
+    #[serde(rename = "drains")]
+    DrainedNodesIdle,
     /// A permit exists once, and a machine has one at a time.
     OnePermit,
     /// No part is begun at a machine under a permit.
-    Quiet,
+    #[serde(rename = "quiet")]
+    NoWorkUnderPermit,
     /// Permits leave each set of shards the holders that are stated.
-    Holders,
+    #[serde(rename = "holders")]
+    EnoughHolders,
     /// An answer rests on its least share, and is called whole only if it is.
-    Honest,
+    #[serde(rename = "honest")]
+    TruthfulCompleteness,
 }
 
 impl fmt::Display for Rule {
@@ -103,23 +111,25 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Broken {
+pub struct BrokenRule {
     pub rule: Rule,
     /// The line, from 1.
     pub line: u64,
-    pub words: String,
+    #[serde(rename = "words")]
+    pub message: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
     Accepted(Counts),
-    Rejected(Broken),
+    Rejected(BrokenRule),
     /// The bounds were too small, or the history could not be read to its end: neither good nor bad.
-    Unreached(String),
+    #[serde(rename = "unreached")]
+    Inconclusive(String),
 }
 
-struct Open {
+struct OpenLookup {
     router: String,
     index: String,
     asked: u64,
@@ -140,18 +150,18 @@
     line: u64,
     now: u64,
     counts: Counts,
-    open: HashMap<String, Open>,
+    open: HashMap<String, OpenLookup>,
     /// Answered, in order: their parts may still come for a while.
     closing: VecDeque<(u64, String)>,
     /// The highest version that is surely in force, seen or told.
     surely: u64,
     /// Proposals begun, by the operator's own name for them; those that were settled as open may still be numbered.
-    begun: BTreeMap<String, Seen>,
+    begun: BTreeMap<String, VisiblePolicy>,
     /// What nodes can see, by version, where its number is known.
-    seen: BTreeMap<u64, Seen>,
+    seen: BTreeMap<u64, VisiblePolicy>,
     /// Proposals whose number nobody knows.
-    unnumbered: Vec<Seen>,
-    platform: Seen,
+    unnumbered: Vec<VisiblePolicy>,
+    platform: VisiblePolicy,
     nowhere: BTreeSet<u64>,
     shown: BTreeMap<u64, u64>,
     says: BTreeMap<String, u64>,
@@ -171,7 +181,7 @@
 
 enum Stop {
     Broken(Rule, String),
-    Unreached(String),
+    Inconclusive(String),
 }
 
 fn broken(rule: Rule, words: impl Into<String>) -> Checked {
@@ -182,7 +192,7 @@
     fn take(&mut self, event: Event) -> Checked {
         if event.at < self.now {
             return broken(
-                Rule::Sense,
+                Rule::WellFormed,
                 format!(
                     "it is earlier than the line before, by {} us",
                     self.now - event.at
@@ -200,8 +210,8 @@
                 self.close(&lookup)?;
             }
         }
-        match event.what {
-            What::Begins {
+        match event.kind {
+            EventKind::Begins {
                 seen,
                 holders,
                 keeps,
@@ -209,68 +219,68 @@
                 (self.platform, self.holders, self.keeps) = (seen, holders, keeps);
                 Ok(())
             }
-            What::Permitted {
+            EventKind::Permitted {
                 machine,
                 permit,
                 by,
             } => self.permitted(machine, permit, &by),
-            What::Returned { machine, permit } => match self.permits.remove(&machine) {
+            EventKind::Returned { machine, permit } => match self.permits.remove(&machine) {
                 Some(known) if known == permit => Ok(()),
                 _ => broken(
-                    Rule::Sense,
+                    Rule::WellFormed,
                     format!("permit {permit} for {machine} is given back and was not had"),
                 ),
             },
-            What::Asked {
+            EventKind::Asked {
                 lookup,
                 router,
                 index,
             } => self.asked(lookup, router, index),
-            What::Answered { .. } => self.answered(event.what),
-            What::Unanswered { lookup, refused } => self.unanswered(&lookup, refused),
-            What::Proposed { op, seen } => {
+            EventKind::Answered { .. } => self.answered(event.kind),
+            EventKind::Unanswered { lookup, refused } => self.unanswered(&lookup, refused),
+            EventKind::Proposed { op, seen } => {
                 self.counts.proposals += 1;
                 if self.counts.proposals as usize > self.bounds.versions {
-                    return Err(Stop::Unreached(
+                    return Err(Stop::Inconclusive(
                         "there are more proposals than are kept".into(),
                     ));
                 }
                 self.stop_drains(&seen);
                 match self.begun.insert(op.clone(), seen) {
-                    Some(_) => broken(Rule::Sense, format!("proposal {op} begins twice")),
+                    Some(_) => broken(Rule::WellFormed, format!("proposal {op} begins twice")),
                     None => Ok(()),
                 }
             }
-            What::Settled { op, came } => self.settled(&op, came),
-            What::Part {
+            EventKind::Settled { op, outcome } => self.settled(&op, outcome),
+            EventKind::PartStarted {
                 node,
                 lookup,
                 shard,
             } => self.part(&node, &lookup, shard),
-            What::Says {
+            EventKind::VersionReported {
                 router, version, ..
             } => self.says(router, version),
-            What::Fault { kind, .. } => {
+            EventKind::Fault { kind, .. } => {
                 *self.counts.faults.entry(kind).or_default() += 1;
                 Ok(())
             }
-            What::Ended { router } => {
+            EventKind::Ended { router } => {
                 self.counts.ended += 1;
                 self.standing.insert(router.clone());
                 *self.ends.entry(router).or_default() += 1;
                 Ok(())
             }
             // One that stands still answers nobody until its clients have left.
-            What::Stopped { router } => {
+            EventKind::Paused { router } => {
                 self.standing.insert(router.clone());
                 *self.ends.entry(router).or_default() += 1;
                 Ok(())
             }
-            What::Continued { router } => {
+            EventKind::Resumed { router } => {
                 self.standing.remove(&router);
                 Ok(())
             }
-            What::Started { router } => {
+            EventKind::Started { router } => {
                 self.standing.remove(&router);
                 Ok(())
             }
@@ -280,7 +290,7 @@
     fn permitted(&mut self, machine: String, permit: u64, by: &str) -> Checked {
         self.counts.permits += 1;
         if self.permits_seen.len() >= self.bounds.versions {
-            return Err(Stop::Unreached(
+            return Err(Stop::Inconclusive(
                 "there are more permits than are kept".into(),
             ));
         }
@@ -310,7 +320,7 @@
                     "permit {permit} for {machine} leaves {left} of its set, {} are kept",
                     self.keeps
                 );
-                return broken(Rule::Holders, words);
+                return broken(Rule::EnoughHolders, words);
             }
         }
         Ok(())
@@ -319,13 +329,13 @@
     fn asked(&mut self, lookup: String, router: String, index: String) -> Checked {
         self.counts.lookups += 1;
         if self.open.len() >= self.bounds.lookups {
-            return Err(Stop::Unreached(
+            return Err(Stop::Inconclusive(
                 "more lookups are open at a time than are kept".into(),
             ));
         }
         let ends = self.ends.get(&router).copied().unwrap_or(0);
         let (asked, floor) = (self.now, self.surely);
-        let open = Open {
+        let open = OpenLookup {
             router,
             index,
             asked,
@@ -337,13 +347,13 @@
             done: false,
         };
         match self.open.insert(lookup.clone(), open) {
-            Some(_) => broken(Rule::Sense, format!("lookup {lookup} is asked twice")),
+            Some(_) => broken(Rule::WellFormed, format!("lookup {lookup} is asked twice")),
             None => Ok(()),
         }
     }
 
-    fn answered(&mut self, what: What) -> Checked {
-        let What::Answered {
+    fn answered(&mut self, answer: EventKind) -> Checked {
+        let EventKind::Answered {
             lookup,
             status,
             version,
@@ -352,7 +362,7 @@
             of,
             whole,
             least,
-        } = what
+        } = answer
         else {
             return Ok(());
         };
@@ -375,7 +385,7 @@
         if status == 200 {
             if whole && parts < of {
                 return broken(
-                    Rule::Honest,
+                    Rule::TruthfulCompleteness,
                     format!("lookup {lookup} is called whole with {parts} of {of} parts"),
                 );
             }
@@ -383,7 +393,7 @@
                 let words = format!(
                     "lookup {lookup} is answered with {parts} of {of} parts, its least share is {least}"
                 );
-                return broken(Rule::Honest, words);
+                return broken(Rule::TruthfulCompleteness, words);
             }
         }
         let Some(version) = version else {
@@ -417,12 +427,12 @@
         }
         if self.nowhere.contains(&version) {
             return broken(
-                Rule::NowhereMeansNever,
+                Rule::RejectedNeverSeen,
                 format!("{by} shows version {version}, which is nowhere"),
             );
         }
         if self.shown.len() >= self.bounds.versions {
-            return Err(Stop::Unreached(
+            return Err(Stop::Inconclusive(
                 "there are more versions than are kept".into(),
             ));
         }
@@ -465,14 +475,14 @@
     }
 
     /// A proposal under which a node is not drained may be in force from now on.
-    fn stop_drains(&mut self, seen: &Seen) {
+    fn stop_drains(&mut self, seen: &VisiblePolicy) {
         self.drains.retain(|node, _| seen.drained.contains(node));
     }
 
-    fn settled(&mut self, op: &str, came: Came) -> Checked {
+    fn settled(&mut self, op: &str, outcome: ProposalOutcome) -> Checked {
         let Some(seen) = self.begun.remove(op) else {
             return broken(
-                Rule::Sense,
+                Rule::WellFormed,
                 format!("proposal {op} is settled and was never begun"),
             );
         };
@@ -480,19 +490,19 @@
             state.counts.nowhere += 1;
             if state.shown.contains_key(&number) {
                 return broken(
-                    Rule::NowhereMeansNever,
+                    Rule::RejectedNeverSeen,
                     format!("proposal {number} is nowhere and was seen"),
                 );
             }
             state.nowhere.insert(number);
             Ok(())
         };
-        match came {
-            Came::InForce(number) => {
+        match outcome {
+            ProposalOutcome::InForce(number) => {
                 self.counts.in_force += 1;
                 if self.nowhere.contains(&number) {
                     return broken(
-                        Rule::NowhereMeansNever,
+                        Rule::RejectedNeverSeen,
                         format!("version {number} is in force, and was nowhere"),
                     );
                 }
@@ -505,12 +515,14 @@
                 }
                 Ok(())
             }
-            Came::Refused(Some(number)) | Came::Withdrawn(number) => nowhere(self, number),
-            Came::Refused(None) => {
+            ProposalOutcome::Refused(Some(number)) | ProposalOutcome::Withdrawn(number) => {
+                nowhere(self, number)
+            }
+            ProposalOutcome::Refused(None) => {
                 self.counts.nowhere += 1;
                 Ok(())
             }
-            Came::Open(number) => {
+            ProposalOutcome::Unknown(number) => {
                 self.counts.open += 1;
                 match number {
                     Some(number) => {
@@ -560,7 +572,7 @@
         self.counts.parts += 1;
         if let Some(permit) = self.permits.get(node) {
             return broken(
-                Rule::Quiet,
+                Rule::NoWorkUnderPermit,
                 format!("{node} begins a part of lookup {lookup} under permit {permit}"),
             );
         }
@@ -578,7 +590,7 @@
                 "node {node} begins a part of lookup {lookup}, asked {} ms after its drain was in force",
                 (open.asked - since) / 1000
             );
-            return broken(Rule::Drains, words);
+            return broken(Rule::DrainedNodesIdle, words);
         }
         Ok(())
     }
@@ -588,7 +600,7 @@
         let Some(open) = self.open.remove(lookup) else {
             return Ok(());
         };
-        let own = |seen: &Seen| seen.calls.get(&open.index).copied();
+        let own = |seen: &VisiblePolicy| seen.calls.get(&open.index).copied();
         let platform = own(&self.platform);
         let cap = match open.version.and_then(|version| self.seen.get(&version)) {
             Some(seen) => own(seen).or(platform),
@@ -604,7 +616,7 @@
                 let words = format!(
                     "part {shard} of lookup {lookup} was called {calls} times, version {under} allows {cap}"
                 );
-                broken(Rule::Calls, words)
+                broken(Rule::CallLimit, words)
             }
             None => Ok(()),
         }
@@ -618,7 +630,7 @@
         let known = self.says.entry(router.clone()).or_insert(version);
         if *known > version {
             return broken(
-                Rule::NeverBack,
+                Rule::ReportsNeverDecrease,
                 format!("{router} says version {version}, and said {known} before"),
             );
         }
@@ -649,8 +661,12 @@
         ..State::default()
     };
     let verdict = |line: u64, stop: Stop| match stop {
-        Stop::Broken(rule, words) => Verdict::Rejected(Broken { rule, line, words }),
-        Stop::Unreached(words) => Verdict::Unreached(format!("line {line}: {words}")),
+        Stop::Broken(rule, message) => Verdict::Rejected(BrokenRule {
+            rule,
+            line,
+            message,
+        }),
+        Stop::Inconclusive(words) => Verdict::Inconclusive(format!("line {line}: {words}")),
     };
     for line in lines.lines() {
         state.line += 1;
@@ -659,7 +675,7 @@
             read.and_then(|line| serde_json::from_str(&line).map_err(|error| error.to_string()));
         let event: Event = match event {
             Ok(event) => event,
-            Err(words) => return Verdict::Unreached(format!("line {}: {words}", state.line)),
+            Err(words) => return Verdict::Inconclusive(format!("line {}: {words}", state.line)),
         };
         if let Err(stop) = state.take(event) {
             return verdict(state.line, stop);
--- a/history/src/event.rs
+++ b/history/src/event.rs
@@ -9,24 +9,25 @@
 pub struct Event {
     pub at: u64,
     #[serde(flatten)]
-    pub what: What,
+    pub kind: EventKind,
 }
 
 /// What became of a proposal, as its operator was told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "came", content = "number")]
-pub enum Came {
+pub enum ProposalOutcome {
     InForce(u64),
     /// It is nowhere, and stays so.
     Refused(Option<u64>),
     Withdrawn(u64),
-    /// Nobody can tell: it may come in force yet, or have done so.
-    Open(Option<u64>),
+    /// The operator could not learn the outcome: the proposal may be in force already, or come in force later.
+    #[serde(rename = "open")]
+    Unknown(Option<u64>),
 }
 
 /// What a policy says that nodes can see.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct VisiblePolicy {
     /// Calls for a part at most, by index.
     #[serde(default)]
     pub calls: BTreeMap<String, u64>,
@@ -37,11 +38,11 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
-pub enum What {
+pub enum EventKind {
     /// What holds of the platform, before any policy. `holders`: which machines hold each set of shards, and how many of
     /// them work on machines leaves at the least.
     Begins {
-        seen: Seen,
+        seen: VisiblePolicy,
         #[serde(default)]
         holders: Vec<Vec<String>>,
         #[serde(default)]
@@ -85,21 +86,24 @@
     /// An operator's proposal began.
     Proposed {
         op: String,
-        seen: Seen,
+        seen: VisiblePolicy,
     },
     /// What the operator was told of it.
     Settled {
         op: String,
-        came: Came,
+        #[serde(rename = "came")]
+        outcome: ProposalOutcome,
     },
     /// A node has begun a part of a lookup.
-    Part {
+    #[serde(rename = "part")]
+    PartStarted {
         node: String,
         lookup: String,
         shard: u64,
     },
     /// A router said under which version it is, being asked.
-    Says {
+    #[serde(rename = "says")]
+    VersionReported {
         router: String,
         version: Option<u64>,
         term: Option<u64>,
@@ -117,10 +121,12 @@
         router: String,
     },
     /// A process stands still, and goes on (SIGSTOP, SIGCONT).
-    Stopped {
+    #[serde(rename = "stopped")]
+    Paused {
         router: String,
     },
-    Continued {
+    #[serde(rename = "continued")]
+    Resumed {
         router: String,
     },
 }
--- a/history/src/lib.rs
+++ b/history/src/lib.rs
@@ -16,6 +16,6 @@
 pub mod requests;
 mod write;
 
-pub use check::{check, Bounds, Broken, Counts, Rule, Verdict};
-pub use event::{Came, Event, Seen, What};
+pub use check::{check, Bounds, BrokenRule, Counts, Rule, Verdict};
+pub use event::{Event, EventKind, ProposalOutcome, VisiblePolicy};
 pub use write::Writer;
--- a/history/src/requests.rs
+++ b/history/src/requests.rs
@@ -5,23 +5,23 @@
 
 /// What an index allows, in the operators' words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Idempotent.
-    Any,
+    Idempotent,
     /// Fingerprinted: again within so many microseconds of the first time.
-    Within(u64),
+    DeduplicatedWithin(u64),
     /// Once-only.
-    Once,
+    OnceOnly,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Saw {
+pub enum Observation {
     /// A client has written a request's last byte.
     Sent {
         id: String,
         router: String,
         deadline: u64,
-        effect: Effect,
+        idempotency: Idempotency,
     },
     /// The last byte of its answer has come.
     Answered {
@@ -29,91 +29,91 @@
         status: u16,
     },
     /// Its connection has ended with no whole answer.
-    NoAnswer {
+    ConnectionLost {
         id: String,
     },
     /// Its connection ended without a byte of an answer while it was on the way to a resting connection: its client sends it
     /// again, so nothing of it may have been begun.
-    Crossed {
+    ReusedConnectionClosed {
         id: String,
     },
     /// Its client has closed or cancelled.
-    Left {
+    ClientDisconnected {
         id: String,
     },
     /// A part has come at a node, whole, with the time that the node was told.
-    Came {
+    ShardRequestReceived {
         id: String,
         part: u32,
         node: String,
-        told: u64,
+        node_deadline: u64,
     },
     /// Discovery has a node as draining or gone, and can be reached.
-    Drains {
+    NodeDraining {
         node: String,
     },
     /// A router is told to end; and is killed, no sooner than it may be.
-    ToldToEnd {
+    StopSignalled {
         router: String,
     },
-    Killed {
+    RouterKilled {
         router: String,
     },
 }
 
 /// The figures of the rules, in microseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Limits {
     /// An answer this long after its time is lost.
-    pub late: u64,
+    pub late_answer_us: u64,
     /// No attempt begins so long after its client left.
-    pub gone: u64,
+    pub after_disconnect_us: u64,
     /// The slack of a time that a node is told.
-    pub slack: u64,
+    pub deadline_slack_us: u64,
     /// A change counts as told so long after discovery had it, and is obeyed so much later.
-    pub told: u64,
-    pub grace: u64,
+    pub notified_within_us: u64,
+    pub drain_grace_us: u64,
     /// What SIGKILL finds unanswered is lost if it came so long after the signal.
-    pub accepts: u64,
+    pub accepts_after_signal_us: u64,
 }
 
-impl Default for Terms {
+impl Default for Limits {
     fn default() -> Self {
-        Terms {
-            late: 500_000,
-            gone: 100_000,
-            slack: 150_000,
-            told: 6_000_000,
-            grace: 500_000,
-            accepts: 700_000,
+        Limits {
+            late_answer_us: 500_000,
+            after_disconnect_us: 100_000,
+            deadline_slack_us: 150_000,
+            notified_within_us: 6_000_000,
+            drain_grace_us: 500_000,
+            accepts_after_signal_us: 700_000,
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Break {
+pub enum Violation {
     Lost {
         id: String,
-        why: &'static str,
+        reason: &'static str,
     },
-    AfterLeaving {
+    AfterDisconnect {
         id: String,
-        by: u64,
+        elapsed: u64,
     },
     Duplicate {
         id: String,
         part: u32,
         times: usize,
     },
-    ToldTooMuch {
+    DeadlineExtended {
         id: String,
-        told: u64,
-        left: u64,
+        node_deadline: u64,
+        remaining: u64,
     },
-    Drain {
+    DrainedNodeUsed {
         node: String,
         id: String,
-        after: u64,
+        elapsed: u64,
     },
     AnsweredTwice {
         id: String,
@@ -125,23 +125,27 @@
     sent: u64,
     router: String,
     deadline: u64,
-    effect: Effect,
+    idempotency: Idempotency,
     answered: Option<u64>,
-    failed: Option<u64>,
-    left: Option<u64>,
-    crossed: bool,
+    connection_lost: Option<u64>,
+    disconnected: Option<u64>,
+    reused_connection_closed: bool,
     runs: BTreeMap<u32, Vec<u64>>,
 }
 
 impl Request {
-    fn lost(&self, by_kill: impl Fn(&Request, u64) -> bool, terms: Terms) -> Option<&'static str> {
+    fn lost(
+        &self,
+        by_kill: impl Fn(&Request, u64) -> bool,
+        limits: Limits,
+    ) -> Option<&'static str> {
         // It is counted anew from when it is sent again; one that a node has got cannot be.
-        if self.crossed {
+        if self.reused_connection_closed {
             let is_begun = !self.runs.is_empty();
             return is_begun.then_some("begun, and its connection ended without an answer");
         }
-        match (self.answered, self.failed, self.left) {
-            (Some(at), ..) if at > self.sent + self.deadline + terms.late => {
+        match (self.answered, self.connection_lost, self.disconnected) {
+            (Some(at), ..) if at > self.sent + self.deadline + limits.late_answer_us => {
                 Some("answered too late")
             }
             (Some(_), ..) | (None, _, Some(_)) => None,
@@ -153,12 +157,14 @@
 
     /// The parts that ran more often, or over a longer time, than the index allows, each with its runs.
     fn duplicates(&self) -> Vec<(u32, usize)> {
-        let too_many = |runs: &Vec<u64>| match self.effect {
-            Effect::Any => false,
-            Effect::Within(window) => runs.last().is_some_and(|last| last - runs[0] > window),
-            Effect::Once => runs.len() > 1,
+        let too_many = |runs: &Vec<u64>| match self.idempotency {
+            Idempotency::Idempotent => false,
+            Idempotency::DeduplicatedWithin(window) => {
+                runs.last().is_some_and(|last| last - runs[0] > window)
+            }
+            Idempotency::OnceOnly => runs.len() > 1,
         };
-        let runs = self.runs.iter().filter(|_| !self.crossed);
+        let runs = self.runs.iter().filter(|_| !self.reused_connection_closed);
         runs.filter(|(_, runs)| too_many(runs))
             .map(|(part, runs)| (*part, runs.len()))
             .collect()
@@ -167,82 +173,88 @@
 
 /// A history as far as it has been read.
 struct Checker<'a> {
-    terms: Terms,
+    limits: Limits,
     requests: BTreeMap<&'a str, Request>,
     /// Since when nodes drain, and when routers were told to end and were killed, by name.
-    drains: BTreeMap<&'a str, u64>,
-    ended: BTreeMap<&'a str, u64>,
+    draining: BTreeMap<&'a str, u64>,
+    signalled: BTreeMap<&'a str, u64>,
     killed: BTreeMap<&'a str, u64>,
-    breaks: Vec<Break>,
+    violations: Vec<Violation>,
 }
 
-/// All breaks of the rules in a history; an empty list is what is wanted. Events may stand in any order.
-pub fn check(events: &[(u64, Saw)], terms: Terms) -> Vec<Break> {
-    let mut events: Vec<&(u64, Saw)> = events.iter().collect();
-    events.sort_by_key(|(at, saw)| (*at, !matches!(saw, Saw::Sent { .. })));
+/// All violations of the rules in a history; an empty list is what is wanted. Events may stand in any order.
+pub fn check(events: &[(u64, Observation)], limits: Limits) -> Vec<Violation> {
+    let mut events: Vec<&(u64, Observation)> = events.iter().collect();
+    events.sort_by_key(|(at, observation)| (*at, !matches!(observation, Observation::Sent { .. })));
     let mut checker = Checker {
-        terms,
+        limits,
         requests: BTreeMap::new(),
-        drains: BTreeMap::new(),
-        ended: BTreeMap::new(),
+        draining: BTreeMap::new(),
+        signalled: BTreeMap::new(),
         killed: BTreeMap::new(),
-        breaks: Vec::new(),
+        violations: Vec::new(),
     };
-    for (at, saw) in events {
-        checker.read(*at, saw);
+    for (at, observation) in events {
+        checker.read(*at, observation);
     }
     checker.finish()
 }
 
 impl<'a> Checker<'a> {
-    fn read(&mut self, at: u64, saw: &'a Saw) {
-        match saw {
-            Saw::Sent {
+    fn read(&mut self, at: u64, observation: &'a Observation) {
+        match observation {
+            Observation::Sent {
                 id,
                 router,
                 deadline,
-                effect,
+                idempotency,
             } => {
                 self.requests.entry(id).or_insert_with(|| Request {
                     sent: at,
                     router: router.clone(),
                     deadline: *deadline,
-                    effect: *effect,
+                    idempotency: *idempotency,
                     answered: None,
-                    failed: None,
-                    left: None,
-                    crossed: false,
+                    connection_lost: None,
+                    disconnected: None,
+                    reused_connection_closed: false,
                     runs: BTreeMap::new(),
                 });
             }
-            Saw::Answered { id, .. } => self.answered(at, id),
-            Saw::NoAnswer { id } => self.note(id, |request| request.failed = Some(at)),
-            Saw::Crossed { id } => self.note(id, |request| request.crossed = true),
-            Saw::Left { id } => self.note(id, |request| request.left = Some(at)),
-            Saw::Drains { node } => {
-                self.drains.entry(node).or_insert(at);
+            Observation::Answered { id, .. } => self.answered(at, id),
+            Observation::ConnectionLost { id } => {
+                self.update(id, |request| request.connection_lost = Some(at))
+            }
+            Observation::ReusedConnectionClosed { id } => {
+                self.update(id, |request| request.reused_connection_closed = true)
+            }
+            Observation::ClientDisconnected { id } => {
+                self.update(id, |request| request.disconnected = Some(at))
+            }
+            Observation::NodeDraining { node } => {
+                self.draining.entry(node).or_insert(at);
             }
-            Saw::ToldToEnd { router } => {
-                self.ended.entry(router).or_insert(at);
+            Observation::StopSignalled { router } => {
+                self.signalled.entry(router).or_insert(at);
             }
-            Saw::Killed { router } => {
+            Observation::RouterKilled { router } => {
                 self.killed.entry(router).or_insert(at);
             }
-            Saw::Came {
+            Observation::ShardRequestReceived {
                 id,
                 part,
                 node,
-                told,
+                node_deadline,
             } => {
-                self.drained(at, id, node);
-                self.came(at, id, *part, *told);
+                self.check_drain(at, id, node);
+                self.shard_request(at, id, *part, *node_deadline);
             }
         }
     }
 
-    fn note(&mut self, id: &str, note: impl FnOnce(&mut Request)) {
+    fn update(&mut self, id: &str, update: impl FnOnce(&mut Request)) {
         if let Some(request) = self.requests.get_mut(id) {
-            note(request);
+            update(request);
         }
     }
 
@@ -251,75 +263,81 @@
             return;
         };
         if request.answered.replace(at).is_some() {
-            self.breaks.push(Break::AnsweredTwice { id: id.to_owned() });
+            self.violations
+                .push(Violation::AnsweredTwice { id: id.to_owned() });
         }
     }
 
     /// A part has come at a node that may be draining.
-    fn drained(&mut self, at: u64, id: &str, node: &str) {
-        let Some(since) = self.drains.get(node) else {
+    fn check_drain(&mut self, at: u64, id: &str, node: &str) {
+        let Some(since) = self.draining.get(node) else {
             return;
         };
-        let after = at - since;
-        if after > self.terms.told + self.terms.grace {
-            self.breaks.push(Break::Drain {
+        let elapsed = at - since;
+        if elapsed > self.limits.notified_within_us + self.limits.drain_grace_us {
+            self.violations.push(Violation::DrainedNodeUsed {
                 node: node.to_owned(),
                 id: id.to_owned(),
-                after,
+                elapsed,
             });
         }
     }
 
     /// A part has come, with the time that its node was told.
-    fn came(&mut self, at: u64, id: &str, part: u32, told: u64) {
+    fn shard_request(&mut self, at: u64, id: &str, part: u32, node_deadline: u64) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let left = (request.sent + request.deadline).saturating_sub(at);
-        if told > left + self.terms.slack {
-            self.breaks.push(Break::ToldTooMuch {
+        let remaining = (request.sent + request.deadline).saturating_sub(at);
+        if node_deadline > remaining + self.limits.deadline_slack_us {
+            self.violations.push(Violation::DeadlineExtended {
                 id: id.to_owned(),
-                told,
-                left,
+                node_deadline,
+                remaining,
             });
         }
-        let gone = request.left.filter(|gone| at > gone + self.terms.gone);
-        if let Some(gone) = gone {
-            self.breaks.push(Break::AfterLeaving {
+        let disconnected = request
+            .disconnected
+            .filter(|time| at > time + self.limits.after_disconnect_us);
+        if let Some(disconnected) = disconnected {
+            self.violations.push(Violation::AfterDisconnect {
                 id: id.to_owned(),
-                by: at - gone,
+                elapsed: at - disconnected,
             });
         }
         request.runs.entry(part).or_default().push(at);
     }
 
     /// Judges what can be judged only at the end.
-    fn finish(self) -> Vec<Break> {
-        let mut breaks = self.breaks;
+    fn finish(self) -> Vec<Violation> {
+        let mut violations = self.violations;
         // A kill takes along what came before it was told, or shortly after: nobody could answer that in time.
         let by_kill = |request: &Request, at: u64| {
             let router = request.router.as_str();
             let kill = self.killed.get(router).filter(|kill| **kill <= at);
-            let told = self.ended.get(router);
-            kill.is_some() && told.is_none_or(|told| request.sent <= told + self.terms.accepts)
+            let signal = self.signalled.get(router);
+            kill.is_some()
+                && signal.is_none_or(|signal| {
+                    request.sent <= signal + self.limits.accepts_after_signal_us
+                })
         };
         for (id, request) in &self.requests {
             let duplicates = request.duplicates();
-            breaks.extend(
+            violations.extend(
                 duplicates
                     .into_iter()
-                    .map(|(part, times)| Break::Duplicate {
+                    .map(|(part, times)| Violation::Duplicate {
                         id: (*id).to_owned(),
                         part,
                         times,
                     }),
             );
-            let lost = request.lost(by_kill, self.terms);
-            breaks.extend(lost.map(|why| Break::Lost {
+            let lost = request.lost(by_kill, self.limits);
+            violations.extend(lost.map(|reason| Violation::Lost {
                 id: (*id).to_owned(),
-                why,
+                reason,
             }));
         }
-        breaks
+        violations
     }
 }
--- a/history/src/write.rs
+++ b/history/src/write.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-use crate::event::{Event, What};
+use crate::event::{Event, EventKind};
 
 pub struct Writer<W: Write> {
     began: Instant,
@@ -23,10 +23,10 @@
     ///
     /// # Errors
     /// Where the line could not be written: then the history is no evidence.
-    pub fn note(&self, what: What) -> std::io::Result<()> {
+    pub fn note(&self, kind: EventKind) -> std::io::Result<()> {
         let mut out = self.out.lock().unwrap_or_else(PoisonError::into_inner);
         let at = u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX);
-        let mut line = serde_json::to_vec(&Event { at, what })?;
+        let mut line = serde_json::to_vec(&Event { at, kind })?;
         line.push(b'\n');
         out.write_all(&line)
     }
--- a/history/tests/checker.rs
+++ b/history/tests/checker.rs
@@ -5,27 +5,29 @@
 
 use proptest::prelude::*;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
-use ternpick_history::{check, Bounds, Came, Event, Rule, Seen, Verdict, What};
+use ternpick_history::{
+    check, Bounds, Event, EventKind, ProposalOutcome, Rule, Verdict, VisiblePolicy,
+};
 use test_case::test_case;
 
-fn text(events: &[What]) -> String {
-    let line = |(at, what): (usize, &What)| {
+fn text(events: &[EventKind]) -> String {
+    let line = |(at, kind): (usize, &EventKind)| {
         let event = Event {
             at: at as u64 * 1_000_000,
-            what: what.clone(),
+            kind: kind.clone(),
         };
         serde_json::to_string(&event).expect("a line") + "\n"
     };
     events.iter().enumerate().map(line).collect()
 }
 
-fn verdict(events: &[What]) -> Verdict {
+fn verdict(events: &[EventKind]) -> Verdict {
     check(text(events).as_bytes(), Bounds::default())
 }
 
-fn begins() -> What {
-    What::Begins {
-        seen: Seen {
+fn begins() -> EventKind {
+    EventKind::Begins {
+        seen: VisiblePolicy {
             calls: BTreeMap::from([("half".into(), 3)]),
             drained: vec![],
         },
@@ -34,17 +36,17 @@
     }
 }
 
-fn asked(lookup: &str) -> What {
-    What::Asked {
+fn asked(lookup: &str) -> EventKind {
+    EventKind::Asked {
         lookup: lookup.into(),
         router: "n0".into(),
         index: "half".into(),
     }
 }
 
-fn answer(lookup: &str, version: Option<u64>, parts: u64, whole: bool) -> What {
+fn answer(lookup: &str, version: Option<u64>, parts: u64, whole: bool) -> EventKind {
     let (lookup, status) = (lookup.into(), if version.is_some() { 200 } else { 503 });
-    What::Answered {
+    EventKind::Answered {
         lookup,
         status,
         version,
@@ -56,121 +58,121 @@
     }
 }
 
-fn answered(lookup: &str, version: u64) -> What {
+fn answered(lookup: &str, version: u64) -> EventKind {
     answer(lookup, Some(version), 4, true)
 }
 
-fn proposed(op: &str) -> What {
-    What::Proposed {
+fn proposed(op: &str) -> EventKind {
+    EventKind::Proposed {
         op: op.into(),
-        seen: Seen::default(),
+        seen: VisiblePolicy::default(),
     }
 }
 
-fn settled(op: &str, came: Came) -> What {
-    What::Settled {
+fn settled(op: &str, outcome: ProposalOutcome) -> EventKind {
+    EventKind::Settled {
         op: op.into(),
-        came,
+        outcome,
     }
 }
 
-fn drains(op: &str, node: &str, calls: u64) -> What {
-    let seen = Seen {
+fn drains(op: &str, node: &str, calls: u64) -> EventKind {
+    let seen = VisiblePolicy {
         calls: BTreeMap::from([("half".into(), calls)]),
         drained: vec![node.into()],
     };
-    What::Proposed {
+    EventKind::Proposed {
         op: op.into(),
         seen,
     }
 }
 
-fn part(node: &str, lookup: &str) -> What {
-    What::Part {
+fn part(node: &str, lookup: &str) -> EventKind {
+    EventKind::PartStarted {
         node: node.into(),
         lookup: lookup.into(),
         shard: 0,
     }
 }
 
-fn says(version: u64) -> What {
-    What::Says {
+fn says(version: u64) -> EventKind {
+    EventKind::VersionReported {
         router: "n1".into(),
         version: Some(version),
         term: Some(1),
     }
 }
 
-fn gone(lookup: &str, refused: bool) -> What {
-    What::Unanswered {
+fn gone(lookup: &str, refused: bool) -> EventKind {
+    EventKind::Unanswered {
         lookup: lookup.into(),
         refused,
     }
 }
 
-fn ended() -> What {
-    What::Ended {
+fn ended() -> EventKind {
+    EventKind::Ended {
         router: "n0".into(),
     }
 }
 
-fn started() -> What {
-    What::Started {
+fn started() -> EventKind {
+    EventKind::Started {
         router: "n0".into(),
     }
 }
 
-fn permitted(machine: &str, permit: u64) -> What {
-    What::Permitted {
+fn permitted(machine: &str, permit: u64) -> EventKind {
+    EventKind::Permitted {
         machine: machine.into(),
         permit,
         by: "ann".into(),
     }
 }
 
-fn returned(machine: &str, permit: u64) -> What {
-    What::Returned {
+fn returned(machine: &str, permit: u64) -> EventKind {
+    EventKind::Returned {
         machine: machine.into(),
         permit,
     }
 }
 
-use Came::{InForce, Open, Refused, Withdrawn};
+use ProposalOutcome::{InForce, Refused, Unknown, Withdrawn};
 
 #[test_case(vec![proposed("p"), asked("a"), answered("a", 1), asked("b"), answered("b", 0)], Rule::NoEarlierVersion; "decided under a version that another lookup had left behind")]
 #[test_case(vec![proposed("p"), settled("p", InForce(1)), asked("b"), answered("b", 0)], Rule::NoEarlierVersion; "decided under an earlier one than the operator was told")]
 #[test_case(vec![asked("a"), answered("a", 1)], Rule::OnlyProposed; "a version that nobody proposed")]
-#[test_case(vec![proposed("p"), settled("p", Refused(Some(1))), asked("a"), answered("a", 1)], Rule::NowhereMeansNever; "refused, and seen later")]
-#[test_case(vec![proposed("p"), asked("a"), answered("a", 1), settled("p", Withdrawn(1))], Rule::NowhereMeansNever; "seen, and withdrawn later")]
-#[test_case(vec![proposed("p"), settled("p", Withdrawn(1)), says(1)], Rule::NowhereMeansNever; "withdrawn, and a router says it")]
+#[test_case(vec![proposed("p"), settled("p", Refused(Some(1))), asked("a"), answered("a", 1)], Rule::RejectedNeverSeen; "refused, and seen later")]
+#[test_case(vec![proposed("p"), asked("a"), answered("a", 1), settled("p", Withdrawn(1))], Rule::RejectedNeverSeen; "seen, and withdrawn later")]
+#[test_case(vec![proposed("p"), settled("p", Withdrawn(1)), says(1)], Rule::RejectedNeverSeen; "withdrawn, and a router says it")]
 #[test_case(vec![asked("a"), answered("a", 0), answered("a", 0)], Rule::OneAnswer; "two answers")]
 #[test_case(vec![asked("a")], Rule::OneAnswer; "no answer and no end")]
 #[test_case(vec![asked("a"), gone("a", false)], Rule::OneAnswer; "lost by a router that lives")]
 #[test_case(vec![ended(), started(), asked("a"), gone("a", false)], Rule::OneAnswer; "lost by a router that was ended before")]
-#[test_case(vec![proposed("p"), says(1), says(0)], Rule::NeverBack; "a router goes back")]
-#[test_case(vec![asked("a"), part("s", "a"), part("s", "a"), part("s", "a"), part("s", "a"), answered("a", 0)], Rule::Calls; "more calls than the platform allows")]
-#[test_case(vec![drains("p", "s", 1), settled("p", InForce(1)), asked("a"), part("t", "a"), part("t", "a"), answered("a", 1)], Rule::Calls; "more calls than the policy allows")]
-#[test_case(vec![drains("p", "s", 2), settled("p", InForce(1)), asked("a"), part("s", "a"), answered("a", 1)], Rule::Drains; "work at a drained node")]
-#[test_case(vec![asked("a"), answer("a", Some(0), 1, false)], Rule::Honest; "less than the least share")]
-#[test_case(vec![asked("a"), answer("a", Some(0), 3, true)], Rule::Honest; "called whole and is not")]
-#[test_case(vec![permitted("s0", 4), asked("a"), part("s0", "a"), answered("a", 0)], Rule::Quiet; "a part begun under a permit")]
-#[test_case(vec![asked("a"), permitted("s0", 4), part("s0", "a"), answered("a", 0)], Rule::Quiet; "of a lookup that was in hand as the permit came")]
-#[test_case(vec![permitted("s0", 4), permitted("s1", 5)], Rule::Holders; "two of three holders under permits")]
+#[test_case(vec![proposed("p"), says(1), says(0)], Rule::ReportsNeverDecrease; "a router goes back")]
+#[test_case(vec![asked("a"), part("s", "a"), part("s", "a"), part("s", "a"), part("s", "a"), answered("a", 0)], Rule::CallLimit; "more calls than the platform allows")]
+#[test_case(vec![drains("p", "s", 1), settled("p", InForce(1)), asked("a"), part("t", "a"), part("t", "a"), answered("a", 1)], Rule::CallLimit; "more calls than the policy allows")]
+#[test_case(vec![drains("p", "s", 2), settled("p", InForce(1)), asked("a"), part("s", "a"), answered("a", 1)], Rule::DrainedNodesIdle; "work at a drained node")]
+#[test_case(vec![asked("a"), answer("a", Some(0), 1, false)], Rule::TruthfulCompleteness; "less than the least share")]
+#[test_case(vec![asked("a"), answer("a", Some(0), 3, true)], Rule::TruthfulCompleteness; "called whole and is not")]
+#[test_case(vec![permitted("s0", 4), asked("a"), part("s0", "a"), answered("a", 0)], Rule::NoWorkUnderPermit; "a part begun under a permit")]
+#[test_case(vec![asked("a"), permitted("s0", 4), part("s0", "a"), answered("a", 0)], Rule::NoWorkUnderPermit; "of a lookup that was in hand as the permit came")]
+#[test_case(vec![permitted("s0", 4), permitted("s1", 5)], Rule::EnoughHolders; "two of three holders under permits")]
 #[test_case(vec![permitted("s0", 4), returned("s0", 4), permitted("s1", 4)], Rule::OnePermit; "a permit that there was before")]
 #[test_case(vec![permitted("s0", 4), permitted("s0", 5)], Rule::OnePermit; "two permits for a machine")]
-#[test_case(vec![returned("s0", 4)], Rule::Sense; "given back and never had")]
-#[test_case(vec![permitted("s0", 4), returned("s0", 5)], Rule::Sense; "another than was had is given back")]
-fn a_bad_history_is_rejected_by_the_rule_that_it_breaks(events: Vec<What>, rule: Rule) {
-    let all: Vec<What> = [vec![begins()], events].concat();
+#[test_case(vec![returned("s0", 4)], Rule::WellFormed; "given back and never had")]
+#[test_case(vec![permitted("s0", 4), returned("s0", 5)], Rule::WellFormed; "another than was had is given back")]
+fn a_bad_history_is_rejected_by_the_rule_that_it_breaks(events: Vec<EventKind>, rule: Rule) {
+    let all: Vec<EventKind> = [vec![begins()], events].concat();
     match verdict(&all) {
-        Verdict::Rejected(broken) => assert_eq!(broken.rule, rule, "{}", broken.words),
+        Verdict::Rejected(broken) => assert_eq!(broken.rule, rule, "{}", broken.message),
         other => panic!("{other:?}"),
     }
 }
 
 #[test_case(vec![asked("a"), proposed("p"), asked("b"), answered("b", 1), answered("a", 0)]; "a lookup in hand over a change")]
-#[test_case(vec![proposed("p"), settled("p", Open(None)), asked("a"), answered("a", 0), asked("b"), answered("b", 1)]; "an open one that came in force after all")]
-#[test_case(vec![proposed("p"), settled("p", Open(Some(1))), asked("a"), answered("a", 0)]; "an open one that did not")]
+#[test_case(vec![proposed("p"), settled("p", Unknown(None)), asked("a"), answered("a", 0), asked("b"), answered("b", 1)]; "an open one that came in force after all")]
+#[test_case(vec![proposed("p"), settled("p", Unknown(Some(1))), asked("a"), answered("a", 0)]; "an open one that did not")]
 #[test_case(vec![asked("a"), ended(), gone("a", false)]; "lost with its router")]
 #[test_case(vec![asked("a"), gone("a", true)]; "one that nobody had taken")]
 #[test_case(vec![drains("p", "s", 1), settled("p", InForce(1)), proposed("q"), asked("a"), part("s", "a"), answered("a", 2), settled("q", InForce(2))]; "a drain that may have been lifted")]
@@ -178,8 +180,8 @@
 #[test_case(vec![asked("a"), answer("a", None, 0, false), says(0)]; "one that was turned away")]
 #[test_case(vec![asked("a"), part("s0", "a"), permitted("s0", 4), answered("a", 0), returned("s0", 4), asked("b"), part("s0", "b"), answered("b", 0)]; "work before a permit and after it")]
 #[test_case(vec![permitted("s0", 4), permitted("t0", 5), returned("s0", 4), permitted("s1", 6)]; "one of a set after the other, and another set beside it")]
-fn a_good_history_is_accepted(events: Vec<What>) {
-    let all: Vec<What> = [vec![begins()], events].concat();
+fn a_good_history_is_accepted(events: Vec<EventKind>) {
+    let all: Vec<EventKind> = [vec![begins()], events].concat();
     assert!(
         matches!(verdict(&all), Verdict::Accepted(_)),
         "{:?}",
@@ -192,13 +194,13 @@
 fn what_cannot_be_read_is_neither_good_nor_bad(text: &str) {
     assert!(matches!(
         check(text.as_bytes(), Bounds::default()),
-        Verdict::Unreached(_)
+        Verdict::Inconclusive(_)
     ));
 }
 
 #[test]
 fn a_history_beyond_the_bounds_is_no_verdict() {
-    let all: Vec<What> = std::iter::once(begins())
+    let all: Vec<EventKind> = std::iter::once(begins())
         .chain((0..9).map(|n| asked(&n.to_string())))
         .collect();
     let verdict = check(
@@ -208,7 +210,7 @@
             ..Bounds::default()
         },
     );
-    assert!(matches!(verdict, Verdict::Unreached(_)), "{verdict:?}");
+    assert!(matches!(verdict, Verdict::Inconclusive(_)), "{verdict:?}");
 }
 
 /// The register as a general tester knows it: a write names the version that it has made.
@@ -303,7 +305,7 @@
 }
 
 /// A day that a register really lived through: lookups and changes one after the other, and overlapping by pairs.
-fn good_day(changes: u64, lookups: u64) -> Vec<What> {
+fn good_day(changes: u64, lookups: u64) -> Vec<EventKind> {
     let mut all = vec![begins()];
     for change in 1..=changes {
         let old = format!("over{change}");
@@ -333,20 +335,20 @@
         let good = good_day(changes, lookups);
         prop_assert!(matches!(verdict(&good), Verdict::Accepted(_)));
         let mut bad = good.clone();
-        let of = |wanted: fn(&What) -> bool| -> Vec<usize> {
+        let of = |wanted: fn(&EventKind) -> bool| -> Vec<usize> {
             good.iter().enumerate().filter(|(_, what)| wanted(what)).map(|(at, _)| at).collect()
         };
-        let answers = of(|what| matches!(what, What::Answered { .. }));
+        let answers = of(|what| matches!(what, EventKind::Answered { .. }));
         let at = answers[pick.index(answers.len())];
         match kind {
             0 => { bad.remove(at); }
             1 => { let again = bad[at].clone(); bad.insert(at + 1, again); }
-            2 => if let What::Answered { version, .. } = &mut bad[at] { *version = version.map(|of| of + changes + 1); },
-            3 => if let What::Answered { parts, .. } = &mut bad[at] { *parts = 1; },
+            2 => if let EventKind::Answered { version, .. } = &mut bad[at] { *version = version.map(|of| of + changes + 1); },
+            3 => if let EventKind::Answered { parts, .. } = &mut bad[at] { *parts = 1; },
             _ => {
                 // An answer after the last change is put under the version before it.
                 let last = *answers.last().expect("one after the last change");
-                if let What::Answered { version, .. } = &mut bad[last] { *version = version.map(|of| of - 1); }
+                if let EventKind::Answered { version, .. } = &mut bad[last] { *version = version.map(|of| of - 1); }
             }
         }
         prop_assert!(matches!(verdict(&bad), Verdict::Rejected(_)), "kind {kind} at {at}");
--- a/history/tests/requests.rs
+++ b/history/tests/requests.rs
@@ -1,67 +1,67 @@
 //! The checker of requests is shown what it must reject, and what it must not.
 
-use ternpick_history::requests::{check, Break, Effect, Saw, Terms};
+use ternpick_history::requests::{check, Idempotency, Limits, Observation, Violation};
 use test_case::test_case;
 
 const MS: u64 = 1000;
 
-fn sent(effect: Effect) -> (u64, Saw) {
+fn sent(idempotency: Idempotency) -> (u64, Observation) {
     (
         0,
-        Saw::Sent {
+        Observation::Sent {
             id: "a".into(),
             router: "n0".into(),
             deadline: 900 * MS,
-            effect,
+            idempotency,
         },
     )
 }
 
-fn answered(at: u64) -> (u64, Saw) {
+fn answered(at: u64) -> (u64, Observation) {
     (
         at * MS,
-        Saw::Answered {
+        Observation::Answered {
             id: "a".into(),
             status: 200,
         },
     )
 }
 
-fn came(at: u64, told: u64) -> (u64, Saw) {
+fn received(at: u64, node_deadline: u64) -> (u64, Observation) {
     (
         at * MS,
-        Saw::Came {
+        Observation::ShardRequestReceived {
             id: "a".into(),
             part: 0,
             node: "s0".into(),
-            told: told * MS,
+            node_deadline: node_deadline * MS,
         },
     )
 }
 
-fn left(at: u64) -> (u64, Saw) {
-    (at * MS, Saw::Left { id: "a".into() })
+fn disconnected(at: u64) -> (u64, Observation) {
+    (at * MS, Observation::ClientDisconnected { id: "a".into() })
 }
 
-fn no_answer(at: u64) -> (u64, Saw) {
-    (at * MS, Saw::NoAnswer { id: "a".into() })
+fn connection_lost(at: u64) -> (u64, Observation) {
+    (at * MS, Observation::ConnectionLost { id: "a".into() })
 }
 
-fn drains(at: u64) -> (u64, Saw) {
-    (at * MS, Saw::Drains { node: "s0".into() })
+fn draining(at: u64) -> (u64, Observation) {
+    (at * MS, Observation::NodeDraining { node: "s0".into() })
 }
 
-fn ends(told: u64, killed: u64) -> [(u64, Saw); 2] {
+fn signalled_and_killed(signalled: u64, killed: u64) -> [(u64, Observation); 2] {
     [
         (
-            told,
-            Saw::ToldToEnd {
+            signalled,
+            Observation::StopSignalled {
                 router: "n0".into(),
             },
         ),
         (
             killed * MS,
-            Saw::Killed {
+            Observation::RouterKilled {
                 router: "n0".into(),
             },
         ),
@@ -69,45 +69,49 @@
 }
 
 #[test_case(&[answered(1400)]; "answered within the half second behind its time")]
-#[test_case(&[came(10, 890), answered(20)]; "served")]
-#[test_case(&[came(10, 1040), answered(20)]; "told within the slack")]
-#[test_case(&[left(10), came(110, 700)]; "an attempt 0.1 s after its client left")]
-#[test_case(&[came(1, 800), came(400, 400), answered(500)]; "called again")]
-#[test_case(&[drains(0), came(6500, 0), answered(20)]; "at the end of the grace")]
-#[test_case(&[left(10)]; "nobody waits")]
-fn what_the_rules_allow_is_accepted(events: &[(u64, Saw)]) {
-    let mut all = vec![sent(Effect::Any)];
+#[test_case(&[received(10, 890), answered(20)]; "served")]
+#[test_case(&[received(10, 1040), answered(20)]; "told within the slack")]
+#[test_case(&[disconnected(10), received(110, 700)]; "an attempt 0.1 s after its client left")]
+#[test_case(&[received(1, 800), received(400, 400), answered(500)]; "called again")]
+#[test_case(&[draining(0), received(6500, 0), answered(20)]; "at the end of the grace")]
+#[test_case(&[disconnected(10)]; "nobody waits")]
+fn what_the_rules_allow_is_accepted(events: &[(u64, Observation)]) {
+    let mut all = vec![sent(Idempotency::Idempotent)];
     all.extend_from_slice(events);
-    assert_eq!(check(&all, Terms::default()), []);
+    assert_eq!(check(&all, Limits::default()), []);
 }
 
 #[test_case(&[answered(1401)], "Lost"; "answered too late")]
-#[test_case(&[no_answer(100)], "Lost"; "a connection that ended")]
+#[test_case(&[connection_lost(100)], "Lost"; "a connection that ended")]
 #[test_case(&[], "Lost"; "never answered")]
-#[test_case(&[came(10, 1041), answered(20)], "ToldTooMuch"; "told more than is left")]
-#[test_case(&[left(10), came(111, 700)], "AfterLeaving"; "an attempt for nobody")]
-#[test_case(&[drains(0), came(6501, 0), answered(20)], "Drain"; "behind the grace")]
+#[test_case(&[received(10, 1041), answered(20)], "DeadlineExtended"; "told more than is left")]
+#[test_case(&[disconnected(10), received(111, 700)], "AfterDisconnect"; "an attempt for nobody")]
+#[test_case(&[draining(0), received(6501, 0), answered(20)], "DrainedNodeUsed"; "behind the grace")]
 #[test_case(&[answered(10), answered(11)], "AnsweredTwice"; "two answers")]
-fn what_breaks_a_rule_is_named(events: &[(u64, Saw)], name: &str) {
-    let mut all = vec![sent(Effect::Any)];
+fn what_violations_a_rule_is_named(events: &[(u64, Observation)], name: &str) {
+    let mut all = vec![sent(Idempotency::Idempotent)];
     all.extend_from_slice(events);
-    let breaks = check(&all, Terms::default());
+    let violations = check(&all, Limits::default());
     assert!(
-        breaks.len() == 1 && format!("{:?}", breaks[0]).starts_with(name),
-        "{breaks:?}"
+        violations.len() == 1 && format!("{:?}", violations[0]).starts_with(name),
+        "{violations:?}"
     );
 }
 
-#[test_case(Effect::Once, 2, true)]
-#[test_case(Effect::Once, 1, false)]
-#[test_case(Effect::Within(300 * MS), 2, true; "beyond its window")]
-#[test_case(Effect::Within(500 * MS), 2, false; "within its window")]
-fn a_part_runs_no_oftener_than_its_index_allows(effect: Effect, times: u64, broken: bool) {
-    let mut all = vec![sent(effect), answered(800)];
-    all.extend((0..times).map(|number| came(1 + number * 400, 100)));
-    let is = check(&all, Terms::default())
+#[test_case(Idempotency::OnceOnly, 2, true)]
+#[test_case(Idempotency::OnceOnly, 1, false)]
+#[test_case(Idempotency::DeduplicatedWithin(300 * MS), 2, true; "beyond its window")]
+#[test_case(Idempotency::DeduplicatedWithin(500 * MS), 2, false; "within its window")]
+fn a_part_runs_no_oftener_than_its_index_allows(
+    idempotency: Idempotency,
+    times: u64,
+    broken: bool,
+) {
+    let mut all = vec![sent(idempotency), answered(800)];
+    all.extend((0..times).map(|number| received(1 + number * 400, 100)));
+    let is = check(&all, Limits::default())
         .iter()
-        .any(|of| matches!(of, Break::Duplicate { .. }));
+        .any(|of| matches!(of, Violation::Duplicate { .. }));
     assert_eq!(is, broken);
 }
 
@@ -115,32 +119,42 @@
 #[test_case(0, true; "it came with the signal")]
 #[test_case(701, false; "it came long after the signal")]
 fn a_kill_excuses_what_came_early(after: u64, excused: bool) {
-    let mut all = vec![(after * MS, sent(Effect::Any).1), no_answer(2601)];
-    all.extend(ends(0, 2600));
-    assert_eq!(check(&all, Terms::default()).is_empty(), excused);
+    let mut all = vec![
+        (after * MS, sent(Idempotency::Idempotent).1),
+        connection_lost(2601),
+    ];
+    all.extend(signalled_and_killed(0, 2600));
+    assert_eq!(check(&all, Limits::default()).is_empty(), excused);
 }
 
 /// A process that ends by itself excuses nothing.
 #[test]
 fn an_end_before_the_kill_excuses_nothing() {
-    let mut all = vec![sent(Effect::Any), no_answer(2500)];
-    all.extend(ends(0, 2600));
-    assert_eq!(check(&all, Terms::default()).len(), 1);
+    let mut all = vec![sent(Idempotency::Idempotent), connection_lost(2500)];
+    all.extend(signalled_and_killed(0, 2600));
+    assert_eq!(check(&all, Limits::default()).len(), 1);
 }
 
 /// The end of its connection, without a byte, while the request was on the way to it.
-fn crossed(at: u64) -> (u64, Saw) {
-    (at * MS, Saw::Crossed { id: "a".into() })
+fn reused_connection_closed(at: u64) -> (u64, Observation) {
+    (
+        at * MS,
+        Observation::ReusedConnectionClosed { id: "a".into() },
+    )
 }
 
 #[test]
 fn a_request_that_crossed_the_end_of_its_connection_may_not_have_been_begun() {
-    let crossing = [sent(Effect::Any), crossed(5)];
-    assert!(check(&crossing, Terms::default()).is_empty());
-    let begun = [sent(Effect::Any), came(3, 800), crossed(5)];
-    let lost = Break::Lost {
+    let crossing = [sent(Idempotency::Idempotent), reused_connection_closed(5)];
+    assert!(check(&crossing, Limits::default()).is_empty());
+    let begun = [
+        sent(Idempotency::Idempotent),
+        received(3, 800),
+        reused_connection_closed(5),
+    ];
+    let lost = Violation::Lost {
         id: "a".into(),
-        why: "begun, and its connection ended without an answer",
+        reason: "begun, and its connection ended without an answer",
     };
-    assert_eq!(check(&begun, Terms::default()), [lost]);
+    assert_eq!(check(&begun, Limits::default()), [lost]);
 }
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use ternpick_identity::IdentityConfig;
-use ternpick_settings::{Read, Refused, Schema};
+use ternpick_settings::{LoadedSettings, ReadError, Schema};
 use ternpick_tenant_limits::{SharedLimitConfig, TenantConfig as TenantLimitConfig};
 
 const SCHEMA: Schema = Schema::new(
@@ -149,7 +149,7 @@
 pub(crate) enum SettingsError {
     /// The file cannot be read, or does not meet the schema; each mistake is marked in the text.
     #[error("{0}")]
-    Refused(#[from] Refused),
+    Refused(#[from] ReadError),
     /// A value that the schema cannot rule out.
     #[error("{}: {source}", path.display())]
     Invalid {
@@ -320,7 +320,7 @@
 
 /// Reads a settings file. All that is wrong with it under the schema comes back at once, each mistake marked in the text.
 pub(crate) fn read(path: &Path) -> Result<Settings, SettingsError> {
-    let Read { value: file, used } = SCHEMA.read_file::<SettingsFile>(path)?;
+    let LoadedSettings { value: file, used } = SCHEMA.read_file::<SettingsFile>(path)?;
     let invalid = |source| SettingsError::Invalid {
         path: path.to_owned(),
         source,
--- a/router/tests/drawn/clients.rs
+++ b/router/tests/drawn/clients.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ternpick_history::requests::{Effect, Saw};
+use ternpick_history::requests::{Idempotency, Observation};
 
 use crate::common::*;
 use crate::faults::Draw;
@@ -19,7 +19,7 @@
     pub(crate) began: Instant,
     /// Clients send for so long: where processes are told to end, up to the kill.
     pub(crate) load: Duration,
-    pub(crate) events: Arc<Mutex<Vec<(u64, Saw)>>>,
+    pub(crate) events: Arc<Mutex<Vec<(u64, Observation)>>>,
 }
 
 impl Record {
@@ -34,11 +34,11 @@
 
     /// A request was written whole, and no sooner than at `at`.
     pub(crate) fn sent(&self, at: u64, ask: &Ask, router: &str) {
-        let sent = Saw::Sent {
+        let sent = Observation::Sent {
             id: ask.id.clone(),
             router: router.to_owned(),
             deadline: ask.deadline * 1000,
-            effect: ask.effect,
+            idempotency: ask.effect,
         };
         self.events
             .lock()
@@ -46,7 +46,7 @@
             .push((at, sent));
     }
 
-    pub(crate) fn saw(&self, saw: Saw) {
+    pub(crate) fn saw(&self, saw: Observation) {
         self.events
             .lock()
             .expect("no test thread panicked with the lock held")
@@ -54,17 +54,17 @@
     }
 }
 
-const CLASSES: [(&str, Effect); 3] = [
-    ("whole", Effect::Any),
-    ("half", Effect::Within(5_000_000)),
-    ("once", Effect::Once),
+const CLASSES: [(&str, Idempotency); 3] = [
+    ("whole", Idempotency::Idempotent),
+    ("half", Idempotency::DeduplicatedWithin(5_000_000)),
+    ("once", Idempotency::OnceOnly),
 ];
 
 /// One request of a client.
 pub(crate) struct Ask {
     pub(crate) id: String,
     pub(crate) class: &'static str,
-    pub(crate) effect: Effect,
+    pub(crate) effect: Idempotency,
     /// In milliseconds.
     pub(crate) deadline: u64,
 }
@@ -106,11 +106,11 @@
         let id = self.id;
         match status_of(stream) {
             Ok(status) => {
-                record.saw(Saw::Answered { id, status });
+                record.saw(Observation::Answered { id, status });
                 return true;
             }
-            Err(true) if rested => record.saw(Saw::Crossed { id }),
-            Err(_) => record.saw(Saw::NoAnswer { id }),
+            Err(true) if rested => record.saw(Observation::ReusedConnectionClosed { id }),
+            Err(_) => record.saw(Observation::ConnectionLost { id }),
         }
         false
     }
@@ -171,7 +171,7 @@
         if kind == 2 && draw.below(2) == 0 {
             thread::sleep(Duration::from_millis(draw.between(1, 80)));
             drop(stream);
-            record.saw(Saw::Left { id: ask.id });
+            record.saw(Observation::ClientDisconnected { id: ask.id });
             continue;
         }
         if ask.receive(&mut stream, rested, record) {
@@ -247,11 +247,11 @@
     let (record, name) = (record.clone(), name.to_owned());
     node.watch(Some(Arc::new(move |letter, text: &str| {
         for of in shard_requests::read(letter, text) {
-            record.saw(Saw::Came {
+            record.saw(Observation::ShardRequestReceived {
                 id: of.request,
                 part: of.shard,
                 node: name.clone(),
-                told: of.told,
+                node_deadline: of.told,
             });
         }
     })));
--- a/router/tests/drawn/crowd.rs
+++ b/router/tests/drawn/crowd.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use ternpick_history::requests::{Effect, Saw};
+use ternpick_history::requests::{Idempotency, Observation};
 use ternpick_wire::http::Reader;
 use ternpick_wire::ring::Ring;
 
@@ -80,7 +80,7 @@
         }
         for (stream, id) in leaving {
             drop(stream);
-            record.saw(Saw::Left { id });
+            record.saw(Observation::ClientDisconnected { id });
         }
     }
 }
@@ -90,7 +90,7 @@
     let ask = Ask {
         id: format!("{router}slow"),
         class: "whole",
-        effect: Effect::Any,
+        effect: Idempotency::Idempotent,
         deadline: 1000,
     };
     let bytes = ask.text();
@@ -167,9 +167,9 @@
         let status = answers.next();
         all_are_answered &= status.is_some();
         record.saw(match status {
-            Some(status) => Saw::Answered { id: ask.id, status },
-            None if at > 0 => Saw::Crossed { id: ask.id },
-            None => Saw::NoAnswer { id: ask.id },
+            Some(status) => Observation::Answered { id: ask.id, status },
+            None if at > 0 => Observation::ReusedConnectionClosed { id: ask.id },
+            None => Observation::ConnectionLost { id: ask.id },
         });
     }
     all_are_answered
--- a/router/tests/drawn/signals.rs
+++ b/router/tests/drawn/signals.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ternpick_history::requests::Saw;
+use ternpick_history::requests::Observation;
 
 use crate::clients::{Record, LONGEST};
 use crate::common::faulty::Faulty;
@@ -55,7 +55,7 @@
             return;
         }
         if ends_process(*signal) && told.is_none() {
-            record.saw(Saw::ToldToEnd {
+            record.saw(Observation::StopSignalled {
                 router: name.to_owned(),
             });
             told = Some(Instant::now());
@@ -69,7 +69,7 @@
         }
         thread::sleep(Duration::from_millis(2));
     }
-    record.saw(Saw::Killed {
+    record.saw(Observation::RouterKilled {
         router: name.to_owned(),
     });
     of.router.child.kill().expect("killed");
--- a/router/tests/drawn/stage.rs
+++ b/router/tests/drawn/stage.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use ternpick_fault_injection::{Plan, Strikes};
-use ternpick_history::requests::{check, Saw, Terms};
+use ternpick_history::requests::{check, Limits, Observation};
 
 use crate::clients::{client, resting_clients, watch, Record, LONGEST};
 use crate::common::*;
@@ -138,7 +138,7 @@
                     .filter(|of| (*of..of + OUTAGE).contains(&at))
                     .map_or(at, |of| of + OUTAGE);
                 until(from);
-                record.saw(Saw::Drains { node: "s1".into() });
+                record.saw(Observation::NodeDraining { node: "s1".into() });
             }
         });
     }
@@ -182,9 +182,9 @@
         .events
         .lock()
         .expect("no test thread panicked with the lock held");
-    let terms = Terms::default();
-    let terms = Terms {
-        gone: terms.gone + scenario.held_up(),
+    let terms = Limits::default();
+    let terms = Limits {
+        after_disconnect_us: terms.after_disconnect_us + scenario.held_up(),
         ..terms
     };
     let mut breaks: Vec<String> = check(&events, terms)
@@ -194,12 +194,12 @@
     if log.contains("panicked") {
         breaks.push("a process panicked".into());
     }
-    let count = |is_counted: fn(&Saw) -> bool| {
+    let count = |is_counted: fn(&Observation) -> bool| {
         let counted = events.iter().filter(|(_, saw)| is_counted(saw));
         counted.count()
     };
-    let sent = count(|saw| matches!(saw, Saw::Sent { .. }));
-    let whole = count(|saw| matches!(saw, Saw::Answered { status: 200, .. }));
+    let sent = count(|saw| matches!(saw, Observation::Sent { .. }));
+    let whole = count(|saw| matches!(saw, Observation::Answered { status: 200, .. }));
     println!(
         "{name}: {sent} sent, {whole} whole, strikes {strikes:?}, {} breaks",
         breaks.len()
@@ -209,8 +209,10 @@
         let mut u = 0;
         for (_, s) in events.iter() {
             match s {
-                Saw::Answered { status, .. } => *by.entry(*status).or_default() += 1,
-                Saw::Left { .. } | Saw::Crossed { .. } | Saw::NoAnswer { .. } => u += 1,
+                Observation::Answered { status, .. } => *by.entry(*status).or_default() += 1,
+                Observation::ClientDisconnected { .. }
+                | Observation::ReusedConnectionClosed { .. }
+                | Observation::ConnectionLost { .. } => u += 1,
                 _ => (),
             }
         }
@@ -224,7 +226,7 @@
 }
 
 /// Prints what was seen of the requests of some breaks, and of processes that were told to end.
-fn print_events(events: &[(u64, Saw)], breaks: &[String]) {
+fn print_events(events: &[(u64, Observation)], breaks: &[String]) {
     let ids: Vec<&str> = breaks
         .iter()
         .filter_map(|of| of.split('"').nth(1))
@@ -232,7 +234,12 @@
     for (at, saw) in events {
         let text = format!("{saw:?}");
         let is_of_break = ids.iter().any(|id| text.contains(&format!("\"{id}\"")));
-        if is_of_break || matches!(saw, Saw::ToldToEnd { .. } | Saw::Killed { .. }) {
+        if is_of_break
+            || matches!(
+                saw,
+                Observation::StopSignalled { .. } | Observation::RouterKilled { .. }
+            )
+        {
             println!("{at} {text}");
         }
     }
--- a/router/tests/drawn/upgrades.rs
+++ b/router/tests/drawn/upgrades.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ternpick_fault_injection::Call;
-use ternpick_history::requests::Saw;
+use ternpick_history::requests::Observation;
 
 use crate::clients::Record;
 use crate::common::faulty::preload;
@@ -199,7 +199,7 @@
     let told: Vec<u32> = old_told.into_iter().chain(new_told).collect();
     let told_at = Instant::now();
     if !told.is_empty() {
-        record.saw(Saw::ToldToEnd {
+        record.saw(Observation::StopSignalled {
             router: "n0".into(),
         });
     }
@@ -211,7 +211,7 @@
         thread::sleep(2 * LOOK);
     }
     if told.iter().any(|process| is_running(*process)) {
-        record.saw(Saw::Killed {
+        record.saw(Observation::RouterKilled {
             router: "n0".into(),
         });
     }
--- a/settings/src/export.rs
+++ b/settings/src/export.rs
@@ -2,11 +2,11 @@
 
 use crate::report::{Problem, Sources};
 use crate::value::{asked_by, Form, Must, Slot, V};
-use crate::Used;
+use crate::UsedValue;
 
 pub struct Export<'a> {
     pub sources: &'a Sources,
-    pub used: Vec<Used>,
+    pub used: Vec<UsedValue>,
     pub problems: Vec<Problem>,
     pub steps: usize,
     /// Where the lines of the text begin; looked up for each value.
@@ -51,11 +51,11 @@
         match &of.form {
             Form::Scalar(scalar) => {
                 let line = || 1 + self.lines.partition_point(|start| *start <= of.at.start);
-                let from = (of.at.file == 0).then(|| (self.sources[0].0.clone(), line()));
-                self.used.push(Used {
+                let origin = (of.at.file == 0).then(|| (self.sources[0].0.clone(), line()));
+                self.used.push(UsedValue {
                     path: path.to_owned(),
                     value: scalar.to_string(),
-                    from,
+                    origin,
                 });
                 scalar.json()
             }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -28,32 +28,32 @@
 use serde::de::DeserializeOwned;
 
 pub use report::{Problem, Report, Span};
-pub use syntax::{DEEPEST, LONGEST};
+pub use syntax::{MAX_NESTING, MAX_TEXT_BYTES};
 
 /// Why settings could not be read.
 #[derive(Debug, thiserror::Error)]
-pub enum Refused {
+pub enum ReadError {
     #[error("cannot read {name}: {error}")]
     Unreadable { name: String, error: std::io::Error },
     #[error("{0}")]
-    Wrong(Report),
-    #[error("{name}: {what}")]
-    Unfit { name: String, what: String },
+    Invalid(Report),
+    #[error("{name}: {reason}")]
+    Undecodable { name: String, reason: String },
 }
 
 /// One value that is used, and where it came from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Used {
+pub struct UsedValue {
     pub path: String,
     /// As it would be written.
     pub value: String,
     /// File and line; none: by default.
-    pub from: Option<(String, usize)>,
+    pub origin: Option<(String, usize)>,
 }
 
-impl fmt::Display for Used {
+impl fmt::Display for UsedValue {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match &self.from {
+        match &self.origin {
             Some((file, line)) => write!(f, "{} = {}  ({file}:{line})", self.path, self.value),
             None => write!(f, "{} = {}  (default)", self.path, self.value),
         }
@@ -62,9 +62,9 @@
 
 /// What was read.
 #[derive(Debug)]
-pub struct Read<T> {
+pub struct LoadedSettings<T> {
     pub value: T,
-    pub used: Vec<Used>,
+    pub used: Vec<UsedValue>,
 }
 
 /// What a reader wants: definitions, and the one that a whole text must fit.
@@ -79,14 +79,17 @@
         Schema { parts, root }
     }
 
-    pub fn read_file<T: DeserializeOwned>(&self, path: &Path) -> Result<Read<T>, Refused> {
+    pub fn read_file<T: DeserializeOwned>(
+        &self,
+        path: &Path,
+    ) -> Result<LoadedSettings<T>, ReadError> {
         let name = path.display().to_string();
-        let unreadable = |error| Refused::Unreadable {
+        let unreadable = |error| ReadError::Unreadable {
             name: name.clone(),
             error,
         };
         let long = std::fs::metadata(path).map_err(unreadable)?.len();
-        if long > LONGEST as u64 {
+        if long > MAX_TEXT_BYTES as u64 {
             return Err(unreadable(std::io::Error::other(
                 "it is longer than any settings are",
             )));
@@ -96,7 +99,11 @@
     }
 
     /// Reads a text; `name` is for what is told of it. Durations come out in microseconds, sizes in bytes.
-    pub fn read<T: DeserializeOwned>(&self, name: &str, text: &str) -> Result<Read<T>, Refused> {
+    pub fn read<T: DeserializeOwned>(
+        &self,
+        name: &str,
+        text: &str,
+    ) -> Result<LoadedSettings<T>, ReadError> {
         let own_source = std::iter::once((name, text));
         let all = own_source.chain(self.parts.iter().copied());
         let sources: report::Sources = all
@@ -128,13 +135,13 @@
         if !problems.is_empty() {
             problems.sort_by_key(|problem| (problem.at.file, problem.at.start));
             problems.dedup();
-            return Err(Refused::Wrong(Report { sources, problems }));
+            return Err(ReadError::Invalid(Report { sources, problems }));
         }
         let used = export.used;
-        let value = serde_json::from_value(json).map_err(|error| Refused::Unfit {
+        let value = serde_json::from_value(json).map_err(|error| ReadError::Undecodable {
             name: name.to_owned(),
-            what: error.to_string(),
+            reason: error.to_string(),
         })?;
-        Ok(Read { value, used })
+        Ok(LoadedSettings { value, used })
     }
 }
--- a/settings/src/syntax.rs
+++ b/settings/src/syntax.rs
@@ -15,9 +15,9 @@
 struct Grammar;
 
 /// The longest text, in bytes: ten thousand lines are a tenth of it.
-pub const LONGEST: usize = 4 << 20;
+pub const MAX_TEXT_BYTES: usize = 4 << 20;
 /// How deep brackets may stand in one another.
-pub const DEEPEST: usize = 48;
+pub const MAX_NESTING: usize = 48;
 /// After so many mistakes in form a text is read no further.
 const MOST_MISTAKES: usize = 50;
 
@@ -83,15 +83,15 @@
 /// Reads a text; what could be read comes back beside the mistakes.
 pub fn parse(file: usize, text: &str) -> (Members, Vec<Problem>) {
     let mut problems = Vec::new();
-    if text.len() > LONGEST {
-        let what = format!("the text is longer than {} MiB", LONGEST >> 20);
+    if text.len() > MAX_TEXT_BYTES {
+        let what = format!("the text is longer than {} MiB", MAX_TEXT_BYTES >> 20);
         return (
             Members::default(),
             vec![Problem::new(Span::new(file, 0, 0), what)],
         );
     }
     if let Some(at) = too_deep(text) {
-        let what = format!("brackets stand more than {DEEPEST} deep");
+        let what = format!("brackets stand more than {MAX_NESTING} deep");
         return (
             Members::default(),
             vec![Problem::new(Span::new(file, at, at + 1), what)],
@@ -155,7 +155,7 @@
             }
             _ => {}
         }
-        if depth + chain > DEEPEST {
+        if depth + chain > MAX_NESTING {
             return Some(at);
         }
     }
--- a/settings/tests/records.rs
+++ b/settings/tests/records.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
-use ternpick_settings::{Refused, Schema};
+use ternpick_settings::{ReadError, Schema};
 use test_case::test_case;
 
 const SCHEMA: &str = r##"
@@ -30,7 +30,7 @@
     let schema = Schema::new(&[("root.schema", SCHEMA)], "#Root");
     match schema.read::<Value>("f.cue", text) {
         Ok(read) => Ok(read.value),
-        Err(Refused::Wrong(report)) => Err(report.lines()),
+        Err(ReadError::Invalid(report)) => Err(report.lines()),
         Err(other) => Err(vec![other.to_string()]),
     }
 }
--- a/simulation/src/fleet/clients.rs
+++ b/simulation/src/fleet/clients.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use ternpick_history::What;
+use ternpick_history::EventKind;
 use ternpick_wire::http::Reader;
 use ternpick_wire::ring::Ring;
 
@@ -61,9 +61,9 @@
     }
 }
 
-fn answered(lookup: String, least: f64, answer: &Reader) -> What {
+fn answered(lookup: String, least: f64, answer: &Reader) -> EventKind {
     let body: serde_json::Value = serde_json::from_slice(answer.body()).unwrap_or_default();
-    What::Answered {
+    EventKind::Answered {
         lookup,
         status: answer.status().unwrap_or_default(),
         version: answer
@@ -111,7 +111,7 @@
             (pick as u64).wrapping_mul(0x9e37_79b9) % shards
         };
         let lookup = format!("c{number}x{turn}");
-        let asked = What::Asked {
+        let asked = EventKind::Asked {
             lookup: lookup.clone(),
             router: name.clone(),
             index: index.to_owned(),
@@ -120,7 +120,7 @@
         history.note(
             match ask(*address, &request(index, &lookup, first_shard, shards)) {
                 Ok(answer) => answered(lookup, least, &answer),
-                Err(refused) => What::Unanswered { lookup, refused },
+                Err(refused) => EventKind::Unanswered { lookup, refused },
             },
         );
     }
--- a/simulation/src/fleet/crew.rs
+++ b/simulation/src/fleet/crew.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use ternpick_history::What;
+use ternpick_history::EventKind;
 
 use super::listings::Listings;
 use super::plan::{FleetPlan, Order};
@@ -254,7 +254,7 @@
                 continue;
             };
             let named = format!("s{machine}");
-            self.history.note(What::Permitted {
+            self.history.note(EventKind::Permitted {
                 machine: named.clone(),
                 permit,
                 by: name.clone(),
@@ -299,7 +299,7 @@
                 self.nodes[machine].recovers();
             }
             // From here on it may get work again.
-            self.history.note(What::Returned {
+            self.history.note(EventKind::Returned {
                 machine: named,
                 permit,
             });
--- a/simulation/src/fleet/mod.rs
+++ b/simulation/src/fleet/mod.rs
@@ -24,7 +24,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use ternpick_history::{check, Bounds, Seen, Verdict, What, Writer};
+use ternpick_history::{check, Bounds, EventKind, Verdict, VisiblePolicy, Writer};
 
 use crate::load::Failed;
 use crate::standins::{Act, Fault, Node};
@@ -59,7 +59,7 @@
         })
     }
 
-    pub fn note(&self, what: What) {
+    pub fn note(&self, what: EventKind) {
         if self.writer.note(what).is_err() {
             self.spoilt.store(true, Ordering::Relaxed);
         }
@@ -128,7 +128,7 @@
     let history = Arc::new(History::create(&path)?);
     let calls = ["half", "whole", "once"]
         .map(|index| (index.to_owned(), if index == "once" { 1 } else { 4 }));
-    let seen = Seen {
+    let seen = VisiblePolicy {
         calls: calls.into(),
         drained: vec![],
     };
@@ -139,7 +139,7 @@
         .map(Vec::len)
         .min()
         .map_or(0, |least| 2.min(least.saturating_sub(1)).max(1));
-    history.note(What::Begins {
+    history.note(EventKind::Begins {
         seen,
         holders,
         keeps,
@@ -361,7 +361,7 @@
             break;
         };
         let shard = shard.parse().unwrap_or_default();
-        history.note(What::Part {
+        history.note(EventKind::PartStarted {
             node: format!("s{at}"),
             lookup: lookup.to_owned(),
             shard,
@@ -428,7 +428,7 @@
         }
         let (step, whom) = (&step, step.whom);
         let name = self.routers.all[whom].name.clone();
-        self.routers.history.note(What::Fault {
+        self.routers.history.note(EventKind::Fault {
             kind: step.kind.to_string(),
             whom: name,
         });
@@ -591,7 +591,7 @@
             let status = router.status().unwrap_or_default();
             if status.is_object() {
                 let (version, term) = (status["version"].as_u64(), status["seat"]["term"].as_u64());
-                self.routers.history.note(What::Says {
+                self.routers.history.note(EventKind::VersionReported {
                     router: router.name.clone(),
                     version,
                     term,
--- a/simulation/src/fleet/operator.rs
+++ b/simulation/src/fleet/operator.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use ternpick_history::{Came, Seen, What};
+use ternpick_history::{EventKind, ProposalOutcome, VisiblePolicy};
 
 use super::plan::Change;
 use super::History;
@@ -41,9 +41,9 @@
 }
 
 /// What nodes can see of it.
-fn seen(change: &Change) -> Seen {
+fn seen(change: &Change) -> VisiblePolicy {
     let calls = ["half", "whole"].map(|index| (index.to_owned(), change.calls));
-    Seen {
+    VisiblePolicy {
         calls: BTreeMap::from(calls),
         drained: change
             .drained
@@ -77,7 +77,7 @@
             return None;
         }
         let (name, op) = (format!("p{number}"), (number as u64 + 1).to_string());
-        self.history.note(What::Proposed {
+        self.history.note(EventKind::Proposed {
             op: name.clone(),
             seen: seen(change),
         });
@@ -123,17 +123,20 @@
             let (said, status) = self.run(socket, &words);
             known = said["number"].as_u64().or(known);
             let came = match (status, said["fate"].as_str(), known) {
-                (0, Some("in_force"), Some(of)) => Some(Came::InForce(of)),
-                (1, Some("withdrawn"), Some(of)) => Some(Came::Withdrawn(of)),
-                (1, Some("refused"), Some(of)) => Some(Came::Refused(Some(of))),
+                (0, Some("in_force"), Some(of)) => Some(ProposalOutcome::InForce(of)),
+                (1, Some("withdrawn"), Some(of)) => Some(ProposalOutcome::Withdrawn(of)),
+                (1, Some("refused"), Some(of)) => Some(ProposalOutcome::Refused(Some(of))),
                 // The register has refused it, or this very router's check has: it never had a number.
-                (1, None, None) if said.is_object() => Some(Came::Refused(None)),
+                (1, None, None) if said.is_object() => Some(ProposalOutcome::Refused(None)),
                 // Not reached, cut off in the middle, or open: said again, it is still the same command.
                 _ => None,
             };
             if let Some(came) = came {
-                let in_force = matches!(came, Came::InForce(_));
-                self.history.note(What::Settled { op: name, came });
+                let in_force = matches!(came, ProposalOutcome::InForce(_));
+                self.history.note(EventKind::Settled {
+                    op: name,
+                    outcome: came,
+                });
                 let micros = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
                 return (in_force && change.withdrawn.is_none()).then_some(Took {
                     micros,
@@ -142,9 +145,9 @@
             }
             std::thread::sleep(Duration::from_millis(100));
         }
-        self.history.note(What::Settled {
+        self.history.note(EventKind::Settled {
             op: name,
-            came: Came::Open(known),
+            outcome: ProposalOutcome::Unknown(known),
         });
         None
     }
--- a/simulation/src/fleet/plan.rs
+++ b/simulation/src/fleet/plan.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 use strum::Display;
-use ternpick_settings::{Refused, Schema};
+use ternpick_settings::{ReadError, Schema};
 
 const SCHEMA: Schema = Schema::new(&[("fleet.cue", include_str!("fleet.cue"))], "#FleetPlan");
 
@@ -177,11 +177,11 @@
 }
 
 impl FleetPlan {
-    pub fn read(path: &Path) -> Result<FleetPlan, Refused> {
+    pub fn read(path: &Path) -> Result<FleetPlan, ReadError> {
         Ok(SCHEMA.read_file::<FleetPlan>(path)?.value)
     }
 
-    pub fn parse(name: &str, text: &str) -> Result<FleetPlan, Refused> {
+    pub fn parse(name: &str, text: &str) -> Result<FleetPlan, ReadError> {
         Ok(SCHEMA.read::<FleetPlan>(name, text)?.value)
     }
 
--- a/simulation/src/fleet/report.rs
+++ b/simulation/src/fleet/report.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use ternpick_history::{Counts, Event, Verdict, What};
+use ternpick_history::{Counts, Event, EventKind, Verdict};
 
 use super::Outcome;
 use crate::report::text_table;
@@ -33,10 +33,10 @@
         Verdict::Rejected(broken) => {
             format!(
                 "REJECTED, {}, line {}: {}",
-                broken.rule, broken.line, broken.words
+                broken.rule, broken.line, broken.message
             )
         }
-        Verdict::Unreached(words) => format!("no verdict: {words}"),
+        Verdict::Inconclusive(words) => format!("no verdict: {words}"),
     }
 }
 
@@ -96,16 +96,16 @@
     let (mut asked, mut took, mut refused) = (HashMap::new(), Vec::new(), 0);
     for line in std::io::BufReader::new(std::fs::File::open(history)?).lines() {
         let event: Event = serde_json::from_str(&line?).map_err(std::io::Error::other)?;
-        match event.what {
-            What::Asked { lookup, .. } => {
+        match event.kind {
+            EventKind::Asked { lookup, .. } => {
                 asked.insert(lookup, event.at);
             }
-            What::Part { lookup, .. } => {
+            EventKind::PartStarted { lookup, .. } => {
                 if let Some(at) = asked.remove(&lookup) {
                     took.push((event.at - at) as f64);
                 }
             }
-            What::Answered {
+            EventKind::Answered {
                 lookup,
                 status,
                 version,
@@ -114,7 +114,7 @@
                 refused += u64::from(status == 503 && version.is_none());
                 asked.remove(&lookup);
             }
-            What::Unanswered { lookup, .. } => {
+            EventKind::Unanswered { lookup, .. } => {
                 asked.remove(&lookup);
             }
             _ => {}
@@ -131,12 +131,12 @@
     let (mut asked, mut all, mut good) = (HashMap::new(), 0u64, 0u64);
     for line in std::io::BufReader::new(std::fs::File::open(history)?).lines() {
         let event: Event = serde_json::from_str(&line?).map_err(std::io::Error::other)?;
-        match event.what {
-            What::Asked { lookup, .. } => {
+        match event.kind {
+            EventKind::Asked { lookup, .. } => {
                 all += 1;
                 asked.insert(lookup, event.at);
             }
-            What::Answered { lookup, status, .. } => {
+            EventKind::Answered { lookup, status, .. } => {
                 let took = asked.remove(&lookup).map(|at| event.at - at);
                 good += u64::from(status == 200 && took.is_some_and(|took| took <= SOFT));
             }
--- a/simulation/src/fleet/routers.rs
+++ b/simulation/src/fleet/routers.rs
@@ -10,7 +10,7 @@
 
 use rustix::process::Signal;
 use serde_json::{json, Value};
-use ternpick_history::What;
+use ternpick_history::EventKind;
 
 use super::plan::FleetPlan;
 use super::relay::{Pipe, Relay};
@@ -277,14 +277,14 @@
         }
         router.child = Some(child);
         router.up = true;
-        self.history.note(What::Started {
+        self.history.note(EventKind::Started {
             router: router.name.clone(),
         });
         Ok(())
     }
 
     fn ended(&self, at: usize) {
-        self.history.note(What::Ended {
+        self.history.note(EventKind::Ended {
             router: self.all[at].name.clone(),
         });
     }
@@ -387,16 +387,16 @@
         let name = router.name.clone();
         match (stop, router.stopped) {
             (true, false) => {
-                self.history.note(What::Stopped { router: name });
+                self.history.note(EventKind::Paused { router: name });
                 process::signal(pid, Signal::STOP);
                 router.stopped = true;
             }
             (false, true) => {
                 process::signal(pid, Signal::CONT);
-                self.history.note(What::Stopped {
+                self.history.note(EventKind::Paused {
                     router: name.clone(),
                 });
-                self.history.note(What::Continued { router: name });
+                self.history.note(EventKind::Resumed { router: name });
                 router.stopped = false;
             }
             _ => {}
--- a/simulation/src/fleet/timeline.rs
+++ b/simulation/src/fleet/timeline.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use plotters::prelude::*;
-use ternpick_history::{Event, What};
+use ternpick_history::{Event, EventKind};
 
 /// Lookups without an answer are counted by this; seconds.
 const BIN: f64 = 0.25;
@@ -40,17 +40,17 @@
                     .min()
                     .unwrap_or(0)
             };
-            match event.what {
-                What::Begins { holders, keeps, .. } => {
+            match event.kind {
+                EventKind::Begins { holders, keeps, .. } => {
                     (sets, of.keeps) = (holders, keeps);
                     of.fewest
                         .push((at, sets.iter().map(Vec::len).min().unwrap_or(0)));
                 }
-                What::Permitted { machine, .. } => {
+                EventKind::Permitted { machine, .. } => {
                     held.insert(machine, at);
                     of.fewest.push((at, fewest(&held)));
                 }
-                What::Returned { machine, .. } => {
+                EventKind::Returned { machine, .. } => {
                     let began = held.remove(&machine).unwrap_or(at);
                     of.fewest.push((at, fewest(&held)));
                     match of.machines.iter_mut().find(|(name, _)| *name == machine) {
@@ -58,13 +58,13 @@
                         None => of.machines.push((machine, vec![(began, at)])),
                     }
                 }
-                What::Answered { status, .. } if status != 200 => {
+                EventKind::Answered { status, .. } if status != 200 => {
                     *of.unserved.entry((at / BIN) as usize).or_default() += 1;
                 }
-                What::Unanswered { .. } => {
+                EventKind::Unanswered { .. } => {
                     *of.unserved.entry((at / BIN) as usize).or_default() += 1
                 }
-                What::Ended { .. } => of.ends.push(at),
+                EventKind::Ended { .. } => of.ends.push(at),
                 _ => {}
             }
         }
--- a/simulation/src/load/mod.rs
+++ b/simulation/src/load/mod.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 use strum::Display;
-use ternpick_settings::{Refused, Schema};
+use ternpick_settings::{ReadError, Schema};
 
 use crate::standins::{entry, Act, Discovery, Fault, Node};
 use clients::Seen;
@@ -67,7 +67,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Failed {
     #[error("{0}")]
-    Refused(#[from] Refused),
+    Refused(#[from] ReadError),
     #[error("{0}")]
     System(#[from] std::io::Error),
     #[error("an event names router {0}, there are {1}")]
--- a/simulation/src/plan.rs
+++ b/simulation/src/plan.rs
@@ -7,7 +7,7 @@
 use ternpick::types::{
     IndexConfig, LoadMetric, LoadReporting, Micros, PlatformConfig, RetrySemantics, ZoneNo,
 };
-use ternpick_settings::{Read, Refused, Schema};
+use ternpick_settings::{LoadedSettings, ReadError, Schema};
 
 const SCHEMA: Schema = Schema::new(&[("plan.cue", include_str!("plan.cue"))], "#Plan");
 
@@ -201,7 +201,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum BadPlan {
     #[error("{0}")]
-    Refused(#[from] Refused),
+    Refused(#[from] ReadError),
     #[error("world '{world}': {what}")]
     Senseless { world: String, what: &'static str },
 }
@@ -215,7 +215,7 @@
         Plan::whole(SCHEMA.read(name, text)?)
     }
 
-    fn whole(read: Read<Plan>) -> Result<Plan, BadPlan> {
+    fn whole(read: LoadedSettings<Plan>) -> Result<Plan, BadPlan> {
         for world in &read.value.worlds {
             world.check().map_err(|what| BadPlan::Senseless {
                 world: world.name.clone(),
