--- a/router/src/fleet/admission.rs
+++ b/router/src/fleet/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a query may be admitted now under the fleet's policy. The lease holder decides; admission of queries asks here.
+//! Admission of queries under the fleet's policy. The lease holder decides; the admission stage asks it through [`Fleet`].
 
 use futures_lite::future;
 use ternpick::types::Micros;
@@ -10,17 +10,17 @@
 use crate::stages::completion::retry_after;
 use crate::state::clients::Answer;
 
-/// The policy under which a query was admitted, as its answer tells it.
+/// The policy under which a query was admitted, as the answer's headers report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PolicyMark {
     /// The policy's version.
     pub(crate) version: Version,
-    /// Whether it was admitted without a lease.
+    /// Whether the query was admitted without a lease.
     pub(crate) unguarded: bool,
 }
 
 impl PolicyMark {
-    /// Header lines of the answer.
+    /// The header lines that report the policy in the answer.
     pub(crate) fn headers(self) -> String {
         let guard = if self.unguarded {
             "Policy-Guard: none\r\n"
@@ -32,13 +32,13 @@
 }
 
 impl Fleet {
-    /// Has queries that wait for admission ask again.
+    /// Wakes the queries that wait for admission, so that each of them evaluates it again.
     pub(crate) fn notify_admission_changed(&self) {
         self.admission_changed.notify(usize::MAX);
     }
 
-    /// Waits while a policy change takes effect, until `give_up_at` at most; what holds then is for [`Fleet::admit`], in the
-    /// same turn.
+    /// Waits while a policy change takes effect, until `give_up_at` at most. The caller then calls [`Fleet::admit`] in the
+    /// same turn to learn the decision.
     pub(crate) async fn wait_for_policy_change(&self, router: &Router, give_up_at: Micros) {
         loop {
             let changed = self.admission_changed.listen();
@@ -50,7 +50,7 @@
             else {
                 return;
             };
-            // In a shutdown the rejection that follows is owed in time too.
+            // During a shutdown the query's answer, including a rejection, is due by the shutdown's own deadline.
             let until = router
                 .before_shutdown(Some(until.min(give_up_at)), |schedule| schedule.answers_by)
                 .unwrap_or(until);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The policy under which a query is admitted now, or else its answer.
+    /// Returns the policy under which a query is admitted now, or the answer that rejects the query.
     pub(crate) fn admit(&self, now: Micros) -> Result<PolicyMark, Answer> {
         match self.node.borrow().lease_holder.admission(now) {
             Admission::Leased(version) => Ok(PolicyMark {
@@ -72,20 +72,20 @@
                 version,
                 unguarded: true,
             }),
-            // It has waited for as long as its deadline allowed; the next one may find the change over.
+            // The query has waited for as long as its deadline allowed. A retry may find the policy change finished.
             Admission::Wait(until) => {
-                let come_back = until.since(now).min(Micros(self.settings.renew));
-                Err(rejection("a change of policy takes hold", come_back))
+                let retry_delay = until.since(now).min(Micros(self.settings.renew));
+                Err(rejection("a change of policy takes hold", retry_delay))
             }
             Admission::Rejected {
-                reason: why,
-                retry_after: come_back,
-            } => Err(rejection(why.description(), come_back)),
+                reason,
+                retry_after: retry_delay,
+            } => Err(rejection(reason.description(), retry_delay)),
         }
     }
 }
 
-fn rejection(reason: &str, come_back: Micros) -> Answer {
+fn rejection(reason: &str, retry_delay: Micros) -> Answer {
     let (status, _, body) = admission::text_answer(503, &format!("refused: {reason}"));
-    (status, retry_after(come_back), body)
+    (status, retry_after(retry_delay), body)
 }
--- a/router/src/fleet/cli/arguments.rs
+++ b/router/src/fleet/cli/arguments.rs
@@ -7,13 +7,13 @@
 
 use crate::lifecycle::control::Socket;
 
-/// How long a command waits, and under which operation id it runs.
+/// The timeout of a command and its operation id.
 #[derive(Args)]
 pub(crate) struct Wait {
-    /// How long an outcome is waited for; past it the outcome is open (exit status 3), never "failed"
+    /// How long to wait for the outcome; after that it is unknown (exit status 3), not failed
     #[arg(long, default_value = "10s", value_parser = humantime::parse_duration)]
     pub(crate) timeout: Duration,
-    /// The number of this command; said again with the same one it is done once
+    /// The operation id; a command repeated with the same id takes effect once
     #[arg(long)]
     pub(crate) op: Option<u64>,
 }
@@ -28,7 +28,7 @@
 }
 
 impl OperationOptions {
-    /// The same options for another operation, which gets an id of its own.
+    /// Returns the same options for another operation, which gets an id of its own.
     pub(super) fn for_another_operation(&self) -> OperationOptions {
         OperationOptions {
             socket: self.socket.clone(),
@@ -43,18 +43,18 @@
 /// Commands `ternpick policy ...`.
 #[derive(Subcommand)]
 pub(crate) enum PolicyCommand {
-    /// Shows the policy that this router goes by
+    /// Shows the policy that is in force on this router
     Show {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Looks whether a policy can be read and stays within this router's own settings
+    /// Checks whether a policy is valid and stays within this router's own settings
     Check {
         #[command(flatten)]
         socket: Socket,
         file: PathBuf,
     },
-    /// Tells what would change against the policy in force
+    /// Shows the differences between a policy and the one in force
     Diff {
         #[command(flatten)]
         socket: Socket,
@@ -65,14 +65,14 @@
         #[command(flatten)]
         options: OperationOptions,
         file: PathBuf,
-        /// The version that it was made from; refused if another is in force by now
+        /// The version that the policy was made from; the proposal is refused if another version is in force
         #[arg(long)]
         base: Option<u64>,
-        /// Waits until it is in force or nowhere, and says for whom it waits
+        /// Waits until the proposal is in force, refused or withdrawn, and shows for which members it waits
         #[arg(long = "wait")]
         waits: bool,
     },
-    /// Confirms a proposal as a second person, where the fleet asks for one
+    /// Confirms a proposal as a second person, if the fleet requires it
     Confirm {
         #[command(flatten)]
         options: OperationOptions,
@@ -90,12 +90,12 @@
         #[arg(long)]
         reason: String,
     },
-    /// Lists the last proposals and what became of them
+    /// Lists the last proposals and their outcomes
     History {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Tells each change that this router sees, until it is interrupted
+    /// Prints each change that this router sees, until it is interrupted
     Watch {
         #[command(flatten)]
         socket: Socket,
@@ -105,51 +105,51 @@
 /// Commands `ternpick fleet ...`.
 #[derive(Subcommand)]
 pub(crate) enum FleetCommand {
-    /// Makes this router's state at the founding of a fleet; once, before its first start
+    /// Creates this router's replica state at the bootstrap of a fleet; once, before its first start
     Init {
-        /// The configuration file, for the router's name
+        /// The configuration file, which has the router's name
         #[arg(long, env = "ROUTER_CONFIG")]
         config: PathBuf,
         #[arg(long, env = "ROUTER_SETTINGS")]
         settings: PathBuf,
     },
-    /// Tells what this router holds, and what the one that leads sees of each member
+    /// Shows this router's own state, and each member as the leader sees it
     Status {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Lists the members with their seats
+    /// Lists the members with their replicas
     Members {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Takes a router into the fleet
+    /// Adds a router to the fleet
     Add {
         #[command(flatten)]
         options: OperationOptions,
         name: String,
-        /// Where the others reach it
+        /// The address at which the other members reach the router
         #[arg(long)]
         address: String,
         #[arg(long, default_value = "")]
         zone: String,
-        /// Gives it a vote, once it has learnt what was agreed
+        /// Makes the router a voter, once it has caught up
         #[arg(long)]
         vote: bool,
     },
-    /// Takes a router out of the fleet; its vote first, if it has one
+    /// Removes a router from the fleet; a voter gives up its vote first
     Remove {
         #[command(flatten)]
         options: OperationOptions,
         name: String,
     },
-    /// Gives a router a new seat in place of one whose state is lost or spoilt
+    /// Gives a router a new replica in place of one whose state is lost or corrupt
     Replace {
         #[command(flatten)]
         options: OperationOptions,
         name: String,
     },
-    /// Passes the lead to another router that votes
+    /// Transfers leadership to another voter
     Transfer {
         #[command(flatten)]
         options: OperationOptions,
--- a/router/src/fleet/cli/error.rs
+++ b/router/src/fleet/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command has failed on the operator's side. What a router refuses is an answer, and no error.
+//! Errors of commands on the operator's side. A refusal by a router is an answer and not an error.
 
 use std::path::PathBuf;
 
@@ -7,26 +7,28 @@
 use super::ExitStatus;
 use crate::lifecycle::control::ControlError;
 
-/// How a command ends: with an exit status, or with a line on the standard error and status 1.
+/// The result of a command: an exit status, or an error that is printed as one line on standard error with exit status 1.
 pub(crate) type CommandResult = Result<ExitStatus, CommandError>;
 
-/// Why a command has failed on the operator's side.
+/// The reason why a command failed on the operator's side.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// The router could not be asked.
+    /// The request to the router failed.
     #[error(transparent)]
     Control(#[from] ControlError),
     /// A policy file could not be read.
-    #[error("cannot read {path}: {source}")]
+    #[error("policy file {path} cannot be read: {source}")]
     ReadFile {
         path: PathBuf,
         source: std::io::Error,
     },
-    /// A policy is no valid policy.
+    /// A policy is not valid.
     #[error("{0}")]
     Policy(String),
     /// An address has the wrong form.
-    #[error("{address} is no address and port")]
+    #[error(
+        "member address '{address}' cannot be parsed, expected an IP address and port: {source}"
+    )]
     Address {
         address: String,
         source: std::net::AddrParseError,
@@ -35,17 +37,17 @@
     #[error("{0}")]
     Settings(String),
     /// The settings have no fleet.
-    #[error("{settings}: no fleet in it")]
+    #[error("settings file {settings} has no 'fleet'")]
     NoFleet { settings: PathBuf },
-    /// The settings' fleet does not have this router.
-    #[error("{settings}: {member} is no member of fleet {fleet}")]
+    /// This router is not a member of the fleet in the settings.
+    #[error("settings file {settings}: router {member} is not a member of fleet {fleet}")]
     NotAMember {
         settings: PathBuf,
         member: Member,
         fleet: String,
     },
-    /// The fleet's folder could not be made.
-    #[error("{folder}: {source}")]
+    /// The fleet's folder could not be created.
+    #[error("fleet folder {folder} cannot be created: {source}")]
     CreateFolder {
         folder: PathBuf,
         source: std::io::Error,
@@ -53,19 +55,19 @@
     /// The fleet's folder could not be locked.
     #[error("{0}")]
     LockFolder(String),
-    /// A process holds the lock of the fleet's folder.
-    #[error("a router uses {folder} just now")]
+    /// Another process holds the lock of the fleet's folder.
+    #[error("fleet folder {folder} is in use by another process")]
     FolderInUse { folder: PathBuf },
-    /// The replica's file is there already.
+    /// The replica's file exists already.
     #[error(
-        "{file} is there already: a fleet is founded once. A router that has lost its state gets a new seat by \
-         'ternpick fleet replace {member}'"
+        "replica file {file} exists already: a fleet is initialized once. A router that has lost its state gets a new \
+         replica by 'ternpick fleet replace {member}'"
     )]
     AlreadyBootstrapped { file: PathBuf, member: Member },
-    /// The first state could not be encoded.
-    #[error("{0}")]
+    /// The initial state could not be encoded.
+    #[error("initial replica state cannot be encoded: {0}")]
     Encode(#[from] postcard::Error),
-    /// The first state could not be written.
+    /// The initial state could not be written.
     #[error(transparent)]
     Persist(#[from] crate::fleet::replica_file::PersistError),
 }
--- a/router/src/fleet/cli/exit_status.rs
+++ b/router/src/fleet/cli/exit_status.rs
@@ -4,21 +4,21 @@
 
 use serde_json::Value;
 
-/// How a command has ended. Scripts rely on the numbers. 2 is clap's, for wrong arguments.
+/// The exit status of a command. Scripts rely on the numbers. clap uses 2 for wrong arguments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExitStatus {
     /// 0: done.
     Done,
-    /// 1: refused, or not so.
+    /// 1: refused, or the queried condition does not hold.
     Refused,
-    /// 3: the outcome is unknown: it may be done, may have been done, or may never be.
+    /// 3: the outcome is unknown; the command may have taken effect already, may still do so, or may never do so.
     Unknown,
-    /// 4: nothing was run, because the turn of the request has not come.
+    /// 4: nothing was run, because it was not the request's turn before the timeout.
     NotYet,
 }
 
 impl ExitStatus {
-    /// The exit status that a router's answer calls for.
+    /// Returns the exit status for a router's answer.
     pub(crate) fn of_answer(answer: &Value) -> ExitStatus {
         if answer["ok"] == true {
             ExitStatus::Done
--- a/router/src/fleet/cli/fleet_init.rs
+++ b/router/src/fleet/cli/fleet_init.rs
@@ -1,4 +1,5 @@
-//! `ternpick fleet init`: writes a router's first replica state, once, before its first start. It speaks to no router.
+//! `ternpick fleet init`: writes a router's initial replica state, once, before its first start. It does not contact any
+//! router.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -32,7 +33,7 @@
         });
     };
     match own.replica {
-        Some(replica) => write_first_state(&fleet, &me, replica, members),
+        Some(replica) => write_initial_state(&fleet, &me, replica, members),
         None => create_folder(&fleet, &me),
     }
 }
@@ -46,11 +47,11 @@
     if let Err(source) = std::fs::create_dir_all(&folder) {
         return Err(CommandError::CreateFolder { folder, source });
     }
-    println!("{me} has no vote and needs no state");
+    println!("router {me} is not a voter and needs no replica state");
     Ok(ExitStatus::Done)
 }
 
-fn write_first_state(
+fn write_initial_state(
     fleet: &FleetTerms,
     me: &Member,
     replica: ReplicaId,
@@ -77,7 +78,7 @@
     let image = Replica::bootstrap(fleet_id(&fleet.name), replica, &voters, state);
     replica_file::persist(&folder, &mut None, 0, &image)?;
     println!(
-        "{me} has seat {replica} of {} in fleet {}, kept in {}",
+        "router {me} has replica {replica} of {} in fleet {}, stored in {}",
         voters.len(),
         fleet.name,
         folder.display()
--- a/router/src/fleet/cli/fleet_members.rs
+++ b/router/src/fleet/cli/fleet_members.rs
@@ -1,4 +1,4 @@
-//! `ternpick fleet members`: the members as the leader sees them.
+//! `ternpick fleet members`: lists the members as the leader sees them.
 
 use serde_json::Value;
 
@@ -18,17 +18,17 @@
     Ok(ExitStatus::Done)
 }
 
-/// The table of members; a replica that only learns has a star.
+/// Prints the table of members. A star marks the replica of a learner.
 pub(super) fn print_members(view: &Value) {
     println!(
-        "{:<12} {:<22} {:<10} {:>5} {:>12} {:>9} {:>8} {:>8}",
-        "member", "address", "zone", "seat", "heard ms ago", "knows to", "fits", "stopped"
+        "{:<12} {:<22} {:<10} {:>7} {:>12} {:>9} {:>8} {:>8}",
+        "member", "address", "zone", "replica", "heard ms ago", "index", "fits", "stopped"
     );
     for row in rows(&view["rows"]) {
         let learner_mark = if row["learns"] == true { "*" } else { "" };
         let replica = field(&row["seat"]) + learner_mark;
         println!(
-            "{:<12} {:<22} {:<10} {replica:>5} {:>12} {:>9} {:>8} {:>8}",
+            "{:<12} {:<22} {:<10} {replica:>7} {:>12} {:>9} {:>8} {:>8}",
             field(&row["member"]),
             field(&row["address"]),
             field(&row["zone"]),
--- a/router/src/fleet/cli/fleet_membership.rs
+++ b/router/src/fleet/cli/fleet_membership.rs
@@ -1,4 +1,4 @@
-//! `ternpick fleet add`, `remove`, `replace` and `transfer`: changes of membership and leadership.
+//! `ternpick fleet add`, `remove`, `replace` and `transfer`: change membership and leadership.
 
 use std::net::SocketAddr;
 
@@ -10,12 +10,12 @@
     OperationOptions,
 };
 
-/// A router that is taken into the fleet.
+/// A router to be added to the fleet.
 pub(super) struct NewMember {
     pub(super) name: String,
     pub(super) address: String,
     pub(super) zone: String,
-    /// Whether it becomes a voter, once it has caught up.
+    /// Whether the router becomes a voter, once it has caught up.
     pub(super) vote: bool,
 }
 
@@ -40,13 +40,13 @@
     }
     finish(&options.socket, &answer, || match answer["seat"].as_u64() {
         Some(replica) => {
-            format!("{name} belongs to the fleet, and has seat {replica} once it has learnt")
+            format!("router {name} is a member of the fleet; its replica {replica} votes once it has caught up")
         }
-        None => format!("{name} belongs to the fleet"),
+        None => format!("router {name} is a member of the fleet"),
     })
 }
 
-/// Removes a router; a voter gives up its vote first, in an operation of its own.
+/// Removes a router. A voter first gives up its vote, in an operation of its own.
 pub(super) fn remove(options: &OperationOptions, name: &str) -> CommandResult {
     let Some(view) = inspect_leader(&options.socket, "members")? else {
         return finish_without_leader(&options.socket);
@@ -62,7 +62,7 @@
     }
     let answer = submit_command(options, json!({"remove": {"member": name}}))?;
     finish(&options.socket, &answer, || {
-        format!("{name} belongs to the fleet no longer")
+        format!("router {name} is no longer a member of the fleet")
     })
 }
 
@@ -70,7 +70,7 @@
     let answer = submit_command(options, json!({"seat": {"member": name}}))?;
     finish(&options.socket, &answer, || {
         format!(
-            "{name} has seat {} in place of any earlier one, and votes once it has learnt",
+            "router {name} has replica {} in place of any earlier one; it votes once it has caught up",
             answer["seat"]
         )
     })
@@ -79,6 +79,6 @@
 pub(super) fn transfer(options: &OperationOptions, name: &str) -> CommandResult {
     let answer = submit_command(options, json!({"transfer": {"to": name}}))?;
     finish(&options.socket, &answer, || {
-        format!("the lead is offered to {name}")
+        format!("leadership transfer to {name} started")
     })
 }
--- a/router/src/fleet/cli/fleet_status.rs
+++ b/router/src/fleet/cli/fleet_status.rs
@@ -1,4 +1,4 @@
-//! `ternpick fleet status`: what one router holds, and what the leader sees of each member.
+//! `ternpick fleet status`: shows one router's own state, and each member as the leader sees it.
 
 use serde_json::{json, Value};
 
@@ -20,7 +20,7 @@
     }
     print_own_state(&answer["fleet"]);
     let Some(view) = view else {
-        println!("nobody that leads is reached");
+        println!("no fleet leader could be reached");
         return Ok(ExitStatus::Unknown);
     };
     print_leader_view(&view);
@@ -29,12 +29,12 @@
 
 fn print_own_state(fleet: &Value) {
     println!(
-        "fleet {}, this is {}",
+        "fleet {}, router {}",
         field(&fleet["fleet"]),
         field(&fleet["member"])
     );
     println!(
-        "version {} (epoch {}, up to entry {}); {}; lease left {} ms",
+        "policy version {} (epoch {}, log index {}); {}; lease left {} ms",
         field(&fleet["version"]),
         field(&fleet["epoch"]),
         field(&fleet["knows_up_to"]),
@@ -43,7 +43,7 @@
     );
     match fleet["seat"].as_object() {
         Some(replica) => println!(
-            "seat {}: {}, term {}, entries to {}, agreed to {}, played to {}",
+            "replica {}: {}, term {}, last index {}, committed {}, applied {}",
             replica["seat"],
             field(&replica["standing"]),
             replica["term"],
@@ -55,14 +55,14 @@
             let reason = fleet["seat_words"]
                 .as_str()
                 .map_or_else(String::new, |reason| format!(": {reason}"));
-            println!("no vote{reason}");
+            println!("no replica{reason}");
         }
     }
 }
 
 fn print_leader_view(view: &Value) {
     println!(
-        "{} leads, entry {}, version {} in force",
+        "leader {}, log index {}, policy version {} in force",
         field(&view["leader"]),
         view["index"],
         view["in_force"]["number"]
--- a/router/src/fleet/cli/mod.rs
+++ b/router/src/fleet/cli/mod.rs
@@ -1,7 +1,7 @@
-//! The commands `ternpick policy` and `ternpick fleet`, over a router's control socket. One file for each command; the
-//! commands `ternpick maintenance` share the options, the client and the output.
+//! The commands `ternpick policy` and `ternpick fleet`, which use a router's control socket. Each command has a file of its
+//! own. The commands `ternpick maintenance` share the options, the client and the output.
 //!
-//! Exit statuses are [`ExitStatus`].
+//! [`ExitStatus`] lists the exit statuses.
 
 mod arguments;
 mod client;
@@ -28,7 +28,7 @@
 pub(crate) use exit_status::ExitStatus;
 pub(crate) use output::{field, finish, finish_without_leader, finish_without_line, rows};
 
-/// Runs a command `ternpick policy ...`; the error is one line for the operator.
+/// Runs a command `ternpick policy ...`. The error is one line for the operator.
 pub(crate) fn policy(command: PolicyCommand) -> Result<ExitCode, String> {
     let result = match command {
         PolicyCommand::Show { socket } => policy_show::run(&socket),
@@ -57,7 +57,7 @@
     exit_code(result)
 }
 
-/// Runs a command `ternpick fleet ...`; the error is one line for the operator.
+/// Runs a command `ternpick fleet ...`. The error is one line for the operator.
 pub(crate) fn fleet(command: FleetCommand) -> Result<ExitCode, String> {
     let result = match command {
         FleetCommand::Init { config, settings } => fleet_init::run(&config, &settings),
@@ -85,7 +85,7 @@
     exit_code(result)
 }
 
-/// What the program's command line takes: an exit code, or one line that says what failed.
+/// Converts the result of a command into an exit code, or the one-line text of its error.
 pub(crate) fn exit_code(result: CommandResult) -> Result<ExitCode, String> {
     result
         .map(ExitCode::from)
--- a/router/src/fleet/cli/output.rs
+++ b/router/src/fleet/cli/output.rs
@@ -1,11 +1,11 @@
-//! What commands print, for people and (`--json`) for scripts.
+//! The output of commands, as text for people and as JSON (`--json`) for scripts.
 
 use serde_json::{json, Value};
 
 use super::{CommandResult, ExitStatus};
 use crate::lifecycle::control::Socket;
 
-/// Prints how a command has ended, and returns its exit status. `line` is what people read if it is done.
+/// Prints the outcome of a command and returns its exit status. `line` is the text for people if the command was done.
 pub(crate) fn finish(
     socket: &Socket,
     answer: &Value,
@@ -23,18 +23,18 @@
     Ok(status)
 }
 
-/// [`finish`] for an answer that is not done: its own line says why.
+/// Calls [`finish`] for an answer that is not done, whose own line gives the reason.
 pub(crate) fn finish_without_line(socket: &Socket, answer: &Value) -> CommandResult {
     finish(socket, answer, String::new)
 }
 
-/// Ends a command that needs the leader, where none is reached: the outcome is unknown.
+/// Finishes a command that needs the leader if none could be reached: the outcome is unknown.
 pub(crate) fn finish_without_leader(socket: &Socket) -> CommandResult {
-    let answer = json!({"ok": false, "unknown": true, "line": "nobody that leads is reached"});
+    let answer = json!({"ok": false, "unknown": true, "line": "no fleet leader could be reached"});
     finish_without_line(socket, &answer)
 }
 
-/// A value as people read it: a string without quotes, yes and no, and `-` where there is none.
+/// Formats a value for people: strings without quotes, booleans as yes and no, null as `-`.
 pub(crate) fn field(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// The rows of a table in an answer; none where there is no such table.
+/// Returns the rows of a table in an answer; there are none if `table` is not an array.
 pub(crate) fn rows(table: &Value) -> impl Iterator<Item = &Value> {
     table.as_array().into_iter().flatten()
 }
--- a/router/src/fleet/cli/policy_check.rs
+++ b/router/src/fleet/cli/policy_check.rs
@@ -1,4 +1,4 @@
-//! `ternpick policy check`: whether a policy file fits one router's own settings.
+//! `ternpick policy check`: checks whether a policy file fits one router's own settings.
 
 use std::path::Path;
 
@@ -16,11 +16,14 @@
         let lines: Vec<String> = figures
             .map(|(path, value)| format!("{path} = {}", field(value)))
             .collect();
-        format!("it fits this router\n{}", lines.join("\n"))
+        format!(
+            "the policy fits this router's settings\n{}",
+            lines.join("\n")
+        )
     })
 }
 
-/// The text of a policy file.
+/// Reads the text of a policy file.
 pub(super) fn read_policy_file(file: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(file).map_err(|source| CommandError::ReadFile {
         path: file.to_owned(),
--- a/router/src/fleet/cli/policy_confirm.rs
+++ b/router/src/fleet/cli/policy_confirm.rs
@@ -9,7 +9,7 @@
     let command = json!({"confirm": {"number": number, "by": by}});
     let answer = submit_command(options, command)?;
     finish(&options.socket, &answer, || {
-        format!("proposal {number} is confirmed by {by}")
+        format!("proposal {number} confirmed by {by}")
     })
 }
 
@@ -22,6 +22,6 @@
     let command = json!({"withdraw": {"number": number, "by": by, "reason": reason}});
     let answer = submit_command(options, command)?;
     finish(&options.socket, &answer, || {
-        format!("proposal {number} is withdrawn")
+        format!("proposal {number} withdrawn")
     })
 }
--- a/router/src/fleet/cli/policy_diff.rs
+++ b/router/src/fleet/cli/policy_diff.rs
@@ -1,4 +1,4 @@
-//! `ternpick policy diff`: what a policy file would change against the policy in force.
+//! `ternpick policy diff`: shows the differences between a policy file and the policy in force.
 
 use std::path::Path;
 
@@ -27,14 +27,14 @@
     Ok(ExitStatus::Done)
 }
 
-/// Reads a policy; `name` is what an error calls it.
+/// Reads a policy. Errors refer to it by `name`.
 pub(super) fn read_record(name: &str, text: &str) -> Result<Record, CommandError> {
     Record::read(name, text).map_err(|error| CommandError::Policy(error.to_string()))
 }
 
 fn print_table(version: &Value, differences: &[(String, String, String)]) {
     if differences.is_empty() {
-        println!("nothing differs from version {version}");
+        println!("the policy file does not differ from version {version}");
         return;
     }
     let version = format!("version {version}");
--- a/router/src/fleet/cli/policy_history.rs
+++ b/router/src/fleet/cli/policy_history.rs
@@ -1,4 +1,4 @@
-//! `ternpick policy history`: the last proposals and what became of them.
+//! `ternpick policy history`: lists the last proposals and their outcomes.
 
 use serde_json::Value;
 
--- a/router/src/fleet/cli/policy_propose.rs
+++ b/router/src/fleet/cli/policy_propose.rs
@@ -1,4 +1,4 @@
-//! `ternpick policy propose`: proposes a policy, and with `--wait` follows it until it is in force or nowhere.
+//! `ternpick policy propose`: proposes a policy, and with `--wait` follows it until it is in force, refused or withdrawn.
 
 use std::io::IsTerminal;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use super::{field, finish, finish_without_line, rows, CommandResult, OperationOptions};
 use crate::lifecycle::control::Socket;
 
-/// How often a command that waits asks again.
+/// The interval between requests of a command that waits.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A member that the leader has not heard from for longer is shown as silent.
 const SILENT_AFTER_MS: u64 = 1000;
@@ -31,7 +31,7 @@
     let number = answer["number"].clone();
     if answer["ok"] != true || !waits {
         return finish(&options.socket, &answer, || {
-            format!("proposal {number} is on its way")
+            format!("proposal {number} submitted")
         });
     }
     let proposal = Proposal {
@@ -43,7 +43,7 @@
     proposal.wait_until_decided(options.wait.timeout)
 }
 
-/// A proposal that is followed.
+/// A proposal whose outcome a command waits for.
 struct Proposal<'a> {
     socket: &'a Socket,
     number: Value,
@@ -70,14 +70,14 @@
         }
         let number = &self.number;
         let line = format!(
-            "proposal {number} is open: neither in force nor withdrawn after {timeout:?}; {shown}"
+            "proposal {number} is still open: not in force, refused or withdrawn after {timeout:?}; {shown}"
         );
         let answer =
             json!({"ok": false, "unknown": true, "number": number, "line": line, "op": self.op});
         finish_without_line(self.socket, &answer)
     }
 
-    /// Ends the command if the history has the proposal as in force, refused or withdrawn.
+    /// Finishes the command if the history lists the proposal as in force, refused or withdrawn.
     fn finish_if_decided(&self, view: &Value) -> Option<CommandResult> {
         let took_ms = self.began.elapsed().as_millis();
         let entry = rows(&view["history"]).find(|entry| entry["number"] == self.number)?;
@@ -93,14 +93,14 @@
         let number = &self.number;
         let answer = json!({"ok": true, "number": number, "fate": "in_force", "took_ms": took_ms, "op": self.op});
         finish(self.socket, &answer, || {
-            format!("version {number} is in force, after {took_ms} ms")
+            format!("policy version {number} is in force after {took_ms} ms")
         })
     }
 
     fn finish_rejected(&self, fate: &str, entry: &Value) -> CommandResult {
         let number = &self.number;
         let line = format!(
-            "{number} is nowhere: {fate} by {}, {}",
+            "proposal {number} was {fate} by {}: {}",
             field(&entry["by"]),
             field(&entry["why"])
         );
@@ -110,20 +110,21 @@
     }
 }
 
-/// Who has yet to confirm, who is silent, and by when it is in force without them.
+/// Describes which members have not confirmed yet, which are silent, and when the proposal is in force without them.
 pub(super) fn describe_progress(view: &Value) -> String {
     if view["next"]["unconfirmed"] == true {
-        return "it waits for a second person: ternpick policy confirm".into();
+        return "the proposal needs confirmation by a second person: ternpick policy confirm"
+            .into();
     }
     let silent = names(rows(&view["rows"]).filter(|row| is_silent(row)));
     let missing = names(rows(&view["rows"]).filter(|row| row["fits"] == false && !is_silent(row)));
     let mut text = format!(
-        "{} of {} have confirmed",
+        "{} of {} members have confirmed",
         field(&view["next"]["fit"]),
         field(&view["members"])
     );
     if !missing.is_empty() {
-        text += &format!("; not yet: {missing}");
+        text += &format!("; not confirmed: {missing}");
     }
     if !silent.is_empty() {
         let latest_ms = field(&view["latest_ms"]);
--- a/router/src/fleet/cli/policy_show.rs
+++ b/router/src/fleet/cli/policy_show.rs
@@ -1,4 +1,4 @@
-//! `ternpick policy show`: the policy that one router goes by.
+//! `ternpick policy show`: shows the policy in force on one router.
 
 use serde_json::json;
 
@@ -9,10 +9,13 @@
     let answer = ask_fleet(socket, json!({"ask": "show"}))?;
     finish(socket, &answer, || {
         let in_force = &answer["in_force"];
-        let title = format!("version {}, epoch {}", in_force["number"], answer["epoch"]);
+        let title = format!(
+            "policy version {}, epoch {}",
+            in_force["number"], answer["epoch"]
+        );
         match in_force["text"].as_str().filter(|text| !text.is_empty()) {
             Some(text) => format!("// {title}\n{}", text.trim_end()),
-            None => format!("{title}: the platform's own settings"),
+            None => format!("{title}: the platform's default settings"),
         }
     })
 }
--- a/router/src/fleet/cli/policy_watch.rs
+++ b/router/src/fleet/cli/policy_watch.rs
@@ -1,4 +1,4 @@
-//! `ternpick policy watch`: a line for each change that one router sees, until it is interrupted.
+//! `ternpick policy watch`: prints a line for each change that one router sees, until it is interrupted.
 
 use serde_json::{json, Value};
 
@@ -36,14 +36,19 @@
     }
     let next = match fleet["next"].as_object() {
         None => String::new(),
-        Some(next) if next["takes_hold"] == true => format!(", {} takes hold", next["number"]),
+        Some(next) if next["takes_hold"] == true => {
+            format!(", proposal {} is taking effect", next["number"])
+        }
         Some(next) if next["unconfirmed"] == true => {
-            format!(", {} waits for a second person", next["number"])
+            format!(
+                ", proposal {} needs confirmation by a second person",
+                next["number"]
+            )
         }
-        Some(next) => format!(", {} is looked at", next["number"]),
+        Some(next) => format!(", proposal {} is being checked", next["number"]),
     };
     println!(
-        "{}: version {}{next}; {}; {} leads",
+        "{}: policy version {}{next}; {}; leader {}",
         field(&fleet["member"]),
         field(&fleet["version"]),
         field(&fleet["admission"]),
--- a/router/src/fleet/commands.rs
+++ b/router/src/fleet/commands.rs
@@ -1,7 +1,7 @@
-//! Answers the control socket's requests about the fleet. Keys and lines of the answers are read by operators' scripts and
-//! stay.
+//! Answers the control socket's requests about the fleet. Operators' scripts read the keys and lines of the answers, so
+//! these must not change.
 //!
-//! A request is either answered by this router itself, or handed to the [`FleetNode`], which asks the leader.
+//! This router either answers a request itself, or submits it to the [`FleetNode`], which forwards it to the leader.
 
 use serde_json::{json, Value};
 use ternpick::types::Micros;
@@ -14,21 +14,21 @@
 use super::{maintenance, random_u64, Fleet};
 use crate::router::Router;
 
-/// Rows of members in an answer; of more, those that matter most come first.
-const MAX_ROWS: usize = 200;
-/// How long a command waits for its outcome if it does not say, in milliseconds.
+/// The maximum number of member rows in an answer. If there are more members, awaited and silent ones come first.
+const MAX_MEMBER_ROWS: usize = 200;
+/// How long a command waits for its outcome if the request has no `wait_ms`, in milliseconds.
 const DEFAULT_WAIT_MS: u64 = 5000;
-/// The longest that a command waits here for its outcome.
+/// The upper limit of a request's `wait_ms`.
 const MAX_WAIT: Micros = Micros(60_000_000);
-/// A member that the leader has not heard from for longer counts as silent.
+/// A member is silent once the leader has received nothing from it for longer than this.
 const SILENT_AFTER: Micros = Micros(1_000_000);
 
-/// What all requests have that go to the leader.
+/// The options that all requests to the leader have in common.
 #[derive(Clone, Copy)]
 pub(super) struct RequestOptions {
-    /// The operation's id; a command with the same one takes effect once.
+    /// The operation's id. Commands with the same id take effect once.
     pub(super) op: OperationId,
-    /// How long an answer is waited for.
+    /// How long the router waits for an answer.
     pub(super) wait: Micros,
 }
 
@@ -55,20 +55,23 @@
         }
         Some("do") => match serde_json::from_value::<Command>(request["command"].clone()) {
             Ok(command) => submit_command(router, fleet, options, command).await,
-            Err(_) => refused("this is no command of a fleet"),
+            Err(error) => refused(format!("fleet command cannot be decoded: {error}")),
         },
         Some("works") => maintenance::answer(router, fleet, request, options).await,
-        _ => refused("ask for status, show, check, look, do or works"),
+        _ => refused(format!(
+            "unknown fleet request: expected 'ask' to be status, show, check, look, do or works, found {}",
+            request["ask"]
+        )),
     }
 }
 
-/// An answer: refused, and why.
+/// Makes the answer for a refused request.
 pub(super) fn refused(reason: impl Into<String>) -> Value {
     json!({"done": true, "ok": false, "line": reason.into()})
 }
 
-/// An answer: nobody can tell whether it is done, or refused.
-fn unknown(reason: &str) -> Value {
+/// Makes the answer for a request of which it is unknown whether it was done or refused.
+fn unknown(reason: String) -> Value {
     json!({"done": true, "ok": false, "unknown": true, "line": reason})
 }
 
@@ -96,11 +99,11 @@
             "in_force": document(&view.in_force),
             "epoch": view.epoch,
         }),
-        None => refused("this router has yet to learn the policy in force"),
+        None => refused("this router has not learned the policy in force yet"),
     }
 }
 
-/// Has the leader answer a question.
+/// Sends a question to the leader and returns its answer.
 pub(super) async fn ask_leader(
     router: &Router,
     fleet: &Fleet,
@@ -115,11 +118,14 @@
         Some(OperatorResponse::Inspection(answer)) => {
             json!({"done": true, "ok": true, "look": serde_json::from_str::<Value>(&answer).ok()})
         }
-        _ => unknown("nobody that leads is reached"),
+        _ => unknown(format!(
+            "no fleet leader could be reached within {} ms",
+            options.wait.0 / 1000
+        )),
     }
 }
 
-/// Has the leader carry out a command.
+/// Sends a command to the leader and returns its outcome.
 pub(super) async fn submit_command(
     router: &Router,
     fleet: &Fleet,
@@ -129,9 +135,11 @@
     let request = OperatorRequest::Command(command);
     match fleet.submit(router, options.op, request, options.wait).await {
         Some(OperatorResponse::Outcome(outcome)) => outcome_answer(outcome),
-        _ => unknown(
-            "no outcome was heard: it may be done yet, or have been done. Said again with the same --op it is done once",
-        ),
+        _ => unknown(format!(
+            "no outcome received within {} ms: the command may have taken effect or may still do so; repeated with the same \
+             --op it takes effect once",
+            options.wait.0 / 1000
+        )),
     }
 }
 
@@ -145,7 +153,7 @@
     }
 }
 
-/// The leader's answer to a question, as JSON; none: this router does not lead.
+/// Returns the leader's answer to a question as JSON, or `None` if this router is not the leader.
 pub(super) fn inspect(node: &FleetNode, question: &str, now: Micros) -> Option<String> {
     let (leader, state) = node.leader_state()?;
     if let Some(answer) = node.extension.inspect(now, question) {
@@ -162,14 +170,14 @@
     answer["leader"] = json!(node.leader());
     if question == "members" {
         members.sort_by_key(|member| (!is_awaited(member), !is_silent(member)));
-        let rows = members.iter().take(MAX_ROWS);
+        let rows = members.iter().take(MAX_MEMBER_ROWS);
         answer["rows"] = rows.map(|member| member_row(member, state)).collect();
         answer["in_force"]["text"] = Value::Null;
     }
     Some(answer.to_string())
 }
 
-/// The milliseconds until a change is in force at the latest, without silent members.
+/// The upper bound of the milliseconds until a policy change is in force without the silent members.
 fn latest_ms(leader: &Leader, state: &PolicyState, now: Micros) -> Value {
     (leader.remaining_lease_bound(now, state).0 / 1000).into()
 }
@@ -180,7 +188,7 @@
         .is_none_or(|since| since > SILENT_AFTER)
 }
 
-/// Whether a change waits for the member.
+/// Whether a policy change waits for the member.
 fn is_awaited(member: &MemberStatus) -> bool {
     member.fits == Some(false) || member.stopped == Some(false)
 }
--- a/router/src/fleet/effects.rs
+++ b/router/src/fleet/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the [`FleetNode`](ternpick_fleet_policy::FleetNode) asks for, in its order.
+//! Carries out the effects that the [`FleetNode`](ternpick_fleet_policy::FleetNode) returns, in their order.
 
 use std::rc::Rc;
 
@@ -11,8 +11,8 @@
 use super::{commands, replica_file, Fleet};
 use crate::router::Router;
 
-/// A write of the replica's state that takes longer is logged: all changes wait for it.
-const SLOW_WRITE: Micros = Micros(50_000);
+/// Writes of the replica's state that take longer are logged, because all changes wait for them.
+const SLOW_WRITE_THRESHOLD: Micros = Micros(50_000);
 
 impl Fleet {
     /// Carries out one effect.
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Writes the replica's state in another thread: the router does not wait for the disk.
+    /// Writes the replica's state on another thread, so that the event loop does not wait for the disk.
     fn persist(self: &Rc<Self>, router: &Router, image: Vec<u8>) {
         let version = self.persisted_version.get() + 1;
         self.persisted_version.set(version);
@@ -96,19 +96,19 @@
         let folder = self.folder.clone();
         let clock = router.clock;
         let mut journal = self.journal.borrow_mut().take();
-        let ordered_at = clock.now();
+        let requested_at = clock.now();
         let task = async move {
             let write = move || {
                 let began_at = clock.now();
                 let result = replica_file::persist(&folder, &mut journal, version, &image);
                 let times = WriteTimes {
-                    waited: began_at.since(ordered_at),
+                    waited: began_at.since(requested_at),
                     wrote: clock.now().since(began_at),
                 };
                 (result, journal, times)
             };
             let (result, journal, times) = blocking::unblock(write).await;
-            fleet.log_slow_write(clock.now(), ordered_at, times);
+            fleet.log_slow_write(clock.now(), requested_at, times);
             *fleet.journal.borrow_mut() = journal;
             let result = result.map_err(|error| error.to_string());
             fleet.node.borrow_mut().persisted(clock.now(), result);
@@ -118,20 +118,21 @@
     }
 }
 
-/// How long one write of the replica's state took, in the thread that did it.
+/// The durations of one write of the replica's state, measured on the thread that wrote it.
 #[derive(Clone, Copy)]
 struct WriteTimes {
-    /// From the order until a thread began with it.
+    /// From the request of the write until a thread began it.
     waited: Micros,
-    /// The write itself, and the sync.
+    /// The write itself, including the sync.
     wrote: Micros,
 }
 
 impl Fleet {
-    /// Logs a write that took long, and for what: a thread, the disk, or this task's own turn. Bounded under repetition.
-    fn log_slow_write(&self, now: Micros, ordered_at: Micros, times: WriteTimes) {
-        let total = now.since(ordered_at);
-        if total < SLOW_WRITE {
+    /// Logs a slow write with the time spent waiting for a thread and the time spent on the disk; the rest of the total
+    /// passed before this task ran again. Repeated log lines are limited.
+    fn log_slow_write(&self, now: Micros, requested_at: Micros, times: WriteTimes) {
+        let total = now.since(requested_at);
+        if total < SLOW_WRITE_THRESHOLD {
             return;
         }
         if let Some(count) = self.slow_writes.count(now) {
@@ -140,13 +141,13 @@
                 thread_after_ms = times.waited.0 / 1000,
                 write_ms = times.wrote.0 / 1000,
                 count,
-                "fleet: a write of the replica's state was slow"
+                "fleet: slow write of the replica's state"
             );
         }
     }
 }
 
-/// The state machines have no logger: their lines come as effects.
+/// Writes a log line of the state machines, which have no logger and return their log lines as effects.
 fn log(level: LogLevel, line: &str) {
     match level {
         LogLevel::Error => tracing::error!("{line}"),
--- a/router/src/fleet/endpoints.rs
+++ b/router/src/fleet/endpoints.rs
@@ -1,4 +1,4 @@
-//! States of endpoints, where the fleet makes them stricter than discovery has them: a ready endpoint is draining while a
+//! Endpoint states that the fleet makes stricter than discovery lists them: a ready endpoint counts as draining while a
 //! policy drains it, or while it is out of service for maintenance.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,10 +9,10 @@
 use crate::router::Router;
 use crate::stages::completion::EffectQueue;
 
-/// What discovery and the policy say of endpoints, by name.
+/// The endpoint states from discovery and from the policy, by endpoint name.
 #[derive(Default)]
 pub(super) struct EndpointOverrides {
-    /// Each endpoint as discovery last listed it; one that discovery removes is removed.
+    /// Each endpoint as discovery last listed it. Endpoints that discovery removes are removed here too.
     listed: BTreeMap<String, Endpoint>,
     /// Endpoints that the policy in force drains.
     drained: BTreeSet<String>,
@@ -24,7 +24,7 @@
         &self.listed
     }
 
-    /// Replaces the drained endpoints; those that were added or removed are returned.
+    /// Replaces the set of drained endpoints. Returns the names that were added to the set or removed from it.
     pub(super) fn set_drained(&mut self, drained: BTreeSet<String>) -> Vec<String> {
         let before = std::mem::replace(&mut self.drained, drained);
         before
@@ -35,7 +35,7 @@
 }
 
 impl Fleet {
-    /// Takes an endpoint that discovery lists, and makes its state the stricter of discovery's and the fleet's.
+    /// Records an endpoint that discovery lists, and changes its state to the stricter of discovery's and the fleet's.
     pub(crate) fn endpoint_listed(&self, name: &str, endpoint: &mut Endpoint) {
         let mut endpoints = self.endpoints.borrow_mut();
         if endpoint.state == EndpointState::Gone {
@@ -46,7 +46,7 @@
         endpoint.state = self.stricter_state(&endpoints, name, endpoint.state);
     }
 
-    /// Discovery's whole list has these names: others are removed.
+    /// Removes all endpoints whose names are not in discovery's complete list.
     pub(crate) fn retain_listed_endpoints(&self, names: &BTreeSet<&str>) {
         self.endpoints
             .borrow_mut()
@@ -54,13 +54,14 @@
             .retain(|name, _| names.contains(name.as_str()));
     }
 
-    /// The state in which discovery itself last listed an endpoint.
+    /// The state in which discovery itself last listed an endpoint, before the fleet makes it stricter.
     pub(crate) fn discovery_state(&self, name: &str) -> Option<EndpointState> {
         let endpoints = self.endpoints.borrow();
         endpoints.listed.get(name).map(|endpoint| endpoint.state)
     }
 
-    /// Gives the decision module the states of endpoints that operators drain, or take out of service.
+    /// Passes the states of the named endpoints to the routing engine, after operators drained them or took them out of
+    /// service, or ended that.
     pub(super) fn update_endpoints(&self, router: &Router, names: &[String]) {
         router.apply(|engine, now, effects| {
             let endpoints: Vec<Endpoint> = names
--- a/router/src/fleet/event_loop.rs
+++ b/router/src/fleet/event_loop.rs
@@ -1,5 +1,5 @@
-//! Drives this router's [`FleetNode`](ternpick_fleet_policy::FleetNode) in turns, on one task: hands it what has been
-//! received and what time it is, and carries out its effects. Started once by `lifecycle::start`.
+//! Drives this router's [`FleetNode`](ternpick_fleet_policy::FleetNode) in turns, on one task. Each turn passes the received
+//! messages and the time to the node, and carries out its effects. `lifecycle::start` starts the task once.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,17 +11,17 @@
 use super::{peer_listener, random_u64, replica_file, settings, sleep_until, Fleet};
 use crate::router::Router;
 
-/// How often a router that waits for its folder, or for a write, looks again.
+/// How often a router polls while it waits for the folder's lock, or for a write to finish.
 const POLL_INTERVAL: Micros = Micros(20_000);
-/// A turn that begins so long after it was due is logged: leases and barriers wait for it.
-const LATE_TURN: Micros = Micros(50_000);
-/// Rounds of effects in one turn; the rest waits until other tasks have run.
-const MAX_ROUNDS: usize = 16;
-/// How long leadership may take to pass to another voter, before this process gives up its replica.
+/// Turns that begin at least this long after they were due are logged, because leases and barriers wait for them.
+const LATE_TURN_THRESHOLD: Micros = Micros(50_000);
+/// The maximum number of effect rounds in one turn. Further rounds wait until other tasks have run.
+const MAX_EFFECT_ROUNDS: usize = 16;
+/// How long this process waits for leadership to pass to another voter, before it gives up its replica.
 const LEADERSHIP_TRANSFER_TIMEOUT: Micros = Micros(150_000);
 
-/// Takes part in the fleet for as long as this process accepts clients. One that has handed over no longer acts for its
-/// member, and takes the folder, the replica and the listener again if it has to take over.
+/// Participates in the fleet while this process accepts clients. After a hot restart the old process no longer acts for its
+/// member; it takes the folder, the replica and the listener again if it has to resume.
 pub(crate) async fn run(router: Rc<Router>, fleet: Rc<Fleet>) {
     loop {
         wait_until_accepting(&router).await;
@@ -29,7 +29,7 @@
             continue;
         };
         let Some(address) = fleet.address() else {
-            tracing::error!(member = %fleet.me, "fleet: no address, the router is no member in its settings");
+            tracing::error!(member = %fleet.me, "fleet: participation not started, neither the settings nor the fleet have a peer address for this router");
             return;
         };
         participate(&router, &fleet, address).await;
@@ -41,14 +41,14 @@
 async fn wait_until_accepting(router: &Router) {
     while !router.listener.is_accepting() {
         let changed = router.listener.accepting_changed();
-        // Accepting may have begun just before the listener was made.
+        // Accepting may have begun just before `changed` started to listen.
         if !router.listener.is_accepting() {
             changed.await;
         }
     }
 }
 
-/// Waits for the folder's lock; none: this process no longer accepts clients.
+/// Waits for the folder's lock. Returns `None` if this process no longer accepts clients.
 async fn lock_folder(router: &Router, fleet: &Fleet) -> Option<DirectoryLock> {
     let mut is_logged = false;
     while router.listener.is_accepting() {
@@ -56,7 +56,7 @@
             Ok(Some(lock)) => return Some(lock),
             Ok(None) if !is_logged => {
                 let folder = fleet.folder.display();
-                tracing::info!(%folder, "fleet: waiting for another process to leave the folder");
+                tracing::info!(%folder, "fleet: folder is locked by another process, waiting");
                 is_logged = true;
             }
             Err(error) if !is_logged => {
@@ -88,7 +88,7 @@
     ));
     drive_while_accepting(router, fleet).await;
     transfer_leadership(router, fleet).await;
-    // What others send on connections that they have here is for the next process.
+    // Peers have to send to the next process, so this one no longer reads their connections.
     drop(listening);
     fleet.participation_ended.notify(usize::MAX);
     leave(router, fleet).await;
@@ -102,7 +102,7 @@
             let mut node = fleet.node.borrow_mut();
             node.transfer_leadership(router.clock.now());
         }
-        // Both are listened to before the turn: what happens within it is not missed.
+        // Listen to both events before the turn, so that notifications during the turn are not missed.
         let wake = fleet.wake.listen();
         let accepting_changed = router.listener.accepting_changed();
         let due = fleet.run_turn(router);
@@ -112,7 +112,8 @@
     }
 }
 
-/// Transfers leadership, if it is here, and waits a little for that: otherwise the fleet finds out by an election timeout.
+/// Transfers leadership if this router is the leader, and waits briefly for the transfer. Without it, the other members
+/// notice the missing leader only after an election timeout.
 async fn transfer_leadership(router: &Rc<Router>, fleet: &Rc<Fleet>) {
     let deadline = router.clock.now() + LEADERSHIP_TRANSFER_TIMEOUT;
     fleet
@@ -126,8 +127,8 @@
     }
 }
 
-/// Ends what acts for the member here, after a write that is under way. The lease stays until it expires: this process may
-/// have connections whose requests it still admits.
+/// Closes the connections to peers and suspends the node, once a write in progress has finished. The lease stays until it
+/// expires, because this process may still admit requests of its open connections.
 async fn leave(router: &Router, fleet: &Fleet) {
     for peer in std::mem::take(&mut *fleet.peers.borrow_mut()).into_values() {
         peer.close();
@@ -142,10 +143,10 @@
 }
 
 impl Fleet {
-    /// One turn: what was received, what time has brought, and their effects. Returns when the next turn is due.
+    /// Runs one turn: processes received messages and elapsed time, and applies the effects. Returns when the next turn is due.
     fn run_turn(self: &Rc<Self>, router: &Rc<Router>) -> Micros {
         let report_due = self.report_maintenance(router);
-        for _ in 0..MAX_ROUNDS {
+        for _ in 0..MAX_EFFECT_ROUNDS {
             let now = router.clock.now();
             self.step_received(now);
             let effects = self.node.borrow_mut().tick(now);
@@ -162,16 +163,16 @@
         report_due.map_or(node_due, |report_due| node_due.min(report_due))
     }
 
-    /// Logs a turn that began late: other tasks of this thread, or other processes, had the processor. Bounded under
-    /// repetition.
+    /// Logs a turn that began late because other tasks of this thread, or other processes, occupied the processor. Repeated
+    /// log lines are limited.
     fn log_late_turn(&self, now: Micros, due: Micros) {
         let late = now.since(due);
-        if late < LATE_TURN {
+        if late < LATE_TURN_THRESHOLD {
             return;
         }
         if let Some(count) = self.late_turns.count(now) {
             let late_ms = late.0 / 1000;
-            tracing::info!(late_ms, count, "fleet: the event loop was late");
+            tracing::info!(late_ms, count, "fleet: turn of the event loop began late");
         }
     }
 
--- a/router/src/fleet/fragments.rs
+++ b/router/src/fleet/fragments.rs
@@ -1,4 +1,4 @@
-//! Splits messages that are longer than a batch into fragments, and puts them together again.
+//! Splits messages that are too long for one batch into fragments, and reassembles them.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +9,32 @@
 #[cfg(test)]
 mod tests;
 
-/// The bytes in one fragment.
+/// The maximum number of payload bytes in one fragment.
 const FRAGMENT_BYTES: usize = 48 * 1024;
-/// The most fragments of one message.
+/// The maximum number of fragments of one message.
 const MAX_FRAGMENTS: u16 = 48;
 
-/// Splits a message into fragments under a number; none: it is longer than any message that is sent. Without fragments, the
-/// state of many machines in maintenance was dropped time and again on its way to a voter that had to catch up.
+/// Splits a message into fragments that carry the message number `number`. Returns `None` if the message needs more than
+/// [`MAX_FRAGMENTS`]. Without fragments, the maintenance state of many machines was dropped repeatedly on its way to a voter
+/// that had to catch up.
 pub(super) fn split(message: &PeerMessage, number: u64) -> Option<Vec<PeerMessage>> {
     let bytes = postcard::to_stdvec(message).ok()?;
-    let of = u16::try_from(bytes.len().div_ceil(FRAGMENT_BYTES))
+    let count = u16::try_from(bytes.len().div_ceil(FRAGMENT_BYTES))
         .ok()
-        .filter(|of| *of <= MAX_FRAGMENTS)?;
-    let fragments = (0..of)
+        .filter(|count| *count <= MAX_FRAGMENTS)?;
+    let fragments = (0..count)
         .zip(bytes.chunks(FRAGMENT_BYTES))
-        .map(|(at, chunk)| PeerMessage::Fragment {
+        .map(|(index, chunk)| PeerMessage::Fragment {
             number,
-            index: at,
-            count: of,
+            index,
+            count,
             bytes: chunk.to_vec(),
         });
     Some(fragments.collect())
 }
 
-/// Fragments that were received, for each router those of its newest message. Emptied as that is complete, or a newer one
-/// begins.
+/// The received fragments of the newest message of each peer. A peer's fragments are removed when the message is complete,
+/// and replaced when a newer message begins.
 #[derive(Default)]
 pub(super) struct FragmentBuffer(BTreeMap<Member, IncompleteMessage>);
 
@@ -44,15 +45,15 @@
 }
 
 impl IncompleteMessage {
-    fn new(number: u64, of: u16) -> IncompleteMessage {
+    fn new(number: u64, count: u16) -> IncompleteMessage {
         IncompleteMessage {
             number,
-            fragments: vec![None; usize::from(of)],
+            fragments: vec![None; usize::from(count)],
         }
     }
 
-    fn is_part_of(&self, number: u64, of: u16) -> bool {
-        self.number == number && self.fragments.len() == usize::from(of)
+    fn is_part_of(&self, number: u64, count: u16) -> bool {
+        self.number == number && self.fragments.len() == usize::from(count)
     }
 
     fn is_complete(&self) -> bool {
@@ -61,25 +62,26 @@
 }
 
 impl FragmentBuffer {
-    /// Takes a message, and returns it if it is complete: one that is no fragment is, and of fragments the last.
+    /// Adds a received message. Returns it if it is not a fragment, or the reassembled message if its last missing fragment
+    /// has arrived.
     pub(super) fn add(&mut self, from: &Member, message: PeerMessage) -> Option<PeerMessage> {
         let PeerMessage::Fragment {
             number,
-            index: at,
-            count: of,
+            index,
+            count,
             bytes,
         } = message
         else {
             return Some(message);
         };
-        if of == 0 || at >= of || of > MAX_FRAGMENTS || bytes.len() > FRAGMENT_BYTES {
+        if count == 0 || index >= count || count > MAX_FRAGMENTS || bytes.len() > FRAGMENT_BYTES {
             return None;
         }
         let incomplete = self.0.entry(from.clone()).or_default();
-        if !incomplete.is_part_of(number, of) {
-            *incomplete = IncompleteMessage::new(number, of);
+        if !incomplete.is_part_of(number, count) {
+            *incomplete = IncompleteMessage::new(number, count);
         }
-        incomplete.fragments[usize::from(at)] = Some(bytes);
+        incomplete.fragments[usize::from(index)] = Some(bytes);
         if !incomplete.is_complete() {
             return None;
         }
--- a/router/src/fleet/fragments/release_bytes.rs
+++ b/router/src/fleet/fragments/release_bytes.rs
@@ -1,5 +1,5 @@
-//! Routers of two releases exchange batches of messages: the envelope keeps the bytes that released programs write and read.
-//! The messages in it are guarded beside their types, in `fleet_policy/tests/release_bytes.rs`.
+//! Checks the bytes of peer batches, which routers of different releases exchange. The messages inside are checked next to
+//! their types, in `fleet_policy/tests/release_bytes.rs`.
 
 use ternpick_consensus::FleetId;
 use ternpick_fleet_policy::{OperationId, PeerMessage, ReplicaId};
@@ -10,7 +10,7 @@
 use crate::recorded::Recorded;
 
 #[test]
-fn a_batch_has_the_bytes_of_the_release() {
+fn peer_batch_keeps_the_bytes_of_released_programs() {
     let fleet = FleetId(0x0102_0304_0506_0708);
     let messages = vec![
         PeerMessage::Inspect {
@@ -37,12 +37,12 @@
         op: OperationId(1_004),
         json: "x".repeat(20),
     };
-    for fragment in split(&long, 1_005).expect("it may be sent") {
-        let alone = PeerBatch {
+    for fragment in split(&long, 1_005).expect("the message is within the fragment limit") {
+        let fragment_batch = PeerBatch {
             messages: vec![fragment],
             ..batch.clone()
         };
-        recorded.bytes("piece", &alone.encode());
+        recorded.bytes("piece", &fragment_batch.encode());
     }
     recorded.bytes("path", PATH.as_bytes());
     recorded.bytes("fleet-number", &fleet_id("kestrel-plains").0.to_be_bytes());
--- a/router/src/fleet/fragments/tests.rs
+++ b/router/src/fleet/fragments/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of splitting long messages and putting them together.
+//! Tests of splitting and reassembling long messages.
 
 use super::*;
 use crate::fleet::peer_batch::MAX_BATCH_BYTES;
 use test_case::test_case;
 
-fn long(bytes: usize) -> PeerMessage {
+fn long_message(bytes: usize) -> PeerMessage {
     PeerMessage::Raft {
         from: ternpick_fleet_policy::ReplicaId(1),
         to: ternpick_fleet_policy::ReplicaId(2),
@@ -12,50 +12,56 @@
     }
 }
 
-/// In which order the fragments of a message come, by number; whether it is complete then.
+/// `order`: the indexes of the received fragments. `is_complete`: whether the message is complete after them.
 #[test_case(&[0, 1, 2], true; "in order")]
 #[test_case(&[2, 0, 0, 1], true; "in any order, one twice")]
 #[test_case(&[0, 2], false; "one is lost")]
-fn a_long_message_is_complete_once_all_its_fragments_have_come(order: &[usize], is_complete: bool) {
-    let message = long(130_000);
+fn long_message_is_complete_once_all_fragments_have_arrived(order: &[usize], is_complete: bool) {
+    let message = long_message(130_000);
     let mut buffer = FragmentBuffer::default();
     let from = Member::from("n1");
-    let sent = split(&message, 4).expect("it may be sent");
+    let sent = split(&message, 4).expect("the message is within the fragment limit");
     assert_eq!(sent.len(), 3);
-    let fits = |of: &PeerMessage| {
-        postcard::to_stdvec(of).is_ok_and(|bytes| bytes.len() <= MAX_BATCH_BYTES)
+    let fits = |fragment: &PeerMessage| {
+        postcard::to_stdvec(fragment).is_ok_and(|bytes| bytes.len() <= MAX_BATCH_BYTES)
     };
     assert!(sent.iter().all(fits));
     let received: Vec<PeerMessage> = order
         .iter()
-        .filter_map(|at| buffer.add(&from, sent[*at].clone()))
+        .filter_map(|index| buffer.add(&from, sent[*index].clone()))
         .collect();
     assert_eq!(received, if is_complete { vec![message] } else { vec![] });
     assert_eq!(
         buffer.0.is_empty(),
         is_complete,
-        "a complete message leaves nothing behind"
+        "the buffer is empty after a complete message"
     );
 }
 
 #[test]
-fn a_newer_message_takes_the_place_of_one_that_never_became_complete() {
+fn newer_message_replaces_an_incomplete_message() {
     let mut buffer = FragmentBuffer::default();
     let from = Member::from("n1");
-    let old = split(&long(100_000), 1);
-    let new = split(&long(70_000), 2);
-    assert_eq!(buffer.add(&from, old.expect("sent")[0].clone()), None);
+    let old = split(&long_message(100_000), 1);
+    let new = split(&long_message(70_000), 2);
+    assert_eq!(
+        buffer.add(
+            &from,
+            old.expect("the message is within the fragment limit")[0].clone()
+        ),
+        None
+    );
     let received: Vec<PeerMessage> = new
-        .expect("sent")
+        .expect("the message is within the fragment limit")
         .into_iter()
-        .filter_map(|of| buffer.add(&from, of))
+        .filter_map(|fragment| buffer.add(&from, fragment))
         .collect();
-    assert_eq!(received, [long(70_000)]);
+    assert_eq!(received, [long_message(70_000)]);
 }
 
 #[test]
-fn a_message_beyond_the_bounds_is_neither_sent_nor_kept() {
-    assert_eq!(split(&long(3 << 20), 1), None);
+fn message_beyond_the_fragment_limits_is_neither_split_nor_buffered() {
+    assert_eq!(split(&long_message(3 << 20), 1), None);
     let mut buffer = FragmentBuffer::default();
     let from = Member::from("n1");
     let out_of_bounds = PeerMessage::Fragment {
--- a/router/src/fleet/maintenance/extension.rs
+++ b/router/src/fleet/maintenance/extension.rs
@@ -1,5 +1,5 @@
 //! The maintenance coordinator as an extension of the fleet's log. The [`FleetNode`](ternpick_fleet_policy::FleetNode) owns
-//! the extension, and this router feeds the same coordinator with what discovery lists: so it is shared.
+//! the extension, and this router passes the machines that discovery lists to the same coordinator, so both share it.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use ternpick_fleet_policy::{Extension, Index, Member, MemberContact, MemberInfo};
 use ternpick_maintenance::{ClusterView, Coordinator};
 
-/// A coordinator with two owners, on one thread.
+/// A coordinator shared by two owners on one thread.
 #[derive(Clone)]
 pub(in crate::fleet) struct SharedCoordinator(Rc<RefCell<Coordinator>>);
 
@@ -18,7 +18,7 @@
         SharedCoordinator(Rc::new(RefCell::new(coordinator)))
     }
 
-    /// Gives the coordinator the machines of this cluster, and the wall clock in milliseconds.
+    /// Passes the machines of this cluster and the wall clock in milliseconds to the coordinator.
     pub(super) fn observe_cluster(&self, view: ClusterView, wall_clock_ms: u64) {
         self.0.borrow_mut().observe_cluster(view, wall_clock_ms);
     }
@@ -72,7 +72,7 @@
         self.0.borrow_mut().next_entries(now, me, term, attended)
     }
 
-    fn inspect(&self, now: Micros, what: &str) -> Option<String> {
-        self.0.borrow().inspect(now, what)
+    fn inspect(&self, now: Micros, question: &str) -> Option<String> {
+        self.0.borrow().inspect(now, question)
     }
 }
--- a/router/src/fleet/maintenance/mod.rs
+++ b/router/src/fleet/maintenance/mod.rs
@@ -1,5 +1,5 @@
-//! Maintenance of machines, as far as it touches this router: machines that are out of service are draining here, and what
-//! this router sees goes into its report to the coordinator. What is decided is in `ternpick-maintenance`.
+//! This router's side of machine maintenance: machines that are out of service count as draining on this router, and the
+//! router reports its observations of machines to the coordinator. `ternpick-maintenance` makes the decisions.
 
 mod extension;
 mod report;
@@ -19,21 +19,21 @@
 use report::RecentCounts;
 pub(super) use requests::answer;
 
-/// How often this router looks at what it sees of machines.
+/// How often this router renews its report on machines.
 const REPORT_INTERVAL: Micros = Micros(100_000);
-/// A machine that discovery no longer lists counts as failing for so long, and then as removed.
+/// A machine that discovery no longer lists counts as failing for this time, and as removed after it.
 const REMOVED_AFTER: Micros = Micros(600_000_000);
 
-/// What this router knows of maintenance.
+/// This router's state of maintenance.
 pub(super) struct MaintenanceParticipant {
     coordinator: SharedCoordinator,
-    /// The log entry from which the machines below are.
+    /// The log entry that last changed `out` and `returning`.
     applied_index: Cell<Index>,
     /// Machines that are out of service.
     out: RefCell<BTreeSet<String>>,
-    /// Machines that return to service, and since when this router may use them again.
+    /// Machines that return to service, with the time since when this router may use them again.
     returning: RefCell<BTreeMap<String, Micros>>,
-    /// Machines that discovery lists or has listed; emptied by age.
+    /// Machines that discovery lists or has listed. Unlisted ones are removed after [`REMOVED_AFTER`].
     known: RefCell<BTreeMap<String, KnownMachine>>,
     recent_counts: RefCell<RecentCounts>,
     next_report: Cell<Micros>,
@@ -47,7 +47,7 @@
 }
 
 impl MaintenanceParticipant {
-    /// A participant that knows of no machine yet.
+    /// Creates a participant that knows no machine yet.
     pub(super) fn new(config: MaintenanceConfig) -> MaintenanceParticipant {
         MaintenanceParticipant {
             coordinator: SharedCoordinator::new(Coordinator::new(config)),
@@ -61,12 +61,12 @@
         }
     }
 
-    /// The coordinator, which the fleet's log is applied to.
+    /// Returns the coordinator, to which the fleet's log is applied.
     pub(super) fn coordinator(&self) -> SharedCoordinator {
         self.coordinator.clone()
     }
 
-    /// Injects the bug that the environment names, for tests of the checkers.
+    /// Injects the bug that the environment variable names, for tests of the checkers.
     #[cfg(feature = "planted")]
     pub(super) fn inject_bug(&self) {
         use ternpick_maintenance::InjectedBug;
@@ -85,8 +85,8 @@
         self.out.borrow().contains(name)
     }
 
-    /// Takes the machines that are out of service, and those that return to it, from a log entry on. The names that go out
-    /// or are no longer out are returned.
+    /// Applies the machines that are out of service, and those that return to it, as of a log entry. Returns the names of the
+    /// machines that went out of service or are no longer out of service.
     fn apply_machines_out(&self, now: Micros, index: Index, encoded: &[u8]) -> Vec<String> {
         let (out, returning) = Coordinator::decode_machines_out(encoded);
         let before = self.out.replace(out.into_iter().collect());
@@ -104,7 +104,7 @@
         changed
     }
 
-    /// The machines as discovery lists them, with those that it has listed of late.
+    /// The machines that discovery lists, and those that it listed recently.
     fn cluster_view(
         &self,
         config: &PlatformConfig,
@@ -136,7 +136,7 @@
     }
 }
 
-/// The sets of shards that a machine of this shard group holds.
+/// The shard sets that a machine of this endpoint's shard group holds.
 fn shard_sets(endpoint: &Endpoint, config: &PlatformConfig) -> Vec<u32> {
     let groups = config.shard_group_count.max(1);
     let groups_per_shard = config.groups_per_shard.min(config.shard_group_count).max(1);
@@ -145,7 +145,7 @@
         .collect()
 }
 
-/// The wall clock's milliseconds since the epoch.
+/// The wall clock in milliseconds since the Unix epoch.
 fn wall_clock_ms() -> u64 {
     let since_epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -154,8 +154,8 @@
 }
 
 impl Fleet {
-    /// Renews this router's report to the coordinator, if it is time. Returns when it is due next; none: there is no
-    /// maintenance in the settings.
+    /// Renews this router's report to the coordinator if it is due. Returns the time when it is due next, or `None` if the
+    /// settings do not configure maintenance.
     pub(super) fn report_maintenance(&self, router: &Router) -> Option<Micros> {
         let maintenance = self.maintenance.as_ref()?;
         let now = router.clock.now();
@@ -172,16 +172,16 @@
             .observe_cluster(view, wall_clock_ms());
         let report = maintenance.report(&decisions, listed, now);
         let before = maintenance.last_report.replace(report.clone());
-        let is_news = report::differs(&before, &report);
+        let has_changed = report::differs(&before, &report);
         self.node.borrow_mut().lease_holder.set_extension_report(
             report.goes_by,
             report.encode(),
-            is_news,
+            has_changed,
         );
         Some(maintenance.next_report.get())
     }
 
-    /// Applies a change of the machines that are out of service.
+    /// Applies a change of the set of machines that are out of service.
     pub(super) fn machines_out_changed(&self, router: &Router, index: Index, encoded: &[u8]) {
         let Some(maintenance) = &self.maintenance else {
             return;
--- a/router/src/fleet/maintenance/report.rs
+++ b/router/src/fleet/maintenance/report.rs
@@ -1,4 +1,5 @@
-//! This router's report to the coordinator: which machines are busy, unhealthy or back under load, and how queries fare.
+//! This router's report to the coordinator: which machines are busy, unhealthy or serving load again, and how many queries
+//! finish and fail.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,29 +11,29 @@
 use crate::router::Decisions;
 use crate::stages::completion::{Counts, EffectQueue};
 
-/// The report's figures are those since the oldest of so many reports.
+/// The report's figures cover the time since the oldest of this many samples.
 const MAX_SAMPLES: usize = 20;
-/// Names in one list of a report.
-const MAX_NAMES: usize = 64;
-/// Rates are not computed over less time than this.
-const MIN_SECONDS: f64 = 0.1;
+/// The maximum number of unhealthy machines that a report names.
+const MAX_UNHEALTHY_NAMES: usize = 64;
+/// The minimum number of seconds over which a rate is computed.
+const MIN_RATE_SECONDS: f64 = 0.1;
 
-/// The router's counters at one time.
+/// The router's counters at one point in time.
 #[derive(Clone, Copy)]
 struct Sample {
-    at: Micros,
-    /// Queries that are finished.
+    sampled_at: Micros,
+    /// Finished queries.
     finished: u64,
-    /// Of those, the late, failed and rejected ones.
+    /// Finished queries that were late, failed or rejected.
     failed: u64,
-    /// Attempts sent to machines.
+    /// Attempts that were sent to machines.
     attempts: u64,
 }
 
 impl Sample {
-    fn new(at: Micros, counts: &Counts) -> Sample {
+    fn new(sampled_at: Micros, counts: &Counts) -> Sample {
         Sample {
-            at,
+            sampled_at,
             finished: counts.satisfied + counts.rejected + counts.failed,
             failed: counts.late + counts.rejected + counts.failed,
             attempts: counts.attempts,
@@ -40,11 +41,11 @@
     }
 }
 
-/// The counters at the last reports, the oldest first; at most [`MAX_SAMPLES`].
+/// The counters at the last reports, oldest first; at most [`MAX_SAMPLES`].
 #[derive(Default)]
 pub(super) struct RecentCounts(VecDeque<Sample>);
 
-/// How queries have fared since the oldest sample.
+/// The figures since the oldest sample.
 struct RecentFigures {
     attempts_per_second: u32,
     finished: u32,
@@ -58,7 +59,8 @@
             self.0.pop_front();
         }
         let oldest = self.0.front().copied().unwrap_or(sample);
-        let seconds = (sample.at.since(oldest.at).0 as f64 / 1e6).max(MIN_SECONDS);
+        let seconds =
+            (sample.sampled_at.since(oldest.sampled_at).0 as f64 / 1e6).max(MIN_RATE_SECONDS);
         RecentFigures {
             attempts_per_second: ((sample.attempts - oldest.attempts) as f64 / seconds) as u32,
             finished: (sample.finished - oldest.finished) as u32,
@@ -67,7 +69,7 @@
     }
 }
 
-/// What the router sees of machines, by name.
+/// This router's observations of machines, by name.
 struct Machines<'a> {
     engine: &'a RoutingEngine,
     effects: &'a EffectQueue,
@@ -87,7 +89,7 @@
             .is_some_and(|node| node.all_in_flight(self.now).next().is_some())
     }
 
-    /// By this router's own clock: the start that discovery claims is by another's.
+    /// Uses the start by this router's own clock, because the start that discovery lists comes from another clock.
     fn is_warming_up(&self, node: &Node) -> bool {
         node.started.by_local_clock.0 != 0
             && self.now.since(node.started.by_local_clock) < self.engine.config.slow_start_duration
@@ -98,13 +100,13 @@
             .listed
             .get(name)
             .is_some_and(|endpoint| endpoint.state == EndpointState::Ready);
-        let is_suspected_or_cold = self
+        let is_suspected_or_warming_up = self
             .node(name)
             .is_some_and(|node| node.suspected_for.is_some() || self.is_warming_up(node));
-        is_ready && !is_suspected_or_cold
+        is_ready && !is_suspected_or_warming_up
     }
 
-    /// Whether a machine has answered since a time.
+    /// Whether a machine has answered after the given time.
     fn has_answered_since(&self, name: &str, since: Micros) -> bool {
         self.node(name)
             .is_some_and(|node| node.latency_updated_at > since)
@@ -112,7 +114,7 @@
 }
 
 impl MaintenanceParticipant {
-    /// What this router now sees.
+    /// Makes the report of this router's current observations.
     pub(super) fn report(
         &self,
         decisions: &Decisions,
@@ -138,8 +140,12 @@
         RouterReport {
             goes_by: self.applied_index.get(),
             busy: busy.cloned().collect(),
-            more: unhealthy.len().saturating_sub(MAX_NAMES) as u32,
-            unsound: unhealthy.into_iter().take(MAX_NAMES).cloned().collect(),
+            more: unhealthy.len().saturating_sub(MAX_UNHEALTHY_NAMES) as u32,
+            unsound: unhealthy
+                .into_iter()
+                .take(MAX_UNHEALTHY_NAMES)
+                .cloned()
+                .collect(),
             bear: returning.serving,
             idle: returning.idle,
             calls: figures.attempts_per_second,
@@ -164,16 +170,16 @@
     }
 }
 
-/// Healthy machines that return to service.
+/// Healthy machines that are returning to service.
 #[derive(Default)]
 struct ReturningMachines {
-    /// They have answered since they may be used again.
+    /// Machines that have answered since they may be used again.
     serving: Vec<String>,
-    /// Nothing is in flight to them.
+    /// Machines without an attempt in flight that have not answered yet.
     idle: Vec<String>,
 }
 
-/// Whether a report has anything that the coordinator waits for; figures alone have not.
+/// Whether two reports differ in a field that the coordinator waits for. A change of figures alone does not count.
 pub(super) fn differs(before: &RouterReport, after: &RouterReport) -> bool {
     before.goes_by != after.goes_by
         || before.busy != after.busy
--- a/router/src/fleet/maintenance/requests.rs
+++ b/router/src/fleet/maintenance/requests.rs
@@ -1,5 +1,5 @@
-//! Answers the control socket's requests about maintenance: they go to the leader's coordinator. Machines of groups and
-//! zones are looked up here.
+//! Answers the control socket's requests about maintenance by sending them to the leader's coordinator. This router resolves
+//! shard groups and zones to machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,18 +12,22 @@
 use crate::fleet::Fleet;
 use crate::router::Router;
 
-/// Why a request is refused here. The operator gets the text.
+/// The reason why this router refuses a request. The operator receives the text.
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
-    #[error("discovery lists nobody in group {0}")]
+    #[error(
+        "maintenance request cannot be resolved: discovery lists no further machine in group {0}"
+    )]
     EmptyGroup(Value),
-    #[error("discovery lists nobody in zone {0}")]
+    #[error(
+        "maintenance request cannot be resolved: discovery lists no further machine in zone {0}"
+    )]
     EmptyZone(String),
-    #[error("{0} machines are asked for, it has to be 1 to {MOST_MACHINES}")]
+    #[error("maintenance request selects {0} machines, expected 1 to {MOST_MACHINES}")]
     MachineCount(usize),
-    #[error("{0}")]
-    Form(#[from] serde_json::Error),
-    #[error("{0}")]
+    #[error("maintenance request cannot be decoded: {0}")]
+    Decode(#[from] serde_json::Error),
+    #[error("maintenance entry cannot be encoded: {0}")]
     Encode(#[from] postcard::Error),
 }
 
@@ -35,7 +39,9 @@
     options: RequestOptions,
 ) -> Value {
     if fleet.maintenance.is_none() {
-        return refused("there is no 'fleet.works' in this router's settings");
+        return refused(
+            "maintenance request refused: this router's settings have no 'fleet.works'",
+        );
     }
     if let Some(what) = request["what"].as_str() {
         return match question(router, fleet, what, request) {
@@ -52,7 +58,7 @@
     }
 }
 
-/// The question for the coordinator.
+/// Makes the question for the coordinator.
 fn question(
     router: &Router,
     fleet: &Fleet,
@@ -67,7 +73,7 @@
     Ok(format!("works-plan {json}"))
 }
 
-/// The entry for the log.
+/// Encodes the request as an entry for the log.
 fn encoded_entry(router: &Router, fleet: &Fleet, request: &Value) -> Result<Vec<u8>, RequestError> {
     let entry = if request["request"].is_object() {
         Entry::Ask {
@@ -89,7 +95,7 @@
     Ok(machine_request)
 }
 
-/// Machines by name, by group and by zone, as discovery lists them.
+/// Resolves the request's machine names, groups and zones to the machines that discovery lists.
 fn select_machines(
     router: &Router,
     fleet: &Fleet,
@@ -114,7 +120,8 @@
         }
     }
     if let Some(up_for) = request["up_for"].as_u64() {
-        // Of those named, or of all; one whose start is not known has started long ago.
+        // The filter applies to the named machines, or to all if none are named. A machine whose start is unknown counts as
+        // up long enough.
         if names.is_empty() {
             names.extend(listed.keys().cloned());
         }
@@ -131,7 +138,7 @@
     Ok(names.into_iter().collect())
 }
 
-/// Adds the names of matching endpoints; whether that has added any.
+/// Adds the names of matching endpoints. Returns whether any name was added.
 fn add_matching(
     names: &mut BTreeSet<String>,
     listed: &BTreeMap<String, Endpoint>,
--- a/router/src/fleet/maintenance_cli/arguments.rs
+++ b/router/src/fleet/maintenance_cli/arguments.rs
@@ -7,33 +7,33 @@
 use crate::fleet::cli::OperationOptions;
 use crate::lifecycle::control::Socket;
 
-/// Which machines are asked for, for how long and until when.
+/// The machines of a request, how long the work on them takes, and its time window.
 #[derive(Args)]
 pub(crate) struct MachineSelection {
-    /// Machines by the names that discovery gives them
+    /// Machines by their names in discovery
     pub(super) machines: Vec<String>,
-    /// All machines of a group
+    /// All machines of a shard group
     #[arg(long)]
     pub(super) group: Vec<u64>,
     /// All machines of a zone
     #[arg(long)]
     pub(super) zone: Vec<String>,
-    /// Of these, or of all, only machines that have been up for so long
+    /// Only machines that have been up for this long, of those selected or of all
     #[arg(long, value_parser = humantime::parse_duration)]
     pub(super) up_for: Option<Duration>,
     /// How long the work on one machine takes
     #[arg(long, default_value = "30m", value_parser = humantime::parse_duration)]
     pub(super) lasts: Duration,
-    /// Not before so long from now
+    /// The work may begin after this time from now
     #[arg(long = "in", value_parser = humantime::parse_duration)]
     pub(super) after: Option<Duration>,
-    /// Done within so long from now
+    /// The deadline of the work, as a time from now
     #[arg(long, value_parser = humantime::parse_duration)]
     pub(super) within: Option<Duration>,
-    /// Higher goes first
+    /// Requests of higher priority go first
     #[arg(long, default_value_t = 0)]
     pub(super) priority: u8,
-    /// All at once, or none
+    /// Takes all machines out of service at once, or none
     #[arg(long)]
     pub(super) together: bool,
 }
@@ -41,7 +41,7 @@
 /// Commands `ternpick maintenance ...`.
 #[derive(Subcommand)]
 pub(crate) enum MaintenanceCommand {
-    /// Asks for machines; tells at once if that can't be met, and what would have to give
+    /// Requests machines; reports at once if the request cannot be met, and which limits prevent it
     Ask {
         #[command(flatten)]
         options: OperationOptions,
@@ -52,33 +52,33 @@
         #[arg(long)]
         by: String,
     },
-    /// Tells what would be done with these machines as well, in which order, how long it takes, and what binds
+    /// Shows the plan with these machines added: the order, the duration and the limits that bind
     Plan {
         #[command(flatten)]
         socket: Socket,
         #[command(flatten)]
         selection: MachineSelection,
     },
-    /// Lists the machines in work: states, since when, who waits for what
+    /// Lists the machines in maintenance: state, duration and what each waits for
     List {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Shows one request
+    /// Shows the machines of one request
     Show {
         #[command(flatten)]
         socket: Socket,
         request: u64,
     },
-    /// Waits until a permit is there to be taken, and tells it
+    /// Waits until a permit is available, and prints it
     Next {
         #[command(flatten)]
         options: OperationOptions,
-        /// Only of this request
+        /// Only permits of this request
         #[arg(long)]
         request: Option<u64>,
     },
-    /// Takes a permit: from here on the machine is yours
+    /// Takes a permit; the operator may work on the machine from then on
     Begin {
         #[command(flatten)]
         options: OperationOptions,
@@ -86,18 +86,18 @@
         #[arg(long)]
         by: String,
     },
-    /// Gives a permit back
+    /// Returns a permit
     Done {
         #[command(flatten)]
         options: OperationOptions,
         permit: u64,
         #[arg(long)]
         by: String,
-        /// The machine is not fit, and stays out
+        /// The reason why the machine is unfit for service; it stays out
         #[arg(long)]
         failed: Option<String>,
     },
-    /// Lets nothing more go out; what is out stays out
+    /// Pauses maintenance: no more machines go out of service, and those that are out stay out
     Hold {
         #[command(flatten)]
         options: OperationOptions,
@@ -106,19 +106,19 @@
         #[arg(long)]
         why: String,
     },
-    /// Ends a hold, the fleet's own too
+    /// Ends a pause, including one that the fleet itself began
     Resume {
         #[command(flatten)]
         options: OperationOptions,
         #[arg(long)]
         by: String,
     },
-    /// Gives an open request another time by which it is wanted, and another priority
+    /// Changes the deadline and the priority of an open request
     Change {
         #[command(flatten)]
         options: OperationOptions,
         request: u64,
-        /// Done within so long from now; without it there is no such time
+        /// The deadline, as a time from now; without it the request has no deadline
         #[arg(long, value_parser = humantime::parse_duration)]
         within: Option<Duration>,
         #[arg(long, default_value_t = 0)]
@@ -126,7 +126,7 @@
         #[arg(long)]
         by: String,
     },
-    /// Cancels what has no permit yet of a request
+    /// Cancels the machines of a request that have no permit yet
     Cancel {
         #[command(flatten)]
         options: OperationOptions,
@@ -134,13 +134,13 @@
         #[arg(long)]
         by: String,
     },
-    /// Tells what has happened
+    /// Shows the history of maintenance
     History {
         #[command(flatten)]
         socket: Socket,
     },
-    /// Takes the next machine of a request when its turn comes, runs a command (TERNPICK_MACHINE, TERNPICK_PERMIT), and gives
-    /// it back by its exit status. Run again after it was killed, it goes on with the machine it had
+    /// Waits for the turn of a request's next machine, runs a command for it (TERNPICK_MACHINE, TERNPICK_PERMIT), and returns
+    /// the machine according to the command's exit status. If repeated after it was killed, it resumes with the same machine
     Exec {
         #[command(flatten)]
         options: OperationOptions,
--- a/router/src/fleet/maintenance_cli/client.rs
+++ b/router/src/fleet/maintenance_cli/client.rs
@@ -1,4 +1,4 @@
-//! Requests about maintenance over the control socket.
+//! Sends requests about maintenance over the control socket.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -8,14 +8,14 @@
 use crate::fleet::cli::{ask_fleet, rows, submit, OperationOptions, INSPECTION_WAIT_MS};
 use crate::lifecycle::control::{ControlError, Socket};
 
-/// How often a command that waits asks again.
+/// The interval between requests of a command that waits.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the leader's coordinator answers to an inspection.
+/// The result of asking the leader's coordinator for the state of maintenance.
 pub(super) enum Inspection {
     /// The state of maintenance.
     View(Value),
-    /// The router's answer without a view: it was refused, or no leader is reached.
+    /// The router's answer if there is no view: the request was refused, or no leader could be reached.
     NoView(Value),
 }
 
@@ -31,7 +31,7 @@
     })
 }
 
-/// Sends one entry for the log, and returns its outcome.
+/// Submits one entry for the log and returns its outcome.
 pub(super) fn submit_entry(
     options: &OperationOptions,
     entry: Value,
@@ -39,7 +39,7 @@
     submit(options, json!({"ask": "works", "entry": entry}))
 }
 
-/// A request for machines. Machines of groups and zones are looked up by the router.
+/// Makes a request for machines. The router resolves groups and zones to machines.
 pub(super) fn machine_request(selection: &MachineSelection, why: &str, by: &str) -> Value {
     let request = json!({
         "machines": [],
@@ -61,17 +61,17 @@
     })
 }
 
-/// Whether a request has machines that are not finished.
+/// Whether a request has unfinished machines.
 pub(super) fn is_open(view: &Value, request: u64) -> bool {
     rows(&view["rows"]).any(|row| row["request"] == request)
 }
 
 /// The answer to a command about a request that is not open.
 pub(super) fn not_open(request: u64) -> Value {
-    json!({"ok": false, "line": format!("request {request} is not open")})
+    json!({"ok": false, "line": format!("maintenance request {request} is not open")})
 }
 
-/// The wall clock's milliseconds since the epoch, after so much time from now.
+/// The wall clock in milliseconds since the Unix epoch, `delay` from now.
 pub(super) fn wall_clock_in_ms(delay: Duration) -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/router/src/fleet/maintenance_cli/exec.rs
+++ b/router/src/fleet/maintenance_cli/exec.rs
@@ -1,4 +1,4 @@
-//! `ternpick maintenance exec`: takes the next machine of a request, runs a command for it, and gives it back by the
+//! `ternpick maintenance exec`: takes the next machine of a request, runs a command for it, and returns it according to the
 //! command's exit status.
 
 use std::process::{Command, Stdio};
@@ -14,8 +14,9 @@
 use crate::fleet::random_u64;
 use crate::lifecycle::control::{ControlError, Socket};
 
-/// How long one attempt to give a machine back may take, and how often it is made.
+/// The timeout of one attempt to return a machine.
 const RETURN_TIMEOUT: Duration = Duration::from_secs(3);
+/// Attempts to return a machine stop after this many times [`RETURN_TIMEOUT`].
 const RETURN_ATTEMPTS: u32 = 20;
 
 pub(super) fn run(
@@ -29,7 +30,9 @@
         Turn::Permitted(row) => row,
         Turn::NotOpen => return finish_without_line(socket, &not_open(request)),
         Turn::NotYet => {
-            eprintln!("ternpick: the turn of request {request} has not come yet; nothing was run");
+            eprintln!(
+                "ternpick: nothing was run: request {request} got no permit before the timeout"
+            );
             return Ok(ExitStatus::NotYet);
         }
     };
@@ -40,7 +43,7 @@
     let permit = machine.permit;
     let answer = submit_entry(options, json!({"begin": {"permit": permit, "by": by}}))?;
     if answer["ok"] != true {
-        // Nothing was run: whoever runs this again finds the permit as it is.
+        // Nothing was run, so a repeated command finds the permit unchanged.
         return finish_without_line(socket, &answer);
     }
     let failure = run_command(command, &machine);
@@ -48,25 +51,27 @@
     if let Some(reason) = failure {
         let name = &machine.name;
         let answer = json!({"ok": false, "machine": name, "permit": permit,
-            "line": format!("{name} stays out: {reason}")});
+            "line": format!("machine {name} stays out of service: {reason}")});
         return finish_without_line(socket, &answer);
     }
     finish(socket, &answer, || {
-        format!("{} is given back", machine.name)
+        format!("machine {} returned", machine.name)
     })
 }
 
-/// The machine that a command is run for.
+/// The machine that the command is run for.
 struct Machine {
     name: String,
     permit: u64,
 }
 
-/// What waiting for the turn of a request has come to.
+/// The result of waiting for a request's turn.
 enum Turn {
-    /// The row of a machine whose permit can be used.
+    /// The row of a machine whose permit this operator can use.
     Permitted(Value),
+    /// The request has no unfinished machine.
     NotOpen,
+    /// The timeout expired first.
     NotYet,
 }
 
@@ -88,7 +93,7 @@
     }
 }
 
-/// Runs the command; what went wrong comes back.
+/// Runs the command. Returns the reason if it failed.
 fn run_command(command: &[String], machine: &Machine) -> Option<String> {
     let program = &command[0];
     let status = Command::new(program)
@@ -99,12 +104,12 @@
         .status();
     match status {
         Ok(status) if status.success() => None,
-        Ok(status) => Some(format!("{program} ended with {status}")),
-        Err(e) => Some(format!("{program} could not be run: {e}")),
+        Ok(status) => Some(format!("command {program} failed with {status}")),
+        Err(error) => Some(format!("command {program} could not be started: {error}")),
     }
 }
 
-/// Gives the machine back, with the same operation id until the outcome is known.
+/// Returns the machine. Attempts use the same operation id and are repeated until the outcome is known.
 fn return_machine(
     socket: &Socket,
     machine: &Machine,
--- a/router/src/fleet/maintenance_cli/list.rs
+++ b/router/src/fleet/maintenance_cli/list.rs
@@ -1,4 +1,4 @@
-//! `ternpick maintenance list`, `show` and `history`: the machines in maintenance as the leader sees them.
+//! `ternpick maintenance list`, `show` and `history`: show the machines in maintenance as the leader sees them.
 
 use std::time::Duration;
 
@@ -66,20 +66,24 @@
 
 fn print_coordinator(view: &Value) {
     println!(
-        "{} carries the work on, number {}",
+        "coordinator {}, fencing number {}",
         field(&view["carrier"]),
         field(&view["fence"])
     );
     let pause = &view["hold"];
     if pause.is_object() {
-        println!("held by {}: {}", field(&pause["by"]), field(&pause["why"]));
+        println!(
+            "paused by {}: {}",
+            field(&pause["by"]),
+            field(&pause["why"])
+        );
     }
 }
 
 fn print_machines<'a>(machines: impl Iterator<Item = &'a Value>) {
     println!(
         "{:<8} {:<20} {:<17} {:>10} {:>8}  waits for",
-        "request", "machine", "state", "for", "permit"
+        "request", "machine", "state", "duration", "permit"
     );
     for row in machines {
         let duration = if row["state"] == "waits" {
@@ -98,11 +102,11 @@
     }
 }
 
-/// What a machine waits for: routers that still use it, a limit that binds, or whoever works on it.
+/// Describes what a machine waits for: routers that still use it, a limit that binds, or the operator who works on it.
 fn waits_for(row: &Value) -> String {
     let members = join_names(&row["waits_for"]);
     if !members.is_empty() {
-        return format!("{members} to be quiet there");
+        return format!("routers that still use it: {members}");
     }
     if let Some(binds) = row["binds"].as_str() {
         return binds.to_owned();
@@ -119,13 +123,13 @@
     begun.to_owned()
 }
 
-/// Milliseconds as a duration in words, without what is below a second.
+/// Formats milliseconds as a duration, rounded down to seconds.
 pub(super) fn format_ms(ms: &Value) -> String {
     let ms = ms.as_u64().unwrap_or(0);
     humantime::format_duration(Duration::from_secs(ms / 1000)).to_string()
 }
 
-/// A list of names in one line.
+/// Joins a list of names into one line.
 pub(super) fn join_names(names: &Value) -> String {
     let names: Vec<String> = rows(names).map(field).collect();
     names.join(", ")
--- a/router/src/fleet/maintenance_cli/mod.rs
+++ b/router/src/fleet/maintenance_cli/mod.rs
@@ -1,5 +1,5 @@
-//! The commands `ternpick maintenance ...`: what operators ask for, see and hand back. They speak to a router's control
-//! socket; what is decided is in `ternpick-maintenance`.
+//! The commands `ternpick maintenance ...`, with which operators request, inspect and return machines. They use a router's
+//! control socket; `ternpick-maintenance` makes the decisions.
 
 mod arguments;
 mod client;
@@ -15,7 +15,7 @@
 
 use crate::fleet::cli::{exit_code, CommandResult};
 
-/// Runs a command `ternpick maintenance ...`; the error is one line for the operator.
+/// Runs a command `ternpick maintenance ...`. The error is one line for the operator.
 pub(crate) fn maintenance(command: MaintenanceCommand) -> Result<ExitCode, String> {
     exit_code(run(command))
 }
--- a/router/src/fleet/maintenance_cli/next.rs
+++ b/router/src/fleet/maintenance_cli/next.rs
@@ -1,4 +1,4 @@
-//! `ternpick maintenance next`: waits for a permit that can be taken.
+//! `ternpick maintenance next`: waits for an available permit.
 
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
     field, finish, finish_without_line, rows, CommandResult, OperationOptions,
 };
 
-/// The state of a machine whose permit somebody has taken.
+/// The state of a machine whose permit an operator has taken.
 const IN_WORK: &str = "in work";
 
 pub(super) fn run(options: &OperationOptions, request: Option<u64>) -> CommandResult {
@@ -29,14 +29,18 @@
             }
         }
         if began.elapsed() >= options.wait.timeout {
-            let answer = json!({"ok": false, "unknown": true, "line": "no permit is there yet"});
+            let line = format!(
+                "no permit became available within {:?}",
+                options.wait.timeout
+            );
+            let answer = json!({"ok": false, "unknown": true, "line": line});
             return finish_without_line(socket, &answer);
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A machine with a permit that nobody has taken, or that `by` has; one that `by` has goes first.
+/// Finds a machine whose permit is not taken, or was taken by `by`. One that `by` has taken comes first.
 pub(super) fn find_permit(view: &Value, request: Option<u64>, by: Option<&str>) -> Option<Value> {
     let is_usable = |row: &&Value| match row["state"].as_str() {
         Some("permitted") => true,
--- a/router/src/fleet/maintenance_cli/operations.rs
+++ b/router/src/fleet/maintenance_cli/operations.rs
@@ -16,14 +16,14 @@
 ) -> CommandResult {
     let answer = submit(options, machine_request(selection, why, by))?;
     finish(&options.socket, &answer, || {
-        format!("request {} is taken", answer["number"])
+        format!("maintenance request {} accepted", answer["number"])
     })
 }
 
 pub(super) fn begin(options: &OperationOptions, permit: u64, by: &str) -> CommandResult {
     let answer = submit_entry(options, json!({"begin": {"permit": permit, "by": by}}))?;
     finish(&options.socket, &answer, || {
-        format!("permit {permit} is {by}'s")
+        format!("permit {permit} taken by {by}")
     })
 }
 
@@ -36,19 +36,21 @@
     let entry = json!({"done": {"permit": permit, "by": by, "failed": failed}});
     let answer = submit_entry(options, entry)?;
     finish(&options.socket, &answer, || {
-        format!("permit {permit} is given back")
+        format!("permit {permit} returned")
     })
 }
 
-/// `hold`: no more machines go out.
+/// `hold`: pauses maintenance, so that no more machines go out of service.
 pub(super) fn pause(options: &OperationOptions, by: &str, why: &str) -> CommandResult {
     let answer = submit_entry(options, json!({"hold": {"by": by, "why": why}}))?;
-    finish(&options.socket, &answer, || "nothing more goes out".into())
+    finish(&options.socket, &answer, || {
+        "maintenance paused: no more machines go out of service".into()
+    })
 }
 
 pub(super) fn resume(options: &OperationOptions, by: &str) -> CommandResult {
     let answer = submit_entry(options, json!({"resume": {"by": by}}))?;
-    finish(&options.socket, &answer, || "it goes on".into())
+    finish(&options.socket, &answer, || "maintenance resumed".into())
 }
 
 pub(super) fn change(
@@ -62,7 +64,7 @@
     let change = json!({"request": request, "by_when": by_when, "priority": priority, "by": by});
     let answer = submit_entry(options, json!({"change": change}))?;
     finish(&options.socket, &answer, || {
-        format!("request {request} is changed")
+        format!("maintenance request {request} changed")
     })
 }
 
@@ -70,7 +72,7 @@
     let answer = submit_entry(options, json!({"cancel": {"request": request, "by": by}}))?;
     finish(&options.socket, &answer, || {
         format!(
-            "{} machines of request {request} are cancelled",
+            "{} machines of maintenance request {request} cancelled",
             answer["number"]
         )
     })
--- a/router/src/fleet/maintenance_cli/plan.rs
+++ b/router/src/fleet/maintenance_cli/plan.rs
@@ -1,4 +1,5 @@
-//! `ternpick maintenance plan`: in which rounds machines would go out, and what keeps others from it.
+//! `ternpick maintenance plan`: shows the rounds in which machines would go out of service, and the limits that prevent others
+//! from going out.
 
 use serde_json::Value;
 
@@ -30,15 +31,15 @@
 fn print_plan(plan: &Value) {
     let rounds: Vec<&Value> = rows(&plan["rounds"]).collect();
     println!(
-        "{} rounds (at least {}), {} of work",
+        "{} rounds (lower bound {}), duration {}",
         rounds.len(),
         field(&plan["bound"]),
         format_ms(&plan["lasts_ms"])
     );
-    for (at, round) in rounds.iter().enumerate() {
+    for (index, round) in rounds.iter().enumerate() {
         println!(
             "{:>4}  {:<10} {}",
-            at + 1,
+            index + 1,
             format_ms(&round["lasts_ms"]),
             join_names(&round["machines"])
         );
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! This router as a member of its fleet, where the settings ask for one: connections to the other routers, the replica's
-//! file, time, and what follows from the agreed policy here. What is agreed, who may admit and which step comes next are
-//! decided by `ternpick-consensus`, `ternpick-fleet-policy` and `ternpick-maintenance`.
+//! This router as a member of its fleet, if the settings configure one: connections to the other routers, the replica's
+//! file, timing, and the effects of the agreed policy on this router. Consensus, admission and maintenance steps are decided
+//! by `ternpick-consensus`, `ternpick-fleet-policy` and `ternpick-maintenance`.
 //!
-//! One task ([`event_loop::run`]) drives this router's [`FleetNode`]. Admission of queries asks [`Fleet::admit`] in the turn
-//! in which a query is admitted.
+//! One task ([`event_loop::run`]) drives this router's [`FleetNode`]. The admission stage calls [`Fleet::admit`] in the same
+//! turn in which it admits the query.
 
 mod admission;
 pub(crate) mod cli;
@@ -59,59 +59,59 @@
     me: Member,
     /// The fleet's id, from its name.
     id: FleetId,
-    /// Where the replica's file is.
+    /// The folder of the replica's file.
     folder: PathBuf,
-    /// Notified when admission may be decided otherwise: queries that wait for it ask again.
+    /// Notified when the admission decision may have changed, so that waiting queries evaluate it again.
     admission_changed: Event,
     /// The state machine of consensus, policy and lease.
     node: RefCell<FleetNode>,
-    /// Requests of this router's operators that wait for an answer.
+    /// Requests of this router's operators that have no answer yet.
     pending_requests: RefCell<PendingRequests>,
-    /// The replica's file; none while a write has it, or after a failed one.
+    /// The replica's file; `None` while a write uses it, and after a failed write.
     journal: RefCell<Option<Journal>>,
-    /// The number of the last replica state that was given to the disk.
+    /// The number of the last replica state whose write was started.
     persisted_version: Cell<u64>,
-    /// What other routers have sent.
+    /// Batches received from other routers.
     inbox: RefCell<PeerInbox>,
     /// Notified when the event loop has something to do before its next deadline.
     wake: Event,
-    /// Notified when this process no longer takes part for its member.
+    /// Notified when this process no longer participates for its member.
     participation_ended: Event,
     /// The platform's own settings, which a policy refines.
     platform_defaults: PlatformDefaults,
-    /// Endpoint states that the fleet makes stricter than discovery has them.
+    /// Endpoint states that the fleet makes stricter than discovery lists them.
     endpoints: RefCell<EndpointOverrides>,
-    /// Maintenance of machines, where the settings have it.
+    /// Maintenance of machines, if the settings configure it.
     maintenance: Option<MaintenanceParticipant>,
-    /// What went to other routers and came from them.
+    /// Counters of the batches sent to and received from other routers.
     traffic: Cell<Traffic>,
-    /// Writes of the replica's state that took long.
+    /// Limits the log lines about slow writes of the replica's state.
     slow_writes: LogLimit,
-    /// Turns of the event loop that began late.
+    /// Limits the log lines about late turns of the event loop.
     late_turns: LogLimit,
-    /// Connections to the others, by member; one ends when its member is no longer in the fleet.
+    /// Connections to the other routers, by member. A connection is closed when its member leaves the fleet.
     peers: RefCell<BTreeMap<Member, Rc<PeerTransport>>>,
 }
 
-/// A random number, for what has to differ between processes.
+/// Returns a random number for ids and seeds that have to differ between processes.
 pub(crate) fn random_u64() -> u64 {
     let mut bytes = [0; 8];
     if SystemRandom::new().fill(&mut bytes).is_ok() {
         return u64::from_le_bytes(bytes);
     }
-    // Without random numbers of the system, two processes could be taken for one; time and process id tell them apart.
+    // If the system's random source fails, time and process id still distinguish two processes.
     let since_epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     since_epoch.as_nanos() as u64 ^ u64::from(std::process::id()) << 32
 }
 
-/// Waits until a time of the router's clock.
+/// Waits until the given time of the router's clock.
 async fn sleep_until(router: &Router, at: Micros) {
     Timer::at(router.clock.instant(at)).await;
 }
 
-/// Injects the bug that the environment names, for tests of the checkers.
+/// Injects the bug that the environment variable names, for tests of the checkers.
 #[cfg(feature = "planted")]
 fn inject_bug(node: &mut FleetNode) {
     use ternpick_fleet_policy::injected_bug::{InjectedLeaderBug, InjectedLeaseHolderBug};
@@ -136,8 +136,8 @@
 }
 
 impl Fleet {
-    /// This router's part in the fleet of its settings; it takes part once [`event_loop::run`] drives it. `inherits`: the
-    /// process takes the place of one that may still admit for a while.
+    /// Makes this router's membership from its settings; it participates once [`event_loop::run`] drives it. `inherits`: this
+    /// process replaces one that may still admit queries for a while.
     pub(crate) fn new(
         settings: FleetTerms,
         name: &str,
@@ -178,7 +178,8 @@
         })
     }
 
-    /// Where this router listens for the others: by its settings, else as the fleet knows it.
+    /// The address on which this router listens for peers: from `listen` or its member entry in the settings, otherwise from
+    /// the fleet's member list.
     fn address(&self) -> Option<SocketAddr> {
         let in_fleet = self
             .node
--- a/router/src/fleet/peer_batch.rs
+++ b/router/src/fleet/peer_batch.rs
@@ -1,15 +1,16 @@
-//! What routers send each other: serde records (postcard) in the body of an HTTP/1.1 request, bounded as all requests.
+//! The batches that routers send each other, encoded with postcard in the body of an HTTP/1.1 request. Their size is limited
+//! like that of all requests.
 
 use serde::{Deserialize, Serialize};
 use ternpick_consensus::FleetId;
 use ternpick_fleet_policy::{Member, PeerMessage};
 
-/// The path of requests between routers; its number is the version of the format.
+/// The path of requests between routers. The number in it is the version of the format.
 pub(super) const PATH: &str = "/_fleet/1";
-/// The longest batch that is sent, in bytes; a request's body may be a little longer.
+/// The maximum size of a sent batch in bytes. The limit for a received request body is a little higher.
 pub(super) const MAX_BATCH_BYTES: usize = 60 * 1024;
 
-/// Messages of one router for another. Encoded by position: fields keep their order.
+/// Messages from one router to another. The encoding is by position, so the order of the fields must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct PeerBatch {
     pub(super) fleet: FleetId,
@@ -18,24 +19,24 @@
     pub(super) messages: Vec<PeerMessage>,
 }
 
-/// Why a batch is not accepted. The sender gets the text.
+/// The reason why a batch is rejected. The sender receives the text.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum BatchError {
-    #[error("it cannot be read")]
+    #[error("peer batch cannot be decoded: {0}")]
     Decode(#[source] postcard::Error),
-    #[error("it is of fleet {sent}, this one is {own}")]
+    #[error("peer batch belongs to fleet {sent}, expected fleet {own}")]
     OtherFleet { sent: FleetId, own: FleetId },
-    #[error("it is for {sent}, this is {own}")]
+    #[error("peer batch is addressed to member {sent}, expected member {own}")]
     OtherMember { sent: Member, own: Member },
 }
 
 impl PeerBatch {
-    /// The body of a request.
+    /// Encodes the batch as the body of a request.
     pub(super) fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads the body of a request to the member `me`.
+    /// Decodes the body of a request that is addressed to the member `me`.
     pub(super) fn decode(
         bytes: &[u8],
         fleet: FleetId,
--- a/router/src/fleet/peer_inbox.rs
+++ b/router/src/fleet/peer_inbox.rs
@@ -1,4 +1,4 @@
-//! Batches of other routers that wait for the event loop's next turn.
+//! Batches received from other routers, queued for the event loop's next turn.
 
 use std::collections::VecDeque;
 
@@ -8,17 +8,18 @@
 use super::peer_batch::PeerBatch;
 use super::Fleet;
 
-/// Batches that wait at a time; of more, the oldest are dropped, as on any network.
+/// The maximum number of queued batches. Beyond it the oldest are dropped, which the protocol tolerates like any message
+/// loss on the network.
 const MAX_BATCHES: usize = 1024;
 
-/// What other routers have sent.
+/// The queue of received batches, and the fragments of messages that are not complete yet.
 #[derive(Default)]
 pub(super) struct PeerInbox {
     batches: VecDeque<PeerBatch>,
     fragments: FragmentBuffer,
 }
 
-/// A message, and the member that has sent it.
+/// A complete message and the member that sent it.
 pub(super) struct ReceivedMessage {
     pub(super) from: Member,
     pub(super) message: PeerMessage,
@@ -32,7 +33,7 @@
         self.batches.push_back(batch);
     }
 
-    /// The complete messages of the oldest batch; none: no batch waits.
+    /// Removes the oldest batch and returns its complete messages; `None` if no batch is queued.
     fn next_messages(&mut self) -> Option<Vec<ReceivedMessage>> {
         let PeerBatch { from, messages, .. } = self.batches.pop_front()?;
         let mut complete = Vec::new();
@@ -47,13 +48,13 @@
 }
 
 impl Fleet {
-    /// Takes a batch that another router has sent.
+    /// Queues a batch from another router and wakes the event loop.
     pub(super) fn receive(&self, batch: PeerBatch) {
         self.inbox.borrow_mut().add(batch);
         self.wake.notify(1);
     }
 
-    /// The complete messages of the oldest batch; none: no batch waits.
+    /// Removes the oldest batch and returns its complete messages; `None` if no batch is queued.
     pub(super) fn next_messages(&self) -> Option<Vec<ReceivedMessage>> {
         self.inbox.borrow_mut().next_messages()
     }
--- a/router/src/fleet/peer_listener.rs
+++ b/router/src/fleet/peer_listener.rs
@@ -1,4 +1,4 @@
-//! The fleet's own listener: connections on which other routers send their batches.
+//! The listener for peers: accepts connections on which other routers send their batches.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,19 +17,19 @@
 use crate::router::Router;
 use crate::state::descriptors::Peer;
 
-/// A connection on which nothing is received for so long is closed.
+/// A connection on which no request is received within this time is closed.
 const IDLE_TIMEOUT: Micros = Micros(30_000_000);
-/// Connections that other routers may hold here.
+/// The maximum number of open connections from other routers.
 const MAX_CONNECTIONS: usize = 1200;
 
-/// Binds the fleet's own address, once whoever has it has closed it.
+/// Binds the peer address, and retries until the process that still has it closes it.
 pub(super) async fn bind(router: &Router, address: SocketAddr) -> Async<TcpListener> {
     let mut is_logged = false;
     loop {
         match Async::<TcpListener>::bind(address) {
             Ok(listener) => return listener,
             Err(error) if !is_logged => {
-                tracing::warn!(%address, %error, "fleet: cannot listen yet");
+                tracing::warn!(%address, %error, "fleet: cannot bind the peer address yet, retrying");
                 is_logged = true;
             }
             Err(_) => {}
@@ -38,21 +38,21 @@
     }
 }
 
-/// Accepts connections of other routers, until it is dropped.
+/// Accepts connections from other routers until the future is dropped.
 pub(super) async fn serve(router: Rc<Router>, fleet: Rc<Fleet>, listener: Async<TcpListener>) {
     let open_connections = Rc::new(Cell::new(0));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => accept(&router, &fleet, &open_connections, stream),
             Err(error) => {
-                tracing::warn!(%error, "fleet: cannot accept");
+                tracing::warn!(%error, "fleet: cannot accept a peer connection");
                 sleep_until(&router, router.clock.now() + RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Reads a connection in a task of its own; one beyond the limits is closed.
+/// Starts a task that reads the connection. Connections beyond the limits are closed.
 fn accept(
     router: &Rc<Router>,
     fleet: &Rc<Fleet>,
@@ -78,7 +78,7 @@
 }
 
 async fn read_batches(router: &Router, fleet: &Fleet, stream: Async<TcpStream>) {
-    // The answers are small, and the other end waits for them. Without the option they only come later.
+    // Peers wait for these small answers. If the option cannot be set, the answers are only delayed.
     let _ = stream.get_ref().set_nodelay(true);
     let mut input = Ring::new(MAX_HEAD_BYTES);
     let mut request = Reader::for_requests();
@@ -107,7 +107,7 @@
     }
 }
 
-/// The answer to one request.
+/// The answer to a request of a peer.
 struct PeerAnswer {
     status: u16,
     body: String,
@@ -122,12 +122,12 @@
     }
 }
 
-/// Takes the batch in a request.
+/// Decodes the batch in a request, queues it and returns the answer.
 fn receive(fleet: &Fleet, request: &Reader) -> PeerAnswer {
     if request.method() != "POST" || request.path() != PATH {
         return PeerAnswer {
             status: 404,
-            body: "routers of a fleet speak here".into(),
+            body: format!("the peer listener accepts only POST {PATH}"),
         };
     }
     match PeerBatch::decode(request.body(), fleet.id, &fleet.me) {
@@ -146,7 +146,7 @@
     }
 }
 
-/// Reads one request; false: the connection has ended, or what was received is no request.
+/// Reads one request. Returns false if the connection has ended, or if the received bytes are not a valid request.
 async fn read_request(stream: &Async<TcpStream>, input: &mut Ring, request: &mut Reader) -> bool {
     use std::io::{ErrorKind, Read};
     loop {
--- a/router/src/fleet/peer_transport.rs
+++ b/router/src/fleet/peer_transport.rs
@@ -1,5 +1,5 @@
-//! The connection out to another router of the fleet: one request at a time. A message that cannot be sent is dropped, as on
-//! any network; the state machines send again what still matters.
+//! The outgoing connection to another router of the fleet, with one request in flight at a time. A message that cannot be
+//! sent is dropped; the state machines tolerate that and send again what is still needed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -20,14 +20,14 @@
 use crate::stages::upstream_writer;
 use crate::state::descriptors::Peer;
 
-/// Messages that wait for one router; of more, the oldest are dropped.
+/// The maximum number of messages queued for one router. Beyond it the oldest are dropped.
 const MAX_QUEUED: usize = 64;
-/// How long one request may take; then its connection is closed.
+/// The timeout of one request. When it expires, the connection is closed.
 pub(super) const CALL_TIMEOUT: Micros = Micros(1_000_000);
-/// The pause after a failure.
+/// The delay after a failure before the next attempt.
 pub(super) const RETRY_DELAY: Micros = Micros(50_000);
 
-/// The connection to one other router, and what waits for it.
+/// The connection to one other router, and the messages queued for it.
 pub(super) struct PeerTransport {
     to: Member,
     address: Cell<SocketAddr>,
@@ -37,27 +37,28 @@
     is_closed: Cell<bool>,
 }
 
-/// A connection that can carry a further request.
+/// An idle connection that can be used for another request.
 struct Connection {
     stream: Async<TcpStream>,
     address: SocketAddr,
 }
 
-/// Why a request to another router has failed.
+/// The reason why a request to another router failed.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
-    #[error("no answer in time")]
+    #[error("peer did not answer within {} ms", CALL_TIMEOUT.0 / 1000)]
     Timeout,
-    #[error("the connection could not be made")]
+    #[error("connection to the peer could not be opened")]
     Connect,
-    #[error("{0}")]
+    #[error("TCP_NODELAY could not be set on the peer connection: {0}")]
     SocketOption(#[from] std::io::Error),
-    #[error("{0}")]
+    #[error("request to the peer failed: {0}")]
     Exchange(String),
 }
 
 impl PeerTransport {
-    /// Makes a transport, whose task runs until [`PeerTransport::close`]; it connects with the first message.
+    /// Creates a transport and starts its task, which runs until [`PeerTransport::close`]. It connects when the first message
+    /// is sent.
     pub(super) fn open(
         router: &Rc<Router>,
         fleet: &Rc<Fleet>,
@@ -76,12 +77,12 @@
         transport
     }
 
-    /// Where the router is from now on.
+    /// Sets the address for subsequent requests.
     pub(super) fn set_address(&self, address: SocketAddr) {
         self.address.set(address);
     }
 
-    /// Queues a message.
+    /// Queues a message, and drops the oldest one if the queue is full.
     pub(super) fn send(&self, message: PeerMessage) {
         let mut queue = self.queue.borrow_mut();
         if queue.len() >= MAX_QUEUED {
@@ -91,13 +92,13 @@
         self.changed.notify(1);
     }
 
-    /// Ends the transport's task; what is queued is dropped.
+    /// Ends the transport's task and drops the queued messages.
     pub(super) fn close(&self) {
         self.is_closed.set(true);
         self.changed.notify(1);
     }
 
-    /// The body of the next request: as many queued messages as fit into a batch.
+    /// Encodes as many queued messages as fit into a batch as the body of the next request; `None` if nothing is queued.
     fn next_body(&self, fleet: &Fleet) -> Option<Vec<u8>> {
         let messages = self.next_messages();
         if messages.is_empty() {
@@ -131,7 +132,7 @@
         messages
     }
 
-    /// Replaces the first message by its fragments; one that is too long for that is dropped.
+    /// Replaces the first message by its fragments. A message that is too long even for fragments is dropped.
     fn split_first(&self, queue: &mut VecDeque<PeerMessage>, bytes: usize) {
         let first = queue.pop_front();
         match first.and_then(|message| split(&message, random_u64())) {
@@ -141,7 +142,7 @@
                 }
             }
             None => {
-                tracing::warn!(bytes, to = %self.to, "fleet: message too long, dropped");
+                tracing::warn!(bytes, to = %self.to, "fleet: message exceeds the fragment limit, dropped");
             }
         }
     }
@@ -160,7 +161,7 @@
         };
         let address = transport.address.get();
         idle = idle.filter(|connection| connection.address == address);
-        // A connection to another router counts as one to a node; where no descriptor is left, the batch is lost.
+        // A connection to a peer uses a file descriptor of the share for data nodes. If none is free, the batch is lost.
         let Some(_permit) = router.descriptors.take(Peer::Node) else {
             idle = None;
             sleep_until(&router, router.clock.now() + RETRY_DELAY).await;
@@ -175,14 +176,14 @@
                 idle = connection;
             }
             Err(error) => {
-                tracing::debug!(to = %transport.to, %error, "fleet: peer not reached");
+                tracing::debug!(to = %transport.to, %error, "fleet: request to peer failed");
                 sleep_until(&router, router.clock.now() + RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Sends one request and reads its answer. Returns the connection if it can carry a further one.
+/// Sends one request and reads its answer. Returns the connection if it stays open for another request.
 async fn call(
     router: &Router,
     fleet: &Fleet,
--- a/router/src/fleet/pending_requests.rs
+++ b/router/src/fleet/pending_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of this router's operators that wait for the fleet's answer.
+//! Requests of this router's operators that have no answer from the fleet yet.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use super::Fleet;
 use crate::router::Router;
 
-/// Requests that wait, by operation; each is removed by whoever made it.
+/// The requests in flight, by operation id. [`Fleet::submit`] adds and removes them.
 #[derive(Default)]
 pub(super) struct PendingRequests(BTreeMap<OperationId, PendingRequest>);
 
@@ -30,7 +30,7 @@
         answered
     }
 
-    /// Takes an answer; nobody may wait for it any more.
+    /// Stores the answer to a request. It is ignored if the request was removed after its timeout.
     pub(super) fn answer(&mut self, op: OperationId, response: OperatorResponse) {
         if let Some(request) = self.0.get_mut(&op) {
             request.response = Some(response);
@@ -48,7 +48,8 @@
 }
 
 impl Fleet {
-    /// Submits an operator's request and waits for its answer. None: the time `wait` is over, and the outcome is unknown.
+    /// Submits an operator's request and waits for its answer. Returns `None` if `wait` expires first; the outcome is then
+    /// unknown.
     pub(super) async fn submit(
         &self,
         router: &Router,
--- a/router/src/fleet/policy.rs
+++ b/router/src/fleet/policy.rs
@@ -1,4 +1,4 @@
-//! Policy documents of the fleet at this router: whether one fits the router's own settings, and applying it.
+//! Checks whether policy documents of the fleet fit this router's own settings, and applies the policy in force.
 
 use ternpick::types::PlatformConfig;
 use ternpick_fleet_policy::{PlatformLimits, PolicyDocument, Record, Verdict};
@@ -6,7 +6,7 @@
 use super::Fleet;
 use crate::router::Router;
 
-/// The platform's own settings and names, which a policy refines.
+/// The platform configuration and names that a policy refines.
 pub(super) struct PlatformDefaults {
     pub(super) config: PlatformConfig,
     pub(super) index_names: Vec<String>,
@@ -14,7 +14,7 @@
 }
 
 impl PlatformDefaults {
-    /// What a policy may refer to here, and within which limits.
+    /// The names that a policy may refer to on this router, and the limits for its values.
     pub(super) fn limits(&self) -> PlatformLimits {
         ternpick_fleet_policy::platform_limits(
             &self.config,
@@ -25,7 +25,7 @@
 }
 
 impl Fleet {
-    /// Whether a proposal fits this router's own settings.
+    /// Checks whether a proposal fits this router's own settings.
     pub(super) fn check_policy(&self, document: &PolicyDocument) -> Verdict {
         let name = format!("proposal {}", document.number);
         match self.read_policy(&name, document) {
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Applies the policy in force to the decision module. One that does not fit here ends admission: the router was away
-    /// when the proposal was checked.
+    /// Applies the policy in force to the routing engine. If the policy does not fit this router's settings, the router stops
+    /// admitting queries; this happens if the router was down when the proposal was checked.
     pub(super) fn apply_policy(&self, router: &Router, document: &PolicyDocument) {
         let version = document.number;
         let record = match self.read_policy(&format!("version {version}"), document) {
             Ok(record) => record,
             Err(error) => {
-                tracing::error!(%version, %error, "policy: version does not fit here, nothing is admitted");
+                tracing::error!(%version, %error, "policy: version does not fit this router's settings, no query is admitted");
                 let mut node = self.node.borrow_mut();
                 node.lease_holder.policy_does_not_fit(version);
                 return;
--- a/router/src/fleet/replica_file.rs
+++ b/router/src/fleet/replica_file.rs
@@ -1,4 +1,5 @@
-//! The fleet's folder: one file, replaced whole, with the state of this router's replica and all that it has promised.
+//! The replica's file in the fleet's folder. It holds the state of this router's replica, including the promises it has made
+//! to the other replicas, and is read at the start.
 
 use std::path::{Path, PathBuf};
 
@@ -6,25 +7,25 @@
 use ternpick_fleet_policy::LoadedReplica;
 use ternpick_store::Journal;
 
-/// The file's name. Folders of earlier versions have it.
-const FILE: &str = "seat";
-/// The kind of content that the file names itself by. Files of earlier versions have it.
-const KIND: &str = "fleet-seat";
+/// The name of the replica's file. It must not change, because folders of earlier versions contain it.
+const FILE_NAME: &str = "seat";
+/// The content kind in the file's header. It must not change, because files of earlier versions contain it.
+const CONTENT_KIND: &str = "fleet-seat";
 
-/// The replica's state could not be written.
+/// The error of a failed write of the replica's state.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub(crate) struct PersistError(#[from] ternpick_store::StoreError);
 
-/// The replica's file in a folder.
+/// The path of the replica's file in the given folder.
 pub(super) fn path(folder: &Path) -> PathBuf {
-    folder.join(FILE)
+    folder.join(FILE_NAME)
 }
 
-/// What the folder holds at the start.
+/// The replica and its file as loaded at the start.
 pub(super) struct LoadedFile {
     pub(super) replica: LoadedReplica,
-    /// The file, open for writing; none where it cannot be used.
+    /// The file, open for writing; `None` if it is unusable.
     pub(super) journal: Option<Journal>,
 }
 
@@ -37,14 +38,14 @@
     }
 }
 
-/// Reads the replica's state, and opens its file for writing where that can be used.
+/// Reads the replica's state, and opens its file for writing if it is usable.
 pub(super) fn load(
     folder: &Path,
     fleet: FleetId,
     raft_config: RaftConfig,
     seed: u64,
 ) -> LoadedFile {
-    let (journal, stored) = match Journal::open(&path(folder), KIND) {
+    let (journal, stored) = match Journal::open(&path(folder), CONTENT_KIND) {
         Ok(opened) => opened,
         Err(error) => return LoadedFile::unusable(error.to_string()),
     };
@@ -63,8 +64,8 @@
     }
 }
 
-/// Writes a state of the replica, which is durable once this returns. After a failed write the journal is begun anew, and
-/// the file is replaced whole.
+/// Writes a state of the replica; it is durable when this returns. After a failed write `journal` is `None`: a new journal
+/// is then started, which replaces the whole file.
 pub(super) fn persist(
     folder: &Path,
     journal: &mut Option<Journal>,
@@ -76,7 +77,7 @@
         .unwrap_or_default();
     let written_at = u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX);
     journal
-        .get_or_insert_with(|| Journal::replacing(&path(folder), KIND))
+        .get_or_insert_with(|| Journal::replacing(&path(folder), CONTENT_KIND))
         .append(version, written_at, image)?;
     Ok(())
 }
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! What the settings `fleet` mean for the fleet's state machines.
+//! Converts the settings `fleet` into the configuration of the fleet's state machines.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The fleet's id: the first eight bytes of its name's SHA-256.
+/// Derives the fleet's id: the first eight bytes of the SHA-256 digest of its name.
 pub(super) fn fleet_id(name: &str) -> FleetId {
     let digest = ring::digest::digest(&ring::digest::SHA256, name.as_bytes());
     let first_bytes = digest
@@ -21,10 +21,10 @@
     FleetId(u64::from_le_bytes(first_bytes))
 }
 
-/// The timing of leases.
+/// The configuration of leases.
 pub(super) fn lease_config(settings: &FleetTerms) -> LeaseConfig {
     let serve_without_lease = settings.without_lease == "serve-and-mark";
-    // A router that may serve without a lease has queries wait only a little for one, and then serves them.
+    // Where a router may serve without a lease, queries wait only briefly for one and are then served without it.
     let default_wait_us = if serve_without_lease {
         LeaseConfig::default().max_admission_wait_us
     } else {
@@ -41,12 +41,12 @@
     }
 }
 
-/// The timing of consensus.
+/// The configuration of consensus.
 pub(super) fn raft_config(settings: &FleetTerms) -> RaftConfig {
     ternpick_fleet_policy::raft_config(settings.election)
 }
 
-/// The members at the bootstrap of the fleet. Voters get replica ids from 1, in the order of their names.
+/// The members at the fleet's bootstrap. Voters get replica ids from 1, in the order of their names.
 pub(super) fn initial_members(settings: &FleetTerms) -> BTreeMap<Member, MemberInfo> {
     let mut members = BTreeMap::new();
     let mut last_replica = 0;
--- a/router/src/fleet/status.rs
+++ b/router/src/fleet/status.rs
@@ -1,4 +1,4 @@
-//! How the fleet looks from this router, for `ternpick status` and `ternpick fleet status`.
+//! The fleet's state as this router knows it, for `ternpick status` and `ternpick fleet status`.
 
 use serde_json::{json, Value};
 use ternpick::routing::RoutingEngine;
@@ -7,7 +7,7 @@
 
 use super::Fleet;
 
-/// Batches that were exchanged with other routers, and their bytes.
+/// Counters of the batches exchanged with other routers, and of their bytes.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Traffic {
     batches_sent: u64,
@@ -33,7 +33,7 @@
         self.traffic.set(traffic);
     }
 
-    /// The fleet's state as JSON. The keys are read by operators' scripts and stay.
+    /// Returns the fleet's state as JSON. Operators' scripts read the keys, so these must not change.
     pub(crate) fn status(&self, engine: &RoutingEngine, now: Micros) -> Value {
         let node = self.node.borrow();
         let lease_holder = &node.lease_holder;
@@ -85,6 +85,6 @@
             "admits without a lease, and marks it: the rule is given up".to_owned()
         }
         Admission::Wait(_) => "waits while a change takes hold".to_owned(),
-        Admission::Rejected { reason: why, .. } => format!("refuses: {}", why.description()),
+        Admission::Rejected { reason, .. } => format!("refuses: {}", reason.description()),
     }
 }
--- a/router/tests/fleet.rs
+++ b/router/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of real processes on loopback, broken between, and judged afterwards by what was seen from outside. Each hard
-//! case is a schedule of its own; a few seeds of a rough one stand for all that nobody thought of.
+//! Fleets of real processes on loopback under fault injection, checked afterwards by the history of what clients and
+//! operators saw. Each known hard case has a schedule of its own; a few random schedules cover combinations of faults.
 
 #[path = "common/fleets.rs"]
 mod fleets;
@@ -11,11 +11,11 @@
 use ternpick_simulation::fleet::{Change, FleetPlan, Kind, Schedule, Step};
 use test_case::test_case;
 
-/// A seed that fails is played again from its schedule.
+/// Random faults from a plan. A failing seed can be repeated from its schedule.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn whatever_breaks_a_history_keeps_the_rules(seed: u64) {
+fn history_keeps_the_rules_under_random_faults(seed: u64) {
     let _turn = turn();
     let plan = FleetPlan::parse(
         "fleet-test.cue",
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn changes_take_hold_everywhere_and_nobody_is_refused_while_nothing_is_broken() {
-    // Alone on the machine: a core that another fleet has would be a pause of its own.
+fn without_faults_all_changes_take_effect_and_no_query_is_rejected() {
+    // Runs without other fleets: a core that another fleet occupies would delay this one.
     let _turns: Vec<_> = TURNS
         .iter()
         .map(|turn| turn.lock().unwrap_or_else(PoisonError::into_inner))
@@ -59,27 +59,27 @@
     );
 }
 
-/// The router that an operator speaks to is ended at each moment of the change; the same command, said again elsewhere,
-/// is still one.
+/// The router that receives the operator's command is killed at different moments of the change. The operator repeats the
+/// command with the same operation id at another router; it must take effect once.
 #[test_case(0)]
 #[test_case(5)]
 #[test_case(15)]
 #[test_case(30)]
 #[test_case(60)]
-fn the_proposer_goes_in_the_middle(after: u64) {
+fn repeated_proposal_takes_effect_once_if_its_router_is_killed(after: u64) {
     let steps = vec![step(1000 + after, 500, Kind::Kill, 1)];
     let (_, counts) = played(plan(""), steps, vec![change(1000, 1)]);
     assert_eq!((counts.proposals, counts.in_force), (1, 1), "{counts:?}");
 }
 
-#[test_case(Kind::LeadKill, 0; "ended as it is proposed")]
-#[test_case(Kind::LeadKill, 10; "ended as it is agreed")]
-#[test_case(Kind::LeadKill, 25; "ended as it takes hold")]
-#[test_case(Kind::LeadKill, 50; "ended as it is in force")]
-#[test_case(Kind::LeadStop, 15; "standing still for more than a lease")]
-#[test_case(Kind::LeadDisk, 0; "its disk full")]
-#[test_case(Kind::LeadDeaf, 0; "heard by all and hearing nobody")]
-fn whoever_leads_fails_during_a_change(kind: Kind, after: u64) {
+#[test_case(Kind::LeadKill, 0; "killed as the change is proposed")]
+#[test_case(Kind::LeadKill, 10; "killed as the change is committed")]
+#[test_case(Kind::LeadKill, 25; "killed as the change takes effect")]
+#[test_case(Kind::LeadKill, 50; "killed as the change is in force")]
+#[test_case(Kind::LeadStop, 15; "suspended for longer than a lease")]
+#[test_case(Kind::LeadDisk, 0; "with its disk full")]
+#[test_case(Kind::LeadDeaf, 0; "sends messages but receives none")]
+fn changes_take_effect_although_the_leader_fails_during_one(kind: Kind, after: u64) {
     let steps = vec![step(1000 + after, 1500, kind, 0)];
     let (_, counts) = played(
         plan("seconds: 5"),
@@ -90,8 +90,8 @@
 }
 
 #[test]
-fn of_two_proposals_at_once_one_is_refused_and_none_is_lost() {
-    // Far enough apart that a busy machine is through with one pair before the next.
+fn concurrent_proposals_are_each_decided_and_none_is_lost() {
+    // The interval lets a busy machine finish one pair of proposals before the next.
     let changes = (0..3)
         .flat_map(|at| [change(500 + at * 2500, 0), change(500 + at * 2500, 1)])
         .collect();
@@ -104,18 +104,18 @@
     assert!(counts.in_force >= 3, "{counts:?}");
 }
 
-#[test_case(Kind::Kill; "with its state")]
-#[test_case(Kind::LastWrite; "without what it wrote last")]
+#[test_case(Kind::Kill; "with its state intact")]
+#[test_case(Kind::LastWrite; "without its last write")]
 #[test_case(Kind::OlderState; "with an older state")]
-#[test_case(Kind::LostState; "without any")]
-fn one_that_was_down_during_a_change_comes_back(kind: Kind) {
+#[test_case(Kind::LostState; "without any state")]
+fn router_that_was_down_during_a_change_rejoins(kind: Kind) {
     let steps = vec![step(700, 2500, kind, 2)];
     let (outcome, counts) = played(
         plan("seconds: 6"),
         steps,
         vec![change(1200, 0), change(5200, 1)],
     );
-    // The first waits for the lease of the one that is down, and not for itself.
+    // The first change waits for the lease of the router that is down to expire, but not for its return.
     assert_eq!((counts.in_force, counts.open), (2, 0), "{counts:?}");
     assert!(
         outcome.took.iter().all(|took| took.micros < 3_000_000),
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn one_that_was_down_comes_back_in_a_minority_and_admits_nothing_there() {
-    // It starts cut off from both others, while they are under the new version.
+fn router_that_restarts_in_a_minority_admits_no_query() {
+    // The router restarts isolated from both others, which have the new version in force.
     let cut = Step {
         at: 600,
         lasts: 4000,
@@ -139,12 +139,12 @@
     assert_eq!(counts.in_force, 1, "{counts:?}");
     assert!(
         counts.statuses.contains_key(&503),
-        "it refused while it was cut off: {counts:?}"
+        "the isolated router rejects queries: {counts:?}"
     );
 }
 
 #[test]
-fn a_router_stopped_for_ten_leases_in_mid_admission_decides_nothing_under_what_was_left() {
+fn router_suspended_for_ten_leases_during_admission_does_not_decide_under_an_expired_lease() {
     let more = "seconds: 6\nlease: 300ms\nrenew: 100ms\nrate: 200";
     let steps = vec![
         step(800, 3000, Kind::LongStop, 1),
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn all_start_at_once() {
+fn changes_take_effect_after_all_routers_restart_at_once() {
     let steps = vec![step(1500, 200, Kind::Power, 0)];
     let (_, counts) = played(
         plan("seconds: 5"),
@@ -167,19 +167,23 @@
 }
 
 #[test]
-fn a_policy_that_one_routers_own_platform_forbids_is_nowhere() {
-    let beyond = Change {
+fn policy_that_exceeds_one_routers_platform_limits_is_refused() {
+    let exceeding = Change {
         calls: 3,
         ..change(800, 0)
     };
-    let (_, counts) = played(plan("stricter: 2"), vec![], vec![beyond, change(2000, 0)]);
+    let (_, counts) = played(
+        plan("stricter: 2"),
+        vec![],
+        vec![exceeding, change(2000, 0)],
+    );
     assert_eq!((counts.in_force, counts.nowhere), (1, 1), "{counts:?}");
 }
 
-#[test_case(0; "at once")]
+#[test_case(0; "as the upgrade begins")]
 #[test_case(60; "as the new process starts")]
 #[test_case(150; "as it takes over")]
-fn a_change_while_an_upgrade_hands_over(after: u64) {
+fn change_during_a_hot_restart_loses_no_query(after: u64) {
     let steps = (0..3)
         .map(|at| step(800 + at * 1300, 0, Kind::Upgrade, at as usize))
         .collect();
@@ -200,8 +204,8 @@
 }
 
 #[test]
-fn lookups_in_hand_over_three_changes_keep_what_they_were_admitted_under() {
-    // Nodes stand still, so that lookups wait while versions come and go.
+fn queries_in_flight_over_three_changes_keep_the_policy_of_their_admission() {
+    // The nodes are stalled, so that queries stay in flight while the policy changes.
     let steps = vec![
         step(800, 3200, Kind::NodeStall, 0),
         step(800, 3200, Kind::NodeStall, 1),
@@ -216,12 +220,12 @@
     assert_eq!((counts.in_force, counts.open), (3, 0), "{counts:?}");
 }
 
-/// Told to stop at each moment of a change; nothing that was taken is lost.
+/// A router is restarted gracefully at different moments of a change. No accepted query may be lost.
 #[test_case(0)]
 #[test_case(10)]
 #[test_case(25)]
 #[test_case(60)]
-fn a_router_is_told_to_stop_in_each_state(after: u64) {
+fn graceful_restart_during_a_change_loses_no_query(after: u64) {
     let steps = vec![step(1000 + after, 0, Kind::Restart, 1)];
     let (_, counts) = played(plan("seconds: 5"), steps, vec![change(1000, 0)]);
     assert_eq!(
@@ -232,8 +236,8 @@
 }
 
 #[test]
-fn a_router_comes_back_with_a_state_from_before_a_member_was_removed() {
-    // n3 was down as n2 was taken out, and believes in its vote; then both are alone with each other.
+fn router_with_a_state_from_before_a_members_removal_admits_no_query_with_the_removed_one() {
+    // n3 is down while n2 is removed, and still has the old voters in its state. Then n2 and n3 can reach only each other.
     let plan = plan("routers: 4\nvoters: 4\nseconds: 8");
     let removed = step(1200, 5800, Kind::Remove, 2);
     let apart = Step {
@@ -252,49 +256,53 @@
     assert!(counts.in_force >= 2 && counts.open == 0, "{counts:?}");
     assert!(
         counts.statuses.contains_key(&503),
-        "neither admits anything there: {counts:?}"
+        "neither of the two admits queries: {counts:?}"
     );
 }
 
-/// Seen: operators' commands hung for as long as their router stood still, and the rig with them.
-#[test_case(&["policy", "propose", "--wait", "--timeout", "200ms"], true; "a proposal")]
-#[test_case(&["policy", "history"], false; "a question")]
-#[test_case(&["fleet", "status"], false; "how it stands")]
-fn a_command_to_a_router_that_stands_still_ends_as_open(words: &[&str], with_file: bool) {
+/// Guards against commands that hang for as long as the router is suspended: they must end with exit status 3, outcome
+/// unknown.
+#[test_case(&["policy", "propose", "--wait", "--timeout", "200ms"], true; "policy propose")]
+#[test_case(&["policy", "history"], false; "policy history")]
+#[test_case(&["fleet", "status"], false; "fleet status")]
+fn command_to_an_unresponsive_router_ends_with_unknown_outcome(
+    arguments: &[&str],
+    takes_file: bool,
+) {
     let folder = tempfile::tempdir().expect("a folder");
     let (socket, file) = (folder.path().join("control"), folder.path().join("p.cue"));
-    // Its connections are made, and nobody reads them.
-    let _still = std::os::unix::net::UnixListener::bind(&socket).expect("a socket");
+    // The socket accepts connections, but no process reads them.
+    let _unread_listener = std::os::unix::net::UnixListener::bind(&socket).expect("a socket");
     std::fs::write(&file, "author: \"ann\"\nreason: \"a try\"\n").expect("written");
     let mut command = std::process::Command::new(program());
     command
-        .args(words)
-        .args(with_file.then_some(&file))
+        .args(arguments)
+        .args(takes_file.then_some(&file))
         .arg("--socket")
         .arg(&socket);
-    let done = command.output().expect("it ends");
-    let words = String::from_utf8_lossy(&done.stderr);
-    assert_eq!(done.status.code(), Some(3), "{words}");
+    let done = command.output().expect("the command ends");
+    let stderr = String::from_utf8_lossy(&done.stderr);
+    assert_eq!(done.status.code(), Some(3), "{stderr}");
     assert!(
-        words.contains("nobody") || words.contains("does not answer"),
-        "{words}"
+        stderr.contains("no fleet leader") || stderr.contains("does not answer"),
+        "{stderr}"
     );
 }
 
-/// For two seconds writes to each router's folder end halfway or find no room, and what is synced may not last; the leader is
-/// killed in the middle of it. What was said to be in force stays so, and the fleet is well again.
-#[test_case(0; "and nobody is killed")]
-#[test_case(1; "and the leader is killed meanwhile")]
-fn files_that_fail_for_a_while_lose_nothing_that_was_taken_on(kills: usize) {
+/// For two seconds, writes to each router's folder are cut short or fail with ENOSPC, and syncs fail; in one case the leader
+/// is killed during that time. Changes that were reported as in force must stay so, and the fleet must recover.
+#[test_case(0; "no process is killed")]
+#[test_case(1; "the leader is killed during the faults")]
+fn temporary_disk_faults_lose_no_change_in_force(kills: usize) {
     let _turn = turn();
     let folder = tempfile::tempdir().expect("a folder");
-    let below = folder.path().join("fleet");
-    std::fs::create_dir(&below).expect("a folder");
+    let fleet_folder = folder.path().join("fleet");
+    std::fs::create_dir(&fleet_folder).expect("a folder");
     let rules = vec![
         Rule::new(Call::Send, Role::File, 3, Effect::Half("ENOSPC".into())).between(1500, 3500),
         Rule::fails(Call::Sync, Role::File, 2, &["EIO", "ENOSPC"]).between(1500, 3500),
     ];
-    // The rig keeps the routers' folders in memory.
+    // The simulation keeps the routers' folders in memory.
     let faults = Plan {
         seed: 1,
         rules: rules.clone(),
@@ -337,7 +345,7 @@
         steps,
         changes,
     };
-    let (_, counts) = judged_of(&schedule, &script, &below);
+    let (_, counts) = judged_of(&schedule, &script, &fleet_folder);
     assert!(
         strikes.all_struck(rules.len()),
         "{} and {}",
