--- a/router/tests/works/main.rs
+++ b/router/tests/works/main.rs
@@ -1,9 +1,10 @@
-//! Work on machines with real processes: crews take every machine out and back while routers are ended, cut off and
-//! stopped. Judged by histories: no part is begun under a permit, no permit comes twice, each set keeps its holders.
+//! Maintenance of machines with real processes: crews take every machine out of service and return it while routers are
+//! killed, isolated and suspended. Checked by histories: no attempt is sent to a machine under a permit, no permit is given
+//! twice, and each shard set keeps its replicas.
 
 mod crews;
 #[path = "../common/fleets.rs"]
 mod fleets;
 mod operators;
-mod small;
+mod small_fleet;
 mod voters;
--- a/router/tests/works/small.rs
+++ b/router/tests/works/small_fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet without traffic, and what it is asked.
+//! A small fleet without traffic, for tests of operators' commands.
 
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
@@ -8,20 +8,20 @@
 
 use crate::fleets::program;
 
-/// A small fleet without traffic, for what operators see. It speaks through its first router.
-pub(crate) struct Small {
+/// A small fleet without traffic. Maintenance commands go to its first router.
+pub(crate) struct SmallFleet {
     pub(crate) folder: tempfile::TempDir,
     pub(crate) routers: Vec<Child>,
 }
 
-impl Drop for Small {
+impl Drop for SmallFleet {
     fn drop(&mut self) {
-        (0..self.routers.len()).for_each(|at| self.ends(at));
+        (0..self.routers.len()).for_each(|at| self.kill_router(at));
     }
 }
 
-/// An address of this process's own, so that it stays free while its router is down.
-fn free() -> std::net::SocketAddr {
+/// Returns a free loopback address that only this process uses, so that it stays free while its router is down.
+fn free_address() -> std::net::SocketAddr {
     static NUMBER: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(1);
     let (pid, number) = (
         std::process::id(),
@@ -38,24 +38,30 @@
     listener.local_addr().expect("an address")
 }
 
-const BOUND: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub(crate) fn until(what: &str, is: impl Fn() -> bool) {
+pub(crate) fn wait_until(condition: &str, is_met: impl Fn() -> bool) {
     let began = Instant::now();
-    while !is() {
-        assert!(began.elapsed() < BOUND, "{what}");
+    while !is_met() {
+        assert!(began.elapsed() < WAIT_TIMEOUT, "timed out: {condition}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-impl Small {
-    pub(crate) fn start(routers: usize, nodes: usize) -> Small {
+impl SmallFleet {
+    pub(crate) fn start(routers: usize, nodes: usize) -> SmallFleet {
         let folder = tempfile::tempdir().expect("a folder");
         let at = |name: String| folder.path().join(name);
-        let node =
-            |at: usize| ternpick_simulation::standins::entry(&format!("s-{at}"), free(), "Ready");
+        let node = |router: usize| {
+            ternpick_simulation::standins::entry(&format!("s-{router}"), free_address(), "Ready")
+        };
         let nodes = (0..nodes).map(node).collect::<Vec<_>>().join(",");
-        let member = |at: usize| format!("\t\tn{at}: {{address: \"{}\", vote: true}}\n", free());
+        let member = |router: usize| {
+            format!(
+                "\t\tn{router}: {{address: \"{}\", vote: true}}\n",
+                free_address()
+            )
+        };
         let settings = format!(
             "control: socket: {:?}\nfleet: {{\n\tname: \"small\"\n\tfolder: {:?}\n\tlease: 400ms\n\trenew: 100ms\n\tmembers: \
              {{\n{}\t}}\n\tworks: {{lingers: 1s, calm: 100ms, zone_share: 0, most_out: 1}}\n}}\n",
@@ -64,7 +70,7 @@
             (0..routers).map(member).collect::<String>()
         );
         std::fs::write(at("fleet.cue".into()), settings).expect("written");
-        let mut fleet = Small {
+        let mut fleet = SmallFleet {
             folder,
             routers: Vec::new(),
         };
@@ -76,20 +82,25 @@
                     "deadline":900000}}],"ceilings":{{"mostHeld":100,"streamsPerConn":8}},
                     "extra":{{"shards":4,"positions":1,"reach":1,"bundleMax":8}},
                     "report":{{"via":"inline","columns":["depth"]}},"rules":{{"askWithin":60000000}}}}}}"#,
-                free(),
-                free()
+                free_address(),
+                free_address()
             );
             std::fs::write(fleet.path(&format!("n{number}.json")), config).expect("written");
             assert!(fleet
-                .run(&["fleet", "init"], number)
+                .router_command(&["fleet", "init"], number)
                 .output()
-                .expect("it runs")
+                .expect("the command runs")
                 .status
                 .success());
-            let router = fleet.run(&["serve"], number).spawn().expect("it starts");
+            let router = fleet
+                .router_command(&["serve"], number)
+                .spawn()
+                .expect("the router starts");
             fleet.routers.push(router);
         }
-        until("it serves", || !fleet.works(&["list"]).0.is_null());
+        wait_until("the router serves", || {
+            !fleet.run_maintenance(&["list"]).0.is_null()
+        });
         fleet
     }
 
@@ -97,10 +108,10 @@
         self.folder.path().join(name)
     }
 
-    pub(crate) fn run(&self, words: &[&str], number: usize) -> Command {
+    pub(crate) fn router_command(&self, arguments: &[&str], number: usize) -> Command {
         let mut command = Command::new(program());
         command
-            .args(words)
+            .args(arguments)
             .arg("--config")
             .arg(self.path(&format!("n{number}.json")));
         command
@@ -110,40 +121,40 @@
         command
     }
 
-    pub(crate) fn ends(&mut self, at: usize) {
-        let _ = self.routers[at].kill();
-        let _ = self.routers[at].wait();
+    pub(crate) fn kill_router(&mut self, router: usize) {
+        let _ = self.routers[router].kill();
+        let _ = self.routers[router].wait();
     }
 
-    pub(crate) fn command(&self, words: &[&str]) -> Command {
+    pub(crate) fn maintenance_command(&self, arguments: &[&str]) -> Command {
         let mut command = Command::new(program());
         command
             .arg("works")
-            .arg(words[0])
+            .arg(arguments[0])
             .arg("--socket")
             .arg(self.path("n0"))
-            .args(&words[1..]);
+            .args(&arguments[1..]);
         command
     }
 
-    pub(crate) fn works(&self, words: &[&str]) -> (Value, Option<i32>, String) {
-        let mut command = self.command(words);
-        // What is run by 'exec' stands last.
-        let done: Output = match words[0] {
+    pub(crate) fn run_maintenance(&self, arguments: &[&str]) -> (Value, Option<i32>, String) {
+        let mut command = self.maintenance_command(arguments);
+        // The arguments of 'exec' end with the command to run, so '--json' cannot be appended.
+        let done: Output = match arguments[0] {
             "exec" => command.output(),
             _ => command.arg("--json").output(),
         }
-        .expect("it ends");
-        let said = serde_json::from_slice(&done.stdout).unwrap_or_default();
+        .expect("the command ends");
+        let answer = serde_json::from_slice(&done.stdout).unwrap_or_default();
         (
-            said,
+            answer,
             done.status.code(),
             String::from_utf8_lossy(&done.stderr).into_owned(),
         )
     }
 
     pub(crate) fn state_of(&self, machine: &str) -> Option<String> {
-        let (seen, ..) = self.works(&["list"]);
+        let (seen, ..) = self.run_maintenance(&["list"]);
         let rows = seen["rows"].as_array()?;
         let row = rows.iter().find(|row| row["machine"] == machine)?;
         row["state"].as_str().map(str::to_owned)
--- a/router/tests/works/voters.rs
+++ b/router/tests/works/voters.rs
@@ -1,18 +1,19 @@
-//! What voters learn of the work.
+//! Catching up of voters with the state of maintenance.
 
 use std::process::Command;
 
 use serde_json::Value;
 
 use crate::fleets::program;
-use crate::small::{until, Small};
+use crate::small_fleet::{wait_until, SmallFleet};
 
-/// What was agreed of many machines is longer than goes at a time; a voter that has lost its disk learns it all the same.
+/// Guards against a voter that cannot catch up: the maintenance state of many machines is longer than one message batch,
+/// and a voter that has lost its disk must still receive all of it.
 #[test]
-fn a_voter_that_lost_its_disk_learns_thousands_of_machines() {
-    let mut fleet = Small::start(3, 60);
+fn voter_that_lost_its_disk_catches_up_with_thousands_of_machines() {
+    let mut fleet = SmallFleet::start(3, 60);
     let machines: Vec<String> = (0..60).map(|at| format!("s-{at}")).collect();
-    let ask = [
+    let ask_arguments = [
         "ask",
         "--in",
         "9h",
@@ -21,48 +22,55 @@
         "--by",
         "ann",
     ];
-    let ask: Vec<&str> = ask
+    let ask: Vec<&str> = ask_arguments
         .into_iter()
         .chain(machines.iter().map(String::as_str))
         .collect();
     for _ in 0..50 {
-        until("it is asked", || fleet.works(&ask).1 == Some(0));
+        wait_until("the request is accepted", || {
+            fleet.run_maintenance(&ask).1 == Some(0)
+        });
     }
-    // Enough entries that the state has gone in their place, and no log is there to be learnt from.
+    // Writes enough entries that the log is replaced by a snapshot, and the voter cannot catch up from the log.
     for _ in 0..260 {
-        fleet.works(&["hold", "--by", "ann", "--why", "a storm"]);
+        fleet.run_maintenance(&["hold", "--by", "ann", "--why", "a storm"]);
     }
-    fleet.ends(2);
-    std::fs::remove_dir_all(fleet.path("state-n2")).expect("its disk");
-    let router = fleet.run(&["serve"], 2).spawn().expect("it starts");
+    fleet.kill_router(2);
+    std::fs::remove_dir_all(fleet.path("state-n2")).expect("the state folder is removed");
+    let router = fleet
+        .router_command(&["serve"], 2)
+        .spawn()
+        .expect("the router starts");
     fleet.routers[2] = router;
-    let fleet_says = |words: &[&str]| {
+    let fleet_command = |arguments: &[&str]| {
         let mut command = Command::new(program());
         command
             .arg("fleet")
-            .args(words)
+            .args(arguments)
             .arg("--json")
             .arg("--socket")
             .arg(fleet.path("n0"));
-        let done = command.output().expect("it ends");
+        let done = command.output().expect("the command ends");
         (
             serde_json::from_slice::<Value>(&done.stdout).unwrap_or_default(),
             done.status.code(),
         )
     };
-    until("it has another seat", || {
-        fleet_says(&["replace", "n2"]).1 == Some(0)
+    wait_until("n2 has a new replica", || {
+        fleet_command(&["replace", "n2"]).1 == Some(0)
     });
-    until("it has learnt, and votes", || {
-        let (rows, _) = fleet_says(&["members"]);
+    wait_until("n2 has caught up and is a voter", || {
+        let (rows, _) = fleet_command(&["members"]);
         let mut rows = rows.as_array().cloned().unwrap_or_default().into_iter();
         rows.any(|row| row["member"] == "n2" && row["seat"] == 4 && row["learns"] == false)
     });
-    // It can carry the work on: it has all of it.
-    until("it leads", || {
-        fleet_says(&["transfer", "n2"]);
-        let (seen, _) = fleet_says(&["status"]);
-        let rows = fleet.works(&["list"]).0["rows"].as_array().map(Vec::len);
-        seen["leader"]["leader"] == "n2" && rows == Some(3000)
+    // As the leader it coordinates maintenance, and lists all machines.
+    wait_until("n2 is the leader and lists all machines", || {
+        fleet_command(&["transfer", "n2"]);
+        let (status, _) = fleet_command(&["status"]);
+        let rows = fleet.run_maintenance(&["list"]).0["rows"]
+            .as_array()
+            .map(Vec::len);
+        status["leader"]["leader"] == "n2" && rows == Some(3000)
     });
 }
