--- a/router/tests/works/operators.rs
+++ b/router/tests/works/operators.rs
@@ -22,13 +22,8 @@
         fleet.run_maintenance(&["ask", "s-0", "s-1", "--why", "disks", "--by", "ann"]);
     assert_eq!(status, Some(0), "{stderr}");
     let request = answer["number"].to_string();
-    let machines_file = fleet.folder.path().join("machines_file");
-    let script = |more: &str| {
-        format!(
-            "echo $TERNPICK_MACHINE >> {}; {more}",
-            machines_file.display()
-        )
-    };
+    let ran_on = fleet.folder.path().join("ran_on");
+    let script = |more: &str| format!("echo $TERNPICK_MACHINE >> {}; {more}", ran_on.display());
     let exec = |more: &str| {
         let script = script(more);
         fleet.maintenance_command(&[
@@ -46,7 +41,7 @@
     // The command is killed while it runs: ann keeps the machine, and the repeated command resumes with it.
     let mut killed = exec("exec sleep 5").spawn().expect("the command starts");
     let began = Instant::now();
-    while lines(&machines_file).is_empty() {
+    while lines(&ran_on).is_empty() {
         assert!(
             began.elapsed() < Duration::from_secs(10),
             "the command runs"
@@ -55,14 +50,14 @@
     }
     killed.kill().expect("killed");
     killed.wait().expect("the command has ended");
-    let first = lines(&machines_file)[0].clone();
+    let first = lines(&ran_on)[0].clone();
     assert_eq!(fleet.state_of(&first).as_deref(), Some("in work"));
     assert!(exec("exit 0")
         .output()
         .expect("the command ends")
         .status
         .success());
-    assert_eq!(lines(&machines_file), [first.clone(), first.clone()]);
+    assert_eq!(lines(&ran_on), [first.clone(), first.clone()]);
     // A machine that is returned as unfit stays out of service.
     let failed = exec("exit 3").output().expect("the command ends");
     assert_eq!(
@@ -71,7 +66,7 @@
         "{}",
         String::from_utf8_lossy(&failed.stderr)
     );
-    let second = lines(&machines_file)[2].clone();
+    let second = lines(&ran_on)[2].clone();
     assert_ne!(first, second);
     assert_eq!(fleet.state_of(&second).as_deref(), Some("given back unfit"));
     assert!(
--- a/router/tests/works/small_fleet.rs
+++ b/router/tests/works/small_fleet.rs
@@ -92,10 +92,7 @@
                 .expect("the command runs")
                 .status
                 .success());
-            let router = fleet
-                .router_command(&["serve"], number)
-                .spawn()
-                .expect("the router starts");
+            let router = fleet.start_router(number);
             fleet.routers.push(router);
         }
         wait_until("the router serves", || {
@@ -121,6 +118,12 @@
         command
     }
 
+    pub(crate) fn start_router(&self, number: usize) -> Child {
+        self.router_command(&["serve"], number)
+            .spawn()
+            .expect("the router starts")
+    }
+
     pub(crate) fn kill_router(&mut self, router: usize) {
         let _ = self.routers[router].kill();
         let _ = self.routers[router].wait();
--- a/router/tests/works/voters.rs
+++ b/router/tests/works/voters.rs
@@ -37,10 +37,7 @@
     }
     fleet.kill_router(2);
     std::fs::remove_dir_all(fleet.path("state-n2")).expect("the state folder is removed");
-    let router = fleet
-        .router_command(&["serve"], 2)
-        .spawn()
-        .expect("the router starts");
+    let router = fleet.start_router(2);
     fleet.routers[2] = router;
     let fleet_command = |arguments: &[&str]| {
         let mut command = Command::new(program());
