--- a/router/src/fleet/admission.rs
+++ b/router/src/fleet/admission.rs
@@ -74,7 +74,7 @@
             }),
             // The query has waited for as long as its deadline allowed. A retry may find the policy change finished.
             Admission::Wait(until) => {
-                let retry_delay = until.since(now).min(Micros(self.settings.renew));
+                let retry_delay = until.since(now).min(Micros(self.settings.renew_interval));
                 Err(rejection("a change of policy takes hold", retry_delay))
             }
             Admission::Rejected {
--- a/router/src/stages/tls_stream.rs
+++ b/router/src/stages/tls_stream.rs
@@ -43,7 +43,7 @@
         Ok(TlsStream {
             connection: ServerConnection::new(tls.config())?,
             socket,
-            authorities_epoch: tls.epoch(),
+            authorities_epoch: tls.authorities_epoch(),
             tls: Rc::clone(tls),
             certificate: None,
             may_have_more: false,
@@ -156,12 +156,12 @@
             let chain = self.connection.peer_certificates();
             self.certificate = chain
                 .and_then(|chain| chain.first())
-                .and_then(|der| Certificate::read(der).ok())
+                .and_then(|der| Certificate::parse(der).ok())
                 .map(Rc::new);
         }
         self.certificate
             .clone()
-            .filter(|_| self.authorities_epoch == self.tls.epoch())
+            .filter(|_| self.authorities_epoch == self.tls.authorities_epoch())
     }
 
     /// Returns the memory in use besides the buffers of the owner, in bytes.
--- a/router/src/stages/upstream_dial.rs
+++ b/router/src/stages/upstream_dial.rs
@@ -1,4 +1,4 @@
-//! Dials a TCP connection within the dial timeout, and attributes a failure to its [`Owner`]: the peer or this machine.
+//! Dials a TCP connection within the dial timeout, and attributes a failure to its [`FailureOwner`]: the peer or this machine.
 //!
 //! Used for nodes, and through [`upstream_writer::dial`](crate::stages::upstream_writer::dial) for discovery, key
 //! sources and other routers. `ternpick::io_errors` maps the errors of system calls to owners.
