--- a/router/src/fleet/admission.rs
+++ b/router/src/fleet/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of queries under the fleet's policy. The lease holder decides; the admission stage asks it through [`Fleet`].
+//! Admission of queries under the fleet's policy. The lease holder decides; the admission stage asks it through
+//! [`Fleet`].
 
 use futures_lite::future;
 use ternpick::types::Micros;
@@ -37,8 +38,8 @@
         self.admission_changed.notify(usize::MAX);
     }
 
-    /// Waits while a policy change takes effect, until `give_up_at` at most. The caller then calls [`Fleet::admit`] in the
-    /// same turn to learn the decision.
+    /// Waits while a policy change takes effect, until `give_up_at` at most. The caller then calls [`Fleet::admit`] in
+    /// the same turn to learn the decision.
     pub(crate) async fn wait_for_policy_change(&self, router: &Router, give_up_at: Micros) {
         loop {
             let changed = self.admission_changed.listen();
--- a/router/src/fleet/cli/client.rs
+++ b/router/src/fleet/cli/client.rs
@@ -13,8 +13,8 @@
 /// How long the router waits for the leader's answer to a question, in milliseconds.
 pub(crate) const INSPECTION_WAIT_MS: u64 = 3000;
 
-/// Sends a request about the fleet to the router. If the router does not answer within `wait_ms` and [`ANSWER_GRACE`], the
-/// outcome is unknown.
+/// Sends a request about the fleet to the router. If the router does not answer within `wait_ms` and [`ANSWER_GRACE`],
+/// the outcome is unknown.
 pub(crate) fn ask_fleet(socket: &Socket, question: Value) -> Result<Value, ControlError> {
     let mut question = question;
     question["do"] = "fleet".into();
@@ -38,8 +38,8 @@
     submit(options, json!({"ask": "do", "command": command}))
 }
 
-/// Sends a request under an operation id, and returns its outcome together with the id. If the outcome is unknown, the line
-/// names the `--op` with which the command can be repeated.
+/// Sends a request under an operation id, and returns its outcome together with the id. If the outcome is unknown, the
+/// line names the `--op` with which the command can be repeated.
 pub(crate) fn submit(
     options: &OperationOptions,
     mut question: Value,
--- a/router/src/fleet/cli/error.rs
+++ b/router/src/fleet/cli/error.rs
@@ -7,7 +7,8 @@
 use super::ExitStatus;
 use crate::lifecycle::control::ControlError;
 
-/// The result of a command: an exit status, or an error that is printed as one line on standard error with exit status 1.
+/// The result of a command: an exit status, or an error that is printed as one line on standard error with exit status
+/// 1.
 pub(crate) type CommandResult = Result<ExitStatus, CommandError>;
 
 /// The reason why a command failed on the operator's side.
--- a/router/src/fleet/cli/fleet_init.rs
+++ b/router/src/fleet/cli/fleet_init.rs
@@ -1,5 +1,5 @@
-//! `ternpick fleet init`: writes a router's initial replica state, once, before its first start. It does not contact any
-//! router.
+//! `ternpick fleet init`: writes a router's initial replica state, once, before its first start. It does not contact
+//! any router.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/router/src/fleet/cli/mod.rs
+++ b/router/src/fleet/cli/mod.rs
@@ -1,5 +1,5 @@
-//! The commands `ternpick policy` and `ternpick fleet`, which use a router's control socket. Each command has a file of its
-//! own. The commands `ternpick maintenance` share the options, the client and the output.
+//! The commands `ternpick policy` and `ternpick fleet`, which use a router's control socket. Each command has a file
+//! of its own. The commands `ternpick maintenance` share the options, the client and the output.
 //!
 //! [`ExitStatus`] lists the exit statuses.
 
--- a/router/src/fleet/cli/policy_propose.rs
+++ b/router/src/fleet/cli/policy_propose.rs
@@ -1,4 +1,5 @@
-//! `ternpick policy propose`: proposes a policy, and with `--wait` follows it until it is in force, refused or withdrawn.
+//! `ternpick policy propose`: proposes a policy, and with `--wait` follows it until it is in force, refused or
+//! withdrawn.
 
 use std::io::IsTerminal;
 use std::path::Path;
@@ -14,7 +15,7 @@
 
 /// The interval between requests of a command that waits.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A member that the leader has not heard from for longer is shown as silent.
+/// A member is shown as silent once the leader has received nothing from it for longer than this.
 const SILENT_AFTER_MS: u64 = 1000;
 
 pub(super) fn run(
--- a/router/src/fleet/event_loop.rs
+++ b/router/src/fleet/event_loop.rs
@@ -1,5 +1,5 @@
-//! Drives this router's [`FleetNode`](ternpick_fleet_policy::FleetNode) in turns, on one task. Each turn passes the received
-//! messages and the time to the node, and carries out its effects. `lifecycle::start` starts the task once.
+//! Drives this router's [`FleetNode`](ternpick_fleet_policy::FleetNode) in turns, on one task. Each turn passes the
+//! received messages and the time to the node, and carries out its effects. `lifecycle::start` starts the task once.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 /// How long this process waits for leadership to pass to another voter, before it gives up its replica.
 const LEADERSHIP_TRANSFER_TIMEOUT: Micros = Micros(150_000);
 
-/// Participates in the fleet while this process accepts clients. After a hot restart the old process no longer acts for its
-/// member; it takes the folder, the replica and the listener again if it has to resume.
+/// Participates in the fleet while this process accepts clients. After a hot restart the old process no longer acts
+/// for its member; it takes the folder, the replica and the listener again if it has to resume.
 pub(crate) async fn run(router: Rc<Router>, fleet: Rc<Fleet>) {
     loop {
         wait_until_accepting(&router).await;
@@ -127,8 +127,8 @@
     }
 }
 
-/// Closes the connections to peers and suspends the node, once a write in progress has finished. The lease stays until it
-/// expires, because this process may still admit requests of its open connections.
+/// Closes the connections to peers and suspends the node, once a write in progress has finished. The lease stays until
+/// it expires, because this process may still admit requests of its open connections.
 async fn leave(router: &Router, fleet: &Fleet) {
     for peer in std::mem::take(&mut *fleet.peers.borrow_mut()).into_values() {
         peer.close();
@@ -143,7 +143,8 @@
 }
 
 impl Fleet {
-    /// Runs one turn: processes received messages and elapsed time, and applies the effects. Returns when the next turn is due.
+    /// Runs one turn: processes received messages and elapsed time, and applies the effects. Returns when the next
+    /// turn is due.
     fn run_turn(self: &Rc<Self>, router: &Rc<Router>) -> Micros {
         let report_due = self.report_maintenance(router);
         for _ in 0..MAX_EFFECT_ROUNDS {
@@ -163,8 +164,8 @@
         report_due.map_or(node_due, |report_due| node_due.min(report_due))
     }
 
-    /// Logs a turn that began late because other tasks of this thread, or other processes, occupied the processor. Repeated
-    /// log lines are limited.
+    /// Logs a turn that began late because other tasks of this thread, or other processes, occupied the processor.
+    /// Repeated log lines are limited.
     fn log_late_turn(&self, now: Micros, due: Micros) {
         let late = now.since(due);
         if late < LATE_TURN_THRESHOLD {
--- a/router/src/fleet/fragments.rs
+++ b/router/src/fleet/fragments.rs
@@ -14,9 +14,9 @@
 /// The maximum number of fragments of one message.
 const MAX_FRAGMENTS: u16 = 48;
 
-/// Splits a message into fragments that carry the message number `number`. Returns `None` if the message needs more than
-/// [`MAX_FRAGMENTS`]. Without fragments, the maintenance state of many machines was dropped repeatedly on its way to a voter
-/// that had to catch up.
+/// Splits a message into fragments that carry the message number `number`. Returns `None` if the message needs more
+/// than [`MAX_FRAGMENTS`]. Without fragments, the maintenance state of many machines was dropped repeatedly on its way
+/// to a voter that had to catch up.
 pub(super) fn split(message: &PeerMessage, number: u64) -> Option<Vec<PeerMessage>> {
     let bytes = postcard::to_stdvec(message).ok()?;
     let count = u16::try_from(bytes.len().div_ceil(FRAGMENT_BYTES))
@@ -33,8 +33,8 @@
     Some(fragments.collect())
 }
 
-/// The received fragments of the newest message of each peer. A peer's fragments are removed when the message is complete,
-/// and replaced when a newer message begins.
+/// The received fragments of the newest message of each peer. A peer's fragments are removed when the message is
+/// complete, and replaced when a newer message begins.
 #[derive(Default)]
 pub(super) struct FragmentBuffer(BTreeMap<Member, IncompleteMessage>);
 
@@ -62,8 +62,8 @@
 }
 
 impl FragmentBuffer {
-    /// Adds a received message. Returns it if it is not a fragment, or the reassembled message if its last missing fragment
-    /// has arrived.
+    /// Adds a received message. Returns it if it is not a fragment, or the reassembled message if its last missing
+    /// fragment has arrived.
     pub(super) fn add(&mut self, from: &Member, message: PeerMessage) -> Option<PeerMessage> {
         let PeerMessage::Fragment {
             number,
--- a/router/src/fleet/fragments/release_bytes.rs
+++ b/router/src/fleet/fragments/release_bytes.rs
@@ -1,5 +1,5 @@
-//! Checks the bytes of peer batches, which routers of different releases exchange. The messages inside are checked next to
-//! their types, in `fleet_policy/tests/release_bytes.rs`.
+//! Checks the bytes of peer batches, which routers of different releases exchange. The messages inside are checked
+//! next to their types, in `fleet_policy/tests/release_bytes.rs`.
 
 use ternpick_consensus::FleetId;
 use ternpick_fleet_policy::{OperationId, PeerMessage, ReplicaId};
--- a/router/src/fleet/maintenance/extension.rs
+++ b/router/src/fleet/maintenance/extension.rs
@@ -1,5 +1,6 @@
-//! The maintenance coordinator as an extension of the fleet's log. The [`FleetNode`](ternpick_fleet_policy::FleetNode) owns
-//! the extension, and this router passes the machines that discovery lists to the same coordinator, so both share it.
+//! The maintenance coordinator as an extension of the fleet's log. The [`FleetNode`](ternpick_fleet_policy::FleetNode)
+//! owns the extension, and this router passes the machines that discovery lists to the same coordinator, so both share
+//! it.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/router/src/fleet/maintenance/mod.rs
+++ b/router/src/fleet/maintenance/mod.rs
@@ -1,5 +1,5 @@
-//! This router's side of machine maintenance: machines that are out of service count as draining on this router, and the
-//! router reports its observations of machines to the coordinator. `ternpick-maintenance` makes the decisions.
+//! This router's side of machine maintenance: machines that are out of service count as draining on this router, and
+//! the router reports its observations of machines to the coordinator. `ternpick-maintenance` makes the decisions.
 
 mod extension;
 mod report;
@@ -85,8 +85,8 @@
         self.out.borrow().contains(name)
     }
 
-    /// Applies the machines that are out of service, and those that return to it, as of a log entry. Returns the names of the
-    /// machines that went out of service or are no longer out of service.
+    /// Applies the machines that are out of service, and those that return to it, as of a log entry. Returns the names
+    /// of the machines that went out of service or are no longer out of service.
     fn apply_machines_out(&self, now: Micros, index: Index, encoded: &[u8]) -> Vec<String> {
         let (out, returning) = Coordinator::decode_machines_out(encoded);
         let before = self.out.replace(out.into_iter().collect());
@@ -154,8 +154,8 @@
 }
 
 impl Fleet {
-    /// Renews this router's report to the coordinator if it is due. Returns the time when it is due next, or `None` if the
-    /// settings do not configure maintenance.
+    /// Renews this router's report to the coordinator if it is due. Returns the time when it is due next, or `None` if
+    /// the settings do not configure maintenance.
     pub(super) fn report_maintenance(&self, router: &Router) -> Option<Micros> {
         let maintenance = self.maintenance.as_ref()?;
         let now = router.clock.now();
--- a/router/src/fleet/maintenance/report.rs
+++ b/router/src/fleet/maintenance/report.rs
@@ -1,5 +1,5 @@
-//! This router's report to the coordinator: which machines are busy, unhealthy or serving load again, and how many queries
-//! finish and fail.
+//! This router's report to the coordinator: which machines are busy, unhealthy or serving load again, and how many
+//! queries finish and fail.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/router/src/fleet/maintenance/requests.rs
+++ b/router/src/fleet/maintenance/requests.rs
@@ -1,5 +1,5 @@
-//! Answers the control socket's requests about maintenance by sending them to the leader's coordinator. This router resolves
-//! shard groups and zones to machines.
+//! Answers the control socket's requests about maintenance by sending them to the leader's coordinator. This router
+//! resolves shard groups and zones to machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -120,8 +120,8 @@
         }
     }
     if let Some(up_for) = request["up_for"].as_u64() {
-        // The filter applies to the named machines, or to all if none are named. A machine whose start is unknown counts as
-        // up long enough.
+        // The filter applies to the named machines, or to all if none are named. A machine whose start is unknown
+        // counts as up long enough.
         if names.is_empty() {
             names.extend(listed.keys().cloned());
         }
--- a/router/src/fleet/maintenance_cli/arguments.rs
+++ b/router/src/fleet/maintenance_cli/arguments.rs
@@ -139,8 +139,9 @@
         #[command(flatten)]
         socket: Socket,
     },
-    /// Waits for the turn of a request's next machine, runs a command for it (TERNPICK_MACHINE, TERNPICK_PERMIT), and returns
-    /// the machine according to the command's exit status. If repeated after it was killed, it resumes with the same machine
+    /// Waits for the turn of a request's next machine, runs a command for it (TERNPICK_MACHINE, TERNPICK_PERMIT), and
+    /// returns the machine according to the command's exit status. If repeated after it was killed, it resumes with
+    /// the same machine
     Exec {
         #[command(flatten)]
         options: OperationOptions,
--- a/router/src/fleet/maintenance_cli/exec.rs
+++ b/router/src/fleet/maintenance_cli/exec.rs
@@ -1,5 +1,5 @@
-//! `ternpick maintenance exec`: takes the next machine of a request, runs a command for it, and returns it according to the
-//! command's exit status.
+//! `ternpick maintenance exec`: takes the next machine of a request, runs a command for it, and returns it according
+//! to the command's exit status.
 
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
--- a/router/src/fleet/maintenance_cli/mod.rs
+++ b/router/src/fleet/maintenance_cli/mod.rs
@@ -1,5 +1,5 @@
-//! The commands `ternpick maintenance ...`, with which operators request, inspect and return machines. They use a router's
-//! control socket; `ternpick-maintenance` makes the decisions.
+//! The commands `ternpick maintenance ...`, with which operators request, inspect and return machines. They use a
+//! router's control socket; `ternpick-maintenance` makes the decisions.
 
 mod arguments;
 mod client;
--- a/router/src/fleet/maintenance_cli/plan.rs
+++ b/router/src/fleet/maintenance_cli/plan.rs
@@ -1,5 +1,5 @@
-//! `ternpick maintenance plan`: shows the rounds in which machines would go out of service, and the limits that prevent others
-//! from going out.
+//! `ternpick maintenance plan`: shows the rounds in which machines would go out of service, and the limits that
+//! prevent others from going out.
 
 use serde_json::Value;
 
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! This router as a member of its fleet, if the settings configure one: connections to the other routers, the replica's
-//! file, timing, and the effects of the agreed policy on this router. Consensus, admission and maintenance steps are decided
-//! by `ternpick-consensus`, `ternpick-fleet-policy` and `ternpick-maintenance`.
+//! This router as a member of its fleet, if the settings configure one: connections to the other routers, the
+//! replica's file, timing, and the effects of the agreed policy on this router. Consensus, admission and maintenance
+//! steps are decided by `ternpick-consensus`, `ternpick-fleet-policy` and `ternpick-maintenance`.
 //!
-//! One task ([`event_loop::run`]) drives this router's [`FleetNode`]. The admission stage calls [`Fleet::admit`] in the same
-//! turn in which it admits the query.
+//! One task ([`event_loop::run`]) drives this router's [`FleetNode`]. The admission stage calls [`Fleet::admit`] in
+//! the same turn in which it admits the query.
 
 mod admission;
 pub(crate) mod cli;
@@ -136,8 +136,8 @@
 }
 
 impl Fleet {
-    /// Makes this router's membership from its settings; it participates once [`event_loop::run`] drives it. `inherits`: this
-    /// process replaces one that may still admit queries for a while.
+    /// Makes this router's membership from its settings; it participates once [`event_loop::run`] drives it.
+    /// `inherits`: this process replaces one that may still admit queries for a while.
     pub(crate) fn new(
         settings: FleetConfig,
         name: &str,
@@ -178,8 +178,8 @@
         })
     }
 
-    /// The address on which this router listens for peers: from `listen` or its member entry in the settings, otherwise from
-    /// the fleet's member list.
+    /// The address on which this router listens for peers: from `listen` or its member entry in the settings,
+    /// otherwise from the fleet's member list.
     fn address(&self) -> Option<SocketAddr> {
         let in_fleet = self
             .node
--- a/router/src/fleet/peer_batch.rs
+++ b/router/src/fleet/peer_batch.rs
@@ -1,5 +1,5 @@
-//! The batches that routers send each other, encoded with postcard in the body of an HTTP/1.1 request. Their size is limited
-//! like that of all requests.
+//! The batches that routers send each other, encoded with postcard in the body of an HTTP/1.1 request. Their size is
+//! limited like that of all requests.
 
 use serde::{Deserialize, Serialize};
 use ternpick_consensus::FleetId;
--- a/router/src/fleet/peer_inbox.rs
+++ b/router/src/fleet/peer_inbox.rs
@@ -8,8 +8,8 @@
 use super::peer_batch::PeerBatch;
 use super::Fleet;
 
-/// The maximum number of queued batches. Beyond it the oldest are dropped, which the protocol tolerates like any message
-/// loss on the network.
+/// The maximum number of queued batches. Beyond it the oldest are dropped, which the protocol tolerates like any
+/// message loss on the network.
 const MAX_BATCHES: usize = 1024;
 
 /// The queue of received batches, and the fragments of messages that are not complete yet.
--- a/router/src/fleet/peer_transport.rs
+++ b/router/src/fleet/peer_transport.rs
@@ -1,5 +1,5 @@
-//! The outgoing connection to another router of the fleet, with one request in flight at a time. A message that cannot be
-//! sent is dropped; the state machines tolerate that and send again what is still needed.
+//! The outgoing connection to another router of the fleet, with one request in flight at a time. A message that cannot
+//! be sent is dropped; the state machines tolerate that and send again what is still needed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -57,8 +57,8 @@
 }
 
 impl PeerTransport {
-    /// Creates a transport and starts its task, which runs until [`PeerTransport::close`]. It connects when the first message
-    /// is sent.
+    /// Creates a transport and starts its task, which runs until [`PeerTransport::close`]. It connects when the first
+    /// message is sent.
     pub(super) fn open(
         router: &Rc<Router>,
         fleet: &Rc<Fleet>,
@@ -98,7 +98,8 @@
         self.changed.notify(1);
     }
 
-    /// Encodes as many queued messages as fit into a batch as the body of the next request; `None` if nothing is queued.
+    /// Encodes as many queued messages as fit into a batch as the body of the next request; `None` if nothing is
+    /// queued.
     fn next_body(&self, fleet: &Fleet) -> Option<Vec<u8>> {
         let messages = self.next_messages();
         if messages.is_empty() {
@@ -161,7 +162,8 @@
         };
         let address = transport.address.get();
         idle = idle.filter(|connection| connection.address == address);
-        // A connection to a peer uses a file descriptor of the share for data nodes. If none is free, the batch is lost.
+        // A connection to a peer uses a file descriptor of the share for data nodes. If none is free, the batch is
+        // lost.
         let Some(_permit) = router.descriptors.take(Peer::Node) else {
             idle = None;
             sleep_until(&router, router.clock.now() + RETRY_DELAY).await;
--- a/router/src/fleet/pending_requests.rs
+++ b/router/src/fleet/pending_requests.rs
@@ -48,8 +48,8 @@
 }
 
 impl Fleet {
-    /// Submits an operator's request and waits for its answer. Returns `None` if `wait` expires first; the outcome is then
-    /// unknown.
+    /// Submits an operator's request and waits for its answer. Returns `None` if `wait` expires first; the outcome is
+    /// then unknown.
     pub(super) async fn submit(
         &self,
         router: &Router,
--- a/router/src/fleet/policy.rs
+++ b/router/src/fleet/policy.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Applies the policy in force to the routing engine. If the policy does not fit this router's settings, the router stops
-    /// admitting queries; this happens if the router was down when the proposal was checked.
+    /// Applies the policy in force to the routing engine. If the policy does not fit this router's settings, the
+    /// router stops admitting queries; this happens if the router was down when the proposal was checked.
     pub(super) fn apply_policy(&self, router: &Router, document: &PolicyDocument) {
         let version = document.number;
         let record = match self.read_policy(&format!("version {version}"), document) {
--- a/router/src/fleet/replica_file.rs
+++ b/router/src/fleet/replica_file.rs
@@ -1,5 +1,5 @@
-//! The replica's file in the fleet's folder. It holds the state of this router's replica, including the promises it has made
-//! to the other replicas, and is read at the start.
+//! The replica's file in the fleet's folder. It holds the state of this router's replica, including the promises it
+//! has made to the other replicas, and is read at the start.
 
 use std::path::{Path, PathBuf};
 
@@ -64,8 +64,8 @@
     }
 }
 
-/// Writes a state of the replica; it is durable when this returns. After a failed write `journal` is `None`: a new journal
-/// is then started, which replaces the whole file.
+/// Writes a state of the replica; it is durable when this returns. After a failed write `journal` is `None`: a new
+/// journal is then started, which replaces the whole file.
 pub(super) fn persist(
     folder: &Path,
     journal: &mut Option<Journal>,
--- a/router/tests/fleet.rs
+++ b/router/tests/fleet.rs
@@ -59,8 +59,8 @@
     );
 }
 
-/// The router that receives the operator's command is killed at different moments of the change. The operator repeats the
-/// command with the same operation id at another router; it must take effect once.
+/// The router that receives the operator's command is killed at different moments of the change. The operator repeats
+/// the command with the same operation id at another router; it must take effect once.
 #[test_case(0)]
 #[test_case(5)]
 #[test_case(15)]
@@ -237,7 +237,8 @@
 
 #[test]
 fn router_with_a_state_from_before_a_members_removal_admits_no_query_with_the_removed_one() {
-    // n3 is down while n2 is removed, and still has the old voters in its state. Then n2 and n3 can reach only each other.
+    // n3 is down while n2 is removed, and still has the old voters in its state. Then n2 and n3 can reach only each
+    // other.
     let plan = plan("routers: 4\nvoters: 4\nseconds: 8");
     let removed = step(1200, 5800, Kind::Remove, 2);
     let apart = Step {
@@ -289,8 +290,8 @@
     );
 }
 
-/// For two seconds, writes to each router's folder are cut short or fail with ENOSPC, and syncs fail; in one case the leader
-/// is killed during that time. Changes that were reported as in force must stay so, and the fleet must recover.
+/// For two seconds, writes to each router's folder are cut short or fail with ENOSPC, and syncs fail; in one case the
+/// leader is killed during that time. Changes that were reported as in force must stay so, and the fleet must recover.
 #[test_case(0; "no process is killed")]
 #[test_case(1; "the leader is killed during the faults")]
 fn temporary_disk_faults_lose_no_change_in_force(kills: usize) {
--- a/router/tests/works/crews.rs
+++ b/router/tests/works/crews.rs
@@ -96,8 +96,8 @@
     run_crews(steps, vec![], "");
 }
 
-/// One router can no longer reach two machines that the others still reach. Its report alone must not delay these machines
-/// for good, and its failed attempts must not delay a permit.
+/// One router can no longer reach two machines that the others still reach. Its report alone must not delay these
+/// machines for good, and its failed attempts must not delay a permit.
 #[test]
 fn router_that_alone_cannot_reach_a_machine_does_not_block_its_maintenance() {
     let cut = |at: u64, node: usize| Step {
--- a/router/tests/works/voters.rs
+++ b/router/tests/works/voters.rs
@@ -7,8 +7,8 @@
 use crate::fleets::program;
 use crate::small_fleet::{wait_until, SmallFleet};
 
-/// Guards against a voter that cannot catch up: the maintenance state of many machines is longer than one message batch,
-/// and a voter that has lost its disk must still receive all of it.
+/// Guards against a voter that cannot catch up: the maintenance state of many machines is longer than one message
+/// batch, and a voter that has lost its disk must still receive all of it.
 #[test]
 fn voter_that_lost_its_disk_catches_up_with_thousands_of_machines() {
     let mut fleet = SmallFleet::start(3, 60);
