--- a/router/src/lifecycle/build.rs
+++ b/router/src/lifecycle/build.rs
@@ -1,5 +1,5 @@
-//! Makes a [`Router`] from its configuration and settings: each owner of its state, in the order in which they depend on each
-//! other. Opens no socket and starts no task.
+//! Builds a [`Router`] from its configuration and settings. The components are built in the order of their
+//! dependencies. This module opens no socket and starts no task.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -26,13 +26,14 @@
 use crate::state::memory_budget::MemoryBudget;
 use crate::state::shutdown::ShutdownState;
 
-/// Why a router cannot be made from what it was given.
+/// Why a router cannot be built from its configuration and settings.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BuildError {
-    /// Identity does not accept its settings.
+    /// The identity module rejects its settings.
     #[error("identity: {0}")]
     Identity(String),
-    /// A permit for maintenance could end before the queries of a router that has lost its lease.
+    /// `fleet.works.lingers` is shorter than the longest deadline: a router that has lost its lease could still send
+    /// shard requests to a machine that is under a maintenance permit.
     #[error(
         "fleet.works.lingers is {} ms, the longest deadline here is {} ms: a router without a lease could still act \
          on a machine under a permit",
@@ -45,30 +46,30 @@
     },
 }
 
-/// What a router is made from.
+/// The inputs from which a router is built.
 pub(crate) struct RouterBuilder {
     /// The configuration file.
     pub(crate) config: RouterConfig,
-    /// Identity's settings; everybody may send queries without them.
+    /// The identity settings; without them every caller may send queries.
     pub(crate) identity: Option<IdentityConfig>,
-    /// The fleet's settings; the router belongs to none without them.
+    /// The fleet settings; without them the router belongs to no fleet.
     pub(crate) fleet: Option<FleetConfig>,
-    /// File descriptors that the process may hold.
+    /// The number of file descriptors that the process may hold.
     pub(crate) descriptor_limit: usize,
-    /// The version of the endpoint list that the configuration has.
+    /// The version of the endpoint list in the configuration.
     pub(crate) list_version: u64,
-    /// Whether this process takes the place of another one.
+    /// Whether this process replaces another one in a hot restart.
     pub(crate) replaces_process: bool,
 }
 
-/// Who may send queries, and what tenants have in flight.
+/// The auth filter and the limits of tenants.
 struct Auth {
     filter: AuthFilter,
     limits: Limits,
 }
 
 impl RouterBuilder {
-    /// Makes the router.
+    /// Builds the router.
     pub(crate) fn build(mut self) -> Result<Router, BuildError> {
         let auth = self.auth()?;
         let clock = Clock::start();
@@ -106,7 +107,8 @@
         })
     }
 
-    /// Identity, where the settings have it. Its tenants' quotas replace those of the configuration.
+    /// Builds the auth filter and the limits of tenants if the settings have identity. The quotas of identity's tenants
+    /// replace the quotas of the configuration.
     fn auth(&mut self) -> Result<Option<Auth>, BuildError> {
         let Some(identity) = &self.identity else {
             return Ok(None);
@@ -117,7 +119,8 @@
         Ok(Some(Auth { filter, limits }))
     }
 
-    /// A router that has lost its lease answers what it has admitted; a permit for maintenance waits that long.
+    /// Checks that `fleet.works.lingers` is at least the longest deadline. A router that has lost its lease still
+    /// answers the queries that it has admitted, and a maintenance permit must not take effect before they have ended.
     fn check_lingers(&self) -> Result<(), BuildError> {
         let maintenance = self
             .fleet
--- a/router/src/lifecycle/capacity_share.rs
+++ b/router/src/lifecycle/capacity_share.rs
@@ -1,6 +1,7 @@
-//! How much of the router's capacity this process may use while another process has a part of it, during a hot restart.
+//! The share of the router's capacity that this process may use while another process uses the rest, during a hot
+//! restart.
 //!
-//! The split is [`ternpick_hot_restart::Lease`]'s; both sides of an upgrade apply theirs here.
+//! [`ternpick_hot_restart::Lease`] computes the split; the old and the new process apply their shares with this module.
 
 use std::cell::Cell;
 
@@ -10,31 +11,33 @@
 use crate::state::clients::ClientState;
 use crate::state::descriptors::RESERVED_DESCRIPTORS;
 
-/// Connections to nodes that a draining process may still open for what it has in flight.
+/// The number of node connections that a draining process may still open for its queries in flight.
 const SPARE_NODE_CONNECTIONS: usize = 8;
-/// Queries and shard requests that a request which is not admitted yet may bring to a draining process.
+/// The load (queries and shard requests) that is reserved in a draining process for each request that is not admitted
+/// yet.
 const LOAD_PER_UNADMITTED_REQUEST: usize = 4;
 
-/// Whether a process that has a part of the capacity admits new queries.
+/// Whether a process that has a share of the capacity admits new queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// It does.
+    /// The process admits new queries.
     Serving,
-    /// It answers what it has admitted.
+    /// The process only answers the queries that it has admitted.
     Draining,
 }
 
-/// What a router may use in all, and how much of it this process may.
+/// The capacity of the router, and the share of it that this process may use.
 pub(crate) struct CapacityShare {
+    /// The capacity of the router.
     all: Lease,
-    /// What this process may use now.
+    /// The current share of this process.
     current: Cell<Lease>,
     descriptors: usize,
     memory: usize,
 }
 
 impl CapacityShare {
-    /// The share of a process that has all of the router's capacity.
+    /// Returns the share of a process that has all of the router's capacity.
     pub(crate) fn of(router: &Router) -> CapacityShare {
         let decisions = router.decisions.borrow();
         let descriptors = router.descriptors.total();
@@ -43,7 +46,8 @@
         let all = Lease {
             held: max_in_flight.map_or(u32::MAX, saturating_u32),
             extra: decisions.engine.config.retry_budget_min.clamp(0.0, 1e9) as u32,
-            // The new process has descriptors of its own beside its peers', out of the same number.
+            // The same number of descriptors also has to cover those that a new process holds besides its peers'
+            // connections.
             sockets: saturating_u32(descriptors.saturating_sub(RESERVED_DESCRIPTORS)),
             memory: memory as u64,
         };
@@ -55,22 +59,22 @@
         }
     }
 
-    /// All of the router's capacity.
+    /// Returns all of the router's capacity.
     pub(crate) fn all(&self) -> Lease {
         self.all
     }
 
-    /// What this process may use now.
+    /// Returns the current share of this process.
     pub(crate) fn current(&self) -> Lease {
         self.current.get()
     }
 
-    /// What this process uses now.
+    /// Returns the capacity that this process uses now.
     pub(crate) fn in_use(&self, router: &Router) -> Lease {
         let decisions = router.decisions.borrow();
         let in_flight = &decisions.effects.in_flight;
-        // Requests that wait for their admission are admitted here. So are those that are half read, as they become complete;
-        // and connections that rest may bring one until the new process has taken over and they go over.
+        // Requests that wait for admission are admitted by this process, and so are partly read requests once they are
+        // complete. A connection without a request may bring one until it is passed on to the new process.
         let clients = router.descriptors.clients();
         let half_read = router.clients.count(ClientState::Partial).count;
         let may_bring = router.clients.count_without_request() + half_read;
@@ -85,7 +89,7 @@
         }
     }
 
-    /// Applies what this process may use from now on.
+    /// Applies the share that this process may use from now on.
     pub(crate) fn apply(&self, router: &Router, lease: Lease, role: Role) {
         self.current.set(lease);
         if lease == self.all {
--- a/router/src/lifecycle/clock.rs
+++ b/router/src/lifecycle/clock.rs
@@ -1,12 +1,14 @@
-//! The router's one clock: Unix time in microseconds, so that start times of nodes compare, and only ever forward.
+//! The router's clock: Unix time in microseconds, so that it can be compared with start times of nodes. It never goes
+//! back.
 //!
-//! Reads the wall clock once, at the start of the process, and goes on by the monotonic clock.
+//! It reads the wall clock once, at the start of the process, and adds the time that the monotonic clock has counted
+//! since.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use ternpick::types::Micros;
 
-/// Time since the Unix epoch as this process counts it.
+/// Converts monotonic instants to Unix time and back.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     unix_at_start: Micros,
@@ -14,7 +16,7 @@
 }
 
 impl Clock {
-    /// A clock that is set by the wall clock now.
+    /// Starts a clock at the current wall clock time.
     pub(crate) fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -25,24 +27,24 @@
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub(crate) fn now(&self) -> Micros {
         self.time_of(Instant::now())
     }
 
-    /// The time of a monotonic instant.
+    /// Returns the Unix time of a monotonic instant.
     pub(crate) fn time_of(&self, instant: Instant) -> Micros {
         self.unix_at_start + micros(instant.saturating_duration_since(self.monotonic_at_start))
     }
 
-    /// The time of an arrival: when it was noted, else now.
+    /// Returns the time of an arrival: that of the noted instant, or the current time if none was noted.
     pub(crate) fn arrival(&self, noted: Option<Instant>) -> Micros {
         noted.map_or_else(|| self.now(), |instant| self.time_of(instant))
     }
 
-    /// The monotonic instant of a time of this clock, for timers.
-    pub(crate) fn instant(&self, at: Micros) -> Instant {
-        self.monotonic_at_start + Duration::from_micros(at.since(self.unix_at_start).0)
+    /// Returns the monotonic instant of a time of this clock, for timers.
+    pub(crate) fn instant(&self, time: Micros) -> Instant {
+        self.monotonic_at_start + Duration::from_micros(time.since(self.unix_at_start).0)
     }
 }
 
--- a/router/src/lifecycle/config.rs
+++ b/router/src/lifecycle/config.rs
@@ -1,6 +1,7 @@
-//! The configuration file that a router is started with, as the platform hands it over.
+//! The configuration file that a router is started with. The platform writes it.
 //!
-//! Read at the start, at each reload and by `ternpick check`. Keys are the platform's; nothing here applies a value.
+//! It is read at the start, at each reload and by `ternpick check`. The platform defines the keys; this module parses
+//! and checks the values but does not apply them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,36 +11,36 @@
 use ternpick::types::PlatformConfig;
 use ternpick_platform_config::{Bounds, PlatformConfigError};
 
-/// Descriptors, where the configuration does not say.
+/// The number of file descriptors if the configuration has no `limits.sockets`.
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// Megabytes, where the configuration does not say.
+/// The memory in MiB if the configuration has no `limits.memory_mb`.
 const DEFAULT_MEMORY_MB: u64 = 192;
 
-/// What a router says of itself and may hold: a change needs a restart. Its endpoint list and its seed are for starts only,
-/// and differ with each.
+/// The fields whose change needs a restart. The endpoint list (`known`) and the seed also apply at a start only, but
+/// are not compared: they differ at each start.
 pub(crate) const FIXED_FIELDS: [&str; 4] = ["name", "listen", "limits", "settings"];
 
-/// A configuration that can be used.
+/// A valid configuration.
 pub(crate) struct RouterConfig {
     /// The router's name.
     pub(crate) name: String,
-    /// Where it accepts clients.
+    /// The address at which it accepts clients.
     pub(crate) listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub(crate) discovery: SocketAddr,
     /// Seeds all random choices.
     pub(crate) seed: u64,
-    /// File descriptors that the process may hold.
+    /// The number of file descriptors that the process may hold.
     pub(crate) descriptor_limit: usize,
-    /// Bytes that the process may take up.
+    /// The memory budget of the process, in bytes.
     pub(crate) memory_bytes: usize,
-    /// The endpoint list as this router last had it, in discovery's form; null if it had none.
+    /// The last endpoint list of this router, in discovery's format; null if it had none.
     pub(crate) known_endpoints: Value,
-    /// What the decision module goes by.
+    /// The configuration of the routing engine.
     pub(crate) platform: PlatformConfig,
-    /// What the router itself goes by.
+    /// The limits and names that the router itself uses.
     pub(crate) bounds: Bounds,
-    /// What a reload compares, in the order of [`FIXED_FIELDS`].
+    /// The values that a reload compares, in the order of [`FIXED_FIELDS`].
     pub(crate) fixed: [Value; FIXED_FIELDS.len()],
 }
 
@@ -49,7 +50,7 @@
     /// The file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable { path: PathBuf, source: io::Error },
-    /// The file says what cannot be used.
+    /// The content of the file is not valid.
     #[error("{}: {source}", path.display())]
     Invalid {
         path: PathBuf,
@@ -57,33 +58,35 @@
     },
 }
 
-/// What is wrong with the text of a configuration.
+/// Why the text of a configuration is not valid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InvalidConfig {
-    /// Not JSON.
+    /// The text is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// A key that is not there, or no text.
-    #[error("'{0}' is missing")]
+    /// A key is missing or its value is not a string.
+    #[error("'{0}' is missing or not a string")]
     Missing(&'static str),
-    /// A text that is no address.
-    #[error("'{0}' is not an address and port")]
-    NotAnAddress(&'static str),
-    /// A seed that is no number.
-    #[error("'seed' is not a hexadecimal number")]
-    Seed,
-    /// The platform's settings are wrong.
+    /// A value is not an address.
+    #[error("'{key}' must be an address and port, found {found:?}")]
+    NotAnAddress { key: &'static str, found: String },
+    /// The seed is not a number.
+    #[error("'seed' must be a hexadecimal number, found {0:?}")]
+    Seed(String),
+    /// The platform's settings are not valid.
     #[error("'settings': {0}")]
     Platform(PlatformConfigError),
-    /// No class, or one without a name.
-    #[error("'settings': no classes, or one without a name")]
+    /// There is no class, or one has no name.
+    #[error("'settings': there has to be at least one class, and each needs a name")]
     Classes,
-    /// A class with a second phase.
-    #[error("'settings': class {0} has a second step, which this protocol cannot ask for")]
+    /// A class has a second phase.
+    #[error(
+        "'settings': class {0} has a second step, which the router's protocol does not support"
+    )]
     SecondPhase(String),
 }
 
-/// For callers whose errors are still text.
+/// For callers whose errors are strings.
 impl From<ConfigError> for String {
     fn from(error: ConfigError) -> Self {
         error.to_string()
@@ -105,7 +108,8 @@
 /// Parses the text of a configuration file.
 pub(crate) fn parse(text: &[u8]) -> Result<RouterConfig, InvalidConfig> {
     let all: Value = serde_json::from_slice(text)?;
-    let seed = u64::from_str_radix(text_of(&all, "seed")?, 16).map_err(|_| InvalidConfig::Seed)?;
+    let seed = text_of(&all, "seed")?;
+    let seed = u64::from_str_radix(seed, 16).map_err(|_| InvalidConfig::Seed(seed.to_owned()))?;
     let settings = &all["settings"];
     let platform =
         ternpick_platform_config::platform_config(settings).map_err(InvalidConfig::Platform)?;
@@ -134,7 +138,10 @@
 
 fn address_of(all: &Value, key: &'static str) -> Result<SocketAddr, InvalidConfig> {
     let text = text_of(all, key)?;
-    text.parse().map_err(|_| InvalidConfig::NotAnAddress(key))
+    text.parse().map_err(|_| InvalidConfig::NotAnAddress {
+        key,
+        found: text.to_owned(),
+    })
 }
 
 fn memory_bytes(limits: &Value) -> usize {
@@ -153,7 +160,9 @@
         .iter()
         .position(|index| index.second_phase_size > 0);
     match second_phase {
-        Some(at) => Err(InvalidConfig::SecondPhase(bounds.index_names[at].clone())),
+        Some(index) => Err(InvalidConfig::SecondPhase(
+            bounds.index_names[index].clone(),
+        )),
         None => Ok(()),
     }
 }
--- a/router/src/lifecycle/logging.rs
+++ b/router/src/lifecycle/logging.rs
@@ -1,4 +1,4 @@
-//! The log: text for people or JSON for machines, on standard error. `RUST_LOG` takes precedence over the settings.
+//! The log on standard error, as text or as JSON. `RUST_LOG` takes precedence over the level in the settings.
 
 use std::io::IsTerminal;
 
@@ -7,12 +7,12 @@
 
 use crate::lifecycle::settings::{LogFormat, LogSettings};
 
-/// Starts the log of this process; without effect where one is started already.
+/// Starts the log of this process. It has no effect if a log is started already.
 pub(crate) fn start(settings: &LogSettings) {
     let filter = EnvFilter::try_from_default_env()
         .or_else(|_| EnvFilter::try_new(&settings.level))
         .unwrap_or_else(|_| EnvFilter::new("info"));
-    // Whatever is left out, the record of who did what is not.
+    // Audit records are always logged, whatever the configured filter leaves out.
     let filter = match "audit=info".parse() {
         Ok(audit) => filter.add_directive(audit),
         Err(_) => filter,
@@ -22,7 +22,7 @@
         .with_writer(std::io::stderr)
         .with_ansi(std::io::stderr().is_terminal())
         .with_timer(SystemTime);
-    // A log that is set already is another router's of the same process, in tests.
+    // In tests, another router of the same process may have set the log already.
     let _ = match settings.format {
         LogFormat::Json => log.json().flatten_event(true).try_init(),
         LogFormat::Text => log.with_target(false).try_init(),
--- a/router/src/lifecycle/mod.rs
+++ b/router/src/lifecycle/mod.rs
@@ -1,11 +1,12 @@
-//! From the command line to a router that serves, and to its end.
+//! The life of a router process, from the command line to its exit.
 //!
-//! - start: [`cli`], [`config`], [`settings`], [`build`], [`start`], [`sockets`], [`logging`], [`clock`];
-//! - while it serves: [`run`], [`signals`], [`reload`], [`control`], [`watch`], [`tls`], [`key_sources`], [`http_client`],
+//! - starting: [`cli`], [`config`], [`settings`], [`build`], [`start`], [`sockets`], [`logging`], [`clock`];
+//! - serving: [`run`], [`signals`], [`reload`], [`control`], [`watch`], [`tls`], [`key_sources`], [`http_client`],
 //!   [`socket_io`];
-//! - its end: [`stop`]; an upgrade's: [`upgrade`] (old process), [`takeover`] (new process), [`hot_restart_link`],
+//! - stopping: [`stop`];
+//! - hot restart: [`upgrade`] (old process), [`takeover`] (new process), [`hot_restart_link`],
 //!   [`snapshot`], [`capacity_share`], [`parent`];
-//! - tools: [`key_commands`].
+//! - operator commands: [`key_commands`].
 
 pub(crate) mod build;
 pub(crate) mod capacity_share;
--- a/router/src/lifecycle/settings.cue
+++ b/router/src/lifecycle/settings.cue
@@ -1,34 +1,34 @@
-// What may stand in a settings file of the router. Without a file nothing of this is on.
+// The schema of the router's settings file. Without a settings file, all features configured here are off.
 
 #Log: {
 	form: "text" | "json" | *"text"
-	// As RUST_LOG, which goes before it.
+	// The filter in the syntax of RUST_LOG, which takes precedence.
 	level: string | *"info"
 }
 
 #Tls: {
 	listen: string & =~":[0-9]+$"
-	// PEM: the chain, the first certificate the router's own; and its key.
+	// PEM files: the certificate chain, with the router's own certificate first, and the private key.
 	certificate: string
 	key: string
-	// Certificates of clients: whose are taken, and lists of revoked ones (PEM), in the order of the authorities.
+	// PEM files: the authorities of client certificates, and revocation lists in the order of the authorities.
 	authorities?: string
 	lists: [...string] | *[]
-	// Without a certificate no client is let in, a token or not.
+	// Whether clients without a certificate are rejected, even if they have a token.
 	required: bool | *false
-	// How often the files are looked at again.
+	// The interval at which the files are checked for changes.
 	every: duration & >=100ms & <=1h | *5s
 }
 
 #Control: {
-	// A Unix socket, for its owner alone: status, upgrade, drain.
+	// The path of a Unix socket that only its owner may use: status, upgrade, drain.
 	socket: string
-	// Whether the program may be upgraded by it: a second process runs for a while.
+	// Whether upgrades over the socket are allowed. During an upgrade a second process runs.
 	upgrade: bool | *false
-	// The number of the process that serves, written at each start and hand-over.
+	// The file for the id of the serving process, written at each start and each handover.
 	pid_file?: string
-	// After an upgrade the first process stays as parent of the one that serves, passes signals on and ends with it: for
-	// supervisors that keep their child in the foreground.
+	// Whether the old process of an upgrade stays as the parent of the new one, forwards signals and ends with it, for
+	// supervisors that track the process that they started.
 	stays: bool | *false
 	hello: duration & >=100ms & <=5min | *10s
 	step: duration & >=50ms & <=1min | *3s
@@ -36,63 +36,66 @@
 	silence: duration & >=100ms & <=1min | *3s
 }
 
-// The routers of one fleet: the same on each of them.
+// The fleet. The routers of a fleet have the same settings here.
 #Fleet: {
-	// Two fleets never mix.
+	// The fleet's name. Members of different fleets do not accept each other.
 	name: string & =~"."
-	// The routers at the founding, by the names that their configurations give them. Later ones are added by command.
+	// The founding members, by the routers' names in their configurations. Later members are added by command.
 	members: {[string]: #Member}
-	// Where this router listens, if others reach it at another address than it has (a relay, a translated address).
+	// The address at which this router listens, if other members reach it at another one (relay, address translation).
 	listen?: string & =~":[0-9]+$"
-	// This router's own folder; {name} stands for its name. It has to last: what is answered for is kept there.
+	// This router's folder, with {name} for the router's name. It must be durable: it holds the stored state of this
+	// member.
 	folder: string | *"fleet/{name}"
-	// How long a router may admit on its own, from when it asked; and how often it asks.
+	// The duration of a lease, from when the router requested it, and the interval between renewals.
 	lease: duration & >=200ms & <=1min | *2s
 	renew: duration & >=20ms & <=20s | *500ms
-	// How far clocks may run fast or slow, in millionths. Beyond it nothing is promised.
+	// The largest rate error of a clock, in parts per million. With a larger one the guarantees do not hold.
 	drift_ppm: int & >=0 & <=200000 | *10000
-	// How long queries wait, at most, while a change takes effect, before they are rejected. Without it they wait as long as
-	// their own deadlines allow, while a leader with a majority answers.
+	// The longest time that queries wait while a change takes effect, before they are rejected. Without it they wait as
+	// long as their deadlines allow, while a leader with a majority answers.
 	hold?: duration & >=0s & <=10s
-	// How long a change that takes hold waits for all to have stopped.
+	// How long a change that takes effect waits until all routers have stopped admitting.
 	patience: duration & >=10ms & <=10s | *150ms
-	// What a router does without a lease: it refuses new lookups, or it serves on under the last policy that it knows and
-	// marks its answers. Then a change may be in force at some routers and not at others.
+	// What a router does without a lease: it rejects new queries, or it keeps serving under the last policy that it
+	// knows and marks its responses. In the second case a change may be in force at some routers and not at others.
 	without_lease: "refuse" | "serve-and-mark" | *"refuse"
-	// Whether a change needs a second person's word (ternpick policy confirm).
+	// Whether a change needs a second operator's confirmation (ternpick policy confirm).
 	confirm: bool | *false
-	// Without a word of the one that leads for so long, and up to as much more by chance, another one is voted for.
+	// The election timeout: after this time, plus a random one of up to the same length, without the leader an election
+	// starts.
 	election: duration & >=100ms & <=1min | *500ms
-	// Work on machines: off without.
+	// Maintenance of machines; it is off without this record.
 	works?: #Works
 }
 
-// What is never given up while machines are out for work.
+// The limits that are kept while machines are out for maintenance.
 #Works: {
-	// Sound holders of each shard; never fewer than two where there are more, and never the last.
+	// The healthy replicas of each shard that stay: never fewer than two if there are more, and never none.
 	keep: int & >=1 & <=64 | *2
-	// The share of each zone's machines that stays, and the share of all that may be out at a time (one always may).
+	// The share of each zone's machines that stays, and the share of all machines that may be out (one always may).
 	zone_share: number & >=0 & <=1 | *0.5
 	most_out: number & >=0 & <=1 | *0.2
-	// Part calls a second that one machine bears, if known; the measured load, so much more, and so many failures have room.
+	// Shard requests per second that a machine can serve, if known. The machines that stay have room for the measured
+	// load, this growth of it, and this number of failed machines.
 	per_node?: number & >0
 	growth: number & >=0 & <=10 | *0.25
 	reserve: int & >=0 & <=64 | *1
-	// The longest deadline of any lookup: for so long a router without a lease may still act on what it admitted.
+	// At least the longest deadline of a query: a router without a lease may still send shard requests for that long.
 	lingers: duration & >=100ms & <=10min | *10s
-	// A machine that was given back and does not bear load within this is kept out.
+	// A machine that was given back and does not serve load within this time is kept out.
 	back_within: duration & >=1s & <=24h | *10min
-	// Nothing more goes out before all has been well for so long; held while more than this share of lookups is late,
-	// failed or refused, and on again below half of it.
+	// No further machine goes out before the service has been healthy for the time `calm`. No machine goes out while
+	// more than the share `late_over` of queries is late, failed or rejected, until the share is below half of it.
 	calm: duration & >=100ms & <=1h | *10s
 	late_over: number & >0 & <=1 | *0.1
 }
 
 #Member: {
-	// Where the other routers reach it.
+	// The address at which the other routers reach it.
 	address: string & =~":[0-9]+$"
 	zone:    string | *""
-	// Whether it votes: three, five or seven do, in different zones.
+	// Whether it is a voter. A fleet should have three, five or seven voters, in different zones.
 	vote: bool | *false
 }
 
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -1,8 +1,7 @@
-//! The router's own settings: typed records of a CUE file beside what the platform hands over. Without a file everything
-//! here is off.
+//! The router's settings file: typed records of a CUE file, in addition to the platform's configuration file. Without a
+//! settings file, all features configured here are off.
 //!
-//! Read at the start, at each reload and by `ternpick check`. Field names follow the keys of the file where other modules use
-//! them. Durations are in microseconds.
+//! The file is read at the start, at each reload and by `ternpick check`. Durations are in microseconds.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,6 +9,7 @@
 
 use serde::Deserialize;
 use serde_json::Value;
+use ternpick::types::Micros;
 use ternpick_identity::Terms;
 use ternpick_settings::{Read, Refused, Schema};
 use ternpick_tenant_limits::{SharedLimitConfig, TenantConfig as TenantLimitConfig};
@@ -22,41 +22,41 @@
     "#Settings",
 );
 
-/// The most voting members that a fleet may have.
+/// The maximum number of voters of a fleet.
 const MAX_VOTERS: usize = 9;
 
-/// How lines of the log are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum LogFormat {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For machines: an object a line.
+    /// JSON for programs: one object per line.
     Json,
 }
 
-/// The log.
+/// The settings of the log.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct LogSettings {
-    /// How lines are written.
+    /// The format of log lines.
     #[serde(rename = "form")]
     pub(crate) format: LogFormat,
-    /// What is logged, in the syntax of `RUST_LOG`.
+    /// The filter of log events, in the syntax of `RUST_LOG`.
     pub(crate) level: String,
 }
 
-/// The TLS listener.
+/// The settings of the TLS listener.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct TlsSettings {
-    /// Address and port.
+    /// The address and port of the listener.
     pub(crate) listen: String,
-    /// File of the certificate chain.
+    /// The path of the certificate chain (PEM).
     pub(crate) certificate: String,
-    /// File of the private key.
+    /// The path of the private key (PEM).
     pub(crate) key: String,
-    /// File of the authorities that sign clients' certificates; without it none is asked for.
+    /// The path of the authorities that sign clients' certificates; without it, clients are not asked for certificates.
     pub(crate) authorities: Option<String>,
-    /// Files of certificate revocation lists.
+    /// The paths of certificate revocation lists.
     #[serde(rename = "lists")]
     pub(crate) revocation_lists: Vec<String>,
     /// Whether a client without a certificate is rejected.
@@ -67,28 +67,28 @@
     pub(crate) check_interval: u64,
 }
 
-/// The control socket, and upgrades over it.
+/// The settings of the control socket, and of upgrades over it.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct ControlConfig {
-    /// Path of the socket.
+    /// The path of the socket.
     pub(crate) socket: String,
     /// Whether upgrades are allowed.
     pub(crate) upgrade: bool,
-    /// File that names the process that serves.
+    /// The path of the file that contains the id of the serving process.
     pub(crate) pid_file: Option<String>,
-    /// Whether a process that has handed over stays as the parent of the new one.
+    /// Whether the old process of an upgrade stays as the parent of the new one.
     #[serde(rename = "stays")]
     pub(crate) stays_as_parent: bool,
-    /// How long the new process may take to start.
+    /// The timeout for the start of the new process, up to its first message.
     #[serde(rename = "hello")]
     pub(crate) hello_timeout: u64,
-    /// How long each step of an upgrade may take.
+    /// The timeout of each step of an upgrade.
     #[serde(rename = "step")]
     pub(crate) step_timeout: u64,
-    /// How long the new process may take to apply the snapshot.
+    /// The timeout for applying the snapshot in the new process.
     #[serde(rename = "ready")]
     pub(crate) ready_timeout: u64,
-    /// How long the new process may be silent while the old one drains.
+    /// How long the new process may send nothing while the old one drains.
     #[serde(rename = "silence")]
     pub(crate) silence_timeout: u64,
 }
@@ -96,50 +96,50 @@
 /// A founding member of a fleet.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct MemberConfig {
-    /// Address and port for other members.
+    /// The address and port at which other members reach it.
     pub(crate) address: String,
-    /// Its zone.
+    /// The zone of the member.
     pub(crate) zone: String,
-    /// Whether it is a voter.
+    /// Whether the member is a voter.
     #[serde(rename = "vote")]
     pub(crate) is_voter: bool,
 }
 
-/// The fleet that a router belongs to.
+/// The settings of the fleet that a router belongs to.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct FleetConfig {
     /// The fleet's name.
     pub(crate) name: String,
     /// The founding members, by name.
     pub(crate) members: BTreeMap<String, MemberConfig>,
-    /// Where this router listens for other members, if not at its member's address.
+    /// The address at which this router listens for other members, if it differs from the member's address.
     pub(crate) listen: Option<String>,
-    /// Folder of the stored state.
+    /// The folder of the stored state.
     pub(crate) folder: String,
-    /// How long a router may admit on its own, from when it asked for the lease.
+    /// The duration of a lease, from when the router requested it.
     #[serde(rename = "lease")]
     pub(crate) lease_duration: u64,
-    /// Interval between renewals of a lease.
+    /// The interval between renewals of a lease.
     #[serde(rename = "renew")]
     pub(crate) renew_interval: u64,
     /// The largest difference between the rates of two clocks, in parts per million.
     pub(crate) drift_ppm: u64,
-    /// How long queries wait while a change takes effect, before they are rejected; without it as long as their own
-    /// deadlines allow.
+    /// How long queries wait for admission while a change takes effect before they are rejected. Without it they wait
+    /// as long as their deadlines allow.
     #[serde(rename = "hold")]
     pub(crate) max_admission_wait: Option<u64>,
-    /// How long a change that takes effect waits for all routers to have stopped.
+    /// How long a change that takes effect waits until all routers have stopped admitting under the old version.
     #[serde(rename = "patience")]
     pub(crate) barrier_timeout: u64,
     /// What a router without a lease does: `refuse` or `serve-and-mark`.
     pub(crate) without_lease: String,
-    /// Whether a change needs a second operator's confirmation.
+    /// Whether a change needs the confirmation of a second operator.
     #[serde(rename = "confirm")]
     pub(crate) confirmation_required: bool,
-    /// Election timeout; up to as much more is added at random.
+    /// The election timeout. A random duration of up to the same length is added.
     #[serde(rename = "election")]
     pub(crate) election_timeout: u64,
-    /// Maintenance of machines; off without it.
+    /// The settings of maintenance; it is off without them.
     #[serde(rename = "works")]
     pub(crate) maintenance: Option<ternpick_maintenance::MaintenanceConfig>,
 }
@@ -147,10 +147,10 @@
 /// Why a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SettingsError {
-    /// The file cannot be read, or does not meet the schema; each mistake is marked in the text.
+    /// The file cannot be read or does not match the schema. The message marks each mistake in the file's text.
     #[error("{0}")]
     Refused(#[from] Refused),
-    /// A value that the schema cannot rule out.
+    /// A value matches the schema but is not valid.
     #[error("{}: {source}", path.display())]
     Invalid {
         path: PathBuf,
@@ -158,33 +158,37 @@
     },
 }
 
-/// What is wrong with a value that meets the schema.
+/// Why a value that matches the schema is not valid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InvalidSettings {
-    /// A value under `identity` that is not of its type.
+    /// A value under `identity` has the wrong type.
     #[error("{0}")]
     Type(#[from] serde_json::Error),
-    /// Identity contradicts itself.
+    /// The identity settings contradict each other.
     #[error("identity: {0}")]
     Identity(String),
-    /// The TLS listener's address.
-    #[error("tls.listen is no address")]
-    TlsListen,
-    /// A member's address.
-    #[error("fleet.members.{member}.address is no address and port")]
-    MemberAddress { member: String },
-    /// The fleet listener's address.
-    #[error("fleet.listen is no address and port")]
-    FleetListen,
-    /// No voter, or too many.
-    #[error("fleet.members: {found} vote, there have to be 1 to {MAX_VOTERS}, best 3, 5 or 7")]
+    /// The TLS listener's address is not valid.
+    #[error("tls.listen must be an address and port, found {found:?}")]
+    TlsListen { found: String },
+    /// A member's address is not valid.
+    #[error("fleet.members.{member}.address must be an address and port, found {found:?}")]
+    MemberAddress { member: String, found: String },
+    /// The fleet listener's address is not valid.
+    #[error("fleet.listen must be an address and port, found {found:?}")]
+    FleetListen { found: String },
+    /// The number of voters is zero or too large.
+    #[error("fleet.members has {found} voters, expected 1 to {MAX_VOTERS}, preferably 3, 5 or 7")]
     Voters { found: usize },
-    /// Renewals too far apart.
-    #[error("fleet.renew is over half of fleet.lease: a lease would end between two requests")]
-    RenewInterval,
+    /// The renewals of the lease are too far apart.
+    #[error(
+        "fleet.renew is {} ms, more than half of fleet.lease, {} ms: a lease would end between two requests",
+        renew.0 / 1000,
+        lease.0 / 1000
+    )]
+    RenewInterval { renew: Micros, lease: Micros },
 }
 
-/// For callers whose errors are still text.
+/// For callers whose errors are strings.
 impl From<SettingsError> for String {
     fn from(error: SettingsError) -> Self {
         error.to_string()
@@ -192,20 +196,17 @@
 }
 
 impl FleetConfig {
-    /// Checks what the schema cannot express.
+    /// Checks the rules that the schema cannot express.
     fn check(&self) -> Result<(), InvalidSettings> {
         for (member, settings) in &self.members {
             if !is_address(&settings.address) {
                 let member = member.clone();
-                return Err(InvalidSettings::MemberAddress { member });
+                let found = settings.address.clone();
+                return Err(InvalidSettings::MemberAddress { member, found });
             }
         }
-        if self
-            .listen
-            .as_deref()
-            .is_some_and(|address| !is_address(address))
-        {
-            return Err(InvalidSettings::FleetListen);
+        if let Some(found) = self.listen.clone().filter(|address| !is_address(address)) {
+            return Err(InvalidSettings::FleetListen { found });
         }
         let found = self
             .members
@@ -216,7 +217,10 @@
             return Err(InvalidSettings::Voters { found });
         }
         if self.renew_interval * 2 > self.lease_duration {
-            return Err(InvalidSettings::RenewInterval);
+            return Err(InvalidSettings::RenewInterval {
+                renew: Micros(self.renew_interval),
+                lease: Micros(self.lease_duration),
+            });
         }
         Ok(())
     }
@@ -226,7 +230,7 @@
     text.parse::<SocketAddr>().is_ok()
 }
 
-/// The file as the schema has it.
+/// The settings file, with the keys of the schema.
 #[derive(Debug, Deserialize)]
 struct SettingsFile {
     log: LogSettings,
@@ -236,19 +240,19 @@
     fleet: Option<FleetConfig>,
 }
 
-/// Identity's settings, and the limits of its tenants.
+/// The identity settings, and the limits of the tenants.
 pub(crate) struct IdentityConfig {
-    /// Who may do what.
+    /// The settings that the identity module itself reads.
     pub(crate) terms: Terms,
-    /// Limits of tenants, by name.
+    /// The limits of each tenant, with the tenant's name.
     pub(crate) limits: Vec<(String, TenantLimitConfig)>,
-    /// The limit on all tenants together.
+    /// The limit shared by all tenants.
     pub(crate) shared_limit: SharedLimitConfig,
 }
 
 /// All settings of a router.
 pub(crate) struct Settings {
-    /// The log.
+    /// The settings of the log.
     pub(crate) log: LogSettings,
     /// The control socket; off without it.
     pub(crate) control: Option<ControlConfig>,
@@ -258,7 +262,7 @@
     pub(crate) tls: Option<TlsSettings>,
     /// The fleet; off without it.
     pub(crate) fleet: Option<FleetConfig>,
-    /// Every value used, a line each with its origin.
+    /// Every value in use: one line each, with the value's origin.
     pub(crate) used: Vec<String>,
 }
 
@@ -280,7 +284,7 @@
 }
 
 impl Settings {
-    /// Replaces `{name}` in paths by the router's name: several routers of one machine may share a file.
+    /// Replaces `{name}` in paths by the router's name, so that several routers of a machine can share a settings file.
     pub(crate) fn for_router(mut self, name: &str) -> Settings {
         let expand = |path: &mut String| *path = path.replace("{name}", name);
         if let Some(control) = &mut self.control {
@@ -294,7 +298,7 @@
     }
 }
 
-/// The limits of a tenant, beside what identity reads of it.
+/// The limits in a tenant's record. The identity module reads the record's other fields.
 #[derive(Deserialize)]
 struct TenantLimits {
     limits: TenantLimitConfig,
@@ -318,7 +322,7 @@
     })
 }
 
-/// Reads a settings file. All that is wrong with it under the schema comes back at once, each mistake marked in the text.
+/// Reads a settings file. The error reports all mistakes against the schema at once and marks each in the file's text.
 pub(crate) fn read(path: &Path) -> Result<Settings, SettingsError> {
     let Read { value: file, used } = SCHEMA.read_file::<SettingsFile>(path)?;
     let invalid = |source| SettingsError::Invalid {
@@ -326,12 +330,11 @@
         source,
     };
     let identity = file.identity.map(identity).transpose().map_err(invalid)?;
-    if file
-        .tls
-        .as_ref()
-        .is_some_and(|tls| !is_address(&tls.listen))
-    {
-        return Err(invalid(InvalidSettings::TlsListen));
+    if let Some(tls) = &file.tls {
+        if !is_address(&tls.listen) {
+            let found = tls.listen.clone();
+            return Err(invalid(InvalidSettings::TlsListen { found }));
+        }
     }
     if let Some(fleet) = &file.fleet {
         fleet.check().map_err(invalid)?;
--- a/router/src/lifecycle/sockets.rs
+++ b/router/src/lifecycle/sockets.rs
@@ -1,21 +1,22 @@
-//! What the process takes from the operating system at its start: file descriptors and listening sockets.
+//! The file descriptor limit and the listening sockets that a process acquires at its start.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 
-/// A socket cannot listen.
+/// A listening socket cannot be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen on {address}: {source}")]
 pub(crate) struct ListenError {
-    /// Where.
+    /// The address of the socket.
     pub(crate) address: SocketAddr,
-    /// Why.
+    /// The cause.
     pub(crate) source: io::Error,
 }
 
-/// The descriptors that the process may really hold; its own limit is raised as far as wanted and allowed.
+/// Raises the process's descriptor limit to `wanted`, as far as the hard limit allows. Returns the number of
+/// descriptors that the router may hold.
 pub(crate) fn raise_descriptor_limit(wanted: usize) -> usize {
     let limit = getrlimit(Resource::Nofile);
     let allowed = limit
@@ -39,7 +40,7 @@
 
 fn bind(address: SocketAddr, backlog: usize) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(address)?;
-    // Connections that wait to be accepted are the router's already, so there is room for all that it may hold.
+    // Connections in the backlog already count as the router's, so the backlog has room for all that it may hold.
     rustix::net::listen(&listener, i32::try_from(backlog).unwrap_or(i32::MAX))?;
     Ok(listener)
 }
--- a/router/src/lifecycle/start.rs
+++ b/router/src/lifecycle/start.rs
@@ -1,4 +1,4 @@
-//! Start: from a configuration to a router that serves, until it has stopped or handed over.
+//! Starts a router from its configuration and runs it until it has stopped or handed over to a new process.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -28,50 +28,52 @@
 use crate::router::Router;
 use crate::stages::{dispatch, listener};
 
-/// Why a router does not serve, or ends with a failure.
+/// Why a router cannot start, or fails.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
-    /// Signals cannot be received.
+    /// The signal handlers cannot be registered.
     #[error("{0}")]
     Signals(#[from] SignalError),
     /// TLS files cannot be used.
     #[error("{0}")]
     Tls(#[from] TlsError),
-    /// Configuration and settings make no router.
+    /// The router cannot be built from its configuration and settings.
     #[error("{0}")]
     Build(#[from] BuildError),
-    /// An address cannot be listened on.
+    /// A listening socket cannot be opened.
     #[error("{0}")]
     Listen(#[from] ListenError),
-    /// The place of another process cannot be taken.
+    /// The process cannot take over from the old one.
     #[error("{0}")]
     Takeover(#[from] TakeoverError),
     /// The control socket cannot be opened.
     #[error("{0}")]
     Control(String),
-    /// The program of this process, for upgrades.
-    #[error("the program is not to be found: {0}")]
+    /// The path of this process's program, which upgrades need, is not known.
+    #[error("cannot determine the path of this program: {0}")]
     Program(io::Error),
-    /// The process that has taken over has failed.
+    /// The new process, whose parent this one stayed, has failed.
     #[error("{0}")]
     Parent(#[from] ParentError),
 }
 
 /// How a router starts.
 pub(crate) enum Origin {
-    /// On its own.
+    /// As the first process.
     Fresh,
-    /// In the place of another process.
+    /// As the new process of a hot restart.
     Replaces(PreviousProcess),
 }
 
-/// Where the listeners come from.
+/// The origin of the listeners.
 enum ListenerSource {
+    /// This process has bound them.
     Bound(Vec<TcpListener>),
+    /// The old process passes them on.
     Previous(PreviousProcess),
 }
 
-/// Serves until told to stop and nothing that was admitted is left unanswered.
+/// Serves until the router is stopped and all admitted queries are answered, or until a new process has taken over.
 pub(crate) fn serve(
     mut config: RouterConfig,
     settings: Settings,
@@ -117,14 +119,15 @@
         digest,
     };
     let serving = serving.run(listeners, schedule, settings.control, signals);
-    // The executor stays until the process ends, with the tasks that are left on it.
+    // The executor is not dropped before the process ends, so the remaining tasks are not dropped either.
     match future::block_on(executor.run(serving))? {
         Some(successor) => Ok(parent::stay(successor)?),
         None => Ok(()),
     }
 }
 
-/// The digest of what a router runs on, for the process that is to take its place.
+/// Returns the digest of the fixed configuration fields and the settings file. The processes of a hot restart compare
+/// it.
 fn digest(files: &StartupFiles) -> u64 {
     let settings = files
         .settings
@@ -135,25 +138,28 @@
     u64::from(crc32fast::hash(fixed.as_bytes())) << 32 | u64::from(crc32fast::hash(&settings))
 }
 
-/// A router on its way to serve.
+/// A router that is starting or serving.
 struct Serving {
     router: Rc<Router>,
     share: Rc<CapacityShare>,
     name: String,
-    /// Where it listens, the plain listener first.
+    /// The addresses of the listeners, the plain one first.
     addresses: Vec<SocketAddr>,
     descriptor_limit: usize,
     tls: Option<Rc<Tls>>,
     /// The endpoint list of the configuration; null if there is none.
     known_endpoints: Value,
-    /// Whether the decision module asks for the endpoint list itself, rather than having it watched from the start on.
+    /// Whether the routing engine requests the endpoint list when it needs it. Otherwise the list is watched from the
+    /// start.
     discovery_is_polled: bool,
     files: StartupFiles,
+    /// The digest of configuration and settings, see [`digest`].
     digest: u64,
 }
 
 impl Serving {
-    /// Starts all tasks and waits for the end. Returns the process that has taken over, if this one is to stay as its parent.
+    /// Starts all tasks and waits for the end. Returns the new process of an upgrade if this one has to stay as its
+    /// parent.
     async fn run(
         self,
         listeners: ListenerSource,
@@ -163,7 +169,7 @@
     ) -> Result<Option<Child>, StartError> {
         self.spawn(watch::watch(Rc::clone(&self.router), schedule));
         self.spawn(dispatch::run_turns(Rc::clone(&self.router)));
-        // The tasks are to listen before they are called upon: applying a list may ask for the watch at once.
+        // Lets the tasks register their listeners first: applying an endpoint list may request the watch at once.
         future::yield_now().await;
         let replaces_process = matches!(listeners, ListenerSource::Previous(_));
         let listeners = match listeners {
@@ -201,7 +207,7 @@
         self.router.executor.spawn(task).detach();
     }
 
-    /// Applies the endpoint list of the configuration, so that a start needs no discovery.
+    /// Applies the endpoint list of the configuration, so that a start does not depend on discovery.
     fn apply_known_endpoints(&self) {
         if self.known_endpoints.is_null() {
             return;
@@ -211,7 +217,7 @@
         }
     }
 
-    /// Takes another process's place; returns the listeners.
+    /// Takes over from the old process and returns the listeners.
     async fn take_over(
         &self,
         previous: PreviousProcess,
@@ -224,7 +230,7 @@
             Some(listeners) => listeners,
             None => sockets::bind_all(&self.addresses, self.descriptor_limit)?,
         };
-        // The old one died before it passed its state: the list of the configuration is what there is.
+        // Without a usable snapshot, for example after the old process died, the list of the configuration is used.
         if taken.list_version.is_none() {
             self.apply_known_endpoints();
         }
@@ -236,9 +242,10 @@
         Ok(listeners)
     }
 
-    /// Opens the control socket, and stores which process serves.
+    /// Opens the control socket and writes the pid file.
     ///
-    /// A process that replaces another one serves already: it serves on, and tries again, where the socket cannot be opened yet.
+    /// If the socket cannot be opened, a first start fails. The new process of an upgrade serves already: it keeps
+    /// serving and retries.
     fn open_control(
         &self,
         settings: ControlConfig,
@@ -277,7 +284,8 @@
         Ok(polled.map_err(|source| ListenError { address, source })?)
     }
 
-    /// Accepts clients; the task ends once all listeners are closed. The first listener is plain, another one TLS.
+    /// Accepts clients. The returned task ends once all listeners are closed. The first listener is plain, the second
+    /// one TLS.
     fn accept(&self, listeners: Vec<Rc<Async<TcpListener>>>) -> Task<()> {
         let executor = &self.router.executor;
         let mut accepting = Vec::new();
@@ -285,7 +293,7 @@
             let tls = self.tls.clone().filter(|_| position > 0);
             if let Some(tls) = &tls {
                 tracing::info!(router = self.name, address = %tls.listen, "serving TLS");
-                // Before anybody is accepted, and not by the order in which two tasks run.
+                // Applied here, not in the task: no connection may be accepted before the lists are in use.
                 tls.apply_revocation_lists(&self.router);
                 self.spawn(tls::watch(Rc::clone(&self.router), Rc::clone(tls)));
             }
--- a/router/src/lifecycle/tls.rs
+++ b/router/src/lifecycle/tls.rs
@@ -1,7 +1,8 @@
-//! TLS as the settings have it: certificate and key, the authorities of clients, certificate revocation lists.
+//! The TLS files that the settings name: certificate and key, clients' authorities, certificate revocation lists.
 //!
-//! The files are checked for changes at an interval; new ones serve the next connections, and no open connection is dropped.
-//! Handshakes are [`stages::stream`](crate::stages::stream)'s; who a certificate stands for is identity's to say.
+//! The files are checked for changes at an interval. Changed files apply to new connections; open connections stay
+//! open. [`stages::stream`](crate::stages::stream) performs handshakes; the identity module maps certificates to
+//! callers.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -20,48 +21,48 @@
 use crate::router::Router;
 use crate::stages::auth_filter::AuthFilter;
 
-/// The longest of these files, in bytes.
+/// The maximum length of each file.
 const MAX_FILE_BYTES: u64 = LIST_BOUND as u64;
-/// Sessions that may be resumed; each holds its client's certificate.
+/// The number of TLS sessions kept for resumption. Each one holds its client's certificate.
 const MAX_RESUMABLE_SESSIONS: usize = 128;
 
 /// Why TLS files cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum TlsError {
-    /// The listener's address.
-    #[error("tls.listen is no address")]
-    Listen,
-    /// A file that cannot be read.
+    /// The listener's address is not valid.
+    #[error("tls.listen must be an address and port, found {found:?}")]
+    Listen { found: String },
+    /// A file cannot be read.
     #[error("{path}: {source}")]
     Unreadable { path: String, source: io::Error },
-    /// A file beyond any plausible length.
-    #[error("{path}: it is longer than any such file is")]
+    /// A file is too long.
+    #[error("{path}: the file is longer than {MAX_FILE_BYTES} bytes")]
     TooLong { path: String },
-    /// A file of certificates without one.
+    /// A certificate file contains no certificate.
     #[error("{path}: no certificate in PEM")]
     NoCertificate { path: String },
-    /// A key file that is not PEM.
-    #[error("{0}")]
+    /// The key file is not PEM.
+    #[error("tls.key: {0}")]
     MalformedKey(io::Error),
-    /// A key file without a key.
+    /// The key file contains no key.
     #[error("{path}: no private key in PEM")]
     NoKey { path: String },
-    /// A certificate that cannot be an authority.
-    #[error("an authority of clients: {0}")]
+    /// A certificate cannot be used as an authority.
+    #[error("tls.authorities: {0}")]
     Authority(rustls::Error),
-    /// The authorities cannot verify clients.
-    #[error("{0}")]
+    /// No verifier of client certificates can be built from the authorities.
+    #[error("tls.authorities: {0}")]
     Verifier(#[from] VerifierBuilderError),
     /// No protocol version is supported.
     #[error("{0}")]
     Versions(rustls::Error),
-    /// Certificate and key do not go together.
+    /// The certificate and the key do not match.
     #[error("{path}: {source}")]
     Certificate { path: String, source: rustls::Error },
-    /// A revocation list that is not PEM.
+    /// A certificate revocation list is not PEM.
     #[error("{0}")]
     MalformedList(io::Error),
-    /// A revocation list that identity does not accept.
+    /// The identity module rejects a certificate revocation list.
     #[error("{0}")]
     RejectedList(String),
 }
@@ -69,21 +70,21 @@
 type Sessions = Arc<ServerSessionMemoryCache>;
 type Authorities = Vec<CertificateDer<'static>>;
 
-/// When a file was changed, and its length; none if it cannot be read.
+/// The modification time and length of a file; none if they cannot be read.
 type FileVersion = Option<(SystemTime, u64)>;
 
-/// The TLS listener's configuration, as the files last had it.
+/// The TLS listener's configuration from its files.
 pub(crate) struct Tls {
     settings: TlsSettings,
-    /// Where the listener accepts.
+    /// The address of the listener.
     pub(crate) listen: SocketAddr,
     config: RefCell<Arc<ServerConfig>>,
-    /// Counts the changes of the authorities.
+    /// The number of changes of the authorities.
     authorities_epoch: Cell<u64>,
     authorities: RefCell<Authorities>,
-    /// Kept when other files change; new authorities begin with none.
+    /// The sessions for resumption. They are kept when other files change and discarded when the authorities change.
     sessions: RefCell<Sessions>,
-    /// The files that are in use.
+    /// The versions of the files that are in use.
     files_in_use: RefCell<Vec<FileVersion>>,
 }
 
@@ -172,7 +173,9 @@
 impl Tls {
     /// Reads the files that the settings name.
     pub(crate) fn new(settings: TlsSettings) -> Result<Rc<Tls>, TlsError> {
-        let listen = settings.listen.parse().map_err(|_| TlsError::Listen)?;
+        let listen = settings.listen.parse().map_err(|_| TlsError::Listen {
+            found: settings.listen.clone(),
+        })?;
         let authorities = read_authorities(&settings)?;
         let sessions = ServerSessionMemoryCache::new(MAX_RESUMABLE_SESSIONS);
         let config = build_config(&settings, &authorities, Arc::clone(&sessions))?;
@@ -189,12 +192,13 @@
         Ok(Rc::new(tls))
     }
 
-    /// The configuration for the next connection.
+    /// Returns the configuration for the next connection.
     pub(crate) fn config(&self) -> Arc<ServerConfig> {
         Arc::clone(&self.config.borrow())
     }
 
-    /// Counts the changes of the authorities: who a connection's certificate stands for holds for one epoch.
+    /// Returns the number of changes of the authorities. The caller of a connection's certificate is valid for one such
+    /// epoch.
     pub(crate) fn authorities_epoch(&self) -> u64 {
         self.authorities_epoch.get()
     }
@@ -209,7 +213,7 @@
             .collect()
     }
 
-    /// Reads the files again; one that cannot be used changes nothing.
+    /// Reads the files again. If one cannot be used, nothing changes.
     fn reload(&self) -> Result<(), TlsError> {
         let authorities = read_authorities(&self.settings)?;
         if *self.authorities.borrow() == authorities {
@@ -246,7 +250,7 @@
         }
     }
 
-    /// Applies all lists of one file; returns how many certificates they revoke.
+    /// Applies all lists in a file and returns the number of certificates that they revoke.
     fn apply_revocation_list(&self, auth: &AuthFilter, path: &str) -> Result<usize, TlsError> {
         let text = read(path)?;
         let lists: Result<Vec<_>, _> = rustls_pemfile::crls(&mut &text[..]).collect();
@@ -265,8 +269,8 @@
     Some((metadata.modified().ok()?, metadata.len()))
 }
 
-/// Checks the files for changes, for as long as the router runs. The lists as they were at the start are applied by who
-/// accepts connections, before.
+/// Checks the files for changes as long as the router runs. The revocation lists are first applied by
+/// [`Tls::apply_revocation_lists`], before connections are accepted.
 pub(crate) async fn watch(router: Rc<Router>, tls: Rc<Tls>) {
     loop {
         Timer::after(Duration::from_micros(tls.settings.check_interval)).await;
@@ -281,7 +285,7 @@
                 tracing::info!(authorities, "tls: new files in use");
                 tls.apply_revocation_lists(&router);
             }
-            // Half of them may be written: it is tried again, and logged each time.
+            // The files may be partly written. They are read again at the next check, and each failure is logged.
             Err(error) => tracing::warn!(%error, "tls: files unusable, keeping the ones in use"),
         }
     }
