--- a/router/src/lifecycle/cli.rs
+++ b/router/src/lifecycle/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: names the commands and hands each to the module that carries it out.
+//! The command line: defines the commands and calls the module that runs each of them.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -29,54 +29,54 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves queries until it is asked to stop (SIGTERM)
+    /// Serves queries until it is stopped (SIGTERM, SIGINT or `ternpick drain`)
     Serve {
         /// The configuration file
         #[arg(long, env = "ROUTER_CONFIG")]
         config: PathBuf,
-        /// The settings file: identity, TLS, the fleet, the log. Without it none of these is on
+        /// The settings file: log, control socket, identity, TLS and fleet. All but the log are off without it
         #[arg(long, env = "ROUTER_SETTINGS")]
         settings: Option<PathBuf>,
-        /// Takes the place of the process that started this one, over its standard input
+        /// The id of the old process that this one replaces in a hot restart; standard input is the link to it
         #[arg(long, hide = true)]
         take_over: Option<u32>,
     },
-    /// Reads a configuration, a settings file or both, and prints what would be used
+    /// Checks a configuration file, a settings file or both, and prints the values that a router would use
     Check {
         /// The configuration file
         #[arg(long, env = "ROUTER_CONFIG", required_unless_present = "settings")]
         config: Option<PathBuf>,
-        /// The settings file; each value is printed with where it came from
+        /// The settings file; each value is printed with its origin
         #[arg(long)]
         settings: Option<PathBuf>,
     },
-    /// Makes, lists and ends the keys that sign tokens
+    /// Creates, lists, rotates and retires the keys that sign tokens
     #[command(subcommand)]
     Keys(key_commands::Keys),
-    /// Signs tokens and tells what they say
+    /// Signs tokens and prints the contents of tokens
     #[command(subcommand)]
     Token(key_commands::Token),
-    /// Revokes a token, a subject, a key or a certificate
+    /// Revokes a token, a subject, a key or a certificate, or lifts a revocation
     Revoke(key_commands::Revoke),
     #[command(flatten)]
     Control(control::ControlCommand),
-    /// Shows, proposes and withdraws the fleet's policy
+    /// Shows, checks, proposes, confirms and withdraws the fleet's policy
     #[command(subcommand)]
     Policy(fleet::Policy),
-    /// Tells and changes who belongs to the fleet, and who votes
+    /// Shows and changes the members of the fleet and its voters
     #[command(subcommand)]
     Fleet(fleet::FleetCommand),
-    /// Takes machines out of service for maintenance, in an order that the routers agree on, and back
+    /// Takes machines out of service for maintenance and returns them, in an order that the routers agree on
     #[command(subcommand, name = "maintenance", visible_alias = "works")]
     Works(maintenance_cli::Works),
-    /// Tells what callers may do
+    /// Explains the permissions of callers
     #[command(subcommand)]
     Rights(key_commands::RightsCommand),
     /// Prints the version
     Version,
 }
 
-/// What a command ends with. The last line of a failure says what was attempted and what was found.
+/// The result of a command. The last line of an error names the attempted action and the cause.
 type CommandResult = Result<ExitCode, Box<dyn Error>>;
 
 /// Parses the command line and runs its command.
@@ -182,18 +182,18 @@
         );
     }
     println!(
-        "load reports: {:?}, of {}",
+        "load reports: {:?}, metrics {}",
         platform.load_reporting,
         bounds.load_metric_names.join(", ")
     );
     println!(
-        "parts: {} a call, {} a connection",
+        "shard requests: at most {} per call, attempts: at most {} per connection",
         bounds.max_shard_requests_per_call, bounds.max_attempts_per_connection
     );
     let max_in_flight = bounds
         .max_in_flight
         .map_or("no limit".into(), |most| most.to_string());
-    println!("held at most: {max_in_flight}");
+    println!("queries and shard requests in flight, at most: {max_in_flight}");
     println!(
         "dial timeout {}, idle close {}",
         millis(bounds.dial_timeout),
--- a/router/src/lifecycle/control.rs
+++ b/router/src/lifecycle/control.rs
@@ -1,8 +1,8 @@
-//! The control socket: a Unix socket for the router's owner alone. A request is one line of JSON; the answer is lines of
-//! JSON, of which the last has `done`.
+//! The control socket: a Unix socket that only the router's owner may use. A request is one line of JSON. The answer is
+//! one or more lines of JSON; the last one has `done`.
 //!
-//! [`server`] answers for the router, [`client`] asks for commands, and [`command`] holds the commands `ternpick status`,
-//! `upgrade` and `drain`. Requests about the fleet are answered by `fleet::commands`.
+//! [`server`] answers requests in the router, [`client`] sends the requests of commands, and [`command`] implements the
+//! commands `ternpick status`, `upgrade` and `drain`. `fleet::commands` answers requests about the fleet.
 
 mod client;
 mod command;
@@ -18,22 +18,22 @@
 pub(crate) use command::{run, ControlCommand};
 pub(crate) use server::{open, open_later, serve};
 
-/// What the control socket of one router answers from.
+/// The state from which the control socket of a router answers.
 pub(crate) struct Control {
-    /// The settings `control`.
+    /// The settings under `control`.
     pub(crate) config: ControlConfig,
     /// The program and files that this process was started with.
     pub(crate) launch_spec: LaunchSpec,
-    /// The state of hot restarts of this process.
+    /// The state of this process's hot restarts.
     pub(crate) upgrades: Upgrades,
-    /// Connections that are being answered.
+    /// The number of connections that are being answered.
     open_connections: Cell<usize>,
     /// The router's name in its configuration.
     pub(crate) name: String,
 }
 
 impl Control {
-    /// The control socket's state at the start of a router.
+    /// Creates the control socket's state when a router starts.
     pub(crate) fn new(
         config: ControlConfig,
         launch_spec: LaunchSpec,
--- a/router/src/lifecycle/control/client.rs
+++ b/router/src/lifecycle/control/client.rs
@@ -1,5 +1,4 @@
-//! The command line's side of the control socket: sends one request and reads its answer. What the answer means is up to the
-//! commands.
+//! The client side of the control socket: sends one request and reads its answer. The commands interpret the answer.
 
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::os::unix::net::UnixStream;
@@ -9,13 +8,13 @@
 use clap::Args;
 use serde_json::{json, Value};
 
-/// Which router a command speaks to, and how it prints.
+/// The router to which a command is sent, and the output format.
 #[derive(Args, Clone)]
 pub(crate) struct Socket {
-    /// The control socket of the router, as its settings name it
+    /// The path of the router's control socket (`control.socket` in its settings)
     #[arg(long, env = "TERNPICK_SOCKET")]
     pub(crate) socket: PathBuf,
-    /// Prints JSON, for scripts
+    /// Prints the answer as JSON, for scripts
     #[arg(long)]
     pub(crate) json: bool,
 }
@@ -23,7 +22,7 @@
 /// Why the control socket could not be bound, or a request could not be answered.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ControlError {
-    /// The socket could not be bound, reached, written or read.
+    /// The socket could not be bound, connected to, written or read.
     #[error("control socket {path}: {source}")]
     Socket {
         path: PathBuf,
@@ -33,15 +32,15 @@
     #[error("{0}")]
     PidFile(#[from] ternpick_store::StoreError),
     /// A line of the answer is not JSON.
-    #[error("{0}")]
+    #[error("the router's answer is not JSON: {0}")]
     Answer(#[from] serde_json::Error),
     /// The connection was closed before the last line of the answer.
-    #[error("the router has ended before it answered")]
+    #[error("the router closed the connection before the last line of its answer")]
     Closed,
 }
 
 impl ControlError {
-    /// A function that adds the socket's path to what the system says.
+    /// Returns a function that adds the socket's path to an I/O error.
     pub(super) fn at(path: &Path) -> impl Fn(std::io::Error) -> ControlError + Copy + '_ {
         |source| ControlError::Socket {
             path: path.to_owned(),
@@ -56,7 +55,7 @@
     }
 }
 
-/// Sends a request without a limit of time; `on_progress` gets each line before the last, which is returned.
+/// Sends a request without a timeout and returns the last line of the answer; `on_progress` gets each line before it.
 pub(super) fn request(
     socket: &Path,
     request: &Value,
@@ -66,7 +65,7 @@
 }
 
 /// Sends a request and returns the last line of its answer; `on_progress` gets each line before it. If the router sends
-/// nothing for `timeout`, nobody can tell what became of the request: the answer then has `unknown`.
+/// nothing for `timeout`, the outcome of the request is not known, and the returned line has `unknown`.
 pub(crate) fn request_with_timeout(
     socket: &Path,
     request: &Value,
--- a/router/src/lifecycle/control/command.rs
+++ b/router/src/lifecycle/control/command.rs
@@ -13,37 +13,40 @@
 /// Commands to one router.
 #[derive(Subcommand)]
 pub(crate) enum ControlCommand {
-    /// Tells what a router has in hand, what it believes of its nodes, and its versions
+    /// Prints a router's version, its queries in flight, its counters and the state of its nodes
     Status {
         #[command(flatten)]
         socket: Socket,
-        /// Again every so often, until it is interrupted
+        /// Prints the status again at this interval (default 1s) until interrupted
         #[arg(long, value_name = "EVERY", num_args = 0..=1, default_missing_value = "1s", value_parser = humantime::parse_duration)]
         watch: Option<Duration>,
     },
-    /// Starts a new process that takes the router's place; exits with 0 once it serves, 1 if the old one goes on
+    /// Replaces the router's process by a new one; exits with 0 once that serves, with 1 if the old process keeps
+    /// serving
     Upgrade {
         #[command(flatten)]
         socket: Socket,
-        /// The program; the one that runs if left out
+        /// The program of the new process; the one that is running if left out
         #[arg(long)]
         program: Option<PathBuf>,
+        /// The configuration file of the new process; the current one if left out
         #[arg(long)]
         config: Option<PathBuf>,
+        /// The settings file of the new process; the current one if left out
         #[arg(long)]
         settings: Option<PathBuf>,
-        /// Only has the new program check its files
+        /// Only runs the new program's check of the given files
         #[arg(long)]
         dry_run: bool,
     },
-    /// Has a router answer what it has taken, and leave
+    /// Stops a router gracefully: it answers the queries in flight, then exits
     Drain {
         #[command(flatten)]
         socket: Socket,
     },
 }
 
-/// Why a command has failed.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
@@ -53,23 +56,23 @@
         path: PathBuf,
         source: std::io::Error,
     },
-    #[error("{0}")]
+    #[error("cannot determine the path of this program: {0}")]
     CurrentProgram(std::io::Error),
-    #[error("{program} does not take these files")]
+    #[error("{program} rejects these files")]
     FilesRejected { program: PathBuf },
-    /// The router's own line.
+    /// The router refused the request; this is the line of its answer.
     #[error("{0}")]
     Refused(String),
 }
 
-/// The program and files that an upgrade starts; what is left out is the running router's.
+/// The program and files of the new process; for each that is left out, those of the running router are used.
 struct LaunchOptions {
     program: Option<PathBuf>,
     config: Option<PathBuf>,
     settings: Option<PathBuf>,
 }
 
-/// Runs a command; the error is one line for the operator.
+/// Runs a command. The error is one line for the operator.
 pub(crate) fn run(command: ControlCommand) -> Result<ExitCode, String> {
     let status = match command {
         ControlCommand::Status { socket, watch } => show_status(&socket, watch),
@@ -127,8 +130,8 @@
     if dry_run {
         return check_files(options);
     }
-    let question = json!({"do": "upgrade", "program": options.program, "config": options.config, "settings": options.settings});
-    let answer = request(&socket.socket, &question, &mut |step| {
+    let message = json!({"do": "upgrade", "program": options.program, "config": options.config, "settings": options.settings});
+    let answer = request(&socket.socket, &message, &mut |step| {
         print_step(socket, step);
     })?;
     finish(socket, &answer)
@@ -171,7 +174,7 @@
         field("step")
     );
     println!(
-        "lookups {} in hand, {} taken, {} satisfied, {} nacked, {} aborted; clients {}, descriptors {} of {}",
+        "queries {} in flight, {} admitted, {} satisfied, {} rejected, {} failed; clients {}, descriptors {} of {}",
         field("lookups"),
         field("taken"),
         field("satisfied"),
@@ -181,7 +184,7 @@
         field("descriptors"),
         field("descriptors_may")
     );
-    println!("roster version {}", field("roster_version"));
+    println!("endpoint list version {}", field("roster_version"));
     for node in status["nodes"].as_array().into_iter().flatten() {
         print_node(node);
     }
@@ -198,9 +201,9 @@
     let field = |key: &str| text(&node[key]);
     let suspected = node["doubted"]
         .as_str()
-        .map_or_else(String::new, |index| format!(", doubted for {index}"));
+        .map_or_else(String::new, |index| format!(", suspected for {index}"));
     println!(
-        "  {:<4} {:<20} {:<22} {:<9} {} ms, {} out{suspected}",
+        "  {:<4} {:<20} {:<22} {:<9} {} ms, {} in flight{suspected}",
         field("node"),
         field("name"),
         field("address"),
@@ -210,7 +213,7 @@
     );
 }
 
-/// A string without its quotes, and everything else as JSON writes it.
+/// Formats a string without quotes and any other value as JSON.
 fn text(value: &Value) -> String {
     value
         .as_str()
@@ -225,7 +228,7 @@
     path.map(canonical).transpose()
 }
 
-/// Has the new program check the files that it would be started with.
+/// Runs the new program's check of the files that it would be started with.
 fn check_files(options: LaunchOptions) -> Result<ExitStatus, CommandError> {
     let program = match options.program {
         Some(program) => program,
--- a/router/src/lifecycle/control/server.rs
+++ b/router/src/lifecycle/control/server.rs
@@ -1,5 +1,5 @@
-//! The router's side of the control socket: accepts connections of the router's owner, reads one request from each, and
-//! answers it. Requests about the fleet go to `fleet::commands`, upgrades to `lifecycle::upgrade`.
+//! The server side of the control socket: accepts connections of the router's owner, reads one request from each, and
+//! answers it. `fleet::commands` answers requests about the fleet, and `lifecycle::upgrade` performs upgrades.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -31,18 +31,19 @@
 const MAX_REQUEST_BYTES: usize = 32 * 1024;
 /// How long a request may take to arrive.
 const REQUEST_TIMEOUT: Micros = Micros(2_000_000);
-/// Connections that are answered at a time: commands of a fleet wait for their outcome.
+/// The number of connections that are answered at a time. There may be several because fleet commands wait for their
+/// outcome.
 const MAX_CONNECTIONS: usize = 32;
-/// The pause after a failed accept.
+/// The delay after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// How long until a socket that could not be opened is tried again.
+/// The interval between attempts to open the socket.
 const OPEN_RETRY: Duration = Duration::from_millis(200);
 
-/// Stores which process serves, and binds the socket.
+/// Writes this process's id to the pid file, if one is configured, and binds the socket.
 ///
 /// # Errors
-/// The file or the socket that cannot be had.
+/// The pid file cannot be written, or the socket cannot be bound.
 pub(crate) fn open(control: &Control) -> Result<Async<UnixListener>, ControlError> {
     if let Some(path) = &control.config.pid_file {
         let text = format!("{}\n", std::process::id());
@@ -51,7 +52,7 @@
     bind(control.config.socket.as_ref())
 }
 
-/// Opens the socket as soon as it can be had, and serves on it.
+/// Retries until the socket can be opened, then serves on it.
 pub(crate) async fn open_later(router: Rc<Router>, control: Rc<Control>) {
     loop {
         async_io::Timer::after(OPEN_RETRY).await;
@@ -62,25 +63,30 @@
     }
 }
 
-/// Binds the socket for its owner alone. One that a dead process has left, or that the process before holds, is replaced.
+/// Binds the socket with access for its owner only. Replaces a socket file that an ended process has left or that the
+/// old process of a hot restart still has open.
 fn bind(path: &Path) -> Result<Async<UnixListener>, ControlError> {
     let at_path = ControlError::at(path);
     match std::fs::symlink_metadata(path) {
         Ok(found) if found.file_type().is_socket() => {
             std::fs::remove_file(path).map_err(at_path)?;
         }
-        Ok(_) => return Err(at_path(std::io::Error::other("something else is there"))),
+        Ok(_) => {
+            return Err(at_path(std::io::Error::other(
+                "the path exists and is not a socket",
+            )))
+        }
         Err(e) if e.kind() == ErrorKind::NotFound => {}
         Err(e) => return Err(at_path(e)),
     }
-    // The mode is set by the mask and not afterwards: from its first moment nobody else may open it.
+    // The umask sets the mode, not a later chmod: otherwise other users could connect in between.
     let previous_mask = umask(Mode::from_raw_mode(0o177));
     let bound = UnixListener::bind(path);
     umask(previous_mask);
     Async::new(bound.map_err(at_path)?).map_err(at_path)
 }
 
-/// Answers each connection in a task of its own, until it is dropped.
+/// Accepts connections until the future is dropped, and answers each in its own task.
 pub(crate) async fn serve(router: Rc<Router>, control: Rc<Control>, listener: Async<UnixListener>) {
     loop {
         match listener.accept().await {
@@ -145,7 +151,7 @@
 }
 
 async fn write_line(stream: &Async<UnixStream>, line: &Value) {
-    // Whoever asked may have left.
+    // An error is ignored: the client may have disconnected.
     let _ = write_all(stream, format!("{line}\n").as_bytes()).await;
 }
 
@@ -214,7 +220,7 @@
     }
 }
 
-/// Runs an upgrade and writes its steps as they happen. Whoever asked may have left: the upgrade goes on.
+/// Runs an upgrade and writes its steps as they happen. The upgrade continues if the client disconnects.
 async fn upgrade_with_progress(
     router: &Rc<Router>,
     control: &Control,
@@ -223,9 +229,9 @@
 ) -> Result<(), String> {
     let steps = RefCell::new(VecDeque::new());
     let step_added = Event::new();
-    let began = router.clock.now();
+    let started_at = router.clock.now();
     let mut note = |line: &str| {
-        let after_ms = router.clock.now().since(began).0 / 1000;
+        let after_ms = router.clock.now().since(started_at).0 / 1000;
         steps
             .borrow_mut()
             .push_back(json!({"line": line, "after_ms": after_ms}));
@@ -237,7 +243,7 @@
     outcome.map_err(|reason| reason.to_string())
 }
 
-/// Writes steps as they are added. It never returns; `T` is whatever the future beside it returns.
+/// Writes steps as they are added and never returns; `T` is the result of the future that it runs alongside.
 async fn write_steps_forever<T>(
     stream: &Async<UnixStream>,
     steps: &RefCell<VecDeque<Value>>,
@@ -259,7 +265,7 @@
     }
 }
 
-/// Nothing is left here: the process ends, or stays as the parent of the process that took its place.
+/// Marks that the new process has taken over everything: this process ends, or stays as the new one's parent.
 fn mark_handed_over(router: &Router) {
     router.shutdown.mark_handed_over();
     router.shutdown.request();
--- a/router/src/lifecycle/control/status.rs
+++ b/router/src/lifecycle/control/status.rs
@@ -1,4 +1,4 @@
-//! What `ternpick status` tells of a router. The keys are read by operators' scripts and stay.
+//! The status of a router for `ternpick status`. Operators' scripts read the JSON keys, so the keys must not change.
 
 use serde_json::{json, Value};
 use ternpick::types::Micros;
@@ -7,7 +7,7 @@
 use crate::lifecycle::snapshot;
 use crate::router::{Decisions, Router};
 
-/// The router's state as JSON.
+/// Returns the router's status as JSON.
 pub(super) fn status(router: &Router, control: &Control) -> Value {
     let now = router.clock.now();
     let decisions = router.decisions.borrow();
@@ -47,7 +47,7 @@
     let effects = &decisions.effects;
     let rows = effects.nodes.all().filter_map(|(id, name, address)| {
         let node = decisions.engine.nodes.get(&id)?;
-        // Milliseconds, with two digits.
+        // Microseconds to milliseconds, rounded to two decimal places.
         let latency_ms = node.latency.map(|micros| (micros / 10.0).round() / 100.0);
         let suspected_index = node
             .suspected_for
--- a/router/src/lifecycle/key_commands.rs
+++ b/router/src/lifecycle/key_commands.rs
@@ -1,8 +1,9 @@
-//! Commands for operators beside the router: keys, tokens, revocations and permissions. They write files atomically,
-//! readable by their owner alone. Secrets are never printed but for the token that was asked for.
+//! Operator commands that need no running router: keys, tokens, revocations and permissions. They write files
+//! atomically and readable by their owner only. They never print secrets, except for a token that the operator
+//! requests.
 //!
-//! The command line (`lifecycle::cli`) calls [`keys`], [`token`], [`revoke`] and [`rights`]; an error is one line for the
-//! operator. No command here speaks to a router.
+//! The command line (`lifecycle::cli`) calls [`keys`], [`token`], [`revoke`] and [`rights`]. An error is one line for
+//! the operator. No command of this module connects to a router.
 
 mod error;
 mod key_folder;
@@ -20,7 +21,7 @@
 pub(crate) use rights::{rights, RightsCommand};
 pub(crate) use token::{token, Token};
 
-/// The wall clock's seconds since the epoch.
+/// Returns the wall clock time in seconds since the Unix epoch.
 fn wall_clock_seconds() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -28,12 +29,12 @@
         .as_secs()
 }
 
-/// Seconds since the epoch as the time that the identity module takes.
+/// Converts seconds since the epoch to microseconds, the unit of the identity module.
 fn as_micros(seconds: u64) -> Micros {
     Micros(seconds * 1_000_000)
 }
 
-/// Seconds since the epoch as people read them (RFC 3339).
+/// Formats seconds since the epoch as an RFC 3339 time.
 fn format_time(seconds: u64) -> String {
     let time = UNIX_EPOCH + Duration::from_secs(seconds);
     humantime::format_rfc3339_seconds(time).to_string()
--- a/router/src/lifecycle/key_commands/error.rs
+++ b/router/src/lifecycle/key_commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command for keys, tokens, revocations or permissions has failed.
+//! The errors of the commands for keys, tokens, revocations and permissions.
 
 use std::path::{Path, PathBuf};
 
@@ -6,16 +6,16 @@
 use ternpick_identity::{FeedFault, TermsFault};
 use ternpick_store::StoreError;
 
-/// Why a command has failed. The operator gets the text.
+/// Why a command failed. The text is printed for the operator.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum KeyCommandError {
-    /// A key cannot be made, ended or used.
+    /// A key cannot be created, retired or used.
     #[error(transparent)]
     KeyManager(#[from] KeyManagerError),
     /// The private keys or a published file cannot be read or written.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// Something cannot be read from, or written as, JSON.
+    /// A value cannot be parsed from JSON or encoded as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A file or folder cannot be used.
@@ -24,40 +24,40 @@
         path: PathBuf,
         source: std::io::Error,
     },
-    /// A file that should hold JSON does not.
+    /// A file does not contain JSON.
     #[error("{path}: {source}")]
     FileContent {
         path: PathBuf,
         source: serde_json::Error,
     },
     /// The standard input cannot be read.
-    #[error("{0}")]
+    #[error("standard input: {0}")]
     StandardInput(#[source] std::io::Error),
-    /// The system has no random numbers.
-    #[error("the system gave no random numbers")]
+    /// The system's random number generator failed.
+    #[error("the system's random number generator failed")]
     NoRandom,
-    /// A file is no revocation feed.
-    #[error("{path}: no feed")]
+    /// A file is not a revocation feed.
+    #[error("{path}: not a revocation feed: 'to' must be a number and 'entries' an array")]
     NotAFeed { path: PathBuf },
-    /// A router would refuse the feed.
+    /// Routers would reject the feed.
     #[error(transparent)]
     Feed(#[from] FeedFault),
-    /// It is not said what is revoked.
-    #[error("say what is revoked: --token, --subject, --key or --certificate")]
+    /// The command names nothing to revoke.
+    #[error("one of --token, --subject, --key and --certificate is required")]
     NothingToRevoke,
     /// The settings file cannot be used.
     #[error("{0}")]
     Settings(String),
     /// The settings have no identity.
-    #[error("{settings}: no identity in it")]
+    #[error("{settings}: the settings have no identity")]
     NoIdentity { settings: PathBuf },
-    /// The settings of identity contradict each other.
+    /// The identity settings contradict each other.
     #[error(transparent)]
     Terms(#[from] TermsFault),
 }
 
 impl KeyCommandError {
-    /// A function that adds a path to what the system says.
+    /// Returns a function that adds a path to an I/O error.
     pub(super) fn at(path: &Path) -> impl FnOnce(std::io::Error) -> KeyCommandError + '_ {
         |source| KeyCommandError::File {
             path: path.to_owned(),
--- a/router/src/lifecycle/key_commands/key_folder.rs
+++ b/router/src/lifecycle/key_commands/key_folder.rs
@@ -1,4 +1,4 @@
-//! A folder of keys: the private keys, and the key set that is published for routers.
+//! A key folder: the private keys, and the key set that is published for routers.
 
 use std::path::PathBuf;
 
@@ -9,26 +9,27 @@
 use super::error::KeyCommandError;
 use super::format_time;
 
-/// The kind of content that the file of private keys names itself by. Stored files have it.
+/// The content kind in the header of the private keys' file. Stored files contain it.
 const PRIVATE_KEYS_KIND: &str = "private-keys";
-/// The names of the two files in the folder.
+/// The name of the file of private keys.
 const PRIVATE_KEYS_FILE: &str = "private.keys";
+/// The name of the published key set's file.
 const PUBLISHED_FILE: &str = "jwks.json";
 
-/// Which folder of keys a command uses, and how it prints.
+/// The key folder of a command, and its output format.
 #[derive(Args)]
 pub(crate) struct KeyFolder {
     /// The folder that holds private.keys and the published jwks.json
     #[arg(long, env = "TERNPICK_KEYS")]
     keys: PathBuf,
-    /// Prints JSON, for scripts
+    /// Prints the keys as JSON, for scripts
     #[arg(long)]
     pub(super) json: bool,
 }
 
 impl KeyFolder {
-    /// The keys in the folder, none where there is no file yet. A file that cannot be read is an error: it is never
-    /// written over.
+    /// Loads the private keys; there are none if the file does not exist yet. A file that cannot be read is an error,
+    /// so that it is never overwritten.
     pub(super) fn load(&self) -> Result<KeyManager, KeyCommandError> {
         match ternpick_store::load(&self.keys.join(PRIVATE_KEYS_FILE), PRIVATE_KEYS_KIND) {
             Ok(stored) => Ok(serde_json::from_slice(&stored.bytes)?),
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Writes the keys at a time (seconds). The private keys are first: what is published can be made from them again.
+    /// Writes the keys as of `now` (seconds). The private keys are written first: the published file can be rebuilt
+    /// from them.
     pub(super) fn save(&self, keys: &KeyManager, now: u64) -> Result<(), KeyCommandError> {
         std::fs::create_dir_all(&self.keys).map_err(KeyCommandError::at(&self.keys))?;
         let private = serde_json::to_vec(keys)?;
@@ -53,12 +55,12 @@
         Ok(())
     }
 
-    /// The file that is published for routers.
+    /// Returns the path of the file that is published for routers.
     pub(super) fn published_file(&self) -> PathBuf {
         self.keys.join(PUBLISHED_FILE)
     }
 
-    /// Prints each key and what it does at a time (seconds).
+    /// Prints each key and its stage at `now` (seconds).
     pub(super) fn print(&self, keys: &KeyManager, now: u64) {
         if self.json {
             let rows: Vec<Value> = keys.keys.iter().map(|key| json_row(key, now)).collect();
--- a/router/src/lifecycle/key_commands/keys.rs
+++ b/router/src/lifecycle/key_commands/keys.rs
@@ -1,4 +1,4 @@
-//! `ternpick keys`: makes, lists and ends the keys that sign tokens.
+//! `ternpick keys`: creates, lists, rotates and retires the keys that sign tokens.
 
 use std::time::Duration;
 
@@ -29,15 +29,16 @@
     }
 }
 
-/// A key that is to be made.
+/// The options of a new key.
 #[derive(Args)]
 pub(crate) struct NewKey {
-    /// Its id; made from the time if left out
+    /// The key's id; generated from the time if left out
     #[arg(long)]
     id: Option<String>,
+    /// The signature algorithm
     #[arg(long, value_enum, default_value = "eddsa")]
     kind: KeyAlgorithm,
-    /// How long it is published before it signs, so that every router knows it
+    /// How long the key is published before it signs, so that every router has read it
     #[arg(long, default_value = "30s", value_parser = humantime::parse_duration)]
     lead: Duration,
 }
@@ -53,33 +54,35 @@
 /// Commands `ternpick keys ...`.
 #[derive(Subcommand)]
 pub(crate) enum Keys {
-    /// Makes a key; the first signs at once, any further after the lead
+    /// Creates a key; the first one signs at once, any other after the lead time
     New {
         #[command(flatten)]
         folder: KeyFolder,
         #[command(flatten)]
         key: NewKey,
     },
-    /// Lists the keys and what each does now
+    /// Lists the keys and their current stages
     List {
         #[command(flatten)]
         folder: KeyFolder,
     },
-    /// Ends a key's signing; it stays published for the overlap
+    /// Stops a key from signing; it stays published for the overlap
     Retire {
         #[command(flatten)]
         folder: KeyFolder,
+        /// The key's id
         id: String,
-        /// As long as what it signed may last
+        /// How long the key stays published: at least the lifetime of the tokens that it has signed
         #[arg(long, default_value = "1h", value_parser = humantime::parse_duration)]
         overlap: Duration,
     },
-    /// Makes a new key and ends those that sign now, once it does
+    /// Creates a key, and retires the keys that sign now once the new one signs
     Rotate {
         #[command(flatten)]
         folder: KeyFolder,
         #[command(flatten)]
         key: NewKey,
+        /// How long the old keys stay published: at least the lifetime of the tokens that they have signed
         #[arg(long, default_value = "1h", value_parser = humantime::parse_duration)]
         overlap: Duration,
     },
@@ -127,7 +130,7 @@
     }
 }
 
-/// Changes the keys in a folder, and prints them as they are then stored.
+/// Changes the keys in a folder, and prints the stored result.
 fn change(
     folder: &KeyFolder,
     now: u64,
--- a/router/src/lifecycle/key_commands/revoke.rs
+++ b/router/src/lifecycle/key_commands/revoke.rs
@@ -10,17 +10,17 @@
 use super::error::KeyCommandError;
 use super::wall_clock_seconds;
 
-/// What is revoked.
+/// The options that name what is revoked; exactly one is given.
 #[derive(Args)]
 #[group(id = "revoked", required = true, multiple = false)]
 pub(crate) struct RevocationOptions {
     /// A token, by its id (jti)
     #[arg(long)]
     token: Option<String>,
-    /// All that a subject has
+    /// All tokens and certificates of a subject
     #[arg(long)]
     subject: Option<String>,
-    /// All that a key has signed
+    /// All tokens that a key has signed
     #[arg(long)]
     key: Option<String>,
     /// A certificate, by its SHA-256 fingerprint in hexadecimal
@@ -36,24 +36,26 @@
     feed: PathBuf,
     #[command(flatten)]
     options: RevocationOptions,
-    /// How long it matters: as long as the longest token lasts. Without it, for good
+    /// How long the revocation is kept: at least the lifetime of the longest token. It is permanent if left out
     #[arg(long, value_parser = humantime::parse_duration)]
     matters: Option<Duration>,
-    /// Takes a revocation back
+    /// Lifts the revocation
     #[arg(long)]
     lift: bool,
+    /// Prints the new entry as JSON, for scripts
     #[arg(long)]
     json: bool,
 }
 
-/// The subject of an entry, as the feed names it.
+/// What an entry of the feed revokes.
 struct RevocationTarget {
+    /// The key of the entry: `token`, `subject`, `key` or `certificate`.
     kind: &'static str,
     name: String,
 }
 
 impl RevocationOptions {
-    /// What is named; none: nothing is.
+    /// Returns what the options name; none if they name nothing.
     fn target(self) -> Option<RevocationTarget> {
         let target = |kind| move |name| RevocationTarget { kind, name };
         let fingerprint = self
@@ -105,7 +107,7 @@
     Ok(())
 }
 
-/// The feed in a file; an empty one where there is no file.
+/// Loads the feed from a file; it is empty if the file does not exist.
 fn load_feed(path: &Path) -> Result<Value, KeyCommandError> {
     match std::fs::read(path) {
         Ok(text) => serde_json::from_slice(&text).map_err(|source| KeyCommandError::FileContent {
@@ -119,7 +121,7 @@
     }
 }
 
-/// Replaces the file. A feed that a router would refuse is not written.
+/// Replaces the feed's file. A feed that routers would reject is not written.
 fn save_feed(path: &Path, feed: &Value) -> Result<(), KeyCommandError> {
     let text = serde_json::to_vec_pretty(feed)?;
     ternpick_identity::Page::parse(&text)?;
--- a/router/src/lifecycle/key_commands/rights.rs
+++ b/router/src/lifecycle/key_commands/rights.rs
@@ -1,4 +1,4 @@
-//! `ternpick rights`: tells what a subject may do, by which grant, until when.
+//! `ternpick rights`: explains what a subject may do, by which grant, and until when.
 
 use std::path::{Path, PathBuf};
 
@@ -11,26 +11,30 @@
 use super::{as_micros, format_time, wall_clock_seconds};
 use crate::lifecycle::settings;
 
-/// Whose permissions are explained.
+/// The caller whose permissions are explained.
 #[derive(Args)]
 pub(crate) struct ExplainOptions {
+    /// The subject of the caller's token or certificate
     subject: String,
+    /// The settings file
     #[arg(long)]
     settings: PathBuf,
+    /// The caller's tenant
     #[arg(long)]
     tenant: String,
-    /// Roles as its token would name them; may be given several times
+    /// A role that the caller's token names; may be given several times
     #[arg(long)]
     role: Vec<String>,
-    /// Acting for this tenant
+    /// The tenant on whose behalf the caller acts
     #[arg(long)]
     behalf: Option<String>,
+    /// Prints JSON, for scripts
     #[arg(long)]
     json: bool,
 }
 
 impl ExplainOptions {
-    /// A caller whose proof never ends: only the grants limit what it may do.
+    /// Returns a caller whose proof does not expire, so that only the grants limit its permissions.
     fn caller(&self) -> Caller {
         Caller {
             subject: Subject::from(self.subject.as_str()),
@@ -52,7 +56,7 @@
 /// Commands `ternpick rights ...`.
 #[derive(Subcommand)]
 pub(crate) enum RightsCommand {
-    /// Tells what a subject may do, by which grant, until when
+    /// Prints what a subject may do, by which grant, and until when
     Explain(ExplainOptions),
 }
 
@@ -88,7 +92,7 @@
     Ok(rights)
 }
 
-/// When a permission ends; none: with the proof.
+/// Returns when a permission ends; none if it ends with the caller's proof.
 fn ends_at(line: &Explained) -> Option<String> {
     line.until
         .filter(|at| *at < Micros(u64::MAX))
--- a/router/src/lifecycle/key_commands/token.rs
+++ b/router/src/lifecycle/key_commands/token.rs
@@ -1,4 +1,4 @@
-//! `ternpick token`: signs tokens and tells what they say.
+//! `ternpick token`: signs tokens and prints the contents of tokens.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
@@ -13,26 +13,31 @@
 use super::key_folder::KeyFolder;
 use super::{as_micros, format_time, wall_clock_seconds};
 
-/// The bytes of a token's id that is made here.
+/// The number of random bytes in a generated token id.
 const TOKEN_ID_BYTES: usize = 12;
 
-/// The claims of a token that is to be signed.
+/// The claims of a new token.
 #[derive(Args)]
 pub(crate) struct NewToken {
+    /// The issuer (iss)
     #[arg(long)]
     issuer: String,
+    /// The audience (aud)
     #[arg(long)]
     audience: String,
+    /// The subject (sub)
     #[arg(long)]
     subject: String,
+    /// The tenant of the subject
     #[arg(long)]
     tenant: String,
-    /// May be given several times
+    /// A role of the subject; may be given several times
     #[arg(long)]
     role: Vec<String>,
+    /// How long the token is valid
     #[arg(long, default_value = "10min", value_parser = humantime::parse_duration)]
     life: Duration,
-    /// Its id, by which it can be revoked; made if left out
+    /// The token's id (jti), by which it can be revoked; random if left out
     #[arg(long)]
     id: Option<String>,
 }
@@ -47,11 +52,12 @@
         #[command(flatten)]
         token: NewToken,
     },
-    /// Tells what a token says; it is read from standard input and its signature not printed
+    /// Reads a token from standard input and prints its header and claims, but not its signature
     Inspect {
-        /// A published key set, to verify it by
+        /// The published key set to verify the signature with
         #[arg(long)]
         jwks: Option<PathBuf>,
+        /// Prints JSON, for scripts
         #[arg(long)]
         json: bool,
     },
@@ -120,19 +126,19 @@
     match verified {
         Some(true) => println!("signature right, by a key of the set that is in use"),
         Some(false) => println!("signature WRONG, or of no key of the set that is in use"),
-        None => println!("signature not looked at (give --jwks)"),
+        None => println!("signature not verified (give --jwks)"),
     }
     Ok(())
 }
 
-/// Whether a key of a published key set has signed the token.
+/// Returns whether a key of a published key set has signed the token.
 fn verify(token: &str, jwks: &Path) -> Result<bool, KeyCommandError> {
     let key_set = std::fs::read(jwks).map_err(KeyCommandError::at(jwks))?;
     let now = as_micros(wall_clock_seconds());
     Ok(key_manager::verify(token, &key_set, now)?)
 }
 
-/// A line for each field of the header and the claims; times are printed as such.
+/// Prints a line for each field of the header and the claims, with times in RFC 3339.
 fn print_fields(token: &Seen) {
     let header = token.header.as_object().into_iter().flatten();
     let claims = token.claims.as_object().into_iter().flatten();
@@ -143,7 +149,9 @@
 
 fn print_field(name: &str, value: &Value) {
     match (name, value.as_u64()) {
-        ("exp" | "nbf" | "iat", Some(at)) => println!("{name:<8} {} ({at})", format_time(at)),
+        ("exp" | "nbf" | "iat", Some(seconds)) => {
+            println!("{name:<8} {} ({seconds})", format_time(seconds));
+        }
         _ => println!("{name:<8} {value}"),
     }
 }
