--- a/router/src/lifecycle/hot_restart_link.rs
+++ b/router/src/lifecycle/hot_restart_link.rs
@@ -1,6 +1,7 @@
-//! The link between an old and a new process: frames of [`ternpick_hot_restart`], and file descriptors beside them.
+//! The link between the old and the new process of a hot restart: frames of [`ternpick_hot_restart`] over a Unix
+//! socket, with file descriptors as ancillary data.
 //!
-//! Carries messages in order and says when it is broken; what they mean is the two drivers'.
+//! It delivers messages in order and reports a broken link. The drivers of the two processes interpret the messages.
 
 use std::collections::VecDeque;
 use std::io::{Error, ErrorKind, IoSlice, IoSliceMut, Result};
@@ -17,22 +18,22 @@
 
 use crate::lifecycle::socket_io::uninterrupted;
 
-/// Descriptors in one message: the listeners, or one client's.
+/// The most descriptors in one message: those of the listeners, or that of one client connection.
 const MAX_DESCRIPTORS_PER_MESSAGE: usize = 4;
-/// Bytes read at a time.
+/// The number of bytes read at a time.
 const READ_BYTES: usize = 64 * 1024;
 
 /// One end of the link.
 pub(crate) struct Link {
     stream: Async<UnixStream>,
-    /// What has been read and is no message yet.
+    /// Bytes that have been read but are not decoded yet.
     input: Vec<u8>,
-    /// Descriptors that came, in the order of the messages that they came with. Emptied by [`Link::fd`].
+    /// Received descriptors, in the order of their messages. [`Link::fd`] takes them out.
     fds: VecDeque<OwnedFd>,
 }
 
 impl Link {
-    /// A link over a connected socket.
+    /// Creates a link over a connected socket.
     pub(crate) fn new(stream: UnixStream) -> Result<Link> {
         Ok(Link {
             stream: Async::new(stream)?,
@@ -41,7 +42,7 @@
         })
     }
 
-    /// Sends a message completely; descriptors go with its first byte.
+    /// Sends a complete message. Its descriptors are sent with the first byte.
     pub(crate) async fn send(&self, message: &Message, fds: &[BorrowedFd<'_>]) -> Result<()> {
         let frame = encode(message);
         let mut sent = 0;
@@ -56,7 +57,7 @@
         Ok(())
     }
 
-    /// The next message; an error once the link has ended or brought what is none.
+    /// Waits for the next message. Returns an error if the link has ended or the received bytes are not a message.
     pub(crate) async fn receive(&mut self) -> Result<Message> {
         loop {
             if let Some(message) = self.next_message()? {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The next message of what has been read; none if there is no complete one.
+    /// Decodes the next message from the bytes that have been read, if one is complete.
     fn next_message(&mut self) -> Result<Option<Message>> {
         match decode(&self.input) {
             Ok(Some((message, length))) => {
@@ -86,12 +87,12 @@
         }
     }
 
-    /// The descriptor that came with the last message.
+    /// Returns the next received descriptor.
     pub(crate) fn fd(&mut self) -> Option<OwnedFd> {
         self.fds.pop_front()
     }
 
-    /// Reads once; returns how many bytes came.
+    /// Reads once and returns the number of bytes received.
     fn receive_some(&mut self) -> Result<usize> {
         let mut space =
             [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
@@ -113,7 +114,7 @@
     }
 }
 
-/// Writes once, with descriptors beside; returns how many bytes went.
+/// Writes once, with the descriptors as ancillary data, and returns the number of bytes sent.
 fn send_some(stream: &UnixStream, bytes: &[u8], fds: &[BorrowedFd]) -> Result<usize> {
     let mut space =
         [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
--- a/router/src/lifecycle/parent.rs
+++ b/router/src/lifecycle/parent.rs
@@ -1,5 +1,5 @@
-//! A process that has handed over stays as the parent of the process that serves, for supervisors that keep their child in
-//! the foreground: passes signals on, and ends as its child ends.
+//! After a hot restart the old process can stay as the parent of the new one, for supervisors that track the process
+//! that they started. It forwards signals and ends when its child ends.
 
 use std::io;
 use std::process::{Child, ExitStatus};
@@ -11,10 +11,10 @@
 
 use crate::lifecycle::signals::{self, SignalError, SignalRequest};
 
-/// How often it is checked whether the child lives.
+/// The interval between checks whether the child has ended.
 const CHILD_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a parent ends with a failure.
+/// Why the parent process fails.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ParentError {
     /// Signals cannot be received.
@@ -23,26 +23,26 @@
     /// The child cannot be waited for.
     #[error("{0}")]
     Wait(#[from] io::Error),
-    /// The child has failed.
-    #[error("the process that served: {0}")]
+    /// The child ended with a failure status.
+    #[error("the new process failed: {0}")]
     Child(ExitStatus),
 }
 
-/// Stays until `child` has ended.
+/// Forwards signals to `child` until it has ended.
 pub(crate) fn stay(child: Child) -> Result<(), ParentError> {
     let signals = signals::listen()?;
     tracing::info!(
         process = child.id(),
         "hot restart: staying as the parent of the new process"
     );
-    let status = future::block_on(pass_signals_on(child, signals))?;
+    let status = future::block_on(forward_signals(child, signals))?;
     if !status.success() {
         return Err(ParentError::Child(status));
     }
     Ok(())
 }
 
-async fn pass_signals_on(mut child: Child, signals: signals::Signals) -> io::Result<ExitStatus> {
+async fn forward_signals(mut child: Child, signals: signals::Signals) -> io::Result<ExitStatus> {
     let pid = Pid::from_child(&child);
     loop {
         if let Some(status) = child.try_wait()? {
@@ -59,7 +59,7 @@
             None => continue,
         };
         if let Err(error) = kill_process(pid, signal) {
-            tracing::debug!(%error, "hot restart: signal could not be passed on");
+            tracing::debug!(%error, "hot restart: signal could not be forwarded to the new process");
         }
     }
 }
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -1,7 +1,8 @@
-//! What a router passes to the process that takes its place: one form, each field as plain data with ages, not times.
+//! The snapshot of its state that the old process of a hot restart passes to the new one. The fields are plain data,
+//! with ages instead of times.
 //!
-//! A reader that lacks a field, or cannot use it, does as after a plain start. Encoded by position (postcard): fields are
-//! neither reordered nor added or removed under one [`FORMAT_VERSION`].
+//! If a field is absent or unusable, the new process behaves as after a start without a snapshot. Postcard encodes the
+//! fields by position: they must not be reordered, added or removed under the same [`FORMAT_VERSION`].
 
 use std::collections::HashMap;
 
@@ -15,10 +16,11 @@
 use crate::router::{Decisions, Router};
 use crate::stages::auth_filter::AuthFilter;
 
-/// The form of the snapshot; another one is not read.
+/// The format version of the snapshot. Snapshots of other versions are rejected.
 pub(crate) const FORMAT_VERSION: u16 = 2;
 
-/// The terms that the engine is given where its own do not apply: they agree with none.
+/// The settings passed to the engine if those in the snapshot do not apply to this router. They equal no engine's
+/// settings.
 const FOREIGN_SETTINGS: &str = "settings of another router";
 
 /// A document, and its age in microseconds.
@@ -29,28 +31,29 @@
 pub(crate) struct Snapshot {
     /// [`FORMAT_VERSION`].
     pub(crate) format_version: u16,
-    /// The endpoint list as discovery words it, with its version. Without it: the list of the configuration.
+    /// The endpoint list in discovery's format, with its version. If unusable: the list of the configuration.
     pub(crate) endpoint_list: String,
-    /// The numbers by which the engine's state names nodes, and the nodes' names.
+    /// The node ids used in the engine snapshot, and the nodes' names.
     pub(crate) node_names: Vec<(u64, String)>,
-    /// What the decision module has learnt.
+    /// The engine snapshot.
     pub(crate) engine: EngineSnapshot,
-    /// Limits of tenants. Without it: full bursts.
+    /// The state of the tenants' limits. If absent: each tenant starts with a full burst.
     pub(crate) limits: Option<LimitsSnapshot>,
-    /// The set of keys as it was served, and its age in microseconds. Without it: none until the source answers.
+    /// The key set as its source served it, and its age in microseconds. If absent: no keys until the source answers.
     pub(crate) keys: Option<AgedDocument>,
-    /// All revocations, and their age. Without it: none until the source answers, and no trust before.
+    /// All revocations, and their age in microseconds. If absent: none, and no caller is trusted, until the source
+    /// answers.
     pub(crate) revocations: Option<AgedDocument>,
 }
 
 /// Why a snapshot cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SnapshotError {
-    /// Not the encoding of a snapshot.
+    /// The bytes do not decode as a snapshot.
     #[error("{0}")]
     Encoding(#[from] postcard::Error),
-    /// Of another form.
-    #[error("form {0} is not known")]
+    /// The snapshot has another format version.
+    #[error("snapshot format version {0} is not supported, expected {FORMAT_VERSION}")]
     FormatVersion(u16),
     /// The endpoint list is not JSON.
     #[error("{0}")]
@@ -58,12 +61,12 @@
     /// The endpoint list cannot be used.
     #[error("{0}")]
     EndpointList(#[from] MalformedList),
-    /// Identity does not accept the keys or the revocations.
+    /// The identity module rejects the keys or the revocations.
     #[error("{0}")]
     Identity(String),
 }
 
-/// The endpoint list as discovery words it, and the names of its nodes by number.
+/// The endpoint list in discovery's format, and the names of its nodes by id.
 struct ListedEndpoints {
     list: Value,
     node_names: Vec<(u64, String)>,
@@ -79,16 +82,18 @@
             continue;
         };
         let endpoint = &node.endpoint;
-        // Discovery's own state: what operators take out is the fleet's, and the new process learns it from there.
-        // Seen: a machine that was out at an upgrade never came back, the new process had it from discovery.
+        // The list has the state from discovery, without the fleet's maintenance states: the new process learns those
+        // from the fleet. When the list had them, a machine that was out for maintenance during an upgrade never
+        // returned to service, because the new process took its state for discovery's.
         let fleet = router.fleet.as_ref();
-        let at_discovery = fleet.and_then(|fleet| fleet.discovery_says(name));
-        let status = match at_discovery.unwrap_or(endpoint.state) {
+        let discovery_state = fleet.and_then(|fleet| fleet.discovery_says(name));
+        let status = match discovery_state.unwrap_or(endpoint.state) {
             EndpointState::Ready => "Ready",
             EndpointState::Draining => "Terminating",
             EndpointState::Gone => continue,
         };
-        // How long it has been up by this process's clock: the next one's may read another wall clock.
+        // The node's uptime by this process's clock: the new process's clock may have started from another wall clock
+        // time.
         let started_at = Some(node.started.by_local_clock).filter(|at| at.0 > 0);
         let age_ms = started_at.map(|at| now.since(at).0 / 1000);
         let zone_names = &decisions.effects.bounds.zone_names;
@@ -104,7 +109,7 @@
     }
 }
 
-/// Whose state this is: the names that numbers of indexes and tenants stand for.
+/// Returns the suffix of the engine's settings that names the router's indexes and tenants, in the order of their ids.
 fn settings_suffix(router: &Router) -> String {
     let tenants = match &router.auth {
         Some(auth) => auth.tenant_names(),
@@ -113,14 +118,15 @@
     format!(" of {:?}", (&router.bounds.index_names, tenants))
 }
 
-/// The engine's terms without their owners.
+/// The engine's settings from a snapshot, without the names of indexes and tenants.
 struct ParsedSettings {
     settings: String,
-    /// Whether the owners are this router's.
+    /// Whether the names are those of this router.
     is_own: bool,
 }
 
-/// Under other names a number means somebody else: what was learnt of one customer's index would be held against another's.
+/// Removes the suffix with this router's names. With other names, the same ids mean other indexes and tenants, and
+/// statistics of one tenant's index would be applied to another's; then the result is [`FOREIGN_SETTINGS`].
 fn parse_settings(settings: Option<&str>, suffix: &str) -> ParsedSettings {
     match settings.and_then(|settings| settings.strip_suffix(suffix)) {
         Some(own) => ParsedSettings {
@@ -135,7 +141,7 @@
 }
 
 impl Snapshot {
-    /// The state of a router now.
+    /// Takes a snapshot of a router's current state.
     pub(crate) fn take(router: &Router) -> Snapshot {
         let ListedEndpoints { list, node_names } = listed_endpoints(router);
         let now = router.clock.now();
@@ -159,12 +165,12 @@
         }
     }
 
-    /// Its encoding.
+    /// Encodes the snapshot.
     pub(crate) fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a snapshot of this form.
+    /// Decodes a snapshot of the current format version.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
         let snapshot: Snapshot = postcard::from_bytes(bytes)?;
         match snapshot.format_version {
@@ -173,8 +179,8 @@
         }
     }
 
-    /// Applies it to a router that does not serve yet; returns the version of the endpoint list. Numbers of nodes become
-    /// this process's own.
+    /// Applies the snapshot to a router that does not serve yet, and returns the version of the endpoint list. Node ids
+    /// are mapped to those of this process.
     pub(crate) fn apply(mut self, router: &Router) -> Result<u64, SnapshotError> {
         let list: Value = serde_json::from_str(&self.endpoint_list)?;
         let version = apply_list(router, &list)?;
@@ -192,7 +198,7 @@
         Ok(version)
     }
 
-    /// Applies what was learnt; returns of how many nodes.
+    /// Applies the engine snapshot and the limits. Returns the number of nodes whose statistics were applied.
     fn apply_to_engine(&mut self, router: &Router, list: &Value) -> usize {
         let now = router.clock.now();
         let mut decisions = router.decisions.borrow_mut();
@@ -233,12 +239,12 @@
 }
 
 fn apply_list(router: &Router, list: &Value) -> Result<u64, MalformedList> {
-    // The watch goes on from this version, and is asked for as the list is applied.
+    // Set before the list is applied: applying it may request the watch, which continues from this version.
     let version = list["index"].as_u64().unwrap_or(0);
-    let before = router.discovery.list_version();
+    let previous_version = router.discovery.list_version();
     router.discovery.set_list_version(version);
     if let Err(error) = watch::apply_endpoint_list(router, list) {
-        router.discovery.set_list_version(before);
+        router.discovery.set_list_version(previous_version);
         return Err(error);
     }
     Ok(version)
@@ -255,7 +261,7 @@
     }
 }
 
-/// The number of a node, as status and log print it.
+/// Formats a node id as in the status and the log.
 pub(crate) fn format_node_id(id: NodeId) -> String {
     format!("{:x}", id.0)
 }
--- a/router/src/lifecycle/snapshot/release_bytes.rs
+++ b/router/src/lifecycle/snapshot/release_bytes.rs
@@ -1,5 +1,5 @@
-//! An upgrade hands a snapshot from a released program to the next one: every field of it, of what a router believes of
-//! its nodes and of what it has counted of its tenants keeps its place.
+//! An upgrade passes a snapshot from a released program to a newer one. The encoding must stay the same, including
+//! every field of the node statistics and of the tenants' limits: a moved field would be decoded as another one.
 
 use ternpick::routing::NodeSnapshot;
 
--- a/router/src/lifecycle/snapshot/tests.rs
+++ b/router/src/lifecycle/snapshot/tests.rs
@@ -4,9 +4,9 @@
 
 fn snapshot(nodes: u64) -> Snapshot {
     let entries: Vec<Value> = (0..nodes)
-        .map(|at| {
-            json!({"name": format!("s-{at:08x}"), "address": format!("10.{}.{}.7:9101", at / 250, at % 250),
-                "zone": "north", "group": at % 97, "status": "Ready", "since_ms": 1_790_000_000_000u64 + at})
+        .map(|node| {
+            json!({"name": format!("s-{node:08x}"), "address": format!("10.{}.{}.7:9101", node / 250, node % 250),
+                "zone": "north", "group": node % 97, "status": "Ready", "since_ms": 1_790_000_000_000u64 + node})
         })
         .collect();
     let endpoint_list = json!({"index": 7, "snapshot": true, "endpoints": entries}).to_string();
@@ -23,10 +23,10 @@
         in_flight: vec![(1, 40_000, 1.0, 2.0)],
     };
     let engine = EngineSnapshot {
-        nodes: (0..nodes).map(|at| (at, node.clone())).collect(),
+        nodes: (0..nodes).map(|id| (id, node.clone())).collect(),
         ..EngineSnapshot::default()
     };
-    let node_names = (0..nodes).map(|at| (at, format!("s-{at:08x}"))).collect();
+    let node_names = (0..nodes).map(|id| (id, format!("s-{id:08x}"))).collect();
     Snapshot {
         format_version: FORMAT_VERSION,
         endpoint_list,
@@ -44,13 +44,13 @@
 fn a_snapshot_takes_less_than_400_bytes_per_node_and_is_parsed(nodes: u64) {
     let bytes = snapshot(nodes).bytes();
     let began = std::time::Instant::now();
-    let read = Snapshot::parse(&bytes).expect("read");
+    let parsed = Snapshot::parse(&bytes).expect("a valid snapshot");
     println!(
-        "{nodes} nodes: {} bytes, read in {:?}",
+        "{nodes} nodes: {} bytes, parsed in {:?}",
         bytes.len(),
         began.elapsed()
     );
-    assert_eq!(read.engine.nodes.len() as u64, nodes);
+    assert_eq!(parsed.engine.nodes.len() as u64, nodes);
     assert!(bytes.len() as u64 / nodes < 400, "{} bytes", bytes.len());
 }
 
@@ -61,7 +61,7 @@
     for length in 0..bytes.len() {
         assert!(
             Snapshot::parse(&bytes[..length]).is_err(),
-            "cut at {length}"
+            "truncated to {length} bytes"
         );
     }
     assert!(Snapshot::parse(
--- a/router/src/lifecycle/takeover.rs
+++ b/router/src/lifecycle/takeover.rs
@@ -1,7 +1,8 @@
-//! The new side of an upgrade: speaks to the old process on its standard input, takes its listeners and its snapshot over, and
-//! goes on receiving from it while it drains.
+//! The new process's side of a hot restart: exchanges messages with the old process over standard input, takes over its
+//! listeners and its snapshot, and keeps receiving from it while it drains.
 //!
-//! The protocol is [`NewProcess`]'s; its effects are carried out here. Called by the start, where `--take-over` is given.
+//! [`NewProcess`] implements the protocol, and this module carries out its effects. `start` calls it if `--take-over`
+//! is given.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -20,31 +21,31 @@
 use crate::router::Router;
 use crate::stages::listener;
 
-/// How often it is checked whether the old process has ended, after its link has.
+/// The interval between checks whether the old process has ended, after the link has ended.
 const DEATH_CHECK_INTERVAL: Micros = Micros(10_000);
-/// How many checks it is given.
+/// The number of these checks before the old process is taken to be alive.
 const DEATH_CHECKS: u32 = 20;
-/// How often it is checked whether an old process, whose link is gone, has left at last.
+/// The interval between rounds of checks for an old process that is alive although the link has ended.
 const DEPARTURE_CHECK_INTERVAL: Micros = Micros(1_000_000);
 
 /// Why a process could not take over.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum TakeoverError {
-    /// The link cannot be used.
-    #[error("no link: {0}")]
+    /// The link to the old process cannot be used.
+    #[error("the link to the old process cannot be used: {0}")]
     Link(io::Error),
-    /// Standard input is no link.
-    #[error("--take-over is for a process that another one starts")]
+    /// Standard input is not the link.
+    #[error("--take-over needs a socket to the old process on standard input; only an upgrade uses this flag")]
     NoOldProcess,
-    /// The old process goes on.
-    #[error("not taken over")]
+    /// The protocol ended without a takeover.
+    #[error("the takeover was abandoned; the old process keeps serving")]
     NotTakenOver,
-    /// The old process has sent fewer listeners than it said.
-    #[error("listeners are missing")]
-    ListenersMissing,
+    /// The old process sent fewer listeners than it announced.
+    #[error("the old process sent {received} of {announced} listeners")]
+    ListenersMissing { received: usize, announced: u8 },
 }
 
-/// The process that started this one, to be replaced by it.
+/// The old process, which started this one and which this one replaces.
 pub(crate) struct PreviousProcess {
     /// The link to it.
     pub(crate) link: Link,
@@ -52,24 +53,24 @@
     pub(crate) id: u32,
 }
 
-/// What a process has once it may serve.
+/// The result of a takeover.
 pub(crate) struct TakenOver {
-    /// The listeners; none if the old process died before it gave any: they are to be bound anew.
+    /// The listeners; none if the old process died before it passed them, and this process has to bind them.
     pub(crate) listeners: Option<Vec<TcpListener>>,
-    /// The version of the endpoint list in the snapshot; none if there was no snapshot that could be used.
+    /// The version of the endpoint list in the snapshot; none without a usable snapshot.
     pub(crate) list_version: Option<u64>,
     /// The old process, while it drains.
     pub(crate) old: DrainingProcess,
 }
 
-/// An old process that drains, as the new one sees it.
+/// The new process's view of the old one while that drains.
 pub(crate) struct DrainingProcess {
     link: Link,
     machine: NewProcess,
     parent: Option<Pid>,
 }
 
-/// The link that an old process has left on standard input.
+/// Returns the link to the old process, which is standard input.
 pub(crate) fn link() -> Result<Link, TakeoverError> {
     let fd = std::io::stdin()
         .as_fd()
@@ -82,7 +83,8 @@
     Link::new(stream).map_err(TakeoverError::Link)
 }
 
-/// Whether the process that started this one lives; waits for a moment to be sure that it does.
+/// Returns whether the old process is still running. It is checked for up to 200 ms, because its link may end before it
+/// does.
 async fn old_process_lives(router: &Router, parent: Option<Pid>) -> bool {
     for _ in 0..DEATH_CHECKS {
         if getppid() != parent {
@@ -94,7 +96,7 @@
     true
 }
 
-/// Takes over, or says why not. Returns once this process is to accept.
+/// Takes over from the old process. Returns once this process has to accept clients.
 pub(crate) async fn take_over(
     router: &Router,
     share: &CapacityShare,
@@ -112,7 +114,7 @@
         router,
         share,
         link: previous.link,
-        // It may have died before this process began.
+        // The id is an argument and not from `getppid`, because the old process may have died before this one started.
         parent: i32::try_from(previous.id).ok().and_then(Pid::from_raw),
         machine,
         listeners: None,
@@ -122,7 +124,7 @@
     takeover.run(effects).await
 }
 
-/// A takeover under way.
+/// A takeover in progress.
 struct Takeover<'a> {
     router: &'a Router,
     share: &'a CapacityShare,
@@ -130,7 +132,7 @@
     parent: Option<Pid>,
     machine: NewProcess,
     listeners: Option<Vec<TcpListener>>,
-    /// The pieces of the snapshot so far.
+    /// The pieces of the snapshot received so far.
     snapshot: Vec<u8>,
     list_version: Option<u64>,
 }
@@ -163,7 +165,7 @@
                 Effect::Log(step) => tracing::info!(step, "hot restart: new process"),
                 Effect::Exit => return Err(TakeoverError::NotTakenOver),
                 Effect::BindAnew => self.listeners = None,
-                // Of the other side, or of a process that serves.
+                // Effects of the old process, or of a process that serves already.
                 Effect::Spawn
                 | Effect::PassListeners
                 | Effect::PassState
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Waits for the next message, the end of the link or the time of the step.
+    /// Waits for the next message, the end of the link or the timeout of the step.
     async fn receive(&mut self) -> Result<Vec<Effect>, TakeoverError> {
         let deadline = self.machine.next_timeout();
         let received = self
@@ -240,13 +242,16 @@
     fn take_listeners(&mut self, count: u8) -> Result<(), TakeoverError> {
         let fds: Vec<OwnedFd> = (0..count).filter_map(|_| self.link.fd()).collect();
         if fds.len() != usize::from(count) {
-            return Err(TakeoverError::ListenersMissing);
+            return Err(TakeoverError::ListenersMissing {
+                received: fds.len(),
+                announced: count,
+            });
         }
         self.listeners = Some(fds.into_iter().map(TcpListener::from).collect());
         Ok(())
     }
 
-    /// Applies the snapshot; false if it cannot be used.
+    /// Applies the snapshot. Returns false if it cannot be used.
     fn apply_snapshot(&mut self) -> bool {
         let bytes = std::mem::take(&mut self.snapshot);
         let applied = Snapshot::parse(&bytes).and_then(|snapshot| snapshot.apply(self.router));
@@ -258,7 +263,7 @@
     }
 }
 
-/// Receives from the old process until it has left: clients' connections, its questions, its end.
+/// Receives client connections and messages from the old process until that has ended.
 pub(crate) async fn follow(router: Rc<Router>, share: Rc<CapacityShare>, mut old: DrainingProcess) {
     let mut adopted: u32 = 0;
     loop {
@@ -280,14 +285,14 @@
         if link_lost || old.machine.is_over() {
             tracing::info!(
                 connections = adopted,
-                "hot restart: the old process has left"
+                "hot restart: the old process has ended"
             );
             return;
         }
     }
 }
 
-/// Serves a client's connection that the old process has passed on; false if it cannot be served.
+/// Serves a client connection that the old process has passed on. Returns false if it cannot be served.
 fn adopt(router: &Rc<Router>, fd: Option<OwnedFd>, unread: &[u8]) -> bool {
     let Some(fd) = fd else {
         tracing::warn!("hot restart: client connection came without its descriptor");
@@ -304,7 +309,8 @@
 }
 
 impl DrainingProcess {
-    /// After the link has ended. What the old process kept is its own until it has left, link or none.
+    /// Waits until the old process has ended, after its link has. Until then it uses the share of the capacity that it
+    /// kept.
     async fn wait_until_gone(&mut self, router: &Router, share: &CapacityShare) -> Vec<Effect> {
         while !self.machine.is_over()
             && self.machine.lease() != share.all()
@@ -332,7 +338,7 @@
                 Effect::Accept(accepts) => router.listener.set_accepting(accepts),
                 Effect::Log(step) => tracing::warn!(step, "hot restart: new process"),
                 Effect::Exit => router.shutdown.request(),
-                // Of the other side, or of a process that does not serve yet.
+                // Effects of the old process, or of a process that does not serve yet.
                 Effect::Spawn
                 | Effect::PassListeners
                 | Effect::PassState
--- a/router/src/lifecycle/upgrade.rs
+++ b/router/src/lifecycle/upgrade.rs
@@ -1,7 +1,7 @@
-//! The old side of an upgrade: what a router that serves keeps for upgrades to come, and one upgrade from its beginning to its
-//! end. Started by the control socket.
+//! The old process's side of a hot restart: the state that a serving router keeps for upgrades, and the course of one
+//! upgrade. The control socket starts upgrades.
 //!
-//! The protocol is [`ternpick_hot_restart::OldProcess`]'s; [`driver`] carries out its effects.
+//! [`ternpick_hot_restart::OldProcess`] implements the protocol; [`driver`] carries out its effects.
 
 mod driver;
 
@@ -20,7 +20,7 @@
 use crate::lifecycle::settings::ControlConfig;
 use crate::router::Router;
 
-/// What a new process is started as.
+/// The program and files that a new process is started with.
 #[derive(Clone, Debug)]
 pub(crate) struct LaunchSpec {
     /// The program.
@@ -31,25 +31,25 @@
     pub(crate) settings: PathBuf,
 }
 
-/// Why a router has not been upgraded; its process serves as before.
+/// Why an upgrade failed. The old process serves as before.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum UpgradeError {
-    /// It cannot be upgraded now.
+    /// The upgrade cannot start now.
     #[error("{0}")]
     NotNow(String),
-    /// The upgrade was begun and given up.
+    /// The upgrade started and was abandoned.
     #[error("{reason}")]
-    GivenUp { reason: String },
+    Abandoned { reason: String },
 }
 
-/// The control socket answers with the text.
+/// Serialized as its text, for the control socket.
 impl Serialize for UpgradeError {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
     }
 }
 
-/// How long each step of an upgrade may take.
+/// Returns the timeouts of the steps of an upgrade.
 pub(crate) fn step_timeouts(settings: &ControlConfig) -> StepTimeouts {
     StepTimeouts {
         hello: Micros(settings.hello_timeout),
@@ -59,22 +59,22 @@
     }
 }
 
-/// The old side of a router that serves, for upgrades to come.
+/// The state that a serving router keeps for upgrades.
 pub(crate) struct Upgrades {
     /// The protocol's state.
     pub(crate) machine: RefCell<OldProcess>,
-    /// What this process may use.
+    /// The share of the router's capacity that this process may use.
     pub(crate) share: Rc<CapacityShare>,
-    /// The listeners, which go to the new process; the plain one first.
+    /// The listeners that are passed to the new process, the plain one first.
     pub(crate) listeners: Vec<Rc<Async<TcpListener>>>,
-    /// The process that has taken over, for who stays as its parent.
+    /// The new process once it has taken over, if this one stays as its parent.
     pub(crate) successor: RefCell<Option<Child>>,
-    /// Upgrades begun so far.
+    /// The number of upgrades started so far.
     pub(crate) begun: Cell<u32>,
 }
 
 impl Upgrades {
-    /// For a process that runs on the settings of this `digest`.
+    /// Creates the state of a process that runs with the settings of this `digest`.
     pub(crate) fn new(
         share: &Rc<CapacityShare>,
         settings: &ControlConfig,
@@ -92,8 +92,8 @@
     }
 }
 
-/// One upgrade, from its beginning to its end; `report` is called with each step as it happens. After an error this process
-/// serves as before; otherwise it has nothing left and is to leave.
+/// Runs one upgrade and calls `on_step` with each step as it happens. After an error this process serves as before.
+/// After a success the new process has taken over everything, and this one has to exit.
 pub(crate) async fn upgrade(
     router: &Rc<Router>,
     upgrades: &Upgrades,
--- a/router/src/lifecycle/upgrade/driver.rs
+++ b/router/src/lifecycle/upgrade/driver.rs
@@ -1,5 +1,5 @@
-//! Carries out what [`OldProcess`](ternpick_hot_restart::OldProcess) wants: starts the new process, speaks to it over the
-//! link, passes the listeners, the snapshot and idle connections of clients on.
+//! Carries out the effects of [`OldProcess`](ternpick_hot_restart::OldProcess): starts the new process, exchanges
+//! messages with it over the link, and passes it the listeners, the snapshot and idle client connections.
 
 use std::io;
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
@@ -22,33 +22,34 @@
 use crate::stages::listener;
 use crate::state::client_transfer::TransferredClient;
 
-/// How often it is checked whether the new process lives, and whether anything is left here.
+/// The interval between checks whether the new process has ended, and whether this process has drained.
 const CHECK_INTERVAL: Micros = Micros(10_000);
-/// A link that has ended while the process lives is only broken once the process had the time to be seen dead.
+/// How long after the end of the link the driver waits for the new process's end. If it is still running then, the
+/// driver reports the link as broken and not the process as dead.
 const DEATH_DETECTION_WINDOW: Micros = Micros(200_000);
-/// How long passing a client's connection on may take.
+/// The timeout for passing a client connection to the new process.
 const PASS_TIMEOUT: Micros = Micros(1_000_000);
-/// Bytes of the snapshot in one message.
+/// The number of snapshot bytes in one message.
 const SNAPSHOT_PIECE_BYTES: usize = 64 * 1024;
 
 /// Why the new process could not be started.
 #[derive(Debug, thiserror::Error)]
 enum SpawnError {
-    #[error("no link: {0}")]
+    #[error("the link to the new process cannot be created: {0}")]
     Link(io::Error),
     #[error("{} cannot be started: {source}", program.display())]
     Program { program: PathBuf, source: io::Error },
 }
 
-/// What a wait has brought.
+/// The result of a wait.
 enum Received {
     Message(Message),
     LinkBroken,
-    /// The time of a check, or a client's connection to pass on.
+    /// The check interval has passed, or a client connection is ready to be passed on.
     Nothing,
 }
 
-/// One upgrade under way.
+/// An upgrade in progress.
 pub(super) struct Driver<'a> {
     router: &'a Rc<Router>,
     upgrades: &'a Upgrades,
@@ -56,15 +57,15 @@
     on_step: &'a mut dyn FnMut(&str),
     link: Option<Link>,
     child: Option<Child>,
-    /// Whether the new process has been asked to end; the next time it is killed.
+    /// Whether SIGTERM has been sent to the new process; the next attempt to end it kills it.
     termination_requested: bool,
     /// When the link was first found broken.
     link_broken_at: Option<Micros>,
-    /// Whether the protocol has been told so.
+    /// Whether the broken link has been reported to the protocol.
     link_broken_handled: bool,
-    /// Nothing is left here.
+    /// Whether this process has handed over everything.
     finished: bool,
-    /// What the upgrade fails with, if it fails.
+    /// The reason that is returned if the upgrade fails.
     failure: String,
 }
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Drives the upgrade to its end; returns the process that has taken over.
+    /// Runs the upgrade to its end and returns the process that has taken over.
     pub(super) async fn run(mut self, first: Vec<Effect>) -> Result<Option<Child>, UpgradeError> {
         self.carry_out(first).await;
         loop {
@@ -104,7 +105,7 @@
                 self.take_clients_back();
             }
             if self.upgrades.machine.borrow().is_serving() {
-                return Err(UpgradeError::GivenUp {
+                return Err(UpgradeError::Abandoned {
                     reason: self.failure,
                 });
             }
@@ -116,12 +117,12 @@
         }
     }
 
-    /// Waits for a message, a client's connection to pass on, or the time of the next check.
+    /// Waits for a message, a client connection to pass on, or the next check.
     async fn wait(&mut self) -> Received {
         let router = self.router;
         let check = async {
-            let at = router.clock.now() + CHECK_INTERVAL;
-            Timer::at(router.clock.instant(at)).await;
+            let next_check = router.clock.now() + CHECK_INTERVAL;
+            Timer::at(router.clock.instant(next_check)).await;
             Received::Nothing
         };
         let client_added = router.client_transfer.added();
@@ -142,7 +143,8 @@
         future::or(message, future::or(client, check)).await
     }
 
-    /// In a stop there is to be no new process that nobody has asked for.
+    /// Kills the new process if this one is stopping and does not drain yet: after a stop was requested, no new process
+    /// must serve.
     fn kill_if_stopping(&mut self) {
         if !self.router.is_stopping() || self.upgrades.machine.borrow().is_draining() {
             return;
@@ -172,7 +174,7 @@
         self.carry_out(effects).await;
     }
 
-    /// What the last wait means to the protocol.
+    /// Converts the result of a wait to an event of the protocol.
     fn event(&mut self, received: Received) -> Option<NewProcessEvent> {
         match received {
             Received::Message(message) => return Some(NewProcessEvent::Received(message)),
@@ -213,7 +215,7 @@
                 Effect::EndPeer => self.end_new_process(),
                 Effect::Exit => self.finished = true,
                 Effect::Log(step) => self.log(&step),
-                // Of the other side.
+                // An effect of the new process only.
                 Effect::BindAnew => {}
             }
         }
@@ -237,7 +239,7 @@
         let Some(link) = &self.link else {
             return;
         };
-        // A new process that reads nothing is found out by the time of the step.
+        // The step's timeout detects a new process that does not read.
         let deadline = self.upgrades.machine.borrow().next_timeout();
         let sent = self
             .router
@@ -276,7 +278,7 @@
         self.upgrades.share.apply(self.router, lease, role);
     }
 
-    /// Ends the new process: asks it first, and kills it the second time.
+    /// Ends the new process: sends SIGTERM the first time, and kills it the second time.
     fn end_new_process(&mut self) {
         let Some(child) = &mut self.child else {
             return;
@@ -300,7 +302,7 @@
         }
     }
 
-    /// Passes connections of clients that have become idle on.
+    /// Passes client connections that have become idle to the new process.
     async fn pass_clients(&mut self) {
         if !self.upgrades.machine.borrow().is_draining() {
             return;
@@ -312,7 +314,7 @@
         }
     }
 
-    /// Passes one connection on; false if the link is broken.
+    /// Passes one client connection on. Returns false if the link is broken.
     async fn pass_client(&mut self, client: TransferredClient) -> bool {
         let Some(link) = &self.link else {
             return false;
@@ -332,7 +334,8 @@
         if matches!(sent, Some(Ok(()))) {
             return true;
         }
-        // Where nothing of it can have gone over, it stays here: its client has lost nothing.
+        // If sending failed, the new process cannot have received it, so this process keeps it and the client loses
+        // nothing.
         if let (Some(Err(_)), Message::Client { unread }) = (sent, message) {
             self.router.client_transfer.put_back(TransferredClient {
                 socket,
@@ -344,7 +347,7 @@
         false
     }
 
-    /// No connection goes over any more: those that were set aside stay here.
+    /// Serves the connections that were set aside again, once no more are passed on.
     fn take_clients_back(&self) {
         while let Some(client) = self.router.client_transfer.pop() {
             let TransferredClient {
@@ -359,7 +362,7 @@
         }
     }
 
-    /// Tells the protocol once no query is in flight and no client's connection is left.
+    /// Reports the end of draining to the protocol once no query is in flight and no client connection is open.
     async fn finish_if_drained(&mut self) {
         let router = self.router;
         let no_clients = router.descriptors.clients() == 0 && router.client_transfer.is_empty();
@@ -370,7 +373,7 @@
     }
 }
 
-/// Starts the new process, with its end of the link as its standard input.
+/// Starts the new process with its end of the link as standard input.
 fn start_process(launch_spec: &LaunchSpec) -> Result<(Child, Link), SpawnError> {
     let (ours, theirs) = UnixStream::pair().map_err(SpawnError::Link)?;
     let child = Command::new(&launch_spec.program)
