--- a/router/src/lifecycle/http_client.rs
+++ b/router/src/lifecycle/http_client.rs
@@ -1,6 +1,7 @@
-//! One HTTP call to a service of the installation (discovery, sources of keys, other routers), bounded in bytes and time.
+//! A single HTTP call to a service of the installation (discovery, key sources, other routers), limited in size and
+//! time.
 //!
-//! Knows nothing of what is asked. Retries and schedules are the caller's.
+//! It is independent of the content of calls. The callers decide on retries and schedules.
 
 use std::io::{self, ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream};
@@ -14,14 +15,14 @@
 use crate::router::Router;
 use crate::stages::upstream_writer;
 
-/// Bytes of a response that are read before they are parsed.
+/// The size of the buffer from which a response is parsed.
 const INPUT_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Why a call has brought no document.
+/// Why a call returned no document.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HttpError {
-    /// No connection within the dial timeout.
-    #[error("the connection could not be made")]
+    /// The connection failed or was not established within the dial timeout.
+    #[error("the connection could not be established")]
     NotConnected,
     /// Reading or writing failed.
     #[error("{0}")]
@@ -30,24 +31,25 @@
     #[error("{0:?}")]
     Malformed(MalformedResponse),
     /// The connection was closed in the middle of the response.
-    #[error("the connection ended")]
+    #[error("the connection was closed before the response was complete")]
     Truncated,
-    /// A status other than 200; 0 where the response has none.
-    #[error("status {0}")]
+    /// The response has a status other than 200; 0 if it has none.
+    #[error("response status {0}, expected 200")]
     Status(u16),
-    /// No complete response in time.
-    #[error("no answer in time")]
+    /// The response was not complete within the timeout.
+    #[error("no complete response within the timeout")]
     TimedOut,
 }
 
-/// For callers whose errors are still text.
+/// For callers whose errors are strings.
 impl From<HttpError> for String {
     fn from(error: HttpError) -> Self {
         error.to_string()
     }
 }
 
-/// Writes a request and reads its response, whose body is no longer than `bound` bytes. Any status but 200 is an error.
+/// Writes a request and reads its response, whose body may have up to `max_bytes` bytes. Any status but 200 is an
+/// error.
 pub(crate) async fn exchange(
     stream: &Async<TcpStream>,
     request: &[u8],
@@ -67,7 +69,8 @@
     while !response.read(&mut input).map_err(HttpError::Malformed)? {
         stream.readable().await?;
         match stream.get_ref().read(input.free()) {
-            // A response without a length is complete now. One that a reset cut off comes here as an error.
+            // A response without a length ends with the connection. If a reset cuts it off, the read returns an error
+            // instead.
             Ok(0) if response.end_of_input() => break,
             Ok(0) => return Err(HttpError::Truncated),
             Ok(count) => input.commit(count),
@@ -78,7 +81,7 @@
     Ok(response)
 }
 
-/// Gets a document of at most `bound` bytes on a connection of its own, within `timeout`.
+/// Gets a document of at most `max_bytes` bytes over a new connection, within `timeout`.
 pub(crate) async fn get(
     router: &Router,
     address: SocketAddr,
--- a/router/src/lifecycle/key_sources.rs
+++ b/router/src/lifecycle/key_sources.rs
@@ -1,7 +1,7 @@
-//! Where keys and revocations come from: a file, or a service over HTTP. When to ask is identity's to say
-//! ([`ternpick_identity::Refresh`]); the last good answer is stored on disk, where the settings name a place.
+//! The sources of keys and revocations: a file, or a service over HTTP. The identity module schedules the reads
+//! ([`ternpick_identity::Refresh`]). The last valid document is stored on disk if the settings name a path.
 //!
-//! One task for each source, started with the router. Answers go to the [`AuthFilter`], which judges them.
+//! Each source has a task that starts with the router. The [`AuthFilter`] checks and applies the documents.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -16,25 +16,26 @@
 use crate::router::Router;
 use crate::stages::auth_filter::{AuthFilter, PolledSource};
 
-/// How often identity is told of the time, for what ends by time alone.
+/// The interval at which the identity module is advanced to the current time, so that it applies expiries.
 const EXPIRY_CHECK_INTERVAL: Micros = Micros(250_000);
 
-/// Why a source has brought nothing that can be used.
+/// Why a source has returned no usable document.
 #[derive(Debug, thiserror::Error)]
 enum SourceError {
     #[error("{}: {source}", path.display())]
     Unreadable { path: PathBuf, source: io::Error },
-    #[error("{}: it is longer than {max_bytes} bytes", path.display())]
+    #[error("{}: the file is longer than {max_bytes} bytes", path.display())]
     TooLong { path: PathBuf, max_bytes: usize },
-    #[error("no address")]
+    #[error("the source has neither a file nor an address")]
     NoAddress,
     #[error("{0}")]
     Http(#[from] HttpError),
-    /// Identity does not accept it.
+    /// The identity module rejects the document.
     #[error("{0}")]
     Rejected(String),
 }
 
+/// What a source provides.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SourceKind {
     Keys,
@@ -42,7 +43,7 @@
 }
 
 impl SourceKind {
-    /// The kind of the stored file, and the name in the log.
+    /// Returns the name for the log, which is also the content kind of the stored file.
     fn name(self) -> &'static str {
         match self {
             SourceKind::Keys => "keys",
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The longest document, in bytes.
+    /// Returns the maximum length of a document, in bytes.
     fn max_bytes(self) -> usize {
         match self {
             SourceKind::Keys => SET_BOUND,
@@ -65,26 +66,26 @@
         }
     }
 
-    /// Applies a document that was current at `at`.
-    fn apply(self, auth: &AuthFilter, at: Micros, text: &[u8]) -> Result<(), SourceError> {
+    /// Applies a document that was current at `current_at`.
+    fn apply(self, auth: &AuthFilter, current_at: Micros, text: &[u8]) -> Result<(), SourceError> {
         let applied = match self {
-            SourceKind::Keys => auth.update_keys(at, text),
-            SourceKind::Revocations => auth.update_revocations(at, text),
+            SourceKind::Keys => auth.update_keys(current_at, text),
+            SourceKind::Revocations => auth.update_revocations(current_at, text),
         };
         applied.map_err(|error| SourceError::Rejected(error.to_string()))
     }
 }
 
-/// What is asked of a source.
+/// The extent of a request to a source.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Extent {
-    /// All that it has.
+    /// The complete document.
     Complete,
-    /// What is newer than what is known.
+    /// Only entries that are newer than the known ones.
     Newer,
 }
 
-/// Starts the tasks of all sources. What is stored is applied first, so that a start needs no service.
+/// Starts the tasks of all sources. Stored copies are applied first, so that a start does not depend on the services.
 pub(crate) fn start(router: &Rc<Router>) {
     let Some(auth) = &router.auth else {
         return;
@@ -117,7 +118,7 @@
             return;
         }
     };
-    // Never newer than now: a clock that ran ahead makes nothing last longer.
+    // Capped at the current time: a copy stored while the clock ran ahead must not be valid for longer.
     let saved_at = Micros(stored.saved_at.min(now.0));
     match kind.apply(auth, saved_at, &stored.bytes) {
         Ok(()) => {
@@ -128,7 +129,7 @@
     }
 }
 
-/// Tells identity of the time.
+/// Advances the identity module to the current time at each interval, so that it applies expiries.
 async fn check_expiry(router: Rc<Router>) {
     loop {
         let next = router.clock.now() + EXPIRY_CHECK_INTERVAL;
@@ -161,16 +162,18 @@
     }
 }
 
-/// One source, as its task sees it.
+/// The state of one source's task.
 struct SourceWatch<'a> {
     router: &'a Router,
     auth: &'a AuthFilter,
     watched: &'a PolledSource,
     kind: SourceKind,
-    /// After a failure everything is asked for: there may be a gap.
+    /// The extent of the next request. After a failure it is the complete document, because entries may have been
+    /// missed.
     extent: Extent,
+    /// Whether the last read failed.
     failing: bool,
-    /// What was stored last.
+    /// The document that was stored last.
     stored_text: Vec<u8>,
 }
 
@@ -194,17 +197,17 @@
         }
     }
 
-    /// Asks the source once, and applies what it has.
+    /// Reads the source once and applies the document.
     async fn refresh(&mut self) {
-        let began = self.auth.now(self.router);
-        self.watched.refresh.borrow_mut().began(began);
+        let started_at = self.auth.now(self.router);
+        self.watched.refresh.borrow_mut().began(started_at);
         let fetched = self.fetch().await;
         let now = self.auth.now(self.router);
         let applied =
             fetched.and_then(|text| self.kind.apply(self.auth, now, &text).map(|()| text));
         match applied {
             Ok(text) => {
-                // Before the copy is stored: requests that wait do not wait for the disk.
+                // Before the copy is stored, so that waiting requests do not wait for the disk.
                 self.auth.source_read(self.watched);
                 self.succeeded(now, text).await;
             }
@@ -220,7 +223,8 @@
             tracing::info!(kind, "identity: source answers again");
         }
         let source = &self.watched.source;
-        // Pages of what is new cannot be stored alone; the whole list comes again with the next start.
+        // A page of newer entries is not stored: without the earlier entries it is incomplete. The next start reads all
+        // of them.
         let complete = self.kind == SourceKind::Keys || self.extent == Extent::Complete;
         if let Some(path) = &source.kept {
             if complete && text != self.stored_text {
@@ -228,9 +232,9 @@
                 self.stored_text = text;
             }
         }
-        let asks_for_all = self.kind == SourceKind::Revocations
+        let needs_complete = self.kind == SourceKind::Revocations
             && (source.file.is_some() || source.kept.is_some());
-        self.extent = if asks_for_all {
+        self.extent = if needs_complete {
             Extent::Complete
         } else {
             Extent::Newer
@@ -241,7 +245,7 @@
         self.watched.refresh.borrow_mut().failed(now);
         self.extent = Extent::Complete;
         let kind = self.kind.name();
-        // A warning for each spell of failures, not for each failure.
+        // Only the first of consecutive failures is logged as a warning.
         if self.failing {
             tracing::debug!(kind, %error, "identity: source failed");
         } else {
--- a/router/src/lifecycle/reload.rs
+++ b/router/src/lifecycle/reload.rs
@@ -1,6 +1,5 @@
-//! Reload: on SIGHUP the configuration file is read again. Discovery's address is taken from it, and identity's rights,
-//! tenants and limits from the settings file; the rest is what a router is started with, and stays as it is until the next
-//! start.
+//! Reload: on SIGHUP the router reads its files again. It applies discovery's address from the configuration file, and
+//! identity's rights, tenants and limits from the settings file. All other values apply at the next start.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,30 +12,30 @@
 use crate::router::Router;
 use crate::stages::auth_filter::AuthFilter;
 
-/// The files that a router was started with, and what is fixed in them.
+/// The files that a router was started with, and the configuration values that a reload cannot change.
 pub(crate) struct StartupFiles {
     /// The configuration file.
     pub(crate) config: PathBuf,
-    /// The settings file, where there is one.
+    /// The settings file, if there is one.
     pub(crate) settings: Option<PathBuf>,
     /// The configuration's values that need a restart, in the order of [`FIXED_FIELDS`].
     pub(crate) fixed: [Value; FIXED_FIELDS.len()],
 }
 
-/// Why identity's settings stay as they were.
+/// Why a reload does not apply identity's settings.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    #[error("identity is no longer in it")]
+    #[error("the settings file no longer has identity")]
     IdentityRemoved,
-    /// Identity does not accept them.
+    /// The identity module rejects the settings.
     #[error("{0}")]
     Rejected(String),
 }
 
 impl StartupFiles {
-    /// Reads the files again. One that cannot be used changes nothing.
+    /// Reads the files again and applies them. A file that is not valid changes nothing.
     pub(crate) fn reload(&self, router: &Router) {
         let config = match config::read(&self.config) {
             Ok(config) => config,
@@ -55,7 +54,7 @@
         self.reload_identity(router);
     }
 
-    /// Applies rights, tenants and limits; where keys come from and TLS need a restart.
+    /// Applies rights, tenants and limits. Changes of the key sources and of TLS need a restart.
     fn reload_identity(&self, router: &Router) {
         let (Some(path), Some(auth)) = (&self.settings, &router.auth) else {
             return;
@@ -69,7 +68,7 @@
         }
     }
 
-    /// The fixed values that differ in another configuration.
+    /// Returns the names of the fields that need a restart and differ in `config`.
     fn changed(&self, config: &RouterConfig) -> Vec<&'static str> {
         let pairs = self.fixed.iter().zip(&config.fixed);
         FIXED_FIELDS
@@ -86,13 +85,13 @@
     auth: &AuthFilter,
     limits: Option<&mut Limits>,
 ) -> Result<(), ReloadError> {
-    let terms = settings::read(path)?
+    let identity = settings::read(path)?
         .identity
         .ok_or(ReloadError::IdentityRemoved)?;
     let Some(limits) = limits else {
         return Ok(());
     };
-    auth.update_settings(terms, limits)
+    auth.update_settings(identity, limits)
         .map_err(|error| ReloadError::Rejected(error.to_string()))
 }
 
--- a/router/src/lifecycle/reload/tests.rs
+++ b/router/src/lifecycle/reload/tests.rs
@@ -10,7 +10,7 @@
 #[test_case("9000", "9001", &["listen"]; "the address")]
 #[test_case("idempotent", "deduplicated", &["settings"]; "settings")]
 fn lists_the_changed_fields_that_need_a_restart(from: &str, to: &str, names: &[&str]) {
-    let parse_config = |text: &str| config::parse(text.as_bytes()).expect("a good configuration");
+    let parse_config = |text: &str| config::parse(text.as_bytes()).expect("a valid configuration");
     let files = StartupFiles {
         config: "x".into(),
         settings: None,
--- a/router/src/lifecycle/run.rs
+++ b/router/src/lifecycle/run.rs
@@ -1,5 +1,5 @@
-//! The main wait of a router that serves: until it has stopped or handed over, requests of signals and of the control socket
-//! are carried out.
+//! The main loop of a serving router: handles signals and requests of the control socket until the router has stopped
+//! or handed over to a new process.
 
 use async_executor::Task;
 use futures_lite::future;
@@ -10,15 +10,15 @@
 use crate::lifecycle::stop;
 use crate::router::Router;
 
-/// Why a router no longer serves.
+/// Why the main loop has ended.
 enum ServingEnded {
-    /// It is to stop, as it was asked to then.
+    /// A stop was requested at this time.
     StopRequested(Micros),
-    /// Everything has gone over to a new process.
+    /// A new process has taken over everything.
     HandedOver,
 }
 
-/// Obeys signals until the router has stopped or handed over. `accepting` ends once the listener is closed.
+/// Handles signals until the router has stopped or handed over. `accepting` ends once the listeners are closed.
 pub(crate) async fn until_stopped(
     router: &Router,
     signals: Signals,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Signals during a stop are logged, and change nothing.
+/// Logs signals that arrive during a stop; they have no other effect.
 async fn ignore(signals: &Signals) {
     loop {
         let signal = signals.next().await.request;
--- a/router/src/lifecycle/signals.rs
+++ b/router/src/lifecycle/signals.rs
@@ -1,6 +1,7 @@
-//! Signals that a router obeys: SIGTERM and SIGINT stop it, SIGHUP has it read its configuration again and never ends it.
+//! The signals of a router: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration and never ends the process.
 //!
-//! Only receives them; [`run`](crate::lifecycle::run) and [`parent`](crate::lifecycle::parent) act on them.
+//! This module only receives signals; [`run`](crate::lifecycle::run) and [`parent`](crate::lifecycle::parent) act on
+//! them.
 
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
@@ -14,15 +15,16 @@
 
 use crate::state::wake_time::WakeTime;
 
-/// A wake-up that was lost (the pipe is full, its write failed) delays a signal by no more than this.
+/// The interval at which signals are polled. It limits the delay if a wake-up is lost (the pipe is full, or the write
+/// to it failed).
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Signals cannot be received.
+/// The signal handlers cannot be registered.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot wait for signals: {0}")]
 pub(crate) struct SignalError(#[from] io::Error);
 
-/// What a signal asks for.
+/// What a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SignalRequest {
     /// SIGTERM or SIGINT.
@@ -31,18 +33,18 @@
     Reload,
 }
 
-/// A signal that has come.
+/// A received signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReceivedSignal {
-    /// What it asks for.
+    /// What it requests.
     pub(crate) request: SignalRequest,
-    /// When it came, as far as that is known: the router may have been held up since.
+    /// When it arrived, as far as that is known: the router may have been delayed since.
     pub(crate) received_at: Instant,
 }
 
-/// Signals that have come. Each is a flag of its own: a flag is neither cut nor interrupted, and one signal is seen once. When
-/// numbers in a pipe named them, a signal was lost when a read of its number was cut and then interrupted. The pipe wakes, and
-/// carries nothing.
+/// The received signals. Each kind of request has an atomic flag, and the pipe only wakes the waiting task. Signal
+/// numbers sent through a pipe were not reliable: a signal was lost when the read of its number was partial and then
+/// interrupted.
 pub(crate) struct Signals {
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
@@ -50,13 +52,13 @@
     received: WakeTime,
 }
 
-/// Receives signals from here on; until then SIGHUP would end the program.
+/// Registers the signal handlers. Before that, SIGHUP would end the process.
 pub(crate) fn listen() -> Result<Signals, SignalError> {
     let stop = Arc::new(AtomicBool::new(false));
     let reload = Arc::new(AtomicBool::new(false));
     let (read, write) = UnixStream::pair()?;
     for (signal, flag) in [(SIGTERM, &stop), (SIGINT, &stop), (SIGHUP, &reload)] {
-        // The flag first: who is woken finds it.
+        // The flag is registered first, so that it is set when the pipe wakes the task.
         signal_hook::flag::register(signal, Arc::clone(flag))?;
         signal_hook::low_level::pipe::register(signal, write.try_clone()?)?;
     }
@@ -69,7 +71,7 @@
 }
 
 impl Signals {
-    /// A signal that has come and was not returned yet; a stop takes precedence.
+    /// Takes a signal that was received and not returned yet. A stop takes precedence over a reload.
     fn take(&self) -> Option<SignalRequest> {
         if self.stop.swap(false, Ordering::SeqCst) {
             return Some(SignalRequest::Stop);
@@ -83,7 +85,7 @@
     /// Waits for the next signal.
     pub(crate) async fn next(&self) -> ReceivedSignal {
         loop {
-            // Wake-ups are taken off before the flags are read: one that comes in between wakes again.
+            // The pipe is drained before the flags are read: a signal that arrives in between wakes the task again.
             while matches!(self.pipe.get_ref().read(&mut [0; 64]), Ok(count) if count > 0) {}
             if let Some(request) = self.take() {
                 let received_at = self.received.take().unwrap_or_else(Instant::now);
--- a/router/src/lifecycle/socket_io.rs
+++ b/router/src/lifecycle/socket_io.rs
@@ -1,10 +1,10 @@
-//! Reads and writes of the sockets that carry no queries: an interrupted call (EINTR) is made again.
+//! Reads and writes for sockets that carry no queries. Calls that are interrupted (EINTR) are repeated.
 
 use std::io::{ErrorKind, Result, Write};
 
 use async_io::{Async, IoSafe};
 
-/// Makes a call until it is not interrupted.
+/// Repeats a call until it is not interrupted.
 pub(crate) fn uninterrupted<T>(mut call: impl FnMut() -> Result<T>) -> Result<T> {
     loop {
         match call() {
@@ -17,7 +17,7 @@
 /// Writes all bytes.
 ///
 /// # Errors
-/// What the system says of the connection, `WriteZero` if it takes nothing more.
+/// The I/O error of the connection, or `WriteZero` if it accepts no more bytes.
 pub(crate) async fn write_all<S: IoSafe>(stream: &Async<S>, bytes: &[u8]) -> Result<()>
 where
     for<'a> &'a S: Write,
--- a/router/src/lifecycle/stop.rs
+++ b/router/src/lifecycle/stop.rs
@@ -1,7 +1,7 @@
-//! A graceful shutdown: on SIGTERM, SIGINT or a command a router goes on accepting and serving for a while, then leaves by
-//! itself once nothing that it has admitted is unanswered.
+//! Graceful shutdown: after SIGTERM, SIGINT or `ternpick drain` a router continues to accept and serve for a while,
+//! then exits once it has answered all queries that it has admitted.
 //!
-//! The instants are [`ShutdownSchedule`]'s; the decision module ends queries early enough for them.
+//! [`ShutdownSchedule`] defines the times; the routing engine ends queries early enough to meet them.
 
 use async_executor::Task;
 use async_io::Timer;
@@ -11,12 +11,12 @@
 use crate::router::Router;
 use crate::state::clients::{ClientState, StateCount};
 
-/// How often it is checked whether all is answered.
+/// The interval between checks whether all queries are answered.
 const CHECK_INTERVAL: Micros = Micros(5_000);
 
-/// From the request to stop on: accepts for as long as connections still come, then answers what is in flight. `accepting`
-/// ends once the listener is closed. The stop was requested at `requested_at`, and whoever asked for it kills the process by that:
-/// a router that is held up then keeps to the same instants.
+/// Stops the router: accepts connections until the schedule closes the listeners, then answers the queries in flight.
+/// `accepting` ends once the listeners are closed. All times count from `requested_at`, even if the router was delayed
+/// since, because the supervisor that requested the stop kills the process by a timeout from then.
 pub(crate) async fn stop(router: &Router, accepting: Task<()>, requested_at: Micros) {
     let schedule = ShutdownSchedule::new(requested_at, router.bounds.longest_deadline);
     router.shutdown.begin(schedule);
@@ -37,7 +37,8 @@
     log_totals(router);
 }
 
-/// Logs what is in flight and which connections are open, by state, each with the age of the oldest in milliseconds.
+/// Logs the queries in flight and the number of open connections by state, each with the age of the oldest in
+/// milliseconds.
 fn log_progress(router: &Router, phase: &'static str) {
     let now = router.clock.now();
     let age_ms = |since: Option<Micros>| since.map(|since| now.since(since).0 / 1000);
@@ -63,7 +64,7 @@
     );
 }
 
-/// Logs what this process has done, as it leaves.
+/// Logs the totals of this process before it exits.
 fn log_totals(router: &Router) {
     let decisions = router.decisions.borrow();
     let counts = &decisions.effects.counts;
@@ -81,21 +82,23 @@
     );
 }
 
-/// Closes connections without a request and waits until nothing is owed, or until the process may be killed.
+/// Closes connections without a request and waits until all admitted queries are answered, or until the process may be
+/// killed.
 async fn wait_until_all_answered(router: &Router, schedule: ShutdownSchedule) {
     router.listener.mark_closed();
-    // Only those that are idle: one that closes in order has a response on its way.
+    // Only idle connections are closed: one in an orderly close still has a response under way.
     router.clients.close_in_state(ClientState::Idle, |_| true);
     loop {
         let now = router.clock.now();
         let clients = router.descriptors.clients();
         let unanswered_clients = clients.saturating_sub(router.clients.count_without_request());
-        // A process that hands over leaves when that is done: whoever asked for it is owed the outcome.
+        // A process that hands over exits after the handover: the client of the control socket waits for the outcome.
         let handing_over = router.client_transfer.is_active() && !router.shutdown.is_handed_over();
         if schedule.may_exit(now, clients + usize::from(handing_over), unanswered_clients) {
             return;
         }
-        // Connections that had brought no request yet were left open, and got first requests up to the kill.
+        // Unused connections are closed as well: when they were left open, first requests arrived on them until the
+        // kill.
         router.clients.close_in_state(ClientState::New, |accepted| {
             schedule.unused_connection_closes_at(accepted) <= now
         });
--- a/router/src/lifecycle/watch.rs
+++ b/router/src/lifecycle/watch.rs
@@ -1,7 +1,8 @@
-//! The watch of the endpoint list at discovery: calls one after another until one fails; then the decision module says when
-//! to begin again.
+//! The watch of the endpoint list at discovery. Calls follow one another until one fails; then the routing engine
+//! requests the next call.
 //!
-//! One task of the router. [`apply_endpoint_list`] also serves the list of the configuration and of a snapshot.
+//! The watch is one task of the router. [`apply_endpoint_list`] also applies the lists of the configuration and of a
+//! snapshot.
 
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -21,20 +22,21 @@
 use crate::stages::completion::EffectQueue;
 use crate::stages::upstream_writer;
 
-/// Pause after a response without news that came before its time: the watch of some services ends after 200 ms.
+/// The delay after a response that has no changes and came before the requested wait was over. Some discovery services
+/// end each watch after 200 ms.
 const EARLY_RESPONSE_PAUSE: Duration = Duration::from_millis(100);
 
-/// An endpoint list that cannot be used.
+/// An endpoint list is not valid.
 #[derive(Debug, thiserror::Error)]
 #[error("{reason}")]
 pub(crate) struct MalformedList {
     reason: String,
 }
 
-/// Why a call of the watch has failed.
+/// Why a call of the watch failed.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
-    #[error("no answer in time")]
+    #[error("no complete response within the timeout")]
     TimedOut,
     #[error("{0}")]
     Http(#[from] HttpError),
@@ -42,7 +44,8 @@
     Malformed(#[from] MalformedList),
 }
 
-/// Applies an endpoint list: nodes' addresses to the router's nodes, the rest to the decision module. Returns its version.
+/// Applies an endpoint list: addresses to the router's node table, everything else to the routing engine. Returns its
+/// version.
 pub(crate) fn apply_endpoint_list(router: &Router, list: &Value) -> Result<u64, MalformedList> {
     let (version, complete) = discovery::version(list).map_err(|error| MalformedList {
         reason: error.to_string(),
@@ -70,7 +73,7 @@
     Ok(version)
 }
 
-/// One entry of the list as the decision module takes it; nothing for one that cannot be used.
+/// Applies an entry of the list and returns it as an endpoint for the routing engine; none if it is not valid.
 fn apply_entry(
     router: &Router,
     engine: &RoutingEngine,
@@ -85,7 +88,7 @@
             }
             let (node, address_is_new) = effects.nodes.apply_entry(&name, address, endpoint.state);
             endpoint.node = node;
-            // The decision module's lines name nodes by these numbers.
+            // Logged because the routing engine's log lines name nodes by these ids.
             if address_is_new {
                 let node = format_args!("{:x}", node.0);
                 tracing::info!(%node, name, %address, "endpoint list: node at a new address");
@@ -94,7 +97,7 @@
         }
         Err(error) => {
             tracing::warn!(%error, %entry, "endpoint list: entry skipped");
-            // A complete list that names a node and spoils the rest does not say that it is gone: it stays as it was.
+            // An invalid entry of a complete list does not remove the node that it names: the node keeps its endpoint.
             let name = entry["name"].as_str().filter(|_| complete)?;
             let node = engine.nodes.get(&effects.nodes.id_of(name)?)?;
             Some(node.endpoint)
@@ -113,7 +116,7 @@
     fleet.lists_only(&names);
 }
 
-/// Watches whenever the decision module wants it, from the version that the router started with.
+/// Watches the endpoint list when the routing engine requests it, from the version that the router started with.
 pub(crate) async fn watch(router: Rc<Router>, schedule: WatchSchedule) {
     let mut watch = EndpointWatch::new(router, schedule);
     loop {
@@ -124,18 +127,18 @@
 struct EndpointWatch {
     router: Rc<Router>,
     schedule: WatchSchedule,
-    /// Where the last call went.
+    /// The address of discovery for the last call.
     discovery: SocketAddr,
-    /// The last call's connection, if it may be used again.
+    /// The connection of the last call, if it can be reused.
     connection: Option<Async<TcpStream>>,
-    /// The version to ask for what is newer than; without it the complete list is asked for.
+    /// The last known version, after which changes are requested; without it the complete list is requested.
     known_version: Option<u64>,
-    /// Whether calls follow each other; otherwise a request of the decision module is waited for.
+    /// Whether calls follow one another; otherwise the watch waits for a request of the routing engine.
     active: bool,
     requested: EventListener,
-    /// Whether the version that the router started with is yet to be used.
+    /// Whether the next request is the first one, which uses the version that the router started with.
     first_request: bool,
-    /// The last call failed.
+    /// Whether the last call failed.
     failing: bool,
 }
 
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Waits for a request, or makes one call.
+    /// Waits for a request if the watch is not active, else makes one call.
     async fn step(&mut self) {
         let moved = self.router.discovery.moved();
         self.follow_discovery();
@@ -172,8 +175,8 @@
         }
     }
 
-    /// Where discovery has moved, it is asked for its complete list: its versions need not go on from the ones at the old
-    /// address, and what it does not list is gone.
+    /// If discovery's address has changed, requests the complete list from the new address: versions need not continue
+    /// from those at the old address, and nodes that the new list lacks are gone.
     fn follow_discovery(&mut self) {
         let address = self.router.discovery.address();
         if address == self.discovery {
@@ -196,7 +199,7 @@
         }
     }
 
-    /// One call, whose list is applied; nothing if discovery moves meanwhile: a call at the old address is left at once.
+    /// Makes one call and applies its list. If discovery's address changes, abandons the call at once and returns none.
     async fn call_unless_moved(
         &mut self,
         moved: EventListener,
@@ -209,11 +212,11 @@
             let deadline = began + poll.timeout;
             Some(router.with_deadline(Some(deadline), call).await)
         };
-        let left = async {
+        let abandoned = async {
             moved.await;
             None
         };
-        let answered = future::or(left, called).await?;
+        let answered = future::or(abandoned, called).await?;
         let list = answered.unwrap_or(Err(WatchError::TimedOut));
         Some(list.and_then(|list| Ok(apply_endpoint_list(&router, &list)?)))
     }
@@ -221,7 +224,7 @@
     async fn call(&mut self, wait: Micros) -> Result<Value, WatchError> {
         let stream = match self.connection.take() {
             Some(stream) => stream,
-            // A machine that has vanished is found out by the dial, not by the call's far longer wait.
+            // The dial timeout detects an unreachable machine much earlier than the timeout of the call.
             None => upstream_writer::dial(&self.router, self.discovery)
                 .await
                 .map_err(|_| HttpError::NotConnected)?,
@@ -241,17 +244,18 @@
     async fn succeeded(&mut self, version: u64, began: Micros, wait: Micros) {
         self.schedule.answered();
         self.router.discovery.set_list_version(version);
-        let no_news = self.known_version == Some(version);
+        let unchanged = self.known_version == Some(version);
         let early = self.router.clock.now().since(began) < wait;
         self.known_version = Some(version);
         self.failing = false;
-        if no_news && early {
+        if unchanged && early {
             Timer::after(EARLY_RESPONSE_PAUSE).await;
         }
     }
 
     fn failed(&mut self, error: &WatchError) {
-        // Why, once for each spell of failures; the decision module logs that the list is lost.
+        // Only the first of consecutive failures is logged at info level; the routing engine logs that the watch is
+        // lost.
         if self.failing {
             tracing::debug!(%error, "endpoint list: watch call failed");
         } else {
@@ -259,15 +263,15 @@
         }
         self.connection = None;
         self.failing = true;
-        // The first call after a watch that fell silent follows at once. When it was made half a second to a second later
-        // instead, in turn behind all others whose watches fell silent at the same time, the list came after the time from
-        // which nodes count as notified: shard requests went to nodes that had begun to drain.
+        // After a call that timed out, the first retry follows at once. When it was made 0.5 to 1 s later instead,
+        // behind the calls of all other routers whose watches timed out at the same time, the list arrived after the
+        // time from which the nodes' change counts as notified: shard requests went to nodes that had begun to drain.
         let silent = matches!(error, WatchError::TimedOut);
         if self.schedule.failed(silent) {
             return;
         }
         self.active = false;
-        // What the decision module wanted before it hears of this is out of date.
+        // Discards requests that the routing engine made before it learns of this failure.
         self.requested = self.router.discovery.watch_requested();
         self.router
             .apply(|engine, now, effects| engine.endpoint_watch_failed(now, effects));
