--- a/router/src/lifecycle/build.rs
+++ b/router/src/lifecycle/build.rs
@@ -14,7 +14,7 @@
 use crate::fleet::Fleet;
 use crate::lifecycle::clock::Clock;
 use crate::lifecycle::config::RouterConfig;
-use crate::lifecycle::settings::{FleetConfig, IdentityConfig};
+use crate::lifecycle::settings::{FleetConfig, IdentitySettings};
 use crate::router::{Decisions, Router};
 use crate::stages::auth_filter::AuthFilter;
 use crate::stages::completion::EffectQueue;
@@ -51,7 +51,7 @@
     /// The configuration file.
     pub(crate) config: RouterConfig,
     /// The identity settings; without them every caller may send queries.
-    pub(crate) identity: Option<IdentityConfig>,
+    pub(crate) identity: Option<IdentitySettings>,
     /// The fleet settings; without them the router belongs to no fleet.
     pub(crate) fleet: Option<FleetConfig>,
     /// The number of file descriptors that the process may hold.
--- a/router/src/lifecycle/key_commands/error.rs
+++ b/router/src/lifecycle/key_commands/error.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use ternpick_identity::key_manager::KeyManagerError;
-use ternpick_identity::{FeedFault, TermsFault};
+use ternpick_identity::{ConfigError, FeedError};
 use ternpick_store::StoreError;
 
 /// Why a command failed. The text is printed for the operator.
@@ -41,7 +41,7 @@
     NotAFeed { path: PathBuf },
     /// Routers would reject the feed.
     #[error(transparent)]
-    Feed(#[from] FeedFault),
+    Feed(#[from] FeedError),
     /// The command names nothing to revoke.
     #[error("one of --token, --subject, --key and --certificate is required")]
     NothingToRevoke,
@@ -53,7 +53,7 @@
     NoIdentity { settings: PathBuf },
     /// The identity settings contradict each other.
     #[error(transparent)]
-    Terms(#[from] TermsFault),
+    Terms(#[from] ConfigError),
 }
 
 impl KeyCommandError {
--- a/router/src/lifecycle/key_sources.rs
+++ b/router/src/lifecycle/key_sources.rs
@@ -1,5 +1,5 @@
 //! The sources of keys and revocations: a file, or a service over HTTP. The identity module schedules the reads
-//! ([`ternpick_identity::Refresh`]). The last valid document is stored on disk if the settings name a path.
+//! ([`ternpick_identity::PollSchedule`]). The last valid document is stored on disk if the settings name a path.
 //!
 //! Each source has a task that starts with the router. The [`AuthFilter`] checks and applies the documents.
 
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use ternpick::types::Micros;
-use ternpick_identity::{Source, PAGE_BOUND, SET_BOUND};
+use ternpick_identity::{SourceConfig, MAX_KEY_SET_BYTES, MAX_PAGE_BYTES};
 
 use crate::lifecycle::http_client::{self, HttpError};
 use crate::router::Router;
@@ -54,8 +54,8 @@
     /// Returns the maximum length of a document, in bytes.
     fn max_bytes(self) -> usize {
         match self {
-            SourceKind::Keys => SET_BOUND,
-            SourceKind::Revocations => PAGE_BOUND,
+            SourceKind::Keys => MAX_KEY_SET_BYTES,
+            SourceKind::Revocations => MAX_PAGE_BYTES,
         }
     }
 
@@ -95,7 +95,7 @@
         let Some(watched) = kind.source(auth) else {
             continue;
         };
-        if let Some(path) = &watched.source.kept {
+        if let Some(path) = &watched.source.stored_copy {
             restore(router, auth, kind, Path::new(path));
         }
         let task = watch(Rc::clone(router), kind);
@@ -200,7 +200,7 @@
     /// Reads the source once and applies the document.
     async fn refresh(&mut self) {
         let started_at = self.auth.now(self.router);
-        self.watched.refresh.borrow_mut().began(started_at);
+        self.watched.refresh.borrow_mut().started(started_at);
         let fetched = self.fetch().await;
         let now = self.auth.now(self.router);
         let applied =
@@ -226,14 +226,14 @@
         // A page of newer entries is not stored: without the earlier entries it is incomplete. The next start reads all
         // of them.
         let complete = self.kind == SourceKind::Keys || self.extent == Extent::Complete;
-        if let Some(path) = &source.kept {
+        if let Some(path) = &source.stored_copy {
             if complete && text != self.stored_text {
                 store(self.kind, PathBuf::from(path), now, text.clone()).await;
                 self.stored_text = text;
             }
         }
         let needs_complete = self.kind == SourceKind::Revocations
-            && (source.file.is_some() || source.kept.is_some());
+            && (source.file.is_some() || source.stored_copy.is_some());
         self.extent = if needs_complete {
             Extent::Complete
         } else {
@@ -256,10 +256,10 @@
 
     async fn fetch(&self) -> Result<Vec<u8>, SourceError> {
         let max_bytes = self.kind.max_bytes();
-        let Source {
+        let SourceConfig {
             file,
             path,
-            patience,
+            timeout,
             ..
         } = &self.watched.source;
         if let Some(file) = file {
@@ -273,7 +273,7 @@
             path.clone()
         };
         let text =
-            http_client::get(self.router, address, &path, max_bytes, Micros(*patience)).await?;
+            http_client::get(self.router, address, &path, max_bytes, Micros(*timeout)).await?;
         Ok(text)
     }
 }
--- a/router/src/lifecycle/settings.rs
+++ b/router/src/lifecycle/settings.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use ternpick::types::Micros;
-use ternpick_identity::Terms;
+use ternpick_identity::IdentityConfig;
 use ternpick_settings::{Read, Refused, Schema};
 use ternpick_tenant_limits::{SharedLimitConfig, TenantConfig as TenantLimitConfig};
 
@@ -241,9 +241,9 @@
 }
 
 /// The identity settings, and the limits of the tenants.
-pub(crate) struct IdentityConfig {
+pub(crate) struct IdentitySettings {
     /// The settings that the identity module itself reads.
-    pub(crate) terms: Terms,
+    pub(crate) terms: IdentityConfig,
     /// The limits of each tenant, with the tenant's name.
     pub(crate) limits: Vec<(String, TenantLimitConfig)>,
     /// The limit shared by all tenants.
@@ -257,7 +257,7 @@
     /// The control socket; off without it.
     pub(crate) control: Option<ControlConfig>,
     /// Identity and limits of tenants; off without it.
-    pub(crate) identity: Option<IdentityConfig>,
+    pub(crate) identity: Option<IdentitySettings>,
     /// The TLS listener; off without it.
     pub(crate) tls: Option<TlsSettings>,
     /// The fleet; off without it.
@@ -304,18 +304,18 @@
     limits: TenantLimitConfig,
 }
 
-fn identity(value: Value) -> Result<IdentityConfig, InvalidSettings> {
+fn identity(value: Value) -> Result<IdentitySettings, InvalidSettings> {
     let shared_limit = serde_json::from_value(value["whole"].clone())?;
     let mut limits = Vec::new();
     for (name, tenant) in value["tenants"].as_object().into_iter().flatten() {
         let tenant: TenantLimits = serde_json::from_value(tenant.clone())?;
         limits.push((name.clone(), tenant.limits));
     }
-    let terms: Terms = serde_json::from_value(value)?;
+    let terms: IdentityConfig = serde_json::from_value(value)?;
     terms
         .check()
         .map_err(|error| InvalidSettings::Identity(error.to_string()))?;
-    Ok(IdentityConfig {
+    Ok(IdentitySettings {
         terms,
         limits,
         shared_limit,
--- a/router/src/lifecycle/snapshot.rs
+++ b/router/src/lifecycle/snapshot.rs
@@ -86,7 +86,7 @@
         // from the fleet. When the list had them, a machine that was out for maintenance during an upgrade never
         // returned to service, because the new process took its state for discovery's.
         let fleet = router.fleet.as_ref();
-        let discovery_state = fleet.and_then(|fleet| fleet.discovery_says(name));
+        let discovery_state = fleet.and_then(|fleet| fleet.discovery_state(name));
         let status = match discovery_state.unwrap_or(endpoint.state) {
             EndpointState::Ready => "Ready",
             EndpointState::Draining => "Terminating",
--- a/router/src/lifecycle/tls.rs
+++ b/router/src/lifecycle/tls.rs
@@ -15,14 +15,14 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use rustls::server::{ServerSessionMemoryCache, VerifierBuilderError, WebPkiClientVerifier};
 use rustls::{RootCertStore, ServerConfig};
-use ternpick_identity::LIST_BOUND;
+use ternpick_identity::MAX_REVOCATION_LIST_BYTES;
 
 use crate::lifecycle::settings::TlsSettings;
 use crate::router::Router;
 use crate::stages::auth_filter::AuthFilter;
 
 /// The maximum length of each file.
-const MAX_FILE_BYTES: u64 = LIST_BOUND as u64;
+const MAX_FILE_BYTES: u64 = MAX_REVOCATION_LIST_BYTES as u64;
 /// The number of TLS sessions kept for resumption. Each one holds its client's certificate.
 const MAX_RESUMABLE_SESSIONS: usize = 128;
 
