--- a/settings/src/eval.rs
+++ b/settings/src/eval.rs
@@ -1,4 +1,5 @@
-//! From trees to one value: names are looked up outwards from where they stand, and each is worked out once.
+//! Evaluates syntax trees to one value. A reference is resolved in the innermost enclosing record that has the name, and
+//! each field is evaluated once.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -6,27 +7,29 @@
 use regex::{Regex, RegexBuilder};
 
 use crate::report::{Problem, Span};
-use crate::syntax::{Compare, Expr, Members, Of, Scalar};
-use crate::value::{value, Closed, Demand, Form, Kind, Must, Record, Slot, Unifier, V};
+use crate::syntax::{BoundOp, Expr, ExprKind, RecordExpr, Scalar};
+use crate::value::{
+    value, Closedness, Condition, Constraint, FieldValue, Form, Kind, Record, Unifier, ValueRef,
+};
 
-/// A compiled pattern takes up no more, in bytes.
-const PATTERN_SIZE: usize = 1 << 18;
-/// How deep definitions may stand in one another.
-const DEEPEST: usize = 64;
+/// The largest size of a compiled regular expression, in bytes.
+const MAX_PATTERN_BYTES: usize = 1 << 18;
+/// How many references may be in evaluation at a time, each within the one before.
+const MAX_REFERENCE_DEPTH: usize = 64;
 
-/// The records round a place, the innermost last, and the definition that it belongs to.
+/// The records that enclose an expression, the innermost last, and the schema definition that it belongs to.
 #[derive(Clone)]
 struct Scope<'a> {
-    round: Vec<&'a Members>,
-    by: Option<Rc<str>>,
+    records: Vec<&'a RecordExpr>,
+    definition: Option<Rc<str>>,
 }
 
 pub struct Evaluator<'a> {
     pub unifier: Unifier,
     pub problems: Vec<Problem>,
-    /// By the record and the name in it; as many as the texts have fields.
-    known: HashMap<(*const Members, &'a str), V>,
-    under_way: Vec<(*const Members, &'a str)>,
+    /// The values of evaluated fields, by record and label. There are no more than the texts have fields.
+    values: HashMap<(*const RecordExpr, &'a str), ValueRef>,
+    in_evaluation: Vec<(*const RecordExpr, &'a str)>,
     patterns: HashMap<Rc<str>, Option<Rc<Regex>>>,
 }
 
@@ -35,243 +38,283 @@
         Evaluator {
             unifier: Unifier::default(),
             problems,
-            known: HashMap::new(),
-            under_way: Vec::new(),
+            values: HashMap::new(),
+            in_evaluation: Vec::new(),
             patterns: HashMap::new(),
         }
     }
 
-    /// The value of the text `own` under the definition `name` of the text `schema`.
-    pub fn whole(&mut self, schema: &'a Members, own: &'a Members, name: &'a str, at: Span) -> V {
-        let wish = self.named(
+    /// Unifies the record `text_record` with the definition `name` of the record `schema`.
+    pub fn evaluate(
+        &mut self,
+        schema: &'a RecordExpr,
+        text_record: &'a RecordExpr,
+        name: &'a str,
+        span: Span,
+    ) -> ValueRef {
+        let definition = self.resolve(
             &Scope {
-                round: vec![schema],
-                by: None,
+                records: vec![schema],
+                definition: None,
             },
             &[name.to_owned()],
-            at,
+            span,
         );
         let scope = Scope {
-            round: vec![schema, own],
-            by: None,
+            records: vec![schema, text_record],
+            definition: None,
         };
-        let said = self.record(own, &scope, at);
-        // Definitions of the text are for its own use.
-        let said = match &said.form {
+        let own_value = self.evaluate_record(text_record, &scope, span);
+        // Definitions of the text are used within the text only and are not part of its value.
+        let own_value = match &own_value.form {
             Form::Record(record) => {
                 let mut record = record.clone();
                 record.fields.retain(|label, _| !label.starts_with('#'));
-                value(Form::Record(record), at)
+                value(Form::Record(record), span)
             }
-            _ => said,
+            _ => own_value,
         };
-        self.unifier.unify(&wish, &said, &mut self.problems)
+        self.unifier
+            .unify(&definition, &own_value, &mut self.problems)
     }
 
-    fn eval(&mut self, expr: &'a Expr, scope: &Scope<'a>) -> V {
+    fn evaluate_expr(&mut self, expr: &'a Expr, scope: &Scope<'a>) -> ValueRef {
         if !self.unifier.step() {
-            return value(Form::Bad, expr.at);
+            return value(Form::Bottom, expr.span);
         }
-        let demand = |must| {
+        let constraint = |condition| {
             value(
-                Form::Demands(vec![Demand {
-                    must,
-                    at: expr.at,
-                    by: scope.by.clone(),
+                Form::Constraints(vec![Constraint {
+                    condition,
+                    span: expr.span,
+                    definition: scope.definition.clone(),
                 }]),
-                expr.at,
+                expr.span,
             )
         };
-        match &expr.of {
-            Of::Top => value(Form::Demands(Vec::new()), expr.at),
-            Of::Scalar(of) => value(Form::Scalar(of.clone()), expr.at),
-            Of::Bound(compare @ (Compare::Matches | Compare::MatchesNot), Scalar::Text(text)) => {
-                match self.pattern(text, expr.at) {
-                    Some(pattern) => demand(Must::Match(pattern, *compare == Compare::Matches)),
-                    None => value(Form::Bad, expr.at),
+        match &expr.kind {
+            ExprKind::Top => value(Form::Constraints(Vec::new()), expr.span),
+            ExprKind::Scalar(scalar) => value(Form::Scalar(scalar.clone()), expr.span),
+            ExprKind::Bound(
+                op @ (BoundOp::Matches | BoundOp::DoesNotMatch),
+                Scalar::Text(text),
+            ) => match self.pattern(text, expr.span) {
+                Some(pattern) => constraint(Condition::Match(pattern, *op == BoundOp::Matches)),
+                None => value(Form::Bottom, expr.span),
+            },
+            ExprKind::Bound(BoundOp::Matches | BoundOp::DoesNotMatch, _) => self.problem(
+                expr.span,
+                "a regular expression must be a string in quotes".into(),
+            ),
+            ExprKind::Bound(op, bound) => constraint(Condition::Bound(*op, bound.clone())),
+            ExprKind::Reference(path) => {
+                match (path.as_slice(), self.innermost_record(scope, &path[0])) {
+                    ([one], None) if Kind::named(one).is_some() => {
+                        constraint(Condition::OfKind(Kind::named(one).unwrap_or(Kind::Null)))
+                    }
+                    _ => self.resolve(scope, path, expr.span),
                 }
             }
-            Of::Bound(Compare::Matches | Compare::MatchesNot, _) => {
-                self.problem(expr.at, "a pattern is a text in quotes".into())
-            }
-            Of::Bound(compare, bound) => demand(Must::Compare(*compare, bound.clone())),
-            Of::Name(path) => match (path.as_slice(), self.holder(scope, &path[0])) {
-                ([one], None) if Kind::named(one).is_some() => {
-                    demand(Must::Be(Kind::named(one).unwrap_or(Kind::Null)))
-                }
-                _ => self.named(scope, path, expr.at),
-            },
-            Of::All(all) => {
-                let mut whole = value(Form::Demands(Vec::new()), expr.at);
-                for one in all {
-                    let one = self.eval(one, scope);
-                    whole = self.unifier.unify(&whole, &one, &mut self.problems);
+            ExprKind::Unification(operands) => {
+                let mut unified = value(Form::Constraints(Vec::new()), expr.span);
+                for one in operands {
+                    let one = self.evaluate_expr(one, scope);
+                    unified = self.unifier.unify(&unified, &one, &mut self.problems);
                 }
-                whole
+                unified
             }
-            Of::Any(any) => {
-                let ways = any
+            ExprKind::Disjunction(disjuncts) => {
+                let disjuncts = disjuncts
                     .iter()
-                    .map(|(star, one)| (*star, self.eval(one, scope)))
+                    .map(|(star, one)| (*star, self.evaluate_expr(one, scope)))
                     .collect();
-                value(Form::Any(ways), expr.at)
+                value(Form::Disjunction(disjuncts), expr.span)
             }
-            Of::List(items, rest) => {
-                let items = items.iter().map(|item| self.eval(item, scope)).collect();
-                let rest = rest.as_deref().map(|rest| self.eval(rest, scope));
-                value(Form::List(items, rest), expr.at)
+            ExprKind::List(items, rest) => {
+                let items = items
+                    .iter()
+                    .map(|item| self.evaluate_expr(item, scope))
+                    .collect();
+                let rest = rest.as_deref().map(|rest| self.evaluate_expr(rest, scope));
+                value(Form::List(items, rest), expr.span)
             }
-            Of::Record(members) => {
-                let mut round = scope.round.clone();
-                round.push(members);
-                self.record(
-                    members,
+            ExprKind::Record(record_expr) => {
+                let mut records = scope.records.clone();
+                records.push(record_expr);
+                self.evaluate_record(
+                    record_expr,
                     &Scope {
-                        round,
-                        by: scope.by.clone(),
+                        records,
+                        definition: scope.definition.clone(),
                     },
-                    expr.at,
+                    expr.span,
                 )
             }
         }
     }
 
-    fn problem(&mut self, at: Span, what: String) -> V {
-        self.problems.push(Problem::new(at, what));
-        value(Form::Bad, at)
+    fn problem(&mut self, span: Span, message: String) -> ValueRef {
+        self.problems.push(Problem::new(span, message));
+        value(Form::Bottom, span)
     }
 
-    fn pattern(&mut self, text: &Rc<str>, at: Span) -> Option<Rc<Regex>> {
-        if let Some(known) = self.patterns.get(text) {
-            return known.clone();
+    fn pattern(&mut self, text: &Rc<str>, span: Span) -> Option<Rc<Regex>> {
+        if let Some(compiled) = self.patterns.get(text) {
+            return compiled.clone();
         }
-        let made = RegexBuilder::new(text).size_limit(PATTERN_SIZE).build();
-        let made = made.map(Rc::new).map_err(|_| {
-            let what = format!("{text:?} is no pattern, or one too large");
-            self.problems.push(Problem::new(at, what));
+        let compiled = RegexBuilder::new(text)
+            .size_limit(MAX_PATTERN_BYTES)
+            .build();
+        let compiled = compiled.map(Rc::new).map_err(|_| {
+            let message = format!("{text:?} is not a valid regular expression, or is larger than {MAX_PATTERN_BYTES} bytes when compiled");
+            self.problems.push(Problem::new(span, message));
         });
-        self.patterns.insert(Rc::clone(text), made.clone().ok());
-        made.ok()
+        self.patterns.insert(Rc::clone(text), compiled.clone().ok());
+        compiled.ok()
     }
 
-    /// The innermost record round a place that has the name, and its depth.
-    fn holder(&self, scope: &Scope<'a>, name: &str) -> Option<usize> {
+    /// The index in the scope of the innermost enclosing record that has the name.
+    fn innermost_record(&self, scope: &Scope<'a>, name: &str) -> Option<usize> {
         scope
-            .round
+            .records
             .iter()
-            .rposition(|members| members.fields.contains_key(name))
+            .rposition(|record_expr| record_expr.fields.contains_key(name))
     }
 
-    fn named(&mut self, scope: &Scope<'a>, path: &[String], at: Span) -> V {
-        let Some(depth) = self.holder(scope, &path[0]) else {
-            return self.problem(at, format!("nothing is named '{}' here", path[0]));
+    fn resolve(&mut self, scope: &Scope<'a>, path: &[String], span: Span) -> ValueRef {
+        let Some(depth) = self.innermost_record(scope, &path[0]) else {
+            return self.problem(span, format!("reference '{}' not found", path[0]));
         };
-        let (holder, round) = (scope.round[depth], scope.round[..=depth].to_vec());
-        let Some((label, _)) = holder.fields.get_key_value(&path[0]) else {
-            return value(Form::Bad, at);
+        let (innermost_record, records) = (scope.records[depth], scope.records[..=depth].to_vec());
+        let Some((label, _)) = innermost_record.fields.get_key_value(&path[0]) else {
+            return value(Form::Bottom, span);
         };
-        let key = (std::ptr::from_ref(holder), label.as_str());
-        if self.under_way.contains(&key) || self.under_way.len() > DEEPEST {
+        let key = (std::ptr::from_ref(innermost_record), label.as_str());
+        if self.in_evaluation.contains(&key) || self.in_evaluation.len() > MAX_REFERENCE_DEPTH {
             return self.problem(
-                at,
-                format!("'{label}' goes back to itself, or stands too deep"),
+                span,
+                format!("'{label}' refers to itself, or references are nested more than {MAX_REFERENCE_DEPTH} deep"),
             );
         }
-        let whole = match self.known.get(&key) {
-            Some(known) => Rc::clone(known),
+        let unified = match self.values.get(&key) {
+            Some(evaluated) => Rc::clone(evaluated),
             None => {
-                self.under_way.push(key);
-                // The schema's definitions close their records and are told by name; a text's own are only a way
-                // to write a thing once. Other names leave a demand whose it is.
-                let defines = label.starts_with('#') && round.len() == 1;
-                let by = if defines {
+                self.in_evaluation.push(key);
+                // The schema's definitions close their records and are named in messages. The text's own definitions
+                // do neither. Any other field keeps the definition of its scope.
+                let is_schema_definition = label.starts_with('#') && records.len() == 1;
+                let definition = if is_schema_definition {
                     Some(label.as_str().into())
                 } else {
-                    scope.by.clone()
+                    scope.definition.clone()
                 };
-                let found = self.field(holder, label, &Scope { round, by });
-                self.under_way.pop();
-                self.known.insert(key, Rc::clone(&found));
+                let found = self.evaluate_field(
+                    innermost_record,
+                    label,
+                    &Scope {
+                        records,
+                        definition,
+                    },
+                );
+                self.in_evaluation.pop();
+                self.values.insert(key, Rc::clone(&found));
                 found
             }
         };
-        path[1..].iter().fold(whole, |of, step| match &of.form {
-            Form::Record(record) if record.fields.contains_key(step) => {
-                Rc::clone(&record.fields[step].value)
-            }
-            Form::Bad => of,
-            _ => self.problem(at, format!("'{}' has no field '{step}'", path[0])),
-        })
+        path[1..]
+            .iter()
+            .fold(unified, |current, label| match &current.form {
+                Form::Record(record) if record.fields.contains_key(label) => {
+                    Rc::clone(&record.fields[label].value)
+                }
+                Form::Bottom => current,
+                _ => self.problem(span, format!("'{}' has no field '{label}'", path[0])),
+            })
     }
 
-    /// All that a record says of one of its fields, as one.
-    fn field(&mut self, members: &'a Members, label: &str, scope: &Scope<'a>) -> V {
-        let said = members.fields.get(label).map_or(&[][..], Vec::as_slice);
-        let all: Vec<V> = said
+    /// Unifies all values that a record gives for one label.
+    fn evaluate_field(
+        &mut self,
+        record_expr: &'a RecordExpr,
+        label: &str,
+        scope: &Scope<'a>,
+    ) -> ValueRef {
+        let declarations = record_expr.fields.get(label).map_or(&[][..], Vec::as_slice);
+        let operands: Vec<ValueRef> = declarations
             .iter()
-            .map(|field| self.eval(&field.value, scope))
+            .map(|field| self.evaluate_expr(&field.value, scope))
             .collect();
-        let first = all
+        let first = operands
             .first()
-            .map_or_else(|| value(Form::Bad, Span::new(0, 0, 0)), Rc::clone);
-        all.iter().skip(1).fold(first, |whole, one| {
-            self.unifier.unify(&whole, one, &mut self.problems)
+            .map_or_else(|| value(Form::Bottom, Span::new(0, 0, 0)), Rc::clone);
+        operands.iter().skip(1).fold(first, |unified, one| {
+            self.unifier.unify(&unified, one, &mut self.problems)
         })
     }
 
-    fn record(&mut self, members: &'a Members, scope: &Scope<'a>, at: Span) -> V {
+    fn evaluate_record(
+        &mut self,
+        record_expr: &'a RecordExpr,
+        scope: &Scope<'a>,
+        span: Span,
+    ) -> ValueRef {
         let mut record = Record::default();
-        for (label, wish) in &members.patterns {
-            let pattern = match &label.of {
-                Of::Name(path) if path.len() == 1 && path[0] == "string" => {
-                    self.pattern(&"".into(), label.at)
+        for (label, constraint_value) in &record_expr.patterns {
+            let pattern = match &label.kind {
+                ExprKind::Reference(path) if path.len() == 1 && path[0] == "string" => {
+                    self.pattern(&"".into(), label.span)
+                }
+                ExprKind::Bound(BoundOp::Matches, Scalar::Text(text)) => {
+                    self.pattern(text, label.span)
                 }
-                Of::Bound(Compare::Matches, Scalar::Text(text)) => self.pattern(text, label.at),
                 _ => {
                     self.problem(
-                        label.at,
-                        "a field's pattern is [string] or [=~\"...\"]".into(),
+                        label.span,
+                        "the label of a pattern constraint must be [string] or [=~\"...\"]".into(),
                     );
                     None
                 }
             };
-            let wish = self.eval(wish, scope);
+            let constraint_value = self.evaluate_expr(constraint_value, scope);
             record
                 .patterns
-                .extend(pattern.map(|pattern| (pattern, wish)));
+                .extend(pattern.map(|pattern| (pattern, constraint_value)));
         }
-        for (label, said) in &members.fields {
-            let mut of = self.named(scope, std::slice::from_ref(label), said[0].at);
-            for (pattern, wish) in &record.patterns {
-                // A definition beside the fields is none of them.
+        for (label, declarations) in &record_expr.fields {
+            let mut unified =
+                self.resolve(scope, std::slice::from_ref(label), declarations[0].span);
+            for (pattern, constraint_value) in &record.patterns {
+                // Pattern constraints don't apply to definitions.
                 if !label.starts_with('#') && pattern.is_match(label) {
-                    of = self.unifier.unify(wish, &of, &mut self.problems);
+                    unified = self
+                        .unifier
+                        .unify(constraint_value, &unified, &mut self.problems);
                 }
             }
-            let optional = said.iter().all(|field| field.optional);
+            let optional = declarations.iter().all(|field| field.optional);
             record.fields.insert(
                 label.clone(),
-                Slot {
-                    value: of,
+                FieldValue {
+                    value: unified,
                     optional,
-                    at: said[0].at,
+                    span: declarations[0].span,
                 },
             );
         }
-        if let (Some(by), false) = (&scope.by, members.open) {
+        if let (Some(definition), false) = (&scope.definition, record_expr.open) {
             let labels = record.fields.keys().cloned().collect();
             let patterns = record
                 .patterns
                 .iter()
                 .map(|(pattern, _)| Rc::clone(pattern))
                 .collect();
-            record.closed.push(Closed {
-                by: Rc::clone(by),
-                at,
+            record.closed.push(Closedness {
+                definition: Rc::clone(definition),
+                span,
                 labels,
                 patterns,
             });
         }
-        value(Form::Record(record), at)
+        value(Form::Record(record), span)
     }
 }
--- a/settings/src/export.rs
+++ b/settings/src/export.rs
@@ -1,57 +1,62 @@
-//! From one worked-out value to what is used: defaults taken, nothing left open, each with its origin.
+//! Converts an evaluated value to JSON: resolves defaults, reports values that are not concrete, and records the
+//! origin of each value.
 
 use crate::report::{Problem, Sources};
-use crate::value::{asked_by, Form, Must, Slot, V};
+use crate::value::{required_by, Condition, FieldValue, Form, ValueRef};
 use crate::UsedValue;
 
 pub struct Export<'a> {
     pub sources: &'a Sources,
     pub used: Vec<UsedValue>,
     pub problems: Vec<Problem>,
-    pub steps: usize,
-    /// Where the lines of the text begin; looked up for each value.
-    lines: Vec<usize>,
+    pub values: usize,
+    /// Byte offsets at which the second and later lines of the text begin.
+    line_starts: Vec<usize>,
 }
 
-/// So many values may come out; a text of ten thousand lines has a tenth.
-const MOST_VALUES: usize = 200_000;
+/// The most values that a text may evaluate to. A text of ten thousand lines has a tenth of that.
+const MAX_VALUES: usize = 200_000;
 
 impl<'a> Export<'a> {
     pub fn new(sources: &'a Sources) -> Self {
         let text = &sources[0].1;
-        let lines = text
+        let line_starts = text
             .bytes()
             .enumerate()
             .filter(|(_, byte)| *byte == b'\n')
-            .map(|(at, _)| at + 1);
+            .map(|(offset, _)| offset + 1);
         Export {
             sources,
             used: Vec::new(),
             problems: Vec::new(),
-            steps: 0,
-            lines: lines.collect(),
+            values: 0,
+            line_starts: line_starts.collect(),
         }
     }
 
-    pub fn whole(&mut self, of: &V) -> serde_json::Value {
-        self.value(of, "", of)
+    pub fn to_json(&mut self, value: &ValueRef) -> serde_json::Value {
+        self.value(value, "", value)
     }
 
-    fn value(&mut self, of: &V, path: &str, holder: &V) -> serde_json::Value {
-        self.steps += 1;
-        if self.steps >= MOST_VALUES {
-            if self.steps == MOST_VALUES {
+    fn value(&mut self, value: &ValueRef, path: &str, enclosing: &ValueRef) -> serde_json::Value {
+        self.values += 1;
+        if self.values >= MAX_VALUES {
+            if self.values == MAX_VALUES {
                 self.problems.push(Problem::new(
-                    holder.at,
-                    format!("more than {MOST_VALUES} values come out"),
+                    enclosing.span,
+                    format!("the text evaluates to more than {MAX_VALUES} values"),
                 ));
             }
             return serde_json::Value::Null;
         }
-        match &of.form {
+        match &value.form {
             Form::Scalar(scalar) => {
-                let line = || 1 + self.lines.partition_point(|start| *start <= of.at.start);
-                let origin = (of.at.file == 0).then(|| (self.sources[0].0.clone(), line()));
+                let line = || {
+                    1 + self
+                        .line_starts
+                        .partition_point(|start| *start <= value.span.start)
+                };
+                let origin = (value.span.file == 0).then(|| (self.sources[0].0.clone(), line()));
                 self.used.push(UsedValue {
                     path: path.to_owned(),
                     value: scalar.to_string(),
@@ -63,15 +68,17 @@
                 let mut all = serde_json::Map::new();
                 for (
                     label,
-                    Slot {
-                        value, optional, ..
+                    FieldValue {
+                        value: field_value,
+                        optional,
+                        ..
                     },
                 ) in &record.fields
                 {
                     if *optional || label.starts_with('#') {
                         continue;
                     }
-                    if self.steps >= MOST_VALUES {
+                    if self.values >= MAX_VALUES {
                         break;
                     }
                     let path = if path.is_empty() {
@@ -79,53 +86,60 @@
                     } else {
                         format!("{path}.{label}")
                     };
-                    all.insert(label.clone(), self.value(value, &path, of));
+                    all.insert(label.clone(), self.value(field_value, &path, value));
                 }
                 all.into()
             }
             Form::List(items, _) => {
                 let each = items.iter().enumerate();
-                each.map(|(at, item)| self.value(item, &format!("{path}[{at}]"), of))
+                each.map(|(index, item)| self.value(item, &format!("{path}[{index}]"), value))
                     .collect()
             }
-            Form::Any(ways) => {
-                let ways = || {
-                    ways.iter()
-                        .filter(|(_, way)| !matches!(way.form, Form::Bad))
+            Form::Disjunction(disjuncts) => {
+                let disjuncts = || {
+                    disjuncts
+                        .iter()
+                        .filter(|(_, disjunct)| !matches!(disjunct.form, Form::Bottom))
                 };
-                let mut open: Vec<&V> = ways()
+                let mut candidates: Vec<&ValueRef> = disjuncts()
                     .filter(|(star, _)| *star)
-                    .map(|(_, way)| way)
+                    .map(|(_, disjunct)| disjunct)
                     .collect();
-                if open.len() != 1 {
-                    // A list or record that may be anything of its kind is itself once it is closed: `[...] | *[]`.
-                    open = ways().map(|(_, way)| way).collect();
+                if candidates.len() != 1 {
+                    // Without exactly one default the value is concrete only if a single disjunct remains;
+                    // for example an open list or record in `[...] | *[]`.
+                    candidates = disjuncts().map(|(_, disjunct)| disjunct).collect();
                 }
-                match open.as_slice() {
-                    [one] => self.value(one, path, holder),
-                    _ => self.missing(of, path, holder),
+                match candidates.as_slice() {
+                    [one] => self.value(one, path, enclosing),
+                    _ => self.missing(value, path, enclosing),
                 }
             }
-            Form::Demands(_) => self.missing(of, path, holder),
-            Form::Bad => serde_json::Value::Null,
+            Form::Constraints(_) => self.missing(value, path, enclosing),
+            Form::Bottom => serde_json::Value::Null,
         }
     }
 
-    fn missing(&mut self, of: &V, path: &str, holder: &V) -> serde_json::Value {
-        let by = match &of.form {
-            Form::Demands(demands) => {
-                let kind = demands
+    fn missing(&mut self, value: &ValueRef, path: &str, enclosing: &ValueRef) -> serde_json::Value {
+        let definition = match &value.form {
+            Form::Constraints(constraints) => {
+                let kind = constraints
                     .iter()
-                    .find(|demand| matches!(demand.must, Must::Be(_)));
-                kind.or(demands.first())
-                    .and_then(|demand| demand.by.clone())
+                    .find(|constraint| matches!(constraint.condition, Condition::OfKind(_)));
+                kind.or(constraints.first())
+                    .and_then(|constraint| constraint.definition.clone())
             }
             _ => None,
         };
-        let what = format!("'{path}' is missing: {} is wanted", of.wanted());
-        let at = if of.at.file == 0 { of.at } else { holder.at };
-        self.problems
-            .push(Problem::new(at, what).beside(of.at, asked_by(by.as_deref())));
+        let message = format!("field '{path}' is missing: expected {}", value.expected());
+        let span = if value.span.file == 0 {
+            value.span
+        } else {
+            enclosing.span
+        };
+        self.problems.push(
+            Problem::new(span, message).related(value.span, required_by(definition.as_deref())),
+        );
         serde_json::Value::Null
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Typed records: the form of all settings of the project. A text in a subset of CUE is read, joined with the
-//! definition that its reader keeps, checked, and turned into ordinary serde types; what is wrong with it is told
-//! all at once, each with file, line, column, the text, and which definition asked for what.
+//! Reads settings files, which are typed records in a subset of CUE. A text is parsed, unified with a definition of the
+//! program's schema, and deserialized to serde types. All problems are reported at once, each with file, line, column,
+//! the line's text and the definition that it conflicts with.
 //!
 //! ```
 //! use ternpick_settings::Schema;
@@ -13,8 +13,9 @@
 //! assert!(schema.read::<Door>("door.cue", "wide: 0").is_err());
 //! ```
 //!
-//! Kept of CUE: records, definitions, references, lists, optional fields, closed records, bounds, patterns,
-//! alternatives, defaults, unification. Added: `duration` and `size` with units. Everything else is refused by name.
+//! Supported features of CUE: records, definitions, references, lists, optional fields, closed records, bounds, pattern
+//! constraints, disjunctions, defaults and unification. `duration` and `size`, with units, are additions. Any other
+//! feature is an error that names the feature.
 
 mod eval;
 mod export;
@@ -30,7 +31,7 @@
 pub use report::{Problem, Report, Span};
 pub use syntax::{MAX_NESTING, MAX_TEXT_BYTES};
 
-/// Why settings could not be read.
+/// Why a text could not be read as settings.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     #[error("cannot read {name}: {error}")]
@@ -41,13 +42,13 @@
     Undecodable { name: String, reason: String },
 }
 
-/// One value that is used, and where it came from.
+/// A concrete value of the settings, and its origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsedValue {
     pub path: String,
-    /// As it would be written.
+    /// The value as a literal of the settings language.
     pub value: String,
-    /// File and line; none: by default.
+    /// The file and line that give the value. None: the value is a default.
     pub origin: Option<(String, usize)>,
 }
 
@@ -60,23 +61,27 @@
     }
 }
 
-/// What was read.
+/// The deserialized settings, and each concrete value with its origin.
 #[derive(Debug)]
 pub struct LoadedSettings<T> {
     pub value: T,
     pub used: Vec<UsedValue>,
 }
 
-/// What a reader wants: definitions, and the one that a whole text must fit.
+/// Definitions of a program, and the name of the one that a text is unified with.
 pub struct Schema {
-    parts: &'static [(&'static str, &'static str)],
+    definitions: &'static [(&'static str, &'static str)],
     root: &'static str,
 }
 
 impl Schema {
-    /// `parts`: texts with their names, whose definitions know each other.
-    pub const fn new(parts: &'static [(&'static str, &'static str)], root: &'static str) -> Self {
-        Schema { parts, root }
+    /// `definitions` are texts with their names; each may refer to definitions of the others. `root` names the definition
+    /// that a whole text is unified with.
+    pub const fn new(
+        definitions: &'static [(&'static str, &'static str)],
+        root: &'static str,
+    ) -> Self {
+        Schema { definitions, root }
     }
 
     pub fn read_file<T: DeserializeOwned>(
@@ -88,52 +93,55 @@
             name: name.clone(),
             error,
         };
-        let long = std::fs::metadata(path).map_err(unreadable)?.len();
-        if long > MAX_TEXT_BYTES as u64 {
-            return Err(unreadable(std::io::Error::other(
-                "it is longer than any settings are",
-            )));
+        let length = std::fs::metadata(path).map_err(unreadable)?.len();
+        if length > MAX_TEXT_BYTES as u64 {
+            return Err(unreadable(std::io::Error::other(format!(
+                "the file has {length} bytes, more than the maximum of {MAX_TEXT_BYTES}"
+            ))));
         }
         let text = std::fs::read_to_string(path).map_err(unreadable)?;
         self.read(&name, &text)
     }
 
-    /// Reads a text; `name` is for what is told of it. Durations come out in microseconds, sizes in bytes.
+    /// Reads a text; messages refer to it by `name`. Durations are deserialized as microseconds, sizes as bytes.
     pub fn read<T: DeserializeOwned>(
         &self,
         name: &str,
         text: &str,
     ) -> Result<LoadedSettings<T>, ReadError> {
         let own_source = std::iter::once((name, text));
-        let all = own_source.chain(self.parts.iter().copied());
+        let all = own_source.chain(self.definitions.iter().copied());
         let sources: report::Sources = all
             .map(|(name, text)| (name.to_owned(), text.to_owned()))
             .collect();
-        let (own, mut problems) = syntax::parse(0, text);
-        let mut schema = syntax::Members::default();
-        for (at, (_, text)) in self.parts.iter().enumerate() {
-            let (members, wrong) = syntax::parse(at + 1, text);
-            schema.fields.extend(members.fields);
-            problems.extend(wrong);
+        let (text_record, mut problems) = syntax::parse(0, text);
+        let mut schema = syntax::RecordExpr::default();
+        for (index, (_, text)) in self.definitions.iter().enumerate() {
+            let (record, syntax_errors) = syntax::parse(index + 1, text);
+            schema.fields.extend(record.fields);
+            problems.extend(syntax_errors);
         }
         let mut evaluator = eval::Evaluator::new(problems);
-        let at = Span::new(0, 0, 0);
-        let whole = evaluator.whole(&schema, &own, self.root, at);
-        let (tired, mut problems) = (evaluator.unifier.tired, evaluator.problems);
+        let start = Span::new(0, 0, 0);
+        let value = evaluator.evaluate(&schema, &text_record, self.root, start);
+        let (out_of_steps, mut problems) = (evaluator.unifier.out_of_steps, evaluator.problems);
         let mut export = export::Export::new(&sources);
-        let json = export.whole(&whole);
-        // What is missing of a text that could not be read whole may well stand in it.
+        let json = export.to_json(&value);
+        // A field may seem to be missing only because its part of the text could not be parsed.
         if problems.is_empty() {
             problems.append(&mut export.problems);
         }
-        if tired {
+        if out_of_steps {
             problems = vec![Problem::new(
-                at,
-                "working this text out takes too long".into(),
+                start,
+                format!(
+                    "evaluating the text takes more than {} steps",
+                    value::MAX_STEPS
+                ),
             )];
         }
         if !problems.is_empty() {
-            problems.sort_by_key(|problem| (problem.at.file, problem.at.start));
+            problems.sort_by_key(|problem| (problem.span.file, problem.span.start));
             problems.dedup();
             return Err(ReadError::Invalid(Report { sources, problems }));
         }
--- a/settings/src/report.rs
+++ b/settings/src/report.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a text, and where: told with the line, a mark under it, and who asked for it.
+//! Problems of a text, each reported with its line, a mark below the span, and the definition it conflicts with.
 
 use std::fmt;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use codespan_reporting::files::SimpleFiles;
 use codespan_reporting::term::{self, termcolor::NoColor};
 
-/// A stretch of one of the texts, in bytes.
+/// A range of bytes in one of the texts. `file` is the index into [`Sources`]; 0 is the text that is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Span {
     pub file: usize,
@@ -23,40 +23,40 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Problem {
-    pub at: Span,
-    pub what: String,
-    /// Other places that matter to it, with why.
-    pub beside: Vec<(Span, String)>,
+    pub span: Span,
+    pub message: String,
+    /// Other spans that explain the problem, each with a label.
+    pub related: Vec<(Span, String)>,
 }
 
 impl Problem {
-    pub fn new(at: Span, what: String) -> Self {
+    pub fn new(span: Span, message: String) -> Self {
         Problem {
-            at,
-            what,
-            beside: Vec::new(),
+            span,
+            message,
+            related: Vec::new(),
         }
     }
 
-    pub fn beside(mut self, at: Span, why: impl Into<String>) -> Self {
-        self.beside.push((at, why.into()));
+    pub fn related(mut self, span: Span, label: impl Into<String>) -> Self {
+        self.related.push((span, label.into()));
         self
     }
 }
 
-/// The texts by number, with their names.
+/// The name and the text of each source, in the order of [`Span::file`].
 pub type Sources = Rc<[(String, String)]>;
 
-/// All problems of a reading, in the order of their places.
+/// All problems of a text, in the order of their spans.
 #[derive(Clone, Debug)]
 pub struct Report {
     pub sources: Sources,
     pub problems: Vec<Problem>,
 }
 
-/// Line and column, both from 1, of a place in a text.
-pub fn place(text: &str, at: usize) -> (usize, usize) {
-    let before = &text.as_bytes()[..at.min(text.len())];
+/// The line and the column of a byte offset in a text, both counted from 1.
+pub fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
+    let before = &text.as_bytes()[..offset.min(text.len())];
     let line = before.iter().filter(|byte| **byte == b'\n').count();
     let start = before
         .iter()
@@ -69,12 +69,12 @@
 }
 
 impl Report {
-    /// Each problem on one line: `file:line:column: what`.
+    /// Each problem on one line: `file:line:column: message`.
     pub fn lines(&self) -> Vec<String> {
         let line = |problem: &Problem| {
-            let (name, text) = &self.sources[problem.at.file];
-            let (line, column) = place(text, problem.at.start);
-            format!("{name}:{line}:{column}: {}", problem.what)
+            let (name, text) = &self.sources[problem.span.file];
+            let (line, column) = line_and_column(text, problem.span.start);
+            format!("{name}:{line}:{column}: {}", problem.message)
         };
         self.problems.iter().map(line).collect()
     }
@@ -90,16 +90,16 @@
         for problem in &self.problems {
             let mut labels =
                 vec![
-                    Label::primary(problem.at.file, problem.at.start..problem.at.end)
+                    Label::primary(problem.span.file, problem.span.start..problem.span.end)
                         .with_message("here"),
                 ];
-            for (at, why) in &problem.beside {
-                labels.push(Label::secondary(at.file, at.start..at.end).with_message(why));
+            for (span, label) in &problem.related {
+                labels.push(Label::secondary(span.file, span.start..span.end).with_message(label));
             }
-            let told = Diagnostic::error()
-                .with_message(&problem.what)
+            let diagnostic = Diagnostic::error()
+                .with_message(&problem.message)
                 .with_labels(labels);
-            term::emit(&mut out, &config, &files, &told).map_err(|_| fmt::Error)?;
+            term::emit(&mut out, &config, &files, &diagnostic).map_err(|_| fmt::Error)?;
         }
         f.write_str(&String::from_utf8_lossy(&out.into_inner()))
     }
--- a/settings/src/syntax.rs
+++ b/settings/src/syntax.rs
@@ -1,5 +1,5 @@
-//! From text to a tree, with every place kept. A text with mistakes is read on behind each, field by field of the
-//! outermost record, so that all of them are told at once.
+//! Parses a text to a tree that keeps the span of every node. After a syntax error the parser blanks out the outermost
+//! field that contains it and parses again, so that all errors are reported at once.
 
 use std::rc::Rc;
 
@@ -14,14 +14,14 @@
 #[grammar = "grammar.pest"]
 struct Grammar;
 
-/// The longest text, in bytes: ten thousand lines are a tenth of it.
+/// The longest text that is read, in bytes. A text of ten thousand lines has a tenth of that.
 pub const MAX_TEXT_BYTES: usize = 4 << 20;
-/// How deep brackets may stand in one another.
+/// How deep brackets and labels may be nested.
 pub const MAX_NESTING: usize = 48;
-/// After so many mistakes in form a text is read no further.
-const MOST_MISTAKES: usize = 50;
+/// The parser stops after so many syntax errors.
+const MAX_SYNTAX_ERRORS: usize = 50;
 
-/// A single value. Durations are whole microseconds, sizes bytes.
+/// A concrete value that is neither a list nor a record. Durations are whole microseconds, sizes are bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Scalar {
     Null,
@@ -34,67 +34,70 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Compare {
+pub enum BoundOp {
     AtLeast,
     AtMost,
     Above,
     Below,
-    Differs,
+    NotEqual,
     Matches,
-    MatchesNot,
+    DoesNotMatch,
 }
 
 #[derive(Debug)]
 pub struct Expr {
-    pub at: Span,
-    pub of: Of,
+    pub span: Span,
+    pub kind: ExprKind,
 }
 
 #[derive(Debug)]
-pub enum Of {
-    Record(Rc<Members>),
+pub enum ExprKind {
+    Record(Rc<RecordExpr>),
     List(Vec<Expr>, Option<Box<Expr>>),
     Scalar(Scalar),
-    Bound(Compare, Scalar),
-    Name(Vec<String>),
-    /// All of them together (`&`).
-    All(Vec<Expr>),
-    /// One of them (`|`), marked ones by default.
-    Any(Vec<(bool, Expr)>),
+    Bound(BoundOp, Scalar),
+    Reference(Vec<String>),
+    /// The unification of all operands (`&`).
+    Unification(Vec<Expr>),
+    /// A disjunction (`|`). The flag marks the defaults (`*`).
+    Disjunction(Vec<(bool, Expr)>),
     Top,
 }
 
 #[derive(Debug)]
 pub struct Field {
-    pub at: Span,
+    pub span: Span,
     pub optional: bool,
     pub value: Expr,
 }
 
 #[derive(Debug, Default)]
-pub struct Members {
-    /// By name, in the order in which they stand; a name may stand several times.
+pub struct RecordExpr {
+    /// The fields by label, in the order of the text. A label may occur several times.
     pub fields: IndexMap<String, Vec<Field>>,
-    /// `[string]: ...` and `[=~"..."]: ...`
+    /// Pattern constraints: `[string]: ...` and `[=~"..."]: ...`
     pub patterns: Vec<(Expr, Expr)>,
     pub open: bool,
 }
 
-/// Reads a text; what could be read comes back beside the mistakes.
-pub fn parse(file: usize, text: &str) -> (Members, Vec<Problem>) {
+/// Parses a text. Returns the fields that could be parsed, and all syntax errors.
+pub fn parse(file: usize, text: &str) -> (RecordExpr, Vec<Problem>) {
     let mut problems = Vec::new();
     if text.len() > MAX_TEXT_BYTES {
-        let what = format!("the text is longer than {} MiB", MAX_TEXT_BYTES >> 20);
+        let message = format!(
+            "the text has {} bytes, more than the maximum of {MAX_TEXT_BYTES}",
+            text.len()
+        );
         return (
-            Members::default(),
-            vec![Problem::new(Span::new(file, 0, 0), what)],
+            RecordExpr::default(),
+            vec![Problem::new(Span::new(file, 0, 0), message)],
         );
     }
-    if let Some(at) = too_deep(text) {
-        let what = format!("brackets stand more than {MAX_NESTING} deep");
+    if let Some(offset) = first_excess_nesting(text) {
+        let message = format!("brackets and labels are nested more than {MAX_NESTING} deep");
         return (
-            Members::default(),
-            vec![Problem::new(Span::new(file, at, at + 1), what)],
+            RecordExpr::default(),
+            vec![Problem::new(Span::new(file, offset, offset + 1), message)],
         );
     }
     let mut text = text.to_owned();
@@ -104,32 +107,32 @@
                 let whole = pairs
                     .next()
                     .map(|file| file.into_inner().collect::<Vec<_>>());
-                let mut tree = Tree {
+                let mut tree = TreeBuilder {
                     file,
                     problems: &mut problems,
                 };
-                let members = tree.members(whole.unwrap_or_default());
-                return (members, problems);
+                let record = tree.record(whole.unwrap_or_default());
+                return (record, problems);
             }
             Err(error) => {
-                let at = match error.location {
-                    InputLocation::Pos(at) | InputLocation::Span((at, _)) => at,
+                let offset = match error.location {
+                    InputLocation::Pos(offset) | InputLocation::Span((offset, _)) => offset,
                 };
-                problems.push(mistake(file, &text, at, &error.variant));
-                if problems.len() >= MOST_MISTAKES || !blank_out(&mut text, at) {
-                    return (Members::default(), problems);
+                problems.push(syntax_error(file, &text, offset, &error.variant));
+                if problems.len() >= MAX_SYNTAX_ERRORS || !blank_out_field(&mut text, offset) {
+                    return (RecordExpr::default(), problems);
                 }
             }
         }
     }
 }
 
-/// Where brackets first stand too deep; strings and comments are passed over.
-fn too_deep(text: &str) -> Option<usize> {
-    // `a: b: c: 1` stands as deep as it has names.
+/// The offset at which the nesting first exceeds [`MAX_NESTING`]. Brackets in strings and comments don't count.
+fn first_excess_nesting(text: &str) -> Option<usize> {
+    // Each label of `a: b: c: 1` is a level of nesting.
     let (mut depth, mut chain, mut last) = (0usize, 0usize, b' ');
     let mut bytes = text.bytes().enumerate().peekable();
-    while let Some((at, byte)) = bytes.next() {
+    while let Some((offset, byte)) = bytes.next() {
         match byte {
             b':' => chain += 1,
             b'\n' | b',' if last != b':' => chain = 0,
@@ -156,27 +159,28 @@
             _ => {}
         }
         if depth + chain > MAX_NESTING {
-            return Some(at);
+            return Some(offset);
         }
     }
     None
 }
 
-/// Takes the outermost field round `at` out of the text, without moving the rest; false if nothing is left of it.
-fn blank_out(text: &mut String, at: usize) -> bool {
-    let at = at.min(text.len());
+/// Replaces the outermost field that contains `offset` by blanks, so that all other offsets stay valid. Returns false
+/// if that field is blank already.
+fn blank_out_field(text: &mut String, offset: usize) -> bool {
+    let offset = offset.min(text.len());
     let begins = |from: usize| {
         let next = text.as_bytes().get(from).copied().unwrap_or(b'\n');
         next.is_ascii_alphabetic() || matches!(next, b'#' | b'"' | b'_')
     };
     let lines = || std::iter::once(0).chain(text.match_indices('\n').map(|(end, _)| end + 1));
     let from = lines()
-        .take_while(|line| *line <= at)
+        .take_while(|line| *line <= offset)
         .filter(|line| begins(*line))
         .last()
         .unwrap_or(0);
     let to = lines()
-        .find(|line| *line > at && begins(*line))
+        .find(|line| *line > offset && begins(*line))
         .unwrap_or(text.len());
     if text.as_bytes()[from..to]
         .iter()
@@ -192,8 +196,8 @@
     true
 }
 
-/// Words of CUE that this subset leaves out, by what stands where reading stopped.
-const LEFT_OUT: [(&str, &str); 12] = [
+/// Features of CUE that this subset doesn't support, by the text at which the parser stopped.
+const UNSUPPORTED: [(&str, &str); 12] = [
     ("import", "imports"),
     ("let ", "'let'"),
     ("for ", "comprehensions ('for')"),
@@ -203,37 +207,47 @@
     ("-", "arithmetic"),
     ("/", "arithmetic"),
     ("*", "arithmetic"),
-    ("(", "calls of functions"),
-    ("\"\"", "texts over several lines"),
+    ("(", "function calls"),
+    ("\"\"", "multi-line strings"),
     ("=", "aliases"),
 ];
 
-fn mistake(file: usize, text: &str, at: usize, variant: &ErrorVariant<Rule>) -> Problem {
-    let rest = &text[at.min(text.len())..];
-    let span = Span::new(file, at, at + rest.chars().next().map_or(0, char::len_utf8));
-    // Where a label was read already, what is left out stands before the place.
-    let line = &text[text[..at.min(text.len())]
+fn syntax_error(file: usize, text: &str, offset: usize, variant: &ErrorVariant<Rule>) -> Problem {
+    let rest = &text[offset.min(text.len())..];
+    let span = Span::new(
+        file,
+        offset,
+        offset + rest.chars().next().map_or(0, char::len_utf8),
+    );
+    // The parser may have read the keyword as a label; then the keyword is at the start of the line.
+    let line = &text[text[..offset.min(text.len())]
         .rfind('\n')
         .map_or(0, |end| end + 1)..];
-    let left_out = LEFT_OUT.iter().find(|(word, _)| {
+    let unsupported = UNSUPPORTED.iter().find(|(word, _)| {
         rest.starts_with(word) || word.len() > 2 && line.trim_start().starts_with(word)
     });
-    if let Some((_, what)) = left_out {
-        return Problem::new(span, format!("{what} are left out of this subset of CUE"));
+    if let Some((_, feature)) = unsupported {
+        return Problem::new(
+            span,
+            format!("this subset of CUE does not support {feature}"),
+        );
     }
     let ErrorVariant::ParsingError { positives, .. } = variant else {
-        return Problem::new(span, "this can't be read".into());
+        return Problem::new(span, "syntax error".into());
     };
-    let mut wanted: Vec<&str> = positives.iter().filter_map(|rule| words(*rule)).collect();
-    wanted.sort_unstable();
-    wanted.dedup();
-    match wanted.as_slice() {
-        [] => Problem::new(span, "this can't be read here".into()),
-        wanted => Problem::new(span, format!("expected {}", wanted.join(", "))),
+    let mut expected: Vec<&str> = positives
+        .iter()
+        .filter_map(|rule| expected_syntax(*rule))
+        .collect();
+    expected.sort_unstable();
+    expected.dedup();
+    match expected.as_slice() {
+        [] => Problem::new(span, "syntax error".into()),
+        expected => Problem::new(span, format!("expected {}", expected.join(", "))),
     }
 }
 
-fn words(rule: Rule) -> Option<&'static str> {
+fn expected_syntax(rule: Rule) -> Option<&'static str> {
     Some(match rule {
         Rule::field | Rule::label | Rule::nested => "a field ('name: value')",
         Rule::expr | Rule::marked | Rule::all | Rule::literal | Rule::reference | Rule::bound => {
@@ -249,13 +263,13 @@
     })
 }
 
-/// Makes the tree; what reads well but means nothing is a problem too.
-struct Tree<'a> {
+/// Builds the tree from the parsed pairs. Literals that the grammar accepts but that have no value are reported too.
+struct TreeBuilder<'a> {
     file: usize,
     problems: &'a mut Vec<Problem>,
 }
 
-impl Tree<'_> {
+impl TreeBuilder<'_> {
     fn span(&self, pair: &Pair<Rule>) -> Span {
         let span = pair.as_span();
         Span::new(
@@ -265,42 +279,45 @@
         )
     }
 
-    fn members(&mut self, pairs: Vec<Pair<Rule>>) -> Members {
-        let mut members = Members::default();
+    fn record(&mut self, pairs: Vec<Pair<Rule>>) -> RecordExpr {
+        let mut record = RecordExpr::default();
         for pair in pairs {
             match pair.as_rule() {
                 Rule::field => {
                     let (label, field) = self.field(pair);
-                    members.fields.entry(label).or_default().push(field);
+                    record.fields.entry(label).or_default().push(field);
                 }
-                Rule::open => members.open = true,
+                Rule::open => record.open = true,
                 Rule::pattern => {
                     let mut inner = pair.into_inner();
                     let label = inner.next().map(|label| self.expr(label));
                     let value = inner.next().map(|value| self.expr(value));
-                    members.patterns.extend(label.zip(value));
+                    record.patterns.extend(label.zip(value));
                 }
                 _ => {}
             }
         }
-        members
+        record
     }
 
     fn field(&mut self, pair: Pair<Rule>) -> (String, Field) {
-        let at = self.span(&pair);
+        let span = self.span(&pair);
         let mut label = String::new();
         let mut field = Field {
-            at,
+            span,
             optional: false,
-            value: Expr { at, of: Of::Top },
+            value: Expr {
+                span,
+                kind: ExprKind::Top,
+            },
         };
         for part in pair.into_inner() {
             match part.as_rule() {
                 Rule::label => {
-                    field.at = self.span(&part);
+                    field.span = self.span(&part);
                     let text = part.as_str().trim();
                     label = if text.starts_with('"') {
-                        self.text(text, field.at)
+                        self.text(text, field.span)
                     } else {
                         text.into()
                     };
@@ -312,24 +329,24 @@
         (label, field)
     }
 
-    fn text(&mut self, quoted: &str, at: Span) -> String {
+    fn text(&mut self, quoted: &str, span: Span) -> String {
         if quoted.contains("\\(") {
-            let what = "interpolations ('\\(') are left out of this subset of CUE";
-            self.problems.push(Problem::new(at, what.into()));
+            let message = "this subset of CUE does not support interpolations ('\\(')";
+            self.problems.push(Problem::new(span, message.into()));
             return String::new();
         }
         serde_json::from_str(quoted).unwrap_or_else(|_| {
             self.problems.push(Problem::new(
-                at,
-                "an escape here is none that JSON knows".into(),
+                span,
+                "the string has an escape sequence that JSON does not have".into(),
             ));
             String::new()
         })
     }
 
     fn expr(&mut self, pair: Pair<Rule>) -> Expr {
-        let at = self.span(&pair);
-        let of = match pair.as_rule() {
+        let span = self.span(&pair);
+        let kind = match pair.as_rule() {
             Rule::expr => {
                 let mut any: Vec<(bool, Expr)> = Vec::new();
                 for marked in pair.into_inner() {
@@ -341,64 +358,69 @@
                 }
                 match any.len() {
                     1 => return any.swap_remove(0).1,
-                    _ => Of::Any(any),
+                    _ => ExprKind::Disjunction(any),
                 }
             }
             Rule::all => {
                 let mut all: Vec<Expr> = pair.into_inner().map(|one| self.expr(one)).collect();
                 match all.len() {
                     1 => return all.swap_remove(0),
-                    _ => Of::All(all),
+                    _ => ExprKind::Unification(all),
                 }
             }
             Rule::nested => {
-                let members = self.members(pair.into_inner().collect());
-                Of::Record(Rc::new(members))
+                let record = self.record(pair.into_inner().collect());
+                ExprKind::Record(Rc::new(record))
             }
-            Rule::record => Of::Record(Rc::new(self.members(pair.into_inner().collect()))),
+            Rule::record => ExprKind::Record(Rc::new(self.record(pair.into_inner().collect()))),
             Rule::list => {
                 let (mut items, mut rest) = (Vec::new(), None);
                 for item in pair.into_inner() {
-                    let at = self.span(&item);
+                    let span = self.span(&item);
                     if rest.is_some() {
-                        self.problems
-                            .push(Problem::new(at, "nothing may follow '...'".into()));
+                        self.problems.push(Problem::new(
+                            span,
+                            "'...' must be the last item of a list".into(),
+                        ));
                     } else if item.as_rule() == Rule::rest {
-                        let of = item.into_inner().next().map(|of| self.expr(of));
-                        rest = Some(Box::new(of.unwrap_or(Expr { at, of: Of::Top })));
+                        let kind = item.into_inner().next().map(|kind| self.expr(kind));
+                        rest = Some(Box::new(kind.unwrap_or(Expr {
+                            span,
+                            kind: ExprKind::Top,
+                        })));
                     } else {
                         items.push(self.expr(item));
                     }
                 }
-                Of::List(items, rest)
+                ExprKind::List(items, rest)
             }
             Rule::bound => {
                 let mut inner = pair.into_inner();
-                let compare = match inner.next().map_or("", |sign| sign.as_str()) {
-                    ">=" => Compare::AtLeast,
-                    "<=" => Compare::AtMost,
-                    ">" => Compare::Above,
-                    "<" => Compare::Below,
-                    "!=" => Compare::Differs,
-                    "=~" => Compare::Matches,
-                    _ => Compare::MatchesNot,
+                let op = match inner.next().map_or("", |sign| sign.as_str()) {
+                    ">=" => BoundOp::AtLeast,
+                    "<=" => BoundOp::AtMost,
+                    ">" => BoundOp::Above,
+                    "<" => BoundOp::Below,
+                    "!=" => BoundOp::NotEqual,
+                    "=~" => BoundOp::Matches,
+                    _ => BoundOp::DoesNotMatch,
                 };
-                inner
-                    .next()
-                    .map_or(Of::Top, |literal| Of::Bound(compare, self.scalar(literal)))
+                inner.next().map_or(ExprKind::Top, |literal| {
+                    ExprKind::Bound(op, self.scalar(literal))
+                })
             }
-            Rule::literal => Of::Scalar(self.scalar(pair)),
+            Rule::literal => ExprKind::Scalar(self.scalar(pair)),
             Rule::reference => match pair.as_str() {
-                "_" => Of::Top,
-                name => Of::Name(name.split('.').map(str::to_owned).collect()),
+                "_" => ExprKind::Top,
+                name => ExprKind::Reference(name.split('.').map(str::to_owned).collect()),
             },
-            _ => Of::Top,
+            _ => ExprKind::Top,
         };
-        Expr { at, of }
+        Expr { span, kind }
     }
 
     fn scalar(&mut self, literal: Pair<Rule>) -> Scalar {
-        let (at, Some(inner)) = (self.span(&literal), literal.into_inner().next()) else {
+        let (span, Some(inner)) = (self.span(&literal), literal.into_inner().next()) else {
             return Scalar::Null;
         };
         let digits = inner.as_str().replace('_', "");
@@ -407,7 +429,7 @@
                 let text = inner.as_str();
                 Some(Scalar::Text(text[2..text.len() - 2].into()))
             }
-            Rule::string => Some(Scalar::Text(self.text(inner.as_str(), at).into())),
+            Rule::string => Some(Scalar::Text(self.text(inner.as_str(), span).into())),
             Rule::int => digits.parse().ok().map(Scalar::Int),
             Rule::float => digits
                 .parse()
@@ -423,7 +445,7 @@
         };
         read.unwrap_or_else(|| {
             self.problems
-                .push(Problem::new(at, "this number is too large".into()));
+                .push(Problem::new(span, "the number is out of range".into()));
             Scalar::Null
         })
     }
--- a/settings/src/value.rs
+++ b/settings/src/value.rs
@@ -1,5 +1,5 @@
-//! What an expression means: a single value, what a value must be, one of several, a record, a list. And how two
-//! of them become one (unification), which is the same in whatever order.
+//! Values of expressions: scalars, constraints, disjunctions, records and lists; and their unification, whose result
+//! doesn't depend on the order of its operands.
 
 use std::fmt;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use regex::Regex;
 
 use crate::report::{Problem, Span};
-use crate::syntax::{Compare, Scalar};
+use crate::syntax::{BoundOp, Scalar};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -24,65 +24,65 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Must {
-    Be(Kind),
-    Compare(Compare, Scalar),
+pub enum Condition {
+    OfKind(Kind),
+    Bound(BoundOp, Scalar),
     Match(Rc<Regex>, bool),
 }
 
-/// One demand, where it stands, and the definition that makes it.
+/// One constraint, its span, and the schema definition that contains it.
 #[derive(Clone, Debug)]
-pub struct Demand {
-    pub must: Must,
-    pub at: Span,
-    pub by: Option<Rc<str>>,
+pub struct Constraint {
+    pub condition: Condition,
+    pub span: Span,
+    pub definition: Option<Rc<str>>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Slot {
-    pub value: V,
+pub struct FieldValue {
+    pub value: ValueRef,
     pub optional: bool,
-    pub at: Span,
+    pub span: Span,
 }
 
-/// A definition's record takes no field that it does not name.
+/// Closes a record: only fields with these labels, or that match these patterns, are allowed.
 #[derive(Clone, Debug)]
-pub struct Closed {
-    pub by: Rc<str>,
-    pub at: Span,
+pub struct Closedness {
+    pub definition: Rc<str>,
+    pub span: Span,
     pub labels: Rc<[String]>,
     pub patterns: Rc<[Rc<Regex>]>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    pub fields: IndexMap<String, Slot>,
-    pub patterns: Vec<(Rc<Regex>, V)>,
-    pub closed: Vec<Closed>,
+    pub fields: IndexMap<String, FieldValue>,
+    pub patterns: Vec<(Rc<Regex>, ValueRef)>,
+    pub closed: Vec<Closedness>,
 }
 
 #[derive(Clone, Debug)]
 pub enum Form {
     Scalar(Scalar),
-    /// All of these; none: anything.
-    Demands(Vec<Demand>),
-    Any(Vec<(bool, V)>),
+    /// All constraints that a value has to meet. Without any, every value is allowed (top).
+    Constraints(Vec<Constraint>),
+    Disjunction(Vec<(bool, ValueRef)>),
     Record(Record),
-    List(Vec<V>, Option<V>),
-    /// Already told as a problem; nothing more is said about it.
-    Bad,
+    List(Vec<ValueRef>, Option<ValueRef>),
+    /// No value. The problem has been reported already, and causes no further ones.
+    Bottom,
 }
 
 #[derive(Clone, Debug)]
 pub struct Value {
     pub form: Form,
-    pub at: Span,
+    pub span: Span,
 }
 
-pub type V = Rc<Value>;
+pub type ValueRef = Rc<Value>;
 
-pub fn value(form: Form, at: Span) -> V {
-    Rc::new(Value { form, at })
+pub fn value(form: Form, span: Span) -> ValueRef {
+    Rc::new(Value { form, span })
 }
 
 impl Scalar {
@@ -126,8 +126,8 @@
 impl fmt::Display for Scalar {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let units = |f: &mut fmt::Formatter, of: i64, units: &[(i64, &str)]| {
-            let fits = units.iter().find(|(factor, _)| of != 0 && of % factor == 0);
-            let (factor, unit) = fits.unwrap_or(&units[units.len() - 1]);
+            let check_field = units.iter().find(|(factor, _)| of != 0 && of % factor == 0);
+            let (factor, unit) = check_field.unwrap_or(&units[units.len() - 1]);
             write!(f, "{}{unit}", of / factor)
         };
         match self {
@@ -175,13 +175,13 @@
         })
     }
 
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Kind::Null => "null",
             Kind::Bool => "true or false",
-            Kind::Int => "a whole number",
+            Kind::Int => "an integer",
             Kind::Number => "a number",
-            Kind::Text => "a text in quotes",
+            Kind::Text => "a string in quotes",
             Kind::Duration => "a duration such as 30s",
             Kind::Size => "a size such as 16KiB",
             Kind::Record => "a record",
@@ -189,59 +189,61 @@
         }
     }
 
-    fn takes(self, other: Kind) -> bool {
+    fn accepts(self, other: Kind) -> bool {
         self == other || self == Kind::Number && other == Kind::Int
     }
 }
 
-impl Demand {
+impl Constraint {
     fn kind(&self) -> Option<Kind> {
-        match &self.must {
-            Must::Be(kind) => Some(*kind),
-            // A bound that is a whole number may bound any number.
-            Must::Compare(_, Scalar::Int(_) | Scalar::Float(_)) => Some(Kind::Number),
-            Must::Compare(Compare::Differs, _) => None,
-            Must::Compare(_, bound) => Some(bound.kind()),
-            Must::Match(..) => Some(Kind::Text),
+        match &self.condition {
+            Condition::OfKind(kind) => Some(*kind),
+            // An integer may be the bound of any number.
+            Condition::Bound(_, Scalar::Int(_) | Scalar::Float(_)) => Some(Kind::Number),
+            Condition::Bound(BoundOp::NotEqual, _) => None,
+            Condition::Bound(_, bound) => Some(bound.kind()),
+            Condition::Match(..) => Some(Kind::Text),
         }
     }
 
-    fn holds(&self, of: &Scalar) -> bool {
+    fn is_met_by(&self, scalar: &Scalar) -> bool {
         use std::cmp::Ordering::{Equal, Greater, Less};
-        match &self.must {
-            Must::Be(kind) => kind.takes(of.kind()),
-            Must::Match(pattern, wanted) => {
-                matches!(of, Scalar::Text(text) if pattern.is_match(text) == *wanted)
+        match &self.condition {
+            Condition::OfKind(kind) => kind.accepts(scalar.kind()),
+            Condition::Match(pattern, expected) => {
+                matches!(scalar, Scalar::Text(text) if pattern.is_match(text) == *expected)
             }
-            Must::Compare(compare, bound) => match (compare, of.order(bound)) {
-                (Compare::Differs, order) => order != Some(Equal),
-                (Compare::AtLeast, order) => matches!(order, Some(Greater | Equal)),
-                (Compare::AtMost, order) => matches!(order, Some(Less | Equal)),
-                (Compare::Above, order) => order == Some(Greater),
-                (Compare::Below, order) => order == Some(Less),
+            Condition::Bound(op, bound) => match (op, scalar.order(bound)) {
+                (BoundOp::NotEqual, order) => order != Some(Equal),
+                (BoundOp::AtLeast, order) => matches!(order, Some(Greater | Equal)),
+                (BoundOp::AtMost, order) => matches!(order, Some(Less | Equal)),
+                (BoundOp::Above, order) => order == Some(Greater),
+                (BoundOp::Below, order) => order == Some(Less),
                 _ => false,
             },
         }
     }
 }
 
-impl fmt::Display for Demand {
+impl fmt::Display for Constraint {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match &self.must {
-            Must::Be(kind) => f.write_str(kind.words()),
-            Must::Match(pattern, true) => write!(f, "a text that matches {:?}", pattern.as_str()),
-            Must::Match(pattern, false) => {
-                write!(f, "a text that does not match {:?}", pattern.as_str())
+        match &self.condition {
+            Condition::OfKind(kind) => f.write_str(kind.description()),
+            Condition::Match(pattern, true) => {
+                write!(f, "a string that matches {:?}", pattern.as_str())
             }
-            Must::Compare(compare, bound) => {
-                let words = match compare {
-                    Compare::AtLeast => "at least",
-                    Compare::AtMost => "at most",
-                    Compare::Above => "above",
-                    Compare::Below => "below",
+            Condition::Match(pattern, false) => {
+                write!(f, "a string that does not match {:?}", pattern.as_str())
+            }
+            Condition::Bound(op, bound) => {
+                let description = match op {
+                    BoundOp::AtLeast => "at least",
+                    BoundOp::AtMost => "at most",
+                    BoundOp::Above => "above",
+                    BoundOp::Below => "below",
                     _ => "other than",
                 };
-                write!(f, "{words} {bound}")
+                write!(f, "{description} {bound}")
             }
         }
     }
@@ -250,110 +252,127 @@
 impl Value {
     pub fn kind(&self) -> Option<Kind> {
         match &self.form {
-            Form::Scalar(of) => Some(of.kind()),
-            Form::Demands(demands) => demands.iter().find_map(Demand::kind),
+            Form::Scalar(scalar) => Some(scalar.kind()),
+            Form::Constraints(constraints) => constraints.iter().find_map(Constraint::kind),
             Form::Record(_) => Some(Kind::Record),
             Form::List(..) => Some(Kind::List),
-            Form::Any(_) | Form::Bad => None,
+            Form::Disjunction(_) | Form::Bottom => None,
         }
     }
 
-    /// In words: what is wanted here.
-    pub fn wanted(&self) -> String {
+    /// Describes the values that are allowed, for messages.
+    pub fn expected(&self) -> String {
         match &self.form {
-            Form::Scalar(of) => of.to_string(),
-            Form::Demands(demands) if demands.is_empty() => "a value".into(),
-            Form::Demands(demands) => {
-                // The kind says itself where a bound of it is told.
-                let bounded = demands.len() > 1;
-                let told = demands.iter().filter(|of| {
+            Form::Scalar(scalar) => scalar.to_string(),
+            Form::Constraints(constraints) if constraints.is_empty() => "a value".into(),
+            Form::Constraints(constraints) => {
+                // A bound or pattern shows these kinds by itself.
+                let bounded = constraints.len() > 1;
+                let described = constraints.iter().filter(|of| {
                     !bounded
-                        || !matches!(of.must, Must::Be(Kind::Duration | Kind::Size | Kind::Text))
+                        || !matches!(
+                            of.condition,
+                            Condition::OfKind(Kind::Duration | Kind::Size | Kind::Text)
+                        )
                 });
-                told.map(Demand::to_string)
+                described
+                    .map(Constraint::to_string)
                     .collect::<Vec<_>>()
                     .join(" and ")
             }
-            Form::Any(any) => {
-                let some = any.iter().filter(|(_, one)| !matches!(one.form, Form::Bad));
-                some.map(|(_, one)| one.wanted())
+            Form::Disjunction(disjuncts) => {
+                let alternatives = disjuncts
+                    .iter()
+                    .filter(|(_, one)| !matches!(one.form, Form::Bottom));
+                alternatives
+                    .map(|(_, one)| one.expected())
                     .collect::<Vec<_>>()
                     .join(" or ")
             }
-            Form::Record(_) => Kind::Record.words().into(),
-            Form::List(..) => Kind::List.words().into(),
-            Form::Bad => "a value".into(),
+            Form::Record(_) => Kind::Record.description().into(),
+            Form::List(..) => Kind::List.description().into(),
+            Form::Bottom => "a value".into(),
         }
     }
 }
 
-/// So much work may a reading make: the steps of unification that a text of ten thousand lines takes, a hundredfold.
-const MOST_STEPS: usize = 4_000_000;
-/// The most ways that may be open for one value.
-const MOST_WAYS: usize = 64;
+/// The most steps of evaluation and unification for one text: a hundred times what a text of ten thousand lines takes.
+pub const MAX_STEPS: usize = 4_000_000;
+/// The most disjuncts of one value.
+const MAX_DISJUNCTS: usize = 64;
 
-/// Makes two values one. Counts its steps, so that no text takes long.
+/// Unifies values. It counts its steps, to bound the time that a text takes.
 #[derive(Default)]
 pub struct Unifier {
     steps: usize,
-    pub tired: bool,
+    pub out_of_steps: bool,
 }
 
 impl Unifier {
-    /// Counts one step; false once there were too many.
+    /// Counts one step. Returns false once there were more than [`MAX_STEPS`].
     pub fn step(&mut self) -> bool {
         self.steps += 1;
-        self.tired |= self.steps > MOST_STEPS;
-        !self.tired
+        self.out_of_steps |= self.steps > MAX_STEPS;
+        !self.out_of_steps
     }
 
-    pub fn unify(&mut self, a: &V, b: &V, problems: &mut Vec<Problem>) -> V {
+    pub fn unify(&mut self, a: &ValueRef, b: &ValueRef, problems: &mut Vec<Problem>) -> ValueRef {
         if Rc::ptr_eq(a, b) || !self.step() {
             return Rc::clone(a);
         }
         match (&a.form, &b.form) {
-            (Form::Bad, _) => Rc::clone(a),
-            (_, Form::Bad) => Rc::clone(b),
-            (Form::Any(any), _) => self.any(any, a, b, problems),
-            (_, Form::Any(any)) => self.any(any, b, a, problems),
-            (Form::Demands(demands), _) if demands.is_empty() => Rc::clone(b),
-            (_, Form::Demands(demands)) if demands.is_empty() => Rc::clone(a),
+            (Form::Bottom, _) => Rc::clone(a),
+            (_, Form::Bottom) => Rc::clone(b),
+            (Form::Disjunction(any), _) => self.unify_disjunction(any, a, b, problems),
+            (_, Form::Disjunction(any)) => self.unify_disjunction(any, b, a, problems),
+            (Form::Constraints(constraints), _) if constraints.is_empty() => Rc::clone(b),
+            (_, Form::Constraints(constraints)) if constraints.is_empty() => Rc::clone(a),
             (Form::Scalar(x), Form::Scalar(y)) => {
                 if x.order(y) == Some(std::cmp::Ordering::Equal) {
                     return Rc::clone(if x.kind() == Kind::Number { b } else { a });
                 }
-                let what = format!("this is {y}, and {x} elsewhere");
-                problems.push(Problem::new(b.at, what).beside(a.at, format!("{x} here")));
-                value(Form::Bad, b.at)
+                let message = format!("conflicting values {y} and {x}");
+                problems.push(Problem::new(b.span, message).related(a.span, format!("{x} here")));
+                value(Form::Bottom, b.span)
+            }
+            (Form::Scalar(scalar), Form::Constraints(constraints)) => {
+                self.check_scalar(scalar, a, constraints, problems)
+            }
+            (Form::Constraints(constraints), Form::Scalar(scalar)) => {
+                self.check_scalar(scalar, b, constraints, problems)
             }
-            (Form::Scalar(of), Form::Demands(demands)) => self.check(of, a, demands, problems),
-            (Form::Demands(demands), Form::Scalar(of)) => self.check(of, b, demands, problems),
-            (Form::Demands(x), Form::Demands(y)) => {
+            (Form::Constraints(x), Form::Constraints(y)) => {
                 let kinds = (a.kind(), b.kind());
                 if let (Some(x), Some(y)) = kinds {
-                    if !x.takes(y) && !y.takes(x) {
+                    if !x.accepts(y) && !y.accepts(x) {
                         return self.conflict(a, b, problems);
                     }
                 }
                 let mut all = x.clone();
                 all.extend(
                     y.iter()
-                        .filter(|of| !x.iter().any(|known| known.at == of.at))
+                        .filter(|of| !x.iter().any(|known| known.span == of.span))
                         .cloned(),
                 );
-                value(Form::Demands(all), a.at)
+                value(Form::Constraints(all), a.span)
             }
-            (Form::Record(x), Form::Record(y)) => self.records(x, y, a, b, problems),
+            (Form::Record(x), Form::Record(y)) => self.unify_records(x, y, a, b, problems),
             (Form::List(x, x_rest), Form::List(y, y_rest)) => {
                 let mut items = Vec::with_capacity(x.len().max(y.len()));
-                for at in 0..x.len().max(y.len()) {
-                    match (x.get(at).or(x_rest.as_ref()), y.get(at).or(y_rest.as_ref())) {
+                for index in 0..x.len().max(y.len()) {
+                    match (
+                        x.get(index).or(x_rest.as_ref()),
+                        y.get(index).or(y_rest.as_ref()),
+                    ) {
                         (Some(x), Some(y)) => items.push(self.unify(x, y, problems)),
                         _ => {
-                            let what =
-                                format!("a list of {}, and of {} elsewhere", y.len(), x.len());
-                            problems.push(Problem::new(b.at, what).beside(a.at, "the other"));
-                            return value(Form::Bad, b.at);
+                            let message =
+                                format!("conflicting list lengths {} and {}", y.len(), x.len());
+                            problems.push(
+                                Problem::new(b.span, message)
+                                    .related(a.span, "the other list is here"),
+                            );
+                            return value(Form::Bottom, b.span);
                         }
                     }
                 }
@@ -363,123 +382,166 @@
                 };
                 value(
                     Form::List(items, rest),
-                    if y_rest.is_none() { b.at } else { a.at },
+                    if y_rest.is_none() { b.span } else { a.span },
                 )
             }
             _ => self.conflict(a, b, problems),
         }
     }
 
-    /// Two of different kinds: the one that is said is wrong, by the other's wish.
-    fn conflict(&mut self, a: &V, b: &V, problems: &mut Vec<Problem>) -> V {
-        let said = |of: &V| !matches!(of.form, Form::Demands(_));
-        let (said, wished) = if said(a) && !said(b) { (a, b) } else { (b, a) };
-        let by = match &wished.form {
-            Form::Demands(demands) => demands.iter().find_map(|demand| demand.by.clone()),
-            Form::Record(record) => record.closed.first().map(|closed| Rc::clone(&closed.by)),
+    /// Reports two values of different kinds. The problem is at the value that is given, rather than at the constraint.
+    fn conflict(&mut self, a: &ValueRef, b: &ValueRef, problems: &mut Vec<Problem>) -> ValueRef {
+        let given = |of: &ValueRef| !matches!(of.form, Form::Constraints(_));
+        let (given, required) = if given(a) && !given(b) {
+            (a, b)
+        } else {
+            (b, a)
+        };
+        let definition = match &required.form {
+            Form::Constraints(constraints) => constraints
+                .iter()
+                .find_map(|constraint| constraint.definition.clone()),
+            Form::Record(record) => record
+                .closed
+                .first()
+                .map(|closed| Rc::clone(&closed.definition)),
             _ => None,
         };
-        let what = format!("{} is wanted, this is {}", wished.wanted(), said.wanted());
-        problems.push(Problem::new(said.at, what).beside(wished.at, asked_by(by.as_deref())));
-        value(Form::Bad, said.at)
+        let message = format!(
+            "expected {}, found {}",
+            required.expected(),
+            given.expected()
+        );
+        problems.push(
+            Problem::new(given.span, message)
+                .related(required.span, required_by(definition.as_deref())),
+        );
+        value(Form::Bottom, given.span)
     }
 
-    fn check(
+    fn check_scalar(
         &mut self,
-        of: &Scalar,
-        said: &V,
-        demands: &[Demand],
+        scalar: &Scalar,
+        given: &ValueRef,
+        constraints: &[Constraint],
         problems: &mut Vec<Problem>,
-    ) -> V {
-        // Of the wrong kind, it breaks every bound: that is said once.
-        let wrong = demands
-            .iter()
-            .find(|demand| matches!(demand.must, Must::Be(_)) && !demand.holds(of));
-        match wrong.or_else(|| demands.iter().find(|demand| !demand.holds(of))) {
-            None => Rc::clone(said),
-            Some(demand) => {
-                let what = format!("{demand} is wanted, this is {of}");
-                problems.push(
-                    Problem::new(said.at, what).beside(demand.at, asked_by(demand.by.as_deref())),
-                );
-                value(Form::Bad, said.at)
+    ) -> ValueRef {
+        // A value of the wrong kind violates every bound as well; only the kind is reported.
+        let violated = constraints.iter().find(|constraint| {
+            matches!(constraint.condition, Condition::OfKind(_)) && !constraint.is_met_by(scalar)
+        });
+        match violated.or_else(|| {
+            constraints
+                .iter()
+                .find(|constraint| !constraint.is_met_by(scalar))
+        }) {
+            None => Rc::clone(given),
+            Some(constraint) => {
+                let message = format!("expected {constraint}, found {scalar}");
+                problems.push(Problem::new(given.span, message).related(
+                    constraint.span,
+                    required_by(constraint.definition.as_deref()),
+                ));
+                value(Form::Bottom, given.span)
             }
         }
     }
 
-    /// One of several with another value: the ways that stay open. Where all that are marked fail, that is kept as
-    /// a marked way that is none: in another order of joining a later mark would else become the default.
-    fn any(&mut self, any: &[(bool, V)], whole: &V, other: &V, problems: &mut Vec<Problem>) -> V {
-        let marked = |ways: &[(bool, V)]| ways.iter().any(|(star, _)| *star);
-        let theirs = match &other.form {
-            Form::Any(ways) => ways.clone(),
+    /// Unifies a disjunction with another value; the disjuncts that unify remain. If all defaults fail, a default that
+    /// is bottom takes their place. Without it a default unified later would become the default, and the result would
+    /// depend on the order.
+    fn unify_disjunction(
+        &mut self,
+        any: &[(bool, ValueRef)],
+        disjunction: &ValueRef,
+        other: &ValueRef,
+        problems: &mut Vec<Problem>,
+    ) -> ValueRef {
+        let has_star = |disjuncts: &[(bool, ValueRef)]| disjuncts.iter().any(|(star, _)| *star);
+        let other_disjuncts = match &other.form {
+            Form::Disjunction(disjuncts) => disjuncts.clone(),
             _ => vec![(false, Rc::clone(other))],
         };
-        let (my_marks, their_marks) = (marked(any), marked(&theirs));
-        let mut open: Vec<(bool, V)> = Vec::new();
-        let mut failed: Vec<(V, Vec<Problem>)> = Vec::new();
-        let mut none = false;
+        let (has_default, other_has_default) = (has_star(any), has_star(&other_disjuncts));
+        let mut remaining: Vec<(bool, ValueRef)> = Vec::new();
+        let mut failed: Vec<(ValueRef, Vec<Problem>)> = Vec::new();
+        let mut has_bottom = false;
         for (star, mine) in any {
-            for (their_star, their) in &theirs {
+            for (their_star, their) in &other_disjuncts {
                 let mut tried = Vec::new();
                 let one = self.unify(mine, their, &mut tried);
-                if matches!(one.form, Form::Bad) && tried.is_empty() {
-                    none = true;
+                if matches!(one.form, Form::Bottom) && tried.is_empty() {
+                    has_bottom = true;
                 } else if !tried.is_empty() {
                     failed.push((Rc::clone(mine), tried));
-                } else if open.len() >= MOST_WAYS {
-                    let what = format!("more than {MOST_WAYS} ways are open here");
-                    problems.push(Problem::new(other.at, what));
-                    return value(Form::Bad, other.at);
+                } else if remaining.len() >= MAX_DISJUNCTS {
+                    let message = format!("more than {MAX_DISJUNCTS} disjuncts remain here");
+                    problems.push(Problem::new(other.span, message));
+                    return value(Form::Bottom, other.span);
                 } else {
-                    let star = (*star || !my_marks) && (*their_star || !their_marks);
-                    open.push((star && (my_marks || their_marks), one));
+                    let star = (*star || !has_default) && (*their_star || !other_has_default);
+                    remaining.push((star && (has_default || other_has_default), one));
                 }
             }
         }
-        if let (Form::Scalar(_), false) = (&other.form, open.is_empty()) {
-            // What is said is said, also where it is what it would be by default.
+        if let (Form::Scalar(_), false) = (&other.form, remaining.is_empty()) {
+            // A given scalar keeps its own span, also where it equals the default.
             return Rc::clone(other);
         }
-        let spent = (my_marks || their_marks) && !open.iter().any(|(star, _)| *star);
-        match open.len() {
-            0 if none && failed.is_empty() => value(Form::Bad, other.at),
+        let defaults_failed =
+            (has_default || other_has_default) && !remaining.iter().any(|(star, _)| *star);
+        match remaining.len() {
+            0 if has_bottom && failed.is_empty() => value(Form::Bottom, other.span),
             0 => {
-                // A default is one of what may be there: the other way says what that is.
+                // `*default | constraint`: the problems of the constraint say what is allowed.
                 if any.len() == 2
                     && any.iter().filter(|(star, _)| *star).count() == 1
-                    && theirs.len() == 1
+                    && other_disjuncts.len() == 1
                 {
-                    let beside = usize::from(any[0].0).min(failed.len() - 1);
-                    problems.append(&mut failed[beside].1);
-                    return value(Form::Bad, other.at);
+                    let constraint_index = usize::from(any[0].0).min(failed.len() - 1);
+                    problems.append(&mut failed[constraint_index].1);
+                    return value(Form::Bottom, other.span);
                 }
-                // The way of the same kind says more than all of them together.
-                let alike = failed.iter().position(|(mine, _)| {
+                // The problems of a record or list of the same kind are more precise than a list of all disjuncts.
+                let same_kind = failed.iter().position(|(mine, _)| {
                     matches!(mine.form, Form::Record(_) | Form::List(..))
                         && mine.kind() == other.kind()
                 });
-                match alike {
-                    Some(at) => problems.append(&mut failed[at].1),
+                match same_kind {
+                    Some(index) => problems.append(&mut failed[index].1),
                     None => {
-                        let what =
-                            format!("{} is wanted, this is {}", whole.wanted(), other.wanted());
+                        let message = format!(
+                            "expected {}, found {}",
+                            disjunction.expected(),
+                            other.expected()
+                        );
                         problems.push(
-                            Problem::new(other.at, what).beside(whole.at, "these are the choices"),
+                            Problem::new(other.span, message)
+                                .related(disjunction.span, "the disjunction is here"),
                         );
                     }
                 }
-                value(Form::Bad, other.at)
+                value(Form::Bottom, other.span)
+            }
+            1 if !defaults_failed || !matches!(remaining[0].1.form, Form::Constraints(_)) => {
+                remaining.swap_remove(0).1
             }
-            1 if !spent || !matches!(open[0].1.form, Form::Demands(_)) => open.swap_remove(0).1,
             _ => {
-                open.extend(spent.then(|| (true, value(Form::Bad, whole.at))));
-                value(Form::Any(open), whole.at)
+                remaining
+                    .extend(defaults_failed.then(|| (true, value(Form::Bottom, disjunction.span))));
+                value(Form::Disjunction(remaining), disjunction.span)
             }
         }
     }
 
-    fn records(&mut self, x: &Record, y: &Record, a: &V, b: &V, problems: &mut Vec<Problem>) -> V {
+    fn unify_records(
+        &mut self,
+        x: &Record,
+        y: &Record,
+        a: &ValueRef,
+        b: &ValueRef,
+        problems: &mut Vec<Problem>,
+    ) -> ValueRef {
         let mut all = Record::default();
         all.closed.extend(x.closed.iter().chain(&y.closed).cloned());
         all.patterns
@@ -491,35 +553,35 @@
                 .filter(|label| !x.fields.contains_key(*label)),
         );
         for label in labels {
-            let slot = match (x.fields.get(label), y.fields.get(label)) {
-                (Some(mine), Some(their)) => Slot {
+            let field = match (x.fields.get(label), y.fields.get(label)) {
+                (Some(mine), Some(their)) => FieldValue {
                     value: self.unify(&mine.value, &their.value, problems),
                     optional: mine.optional && their.optional,
-                    at: their.at,
+                    span: their.span,
                 },
-                (Some(slot), None) => self.fits(label, slot, y, problems),
-                (None, Some(slot)) => self.fits(label, slot, x, problems),
+                (Some(field), None) => self.check_field(label, field, y, problems),
+                (None, Some(field)) => self.check_field(label, field, x, problems),
                 (None, None) => continue,
             };
-            all.fields.insert(label.clone(), slot);
+            all.fields.insert(label.clone(), field);
         }
-        let said = if x.closed.is_empty() && !y.closed.is_empty() {
-            a.at
+        let given = if x.closed.is_empty() && !y.closed.is_empty() {
+            a.span
         } else {
-            b.at
+            b.span
         };
-        value(Form::Record(all), said)
+        value(Form::Record(all), given)
     }
 
-    /// A field that only one of two records has, as the other's patterns and closedness have it.
-    fn fits(
+    /// Checks a field that only one of two records has against the other's closedness and pattern constraints.
+    fn check_field(
         &mut self,
         label: &str,
-        slot: &Slot,
+        field: &FieldValue,
         other: &Record,
         problems: &mut Vec<Problem>,
-    ) -> Slot {
-        let mut slot = slot.clone();
+    ) -> FieldValue {
+        let mut field = field.clone();
         let unknown = other.closed.iter().find(|closed| {
             !closed.labels.iter().any(|known| known == label)
                 && !closed
@@ -527,37 +589,41 @@
                     .iter()
                     .any(|pattern| pattern.is_match(label))
         });
-        if let (Some(closed), false) = (unknown, slot.optional) {
-            let near = closed.labels.iter().find(|known| alike(known, label));
-            let what = match near {
+        if let (Some(closed), false) = (unknown, field.optional) {
+            let near = closed
+                .labels
+                .iter()
+                .find(|known| is_near_miss(known, label));
+            let message = match near {
                 Some(near) => format!(
-                    "{} has no field '{label}'; '{near}' may be meant",
-                    closed.by
+                    "{} has no field '{label}'; did you mean '{near}'?",
+                    closed.definition
                 ),
-                None => format!("{} has no field '{label}'", closed.by),
+                None => format!("{} has no field '{label}'", closed.definition),
             };
             problems.push(
-                Problem::new(slot.at, what)
-                    .beside(closed.at, "this definition names all its fields"),
+                Problem::new(field.span, message).related(closed.span, "the definition is closed"),
             );
-            slot.value = value(Form::Bad, slot.at);
-            return slot;
+            field.value = value(Form::Bottom, field.span);
+            return field;
         }
-        for (pattern, wish) in &other.patterns {
+        for (pattern, constraint_value) in &other.patterns {
             if pattern.is_match(label) {
-                slot.value = self.unify(wish, &slot.value, problems);
+                field.value = self.unify(constraint_value, &field.value, problems);
             }
         }
-        slot
+        field
     }
 }
 
-pub fn asked_by(by: Option<&str>) -> String {
-    by.map_or("asked for here".into(), |by| format!("asked for by {by}"))
+pub fn required_by(definition: Option<&str>) -> String {
+    definition.map_or("required here".into(), |definition| {
+        format!("required by {definition}")
+    })
 }
 
-/// Whether two names differ by one letter too many, too few or other, or by two that changed places.
-fn alike(a: &str, b: &str) -> bool {
+/// Whether two names differ by one letter added, removed or replaced, or by two adjacent letters swapped.
+fn is_near_miss(a: &str, b: &str) -> bool {
     let (long, short) = if a.len() >= b.len() { (a, b) } else { (b, a) };
     let (long, short): (Vec<char>, Vec<char>) = (long.chars().collect(), short.chars().collect());
     let same = long.iter().zip(&short).take_while(|(x, y)| x == y).count();
