--- a/history/src/check.rs
+++ b/history/src/check.rs
@@ -1,4 +1,4 @@
-//! The checker. It goes through the lines once and keeps what is still open.
+//! The checker of histories. It reads the lines once and keeps the state of lookups and proposals that are still open.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fmt;
@@ -8,43 +8,44 @@
 
 use crate::event::{Event, EventKind, ProposalOutcome, VisiblePolicy};
 
-/// What a history must keep.
+/// A rule that a history must meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Lines stand in order, and say things that go together.
+    /// Lines are in order of time, and events don't contradict each other.
     #[serde(rename = "sense")]
     WellFormed,
-    /// No lookup that was asked after another had been answered under a version is decided under an earlier one: the
-    /// policy is a register whose versions only grow.
+    /// A lookup that was sent after an answer under a version was received is not decided under an earlier version: the
+    /// policy is a register whose versions only increase.
     NoEarlierVersion,
-    /// A version that is seen was proposed before.
+    /// A version that is observed was proposed before.
     OnlyProposed,
-    /// What an operator was told to be in force is so for whoever asks afterwards.
+    /// A policy that was reported to the operator as in force applies to each lookup sent afterwards.
     InForceMeansAll,
-    /// What was refused or withdrawn is never seen.
+    /// A refused or withdrawn policy is never observed.
     #[serde(rename = "nowhere-means-never")]
     RejectedNeverSeen,
-    /// Each lookup has one final answer; none only where its router was ended, or nobody had taken it.
+    /// Each lookup has one final answer. It may have none only if its router was ended or paused, or if no router
+    /// accepted it.
     OneAnswer,
-    /// A router that is asked never names an earlier version than it did.
+    /// A router never reports an earlier version than it reported before.
     #[serde(rename = "never-back")]
     ReportsNeverDecrease,
-    /// A part is called at most as often as the policy of its lookup says.
+    /// A part is called at most as often as the policy of its lookup allows.
     #[serde(rename = "calls")]
     CallLimit,
-    /// A drained node begins nothing of lookups that were asked under the drain.
+    /// A drained node starts no part of a lookup that was sent while the drain was in force.
     #[serde(rename = "drains")]
     DrainedNodesIdle,
-    /// A permit exists once, and a machine has one at a time.
+    /// A permit's number is used once, and a machine has one permit at a time.
     OnePermit,
-    /// No part is begun at a machine under a permit.
+    /// No part is started on a machine under a permit.
     #[serde(rename = "quiet")]
     NoWorkUnderPermit,
-    /// Permits leave each set of shards the holders that are stated.
+    /// Permits leave each set of shards the required number of holders.
     #[serde(rename = "holders")]
     EnoughHolders,
-    /// An answer rests on its least share, and is called whole only if it is.
+    /// An answer reaches its completeness threshold, and is marked complete only if it has all parts.
     #[serde(rename = "honest")]
     TruthfulCompleteness,
 }
@@ -60,17 +61,17 @@
     }
 }
 
-/// How much is kept, and how long work goes on where it was sent.
+/// Limits of the checker's memory, and times by which effects must be visible.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Lookups that are open at a time, or whose parts may still come.
+    /// The maximum number of lookups that are open at a time, or whose parts may still start.
     pub lookups: usize,
-    /// Versions and proposals in all.
+    /// The maximum number of versions, of proposals, and of permits in a history.
     pub versions: usize,
-    /// Parts of a lookup may still begin for so long after its answer, in microseconds.
-    pub settles: u64,
-    /// From when on a drain that is known to be in force counts, in microseconds.
-    pub drains_within: u64,
+    /// How long after its answer parts of a lookup may still start, in microseconds.
+    pub settle_us: u64,
+    /// How long after a drain is known to be in force it is enforced, in microseconds.
+    pub drain_delay_us: u64,
 }
 
 impl Default for Bounds {
@@ -78,24 +79,24 @@
         Bounds {
             lookups: 200_000,
             versions: 100_000,
-            settles: 10_000_000,
-            drains_within: 500_000,
+            settle_us: 10_000_000,
+            drain_delay_us: 500_000,
         }
     }
 }
 
-/// What was read.
+/// Counts of the events in a history.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     pub events: u64,
     pub lookups: u64,
     pub answered: u64,
-    /// With a version: a read of the register.
+    /// Answers with a version. Each is a read of the register.
     pub decided: u64,
     pub unguarded: u64,
-    /// Nobody had taken them.
+    /// Lookups that no router accepted.
     pub refused: u64,
-    /// Taken, and lost with their router.
+    /// Lookups that a router accepted and that were lost when it ended or was paused.
     pub lost: u64,
     pub proposals: u64,
     pub in_force: u64,
@@ -113,7 +114,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BrokenRule {
     pub rule: Rule,
-    /// The line, from 1.
+    /// The number of the line, from 1.
     pub line: u64,
     #[serde(rename = "words")]
     pub message: String,
@@ -124,7 +125,7 @@
 pub enum Verdict {
     Accepted(Counts),
     Rejected(BrokenRule),
-    /// The bounds were too small, or the history could not be read to its end: neither good nor bad.
+    /// The history exceeds the bounds, or could not be read to its end.
     #[serde(rename = "unreached")]
     Inconclusive(String),
 }
@@ -133,12 +134,12 @@
     router: String,
     index: String,
     asked: u64,
-    /// The highest version that was surely in force before it was asked.
+    /// The highest version that was known to be in force before the lookup was sent.
     floor: u64,
-    /// How often its router had been ended or stopped when it was asked.
-    ends: u64,
+    /// How often its router had been ended or paused when the lookup was sent.
+    interruptions: u64,
     version: Option<u64>,
-    /// Calls by shard, and drained nodes that began something of it.
+    /// The number of calls, by shard.
     calls: HashMap<u64, u64>,
     drained: bool,
     done: bool,
@@ -151,28 +152,28 @@
     now: u64,
     counts: Counts,
     open: HashMap<String, OpenLookup>,
-    /// Answered, in order: their parts may still come for a while.
+    /// Closed lookups with the time of closing, in order of time. Their parts may still start until `settle_us` has passed.
     closing: VecDeque<(u64, String)>,
-    /// The highest version that is surely in force, seen or told.
-    surely: u64,
-    /// Proposals begun, by the operator's own name for them; those that were settled as open may still be numbered.
-    begun: BTreeMap<String, VisiblePolicy>,
-    /// What nodes can see, by version, where its number is known.
-    seen: BTreeMap<u64, VisiblePolicy>,
-    /// Proposals whose number nobody knows.
+    /// The highest version that is known to be in force, from an answer or an operator's command.
+    known_version: u64,
+    /// Proposals without an outcome, by the operator's name for them.
+    pending_proposals: BTreeMap<String, VisiblePolicy>,
+    /// The visible part of each policy whose version number is known.
+    policies: BTreeMap<u64, VisiblePolicy>,
+    /// Proposals with an unknown outcome and an unknown number.
     unnumbered: Vec<VisiblePolicy>,
     platform: VisiblePolicy,
     nowhere: BTreeSet<u64>,
-    shown: BTreeMap<u64, u64>,
-    says: BTreeMap<String, u64>,
-    ends: BTreeMap<String, u64>,
-    /// Routers that are ended or stand still just now.
-    standing: BTreeSet<String>,
-    /// Drains that are surely in force, since when, and by which version.
+    observed: BTreeMap<u64, u64>,
+    reported: BTreeMap<String, u64>,
+    interruptions: BTreeMap<String, u64>,
+    /// Routers that are ended or paused at the moment.
+    unavailable: BTreeSet<String>,
+    /// Drains that are known to be in force, by node, with the time since when.
     drains: BTreeMap<String, u64>,
     holders: Vec<Vec<String>>,
     keeps: usize,
-    /// Machines under a permit, and the numbers of all permits there were.
+    /// The current permits by machine. `permits_seen` has the numbers of all permits of the history.
     permits: BTreeMap<String, u64>,
     permits_seen: BTreeSet<u64>,
 }
@@ -184,17 +185,17 @@
     Inconclusive(String),
 }
 
-fn broken(rule: Rule, words: impl Into<String>) -> Checked {
-    Err(Stop::Broken(rule, words.into()))
+fn broken(rule: Rule, message: impl Into<String>) -> Checked {
+    Err(Stop::Broken(rule, message.into()))
 }
 
 impl State {
-    fn take(&mut self, event: Event) -> Checked {
+    fn apply(&mut self, event: Event) -> Checked {
         if event.at < self.now {
             return broken(
                 Rule::WellFormed,
                 format!(
-                    "it is earlier than the line before, by {} us",
+                    "the event is {} us earlier than the line before",
                     self.now - event.at
                 ),
             );
@@ -204,7 +205,7 @@
         while self
             .closing
             .front()
-            .is_some_and(|(at, _)| at + self.bounds.settles < self.now)
+            .is_some_and(|(at, _)| at + self.bounds.settle_us < self.now)
         {
             if let Some((_, lookup)) = self.closing.pop_front() {
                 self.close(&lookup)?;
@@ -212,11 +213,11 @@
         }
         match event.kind {
             EventKind::Begins {
-                seen,
+                seen: policy,
                 holders,
                 keeps,
             } => {
-                (self.platform, self.holders, self.keeps) = (seen, holders, keeps);
+                (self.platform, self.holders, self.keeps) = (policy, holders, keeps);
                 Ok(())
             }
             EventKind::Permitted {
@@ -228,7 +229,7 @@
                 Some(known) if known == permit => Ok(()),
                 _ => broken(
                     Rule::WellFormed,
-                    format!("permit {permit} for {machine} is given back and was not had"),
+                    format!("permit {permit} for {machine} is returned, but the machine does not have it"),
                 ),
             },
             EventKind::Asked {
@@ -238,15 +239,18 @@
             } => self.asked(lookup, router, index),
             EventKind::Answered { .. } => self.answered(event.kind),
             EventKind::Unanswered { lookup, refused } => self.unanswered(&lookup, refused),
-            EventKind::Proposed { op, seen } => {
+            EventKind::Proposed { op, seen: policy } => {
                 self.counts.proposals += 1;
                 if self.counts.proposals as usize > self.bounds.versions {
                     return Err(Stop::Inconclusive(
-                        "there are more proposals than are kept".into(),
+                        format!(
+                        "the history has more than {} proposals",
+                        self.bounds.versions
+                    ),
                     ));
                 }
-                self.stop_drains(&seen);
-                match self.begun.insert(op.clone(), seen) {
+                self.stop_drains(&policy);
+                match self.pending_proposals.insert(op.clone(), policy) {
                     Some(_) => broken(Rule::WellFormed, format!("proposal {op} begins twice")),
                     None => Ok(()),
                 }
@@ -259,29 +263,29 @@
             } => self.part(&node, &lookup, shard),
             EventKind::VersionReported {
                 router, version, ..
-            } => self.says(router, version),
+            } => self.version_reported(router, version),
             EventKind::Fault { kind, .. } => {
                 *self.counts.faults.entry(kind).or_default() += 1;
                 Ok(())
             }
             EventKind::Ended { router } => {
                 self.counts.ended += 1;
-                self.standing.insert(router.clone());
-                *self.ends.entry(router).or_default() += 1;
+                self.unavailable.insert(router.clone());
+                *self.interruptions.entry(router).or_default() += 1;
                 Ok(())
             }
-            // One that stands still answers nobody until its clients have left.
+            // A paused router sends no answers; its clients may disconnect before it is resumed.
             EventKind::Paused { router } => {
-                self.standing.insert(router.clone());
-                *self.ends.entry(router).or_default() += 1;
+                self.unavailable.insert(router.clone());
+                *self.interruptions.entry(router).or_default() += 1;
                 Ok(())
             }
             EventKind::Resumed { router } => {
-                self.standing.remove(&router);
+                self.unavailable.remove(&router);
                 Ok(())
             }
             EventKind::Started { router } => {
-                self.standing.remove(&router);
+                self.unavailable.remove(&router);
                 Ok(())
             }
         }
@@ -290,20 +294,21 @@
     fn permitted(&mut self, machine: String, permit: u64, by: &str) -> Checked {
         self.counts.permits += 1;
         if self.permits_seen.len() >= self.bounds.versions {
-            return Err(Stop::Inconclusive(
-                "there are more permits than are kept".into(),
-            ));
+            return Err(Stop::Inconclusive(format!(
+                "the history has more than {} permits",
+                self.bounds.versions
+            )));
         }
         if !self.permits_seen.insert(permit) {
             return broken(
                 Rule::OnePermit,
-                format!("{by} has permit {permit}, which there was before"),
+                format!("{by} got permit {permit}, whose number was used before"),
             );
         }
         if let Some(other) = self.permits.insert(machine.clone(), permit) {
             return broken(
                 Rule::OnePermit,
-                format!("{machine} has permit {permit} beside {other}"),
+                format!("{machine} got permit {permit} while it has permit {other}"),
             );
         }
         for holders in self
@@ -316,11 +321,11 @@
                 .filter(|holder| !self.permits.contains_key(*holder))
                 .count();
             if left < self.keeps {
-                let words = format!(
-                    "permit {permit} for {machine} leaves {left} of its set, {} are kept",
+                let message = format!(
+                    "permit {permit} for {machine} leaves {left} holders of its set, the minimum is {}",
                     self.keeps
                 );
-                return broken(Rule::EnoughHolders, words);
+                return broken(Rule::EnoughHolders, message);
             }
         }
         Ok(())
@@ -329,25 +334,26 @@
     fn asked(&mut self, lookup: String, router: String, index: String) -> Checked {
         self.counts.lookups += 1;
         if self.open.len() >= self.bounds.lookups {
-            return Err(Stop::Inconclusive(
-                "more lookups are open at a time than are kept".into(),
-            ));
+            return Err(Stop::Inconclusive(format!(
+                "more than {} lookups are open at a time",
+                self.bounds.lookups
+            )));
         }
-        let ends = self.ends.get(&router).copied().unwrap_or(0);
-        let (asked, floor) = (self.now, self.surely);
+        let interruptions = self.interruptions.get(&router).copied().unwrap_or(0);
+        let (asked, floor) = (self.now, self.known_version);
         let open = OpenLookup {
             router,
             index,
             asked,
             floor,
-            ends,
+            interruptions,
             version: None,
             calls: HashMap::new(),
             drained: false,
             done: false,
         };
         match self.open.insert(lookup.clone(), open) {
-            Some(_) => broken(Rule::WellFormed, format!("lookup {lookup} is asked twice")),
+            Some(_) => broken(Rule::WellFormed, format!("lookup {lookup} was sent twice")),
             None => Ok(()),
         }
     }
@@ -372,7 +378,7 @@
         let Some(open) = self.open.get_mut(&lookup) else {
             return broken(
                 Rule::OneAnswer,
-                format!("lookup {lookup} has an answer and is not open"),
+                format!("lookup {lookup} has an answer, but is not open"),
             );
         };
         if std::mem::replace(&mut open.done, true) {
@@ -386,14 +392,14 @@
             if whole && parts < of {
                 return broken(
                     Rule::TruthfulCompleteness,
-                    format!("lookup {lookup} is called whole with {parts} of {of} parts"),
+                    format!("the answer of lookup {lookup} is marked complete with {parts} of {of} parts"),
                 );
             }
             if of > 0 && (parts as f64 / of as f64) + 1e-9 < least {
-                let words = format!(
-                    "lookup {lookup} is answered with {parts} of {of} parts, its least share is {least}"
+                let message = format!(
+                    "the answer of lookup {lookup} has {parts} of {of} parts, its completeness threshold is {least}"
                 );
-                return broken(Rule::TruthfulCompleteness, words);
+                return broken(Rule::TruthfulCompleteness, message);
             }
         }
         let Some(version) = version else {
@@ -406,60 +412,63 @@
         open.version = Some(version);
         let (floor, asked, router) = (open.floor, open.asked, open.router.clone());
         self.counts.decided += 1;
-        self.show(version, &format!("lookup {lookup}"))?;
+        self.observe_version(version, &format!("lookup {lookup}"))?;
         if version < floor {
-            let words =
-                format!("lookup {lookup}, asked at {asked} us of {router}, was decided under {version}, {floor} was in force");
-            return broken(Rule::NoEarlierVersion, words);
+            let message =
+                format!("lookup {lookup}, sent to {router} at {asked} us, was decided under version {version}, but {floor} was in force");
+            return broken(Rule::NoEarlierVersion, message);
         }
-        self.surely_in_force(version);
+        self.set_known_version(version);
         Ok(())
     }
 
-    /// A version was seen: it has been proposed, and is not one that is nowhere.
-    fn show(&mut self, version: u64, by: &str) -> Checked {
+    /// Records that a version was observed, and checks that it was proposed and was neither refused nor withdrawn.
+    fn observe_version(&mut self, version: u64, by: &str) -> Checked {
         if version > self.counts.proposals {
-            let words = format!(
-                "{by} shows version {version}, {} were proposed by then",
+            let message = format!(
+                "{by} shows version {version}, but only {} were proposed before",
                 self.counts.proposals
             );
-            return broken(Rule::OnlyProposed, words);
+            return broken(Rule::OnlyProposed, message);
         }
         if self.nowhere.contains(&version) {
             return broken(
                 Rule::RejectedNeverSeen,
-                format!("{by} shows version {version}, which is nowhere"),
+                format!("{by} shows version {version}, which was refused or withdrawn"),
             );
         }
-        if self.shown.len() >= self.bounds.versions {
-            return Err(Stop::Inconclusive(
-                "there are more versions than are kept".into(),
-            ));
+        if self.observed.len() >= self.bounds.versions {
+            return Err(Stop::Inconclusive(format!(
+                "the history has more than {} versions",
+                self.bounds.versions
+            )));
         }
-        *self.shown.entry(version).or_default() += 1;
+        *self.observed.entry(version).or_default() += 1;
         Ok(())
     }
 
-    /// From now on whoever asks goes by this version or a later one.
-    fn surely_in_force(&mut self, version: u64) {
-        if version <= self.surely {
+    /// Lookups sent from now on must be decided under this version or a later one.
+    fn set_known_version(&mut self, version: u64) {
+        if version <= self.known_version {
             return;
         }
-        self.surely = version;
+        self.known_version = version;
         self.start_drains();
     }
 
-    /// Drains of the version that is surely in force count, unless a proposal that nobody has settled may have lifted
-    /// them already.
+    /// Enforces the drains of the version that is known to be in force, except those that a proposal with an unknown
+    /// outcome may have lifted already.
     fn start_drains(&mut self) {
-        let Some(seen) = self.seen.get(&self.surely) else {
+        let Some(policy) = self.policies.get(&self.known_version) else {
             return self.drains.clear();
         };
         let lifted = |node: &String| {
-            let maybe = self.begun.values().chain(&self.unnumbered);
-            maybe.clone().any(|of| !of.drained.contains(node))
+            let undecided = self.pending_proposals.values().chain(&self.unnumbered);
+            undecided
+                .clone()
+                .any(|policy| !policy.drained.contains(node))
         };
-        let drained: Vec<String> = seen
+        let drained: Vec<String> = policy
             .drained
             .iter()
             .filter(|node| !lifted(node))
@@ -474,24 +483,24 @@
         self.drains = drains;
     }
 
-    /// A proposal under which a node is not drained may be in force from now on.
-    fn stop_drains(&mut self, seen: &VisiblePolicy) {
-        self.drains.retain(|node, _| seen.drained.contains(node));
+    /// Stops to enforce the drains that a new proposal lifts, as it may be in force from now on.
+    fn stop_drains(&mut self, policy: &VisiblePolicy) {
+        self.drains.retain(|node, _| policy.drained.contains(node));
     }
 
     fn settled(&mut self, op: &str, outcome: ProposalOutcome) -> Checked {
-        let Some(seen) = self.begun.remove(op) else {
+        let Some(policy) = self.pending_proposals.remove(op) else {
             return broken(
                 Rule::WellFormed,
-                format!("proposal {op} is settled and was never begun"),
+                format!("proposal {op} has an outcome, but did not begin"),
             );
         };
         let nowhere = |state: &mut State, number: u64| {
             state.counts.nowhere += 1;
-            if state.shown.contains_key(&number) {
+            if state.observed.contains_key(&number) {
                 return broken(
                     Rule::RejectedNeverSeen,
-                    format!("proposal {number} is nowhere and was seen"),
+                    format!("proposal {number} was refused or withdrawn, but its version was observed before"),
                 );
             }
             state.nowhere.insert(number);
@@ -503,14 +512,14 @@
                 if self.nowhere.contains(&number) {
                     return broken(
                         Rule::RejectedNeverSeen,
-                        format!("version {number} is in force, and was nowhere"),
+                        format!("version {number} is reported in force, but was refused or withdrawn before"),
                     );
                 }
-                self.seen.insert(number, seen);
-                // A later one may have come since it was in force; it was in force at some time before this.
-                if number > self.surely {
-                    self.surely_in_force(number);
-                } else if number == self.surely {
+                self.policies.insert(number, policy);
+                // The version was in force at some time before this event; a later one may have replaced it since.
+                if number > self.known_version {
+                    self.set_known_version(number);
+                } else if number == self.known_version {
                     self.start_drains();
                 }
                 Ok(())
@@ -526,9 +535,9 @@
                 self.counts.open += 1;
                 match number {
                     Some(number) => {
-                        self.seen.insert(number, seen);
+                        self.policies.insert(number, policy);
                     }
-                    None => self.unnumbered.push(seen),
+                    None => self.unnumbered.push(policy),
                 }
                 Ok(())
             }
@@ -539,20 +548,20 @@
         let Some(open) = self.open.get(lookup) else {
             return broken(
                 Rule::OneAnswer,
-                format!("lookup {lookup} stays open and was never asked"),
+                format!("lookup {lookup} has no answer, but was never sent"),
             );
         };
-        let ends = self.ends.get(&open.router).copied().unwrap_or(0);
+        let interruptions = self.interruptions.get(&open.router).copied().unwrap_or(0);
         if refused {
             self.counts.refused += 1;
-        } else if ends > open.ends || self.standing.contains(&open.router) {
+        } else if interruptions > open.interruptions || self.unavailable.contains(&open.router) {
             self.counts.lost += 1;
         } else {
-            let words = format!(
-                "lookup {lookup} has no answer, and {} was not ended under it",
+            let message = format!(
+                "lookup {lookup} has no answer, but {} was neither ended nor paused meanwhile",
                 open.router
             );
-            return broken(Rule::OneAnswer, words);
+            return broken(Rule::OneAnswer, message);
         }
         if self
             .open
@@ -561,7 +570,9 @@
         {
             return broken(
                 Rule::OneAnswer,
-                format!("lookup {lookup} stays open and has an answer"),
+                format!(
+                    "the client of lookup {lookup} reports no answer after the lookup was closed"
+                ),
             );
         }
         self.closing.push_back((self.now, lookup.to_owned()));
@@ -573,65 +584,69 @@
         if let Some(permit) = self.permits.get(node) {
             return broken(
                 Rule::NoWorkUnderPermit,
-                format!("{node} begins a part of lookup {lookup} under permit {permit}"),
+                format!("{node} starts a part of lookup {lookup} under permit {permit}"),
             );
         }
         let drained = self.drains.get(node).copied();
-        let (within, now) = (self.bounds.drains_within, self.now);
-        // One that came so late that its lookup is no longer kept is judged by nothing.
+        let (delay, now) = (self.bounds.drain_delay_us, self.now);
+        // A part that starts after its lookup was dropped is not checked.
         let Some(open) = self.open.get_mut(lookup) else {
             return Ok(());
         };
         *open.calls.entry(shard).or_default() += 1;
-        let under = drained.filter(|since| open.asked > since + within && now > since + within);
-        if let Some(since) = under {
+        let enforced_since =
+            drained.filter(|since| open.asked > since + delay && now > since + delay);
+        if let Some(since) = enforced_since {
             open.drained = true;
-            let words = format!(
-                "node {node} begins a part of lookup {lookup}, asked {} ms after its drain was in force",
+            let message = format!(
+                "node {node} starts a part of lookup {lookup}, which was sent {} ms after the node's drain was in force",
                 (open.asked - since) / 1000
             );
-            return broken(Rule::DrainedNodesIdle, words);
+            return broken(Rule::DrainedNodesIdle, message);
         }
         Ok(())
     }
 
-    /// All of a lookup is known: its parts were called as often as its policy allows.
+    /// Drops a lookup, no part of which may start any more, and checks that its parts were called no more often than its
+    /// policy allows.
     fn close(&mut self, lookup: &str) -> Checked {
         let Some(open) = self.open.remove(lookup) else {
             return Ok(());
         };
-        let own = |seen: &VisiblePolicy| seen.calls.get(&open.index).copied();
-        let platform = own(&self.platform);
-        let cap = match open.version.and_then(|version| self.seen.get(&version)) {
-            Some(seen) => own(seen).or(platform),
-            // Version 0, or one whose text is not known: nothing stricter than the platform's is sure.
+        let max_calls_in = |policy: &VisiblePolicy| policy.calls.get(&open.index).copied();
+        let platform = max_calls_in(&self.platform);
+        let max_calls = match open.version.and_then(|version| self.policies.get(&version)) {
+            Some(policy) => max_calls_in(policy).or(platform),
+            // For version 0, or a version whose policy is unknown, only the platform's limit is certain.
             None => platform,
         };
-        let Some(cap) = cap else { return Ok(()) };
-        match open.calls.iter().find(|(_, calls)| **calls > cap) {
+        let Some(max_calls) = max_calls else {
+            return Ok(());
+        };
+        match open.calls.iter().find(|(_, calls)| **calls > max_calls) {
             Some((shard, calls)) => {
-                let under = open
+                let version = open
                     .version
                     .map_or("none".to_owned(), |version| version.to_string());
-                let words = format!(
-                    "part {shard} of lookup {lookup} was called {calls} times, version {under} allows {cap}"
+                let message = format!(
+                    "part {shard} of lookup {lookup} was called {calls} times, but version {version} allows {max_calls}"
                 );
-                broken(Rule::CallLimit, words)
+                broken(Rule::CallLimit, message)
             }
             None => Ok(()),
         }
     }
 
-    fn says(&mut self, router: String, version: Option<u64>) -> Checked {
+    fn version_reported(&mut self, router: String, version: Option<u64>) -> Checked {
         let Some(version) = version else {
             return Ok(());
         };
-        self.show(version, &router)?;
-        let known = self.says.entry(router.clone()).or_insert(version);
+        self.observe_version(version, &router)?;
+        let known = self.reported.entry(router.clone()).or_insert(version);
         if *known > version {
             return broken(
                 Rule::ReportsNeverDecrease,
-                format!("{router} says version {version}, and said {known} before"),
+                format!("{router} reports version {version}, but reported {known} before"),
             );
         }
         *known = version;
@@ -646,15 +661,15 @@
         if let Some(lookup) = self.open.keys().min() {
             return broken(
                 Rule::OneAnswer,
-                format!("lookup {lookup} has neither an answer nor an end"),
+                format!("lookup {lookup} has neither an answer nor an event that it is unanswered"),
             );
         }
-        self.counts.open += self.begun.len() as u64;
+        self.counts.open += self.pending_proposals.len() as u64;
         Ok(())
     }
 }
 
-/// Reads a history to its end and says what became of the rules; the first breach ends it.
+/// Reads a history and checks it against the rules. It stops at the first violation.
 pub fn check(lines: impl BufRead, bounds: Bounds) -> Verdict {
     let mut state = State {
         bounds,
@@ -666,7 +681,7 @@
             line,
             message,
         }),
-        Stop::Inconclusive(words) => Verdict::Inconclusive(format!("line {line}: {words}")),
+        Stop::Inconclusive(message) => Verdict::Inconclusive(format!("line {line}: {message}")),
     };
     for line in lines.lines() {
         state.line += 1;
@@ -675,9 +690,11 @@
             read.and_then(|line| serde_json::from_str(&line).map_err(|error| error.to_string()));
         let event: Event = match event {
             Ok(event) => event,
-            Err(words) => return Verdict::Inconclusive(format!("line {}: {words}", state.line)),
+            Err(message) => {
+                return Verdict::Inconclusive(format!("line {}: {message}", state.line))
+            }
         };
-        if let Err(stop) = state.take(event) {
+        if let Err(stop) = state.apply(event) {
             return verdict(state.line, stop);
         }
     }
--- a/history/src/event.rs
+++ b/history/src/event.rs
@@ -1,10 +1,11 @@
-//! Events: what clients, operators, nodes and whoever breaks things did and saw, each with a time of one monotonic clock.
+//! Events of a history: actions and observations of clients, operators, nodes and fault injection, each with a time of
+//! one monotonic clock.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// One line of a history. Times are microseconds from its beginning; lines stand in their order.
+/// One line of a history. `at` is in microseconds since the beginning of the history; lines are in order of time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
     pub at: u64,
@@ -12,12 +13,12 @@
     pub kind: EventKind,
 }
 
-/// What became of a proposal, as its operator was told.
+/// The outcome of a proposal, as the operator's command reported it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "came", content = "number")]
 pub enum ProposalOutcome {
     InForce(u64),
-    /// It is nowhere, and stays so.
+    /// The proposal is not in force anywhere, and never will be. The number is absent if it never had one.
     Refused(Option<u64>),
     Withdrawn(u64),
     /// The operator could not learn the outcome: the proposal may be in force already, or come in force later.
@@ -25,13 +26,13 @@
     Unknown(Option<u64>),
 }
 
-/// What a policy says that nodes can see.
+/// The part of a policy whose effect is visible at nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VisiblePolicy {
-    /// Calls for a part at most, by index.
+    /// The maximum number of calls for a part, by index.
     #[serde(default)]
     pub calls: BTreeMap<String, u64>,
-    /// Nodes that get no new work.
+    /// Drained nodes, which get no new parts.
     #[serde(default)]
     pub drained: Vec<String>,
 }
@@ -39,8 +40,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum EventKind {
-    /// What holds of the platform, before any policy. `holders`: which machines hold each set of shards, and how many of
-    /// them work on machines leaves at the least.
+    /// The platform's settings, which apply before any policy. `holders` lists the machines that hold each set of shards;
+    /// `keeps` is the minimum number of them that maintenance leaves available.
     Begins {
         seen: VisiblePolicy,
         #[serde(default)]
@@ -48,7 +49,7 @@
         #[serde(default)]
         keeps: usize,
     },
-    /// A crew has a machine under a permit, and is about to give it back.
+    /// A crew holds a permit for a machine. `Returned` gives the permit back.
     Permitted {
         machine: String,
         permit: u64,
@@ -58,69 +59,71 @@
         machine: String,
         permit: u64,
     },
-    /// A client has sent a whole lookup.
+    /// A client has sent a complete lookup.
     Asked {
         lookup: String,
         router: String,
         index: String,
     },
-    /// Its final answer came. `version`: the policy that it says it was decided under; none: it was not taken, or the
-    /// router said that it had no lease (`unguarded`).
+    /// The client has received the final answer of a lookup. `version` is the policy version that the answer names; it is
+    /// absent if the lookup was rejected. `unguarded`: the router reported that it had no lease.
     Answered {
         lookup: String,
         status: u16,
         version: Option<u64>,
         #[serde(default)]
         unguarded: bool,
-        /// Parts that are in it, and whether it calls itself whole.
+        /// The answer contains `parts` of `of` parts. `whole`: the answer is marked complete. `least`: the completeness
+        /// threshold.
         parts: u64,
         of: u64,
         whole: bool,
         least: f64,
     },
-    /// No answer came: the connection could not be made (`refused`, nobody had taken it), or it ended.
+    /// The client received no answer: the connection could not be established (`refused`: no router accepted it), or it
+    /// ended.
     Unanswered {
         lookup: String,
         refused: bool,
     },
-    /// An operator's proposal began.
+    /// An operator has begun a proposal.
     Proposed {
         op: String,
         seen: VisiblePolicy,
     },
-    /// What the operator was told of it.
+    /// The operator's command reported the outcome of a proposal.
     Settled {
         op: String,
         #[serde(rename = "came")]
         outcome: ProposalOutcome,
     },
-    /// A node has begun a part of a lookup.
+    /// A node has started a part of a lookup.
     #[serde(rename = "part")]
     PartStarted {
         node: String,
         lookup: String,
         shard: u64,
     },
-    /// A router said under which version it is, being asked.
+    /// A router reported its policy version in reply to a request.
     #[serde(rename = "says")]
     VersionReported {
         router: String,
         version: Option<u64>,
         term: Option<u64>,
     },
-    /// Something was broken, or mended.
+    /// A fault was injected, or removed.
     Fault {
         kind: String,
         whom: String,
     },
-    /// A process of a router was ended, or ended by itself: what it had taken has no answer.
+    /// A router's process was ended, or ended by itself. The lookups that it had accepted get no answer.
     Ended {
         router: String,
     },
     Started {
         router: String,
     },
-    /// A process stands still, and goes on (SIGSTOP, SIGCONT).
+    /// A router's process was paused by SIGSTOP. SIGCONT resumes it.
     #[serde(rename = "stopped")]
     Paused {
         router: String,
--- a/history/src/lib.rs
+++ b/history/src/lib.rs
@@ -1,6 +1,7 @@
-//! What processes and clients did, as events; checkers that read them afterwards. Nothing here knows how routers decide:
-//! the rules are those that an operator would state. A history is JSON lines; it is read once, in bounded memory, and an
-//! operation whose outcome nobody knows counts as both. A verdict that could not be reached is said to be so.
+//! Histories of events of processes and clients, and checkers that read them afterwards. The checkers don't know how
+//! routers decide; the rules are those that an operator would state. A history is a file of JSON lines. It is read once,
+//! in bounded memory. An operation with an unknown outcome may have happened or not, and the checker allows both. If it
+//! can't reach a verdict, it returns [`Verdict::Inconclusive`].
 //!
 //! ```
 //! use ternpick_history::{check, Bounds, Verdict};
--- a/history/src/requests.rs
+++ b/history/src/requests.rs
@@ -1,58 +1,59 @@
-//! What clients, nodes, discovery and whoever ends processes saw of single requests, and the rules that an operator states of them.
-//! Times are microseconds of one monotonic clock. The checker knows no decision of a router's.
+//! Observations of single requests by clients, nodes, discovery and the test that ends processes; and a checker of the
+//! rules that an operator would state for them. Times are microseconds of one monotonic clock. The checker doesn't use
+//! any decision of a router.
 
 use std::collections::BTreeMap;
 
-/// What an index allows, in the operators' words.
+/// How often the parts of a request may run, by the semantics of its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Idempotent.
+    /// Any number of times.
     Idempotent,
-    /// Fingerprinted: again within so many microseconds of the first time.
+    /// Again only within this time after the first run, in microseconds: data nodes deduplicate by fingerprint.
     DeduplicatedWithin(u64),
-    /// Once-only.
+    /// Once.
     OnceOnly,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// A client has written a request's last byte.
+    /// A client has written the last byte of a request.
     Sent {
         id: String,
         router: String,
         deadline: u64,
         idempotency: Idempotency,
     },
-    /// The last byte of its answer has come.
+    /// The client has received the last byte of the answer.
     Answered {
         id: String,
         status: u16,
     },
-    /// Its connection has ended with no whole answer.
+    /// The connection ended before the answer was complete.
     ConnectionLost {
         id: String,
     },
-    /// Its connection ended without a byte of an answer while it was on the way to a resting connection: its client sends it
-    /// again, so nothing of it may have been begun.
+    /// The request was sent on an idle connection that the router closed at the same time, and no byte of an answer came.
+    /// The client sends the request again, so no part of it may have started.
     ReusedConnectionClosed {
         id: String,
     },
-    /// Its client has closed or cancelled.
+    /// The client has closed the connection or cancelled the request.
     ClientDisconnected {
         id: String,
     },
-    /// A part has come at a node, whole, with the time that the node was told.
+    /// A node has received a complete shard request. `node_deadline` is the time that the request gives the node.
     ShardRequestReceived {
         id: String,
         part: u32,
         node: String,
         node_deadline: u64,
     },
-    /// Discovery has a node as draining or gone, and can be reached.
+    /// Discovery, while reachable, lists the node as draining or gone.
     NodeDraining {
         node: String,
     },
-    /// A router is told to end; and is killed, no sooner than it may be.
+    /// A router was sent the signal to shut down. `RouterKilled` follows, no earlier than the shutdown may take.
     StopSignalled {
         router: String,
     },
@@ -61,19 +62,20 @@
     },
 }
 
-/// The figures of the rules, in microseconds.
+/// The time limits of the rules, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// An answer this long after its time is lost.
+    /// A request whose answer comes later than this after its deadline is lost.
     pub late_answer_us: u64,
-    /// No attempt begins so long after its client left.
+    /// No shard request may arrive later than this after the client disconnected.
     pub after_disconnect_us: u64,
-    /// The slack of a time that a node is told.
+    /// By how much the deadline of a shard request may exceed the request's remaining time.
     pub deadline_slack_us: u64,
-    /// A change counts as told so long after discovery had it, and is obeyed so much later.
+    /// How long after discovery has a change the router is assumed to know it.
     pub notified_within_us: u64,
+    /// How long after that a draining node may still receive shard requests.
     pub drain_grace_us: u64,
-    /// What SIGKILL finds unanswered is lost if it came so long after the signal.
+    /// A request that SIGKILL leaves unanswered is lost if it was sent later than this after the stop signal.
     pub accepts_after_signal_us: u64,
 }
 
@@ -120,7 +122,7 @@
     },
 }
 
-/// What was seen of one request.
+/// The observations of one request.
 struct Request {
     sent: u64,
     router: String,
@@ -139,23 +141,25 @@
         by_kill: impl Fn(&Request, u64) -> bool,
         limits: Limits,
     ) -> Option<&'static str> {
-        // It is counted anew from when it is sent again; one that a node has got cannot be.
+        // The request is checked anew when the client sends it again. It can't be sent again if a node has received
+        // it.
         if self.reused_connection_closed {
             let is_begun = !self.runs.is_empty();
-            return is_begun.then_some("begun, and its connection ended without an answer");
+            return is_begun
+                .then_some("a part was started, and the connection ended without an answer");
         }
         match (self.answered, self.connection_lost, self.disconnected) {
             (Some(at), ..) if at > self.sent + self.deadline + limits.late_answer_us => {
-                Some("answered too late")
+                Some("the answer came too late")
             }
             (Some(_), ..) | (None, _, Some(_)) => None,
             (None, Some(at), None) if by_kill(self, at) => None,
-            (None, Some(_), None) => Some("no whole answer"),
+            (None, Some(_), None) => Some("no complete answer"),
             (None, None, None) => Some("no answer"),
         }
     }
 
-    /// The parts that ran more often, or over a longer time, than the index allows, each with its runs.
+    /// The parts that ran more often, or over a longer time, than the index allows, with their numbers of runs.
     fn duplicates(&self) -> Vec<(u32, usize)> {
         let too_many = |runs: &Vec<u64>| match self.idempotency {
             Idempotency::Idempotent => false,
@@ -171,18 +175,18 @@
     }
 }
 
-/// A history as far as it has been read.
+/// The state of the checker after a prefix of the observations.
 struct Checker<'a> {
     limits: Limits,
     requests: BTreeMap<&'a str, Request>,
-    /// Since when nodes drain, and when routers were told to end and were killed, by name.
+    /// By name: since when nodes are draining; when routers were sent the stop signal; when they were killed.
     draining: BTreeMap<&'a str, u64>,
     signalled: BTreeMap<&'a str, u64>,
     killed: BTreeMap<&'a str, u64>,
     violations: Vec<Violation>,
 }
 
-/// All violations of the rules in a history; an empty list is what is wanted. Events may stand in any order.
+/// Returns all violations of the rules in a history; none means that it is accepted. Events may be in any order.
 pub fn check(events: &[(u64, Observation)], limits: Limits) -> Vec<Violation> {
     let mut events: Vec<&(u64, Observation)> = events.iter().collect();
     events.sort_by_key(|(at, observation)| (*at, !matches!(observation, Observation::Sent { .. })));
@@ -268,7 +272,7 @@
         }
     }
 
-    /// A part has come at a node that may be draining.
+    /// Checks a shard request that arrived at a node that may be draining.
     fn check_drain(&mut self, at: u64, id: &str, node: &str) {
         let Some(since) = self.draining.get(node) else {
             return;
@@ -283,7 +287,7 @@
         }
     }
 
-    /// A part has come, with the time that its node was told.
+    /// Checks the deadline and the client of a shard request that arrived at a node, and counts the run.
     fn shard_request(&mut self, at: u64, id: &str, part: u32, node_deadline: u64) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -308,10 +312,11 @@
         request.runs.entry(part).or_default().push(at);
     }
 
-    /// Judges what can be judged only at the end.
+    /// Checks the rules that can be checked only at the end of the history.
     fn finish(self) -> Vec<Violation> {
         let mut violations = self.violations;
-        // A kill takes along what came before it was told, or shortly after: nobody could answer that in time.
+        // A kill excuses requests sent before the stop signal or shortly after: the router could not answer them in
+        // time.
         let by_kill = |request: &Request, at: u64| {
             let router = request.router.as_str();
             let kill = self.killed.get(router).filter(|kill| **kill <= at);
--- a/history/src/write.rs
+++ b/history/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes a history from many threads: each event gets its time as it is written, so that lines stand in order.
+//! Writes a history from several threads. Each event gets its time as it is written, so that lines are in order of time.
 
 use std::io::Write;
 use std::sync::{Mutex, PoisonError};
@@ -19,10 +19,10 @@
         }
     }
 
-    /// Writes what happens now. What a client is about to do is written before, what it saw after it.
+    /// Writes an event with the current time. Write an action of a client before it happens, an observation after it.
     ///
     /// # Errors
-    /// Where the line could not be written: then the history is no evidence.
+    /// Returns the error if the line could not be written; the history is incomplete then and proves nothing.
     pub fn note(&self, kind: EventKind) -> std::io::Result<()> {
         let mut out = self.out.lock().unwrap_or_else(PoisonError::into_inner);
         let at = u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX);
@@ -37,7 +37,7 @@
     }
 
     /// # Errors
-    /// Where the last lines could not be written.
+    /// Returns the error if the last lines could not be written.
     pub fn finish(self) -> std::io::Result<W> {
         let mut out = self
             .out
--- a/history/tests/checker.rs
+++ b/history/tests/checker.rs
@@ -1,5 +1,5 @@
-//! The checker is shown what it must reject, by hand and by mutation, and agrees with a general tester on what is a
-//! register at all.
+//! The checker rejects histories that break a rule, written by hand and made by mutation, and agrees with a general
+//! linearizability tester on which histories a register allows.
 
 use std::collections::BTreeMap;
 
@@ -139,30 +139,30 @@
 
 use ProposalOutcome::{InForce, Refused, Unknown, Withdrawn};
 
-#[test_case(vec![proposed("p"), asked("a"), answered("a", 1), asked("b"), answered("b", 0)], Rule::NoEarlierVersion; "decided under a version that another lookup had left behind")]
-#[test_case(vec![proposed("p"), settled("p", InForce(1)), asked("b"), answered("b", 0)], Rule::NoEarlierVersion; "decided under an earlier one than the operator was told")]
-#[test_case(vec![asked("a"), answered("a", 1)], Rule::OnlyProposed; "a version that nobody proposed")]
-#[test_case(vec![proposed("p"), settled("p", Refused(Some(1))), asked("a"), answered("a", 1)], Rule::RejectedNeverSeen; "refused, and seen later")]
-#[test_case(vec![proposed("p"), asked("a"), answered("a", 1), settled("p", Withdrawn(1))], Rule::RejectedNeverSeen; "seen, and withdrawn later")]
-#[test_case(vec![proposed("p"), settled("p", Withdrawn(1)), says(1)], Rule::RejectedNeverSeen; "withdrawn, and a router says it")]
+#[test_case(vec![proposed("p"), asked("a"), answered("a", 1), asked("b"), answered("b", 0)], Rule::NoEarlierVersion; "decided under a version earlier than that of an answer before")]
+#[test_case(vec![proposed("p"), settled("p", InForce(1)), asked("b"), answered("b", 0)], Rule::NoEarlierVersion; "decided under a version earlier than the one reported to the operator")]
+#[test_case(vec![asked("a"), answered("a", 1)], Rule::OnlyProposed; "a version that was not proposed")]
+#[test_case(vec![proposed("p"), settled("p", Refused(Some(1))), asked("a"), answered("a", 1)], Rule::RejectedNeverSeen; "refused, and observed later")]
+#[test_case(vec![proposed("p"), asked("a"), answered("a", 1), settled("p", Withdrawn(1))], Rule::RejectedNeverSeen; "observed, and withdrawn later")]
+#[test_case(vec![proposed("p"), settled("p", Withdrawn(1)), says(1)], Rule::RejectedNeverSeen; "withdrawn, and reported by a router")]
 #[test_case(vec![asked("a"), answered("a", 0), answered("a", 0)], Rule::OneAnswer; "two answers")]
-#[test_case(vec![asked("a")], Rule::OneAnswer; "no answer and no end")]
-#[test_case(vec![asked("a"), gone("a", false)], Rule::OneAnswer; "lost by a router that lives")]
-#[test_case(vec![ended(), started(), asked("a"), gone("a", false)], Rule::OneAnswer; "lost by a router that was ended before")]
-#[test_case(vec![proposed("p"), says(1), says(0)], Rule::ReportsNeverDecrease; "a router goes back")]
+#[test_case(vec![asked("a")], Rule::OneAnswer; "neither answered nor unanswered")]
+#[test_case(vec![asked("a"), gone("a", false)], Rule::OneAnswer; "lost by a running router")]
+#[test_case(vec![ended(), started(), asked("a"), gone("a", false)], Rule::OneAnswer; "lost by a router that was ended and started before")]
+#[test_case(vec![proposed("p"), says(1), says(0)], Rule::ReportsNeverDecrease; "a router reports an earlier version")]
 #[test_case(vec![asked("a"), part("s", "a"), part("s", "a"), part("s", "a"), part("s", "a"), answered("a", 0)], Rule::CallLimit; "more calls than the platform allows")]
 #[test_case(vec![drains("p", "s", 1), settled("p", InForce(1)), asked("a"), part("t", "a"), part("t", "a"), answered("a", 1)], Rule::CallLimit; "more calls than the policy allows")]
 #[test_case(vec![drains("p", "s", 2), settled("p", InForce(1)), asked("a"), part("s", "a"), answered("a", 1)], Rule::DrainedNodesIdle; "work at a drained node")]
-#[test_case(vec![asked("a"), answer("a", Some(0), 1, false)], Rule::TruthfulCompleteness; "less than the least share")]
-#[test_case(vec![asked("a"), answer("a", Some(0), 3, true)], Rule::TruthfulCompleteness; "called whole and is not")]
-#[test_case(vec![permitted("s0", 4), asked("a"), part("s0", "a"), answered("a", 0)], Rule::NoWorkUnderPermit; "a part begun under a permit")]
-#[test_case(vec![asked("a"), permitted("s0", 4), part("s0", "a"), answered("a", 0)], Rule::NoWorkUnderPermit; "of a lookup that was in hand as the permit came")]
+#[test_case(vec![asked("a"), answer("a", Some(0), 1, false)], Rule::TruthfulCompleteness; "below the completeness threshold")]
+#[test_case(vec![asked("a"), answer("a", Some(0), 3, true)], Rule::TruthfulCompleteness; "marked complete with a part missing")]
+#[test_case(vec![permitted("s0", 4), asked("a"), part("s0", "a"), answered("a", 0)], Rule::NoWorkUnderPermit; "a part started under a permit")]
+#[test_case(vec![asked("a"), permitted("s0", 4), part("s0", "a"), answered("a", 0)], Rule::NoWorkUnderPermit; "a part of a lookup that was open when the permit was granted")]
 #[test_case(vec![permitted("s0", 4), permitted("s1", 5)], Rule::EnoughHolders; "two of three holders under permits")]
-#[test_case(vec![permitted("s0", 4), returned("s0", 4), permitted("s1", 4)], Rule::OnePermit; "a permit that there was before")]
+#[test_case(vec![permitted("s0", 4), returned("s0", 4), permitted("s1", 4)], Rule::OnePermit; "a permit number that was used before")]
 #[test_case(vec![permitted("s0", 4), permitted("s0", 5)], Rule::OnePermit; "two permits for a machine")]
-#[test_case(vec![returned("s0", 4)], Rule::WellFormed; "given back and never had")]
-#[test_case(vec![permitted("s0", 4), returned("s0", 5)], Rule::WellFormed; "another than was had is given back")]
-fn a_bad_history_is_rejected_by_the_rule_that_it_breaks(events: Vec<EventKind>, rule: Rule) {
+#[test_case(vec![returned("s0", 4)], Rule::WellFormed; "a permit returned that was not granted")]
+#[test_case(vec![permitted("s0", 4), returned("s0", 5)], Rule::WellFormed; "another permit returned than was granted")]
+fn rejects_a_bad_history_with_the_rule_that_it_breaks(events: Vec<EventKind>, rule: Rule) {
     let all: Vec<EventKind> = [vec![begins()], events].concat();
     match verdict(&all) {
         Verdict::Rejected(broken) => assert_eq!(broken.rule, rule, "{}", broken.message),
@@ -170,17 +170,17 @@
     }
 }
 
-#[test_case(vec![asked("a"), proposed("p"), asked("b"), answered("b", 1), answered("a", 0)]; "a lookup in hand over a change")]
-#[test_case(vec![proposed("p"), settled("p", Unknown(None)), asked("a"), answered("a", 0), asked("b"), answered("b", 1)]; "an open one that came in force after all")]
-#[test_case(vec![proposed("p"), settled("p", Unknown(Some(1))), asked("a"), answered("a", 0)]; "an open one that did not")]
+#[test_case(vec![asked("a"), proposed("p"), asked("b"), answered("b", 1), answered("a", 0)]; "a lookup open during a change")]
+#[test_case(vec![proposed("p"), settled("p", Unknown(None)), asked("a"), answered("a", 0), asked("b"), answered("b", 1)]; "an unknown outcome that came in force")]
+#[test_case(vec![proposed("p"), settled("p", Unknown(Some(1))), asked("a"), answered("a", 0)]; "an unknown outcome that did not come in force")]
 #[test_case(vec![asked("a"), ended(), gone("a", false)]; "lost with its router")]
-#[test_case(vec![asked("a"), gone("a", true)]; "one that nobody had taken")]
+#[test_case(vec![asked("a"), gone("a", true)]; "a lookup that no router accepted")]
 #[test_case(vec![drains("p", "s", 1), settled("p", InForce(1)), proposed("q"), asked("a"), part("s", "a"), answered("a", 2), settled("q", InForce(2))]; "a drain that may have been lifted")]
 #[test_case(vec![drains("p", "s", 1), asked("a"), settled("p", InForce(1)), part("s", "a"), answered("a", 0)]; "asked before the drain")]
-#[test_case(vec![asked("a"), answer("a", None, 0, false), says(0)]; "one that was turned away")]
+#[test_case(vec![asked("a"), answer("a", None, 0, false), says(0)]; "a rejected lookup")]
 #[test_case(vec![asked("a"), part("s0", "a"), permitted("s0", 4), answered("a", 0), returned("s0", 4), asked("b"), part("s0", "b"), answered("b", 0)]; "work before a permit and after it")]
-#[test_case(vec![permitted("s0", 4), permitted("t0", 5), returned("s0", 4), permitted("s1", 6)]; "one of a set after the other, and another set beside it")]
-fn a_good_history_is_accepted(events: Vec<EventKind>) {
+#[test_case(vec![permitted("s0", 4), permitted("t0", 5), returned("s0", 4), permitted("s1", 6)]; "holders of a set one after the other, and a machine of another set")]
+fn accepts_a_good_history(events: Vec<EventKind>) {
     let all: Vec<EventKind> = [vec![begins()], events].concat();
     assert!(
         matches!(verdict(&all), Verdict::Accepted(_)),
@@ -189,9 +189,9 @@
     );
 }
 
-#[test_case("{\"at\":5,\"what\":\"begins\",\"seen\":{}}\n{\"at\":6,\"wh"; "cut in a line")]
-#[test_case("not a history\n"; "no history")]
-fn what_cannot_be_read_is_neither_good_nor_bad(text: &str) {
+#[test_case("{\"at\":5,\"what\":\"begins\",\"seen\":{}}\n{\"at\":6,\"wh"; "truncated in a line")]
+#[test_case("not a history\n"; "not a history")]
+fn the_verdict_of_an_unreadable_history_is_inconclusive(text: &str) {
     assert!(matches!(
         check(text.as_bytes(), Bounds::default()),
         Verdict::Inconclusive(_)
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_history_beyond_the_bounds_is_no_verdict() {
+fn the_verdict_of_a_history_beyond_the_bounds_is_inconclusive() {
     let all: Vec<EventKind> = std::iter::once(begins())
         .chain((0..9).map(|n| asked(&n.to_string())))
         .collect();
@@ -213,7 +213,7 @@
     assert!(matches!(verdict, Verdict::Inconclusive(_)), "{verdict:?}");
 }
 
-/// The register as a general tester knows it: a write names the version that it has made.
+/// The sequential specification of the register for the general tester: a write returns the version that it creates.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Versions(u64);
 
@@ -233,13 +233,13 @@
     }
 }
 
-/// A few operations that overlap as they like, each with what it came to: (begin, end, write, version).
+/// A few operations that may overlap, each as (begin, end, is write, version).
 fn operations() -> impl Strategy<Value = Vec<(u64, u64, bool, u64)>> {
     let one = (0u64..40, 1u64..12, any::<bool>(), 0u64..4);
     proptest::collection::vec(one, 1..8).prop_map(|all| {
         let mut writes = 0;
         let of = |(begin, length, write, version): (u64, u64, bool, u64)| {
-            // Writes name their versions in some order; whether that fits their times is the question.
+            // Writes get their versions in the order of generation, which may contradict their times.
             let write = write && writes < 3;
             writes += u64::from(write);
             (
@@ -256,7 +256,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3000, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn the_checker_rejects_what_no_register_can_have_done(all in operations()) {
+    fn rejects_histories_that_are_not_linearizable(all in operations()) {
         let mut points: Vec<(u64, bool, usize)> = Vec::new();
         for (at, (begin, end, ..)) in all.iter().enumerate() {
             points.extend([(*begin, true, at), (*end, false, at)]);
@@ -287,7 +287,7 @@
             }
         }
         let accepted = matches!(verdict(&events), Verdict::Accepted(_));
-        // Writes whose own numbers contradict their times are not the checker's matter: it never rejects a register.
+        // The checker doesn't check the order of writes by their versions. It never rejects a linearizable history.
         if tester.is_consistent() {
             prop_assert!(accepted, "{:?}", verdict(&events));
         }
@@ -297,15 +297,15 @@
             writes.sort_by_key(|(.., version)| *version);
             writes.windows(2).all(|pair| pair[0].1 < pair[1].0)
         };
-        // Where writes follow one another it is exact.
+        // If writes don't overlap and are in order of their versions, the checker agrees with the tester.
         if reads_only || in_order {
             prop_assert_eq!(tester.is_consistent(), accepted, "{:?}", verdict(&events));
         }
     }
 }
 
-/// A day that a register really lived through: lookups and changes one after the other, and overlapping by pairs.
-fn good_day(changes: u64, lookups: u64) -> Vec<EventKind> {
+/// A history that a register allows: lookups and changes one after the other, and some that overlap in pairs.
+fn good_history(changes: u64, lookups: u64) -> Vec<EventKind> {
     let mut all = vec![begins()];
     for change in 1..=changes {
         let old = format!("over{change}");
@@ -331,14 +331,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn a_good_day_with_one_thing_changed_is_rejected(changes in 1u64..5, lookups in 0u64..4, pick in any::<prop::sample::Index>(), kind in 0u8..5) {
-        let good = good_day(changes, lookups);
+    fn rejects_a_good_history_with_one_event_changed(changes in 1u64..5, lookups in 0u64..4, pick in any::<prop::sample::Index>(), kind in 0u8..5) {
+        let good = good_history(changes, lookups);
         prop_assert!(matches!(verdict(&good), Verdict::Accepted(_)));
         let mut bad = good.clone();
-        let of = |wanted: fn(&EventKind) -> bool| -> Vec<usize> {
-            good.iter().enumerate().filter(|(_, what)| wanted(what)).map(|(at, _)| at).collect()
+        let indexes_of = |is_selected: fn(&EventKind) -> bool| -> Vec<usize> {
+            good.iter().enumerate().filter(|(_, kind)| is_selected(kind)).map(|(at, _)| at).collect()
         };
-        let answers = of(|what| matches!(what, EventKind::Answered { .. }));
+        let answers = indexes_of(|kind| matches!(kind, EventKind::Answered { .. }));
         let at = answers[pick.index(answers.len())];
         match kind {
             0 => { bad.remove(at); }
@@ -346,7 +346,7 @@
             2 => if let EventKind::Answered { version, .. } = &mut bad[at] { *version = version.map(|of| of + changes + 1); },
             3 => if let EventKind::Answered { parts, .. } = &mut bad[at] { *parts = 1; },
             _ => {
-                // An answer after the last change is put under the version before it.
+                // The last answer gets the version before the last change.
                 let last = *answers.last().expect("one after the last change");
                 if let EventKind::Answered { version, .. } = &mut bad[last] { *version = version.map(|of| of - 1); }
             }
--- a/history/tests/requests.rs
+++ b/history/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The checker of requests is shown what it must reject, and what it must not.
+//! The checker of requests rejects histories that break a rule, and accepts those that don't.
 
 use ternpick_history::requests::{check, Idempotency, Limits, Observation, Violation};
 use test_case::test_case;
@@ -68,14 +68,14 @@
     ]
 }
 
-#[test_case(&[answered(1400)]; "answered within the half second behind its time")]
+#[test_case(&[answered(1400)]; "answered within 0.5 s after the deadline")]
 #[test_case(&[received(10, 890), answered(20)]; "served")]
-#[test_case(&[received(10, 1040), answered(20)]; "told within the slack")]
-#[test_case(&[disconnected(10), received(110, 700)]; "an attempt 0.1 s after its client left")]
+#[test_case(&[received(10, 1040), answered(20)]; "a node deadline within the slack")]
+#[test_case(&[disconnected(10), received(110, 700)]; "a shard request 0.1 s after the client disconnected")]
 #[test_case(&[received(1, 800), received(400, 400), answered(500)]; "called again")]
-#[test_case(&[draining(0), received(6500, 0), answered(20)]; "at the end of the grace")]
-#[test_case(&[disconnected(10)]; "nobody waits")]
-fn what_the_rules_allow_is_accepted(events: &[(u64, Observation)]) {
+#[test_case(&[draining(0), received(6500, 0), answered(20)]; "a draining node at the end of the grace period")]
+#[test_case(&[disconnected(10)]; "no answer after the client disconnected")]
+fn accepts_a_history_within_the_rules(events: &[(u64, Observation)]) {
     let mut all = vec![sent(Idempotency::Idempotent)];
     all.extend_from_slice(events);
     assert_eq!(check(&all, Limits::default()), []);
@@ -84,11 +84,11 @@
 #[test_case(&[answered(1401)], "Lost"; "answered too late")]
 #[test_case(&[connection_lost(100)], "Lost"; "a connection that ended")]
 #[test_case(&[], "Lost"; "never answered")]
-#[test_case(&[received(10, 1041), answered(20)], "DeadlineExtended"; "told more than is left")]
-#[test_case(&[disconnected(10), received(111, 700)], "AfterDisconnect"; "an attempt for nobody")]
-#[test_case(&[draining(0), received(6501, 0), answered(20)], "DrainedNodeUsed"; "behind the grace")]
+#[test_case(&[received(10, 1041), answered(20)], "DeadlineExtended"; "a node deadline beyond the remaining time")]
+#[test_case(&[disconnected(10), received(111, 700)], "AfterDisconnect"; "a shard request after the client disconnected")]
+#[test_case(&[draining(0), received(6501, 0), answered(20)], "DrainedNodeUsed"; "a draining node after the grace period")]
 #[test_case(&[answered(10), answered(11)], "AnsweredTwice"; "two answers")]
-fn what_violations_a_rule_is_named(events: &[(u64, Observation)], name: &str) {
+fn reports_the_rule_that_a_history_breaks(events: &[(u64, Observation)], name: &str) {
     let mut all = vec![sent(Idempotency::Idempotent)];
     all.extend_from_slice(events);
     let violations = check(&all, Limits::default());
@@ -102,7 +102,7 @@
 #[test_case(Idempotency::OnceOnly, 1, false)]
 #[test_case(Idempotency::DeduplicatedWithin(300 * MS), 2, true; "beyond its window")]
 #[test_case(Idempotency::DeduplicatedWithin(500 * MS), 2, false; "within its window")]
-fn a_part_runs_no_oftener_than_its_index_allows(
+fn a_part_runs_no_more_often_than_its_index_allows(
     idempotency: Idempotency,
     times: u64,
     broken: bool,
@@ -115,10 +115,11 @@
     assert_eq!(is, broken);
 }
 
-/// Killed 2.6 s after the signal: what came by 0.7 s may be unanswered, what came later may not.
-#[test_case(0, true; "it came with the signal")]
-#[test_case(701, false; "it came long after the signal")]
-fn a_kill_excuses_what_came_early(after: u64, excused: bool) {
+/// The router is killed 2.6 s after the stop signal. Requests sent within 0.7 s of the signal may be unanswered, later
+/// ones may not.
+#[test_case(0, true; "sent with the signal")]
+#[test_case(701, false; "sent long after the signal")]
+fn a_kill_excuses_only_requests_sent_before_or_soon_after_the_signal(after: u64, excused: bool) {
     let mut all = vec![
         (after * MS, sent(Idempotency::Idempotent).1),
         connection_lost(2601),
@@ -127,15 +128,15 @@
     assert_eq!(check(&all, Limits::default()).is_empty(), excused);
 }
 
-/// A process that ends by itself excuses nothing.
+/// A process that ends by itself before the kill excuses no lost request.
 #[test]
-fn an_end_before_the_kill_excuses_nothing() {
+fn a_connection_lost_before_the_kill_is_not_excused() {
     let mut all = vec![sent(Idempotency::Idempotent), connection_lost(2500)];
     all.extend(signalled_and_killed(0, 2600));
     assert_eq!(check(&all, Limits::default()).len(), 1);
 }
 
-/// The end of its connection, without a byte, while the request was on the way to it.
+/// The idle connection was closed, without a byte of an answer, while the request was sent on it.
 fn reused_connection_closed(at: u64) -> (u64, Observation) {
     (
         at * MS,
@@ -144,17 +145,17 @@
 }
 
 #[test]
-fn a_request_that_crossed_the_end_of_its_connection_may_not_have_been_begun() {
-    let crossing = [sent(Idempotency::Idempotent), reused_connection_closed(5)];
-    assert!(check(&crossing, Limits::default()).is_empty());
-    let begun = [
+fn a_request_on_a_reused_connection_that_was_closed_must_not_have_started() {
+    let not_started = [sent(Idempotency::Idempotent), reused_connection_closed(5)];
+    assert!(check(&not_started, Limits::default()).is_empty());
+    let started = [
         sent(Idempotency::Idempotent),
         received(3, 800),
         reused_connection_closed(5),
     ];
     let lost = Violation::Lost {
         id: "a".into(),
-        reason: "begun, and its connection ended without an answer",
+        reason: "a part was started, and the connection ended without an answer",
     };
-    assert_eq!(check(&begun, Limits::default()), [lost]);
+    assert_eq!(check(&started, Limits::default()), [lost]);
 }
