--- a/history/src/check.rs
+++ b/history/src/check.rs
@@ -163,9 +163,13 @@
     /// Proposals with an unknown outcome and an unknown number.
     unnumbered: Vec<VisiblePolicy>,
     platform: VisiblePolicy,
-    nowhere: BTreeSet<u64>,
+    /// The numbers of refused and withdrawn proposals.
+    rejected: BTreeSet<u64>,
+    /// How often each version was observed.
     observed: BTreeMap<u64, u64>,
+    /// The last version that each router reported.
     reported: BTreeMap<String, u64>,
+    /// How often each router was ended or paused.
     interruptions: BTreeMap<String, u64>,
     /// Routers that are ended or paused at the moment.
     unavailable: BTreeSet<String>,
@@ -180,6 +184,7 @@
 
 type Checked = Result<(), Stop>;
 
+/// Why the checker stopped before the end of the history.
 enum Stop {
     Broken(Rule, String),
     Inconclusive(String),
@@ -431,7 +436,7 @@
             );
             return broken(Rule::OnlyProposed, message);
         }
-        if self.nowhere.contains(&version) {
+        if self.rejected.contains(&version) {
             return broken(
                 Rule::RejectedNeverSeen,
                 format!("{by} shows version {version}, which was refused or withdrawn"),
@@ -495,7 +500,7 @@
                 format!("proposal {op} has an outcome, but did not begin"),
             );
         };
-        let nowhere = |state: &mut State, number: u64| {
+        let reject = |state: &mut State, number: u64| {
             state.counts.nowhere += 1;
             if state.observed.contains_key(&number) {
                 return broken(
@@ -503,13 +508,13 @@
                     format!("proposal {number} was refused or withdrawn, but its version was observed before"),
                 );
             }
-            state.nowhere.insert(number);
+            state.rejected.insert(number);
             Ok(())
         };
         match outcome {
             ProposalOutcome::InForce(number) => {
                 self.counts.in_force += 1;
-                if self.nowhere.contains(&number) {
+                if self.rejected.contains(&number) {
                     return broken(
                         Rule::RejectedNeverSeen,
                         format!("version {number} is reported in force, but was refused or withdrawn before"),
@@ -525,7 +530,7 @@
                 Ok(())
             }
             ProposalOutcome::Refused(Some(number)) | ProposalOutcome::Withdrawn(number) => {
-                nowhere(self, number)
+                reject(self, number)
             }
             ProposalOutcome::Refused(None) => {
                 self.counts.nowhere += 1;
--- a/router/tests/identity_load.rs
+++ b/router/tests/identity_load.rs
@@ -1,6 +1,7 @@
-//! The load test of identity: keys rotate, callers are revoked, all the while valid, expired, revoked and forged
-//! callers ask over plain and TLS connections. Short in CI; `IDENTITY_LOAD_S` and `IDENTITY_ROTATE_S` make it long.
-//! What is measured beside it is left out of CI: `cargo test --release --test identity_load -- --ignored --nocapture`.
+//! Load test of identity: keys are rotated and callers revoked while callers with valid, expired, revoked and forged
+//! tokens send queries over plain and TLS connections. It is short in CI; `IDENTITY_LOAD_S` and `IDENTITY_ROTATE_S` set
+//! its length and the interval of rotations. The measurements are not run in CI:
+//! `cargo test --release --test identity_load -- --ignored --nocapture`.
 
 mod common;
 
@@ -14,39 +15,40 @@
 use common::{Act, Discovery, Node, Router};
 use hdrhistogram::Histogram;
 
-/// Seconds that a token lasts.
-const LIFE: u64 = 6;
-/// Skew of the settings, and a second to be sure.
-const SKEW: u64 = 3;
+/// The lifetime of a token.
+const TOKEN_LIFETIME_S: u64 = 6;
+/// The clock skew of the settings, and a second of margin.
+const CLOCK_SKEW_S: u64 = 3;
 
-fn seconds(name: &str, otherwise: u64) -> u64 {
+fn seconds(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(otherwise)
+        .unwrap_or(default)
 }
 
 #[derive(Default)]
 struct Counts {
     valid: AtomicU64,
     valid_refused: AtomicU64,
-    valid_else: AtomicU64,
-    bad: AtomicU64,
-    bad_admitted: AtomicU64,
+    valid_other_status: AtomicU64,
+    invalid: AtomicU64,
+    invalid_admitted: AtomicU64,
     revoked: AtomicU64,
-    asked_after: AtomicU64,
-    admitted_after: AtomicU64,
-    longest_us: AtomicU64,
+    sent_after_revocation: AtomicU64,
+    admitted_after_revocation: AtomicU64,
+    longest_admitted_us: AtomicU64,
 }
 
-fn add(to: &AtomicU64) {
+fn increment(to: &AtomicU64) {
     to.fetch_add(1, Ordering::Relaxed);
 }
 
-type Ask = Box<dyn FnMut(&str) -> u16>;
+type SendQuery = Box<dyn FnMut(&str) -> u16>;
 
-/// A connection to an address, TLS where there is a client's side of it, on which one asks with headers.
-fn asking(address: SocketAddr, config: Option<&Arc<rustls::ClientConfig>>) -> Ask {
+/// Connects to an address, by TLS if there is a client configuration. The result sends a query with the given headers
+/// and returns the status of the answer.
+fn connect(address: SocketAddr, config: Option<&Arc<rustls::ClientConfig>>) -> SendQuery {
     match config {
         Some(config) => {
             let mut stream = Secure::over(address, config).expect("a handshake");
@@ -59,33 +61,39 @@
     }
 }
 
-fn valid(world: &World, counts: &Counts, mut ask: Ask, stop: &AtomicBool, certificate: bool) {
+fn send_valid(
+    world: &World,
+    counts: &Counts,
+    mut send: SendQuery,
+    stop: &AtomicBool,
+    certificate: bool,
+) {
     let (mut token, mut until) = (String::new(), 0);
     while !stop.load(Ordering::Relaxed) {
         if now() + 2 >= until {
-            let claims = world.claims("dispatcher-1", "north", &["crew"], LIFE);
+            let claims = world.claims("dispatcher-1", "north", &["crew"], TOKEN_LIFETIME_S);
             (until, token) = (claims.exp, bearer(&world.mint(&claims)));
         }
-        add(&counts.valid);
-        match ask(if certificate { "" } else { &token }) {
+        increment(&counts.valid);
+        match send(if certificate { "" } else { &token }) {
             200 => {}
-            401 | 403 => add(&counts.valid_refused),
-            _ => add(&counts.valid_else),
+            401 | 403 => increment(&counts.valid_refused),
+            _ => increment(&counts.valid_other_status),
         }
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn bad(world: &World, counts: &Counts, mut ask: Ask, stop: &AtomicBool) {
-    let mut turn = 0;
+fn send_invalid(world: &World, counts: &Counts, mut send: SendQuery, stop: &AtomicBool) {
+    let mut number = 0;
     while !stop.load(Ordering::Relaxed) {
-        let mut claims = world.claims("dispatcher-1", "north", &["crew"], LIFE);
-        if turn % 3 == 0 {
-            (claims.iat, claims.nbf, claims.exp) = (now() - 60, now() - 60, now() - SKEW);
+        let mut claims = world.claims("dispatcher-1", "north", &["crew"], TOKEN_LIFETIME_S);
+        if number % 3 == 0 {
+            (claims.iat, claims.nbf, claims.exp) = (now() - 60, now() - 60, now() - CLOCK_SKEW_S);
         }
         let token = world.mint(&claims);
         let parts: Vec<&str> = token.split('.').collect();
-        let token = match turn % 3 {
+        let token = match number % 3 {
             0 => token,
             // "{"alg":"none","kid":"k1"}" and "{"alg":"EdDSA","kid":"ghost"}"
             1 => format!("eyJhbGciOiJub25lIiwia2lkIjoiazEifQ.{}.", parts[1]),
@@ -94,49 +102,58 @@
                 parts[1], parts[2]
             ),
         };
-        turn += 1;
-        add(&counts.bad);
-        if ask(&bearer(&token)) == 200 {
-            add(&counts.bad_admitted);
+        number += 1;
+        increment(&counts.invalid);
+        if send(&bearer(&token)) == 200 {
+            increment(&counts.invalid_admitted);
         }
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn revoked(world: &World, counts: &Counts, mut ask: Ask, stop: &AtomicBool, by_subject: bool) {
+fn send_revoked(
+    world: &World,
+    counts: &Counts,
+    mut send: SendQuery,
+    stop: &AtomicBool,
+    by_subject: bool,
+) {
     while !stop.load(Ordering::Relaxed) {
-        let mut claims = world.claims("dispatcher-1", "north", &["crew"], LIFE);
+        let mut claims = world.claims("dispatcher-1", "north", &["crew"], TOKEN_LIFETIME_S);
         if by_subject {
             claims.sub = format!("leaver-{}", claims.jti);
         }
         let token = bearer(&world.mint(&claims));
-        add(&counts.valid);
-        if ask(&token) != 200 {
-            add(&counts.valid_refused);
+        increment(&counts.valid);
+        if send(&token) != 200 {
+            increment(&counts.valid_refused);
         }
         if by_subject {
             world.revoke("subject", &claims.sub);
         } else {
             world.revoke("token", &claims.jti);
         }
-        let (told, mut last) = (Instant::now(), Duration::ZERO);
-        add(&counts.revoked);
+        let (revoked_at, mut last) = (Instant::now(), Duration::ZERO);
+        increment(&counts.revoked);
         loop {
-            let sent = told.elapsed();
-            match ask(&token) {
+            let sent = revoked_at.elapsed();
+            match send(&token) {
                 200 => last = sent,
                 _ => break,
             }
-            assert!(sent < Duration::from_secs(4), "the router is told in time");
+            assert!(
+                sent < Duration::from_secs(4),
+                "the router enforces the revocation within 4 s"
+            );
             thread::sleep(Duration::from_millis(2));
         }
         counts
-            .longest_us
+            .longest_admitted_us
             .fetch_max(last.as_micros() as u64, Ordering::Relaxed);
         for _ in 0..10 {
-            add(&counts.asked_after);
-            if ask(&token) == 200 {
-                add(&counts.admitted_after);
+            increment(&counts.sent_after_revocation);
+            if send(&token) == 200 {
+                increment(&counts.admitted_after_revocation);
             }
         }
         thread::sleep(Duration::from_millis(20));
@@ -146,10 +163,10 @@
 #[test]
 #[allow(
     clippy::too_many_lines,
-    reason = "one scenario, told in the order in which it happens"
+    reason = "one scenario, in the order in which it happens"
 )]
-fn keys_rotate_and_no_valid_caller_is_refused_nor_a_revoked_one_admitted() {
-    let (whole, every) = (
+fn admits_all_valid_and_no_revoked_or_forged_callers_while_keys_rotate() {
+    let (load_s, rotate_every_s) = (
         seconds("IDENTITY_LOAD_S", 8),
         seconds("IDENTITY_ROTATE_S", 2),
     );
@@ -163,51 +180,58 @@
         let (plain, tls, none) = (guarded.router.address, guarded.tls, world.client(None));
         let (none, crew) = (&none, &crew);
         for _ in 0..3 {
-            scope.spawn(move || valid(world, counts, asking(plain, None), stop, false));
+            scope.spawn(move || send_valid(world, counts, connect(plain, None), stop, false));
             let none = Arc::clone(none);
-            scope.spawn(move || valid(world, counts, asking(tls, Some(&none)), stop, false));
+            scope.spawn(move || send_valid(world, counts, connect(tls, Some(&none)), stop, false));
         }
         let (crew, with_none) = (Arc::clone(crew), [Arc::clone(none), Arc::clone(none)]);
         let [first, second] = with_none;
-        scope.spawn(move || valid(world, counts, asking(tls, Some(&crew)), stop, true));
-        scope.spawn(move || bad(world, counts, asking(plain, None), stop));
-        scope.spawn(move || bad(world, counts, asking(tls, Some(&first)), stop));
-        scope.spawn(move || revoked(world, counts, asking(plain, None), stop, true));
-        scope.spawn(move || revoked(world, counts, asking(tls, Some(&second)), stop, false));
-        while began.elapsed() < Duration::from_secs(whole) {
-            thread::sleep(
-                Duration::from_secs(every).min(
-                    Duration::from_secs(whole) - began.elapsed().min(Duration::from_secs(whole)),
-                ),
-            );
+        scope.spawn(move || send_valid(world, counts, connect(tls, Some(&crew)), stop, true));
+        scope.spawn(move || send_invalid(world, counts, connect(plain, None), stop));
+        scope.spawn(move || send_invalid(world, counts, connect(tls, Some(&first)), stop));
+        scope.spawn(move || send_revoked(world, counts, connect(plain, None), stop, true));
+        scope.spawn(move || send_revoked(world, counts, connect(tls, Some(&second)), stop, false));
+        while began.elapsed() < Duration::from_secs(load_s) {
+            thread::sleep(Duration::from_secs(rotate_every_s).min(
+                Duration::from_secs(load_s) - began.elapsed().min(Duration::from_secs(load_s)),
+            ));
             rotations += 1;
-            world.rotate(&format!("r{rotations}"), 1, LIFE + SKEW);
+            world.rotate(&format!("r{rotations}"), 1, TOKEN_LIFETIME_S + CLOCK_SKEW_S);
         }
         stop.store(true, Ordering::Relaxed);
     });
-    let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    println!("| seconds | rotations | valid asked | refused (401, 403) | else | bad asked | admitted | revoked | asked after | admitted after | longest, ms |");
+    let value_of = |count: &AtomicU64| count.load(Ordering::Relaxed);
+    println!("| seconds | rotations | valid queries | refused (401, 403) | other status | invalid queries | admitted | revocations | queries after | admitted after | longest, ms |");
     println!(
-        "| {whole} | {rotations} | {} | {} | {} | {} | {} | {} | {} | {} | {:.1} |",
-        of(&counts.valid),
-        of(&counts.valid_refused),
-        of(&counts.valid_else),
-        of(&counts.bad),
-        of(&counts.bad_admitted),
-        of(&counts.revoked),
-        of(&counts.asked_after),
-        of(&counts.admitted_after),
-        of(&counts.longest_us) as f64 / 1000.0
+        "| {load_s} | {rotations} | {} | {} | {} | {} | {} | {} | {} | {} | {:.1} |",
+        value_of(&counts.valid),
+        value_of(&counts.valid_refused),
+        value_of(&counts.valid_other_status),
+        value_of(&counts.invalid),
+        value_of(&counts.invalid_admitted),
+        value_of(&counts.revoked),
+        value_of(&counts.sent_after_revocation),
+        value_of(&counts.admitted_after_revocation),
+        value_of(&counts.longest_admitted_us) as f64 / 1000.0
+    );
+    assert_eq!(
+        (
+            value_of(&counts.valid_refused),
+            value_of(&counts.valid_other_status)
+        ),
+        (0, 0)
     );
-    assert_eq!((of(&counts.valid_refused), of(&counts.valid_else)), (0, 0));
     assert_eq!(
-        (of(&counts.bad_admitted), of(&counts.admitted_after)),
+        (
+            value_of(&counts.invalid_admitted),
+            value_of(&counts.admitted_after_revocation)
+        ),
         (0, 0)
     );
     assert!(
-        of(&counts.valid) > 100
-            && of(&counts.revoked) > 5
-            && of(&counts.bad) > 100
+        value_of(&counts.valid) > 100
+            && value_of(&counts.revoked) > 5
+            && value_of(&counts.invalid) > 100
             && rotations > 2
     );
 }
@@ -263,53 +287,59 @@
         plain.push(stream);
     }
     println!(
-        "150 plain ones more: {} kB",
+        "150 more plain connections: {} kB",
         resident_kb(guarded.router.child.id()) - before
     );
 }
 
 #[test]
 #[ignore = "a measurement, not a check"]
-fn measure_the_time_of_an_answer_with_and_without_identity() {
+fn measure_the_latency_with_and_without_identity() {
     let world = World::new();
     let guarded = Guarded::start(&world);
     let node = Node::start([Act::Serve; 2]);
     let listed = common::entry("s0", node.address, "Ready");
-    let open = Router::start(Discovery::default().start(), &listed, 1024);
+    let without_identity = Router::start(Discovery::default().start(), &listed, 1024);
     println!("| way | p50, us | p99, us | p99.9, us |");
-    let print = |name: &str, mut ask: Box<dyn FnMut(&str) -> u16>, tokens: &[String]| {
-        let mut seen = Histogram::<u64>::new(3).expect("a histogram");
-        for at in 0..3000 {
+    let measure = |name: &str, mut send: SendQuery, tokens: &[String]| {
+        let mut latencies = Histogram::<u64>::new(3).expect("a histogram");
+        for number in 0..3000 {
             let began = Instant::now();
-            assert_eq!(ask(&tokens[at % tokens.len()]), 200);
-            if at >= 500 {
-                seen.record(began.elapsed().as_micros() as u64)
+            assert_eq!(send(&tokens[number % tokens.len()]), 200);
+            if number >= 500 {
+                latencies
+                    .record(began.elapsed().as_micros() as u64)
                     .expect("recorded");
             }
         }
-        let at = |q| seen.value_at_quantile(q);
-        println!("| {name} | {} | {} | {} |", at(0.5), at(0.99), at(0.999));
+        let quantile = |q| latencies.value_at_quantile(q);
+        println!(
+            "| {name} | {} | {} | {} |",
+            quantile(0.5),
+            quantile(0.99),
+            quantile(0.999)
+        );
     };
-    let plain = |router: &Router| -> Box<dyn FnMut(&str) -> u16> {
+    let plain = |router: &Router| -> SendQuery {
         let mut stream = router.connect();
         Box::new(move |headers| ask(&mut stream, "whole", "find", headers).0)
     };
-    let secure = |config: &Arc<rustls::ClientConfig>| -> Box<dyn FnMut(&str) -> u16> {
+    let secure = |config: &Arc<rustls::ClientConfig>| -> SendQuery {
         let mut stream = guarded.secure(config);
         Box::new(move |headers| ask(&mut stream.0, "whole", "find", headers).0)
     };
     let one = [bearer(&world.token(&["crew"]))];
-    // More than are remembered: each is verified anew.
+    // More tokens than the token cache holds, so that each is verified again.
     let many: Vec<String> = (0..3000).map(|_| bearer(&world.token(&["crew"]))).collect();
-    print("without identity", plain(&open), &[String::new()]);
-    print("a token that is remembered", plain(&guarded.router), &one);
-    print("a new token each time", plain(&guarded.router), &many);
-    print(
-        "TLS, a token that is remembered",
-        secure(&world.client(None)),
-        &one,
+    measure(
+        "without identity",
+        plain(&without_identity),
+        &[String::new()],
     );
-    print(
+    measure("a cached token", plain(&guarded.router), &one);
+    measure("a new token each time", plain(&guarded.router), &many);
+    measure("TLS, a cached token", secure(&world.client(None)), &one);
+    measure(
         "TLS, a certificate",
         secure(&world.client(Some(("crew-7.example", 7)))),
         &[String::new()],
