--- a/settings/src/export.rs
+++ b/settings/src/export.rs
@@ -5,7 +5,7 @@
 use crate::value::{required_by, Condition, FieldValue, Form, ValueRef};
 use crate::UsedValue;
 
-pub struct Export<'a> {
+pub struct Exporter<'a> {
     pub sources: &'a Sources,
     pub used: Vec<UsedValue>,
     pub problems: Vec<Problem>,
@@ -17,7 +17,7 @@
 /// The most values that a text may evaluate to. A text of ten thousand lines has a tenth of that.
 const MAX_VALUES: usize = 200_000;
 
-impl<'a> Export<'a> {
+impl<'a> Exporter<'a> {
     pub fn new(sources: &'a Sources) -> Self {
         let text = &sources[0].1;
         let line_starts = text
@@ -25,7 +25,7 @@
             .enumerate()
             .filter(|(_, byte)| *byte == b'\n')
             .map(|(offset, _)| offset + 1);
-        Export {
+        Exporter {
             sources,
             used: Vec::new(),
             problems: Vec::new(),
@@ -34,7 +34,7 @@
         }
     }
 
-    pub fn to_json(&mut self, value: &ValueRef) -> serde_json::Value {
+    pub fn export(&mut self, value: &ValueRef) -> serde_json::Value {
         self.value(value, "", value)
     }
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -125,11 +125,11 @@
         let start = Span::new(0, 0, 0);
         let value = evaluator.evaluate(&schema, &text_record, self.root, start);
         let (out_of_steps, mut problems) = (evaluator.unifier.out_of_steps, evaluator.problems);
-        let mut export = export::Export::new(&sources);
-        let json = export.to_json(&value);
+        let mut exporter = export::Exporter::new(&sources);
+        let json = exporter.export(&value);
         // A field may seem to be missing only because its part of the text could not be parsed.
         if problems.is_empty() {
-            problems.append(&mut export.problems);
+            problems.append(&mut exporter.problems);
         }
         if out_of_steps {
             problems = vec![Problem::new(
@@ -145,7 +145,7 @@
             problems.dedup();
             return Err(ReadError::Invalid(Report { sources, problems }));
         }
-        let used = export.used;
+        let used = exporter.used;
         let value = serde_json::from_value(json).map_err(|error| ReadError::Undecodable {
             name: name.to_owned(),
             reason: error.to_string(),
