--- a/maintenance/src/coordinator.rs
+++ b/maintenance/src/coordinator.rs
@@ -1,8 +1,8 @@
-//! One router's part in maintenance. Every router applies the log here. While a router is the fleet's leader, its
-//! coordinator also proposes the next entries: it takes machines out where the disruption budget allows it, grants a
-//! permit once a machine is proven to be idle, and sees machines return to service.
+//! The coordinator runs on every router and applies the maintenance log. While its router is the fleet's leader, it
+//! also proposes the next entries: it takes machines out if the disruption budget allows it, grants a permit after
+//! every router has drained the machine, and returns machines to service.
 //!
-//! What it holds beside the replicated state may be lost: the next leader starts from the state and from new reports.
+//! Only the replicated state outlives a leader: the next leader starts from that state and from new reports.
 
 mod auto_pause;
 mod command;
@@ -31,49 +31,49 @@
 use contacts::RouterContact;
 use log_lines::log_line;
 
-/// Faults that tests must catch.
+/// Injected bugs, which the tests and checkers must detect.
 #[cfg(any(test, feature = "planted"))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedBug {
-    /// A permit is granted as soon as the machine is out.
+    /// The coordinator grants a permit as soon as the machine is out.
     NoDrainWait,
     /// A router that has not reported counts as drained.
     SilentRouterIsDrained,
-    /// A report from before the machine went out counts.
+    /// A report from before the machine went out counts as proof that the router is drained.
     StaleReportCounts,
 }
 
-/// Applies the maintenance log, and proposes entries while its router is the leader.
+/// Applies the maintenance log, and proposes entries while its router is the fleet's leader.
 pub struct Coordinator {
     /// The operators' settings.
     pub config: MaintenanceConfig,
     /// The replicated state.
     pub state: MaintenanceState,
-    /// The cluster as this router last saw it. Health in it comes from all routers' reports, not from here.
+    /// The cluster as this router last saw it. Health is not taken from here but from the reports of all routers.
     view: ClusterView,
-    /// This router's wall clock at that moment, in milliseconds since 1970.
+    /// This router's wall clock when it last saw the cluster, in milliseconds since 1970.
     wall_ms: u64,
     /// The routers of the fleet.
     members: BTreeMap<Member, MemberInfo>,
-    /// The routers as the leader knew them at the last step.
+    /// What the leader knew about each router at the last call of [`Extension::next_entries`].
     contacts: Vec<RouterContact>,
-    /// The term in which the fields below were collected.
+    /// The Raft term to which the fields below belong.
     term: u64,
-    /// Machines that fail and are not under maintenance.
+    /// Machines that are unhealthy and not under maintenance.
     failing: BTreeSet<String>,
-    /// Since when nothing has been wrong that pauses maintenance.
+    /// The time since which no reason to pause maintenance has existed.
     healthy_since: Option<Micros>,
-    /// When the load was last proposed.
+    /// When the coordinator last proposed the load.
     load_proposed_at: Option<Micros>,
-    /// When this coordinator first saw a machine returning; emptied as operations leave that phase.
+    /// When this coordinator first saw each operation in the phase returning; other operations are removed.
     returning_since: BTreeMap<OperationKey, Micros>,
-    /// A fault to play, for tests of the checkers.
+    /// The injected bug that is active, for tests of the checkers.
     #[cfg(any(test, feature = "planted"))]
     pub injected_bug: Option<InjectedBug>,
 }
 
 impl Coordinator {
-    /// The coordinator of a new fleet; [`Extension::restore`] loads a stored state.
+    /// Creates the coordinator of a new fleet; [`Extension::restore`] loads a stored state.
     pub fn new(config: MaintenanceConfig) -> Coordinator {
         Coordinator {
             config,
@@ -92,13 +92,13 @@
         }
     }
 
-    /// The cluster as this router sees it now, and its wall clock in milliseconds since 1970.
+    /// Stores the cluster as this router sees it now, and the router's wall clock in milliseconds since 1970.
     pub fn observe_cluster(&mut self, view: ClusterView, wall_ms: u64) {
         self.view = view;
         self.wall_ms = wall_ms;
     }
 
-    /// Reads what [`Extension::machines_out`] wrote: the machines that are out, and those that are returning.
+    /// Decodes the output of [`Extension::machines_out`]: the machines that are out, and those that are returning.
     pub fn decode_machines_out(bytes: &[u8]) -> (Vec<String>, Vec<String>) {
         postcard::from_bytes(bytes).unwrap_or_default()
     }
@@ -108,7 +108,7 @@
         self.state.apply(index, entry)
     }
 
-    /// What an earlier time as leader has seen says nothing.
+    /// Discards what was collected in an earlier term: it no longer describes the fleet.
     fn start_term(&mut self, term: u64) {
         self.term = term;
         self.failing.clear();
@@ -151,7 +151,7 @@
             && self.state.departed_members.is_empty()
     }
 
-    /// One member that left the fleet and can no longer act on anything.
+    /// Proposes to forget one departed member that can no longer act on any query that it admitted.
     fn forget_departed_member(&self) -> Option<Entry> {
         let can_no_longer_act = |member: &&Member| {
             self.contacts
@@ -185,7 +185,7 @@
         self.state = postcard::from_bytes(image).unwrap_or_default();
     }
 
-    /// Returning machines go with those that are out: routers watch how they serve load.
+    /// Includes the returning machines, because routers report whether these serve load.
     fn machines_out(&self) -> Vec<u8> {
         let machines = (self.state.machines_out(), self.state.returning_machines());
         postcard::to_stdvec(&machines).unwrap_or_default()
--- a/maintenance/src/coordinator/command.rs
+++ b/maintenance/src/coordinator/command.rs
@@ -1,16 +1,16 @@
-//! Whether an operator's command is worth an entry. The state checks again when the entry's turn comes.
+//! Checks an operator's command before it is proposed. The state checks the entry again when it is applied.
 
 use super::Coordinator;
 use crate::disruption_budget::Violation;
 use crate::entry::{Entry, Request};
 use crate::router_removal::{router_of, RouterViolation};
 
-/// Why a command goes into no log. The sentences reach operators.
+/// Why a command is not proposed. Operators read the texts.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CommandError {
     #[error("it cannot be read: {0}")]
     Unreadable(#[from] postcard::Error),
-    /// The coordinator's entries are proposed by nobody else.
+    /// Only the coordinator may propose this entry.
     #[error("this is no operator's command")]
     NotACommand,
     #[error(transparent)]
--- a/maintenance/src/coordinator/config.rs
+++ b/maintenance/src/coordinator/config.rs
@@ -1,26 +1,28 @@
-//! The settings of maintenance, as the key `fleet.works` of the settings file gives them.
+//! The maintenance settings, from the key `fleet.works` of the settings file.
 
 use serde::{Deserialize, Serialize};
 
 use crate::disruption_budget::Limits;
 
-/// Spans are in microseconds, shares from 0 to 1.
+/// The maintenance settings. Durations are in microseconds, shares from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceConfig {
-    /// How many machines may be missing.
+    /// The limits of the disruption budget.
     #[serde(flatten)]
     pub limits: Limits,
-    /// How long past the end of its lease a router may still act on a query: the longest deadline there is. In microseconds;
-    /// the router compares it with its deadlines at its start.
+    /// How long a router may still act on a query after its lease has ended. This has to be at least the longest
+    /// deadline of a query; the router checks that when it starts.
     #[serde(rename = "lingers")]
     pub in_flight_grace_us: u64,
-    /// A machine that has not shown that it serves load for so long after its permit was given back stays out of service.
+    /// A machine that does not serve load within this time after its permit was given back stays out of service.
     #[serde(rename = "back_within")]
     pub return_timeout_us: u64,
-    /// Nothing more goes out before nothing has been wrong for so long.
+    /// The stabilization time: how long no reason to pause must have existed before a machine is taken
+    /// out or an automatic pause ends. An idle machine counts as serving after the same time.
     #[serde(rename = "calm")]
     pub stabilization_us: u64,
-    /// Maintenance pauses while more than this share of queries is late, failed or rejected. It resumes below half of it.
+    /// Maintenance pauses if more than this share of queries is late, failed or rejected. It resumes when the share is
+    /// at most half of this limit.
     #[serde(rename = "late_over")]
     pub max_late_share: f64,
 }
--- a/maintenance/src/coordinator/contacts.rs
+++ b/maintenance/src/coordinator/contacts.rs
@@ -1,4 +1,4 @@
-//! What the routers have reported, and what enough of them agree on.
+//! Evaluates the routers' reports: which machines are unhealthy, and which routers are drained.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,19 +10,20 @@
 use crate::disruption_budget::ClusterView;
 use crate::router_report::RouterReport;
 
-/// A machine is unhealthy where one in so many routers says so, and at least one does.
+/// A machine counts as unhealthy if at least one in this many routers reports it as unhealthy, and at least one router
+/// at all.
 pub(super) const UNHEALTHY_QUORUM_DIVISOR: usize = 3;
 
-/// One router, as the leader knows it at the last step.
+/// What the leader knew about one router at the last step.
 pub(super) struct RouterContact {
     pub(super) member: Member,
-    /// Its newest report that could be read.
+    /// The router's newest report, if it could be decoded.
     report: Option<RouterReport>,
-    /// It was heard lately.
+    /// Whether the router's last request is recent enough that it counts as reachable.
     pub(super) is_recent: bool,
-    /// No other process of it can have a lease.
+    /// Whether no process other than the reporting one can have a lease.
     only_one_process: bool,
-    /// None of its processes can have a lease, nor act on what it admitted under one.
+    /// Whether none of the router's processes can have a lease, or act on a query that it admitted under one.
     pub(super) all_leases_expired: bool,
 }
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// Machines that enough routers call unhealthy.
+/// The machines that enough routers report as unhealthy.
 pub(super) fn unhealthy_machines<'a>(reports: &[&'a RouterReport]) -> BTreeSet<&'a str> {
     let mut counts = BTreeMap::<&str, usize>::new();
     for name in reports.iter().flat_map(|report| &report.unhealthy) {
@@ -53,7 +54,7 @@
 }
 
 impl Coordinator {
-    /// The reports of all routers that have been heard.
+    /// The reports of all routers from which the leader has one.
     pub(super) fn reports(&self) -> Vec<&RouterReport> {
         self.contacts
             .iter()
@@ -61,8 +62,8 @@
             .collect()
     }
 
-    /// The cluster with everything that is under maintenance as out of service, and everything that is so or that
-    /// routers call so as unhealthy.
+    /// The cluster, with machines under maintenance marked as out of service and unhealthy, and machines that enough
+    /// routers report as unhealthy marked as unhealthy.
     pub(super) fn view_with_health(&self, reports: &[&RouterReport]) -> ClusterView {
         let mut view = self.view.clone();
         let unhealthy = unhealthy_machines(reports);
@@ -75,7 +76,7 @@
         view
     }
 
-    /// Routers that may still send shard requests to a machine that went out at a log index.
+    /// Routers that may still send shard requests to a machine that was taken out at the log index `out_since`.
     pub(super) fn undrained_routers(&self, machine: &str, out_since: Index) -> Vec<&Member> {
         self.contacts
             .iter()
@@ -84,8 +85,9 @@
             .collect()
     }
 
-    /// Whether a router can no longer act on the machine: its only process applies the machine's being out and has
-    /// nothing in flight there, or all its leases ended so long ago that nothing it admitted is left.
+    /// Whether a router can no longer send to the machine. Either its only process treats the machine as out and has
+    /// no shard request in flight to it, or all its leases ended so long ago that no query that it admitted is still
+    /// running.
     fn is_drained(&self, contact: &RouterContact, machine: &str, out_since: Index) -> bool {
         let reports_idle = contact.report.as_ref().is_some_and(|report| {
             self.reports_since(report, out_since) && !report.busy.iter().any(|name| name == machine)
@@ -100,7 +102,7 @@
         is_drained
     }
 
-    /// Whether the report comes from a time at which its router applied the list of this log index.
+    /// Whether the router had applied the list of machines out of this log index when it made the report.
     fn reports_since(&self, report: &RouterReport, out_since: Index) -> bool {
         #[cfg(any(test, feature = "planted"))]
         if self.injected_bug == Some(InjectedBug::StaleReportCounts) {
--- a/maintenance/src/coordinator/inspection.rs
+++ b/maintenance/src/coordinator/inspection.rs
@@ -1,4 +1,4 @@
-//! The answers to operators' questions, as JSON. `ternpick maintenance` reads them: no key may change.
+//! The maintenance status and plan as JSON. `ternpick maintenance` reads them, so no key may change.
 
 use serde_json::{json, Value};
 use ternpick_fleet_policy::Member;
@@ -10,7 +10,7 @@
 use crate::operation::{Operation, OperationKey, Phase};
 use crate::router_removal::router_of;
 
-/// What decides whether a machine that waits may go out now.
+/// What decides whether a waiting machine may be taken out now.
 struct Constraints {
     view: ClusterView,
     budget: DisruptionBudget,
@@ -18,7 +18,7 @@
 }
 
 impl Coordinator {
-    /// All operations with their phases, since when, and who waits for what; the plan; the history.
+    /// The status: all operations with their phases and the routers that they wait for, the plan, and the history.
     pub(super) fn status_json(&self) -> Value {
         let constraints = self.constraints();
         let rows: Vec<Value> = self
@@ -44,7 +44,7 @@
         })
     }
 
-    /// The rounds of all that waits, and of one more request.
+    /// The rounds of all waiting machines and of the prospective request's machines.
     pub(super) fn plan_json(&self, prospective: Option<&Request>) -> Value {
         let plan = self.plan(prospective);
         let rounds: Vec<Value> = plan
@@ -128,7 +128,7 @@
         })
     }
 
-    /// What keeps a machine that waits from going out now.
+    /// The limit or rule that forbids taking a waiting machine out now, if any.
     fn violation(&self, machine: &str, constraints: &Constraints) -> Option<String> {
         if let Some(router) = router_of(machine) {
             return self
--- a/maintenance/src/coordinator/load.rs
+++ b/maintenance/src/coordinator/load.rs
@@ -1,14 +1,15 @@
-//! Agreement on the load: how many machines may be out rests on it, so it goes through the log.
+//! Agreement on the load. The number of machines that may be out depends on it, so it goes through the log.
 
 use ternpick::types::Micros;
 
 use super::Coordinator;
 use crate::entry::Entry;
 
-/// The load is agreed anew when it has moved by more than a tenth of it and by so many shard requests a second.
+/// The coordinator proposes the reported load if it differs from the agreed load by more than a tenth of the agreed
+/// load plus this many shard requests per second.
 const MIN_CHANGE_DIVISOR: u64 = 10;
-const MIN_CHANGE: u64 = 2;
-/// It is not agreed anew more often than this.
+const MIN_CHANGE_PER_SECOND: u64 = 2;
+/// The minimum time between two proposals of the load.
 const MIN_INTERVAL: Micros = Micros(1_000_000);
 
 impl Coordinator {
@@ -19,7 +20,8 @@
             .map(|report| u64::from(report.requests_per_second))
             .sum();
         let agreed = self.state.load;
-        let has_moved = reported.abs_diff(agreed) > agreed / MIN_CHANGE_DIVISOR + MIN_CHANGE;
+        let has_moved =
+            reported.abs_diff(agreed) > agreed / MIN_CHANGE_DIVISOR + MIN_CHANGE_PER_SECOND;
         let is_due = self
             .load_proposed_at
             .is_none_or(|proposed_at| now.since(proposed_at) >= MIN_INTERVAL);
--- a/maintenance/src/coordinator/log_lines.rs
+++ b/maintenance/src/coordinator/log_lines.rs
@@ -1,9 +1,9 @@
-//! One line for each entry that an on-call engineer wants to know of. The router that proposes the entry logs it.
+//! Log lines for the entries that matter to an on-call engineer. The router that proposes an entry logs its line.
 
 use crate::entry::Entry;
 use crate::operation::OperationKey;
 
-/// The line for an entry, if it has one.
+/// The log line for an entry, if it has one.
 pub(super) fn log_line(entry: &Entry) -> Option<String> {
     match entry {
         Entry::TakeOut { operations, .. } => {
--- a/maintenance/src/coordinator/operations.rs
+++ b/maintenance/src/coordinator/operations.rs
@@ -1,4 +1,5 @@
-//! Entries for machines that are out or returning: a permit once every router is drained, and the return to service.
+//! Proposes entries for machines that are out or returning: a permit once every router is drained, and the return to
+//! service.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +12,7 @@
 use crate::router_removal::router_of;
 use crate::router_report::RouterReport;
 
-/// How far a machine that was given back is.
+/// The progress of a returning machine.
 enum ReturnProgress {
     Serving,
     TimedOut,
@@ -19,7 +20,7 @@
 }
 
 impl Coordinator {
-    /// All entries that are due for operations, in the order of their keys.
+    /// All entries that are due for operations, in the order of the operations' keys.
     pub(super) fn follow_operations(&mut self, now: Micros) -> Vec<Entry> {
         self.forget_finished_returns();
         let reports = self.reports();
@@ -62,7 +63,8 @@
         });
     }
 
-    /// A router as a machine needs no proof: its operator drains it, and the permit says that this may begin.
+    /// The permit for a machine that is out, if it is due. A router under maintenance gets its permit at once: its
+    /// operator drains it, and the permit allows the operator to begin.
     fn permit_entry(&self, key: &OperationKey, operation: &Operation) -> Option<Entry> {
         let is_drained = router_of(&key.machine).is_some()
             || self
@@ -97,8 +99,9 @@
         }
     }
 
-    /// Whether a machine serves load. If no router sends it anything, nothing but discovery shows it, and
-    /// that counts after a while. A router serves load if it was heard lately.
+    /// Whether a machine serves load: one router reports it as serving. A machine that all routers report as idle
+    /// counts as serving after the stabilization time, as only discovery shows its state. A router under maintenance
+    /// serves load if it is reachable.
     fn serves_load(
         &self,
         machine: &String,
--- a/maintenance/src/coordinator/planning.rs
+++ b/maintenance/src/coordinator/planning.rs
@@ -1,4 +1,4 @@
-//! The rounds of all that waits, as operators see them and as a new request is judged by.
+//! Plans the rounds of all waiting machines. Operators see the plan, and a new request is checked against it.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use crate::operation::OperationKey;
 use crate::schedule::{schedule, Schedule, WorkItem};
 
-/// Stands for a request that is not in the log yet.
+/// The number of a request that is not in the log yet.
 const PROSPECTIVE: RequestNo = RequestNo(u64::MAX);
 
-/// Rounds, with what they refer to.
+/// A schedule, with the items and the cluster view to which it refers.
 pub(super) struct Plan {
     pub(super) schedule: Schedule,
     items: Vec<WorkItem>,
@@ -20,7 +20,7 @@
 }
 
 impl Plan {
-    /// The machines of an item.
+    /// The names of an item's machines.
     pub(super) fn machines(&self, item: usize) -> Vec<&str> {
         self.items[item]
             .nodes
@@ -34,7 +34,7 @@
         self.items[item].request == PROSPECTIVE
     }
 
-    /// How long the first rounds take, in milliseconds.
+    /// How long the first `rounds` rounds take, in milliseconds.
     pub(super) fn duration_ms(&self, rounds: usize) -> u64 {
         self.schedule.rounds[..rounds]
             .iter()
@@ -43,7 +43,7 @@
     }
 }
 
-/// One item for each machine, or one for all of them.
+/// One item for each machine of a request, or a single one if all of them go out at once.
 fn split_into_items(number: RequestNo, request: &Request, nodes: Vec<usize>) -> Vec<WorkItem> {
     let item = |nodes| WorkItem {
         request: number,
@@ -59,7 +59,7 @@
 }
 
 impl Coordinator {
-    /// Open requests, the most urgent first.
+    /// The open requests, the most urgent first.
     pub(super) fn requests_by_urgency(&self) -> Vec<(RequestNo, &Request)> {
         let mut requests: Vec<(RequestNo, &Request)> = self
             .state
@@ -71,13 +71,13 @@
         requests
     }
 
-    /// Machines that wait, as items for a schedule. Routers are none: they go by rules of their own.
+    /// The waiting machines as items for a schedule. Routers are not among them, as they have rules of their own.
     pub(super) fn waiting_items(&self, view: &ClusterView) -> Vec<WorkItem> {
         let positions: BTreeMap<&str, usize> = view
             .nodes
             .iter()
             .enumerate()
-            .map(|(at, node)| (node.name.as_str(), at))
+            .map(|(position, node)| (node.name.as_str(), position))
             .collect();
         let mut items = Vec::new();
         for (number, request) in self.requests_by_urgency() {
@@ -100,9 +100,9 @@
         items
     }
 
-    /// The rounds of all that waits and of one more request. What is out or fails now will be there again: what can
-    /// never be is another matter than what cannot be now. Seen: a request was rejected for good as a machine was
-    /// suspected for a moment.
+    /// Plans the rounds of all waiting machines and of the prospective request's machines. The plan counts machines
+    /// that are out or failing now as healthy: it rejects only what can never go out, not what cannot go out now.
+    /// Otherwise a machine that was suspected for a moment caused a request to be rejected for good.
     pub(super) fn plan(&self, prospective: Option<&Request>) -> Plan {
         let mut view = self.view.clone();
         view.load = self.state.load as f64;
--- a/maintenance/src/coordinator/take_out.rs
+++ b/maintenance/src/coordinator/take_out.rs
@@ -1,4 +1,4 @@
-//! Which machines, and which router, go out next.
+//! Selects the machines, or the router, to take out next.
 
 use std::collections::BTreeSet;
 
@@ -14,17 +14,18 @@
 use crate::router_report::RouterReport;
 use crate::schedule::{schedule, WorkItem};
 
-/// Machines that one entry takes out, unless a single item has more.
+/// The maximum number of machines that one entry takes out, unless a single item has more.
 const MAX_MACHINES_PER_ENTRY: usize = 32;
 
-/// A router that waits to go out.
+/// A router that waits to be taken out.
 pub(super) struct WaitingRouter {
     key: OperationKey,
     member: Member,
 }
 
 impl Coordinator {
-    /// Machines that may go out now, in the order of the schedule: its first round is what fits best beside each other.
+    /// Proposes to take out the machines that may go out now, in the order of the schedule: the items of its first
+    /// round fit together best.
     pub(super) fn take_out_machines(&self, now: Micros) -> Option<Entry> {
         let reports = self.reports();
         if !self.may_take_out(now, &reports) {
@@ -37,15 +38,15 @@
         items.retain(|item| self.may_start(item, &view, &active));
         let schedule = schedule(&items, &budget);
         let mut operations = Vec::<OperationKey>::new();
-        for at in schedule.rounds.iter().flat_map(|round| &round.items) {
-            let item = &items[*at];
+        for item_index in schedule.rounds.iter().flat_map(|round| &round.items) {
+            let item = &items[*item_index];
             let keys = item_keys(item, &view);
-            let is_in_twice = keys
+            let is_taken_already = keys
                 .iter()
                 .any(|key| operations.iter().any(|other| other.machine == key.machine));
-            let max = MAX_MACHINES_PER_ENTRY.max(keys.len());
-            if operations.len() + keys.len() <= max
-                && !is_in_twice
+            let max_operations = MAX_MACHINES_PER_ENTRY.max(keys.len());
+            if operations.len() + keys.len() <= max_operations
+                && !is_taken_already
                 && budget.take_out_all(&item.nodes).is_ok()
             {
                 operations.extend(keys);
@@ -54,8 +55,8 @@
         (!operations.is_empty()).then(|| self.take_out_entry(operations))
     }
 
-    /// Whether any machine may go out: no pause, nothing wrong for long enough, capacity under the total, and reports
-    /// that name all unhealthy machines.
+    /// Whether any machine may be taken out: maintenance is not paused, no reason to pause has existed for the
+    /// stabilization time, the total limit is not reached, and enough reports name all unhealthy machines.
     fn may_take_out(&self, now: Micros, reports: &[&RouterReport]) -> bool {
         let is_stable = self
             .healthy_since
@@ -74,7 +75,7 @@
         incomplete * UNHEALTHY_QUORUM_DIVISOR < reports.len().max(1)
     }
 
-    /// Whether none of the item's machines is active for another request, and its request may begin.
+    /// Whether none of the item's machines is out or returning for another request, and the item's request may begin.
     fn may_start(&self, item: &WorkItem, view: &ClusterView, active: &BTreeSet<&str>) -> bool {
         let is_free = item
             .nodes
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The one router that may go out now, if one waits.
+    /// Proposes to take out the first waiting router that may go out now, if any.
     pub(super) fn take_out_router(&self) -> Option<Entry> {
         if self.state.pause.is_some() {
             return None;
@@ -110,7 +111,7 @@
         Some(self.take_out_entry(vec![next.key.clone()]))
     }
 
-    /// Routers whose requests may begin, in the order of their requests.
+    /// The waiting routers whose requests may begin, in the order of their requests.
     pub(super) fn waiting_routers(&self) -> Vec<WaitingRouter> {
         let mut waiting = Vec::new();
         for (number, request) in self.requests_by_urgency() {
@@ -130,7 +131,7 @@
         waiting
     }
 
-    /// Why a router that waits may not go out now.
+    /// The rule that forbids taking a waiting router out now, if any.
     pub(super) fn router_violation(
         &self,
         router: &Member,
@@ -141,7 +142,7 @@
             .err()
     }
 
-    /// The routers as seen now; none while nobody coordinates.
+    /// The routers as the coordinator sees them now; `None` while there is no coordinator.
     fn router_fleet(&self) -> Option<RouterFleet<'_>> {
         let coordinator = &self.state.coordinator.as_ref()?.member;
         let active: BTreeSet<Member> = self
--- a/maintenance/src/coordinator/tests.rs
+++ b/maintenance/src/coordinator/tests.rs
@@ -1,4 +1,4 @@
-//! The coordinator against scripted reports, in virtual time. Entries are agreed on as soon as they are proposed.
+//! Tests of the coordinator with scripted reports, in virtual time. Each entry is committed as soon as it is proposed.
 
 mod commands;
 mod model;
@@ -14,9 +14,9 @@
 use crate::ids::PermitNo;
 use crate::router_report::RouterReport;
 
-const S: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
-/// Six machines in two sets of three.
+/// A coordinator with six machines in two shard sets of three.
 fn coordinator() -> Coordinator {
     let config = MaintenanceConfig {
         limits: Limits {
@@ -27,10 +27,10 @@
         ..MaintenanceConfig::default()
     };
     let mut coordinator = Coordinator::new(config);
-    let node = |at: u32| Node {
-        name: format!("s{at}"),
+    let node = |number: u32| Node {
+        name: format!("s{number}"),
         zone: 0,
-        shard_sets: vec![at / 3],
+        shard_sets: vec![number / 3],
         healthy: true,
         out_of_service: false,
     };
@@ -49,7 +49,7 @@
     Request {
         machines,
         requested_by: "ann".into(),
-        duration_us: 60 * S,
+        duration_us: 60 * SECOND_US,
         ..Request::default()
     }
 }
@@ -74,19 +74,19 @@
     }
 }
 
-/// A coordinator whose router leads, with the log index and the time in microseconds.
+/// A coordinator whose router is the leader, with the last log index and the virtual time.
 struct Fleet {
     coordinator: Coordinator,
-    at: u64,
-    now: u64,
+    log_index: u64,
+    now_us: u64,
 }
 
 impl Fleet {
     fn with_request(machines: &[&str]) -> Fleet {
         let mut fleet = Fleet {
             coordinator: coordinator(),
-            at: 0,
-            now: 0,
+            log_index: 0,
+            now_us: 0,
         };
         fleet.commit(Entry::OpenRequest {
             request: request(machines),
@@ -95,18 +95,21 @@
     }
 
     fn commit(&mut self, entry: Entry) {
-        self.at += 1;
+        self.log_index += 1;
         self.coordinator
-            .apply(Index(self.at), &postcard::to_stdvec(&entry).expect("bytes"))
-            .expect("it fits");
+            .apply(
+                Index(self.log_index),
+                &postcard::to_stdvec(&entry).expect("the entry is encoded"),
+            )
+            .expect("the entry is applied");
     }
 
-    /// A second passes; what was proposed is committed.
+    /// Advances the time by one second and commits all entries that the coordinator proposes.
     fn step(&mut self, contacts: &[MemberContact]) -> Vec<Entry> {
-        self.now += S;
+        self.now_us += SECOND_US;
         let (entries, _) =
             self.coordinator
-                .next_entries(Micros(self.now), &"n0".into(), 1, contacts);
+                .next_entries(Micros(self.now_us), &"n0".into(), 1, contacts);
         let entries: Vec<Entry> = entries
             .iter()
             .map(|bytes| postcard::from_bytes(bytes).expect("an entry"))
@@ -119,12 +122,12 @@
         (0..seconds).flat_map(|_| self.step(contacts)).collect()
     }
 
-    fn out(&self) -> Vec<String> {
+    fn machines_out(&self) -> Vec<String> {
         self.coordinator.state.machines_out()
     }
 }
 
-/// A report of a router that applies the list of this log index, and has nothing else to say.
+/// A report of a router that has applied the list of this log index, with all other values empty.
 fn report_at(applied_index: u64) -> RouterReport {
     RouterReport {
         applied_index: Index(applied_index),
--- a/maintenance/src/coordinator/tests/model.rs
+++ b/maintenance/src/coordinator/tests/model.rs
@@ -1,6 +1,7 @@
-//! All interleavings of one machine's going out, at small size, with the real state and coordinator: two routers with
-//! leases and queries in flight, reports that come late or not at all, a change of leader, and entries of the earlier
-//! coordinator that are committed late. The rule: no shard request is sent to the machine while its permit stands.
+//! Model check of taking out one machine, with the real state and coordinator. It explores the interleavings of two
+//! routers with leases and queries in flight, delayed or missing reports, a change of leader, and delayed entries of
+//! the previous coordinator. It guards against a permit that is granted while a router can still send shard requests
+//! to the machine.
 
 use stateright::{Checker, Model, Property};
 use ternpick::types::Micros;
@@ -10,11 +11,11 @@
 use crate::disruption_budget::{Limits, Node};
 use crate::*;
 
-const LEASE: u8 = 2;
-/// A query that was admitted may send shard requests for so long.
-const IN_FLIGHT_GRACE: u8 = 2;
-const END: u8 = 9;
-const RULE: &str = "no shard request is at a machine under its permit";
+const LEASE_TICKS: u8 = 2;
+/// How long an admitted query may send shard requests.
+const IN_FLIGHT_GRACE_TICKS: u8 = 2;
+const END_TICK: u8 = 9;
+const RULE: &str = "no shard request is in flight to a machine under its permit";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Report {
@@ -42,11 +43,11 @@
 struct Router {
     applied_index: u64,
     lease_end: u8,
-    /// Until when its query may send shard requests.
+    /// The time until which the router's query may send shard requests, if it has a query.
     query_end: Option<u8>,
-    /// It has a shard request in flight at the machine.
+    /// Whether the router has a shard request in flight to the machine.
     is_busy: bool,
-    /// A report that is on its way.
+    /// A report that the leader has not received yet.
     report_in_flight: Option<Report>,
 }
 
@@ -59,7 +60,7 @@
     }
 }
 
-/// What the leader knows of one router.
+/// What the leader knows about one router.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 struct Contact {
     report: Option<Report>,
@@ -72,33 +73,33 @@
     log_index: u64,
     term: u64,
     state: MaintenanceState,
-    /// Where the list of machines out last changed.
+    /// The log index at which the list of machines out last changed.
     machines_out_index: u64,
     routers: [Router; 2],
-    leads_since: u8,
+    leader_since: u8,
     contacts: [Contact; 2],
-    /// An entry that was proposed and is committed late.
+    /// A proposed entry whose commit is delayed.
     delayed: Option<Entry>,
-    is_broken: bool,
+    rule_is_broken: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    TimePasses,
-    /// A router reports to the leader, and gets the list of machines out and a lease.
+    AdvanceTime,
+    /// A router reports to the leader, and receives the list of machines out and a lease.
     Renew(usize),
     SendReport(usize),
     DeliverReport(usize),
     AdmitQuery(usize),
     SendShardRequest(usize),
     FinishShardRequest(usize),
-    /// The leader proposes what is due, and it is committed.
+    /// The leader proposes the due entries, which are committed at once.
     Propose,
-    /// The leader proposes what is due, and it is committed late.
+    /// The leader proposes the due entries, and the commit of the first one is delayed.
     ProposeDelayed,
     CommitDelayed,
     ChangeLeader,
-    GiveBack,
+    FinishWork,
 }
 
 struct PermitModel {
@@ -118,8 +119,8 @@
     });
     coordinator.state = state.clone();
     coordinator.injected_bug = injected_bug;
-    let node = |at: u32| Node {
-        name: format!("s{at}"),
+    let node = |number: u32| Node {
+        name: format!("s{number}"),
         zone: 0,
         shard_sets: vec![0],
         healthy: true,
@@ -150,7 +151,7 @@
     fn commit(&mut self, entry: Entry) {
         self.log_index += 1;
         let before = self.state.machines_out();
-        // An entry that no longer fits changes nothing.
+        // An entry that is no longer valid changes nothing.
         let _ = self.state.apply(Index(self.log_index), entry);
         self.state.history.clear();
         if self.state.machines_out() != before {
@@ -158,16 +159,16 @@
         }
     }
 
-    fn member_contact(&self, at: usize) -> MemberContact {
+    fn member_contact(&self, router_index: usize) -> MemberContact {
         let Contact {
             report,
             lease_granted_at,
-        } = &self.contacts[at];
-        let span = LEASE + IN_FLIGHT_GRACE;
-        let all_leases_expired = self.now > self.leads_since + span
+        } = &self.contacts[router_index];
+        let span = LEASE_TICKS + IN_FLIGHT_GRACE_TICKS;
+        let all_leases_expired = self.now > self.leader_since + span
             && lease_granted_at.is_none_or(|granted_at| self.now > granted_at + span);
         MemberContact {
-            member: if at == 0 { "a" } else { "b" }.into(),
+            member: if router_index == 0 { "a" } else { "b" }.into(),
             is_recent: report.is_some(),
             report: report.map(Report::encode),
             only_one_process: true,
@@ -195,7 +196,7 @@
             .collect()
     }
 
-    fn pass_time(&mut self) {
+    fn advance_time(&mut self) {
         self.now += 1;
         for router in &mut self.routers {
             if router.query_end.is_some_and(|end| end < self.now) {
@@ -208,50 +209,50 @@
         }
     }
 
-    fn renew(&mut self, at: usize) {
-        let router = &mut self.routers[at];
-        let contact = &mut self.contacts[at];
+    fn renew(&mut self, router_index: usize) {
+        let router = &mut self.routers[router_index];
+        let contact = &mut self.contacts[router_index];
         contact.report = Some(router.report());
-        // A report that is newer makes one on its way needless.
+        // The newer report replaces the one that is in flight.
         router.report_in_flight = None;
         if router.applied_index >= self.machines_out_index {
-            router.lease_end = self.now + LEASE;
+            router.lease_end = self.now + LEASE_TICKS;
             contact.lease_granted_at = Some(self.now);
         }
         router.applied_index = self.machines_out_index;
     }
 
-    fn send_shard_request(&mut self, at: usize) {
-        self.routers[at].is_busy = true;
-        // The router does not know that the machine is out, or it would not send.
-        self.is_broken |= self.is_out() && self.is_permitted();
+    fn send_shard_request(&mut self, router_index: usize) {
+        self.routers[router_index].is_busy = true;
+        // The router has not applied the latest list, otherwise this action would not be possible.
+        self.rule_is_broken |= self.is_out() && self.is_permitted();
     }
 
     fn change_leader(&mut self) {
         self.term += 1;
-        self.leads_since = self.now;
+        self.leader_since = self.now;
         self.contacts = Default::default();
     }
 
-    fn router_actions(&self, at: usize, actions: &mut Vec<Action>) {
-        let router = &self.routers[at];
-        actions.push(Action::Renew(at));
+    fn router_actions(&self, router_index: usize, actions: &mut Vec<Action>) {
+        let router = &self.routers[router_index];
+        actions.push(Action::Renew(router_index));
         if router.report_in_flight.is_none() {
-            actions.push(Action::SendReport(at));
+            actions.push(Action::SendReport(router_index));
         } else {
-            actions.push(Action::DeliverReport(at));
+            actions.push(Action::DeliverReport(router_index));
         }
         if self.now < router.lease_end && router.query_end.is_none() {
-            actions.push(Action::AdmitQuery(at));
+            actions.push(Action::AdmitQuery(router_index));
         }
         if router.query_end.is_some()
             && !router.is_busy
             && router.applied_index < self.machines_out_index.max(1)
         {
-            actions.push(Action::SendShardRequest(at));
+            actions.push(Action::SendShardRequest(router_index));
         }
         if router.is_busy {
-            actions.push(Action::FinishShardRequest(at));
+            actions.push(Action::FinishShardRequest(router_index));
         }
     }
 }
@@ -262,7 +263,7 @@
 
     fn init_states(&self) -> Vec<FleetState> {
         let router = Router {
-            lease_end: LEASE,
+            lease_end: LEASE_TICKS,
             ..Router::default()
         };
         let contact = Contact {
@@ -276,10 +277,10 @@
             state: MaintenanceState::default(),
             machines_out_index: 0,
             routers: [router.clone(), router],
-            leads_since: 0,
+            leader_since: 0,
             contacts: [contact.clone(), contact],
             delayed: None,
-            is_broken: false,
+            rule_is_broken: false,
         };
         let request = Request {
             machines: vec!["s0".into()],
@@ -295,11 +296,11 @@
     }
 
     fn actions(&self, fleet: &FleetState, actions: &mut Vec<Action>) {
-        if fleet.now < END {
-            actions.push(Action::TimePasses);
+        if fleet.now < END_TICK {
+            actions.push(Action::AdvanceTime);
         }
-        for at in 0..fleet.routers.len() {
-            fleet.router_actions(at, actions);
+        for router_index in 0..fleet.routers.len() {
+            fleet.router_actions(router_index, actions);
         }
         actions.extend([Action::Propose, Action::ProposeDelayed]);
         if fleet.delayed.is_some() {
@@ -309,27 +310,28 @@
             actions.push(Action::ChangeLeader);
         }
         if fleet.is_permitted() {
-            actions.push(Action::GiveBack);
+            actions.push(Action::FinishWork);
         }
     }
 
     fn next_state(&self, before: &FleetState, action: Action) -> Option<FleetState> {
         let mut fleet = before.clone();
         match action {
-            Action::TimePasses => fleet.pass_time(),
-            Action::Renew(at) => fleet.renew(at),
-            Action::SendReport(at) => {
-                let router = &mut fleet.routers[at];
+            Action::AdvanceTime => fleet.advance_time(),
+            Action::Renew(router_index) => fleet.renew(router_index),
+            Action::SendReport(router_index) => {
+                let router = &mut fleet.routers[router_index];
                 router.report_in_flight = Some(router.report());
             }
-            Action::DeliverReport(at) => {
-                fleet.contacts[at].report = fleet.routers[at].report_in_flight.take();
+            Action::DeliverReport(router_index) => {
+                fleet.contacts[router_index].report =
+                    fleet.routers[router_index].report_in_flight.take();
             }
-            Action::AdmitQuery(at) => {
-                fleet.routers[at].query_end = Some(fleet.now + IN_FLIGHT_GRACE);
+            Action::AdmitQuery(router_index) => {
+                fleet.routers[router_index].query_end = Some(fleet.now + IN_FLIGHT_GRACE_TICKS);
             }
-            Action::SendShardRequest(at) => fleet.send_shard_request(at),
-            Action::FinishShardRequest(at) => fleet.routers[at].is_busy = false,
+            Action::SendShardRequest(router_index) => fleet.send_shard_request(router_index),
+            Action::FinishShardRequest(router_index) => fleet.routers[router_index].is_busy = false,
             Action::Propose => {
                 for entry in fleet.due_entries(self.injected_bug) {
                     fleet.commit(entry);
@@ -343,9 +345,9 @@
                 fleet.commit(entry);
             }
             Action::ChangeLeader => fleet.change_leader(),
-            Action::GiveBack => {
+            Action::FinishWork => {
                 let mut operations = fleet.state.operations.values();
-                let permit = operations.find_map(|of| of.phase.permit())?;
+                let permit = operations.find_map(|operation| operation.phase.permit())?;
                 fleet.commit(Entry::FinishWork {
                     permit,
                     by: "ann".into(),
@@ -353,14 +355,15 @@
                 });
             }
         }
-        // A shard request that is at the machine as the permit is granted breaks the rule as well.
-        fleet.is_broken |= fleet.is_permitted() && fleet.routers.iter().any(|of| of.is_busy);
+        // A shard request in flight when the permit is granted breaks the rule too.
+        fleet.rule_is_broken |=
+            fleet.is_permitted() && fleet.routers.iter().any(|router| router.is_busy);
         (fleet != *before).then_some(fleet)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(RULE, |_, fleet: &FleetState| !fleet.is_broken),
+            Property::always(RULE, |_, fleet: &FleetState| !fleet.rule_is_broken),
             Property::sometimes("a permit is granted", |_, fleet: &FleetState| {
                 fleet.is_permitted()
             }),
@@ -374,7 +377,7 @@
         ]
     }
 
-    /// Exploration ends with a permit that has been given back.
+    /// The exploration ends when a permit has been given back.
     fn within_boundary(&self, fleet: &FleetState) -> bool {
         fleet.log_index < 9
             && fleet
@@ -395,7 +398,7 @@
 }
 
 #[test]
-fn no_shard_request_is_at_a_machine_under_its_permit() {
+fn no_shard_request_reaches_a_machine_under_its_permit() {
     let checker = explore(None);
     let states = checker.unique_state_count();
     checker.assert_no_discovery(RULE);
@@ -410,6 +413,6 @@
 #[test_case(InjectedBug::NoDrainWait)]
 #[test_case(InjectedBug::SilentRouterIsDrained)]
 #[test_case(InjectedBug::StaleReportCounts)]
-fn an_injected_bug_is_found(injected_bug: InjectedBug) {
+fn finds_an_injected_bug(injected_bug: InjectedBug) {
     assert!(explore(Some(injected_bug)).discovery(RULE).is_some());
 }
--- a/maintenance/src/coordinator/tests/pause.rs
+++ b/maintenance/src/coordinator/tests/pause.rs
@@ -1,29 +1,37 @@
 use super::*;
 
 #[test]
-fn an_unplanned_failure_pauses_and_a_stable_fleet_resumes() {
+fn pauses_on_an_unplanned_failure_and_resumes_after_the_stabilization_time() {
     let mut fleet = Fleet::with_request(&["s0", "s3"]);
-    let dead = RouterReport {
+    let failing = RouterReport {
         unhealthy: vec!["s1".into()],
         ..report_at(100)
     };
     let healthy = [contact("n0", &report_at(100))];
     fleet.run(4, &healthy);
-    assert!(fleet.out().is_empty(), "not stable for long enough yet");
-    let entries = fleet.step(&[contact("n0", &dead)]);
+    assert!(
+        fleet.machines_out().is_empty(),
+        "the stabilization time has not passed yet"
+    );
+    let entries = fleet.step(&[contact("n0", &failing)]);
     assert!(
         matches!(entries[..], [Entry::AutoPause { .. }]),
         "{entries:?}"
     );
-    fleet.run(10, &[contact("n0", &dead)]);
-    // It is known by now: the other set's machine may go, its own neighbour may not.
-    assert_eq!(fleet.out(), ["s3"], "{:?}", fleet.coordinator.state);
+    fleet.run(10, &[contact("n0", &failing)]);
+    // The failure is no longer new: the machine of the other shard set may go out, the one of the same set may not.
+    assert_eq!(
+        fleet.machines_out(),
+        ["s3"],
+        "{:?}",
+        fleet.coordinator.state
+    );
     fleet.run(10, &healthy);
-    assert_eq!(fleet.out(), ["s0", "s3"]);
+    assert_eq!(fleet.machines_out(), ["s0", "s3"]);
 }
 
 #[test]
-fn late_queries_pause_without_flapping() {
+fn pauses_once_while_the_late_share_varies_between_half_the_limit_and_the_limit() {
     let mut fleet = Fleet::with_request(&["s0"]);
     let share = |late| {
         [contact(
@@ -37,7 +45,7 @@
     };
     fleet.run(2, &share(0));
     let mut pauses = 0;
-    // Between half of the limit and the limit it stays as it is.
+    // With a share between half of the limit and the limit, the pause stays.
     for late in [150, 80, 80, 90, 60, 80, 90, 60, 70, 80, 60, 70] {
         pauses += fleet.step(&share(late)).len();
     }
@@ -53,16 +61,19 @@
 }
 
 #[test]
-fn a_machine_fails_while_its_neighbour_is_out_and_that_one_keeps_its_permit() {
+fn keeps_a_permit_when_another_machine_of_the_shard_set_fails() {
     let mut fleet = Fleet::with_request(&["s0", "s3", "s4"]);
     fleet.run(8, &[contact("n0", &report_at(100))]);
-    assert_eq!(fleet.out(), ["s0", "s3"]);
-    let permit = fleet.coordinator.permit_of("s3").expect("a permit");
-    let dead = RouterReport {
+    assert_eq!(fleet.machines_out(), ["s0", "s3"]);
+    let permit = fleet
+        .coordinator
+        .permit_of("s3")
+        .expect("the machine has a permit");
+    let failing = RouterReport {
         unhealthy: vec!["s1".into()],
         ..report_at(100)
     };
-    let entries = fleet.run(3, &[contact("n0", &dead)]);
+    let entries = fleet.run(3, &[contact("n0", &failing)]);
     assert!(
         matches!(entries[..], [Entry::AutoPause { .. }]),
         "{entries:?}"
@@ -72,16 +83,16 @@
         by: "ann".into(),
         unfit_reason: None,
     });
-    // Its own set is complete again, and the next machine waits all the same until the failure is known for long enough.
+    // The machine's shard set is complete again, but the next machine waits until the stabilization time has passed.
     let serving = RouterReport {
         serving: vec!["s3".into()],
-        ..dead
+        ..failing
     };
     fleet.run(1, &[contact("n0", &serving)]);
     assert_eq!(
-        fleet.out(),
+        fleet.machines_out(),
         ["s0"],
-        "nothing more goes out, and s0 stays with its operator"
+        "no other machine goes out, and s0 keeps its permit"
     );
     assert!(fleet.coordinator.permit_of("s0").is_some());
 }
--- a/maintenance/src/coordinator/tests/permits.rs
+++ b/maintenance/src/coordinator/tests/permits.rs
@@ -1,12 +1,12 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(report_at(2), true, false, false; "a report from before it was out")]
-#[test_case(RouterReport { busy: vec!["s0".into()], ..report_at(100) }, true, false, false; "a shard request is in flight there")]
-#[test_case(report_at(100), false, false, false; "another process of it may still act")]
-#[test_case(report_at(2), true, true, true; "silent until all its leases have expired")]
-#[test_case(report_at(100), true, false, true; "idle")]
-fn a_permit_waits_for_every_router(
+#[test_case(report_at(2), true, false, false; "report from before the machine was out")]
+#[test_case(RouterReport { busy: vec!["s0".into()], ..report_at(100) }, true, false, false; "shard request in flight to the machine")]
+#[test_case(report_at(100), false, false, false; "another process of the router may still act")]
+#[test_case(report_at(2), true, true, true; "outdated report and all leases expired")]
+#[test_case(report_at(100), true, false, true; "drained router")]
+fn grants_a_permit_only_when_every_router_is_drained(
     report: RouterReport,
     only_one_process: bool,
     all_leases_expired: bool,
@@ -20,21 +20,24 @@
     };
     fleet.run(12, &[contact("n0", &report_at(100)), slow]);
     assert_eq!(
-        (fleet.out(), fleet.coordinator.permit_of("s0").is_some()),
+        (
+            fleet.machines_out(),
+            fleet.coordinator.permit_of("s0").is_some()
+        ),
         (vec!["s0".into()], granted)
     );
 }
 
 #[test]
-fn no_permit_is_granted_while_a_router_has_not_reported() {
+fn grants_no_permit_while_a_router_without_report_may_have_a_lease() {
     let mut fleet = Fleet::with_request(&["s0"]);
-    let unheard = MemberContact {
+    let silent = MemberContact {
         report: None,
         only_one_process: false,
         is_recent: false,
         ..contact("n1", &RouterReport::default())
     };
-    fleet.run(12, &[contact("n0", &report_at(100)), unheard.clone()]);
+    fleet.run(12, &[contact("n0", &report_at(100)), silent.clone()]);
     assert_eq!(fleet.coordinator.permit_of("s0"), None);
     fleet.run(
         1,
@@ -42,7 +45,7 @@
             contact("n0", &report_at(100)),
             MemberContact {
                 all_leases_expired: true,
-                ..unheard
+                ..silent
             },
         ],
     );
@@ -50,7 +53,7 @@
 }
 
 #[test]
-fn a_permit_that_is_never_given_back_keeps_its_neighbours_in_service_and_nobody_else() {
+fn an_overdue_permit_blocks_only_machines_of_the_same_shard_set() {
     let mut fleet = Fleet::with_request(&["s0", "s1", "s3"]);
     fleet
         .coordinator
@@ -74,5 +77,5 @@
     assert!(row("s1").is_some_and(|row| row["binds"]
         .as_str()
         .is_some_and(|binds| binds.contains("set 0"))));
-    assert_eq!(fleet.out(), ["s0", "s3"]);
+    assert_eq!(fleet.machines_out(), ["s0", "s3"]);
 }
--- a/maintenance/src/coordinator/tests/routers.rs
+++ b/maintenance/src/coordinator/tests/routers.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn routers_go_out_one_after_the_other_and_the_coordinator_last() {
+fn takes_routers_out_one_at_a_time_and_the_coordinator_last() {
     let mut fleet = Fleet {
         coordinator: coordinator(),
-        at: 0,
-        now: 0,
+        log_index: 0,
+        now_us: 0,
     };
     let member_info = |replica: u64| MemberInfo {
         address: String::new(),
@@ -14,23 +14,29 @@
         is_learner: false,
     };
     let members = (0..3)
-        .map(|at| (Member(format!("n{at}")), member_info(at + 1)))
+        .map(|number| (Member(format!("n{number}")), member_info(number + 1)))
         .collect();
     fleet.coordinator.members_changed(&members);
     fleet.commit(Entry::OpenRequest {
         request: request(&["router:n0", "router:n1", "router:n2"]),
     });
     let all: Vec<MemberContact> = (0..3)
-        .map(|at| contact(&format!("n{at}"), &report_at(100)))
+        .map(|number| contact(&format!("n{number}"), &report_at(100)))
         .collect();
     let mut order = Vec::new();
     for _ in 0..3 {
         fleet.run(3, &all);
-        let [out] = &fleet.out()[..] else {
-            panic!("one at a time: {:?}", fleet.out())
+        let [out] = &fleet.machines_out()[..] else {
+            panic!(
+                "expected exactly one router out, found {:?}",
+                fleet.machines_out()
+            )
         };
         order.push(out.clone());
-        let permit = fleet.coordinator.permit_of(out).expect("a permit");
+        let permit = fleet
+            .coordinator
+            .permit_of(out)
+            .expect("the machine has a permit");
         fleet.commit(Entry::FinishWork {
             permit,
             by: "ann".into(),
--- a/maintenance/src/coordinator/tests/take_out.rs
+++ b/maintenance/src/coordinator/tests/take_out.rs
@@ -1,15 +1,22 @@
 use super::*;
 
 #[test]
-fn one_of_each_set_goes_out_and_the_next_when_it_is_back() {
+fn takes_out_one_machine_of_each_shard_set_and_the_next_after_its_return() {
     let mut fleet = Fleet::with_request(&["s0", "s1", "s3"]);
     let idle = [
         contact("n0", &report_at(100)),
         contact("n1", &report_at(100)),
     ];
     fleet.run(10, &idle);
-    assert_eq!(fleet.out(), ["s0", "s3"], "two of each set stay");
-    let permit = fleet.coordinator.permit_of("s0").expect("a permit");
+    assert_eq!(
+        fleet.machines_out(),
+        ["s0", "s3"],
+        "two machines of each shard set stay"
+    );
+    let permit = fleet
+        .coordinator
+        .permit_of("s0")
+        .expect("the machine has a permit");
     fleet.commit(Entry::FinishWork {
         permit,
         by: "ann".into(),
@@ -17,9 +24,9 @@
     });
     fleet.run(10, &idle);
     assert_eq!(
-        fleet.out(),
+        fleet.machines_out(),
         ["s3"],
-        "it has yet to show that it serves load"
+        "no router has reported s0 as serving"
     );
     let serving = RouterReport {
         serving: vec!["s0".into()],
@@ -29,11 +36,11 @@
         10,
         &[contact("n0", &serving), contact("n1", &report_at(100))],
     );
-    assert_eq!(fleet.out(), ["s1", "s3"]);
+    assert_eq!(fleet.machines_out(), ["s1", "s3"]);
 }
 
 #[test]
-fn a_load_that_grows_lets_nothing_more_out() {
+fn takes_out_no_machine_that_a_grown_load_needs() {
     let mut fleet = Fleet::with_request(&["s0", "s3"]);
     fleet.coordinator.config.limits.node_capacity = Some(10.0);
     let load = |requests_per_second| {
@@ -47,32 +54,33 @@
     };
     fleet.run(4, &load(30));
     fleet.run(10, &load(45));
-    assert_eq!(
-        fleet.coordinator.state.load, 45,
-        "it is agreed before it is used"
-    );
+    assert_eq!(fleet.coordinator.state.load, 45, "the load is agreed");
     assert!(
-        fleet.out().is_empty(),
-        "45 with a quarter more and one failure need seven"
+        fleet.machines_out().is_empty(),
+        "a load of 45 with growth and reserve needs seven machines"
     );
     fleet.run(10, &load(28));
-    assert_eq!(fleet.out().len(), 1, "28 need five of six: one may go");
+    assert_eq!(
+        fleet.machines_out().len(),
+        1,
+        "a load of 28 needs five of six machines"
+    );
 }
 
 #[test]
-fn a_machine_that_discovery_terminates_keeps_its_neighbours_in_service() {
+fn takes_out_no_machine_while_another_of_the_shard_set_is_terminating() {
     let mut fleet = Fleet::with_request(&["s0", "s3"]);
-    // Known for long: one of the first set is listed as terminating all the time.
-    let released = RouterReport {
+    // One machine of the first shard set is reported as terminating during the whole test.
+    let terminating = RouterReport {
         unhealthy: vec!["s2".into()],
         ..report_at(100)
     };
-    fleet.run(20, &[contact("n0", &released)]);
-    assert_eq!(fleet.out(), ["s3"]);
+    fleet.run(20, &[contact("n0", &terminating)]);
+    assert_eq!(fleet.machines_out(), ["s3"]);
 }
 
 #[test]
-fn a_machine_that_one_router_of_many_calls_unhealthy_is_healthy() {
+fn ignores_an_unhealthy_report_of_one_router_in_seven() {
     let one = RouterReport {
         unhealthy: vec!["s1".into()],
         ..RouterReport::default()
--- a/maintenance/src/disruption_budget.rs
+++ b/maintenance/src/disruption_budget.rs
@@ -1,8 +1,9 @@
-//! How many machines may be missing at a time: healthy holders of each set of shards, machines of each zone, capacity
-//! for the load with a reserve, and a total. Each limit is a number of healthy machines, of which so many may be missing.
+//! Limits how many machines may be missing at a time: holders of each set of shards, machines of each zone, capacity
+//! for the load with a reserve, and a total. Each limit counts the machines that are available and how many are
+//! required.
 //!
-//! [`crate::schedule`] plans rounds with it and the coordinator asks it before a machine goes out. Routers as machines
-//! have rules of their own, in [`crate::router_removal`].
+//! [`crate::schedule`] plans rounds with the budget, and the coordinator checks it before it takes a machine out.
+//! Routers under maintenance have rules of their own, in [`crate::router_removal`].
 
 mod limits;
 #[cfg(test)]
@@ -18,35 +19,35 @@
 /// One machine that answers shard requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its name, as discovery lists it.
+    /// The machine's name as discovery lists it.
     pub name: String,
-    /// Its zone's number.
+    /// The number of the machine's zone.
     pub zone: u16,
-    /// The sets of shards that it holds.
+    /// The sets of shards that the machine holds.
     pub shard_sets: Vec<u32>,
-    /// It serves load.
+    /// Whether the machine serves load.
     pub healthy: bool,
-    /// It is under maintenance: out, or not returned to service yet.
+    /// Whether the machine is under maintenance: out, or returning to service.
     pub out_of_service: bool,
 }
 
 /// The machines of the fleet, as one router sees them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterView {
-    /// All machines; other types name one by its place here.
+    /// All machines; other types refer to a machine by its position in this list.
     pub nodes: Vec<Node>,
-    /// Shard requests a second of all routers together.
+    /// Shard requests per second of all routers together.
     pub load: f64,
 }
 
 impl ClusterView {
-    /// The place of a machine.
+    /// The position of a machine in `nodes`.
     pub fn position(&self, name: &str) -> Option<usize> {
         self.nodes.iter().position(|node| node.name == name)
     }
 }
 
-/// Which machines a limit counts.
+/// The machines that a limit counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Scope {
     ShardSet(u32),
@@ -55,7 +56,7 @@
     Total,
 }
 
-/// What a limit asks of the machines in its scope.
+/// The condition under which a machine in a limit's scope counts as available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Requirement {
     Healthy,
@@ -71,7 +72,7 @@
     }
 }
 
-/// A number of machines, of which `required` have to stay.
+/// A number of available machines, of which `required` have to stay.
 #[derive(Clone, Debug)]
 struct Limit {
     scope: Scope,
@@ -85,18 +86,19 @@
     }
 }
 
-/// What is free of every limit, as machines go out. Its size is the fleet's.
+/// All limits, with the number of machines that may still be taken out under each. Its size grows with the number of
+/// machines.
 #[derive(Clone, Debug)]
 pub struct DisruptionBudget {
-    /// By shard set and zone as the machines name them, then the load, then the total.
+    /// The limits of shard sets and zones in the order of the machines, then the load, then the total.
     limits: Vec<Limit>,
-    /// For each machine: the limits of which its going out takes one.
+    /// For each machine, the limits that lose one available machine when it is taken out.
     limits_of: Vec<Vec<usize>>,
     max_out: usize,
 }
 
 impl DisruptionBudget {
-    /// `out`: machines that are out now; they count against the total.
+    /// `out` is the number of machines that are out now; they count against the total.
     pub fn new(view: &ClusterView, limits: &Limits, out: usize) -> DisruptionBudget {
         let max_out = limits.max_out(view.nodes.len());
         let mut budget = DisruptionBudget {
@@ -121,14 +123,14 @@
         budget
     }
 
-    /// Each set and each zone has two limits: on healthy machines, and on those in service. A machine that fails now
-    /// takes nothing of the first, and all the same must not go out while a neighbour is out: it may be healthy in a
-    /// moment, and under a permit it could not serve. Seen: two permits in a set of three, one of them for a machine
-    /// that was suspected for a moment.
+    /// Adds two limits for each shard set and each zone: one on healthy machines, one on machines in service. Taking
+    /// out a machine that is failing uses nothing of the first limit, but it must still not go out while another
+    /// machine of its set is out: the failure may be over in a moment, and under a permit the machine could not serve.
+    /// With only the first limit, two machines of a set of three had permits, one of them after a brief suspicion.
     fn add_sets_and_zones(&mut self, view: &ClusterView, limits: &Limits) {
         let mut numbers = HashMap::<(Scope, Requirement), usize>::new();
         let mut members = Vec::<usize>::new();
-        for (at, node) in view.nodes.iter().enumerate() {
+        for (position, node) in view.nodes.iter().enumerate() {
             let sets = node.shard_sets.iter().map(|set| Scope::ShardSet(*set));
             for scope in sets.chain([Scope::Zone(node.zone)]) {
                 for requirement in [Requirement::Healthy, Requirement::InService] {
@@ -144,14 +146,14 @@
                     members[number] += 1;
                     self.limits[number].available += usize::from(requirement.is_met_by(node));
                     if requirement == Requirement::InService || node.healthy {
-                        self.limits_of[at].push(number);
+                        self.limits_of[position].push(number);
                     }
                 }
             }
         }
         for (limit, members) in self.limits.iter_mut().zip(members) {
             limit.required = match limit.scope {
-                // Two where there are more, one where there are two, and the last never goes.
+                // At least two of three or more holders stay, one of two, and the only holder always stays.
                 Scope::ShardSet(_) => limits.min_holders.max(2).min(members - 1).max(1),
                 _ => (limits.min_zone_share * members as f64).ceil() as usize,
             };
@@ -168,7 +170,7 @@
         }
     }
 
-    /// The first limit that a machine's going out would break, if any.
+    /// Checks whether a machine may be taken out; the error names the first limit that forbids it.
     pub fn check(&self, node: usize) -> Result<(), Violation> {
         let exhausted = self.limits_of[node]
             .iter()
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Counts a machine as missing, whatever the limits say.
+    /// Counts a machine as missing without checking the limits.
     fn take_out(&mut self, node: usize) {
         for limit in &self.limits_of[node] {
             let available = &mut self.limits[*limit].available;
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Counts the machines as missing if all may go out together; otherwise nothing changes.
+    /// Counts the machines as missing if all of them may be out together; otherwise changes nothing.
     pub fn take_out_all(&mut self, nodes: &[usize]) -> Result<(), Violation> {
         let before = self.limits.clone();
         for node in nodes {
@@ -226,7 +228,7 @@
         Ok(())
     }
 
-    /// The limits of which a machine takes one, and how much of each is free.
+    /// The limits that count a machine, with the number of machines that may still be taken out under each.
     pub(crate) fn uses(&self, node: usize) -> impl Iterator<Item = LimitUse> + '_ {
         self.limits_of[node].iter().map(|limit| LimitUse {
             limit: *limit,
@@ -234,17 +236,17 @@
         })
     }
 
-    /// How many machines may still go out under each limit.
+    /// How many machines may still be taken out under each limit.
     pub(crate) fn free(&self) -> Vec<usize> {
         self.limits.iter().map(Limit::free).collect()
     }
 }
 
-/// A limit of which a machine takes one.
+/// A limit that loses one available machine when a certain machine is taken out.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitUse {
-    /// Its number.
+    /// The limit's position in the budget.
     pub(crate) limit: usize,
-    /// How many machines may still go out under it.
+    /// How many machines may still be taken out under the limit.
     pub(crate) free: usize,
 }
--- a/maintenance/src/disruption_budget/limits.rs
+++ b/maintenance/src/disruption_budget/limits.rs
@@ -2,28 +2,30 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The most machines out at a time, whatever the settings say: every router has to know all of them.
+/// The maximum number of machines out at a time, independent of the settings: every router has to know all of them.
 pub(crate) const MAX_MACHINES_OUT: usize = 128;
 
-/// The operators' settings. Shares are from 0 to 1.
+/// The settings of the disruption budget. Shares are from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Healthy holders of each set at the least. Never fewer than two where there are more, and never none.
+    /// The minimum number of healthy holders of each shard set. The budget raises it to two for sets with more than two
+    /// holders, and always keeps at least one.
     #[serde(rename = "keep")]
     pub min_holders: usize,
-    /// The share of each zone's machines that stays healthy.
+    /// The minimum share of each zone's machines that stays healthy and in service.
     #[serde(rename = "zone_share")]
     pub min_zone_share: f64,
-    /// The share of all machines that may be out at a time; one always may.
+    /// The maximum share of all machines that may be out at a time; one machine always may.
     #[serde(rename = "most_out")]
     pub max_out_share: f64,
-    /// What one machine serves, in shard requests a second. `None`: not known; then only late answers tell of overload.
+    /// The capacity of one machine in shard requests per second. If it is not known (`None`), only late queries
+    /// indicate an overload.
     #[serde(rename = "per_node")]
     pub node_capacity: Option<f64>,
-    /// How much the load is expected to grow beyond the measured: 0.25 is a quarter more.
+    /// The expected growth of the load beyond the measured load; 0.25 stands for a quarter more.
     #[serde(rename = "growth")]
     pub load_growth: f64,
-    /// Unplanned failures for which capacity is kept, in machines.
+    /// The number of machines kept as a reserve for unplanned failures.
     #[serde(rename = "reserve")]
     pub reserve_nodes: usize,
 }
@@ -42,12 +44,13 @@
 }
 
 impl Limits {
-    /// How many machines of a fleet of this size may be out at a time.
+    /// How many machines may be out at a time if the cluster has `machines` machines.
     pub fn max_out(&self, machines: usize) -> usize {
         ((self.max_out_share * machines as f64) as usize).clamp(1, MAX_MACHINES_OUT)
     }
 
-    /// Healthy machines that a load needs, in shard requests a second. None while a machine's capacity is not known.
+    /// The number of healthy machines needed for a load in shard requests per second; 0 if the capacity of a machine is
+    /// not known.
     pub(super) fn machines_for(&self, load: f64) -> usize {
         match self.node_capacity {
             Some(capacity) if capacity > 0.0 => {
--- a/maintenance/src/disruption_budget/tests.rs
+++ b/maintenance/src/disruption_budget/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use test_case::test_case;
 
-/// Sets of holders by their numbers, as a ring of so many machines.
-fn cluster(nodes: usize, sets: &[&[usize]], dead: &[usize]) -> ClusterView {
-    let node = |at: usize| Node {
-        name: format!("s{at}"),
-        zone: (at % 2) as u16,
+/// A cluster of `nodes` machines; `sets` lists the holders of each shard set, `unhealthy` the unhealthy machines.
+fn cluster(nodes: usize, sets: &[&[usize]], unhealthy: &[usize]) -> ClusterView {
+    let node = |number: usize| Node {
+        name: format!("s{number}"),
+        zone: (number % 2) as u16,
         shard_sets: (0..sets.len() as u32)
-            .filter(|set| sets[*set as usize].contains(&at))
+            .filter(|set| sets[*set as usize].contains(&number))
             .collect(),
-        healthy: !dead.contains(&at),
+        healthy: !unhealthy.contains(&number),
         out_of_service: false,
     };
     ClusterView {
@@ -26,29 +26,33 @@
     }
 }
 
-#[test_case(&[&[0, 1, 2]], &[], Ok(()); "three holders, two stay")]
-#[test_case(&[&[0, 1]], &[], Ok(()); "of two one may go")]
-#[test_case(&[&[0]], &[], Err(Violation::LastHolder(0)); "the last holder")]
-#[test_case(&[&[0, 1, 2]], &[1], Err(Violation::Holders { set: 0, healthy: 2, required: 2 }); "too few before anything went out")]
-#[test_case(&[&[0, 1]], &[1], Err(Violation::LastHolder(0)); "its neighbour has died")]
-#[test_case(&[&[0, 1, 2]], &[0, 1], Ok(()); "an unhealthy one takes nothing with it")]
-fn enough_holders_of_a_set_are_kept(
+#[test_case(&[&[0, 1, 2]], &[], Ok(()); "three holders of which two stay")]
+#[test_case(&[&[0, 1]], &[], Ok(()); "two holders of which one stays")]
+#[test_case(&[&[0]], &[], Err(Violation::LastHolder(0)); "only holder")]
+#[test_case(&[&[0, 1, 2]], &[1], Err(Violation::Holders { set: 0, healthy: 2, required: 2 }); "one of three holders is unhealthy")]
+#[test_case(&[&[0, 1]], &[1], Err(Violation::LastHolder(0)); "the other of two holders is unhealthy")]
+#[test_case(&[&[0, 1, 2]], &[0, 1], Ok(()); "the machine itself is unhealthy")]
+fn keeps_enough_holders_of_a_shard_set(
     sets: &[&[usize]],
-    dead: &[usize],
+    unhealthy: &[usize],
     expected: Result<(), Violation>,
 ) {
     assert_eq!(
-        DisruptionBudget::new(&cluster(6, sets, dead), &permissive(), 0).check(0),
+        DisruptionBudget::new(&cluster(6, sets, unhealthy), &permissive(), 0).check(0),
         expected
     );
 }
 
-#[test_case(Limits { min_zone_share: 0.7, ..permissive() }, 0, Err(Violation::Zone { zone: 0, healthy: 3, required: 3 }); "its zone")]
-#[test_case(Limits { max_out_share: 0.2, ..permissive() }, 1, Err(Violation::MaxOut(1)); "one is out already")]
-#[test_case(Limits { max_out_share: 0.0, ..permissive() }, 0, Ok(()); "one always may")]
-#[test_case(Limits { node_capacity: Some(10.0), ..permissive() }, 0, Err(Violation::Load { healthy: 6, required: 6 }); "the load")]
+#[test_case(Limits { min_zone_share: 0.7, ..permissive() }, 0, Err(Violation::Zone { zone: 0, healthy: 3, required: 3 }); "too few machines left in the zone")]
+#[test_case(Limits { max_out_share: 0.2, ..permissive() }, 1, Err(Violation::MaxOut(1)); "maximum number of machines is out")]
+#[test_case(Limits { max_out_share: 0.0, ..permissive() }, 0, Ok(()); "one machine may always be out")]
+#[test_case(Limits { node_capacity: Some(10.0), ..permissive() }, 0, Err(Violation::Load { healthy: 6, required: 6 }); "too little capacity for the load")]
 #[test_case(Limits { node_capacity: Some(13.0), ..permissive() }, 0, Ok(()); "capacity for the load and one failure")]
-fn zone_total_and_load_are_kept(limits: Limits, out: usize, expected: Result<(), Violation>) {
+fn keeps_the_limits_of_zone_total_and_load(
+    limits: Limits,
+    out: usize,
+    expected: Result<(), Violation>,
+) {
     let view = ClusterView {
         load: 40.0,
         ..cluster(6, &[&[0, 1, 2]], &[])
@@ -59,9 +63,9 @@
     );
 }
 
-#[test_case(true; "it fails just now")]
-#[test_case(false; "it is healthy")]
-fn no_machine_goes_out_while_a_neighbour_is_out(fails_now: bool) {
+#[test_case(true; "the machine is failing")]
+#[test_case(false; "the machine is healthy")]
+fn takes_out_no_machine_while_another_holder_is_out(fails_now: bool) {
     let mut view = cluster(6, &[&[0, 1, 2]], if fails_now { &[0] } else { &[] });
     view.nodes[1].healthy = false;
     view.nodes[1].out_of_service = true;
@@ -76,7 +80,7 @@
 }
 
 #[test]
-fn several_machines_go_out_all_or_none() {
+fn takes_out_all_given_machines_or_none() {
     let view = cluster(6, &[&[0, 1, 2], &[3, 4, 5]], &[]);
     let mut budget = DisruptionBudget::new(&view, &permissive(), 0);
     assert_eq!(
--- a/maintenance/src/disruption_budget/violation.rs
+++ b/maintenance/src/disruption_budget/violation.rs
@@ -1,12 +1,12 @@
-//! Which limit keeps a machine in service.
+//! The limit that forbids taking a machine out of service.
 
-/// A limit that a machine's going out would break. The sentences reach operators.
+/// A limit that would be broken if a machine were taken out. Operators read the texts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// No machine of that name is known.
+    /// Discovery lists no machine with this name.
     #[error("discovery lists no {0}")]
     Unknown(String),
-    /// No other machine holds this set of shards.
+    /// No other available machine holds this set of shards.
     #[error("it is the only sound holder of set {0}: give that another first")]
     LastHolder(u32),
     /// Too few holders of a set of shards would stay.
@@ -14,9 +14,9 @@
     Holders {
         /// The set's number.
         set: u32,
-        /// Its healthy holders now.
+        /// The number of its available holders now.
         healthy: usize,
-        /// Those that have to stay.
+        /// The number that has to stay.
         required: usize,
     },
     /// Too few machines of a zone would stay.
@@ -24,20 +24,20 @@
     Zone {
         /// The zone's number.
         zone: u16,
-        /// Its healthy machines now.
+        /// The number of its available machines now.
         healthy: usize,
-        /// Those that have to stay.
+        /// The number that has to stay.
         required: usize,
     },
-    /// The rest could not serve the load with its reserve.
+    /// The remaining machines could not serve the load with its reserve.
     #[error("{healthy} machines are sound, the load with its reserve needs {required}")]
     Load {
-        /// Healthy machines now.
+        /// The number of healthy machines now.
         healthy: usize,
-        /// Those that have to stay.
+        /// The number that has to stay.
         required: usize,
     },
-    /// As many machines are out as may be at a time.
+    /// The maximum number of machines is out already.
     #[error("{0} machines are out, no more may be at a time")]
     MaxOut(usize),
 }
--- a/maintenance/src/entry.rs
+++ b/maintenance/src/entry.rs
@@ -1,5 +1,6 @@
-//! Log entries of the maintenance state machine. Operators' commands come as JSON over the control socket, by name; the
-//! log holds postcard, by position. Hence the `rename` attributes keep earlier names, and no variant or field may move.
+//! Log entries of the maintenance state machine. Operators' commands arrive as JSON over the control socket, which
+//! identifies variants and fields by name: the `rename` attributes keep the names of earlier releases. The log contains
+//! postcard, which identifies them by position: never reorder variants or fields.
 
 use serde::{Deserialize, Serialize};
 use ternpick_fleet_policy::Member;
@@ -8,40 +9,40 @@
 use crate::operation::OperationKey;
 use crate::schedule::Urgency;
 
-/// The most requests that are open at a time.
+/// The largest number of requests that may be open at a time.
 pub const MAX_OPEN_REQUESTS: usize = 64;
-/// The most machines that one request names.
+/// The largest number of machines that one request may name.
 pub const MAX_MACHINES_PER_REQUEST: usize = 200;
 
 /// An operator's request for maintenance of some machines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Request {
-    /// Names of the machines; `router:` and a name stands for a router.
+    /// Names of the machines; a router is named by `router:` followed by its name.
     pub machines: Vec<String>,
-    /// What the maintenance is for.
+    /// The reason for the maintenance.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The operator who asks.
+    /// The operator who made the request.
     #[serde(rename = "by")]
     pub requested_by: String,
-    /// How long the work on one machine takes, in microseconds.
+    /// The expected duration of the work on one machine, in microseconds.
     #[serde(rename = "lasts")]
     pub duration_us: u64,
-    /// No machine goes out earlier; wall clock in milliseconds since 1970.
+    /// The earliest time at which a machine may be taken out; wall clock in milliseconds since 1970.
     #[serde(rename = "not_before")]
     pub not_before_ms: Option<u64>,
-    /// When all of it has to be done; wall clock in milliseconds since 1970.
+    /// The time by which the work on all machines has to be finished; wall clock in milliseconds since 1970.
     #[serde(rename = "by_when")]
     pub deadline_ms: Option<u64>,
-    /// Among requests of the same deadline, the higher goes first.
+    /// Among requests with the same deadline, those with a higher priority go first.
     pub priority: u8,
-    /// All machines go out at once, or none does.
+    /// Take all machines out at the same time, or none of them.
     #[serde(rename = "together")]
     pub all_at_once: bool,
 }
 
 impl Request {
-    /// Its place among other requests: by deadline, then by priority.
+    /// The request's rank among other requests: by deadline, then by priority.
     pub fn urgency(&self) -> Urgency {
         Urgency {
             deadline_ms: self.deadline_ms.unwrap_or(u64::MAX),
@@ -50,16 +51,17 @@
     }
 }
 
-/// One entry of the log. The first seven are operators' commands; the others come from the coordinator, and all of them
-/// but [`Entry::BecomeCoordinator`] carry its fencing number. `wall_ms`: the proposer's wall clock, since 1970.
-#[expect(missing_docs, reason = "the fields of variants say what they are")]
+/// One entry of the log. The first seven variants are operators' commands. The coordinator proposes the others, which
+/// carry its fencing number, except for [`Entry::BecomeCoordinator`]. `wall_ms` is the proposer's wall clock in
+/// milliseconds since 1970.
+#[expect(missing_docs, reason = "the names of the fields describe them")]
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
     /// Opens a request.
     #[serde(rename = "ask")]
     OpenRequest { request: Request },
-    /// Gives an open request another deadline and priority.
+    /// Replaces the deadline and the priority of an open request.
     #[serde(rename = "change")]
     ChangeRequest {
         request: RequestNo,
@@ -68,22 +70,22 @@
         priority: u8,
         by: String,
     },
-    /// Cancels what has no permit yet.
+    /// Cancels those operations of a request that have no permit yet.
     #[serde(rename = "cancel")]
     CancelRequest { request: RequestNo, by: String },
-    /// Nothing more goes out until an operator resumes.
+    /// Takes no more machines out until an operator resumes maintenance.
     #[serde(rename = "hold")]
     Pause {
         by: String,
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Ends any pause.
+    /// Ends the pause, whether an operator or the coordinator paused.
     Resume { by: String },
-    /// An operator takes a permit, and works on the machine.
+    /// An operator takes a permit and starts to work on the machine.
     #[serde(rename = "begin")]
     StartWork { permit: PermitNo, by: String },
-    /// The permit is given back. With `unfit_reason`, the machine is not fit for service and stays out.
+    /// An operator gives the permit back. With an `unfit_reason` the machine is unfit for service and stays out.
     #[serde(rename = "done")]
     FinishWork {
         permit: PermitNo,
@@ -91,10 +93,10 @@
         #[serde(rename = "failed")]
         unfit_reason: Option<String>,
     },
-    /// The leader of this term is the coordinator from here on; the entry's index is its fencing number.
+    /// Makes the leader of this term the coordinator; the entry's log index becomes its fencing number.
     #[serde(rename = "carry")]
     BecomeCoordinator { member: Member, term: u64 },
-    /// Machines go out.
+    /// Takes machines out of service.
     TakeOut {
         fence: Fence,
         #[serde(rename = "jobs")]
@@ -102,7 +104,7 @@
         #[serde(rename = "now")]
         wall_ms: u64,
     },
-    /// A machine is proven to be idle; the entry's index is the permit's number.
+    /// Permits work on a machine to which no router can send; the entry's log index becomes the permit's number.
     #[serde(rename = "permit")]
     GrantPermit {
         fence: Fence,
@@ -111,7 +113,7 @@
         #[serde(rename = "now")]
         wall_ms: u64,
     },
-    /// A machine serves load again.
+    /// Records that a machine serves load again.
     #[serde(rename = "back")]
     ReturnToService {
         fence: Fence,
@@ -120,7 +122,7 @@
         #[serde(rename = "now")]
         wall_ms: u64,
     },
-    /// A machine did not return to service in time.
+    /// Keeps a machine out of service that did not return to service in time.
     #[serde(rename = "keep")]
     KeepOut {
         fence: Fence,
@@ -129,7 +131,7 @@
         #[serde(rename = "now")]
         wall_ms: u64,
     },
-    /// The coordinator pauses, as something is wrong.
+    /// The coordinator pauses maintenance because machines fail or too many queries are late, failed or rejected.
     #[serde(rename = "own_hold")]
     AutoPause {
         fence: Fence,
@@ -139,20 +141,20 @@
     /// The coordinator ends its own pause.
     #[serde(rename = "go_on")]
     AutoResume { fence: Fence },
-    /// Shard requests a second of all routers together.
+    /// Records the load: shard requests per second of all routers together.
     #[serde(rename = "load")]
     SetLoad {
         fence: Fence,
         #[serde(rename = "calls")]
         requests_per_second: u64,
     },
-    /// A member that left the fleet can no longer act on anything it admitted.
+    /// Removes a departed member that can no longer act on any query that it admitted.
     #[serde(rename = "forget")]
     ForgetMember { fence: Fence, member: Member },
 }
 
 impl Entry {
-    /// The coordinator's fencing number, on entries that carry one.
+    /// The fencing number that the entry carries, if any.
     pub fn fence(&self) -> Option<Fence> {
         match self {
             Entry::TakeOut { fence, .. }
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Whether an operator may propose it; the others come from the coordinator alone.
+    /// Whether an operator may propose the entry; only the coordinator proposes the others.
     pub fn is_operator_command(&self) -> bool {
         matches!(
             self,
@@ -181,7 +183,7 @@
         )
     }
 
-    /// The bytes that go into the log.
+    /// Encodes the entry as the log stores it.
     pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
--- a/maintenance/src/lib.rs
+++ b/maintenance/src/lib.rs
@@ -1,15 +1,15 @@
 //! Takes machines out of service for maintenance, in an order that all routers of a fleet agree on. No I/O, clock or
-//! threads: time and reports come in as arguments, log entries go out.
+//! threads: the caller passes in the time and the routers' reports, and gets log entries to propose.
 //!
 //! [`MaintenanceState`] is the replicated state, derived from the log alone: open requests, the phase of each machine,
-//! permits. [`DisruptionBudget`] says how many machines may be missing: holders of each set of shards, machines of each
-//! zone, capacity for the load. [`schedule`] puts machines into rounds. [`Coordinator`] is the entry point that the
-//! router uses: it applies the log, and while its router is the fleet's leader it proposes the next entries, each with
-//! its fencing number.
+//! permits. [`DisruptionBudget`] limits how many machines may be missing: holders of each set of shards, machines of
+//! each zone, capacity for the load. [`schedule`] divides the waiting machines into rounds. [`Coordinator`] is the
+//! entry point that the router uses: it applies the log, and while its router is the fleet's leader it proposes the
+//! next entries, each with its fencing number.
 //!
-//! The safety rule: a permit exists only once every router either has reported that it applies the machine's being out
-//! and has no shard request in flight there, or can no longer act on anything it admitted before.
-//! `docs/design/maintenance.md` says why that holds.
+//! The safety rule: the coordinator grants a permit only after every router has reported that it treats the machine as
+//! out of service and has no shard request in flight to it, or can no longer act on any query that it admitted earlier.
+//! `docs/design/maintenance.md` explains why the rule holds.
 
 mod coordinator;
 mod disruption_budget;
--- a/maintenance/src/operation.rs
+++ b/maintenance/src/operation.rs
@@ -1,17 +1,18 @@
-//! One machine of one request, and the phases it goes through: waiting, out, permitted, returning, in service.
+//! An operation: the maintenance of one machine for one request. Its phases are waiting, out, permitted, returning and
+//! in service.
 
 use serde::{Deserialize, Serialize};
 use ternpick_fleet_policy::Index;
 
 use crate::ids::{PermitNo, RequestNo};
 
-/// Names an operation. It is stored and read as the pair (request, machine).
+/// Identifies an operation. It is encoded as the pair (request, machine).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(RequestNo, String)", into = "(RequestNo, String)")]
 pub struct OperationKey {
     /// The request that names the machine.
     pub request: RequestNo,
-    /// The machine's name, as discovery lists it, or `router:` and a router's name.
+    /// The machine's name as discovery lists it, or `router:` followed by a router's name.
     pub machine: String,
 }
 
@@ -27,40 +28,41 @@
     }
 }
 
-/// How far the maintenance of one machine is.
+/// The phase of the maintenance of one machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// It has not gone out yet.
+    /// The machine has not been taken out yet.
     Waiting,
-    /// Out by agreement: it gets no new shard requests, but is not proven to be idle yet.
+    /// The fleet has agreed to take the machine out: routers send it no new shard requests, but some may still have
+    /// shard requests in flight to it.
     Out,
-    /// Proven to be idle, and free for the operators to work on.
+    /// No router can have a shard request in flight to the machine; operators may work on it.
     Permitted {
-        /// The permit under which they work.
+        /// The permit under which operators work on the machine.
         permit: PermitNo,
         /// The operator who took the permit, if one has.
         started_by: Option<String>,
-        /// Why the machine was given back unfit for service, if it was.
+        /// Why an operator gave the machine back as unfit for service, if one did.
         unfit_reason: Option<String>,
     },
-    /// Given back; it has yet to show that it serves load.
+    /// The operator gave the machine back, and no router has yet reported that it serves load.
     Returning {
         /// The permit that was given back.
         permit: PermitNo,
     },
-    /// It did not return to service in time, and stays out until it is given back again.
+    /// The machine did not return to service in time, and stays out until an operator gives it back again.
     KeptOut {
-        /// The permit that was given back, and may be given back again.
+        /// The permit that was given back; the operator may give it back again.
         permit: PermitNo,
     },
-    /// It serves load again.
+    /// The machine serves load again.
     InService,
-    /// Its request was cancelled before it was permitted.
+    /// The request was cancelled before the machine had a permit.
     Cancelled,
 }
 
 impl Phase {
-    /// Whether routers send nothing new to the machine.
+    /// Whether the machine is out of service, so that routers send it no new shard requests.
     pub fn is_out(&self) -> bool {
         matches!(
             self,
@@ -68,17 +70,17 @@
         )
     }
 
-    /// Whether the machine counts as missing: it is out, or has not returned to service yet.
+    /// Whether the machine counts as missing: it is out, or is returning to service.
     pub fn is_active(&self) -> bool {
         self.is_out() || matches!(self, Phase::Returning { .. })
     }
 
-    /// Whether nothing is left to do.
+    /// Whether the operation is finished.
     pub fn is_finished(&self) -> bool {
         matches!(self, Phase::InService | Phase::Cancelled)
     }
 
-    /// The phase as operators read it, in tables and in the replicated history.
+    /// The phase as operators see it in tables. The replicated history contains the text too, so it must not change.
     pub fn description(&self) -> &'static str {
         match self {
             Phase::Waiting => "waits",
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The permit that stands, or that was given back and not yet replaced by service.
+    /// The operation's permit, from its grant until the machine is in service again.
     pub fn permit(&self) -> Option<PermitNo> {
         match self {
             Phase::Permitted { permit, .. }
@@ -110,12 +112,12 @@
     }
 }
 
-/// The state of one machine of one request.
+/// The state of the maintenance of one machine for one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Operation {
-    /// How far it is.
+    /// The current phase.
     pub phase: Phase,
-    /// The log index at which it entered this phase.
+    /// The log index at which the operation entered this phase.
     pub since_index: Index,
     /// The coordinator's wall clock at that moment, in milliseconds since 1970.
     pub since_ms: u64,
--- a/maintenance/src/router_removal.rs
+++ b/maintenance/src/router_removal.rs
@@ -1,5 +1,5 @@
-//! Routers as machines under maintenance: one at a time, never too many of a zone, never the quorum, and the
-//! coordinator last. The coordinator asks before a router goes out.
+//! The rules for routers under maintenance: only one is out at a time, each zone keeps its share, the quorum stays, and
+//! the coordinator goes last. The coordinator checks them before it takes a router out.
 
 #[cfg(test)]
 mod tests;
@@ -8,52 +8,52 @@
 
 use ternpick_fleet_policy::{Member, MemberInfo};
 
-/// A machine's name that begins so means a router.
-const PREFIX: &str = "router:";
+/// The prefix of a machine name that stands for a router.
+const ROUTER_PREFIX: &str = "router:";
 
-/// The router that a machine's name means, if it means one.
+/// The router that a machine name stands for, if it stands for one.
 pub fn router_of(machine: &str) -> Option<Member> {
-    machine.strip_prefix(PREFIX).map(Member::from)
+    machine.strip_prefix(ROUTER_PREFIX).map(Member::from)
 }
 
-/// Why a router stays in service. The sentences reach operators.
+/// Why a router may not be taken out of service. Operators read the texts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouterViolation {
-    /// No member has that name.
+    /// No member of the fleet has this name.
     #[error("no such router belongs to the fleet")]
     Unknown,
-    /// Another router is out or not reachable.
+    /// Another router is out, or not reachable.
     #[error("{0} is out or not there: one router goes at a time")]
     AnotherMissing(Member),
     /// Too few routers of a zone would stay.
     #[error("zone '{zone}' has {present} routers there and keeps {required}")]
     Zone {
-        /// The zone.
+        /// The zone's name.
         zone: String,
-        /// Its routers that are in service now.
+        /// The number of its routers that are in service now.
         present: usize,
-        /// Those that have to stay.
+        /// The number that has to stay.
         required: usize,
     },
-    /// Too few voters would stay for the quorum.
+    /// Fewer voters than the quorum would stay.
     #[error("{present} routers that vote are there, the fleet needs {required}")]
     Quorum {
-        /// Voters in service now.
+        /// The number of voters that are in service now.
         present: usize,
-        /// The majority.
+        /// The majority of all voters.
         required: usize,
     },
-    /// The coordinator goes last.
+    /// The router is the coordinator, which goes last.
     #[error("it carries the work on, and goes last")]
     IsCoordinator,
 }
 
-/// Whether more routers wait to go out than the one that is checked.
+/// Whether routers other than the checked one wait to be taken out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OtherRouters {
-    /// At least one more does.
+    /// At least one other router waits.
     Wait,
-    /// None does.
+    /// No other router waits.
     NoneWait,
 }
 
@@ -61,22 +61,22 @@
 pub struct RouterFleet<'a> {
     /// All members of the fleet.
     pub members: &'a BTreeMap<Member, MemberInfo>,
-    /// Those that were heard lately, and are not out.
+    /// The routers that are reachable and not under maintenance.
     pub present: BTreeSet<Member>,
-    /// Who coordinates maintenance.
+    /// The router that coordinates maintenance.
     pub coordinator: &'a Member,
-    /// The share of a zone's routers that stays, from 0 to 1.
+    /// The minimum share of a zone's routers that stays in service, from 0 to 1.
     pub min_zone_share: f64,
 }
 
-/// Routers of one kind: all, and those that are present without the one that is to go.
+/// Counts of a group of routers: all of them, and those that are present, without the router to be taken out.
 struct Remaining {
     total: usize,
     present: usize,
 }
 
 impl RouterFleet<'_> {
-    /// Whether a router may go out now.
+    /// Checks whether a router may be taken out now.
     pub fn check(&self, member: &Member, others: OtherRouters) -> Result<(), RouterViolation> {
         let Some(info) = self.members.get(member) else {
             return Err(RouterViolation::Unknown);
@@ -103,7 +103,7 @@
 
     fn check_zone(&self, member: &Member, info: &MemberInfo) -> Result<(), RouterViolation> {
         let zone = self.remaining(member, |other| other.zone == info.zone);
-        // A zone's only router may go: nothing of the zone would be left to keep.
+        // The only router of a zone may be taken out: the zone has no other router that could stay.
         let required = if zone.total > 1 {
             let share = (self.min_zone_share * zone.total as f64).ceil() as usize;
             share.clamp(1, zone.total - 1)
--- a/maintenance/src/router_report.rs
+++ b/maintenance/src/router_report.rs
@@ -1,43 +1,45 @@
-//! What each router reports about machines under maintenance. It goes to the leader with each request for a lease.
+//! A router's report about machines under maintenance. The router sends it to the leader with each lease request.
 
 use serde::{Deserialize, Serialize};
 use ternpick_fleet_policy::Index;
 
-/// One router's report. It is complete in itself: a newer one replaces an older one.
+/// One router's report. Each report is complete: a newer one replaces the older one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RouterReport {
-    /// The router applies the list of machines out that was agreed up to this log index.
+    /// The log index up to which the router has applied the agreed list of machines that are out.
     #[serde(rename = "goes_by")]
     pub applied_index: Index,
-    /// Machines of that list at which it still has a shard request in flight.
+    /// The machines of that list to which the router still has a shard request in flight.
     pub busy: Vec<String>,
-    /// Machines that it considers unhealthy: not listed as ready, just started, or failing. Bounded by the reporter.
+    /// Machines that the router considers unhealthy: not listed as ready, just started, or failing. The router limits
+    /// the length of this list.
     #[serde(rename = "unsound")]
     pub unhealthy: Vec<String>,
-    /// Unhealthy machines beyond those that `unhealthy` names.
+    /// The number of unhealthy machines that are not in the list `unhealthy`.
     #[serde(rename = "more")]
     pub unlisted_unhealthy: u32,
-    /// Returning machines whose answers show that they serve load.
+    /// Returning machines that have answered this router since they may be used again.
     #[serde(rename = "bear")]
     pub serving: Vec<String>,
-    /// Returning machines that are ready according to discovery, and to which this router has sent nothing.
+    /// Returning machines that are healthy, have not answered this router yet, and have none of its shard requests in
+    /// flight.
     pub idle: Vec<String>,
-    /// Shard requests a second, over the last few observations.
+    /// Shard requests per second, over the period of the router's latest samples.
     #[serde(rename = "calls")]
     pub requests_per_second: u32,
-    /// Queries answered in that time.
+    /// Queries that finished in that period.
     pub answered: u32,
-    /// Of those, the ones that were late, failed or rejected.
+    /// Of the finished queries, those that were late, failed or rejected.
     pub late: u32,
 }
 
 impl RouterReport {
-    /// The postcard form that goes with a request for a lease.
+    /// Encodes the report as postcard, for a lease request.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads what [`RouterReport::encode`] wrote; `None` for bytes of another form.
+    /// Decodes the output of [`RouterReport::encode`]; `None` if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Option<RouterReport> {
         postcard::from_bytes(bytes).ok()
     }
--- a/maintenance/src/schedule.rs
+++ b/maintenance/src/schedule.rs
@@ -1,9 +1,10 @@
-//! The rounds in which machines go out. Machines that share no limit go together; a round is over once all of its
-//! machines are back. The coordinator shows the rounds to operators and takes out the first one.
+//! Divides machines into rounds in which they go out. The machines of a round may be out together under all limits; a
+//! round ends when all of its machines are in service again. The coordinator shows the rounds to operators and takes
+//! machines out in their order.
 //!
-//! Weighed: greedy by first fit (taken; the scarcest limit first, among equals by deadline and priority), local search
-//! on top of it (no gain on random cases, see `docs/measurements/works.md`), and the exact minimum by search, which only
-//! small fleets can afford and tests compare with.
+//! The algorithm is greedy first fit, by deadline and priority and then by the scarcest limit. Local search on top of
+//! it brought no gain on random cases, see `docs/measurements/works.md`. The search for the exact minimum is
+//! affordable only for small fleets; tests compare the schedule with it.
 
 mod exact;
 
@@ -12,54 +13,54 @@
 
 pub use exact::exact_rounds;
 
-/// The order among items: the lower goes first.
+/// The order among items: the lower one goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// The request's deadline, wall clock in milliseconds since 1970; the largest number if it has none.
+    /// The request's deadline, wall clock in milliseconds since 1970; the largest `u64` if it has none.
     pub deadline_ms: u64,
-    /// The highest priority is the lowest number.
+    /// The inverse of the request's priority, so that the highest priority is the lowest number.
     pub inverse_priority: u8,
 }
 
-/// Machines that go out together.
+/// Machines that have to go out together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkItem {
-    /// The request that they belong to.
+    /// The request to which the machines belong.
     pub request: RequestNo,
-    /// Their places in the cluster view.
+    /// The machines' positions in the cluster view.
     pub nodes: Vec<usize>,
     /// The order among items.
     pub urgency: Urgency,
-    /// How long the work takes, in microseconds.
+    /// The expected duration of the work, in microseconds.
     pub duration_us: u64,
 }
 
 /// Items that go out together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Round {
-    /// Places in the list of items.
+    /// Positions in the list of items.
     pub items: Vec<usize>,
-    /// The longest duration of any of them, in microseconds.
+    /// The longest duration of an item of this round, in microseconds.
     pub duration_us: u64,
 }
 
 /// An item that fits into no round.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unschedulable {
-    /// Its place in the list of items.
+    /// The position in the list of items.
     pub item: usize,
-    /// The limit that it breaks by itself.
+    /// The limit that the item breaks even when nothing else is out.
     pub violation: Violation,
 }
 
-/// All items, in rounds.
+/// All items, divided into rounds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
-    /// In the order in which they go out.
+    /// The rounds, in the order in which they go out.
     pub rounds: Vec<Round>,
-    /// Items that no round can take.
+    /// The items that fit into no round.
     pub unschedulable: Vec<Unschedulable>,
-    /// No schedule has fewer rounds.
+    /// A lower bound of the number of rounds of any schedule.
     pub lower_bound: usize,
 }
 
@@ -70,7 +71,7 @@
     item.nodes.iter().flat_map(|node| budget.uses(*node))
 }
 
-/// For each limit, how many machines of all items take of it.
+/// For each limit, the number of machines of all items that use it.
 fn demand(items: &[WorkItem], budget: &DisruptionBudget) -> Vec<usize> {
     let mut demand = vec![0; budget.free().len()];
     for used in items.iter().flat_map(|item| uses(item, budget)) {
@@ -79,18 +80,19 @@
     demand
 }
 
-/// The rounds that no schedule can do without: for each limit, the demand divided by what is free.
+/// The minimum number of rounds of any schedule: the largest quotient, over all limits, of the demand and the number of
+/// machines that may be out.
 pub fn lower_bound(items: &[WorkItem], budget: &DisruptionBudget) -> usize {
     demand(items, budget)
         .into_iter()
         .zip(budget.free())
         .filter(|(_, free)| *free > 0)
-        .map(|(wanted, free)| wanted.div_ceil(free))
+        .map(|(demand, free)| demand.div_ceil(free))
         .max()
         .unwrap_or(0)
 }
 
-/// What a round has taken of each limit.
+/// For each limit, the number of machines of a round that use it.
 struct Usage(Vec<usize>);
 
 impl Usage {
@@ -101,15 +103,15 @@
     fn fits(&self, budget: &DisruptionBudget, item: &WorkItem) -> bool {
         let mut wanted = Vec::<(usize, usize)>::new();
         for LimitUse { limit, free } in uses(item, budget) {
-            let at = match wanted.iter().position(|(other, _)| *other == limit) {
-                Some(at) => at,
+            let slot = match wanted.iter().position(|(other, _)| *other == limit) {
+                Some(slot) => slot,
                 None => {
                     wanted.push((limit, 0));
                     wanted.len() - 1
                 }
             };
-            wanted[at].1 += 1;
-            if self.0[limit] + wanted[at].1 > free {
+            wanted[slot].1 += 1;
+            if self.0[limit] + wanted[slot].1 > free {
                 return false;
             }
         }
@@ -129,14 +131,14 @@
     }
 }
 
-/// An item's place in the order in which items look for a round.
+/// An item, with the values that determine when it is assigned to a round.
 struct Candidate {
     item: usize,
     urgency: Urgency,
-    /// Demand by what is free, of the scarcest limit that it takes of.
+    /// The demand divided by the number of machines that may be out, for the scarcest limit that the item uses.
     scarcity: f64,
-    /// Its number among the items whose limit with the least free is the same. Machines of one set thus come one after
-    /// the other, and spread over the rounds.
+    /// The item's number among the items whose tightest limit is the same one. Sorting by this number alternates
+    /// between the limits, so the machines of one shard set are spread over the rounds.
     rank: usize,
 }
 
@@ -150,7 +152,7 @@
     }
 }
 
-/// Puts all items into rounds. `budget`: with nothing out.
+/// Divides all items into rounds. `budget` is the free budget at the beginning of each round.
 pub fn schedule(items: &[WorkItem], budget: &DisruptionBudget) -> Schedule {
     let mut schedule = Schedule::default();
     let candidates = candidates(items, budget, &mut schedule.unschedulable);
@@ -171,15 +173,20 @@
     let schedulable: Vec<WorkItem> = items
         .iter()
         .enumerate()
-        .filter(|(at, _)| schedule.unschedulable.iter().all(|of| of.item != *at))
+        .filter(|(index, _)| {
+            schedule
+                .unschedulable
+                .iter()
+                .all(|found| found.item != *index)
+        })
         .map(|(_, item)| item.clone())
         .collect();
-    let at_least = usize::from(!schedule.rounds.is_empty());
-    schedule.lower_bound = lower_bound(&schedulable, budget).max(at_least);
+    let min_rounds = usize::from(!schedule.rounds.is_empty());
+    schedule.lower_bound = lower_bound(&schedulable, budget).max(min_rounds);
     schedule
 }
 
-/// The items that fit a round of their own, in their order; the others go to `unschedulable`.
+/// The items that fit into a round of their own, in the order of their assignment. The others go to `unschedulable`.
 fn candidates(
     items: &[WorkItem],
     budget: &DisruptionBudget,
@@ -189,11 +196,11 @@
     let empty = Usage::none(budget);
     let mut ranks = vec![0; demand.len()];
     let mut candidates = Vec::new();
-    for (at, item) in items.iter().enumerate() {
+    for (index, item) in items.iter().enumerate() {
         if !empty.fits(budget, item) {
             if let Err(violation) = budget.clone().take_out_all(&item.nodes) {
                 unschedulable.push(Unschedulable {
-                    item: at,
+                    item: index,
                     violation,
                 });
             }
@@ -210,7 +217,7 @@
             None => 0,
         };
         candidates.push(Candidate {
-            item: at,
+            item: index,
             urgency: item.urgency,
             scarcity,
             rank,
--- a/maintenance/src/schedule/exact.rs
+++ b/maintenance/src/schedule/exact.rs
@@ -1,9 +1,9 @@
-//! The fewest rounds there are, by exhaustive search. Tests measure the schedule against it.
+//! Finds the minimum number of rounds by exhaustive search. Tests compare the schedule with it.
 
 use super::{lower_bound, Usage, WorkItem};
 use crate::disruption_budget::DisruptionBudget;
 
-/// The search gave up after the allowed number of steps.
+/// The search stopped after the maximum number of steps.
 struct OutOfSteps;
 
 struct Search<'a> {
@@ -12,8 +12,8 @@
     max_steps: usize,
 }
 
-/// The fewest rounds that take all items. `None`: some item fits into no round, or the search takes more than
-/// `max_steps`.
+/// The minimum number of rounds for all items. `None` if an item fits into no round, or the search takes more than
+/// `max_steps` steps.
 pub fn exact_rounds(
     items: &[WorkItem],
     budget: &DisruptionBudget,
@@ -40,7 +40,7 @@
 }
 
 impl Search<'_> {
-    /// Whether all items find a place; the first `used` rounds are those that hold something.
+    /// Whether all items fit into the rounds; the first `used` rounds are those that have items.
     fn place_all(
         &mut self,
         items: &[WorkItem],
@@ -54,7 +54,7 @@
         if self.steps > self.max_steps {
             return Err(OutOfSteps);
         }
-        // Empty rounds are all alike: one of them is enough to try.
+        // All empty rounds are equivalent: trying one of them is enough.
         for round in 0..rounds.len().min(used + 1) {
             if rounds[round].fits(self.budget, item) {
                 rounds[round].add(self.budget, item);
--- a/maintenance/src/state/coordinator_entries.rs
+++ b/maintenance/src/state/coordinator_entries.rs
@@ -1,4 +1,4 @@
-//! What the coordinator's entries change. Their fencing number has been checked by the time they come here.
+//! Applies the coordinator's entries. The caller has checked their fencing number.
 
 use ternpick_fleet_policy::{Index, Member};
 
@@ -8,8 +8,8 @@
 use crate::operation::{OperationKey, Phase};
 
 impl MaintenanceState {
-    /// A term has one leader, so an entry of a term that is known or older comes too late.
-    pub(super) fn become_coordinator(&mut self, at: Index, new: CoordinatorTerm) -> Applied {
+    /// Rejects an entry of the known coordinator's term or an earlier one as outdated: each term has only one leader.
+    pub(super) fn become_coordinator(&mut self, index: Index, new: CoordinatorTerm) -> Applied {
         if self
             .coordinator
             .as_ref()
@@ -17,16 +17,16 @@
         {
             return Err(Rejection::StaleTerm);
         }
-        self.record(at, format!("{} carries the work on", new.member));
-        self.fence = Fence(at.0);
+        self.record(index, format!("{} carries the work on", new.member));
+        self.fence = Fence(index.0);
         self.coordinator = Some(new);
-        Ok(at.0)
+        Ok(index.0)
     }
 
-    /// All of the operations go out, or none does.
+    /// Takes the machines of all of the operations out, or none of them.
     pub(super) fn take_out(
         &mut self,
-        at: Index,
+        index: Index,
         operations: &[OperationKey],
         wall_ms: u64,
     ) -> Applied {
@@ -40,74 +40,79 @@
             return Err(Rejection::NotWaiting);
         }
         for key in operations {
-            self.set_phase(key, Phase::Out, at, wall_ms);
+            self.set_phase(key, Phase::Out, index, wall_ms);
         }
-        Ok(at.0)
+        Ok(index.0)
     }
 
-    pub(super) fn grant_permit(&mut self, at: Index, key: &OperationKey, wall_ms: u64) -> Applied {
+    pub(super) fn grant_permit(
+        &mut self,
+        index: Index,
+        key: &OperationKey,
+        wall_ms: u64,
+    ) -> Applied {
         if self.phase(key) != Some(&Phase::Out) {
             return Err(Rejection::NotOut);
         }
         let phase = Phase::Permitted {
-            permit: PermitNo(at.0),
+            permit: PermitNo(index.0),
             started_by: None,
             unfit_reason: None,
         };
-        self.set_phase(key, phase, at, wall_ms);
-        Ok(at.0)
+        self.set_phase(key, phase, index, wall_ms);
+        Ok(index.0)
     }
 
     pub(super) fn return_to_service(
         &mut self,
-        at: Index,
+        index: Index,
         key: &OperationKey,
         wall_ms: u64,
     ) -> Applied {
         let Some(Phase::Returning { .. }) = self.phase(key) else {
             return Err(Rejection::NotReturning);
         };
-        self.set_phase(key, Phase::InService, at, wall_ms);
-        Ok(at.0)
+        self.set_phase(key, Phase::InService, index, wall_ms);
+        Ok(index.0)
     }
 
-    pub(super) fn keep_out(&mut self, at: Index, key: &OperationKey, wall_ms: u64) -> Applied {
+    pub(super) fn keep_out(&mut self, index: Index, key: &OperationKey, wall_ms: u64) -> Applied {
         let Some(Phase::Returning { permit }) = self.phase(key) else {
             return Err(Rejection::NotReturning);
         };
         let permit = *permit;
-        self.set_phase(key, Phase::KeptOut { permit }, at, wall_ms);
-        Ok(at.0)
+        self.set_phase(key, Phase::KeptOut { permit }, index, wall_ms);
+        Ok(index.0)
     }
 
-    /// An operator's pause stays as it is.
-    pub(super) fn auto_pause(&mut self, at: Index, reason: String) -> Applied {
+    /// Pauses maintenance, unless it is paused already.
+    pub(super) fn auto_pause(&mut self, index: Index, reason: String) -> Applied {
         if self.pause.is_none() {
-            self.record(at, format!("held by itself: {reason}"));
+            self.record(index, format!("held by itself: {reason}"));
             self.pause = Some(Pause {
                 paused_by: "the fleet".into(),
                 reason,
                 automatic: true,
             });
         }
-        Ok(at.0)
+        Ok(index.0)
     }
 
-    /// An operator's pause stays as it is.
-    pub(super) fn auto_resume(&mut self, at: Index) -> Applied {
+    /// Ends a pause by the coordinator; a pause by an operator stays.
+    pub(super) fn auto_resume(&mut self, index: Index) -> Applied {
         if self.pause.take_if(|pause| pause.automatic).is_some() {
-            self.record(at, "goes on by itself".into());
+            self.record(index, "goes on by itself".into());
         }
-        Ok(at.0)
+        Ok(index.0)
     }
 
-    pub(super) fn set_load(&mut self, at: Index, requests_per_second: u64) -> Applied {
+    pub(super) fn set_load(&mut self, index: Index, requests_per_second: u64) -> Applied {
         self.load = requests_per_second;
-        Ok(at.0)
+        Ok(index.0)
     }
 
-    pub(super) fn forget_member(&mut self, at: Index, member: &Member) -> Applied {
+    pub(super) fn forget_member(&mut self, index: Index, member: &Member) -> Applied {
         self.departed_members.remove(member);
-        Ok(at.0)
+        Ok(index.0)
     }
 }
--- a/maintenance/src/state/operator_entries.rs
+++ b/maintenance/src/state/operator_entries.rs
@@ -1,4 +1,5 @@
-//! What operators' commands change: requests, the pause, and permits that are taken and given back.
+//! Applies operators' commands: they open, change and cancel requests, pause and resume, and take permits and give them
+//! back.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +10,7 @@
 use crate::ids::{PermitNo, RequestNo};
 use crate::operation::{Operation, OperationKey, Phase};
 
-/// What the state refuses to keep, whatever else it holds.
+/// Checks what does not depend on the state: the number of machines, duplicates, and the lengths of names and texts.
 fn check_form(request: &Request) -> Result<(), Rejection> {
     if request.machines.is_empty() || request.machines.len() > MAX_MACHINES_PER_REQUEST {
         return Err(Rejection::MachineCount);
@@ -27,12 +28,12 @@
 }
 
 impl MaintenanceState {
-    pub(super) fn open_request(&mut self, at: Index, request: Request) -> Applied {
+    pub(super) fn open_request(&mut self, index: Index, request: Request) -> Applied {
         check_form(&request)?;
         if self.requests.len() >= MAX_OPEN_REQUESTS {
             return Err(Rejection::TooManyRequests);
         }
-        let number = RequestNo(at.0);
+        let number = RequestNo(index.0);
         for machine in &request.machines {
             let key = OperationKey {
                 request: number,
@@ -40,13 +41,13 @@
             };
             let operation = Operation {
                 phase: Phase::Waiting,
-                since_index: at,
+                since_index: index,
                 since_ms: 0,
             };
             self.operations.insert(key, operation);
         }
         self.record(
-            at,
+            index,
             format!(
                 "request {number} by {}: {} machines, {}",
                 request.requested_by,
@@ -60,7 +61,7 @@
 
     pub(super) fn change_request(
         &mut self,
-        at: Index,
+        index: Index,
         number: RequestNo,
         deadline_ms: Option<u64>,
         priority: u8,
@@ -71,12 +72,13 @@
         };
         request.deadline_ms = deadline_ms;
         request.priority = priority;
-        self.record(at, format!("request {number} is changed by {by}"));
+        self.record(index, format!("request {number} is changed by {by}"));
         Ok(number.0)
     }
 
-    /// Cancels what no operator may be working on; the rest stays out until it is given back. The answer is the count.
-    pub(super) fn cancel_request(&mut self, at: Index, number: RequestNo, by: &str) -> Applied {
+    /// Cancels the operations without a permit. Machines with a permit stay out until an operator gives them back.
+    /// Returns the number of cancelled operations.
+    pub(super) fn cancel_request(&mut self, index: Index, number: RequestNo, by: &str) -> Applied {
         if !self.requests.contains_key(&number) {
             return Err(Rejection::UnknownRequest(number));
         }
@@ -89,34 +91,39 @@
             .collect();
         let count = cancellable.len();
         self.record(
-            at,
+            index,
             format!("request {number} is cancelled by {by}, {count} machines"),
         );
         for (key, since_ms) in cancellable {
-            self.set_phase(&key, Phase::Cancelled, at, since_ms);
+            self.set_phase(&key, Phase::Cancelled, index, since_ms);
         }
         Ok(count as u64)
     }
 
-    pub(super) fn pause_by_operator(&mut self, at: Index, by: String, reason: String) -> Applied {
-        self.record(at, format!("held by {by}: {reason}"));
+    pub(super) fn pause_by_operator(
+        &mut self,
+        index: Index,
+        by: String,
+        reason: String,
+    ) -> Applied {
+        self.record(index, format!("held by {by}: {reason}"));
         self.pause = Some(Pause {
             paused_by: by,
             reason,
             automatic: false,
         });
-        Ok(at.0)
+        Ok(index.0)
     }
 
-    pub(super) fn resume(&mut self, at: Index, by: &str) -> Applied {
+    pub(super) fn resume(&mut self, index: Index, by: &str) -> Applied {
         if self.pause.take().is_none() {
             return Err(Rejection::NotPaused);
         }
-        self.record(at, format!("resumed by {by}"));
-        Ok(at.0)
+        self.record(index, format!("resumed by {by}"));
+        Ok(index.0)
     }
 
-    pub(super) fn start_work(&mut self, at: Index, permit: PermitNo, by: String) -> Applied {
+    pub(super) fn start_work(&mut self, index: Index, permit: PermitNo, by: String) -> Applied {
         let Some(key) = self.operation_with_permit(permit) else {
             return Err(Rejection::UnknownPermit(permit));
         };
@@ -138,13 +145,16 @@
         *started_by = Some(by.clone());
         *unfit_reason = None;
         let machine = key.machine;
-        self.record(at, format!("{by} works on {machine} under permit {permit}"));
+        self.record(
+            index,
+            format!("{by} works on {machine} under permit {permit}"),
+        );
         Ok(permit.0)
     }
 
     pub(super) fn finish_work(
         &mut self,
-        at: Index,
+        index: Index,
         permit: PermitNo,
         by: &str,
         unfit: Option<String>,
@@ -162,13 +172,13 @@
                 *unfit_reason = Some(reason.chars().take(MAX_TEXT_BYTES).collect());
                 let machine = key.machine;
                 self.record(
-                    at,
+                    index,
                     format!("{machine} is given back unfit by {by}, and stays out"),
                 );
                 Ok(permit.0)
             }
             (Phase::Permitted { .. } | Phase::KeptOut { .. }, None) => {
-                self.set_phase(&key, Phase::Returning { permit }, at, since_ms);
+                self.set_phase(&key, Phase::Returning { permit }, index, since_ms);
                 Ok(permit.0)
             }
             _ => Err(Rejection::NotReturnable(permit)),
--- a/maintenance/src/state/rejection.rs
+++ b/maintenance/src/state/rejection.rs
@@ -1,13 +1,13 @@
-//! Why an entry changes nothing when its turn in the log comes.
+//! The reasons why an entry of the log is rejected and changes nothing.
 
 use crate::entry::{MAX_MACHINES_PER_REQUEST, MAX_OPEN_REQUESTS};
 use crate::ids::{Fence, PermitNo, RequestNo};
 
-/// An entry that no longer fits the state, or never did. The sentences reach operators and are kept with the outcome of
-/// a command in the replicated state, so that all versions of the program have to word them alike.
+/// Why an entry is not valid in the state to which it is applied. Operators read the texts, and the replicated state
+/// contains them in the outcomes of commands, so all versions of the program must word them alike.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// The entry's bytes have another form.
+    /// The entry's bytes cannot be decoded.
     #[error("it cannot be read: {0}")]
     Unreadable(#[from] postcard::Error),
     /// A request names no machine, or more than [`MAX_MACHINES_PER_REQUEST`].
@@ -19,27 +19,27 @@
     /// A machine's name is empty, or a name or reason is longer than the state keeps.
     #[error("its words are longer than any are")]
     TextLength,
-    /// [`MAX_OPEN_REQUESTS`] are open.
+    /// [`MAX_OPEN_REQUESTS`] requests are open already.
     #[error("{MAX_OPEN_REQUESTS} requests are open: close some first")]
     TooManyRequests,
-    /// The request is closed, or never was.
+    /// The request is closed, or never existed.
     #[error("there is no open request {0}")]
     UnknownRequest(RequestNo),
-    /// Resuming needs a pause.
+    /// Maintenance cannot be resumed because it is not paused.
     #[error("nothing is held")]
     NotPaused,
     /// Another operator works under the permit.
     #[error("{operator} has taken permit {permit}")]
     PermitTaken {
-        /// The permit that was to be taken.
+        /// The permit that the entry names.
         permit: PermitNo,
-        /// Who has taken it.
+        /// The operator who has taken the permit.
         operator: String,
     },
-    /// The permit never was, or is over.
+    /// The permit never existed, or has ended.
     #[error("there is no permit {0}")]
     UnknownPermit(PermitNo),
-    /// The machine is returning to service already.
+    /// The permit has been given back already: the machine is returning to service.
     #[error("permit {0} was given back before")]
     AlreadyReturned(PermitNo),
     /// A machine that is kept out cannot be given back as unfit.
@@ -53,16 +53,17 @@
     StaleFence {
         /// The entry's fencing number.
         found: Fence,
-        /// The coordinator's.
+        /// The current coordinator's fencing number.
         current: Fence,
     },
-    /// Machines that were to go out wait no longer, are out for another request, or too many would be out.
+    /// Maintenance is paused, a machine to be taken out is no longer waiting or is out for another request, or too many
+    /// machines would be out.
     #[error("it was held, cancelled or taken out meanwhile")]
     NotWaiting,
-    /// A permit needs a machine that is out.
+    /// A permit can be granted only for a machine that is out and has no permit.
     #[error("it is not being emptied")]
     NotOut,
-    /// Only a machine that is returning returns to service, or is kept out.
+    /// Only a machine that is returning can return to service or be kept out.
     #[error("it is not coming back")]
     NotReturning,
 }
--- a/maintenance/src/state/tests.rs
+++ b/maintenance/src/state/tests.rs
@@ -20,7 +20,8 @@
     }
 }
 
-/// Request 1 for a and b; n0 is the coordinator with fencing number 2, and a is out at 3.
+/// A state with request 1 for the machines a and b, the coordinator n0 with fencing number 2, and a out since log
+/// index 3.
 fn with_machine_out() -> MaintenanceState {
     let mut state = MaintenanceState::default();
     for (at, entry) in [
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn entries_of_an_earlier_coordinator_are_rejected() {
+fn rejects_entries_of_an_earlier_coordinator() {
     let mut state = with_machine_out();
     assert_eq!(
         state.apply(
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn a_permit_stands_until_it_is_given_back_and_exists_once() {
+fn keeps_one_permit_per_machine_until_it_is_given_back() {
     let mut state = with_machine_out();
     let permit = Entry::GrantPermit {
         fence: Fence(2),
@@ -93,21 +94,32 @@
         request: RequestNo(1),
         by: "ann".into(),
     };
-    assert_eq!(state.apply(Index(6), cancel), Ok(1), "only b, which waits");
+    assert_eq!(
+        state.apply(Index(6), cancel),
+        Ok(1),
+        "only the waiting machine b is cancelled"
+    );
     assert_eq!(state.machines_out(), ["a"]);
     let begin = |by: &str| Entry::StartWork {
         permit: PermitNo(4),
         by: by.into(),
     };
     assert_eq!(state.apply(Index(7), begin("ann")), Ok(4));
-    assert!(state.apply(Index(8), begin("bob")).is_err(), "ann has it");
+    assert!(
+        state.apply(Index(8), begin("bob")).is_err(),
+        "ann has taken the permit"
+    );
     let done = |unfit_reason: Option<&str>| Entry::FinishWork {
         permit: PermitNo(4),
         by: "ann".into(),
         unfit_reason: unfit_reason.map(str::to_owned),
     };
     assert_eq!(state.apply(Index(9), done(Some("no disk"))), Ok(4));
-    assert_eq!(state.machines_out(), ["a"], "unfit stays out");
+    assert_eq!(
+        state.machines_out(),
+        ["a"],
+        "a machine that is unfit stays out"
+    );
     assert_eq!(state.apply(Index(10), done(None)), Ok(4));
     assert!(state.machines_out().is_empty() && state.active_machines().contains("a"));
     assert!(
@@ -127,7 +139,7 @@
 }
 
 #[test]
-fn the_same_machine_in_two_requests_goes_out_for_one_at_a_time() {
+fn takes_a_machine_of_two_requests_out_for_one_at_a_time() {
     let mut state = with_machine_out();
     state
         .apply(Index(4), open_request(&["a", "c"]))
@@ -147,7 +159,7 @@
 }
 
 #[test]
-fn a_member_that_left_is_kept_until_it_can_act_no_more() {
+fn keeps_a_departed_member_until_it_is_forgotten() {
     let mut state = with_machine_out();
     state.set_members(["n0", "n1"].map(Member::from).into());
     state.set_members(["n0"].map(Member::from).into());
@@ -229,7 +241,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn no_entries_take_a_machine_out_twice_or_grow_the_state_without_bound(
+    fn random_entries_never_take_a_machine_out_twice_or_exceed_the_bounds_of_the_state(
         entries in proptest::collection::vec(entry(), 1..300)
     ) {
         let mut state = MaintenanceState::default();
@@ -238,7 +250,7 @@
             let before = state.clone();
             let is_permit = matches!(entry, Entry::GrantPermit { .. });
             if let (Ok(number), true) = (state.apply(Index(at as u64 + 1), entry), is_permit) {
-                prop_assert!(permits.insert(number), "a permit's number comes once");
+                prop_assert!(permits.insert(number), "a permit number is used once");
             }
             let active = state.operations.iter().filter(|(_, operation)| operation.phase.is_active()).count();
             prop_assert_eq!(active, state.active_machines().len(), "a machine is active for one request at most");
@@ -249,7 +261,7 @@
                     prop_assert_eq!(after, Some(Some(permit)));
                 }
             }
-            prop_assert!(state.history.len() <= MAX_HISTORY && state.requests.len() <= MAX_OPEN_REQUESTS);
+            prop_assert!(state.history.len() <= MAX_HISTORY_ENTRIES && state.requests.len() <= MAX_OPEN_REQUESTS);
             prop_assert!(state.operations.keys().all(|key| state.requests.contains_key(&key.request)));
         }
     }
--- a/maintenance/tests/frozen_forms.rs
+++ b/maintenance/tests/frozen_forms.rs
@@ -1,5 +1,6 @@
-//! The forms that other versions of the program read: entries in stored logs and on the control socket, the stored state,
-//! and the settings. The expected values are those of version 0.2.0 before types and fields were renamed.
+//! Guards the encodings that other versions of the program read against changes by renamed types and fields: entries
+//! in stored logs and on the control socket, the stored state, and the settings. The expected values are from version
+//! 0.2.0, before types and fields were renamed.
 
 use std::fmt::Write;
 
@@ -30,7 +31,7 @@
 #[test_case(r#"{"go_on":{"fence":2}}"#, "0d02"; "go on")]
 #[test_case(r#"{"load":{"fence":2,"calls":700}}"#, "0e02bc05"; "load")]
 #[test_case(r#"{"forget":{"fence":2,"member":"n1"}}"#, "0f02026e31"; "forget")]
-fn an_entry_has_the_same_json_and_the_same_bytes_as_before(json: &str, stored: &str) {
+fn encodes_an_entry_as_the_json_and_bytes_of_version_0_2_0(json: &str, stored: &str) {
     let entry: Entry = serde_json::from_str(json).expect("an entry");
     assert_eq!(serde_json::to_string(&entry).expect("JSON"), json);
     let bytes = postcard::to_stdvec(&entry).expect("bytes");
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn the_stored_state_has_the_same_bytes_as_before() {
+fn encodes_the_stored_state_as_the_bytes_of_version_0_2_0() {
     let mut coordinator = Coordinator::new(MaintenanceConfig::default());
     let entries = [
         r#"{"ask":{"request":{"machines":["s0","s1"],"why":"disks","by":"ann","lasts":60000000,"not_before":5,"by_when":null,"priority":3,"together":true}}}"#,
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn the_settings_have_the_same_keys_and_defaults_as_before() {
+fn encodes_the_default_settings_as_the_json_of_version_0_2_0() {
     let json = serde_json::to_string(&MaintenanceConfig::default()).expect("JSON");
     assert_eq!(
         json,
--- a/maintenance/tests/release_bytes.rs
+++ b/maintenance/tests/release_bytes.rs
@@ -1,5 +1,6 @@
-//! Routers of two releases share one log, and a router reads what an earlier release kept: each form in which the works go
-//! into the log, into snapshots, to other routers and into settings stays as released programs write and read it.
+//! Compares all encoded forms of maintenance with those recorded from released programs: log entries, snapshots,
+//! messages to other routers, and settings. Routers of two releases share one log during an upgrade, and a router
+//! reads the state that an earlier release stored, so a changed encoding would split the fleet's state or lose it.
 
 #[path = "../../tests/common/recorded.rs"]
 mod recorded;
@@ -45,8 +46,8 @@
     reason = "one value for each recorded form, in one list"
 )]
 fn entries() -> Vec<(&'static str, Entry)> {
-    let (fence, now) = (Fence(501), 1_790_000_000_502);
-    let job = (RequestNo(503), "s-3".to_owned());
+    let (fence, wall_ms) = (Fence(501), 1_790_000_000_502);
+    let operation = (RequestNo(503), "s-3".to_owned());
     let (request_no, permit) = (RequestNo(504), PermitNo(505));
     let by = || "bob".to_owned();
     vec![
@@ -96,34 +97,34 @@
             Entry::TakeOut {
                 fence,
                 operations: vec![
-                    job.clone().into(),
+                    operation.clone().into(),
                     (RequestNo(509), "s-4".to_owned()).into(),
                 ],
-                wall_ms: now,
+                wall_ms,
             },
         ),
         (
             "permit",
             Entry::GrantPermit {
                 fence,
-                operation: job.clone().into(),
-                wall_ms: now,
+                operation: operation.clone().into(),
+                wall_ms,
             },
         ),
         (
             "back",
             Entry::ReturnToService {
                 fence,
-                operation: job.clone().into(),
-                wall_ms: now,
+                operation: operation.clone().into(),
+                wall_ms,
             },
         ),
         (
             "keep",
             Entry::KeepOut {
                 fence,
-                operation: job.into(),
-                wall_ms: now,
+                operation: operation.into(),
+                wall_ms,
             },
         ),
         (
@@ -151,9 +152,9 @@
     ]
 }
 
-fn books() -> MaintenanceState {
+fn state() -> MaintenanceState {
     let permit = PermitNo(601);
-    let stages = [
+    let phases = [
         Phase::Waiting,
         Phase::Out,
         Phase::Permitted {
@@ -170,13 +171,13 @@
         Phase::InService,
         Phase::Cancelled,
     ];
-    let jobs = stages.into_iter().enumerate().map(|(at, stage)| {
-        let job = Operation {
-            phase: stage,
+    let operations = phases.into_iter().enumerate().map(|(at, phase)| {
+        let operation = Operation {
+            phase,
             since_index: Index(610 + at as u64),
             since_ms: 1_790_000_000_620 + at as u64,
         };
-        ((RequestNo(604), format!("s-{at}")).into(), job)
+        ((RequestNo(604), format!("s-{at}")).into(), operation)
     });
     MaintenanceState {
         fence: Fence(605),
@@ -185,7 +186,7 @@
             term: 606,
         }),
         requests: BTreeMap::from([(RequestNo(604), request())]),
-        operations: jobs.collect(),
+        operations: operations.collect(),
         pause: Some(Pause {
             paused_by: "the fleet".into(),
             reason: "s-4 failing without work".into(),
@@ -202,7 +203,7 @@
 }
 
 #[test]
-fn every_entry_has_the_bytes_of_the_release_in_the_log_and_its_words_on_the_control_socket() {
+fn encodes_each_entry_as_released_programs_do_in_the_log_and_on_the_control_socket() {
     let mut recorded = Recorded::parse(include_str!("release_bytes/entries.txt"));
     for (name, entry) in &entries() {
         postcard(&mut recorded, name, entry);
@@ -213,17 +214,17 @@
 }
 
 #[test]
-fn the_books_have_the_bytes_of_the_release_in_snapshots_and_to_other_routers() {
+fn encodes_the_state_as_released_programs_do_in_snapshots_and_to_other_routers() {
     let mut recorded = Recorded::parse(include_str!("release_bytes/books.txt"));
-    let mut carrier = Coordinator::new(MaintenanceConfig::default());
-    carrier.restore(&postcard::to_stdvec(&books()).expect("bytes"));
-    postcard(&mut recorded, "books", &books());
-    recorded.bytes("image", &carrier.snapshot());
-    recorded.bytes("outs", &carrier.machines_out());
-    let (out, returning) = Coordinator::decode_machines_out(&carrier.machines_out());
+    let mut coordinator = Coordinator::new(MaintenanceConfig::default());
+    coordinator.restore(&postcard::to_stdvec(&state()).expect("bytes"));
+    postcard(&mut recorded, "books", &state());
+    recorded.bytes("image", &coordinator.snapshot());
+    recorded.bytes("outs", &coordinator.machines_out());
+    let (out, returning) = Coordinator::decode_machines_out(&coordinator.machines_out());
     assert_eq!((out.len(), returning), (3, vec!["s-3".to_owned()]));
-    json(&mut recorded, "hold.json", &books().pause);
-    let word = RouterReport {
+    json(&mut recorded, "hold.json", &state().pause);
+    let report = RouterReport {
         applied_index: Index(701),
         busy: vec!["s-1".into()],
         unhealthy: vec!["s-2".into(), "s-3".into()],
@@ -234,13 +235,13 @@
         answered: 704,
         late: 705,
     };
-    recorded.value("word", &word, RouterReport::encode, RouterReport::decode);
+    recorded.value("word", &report, RouterReport::encode, RouterReport::decode);
     recorded.finish();
 }
 
 #[test]
-fn the_terms_are_read_from_the_names_that_released_settings_have() {
-    let terms = MaintenanceConfig {
+fn reads_and_writes_the_settings_under_the_names_of_released_programs() {
+    let config = MaintenanceConfig {
         limits: Limits {
             min_holders: 3,
             min_zone_share: 0.25,
@@ -255,6 +256,6 @@
         max_late_share: 0.0625,
     };
     let mut recorded = Recorded::parse(include_str!("release_bytes/terms.txt"));
-    json(&mut recorded, "terms.json", &terms);
+    json(&mut recorded, "terms.json", &config);
     recorded.finish();
 }
--- a/maintenance/tests/rounds.rs
+++ b/maintenance/tests/rounds.rs
@@ -1,4 +1,5 @@
-//! Schedules of random fleets: never against the limits, nothing left out that could go, close to the fewest rounds.
+//! Schedules of random and large fleets. They must keep the limits, include every machine that may go out, and need
+//! hardly more rounds than the exact minimum.
 
 use nanorand::{Rng, WyRand};
 use ternpick_maintenance::{
@@ -13,7 +14,7 @@
     }
 }
 
-/// A random fleet: a ring of sets or blocks of holders, some machines unhealthy, and some of them to go out.
+/// A random fleet: shard sets in a ring or in blocks, some unhealthy machines, and items for some of the machines.
 fn random_fleet(seed: u64) -> (ClusterView, Limits, Vec<WorkItem>) {
     let mut rng = WyRand::new_seed(seed);
     let nodes = rng.generate_range(3usize..13);
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn random_fleets_take_hardly_more_rounds_than_the_exact_minimum() {
+fn schedules_random_fleets_in_hardly_more_rounds_than_the_exact_minimum() {
     let mut optimal = 0;
     let mut one_more = 0;
     let mut worse = 0;
@@ -76,7 +77,11 @@
         let (view, limits, items) = random_fleet(seed);
         let budget = DisruptionBudget::new(&view, &limits, 0);
         let plan = schedule(&items, &budget);
-        assert_eq!(plan.unschedulable, [], "seed {seed}: each alone may go");
+        assert_eq!(
+            plan.unschedulable,
+            [],
+            "seed {seed}: each item may go out alone"
+        );
         let mut placed: Vec<usize> = plan
             .rounds
             .iter()
@@ -86,7 +91,7 @@
         assert_eq!(
             placed,
             (0..items.len()).collect::<Vec<_>>(),
-            "seed {seed}: each once"
+            "seed {seed}: each item is in one round"
         );
         for round in &plan.rounds {
             let mut budget = budget.clone();
@@ -97,7 +102,7 @@
             }
         }
         let fewest = exact_rounds(&items, &budget, 2_000_000)
-            .unwrap_or_else(|| panic!("seed {seed}: too large"));
+            .unwrap_or_else(|| panic!("seed {seed}: the exact search found no minimum"));
         assert!(
             lower_bound(&items, &budget) <= fewest && fewest <= plan.rounds.len(),
             "seed {seed}"
@@ -110,16 +115,16 @@
         }
     }
     eprintln!(
-        "the minimum {optimal}, one more {one_more}, worse {worse}; the bound is the minimum {bound_met}"
+        "minimum rounds: {optimal}, one more: {one_more}, worse: {worse}, lower bound met: {bound_met}"
     );
     assert!(
         optimal >= 950 && worse == 0,
-        "the minimum {optimal}, one more {one_more}, worse {worse}"
+        "minimum rounds: {optimal}, one more: {one_more}, worse: {worse}"
     );
 }
 
 #[test]
-fn urgent_machines_go_first_and_an_unhealthy_one_is_in_no_ones_way() {
+fn schedules_urgent_machines_first_and_an_unhealthy_one_in_the_first_round() {
     let node = |at: u32, healthy| Node {
         name: format!("s{at}"),
         zone: 0,
@@ -154,7 +159,7 @@
 }
 
 #[test]
-fn twelve_thousand_machines_are_planned_in_seconds() {
+fn schedules_twelve_thousand_machines_in_the_minimum_number_of_rounds() {
     let node = |at: u32| Node {
         name: format!("s{at}"),
         zone: (at % 3) as u16,
@@ -182,11 +187,11 @@
     let started = std::time::Instant::now();
     let plan = schedule(&items, &budget);
     eprintln!(
-        "{} rounds, at fewest {}, {:?}",
+        "{} rounds, lower bound {}, planned in {:?}",
         plan.rounds.len(),
         plan.lower_bound,
         started.elapsed()
     );
-    // 128 at a time, as every router has to know them.
+    // At most 128 machines are out at a time, as every router has to know all of them.
     assert_eq!((plan.rounds.len(), plan.lower_bound), (94, 94));
 }
