--- a/fault_injection/examples/preload.rs
+++ b/fault_injection/examples/preload.rs
@@ -1,4 +1,4 @@
-//! Carries a plan out in the program into which it is preloaded: stands before the C library's calls.
+//! Executes a plan in the program into which this library is preloaded: it wraps functions of the C library.
 
 #![allow(clippy::missing_safety_doc)]
 
@@ -14,19 +14,24 @@
 
 struct State {
     plan: Plan,
-    began: i64,
+    started_ms: i64,
+    /// The number of matching calls per rule.
     seen: Vec<AtomicU64>,
-    turn: Vec<AtomicU64>,
+    /// How often each rule with the effect `Fails` or `Half` has struck; selects what its next strike does.
+    turns: Vec<AtomicU64>,
+    /// The number of strikes per rule, in memory shared with the test.
     counts: &'static [AtomicU64],
-    chance: AtomicU64,
+    random_state: AtomicU64,
 }
 
 static STATE: OnceLock<State> = OnceLock::new();
-/// What each descriptor is, and the error with which it is broken.
+/// The role of each descriptor, as a number (see `set_role`); 0 means that it has none.
 static ROLES: [AtomicU8; DESCRIPTORS] = [const { AtomicU8::new(0) }; DESCRIPTORS];
+/// The permanent error that was injected on each descriptor; 0 means that there was none.
 static BROKEN: [AtomicI32; DESCRIPTORS] = [const { AtomicI32::new(0) }; DESCRIPTORS];
 
 thread_local! {
+    /// Whether this thread runs code of this library, whose own calls must not fail.
     static INSIDE: Cell<bool> = const { Cell::new(false) };
 }
 
@@ -53,7 +58,7 @@
         "ENOSPC" => libc::ENOSPC,
         "EDQUOT" => libc::EDQUOT,
         "EIO" => libc::EIO,
-        other => panic!("no error is called {other}"),
+        other => panic!("fault injection plan: unknown errno name {other:?}"),
     }
 }
 
@@ -62,7 +67,7 @@
     -1
 }
 
-fn monotonic() -> i64 {
+fn monotonic_ms() -> i64 {
     let mut at: timespec = unsafe { std::mem::zeroed() };
     unsafe { libc::syscall(libc::SYS_clock_gettime, libc::CLOCK_MONOTONIC, &mut at) };
     at.tv_sec * 1000 + at.tv_nsec / 1_000_000
@@ -73,13 +78,14 @@
     let Some(path) = std::env::var_os(VARIABLE) else {
         return INSIDE.set(false);
     };
-    let text = std::fs::read_to_string(&path).expect("the plan can be read");
-    let plan: Plan = serde_json::from_str(&text).expect("the plan is one");
+    let text = std::fs::read_to_string(&path).expect("fault injection: the plan file is readable");
+    let plan: Plan =
+        serde_json::from_str(&text).expect("fault injection: the plan file holds a valid plan");
     let file = std::fs::OpenOptions::new()
         .read(true)
         .write(true)
         .open(&plan.counts)
-        .expect("counts");
+        .expect("fault injection: the counts file can be opened");
     let rules = plan.rules.len();
     let counts: &'static [AtomicU64] = if rules == 0 {
         &[]
@@ -96,20 +102,26 @@
                 0,
             )
         };
-        assert!(at != libc::MAP_FAILED, "counts are shared");
+        assert!(
+            at != libc::MAP_FAILED,
+            "fault injection: mmap of the counts file failed"
+        );
         unsafe { std::slice::from_raw_parts(at.cast::<AtomicU64>(), rules) }
     };
     let zeros = || (0..rules).map(|_| AtomicU64::new(0)).collect();
-    let chance = AtomicU64::new(plan.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+    let random_state = AtomicU64::new(plan.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let state = State {
         plan,
-        began: monotonic(),
+        started_ms: monotonic_ms(),
         seen: zeros(),
-        turn: zeros(),
+        turns: zeros(),
         counts,
-        chance,
+        random_state,
     };
-    assert!(STATE.set(state).is_ok(), "one plan");
+    assert!(
+        STATE.set(state).is_ok(),
+        "fault injection: the plan was loaded twice"
+    );
     INSIDE.set(false);
 }
 
@@ -118,27 +130,28 @@
 static START: extern "C" fn() = start;
 
 impl State {
-    fn age(&self) -> u64 {
-        u64::try_from(monotonic() - self.began).unwrap_or(0)
+    fn age_ms(&self) -> u64 {
+        u64::try_from(monotonic_ms() - self.started_ms).unwrap_or(0)
     }
 
     fn draw(&self) -> f64 {
-        let mut x = self.chance.load(Relaxed);
+        let mut x = self.random_state.load(Relaxed);
         x ^= x << 13;
         x ^= x >> 7;
         x ^= x << 17;
-        self.chance.store(x, Relaxed);
+        self.random_state.store(x, Relaxed);
         (x >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The first rule that strikes this call.
+    /// Returns the first rule that strikes this call, with its position in the plan.
     fn strikes(&self, call: Call, role: Option<Role>) -> Option<(usize, &Rule)> {
-        let age = self.age();
+        let age_ms = self.age_ms();
         self.plan.rules.iter().enumerate().find(|(at, rule)| {
-            // The kernel neither cuts nor fails reads of its own counters (an event's, a timer's).
+            // The kernel neither shortens nor fails reads and writes of eventfd or timerfd counters, so transfers on descriptors
+            // without a role are excluded from `Any`.
             let moves = matches!(rule.call, Call::Receive | Call::Send);
             let on = rule.on == Role::Any && (role.is_some() || !moves) || Some(rule.on) == role;
-            if rule.call != call || !on || age < rule.from_ms || age >= rule.to_ms {
+            if rule.call != call || !on || age_ms < rule.from_ms || age_ms >= rule.to_ms {
                 return false;
             }
             let seen = self.seen[*at].fetch_add(1, Relaxed) + 1;
@@ -173,13 +186,13 @@
         Some(Role::Pair) => 5,
         Some(Role::File) => 6,
     };
-    if let Some(of) = ROLES.get(fd as usize) {
-        of.store(number, Relaxed);
+    if let Some(role) = ROLES.get(fd as usize) {
+        role.store(number, Relaxed);
         BROKEN[fd as usize].store(0, Relaxed);
     }
 }
 
-/// What is to be done with a call.
+/// What happens to a call.
 enum Fate {
     Passes,
     Fails(c_int),
@@ -199,7 +212,9 @@
 }
 
 fn decide(state: &State, call: Call, fd: c_int, length: usize) -> Fate {
-    let broken = BROKEN.get(fd as usize).map_or(0, |of| of.load(Relaxed));
+    let broken = BROKEN
+        .get(fd as usize)
+        .map_or(0, |errno| errno.load(Relaxed));
     if broken != 0 && matches!(call, Call::Receive | Call::Send) {
         return Fate::Fails(if call == Call::Send {
             libc::EPIPE
@@ -214,29 +229,29 @@
     match &rule.effect {
         Effect::Fails(names) => {
             strike();
-            let turn = state.turn[at].fetch_add(1, Relaxed) as usize;
-            let errno = errno_of(&names[turn % names.len()]);
-            let lasts = [
+            let turns = state.turns[at].fetch_add(1, Relaxed) as usize;
+            let errno = errno_of(&names[turns % names.len()]);
+            let permanent = [
                 libc::ETIMEDOUT,
                 libc::EHOSTUNREACH,
                 libc::ECONNRESET,
                 libc::EPIPE,
                 libc::ENETUNREACH,
             ];
-            if matches!(call, Call::Receive | Call::Send) && lasts.contains(&errno) {
+            if matches!(call, Call::Receive | Call::Send) && permanent.contains(&errno) {
                 BROKEN[fd as usize].store(errno, Relaxed);
             }
             Fate::Fails(errno)
         }
-        // Nothing is cut off a call of so few bytes.
+        // Calls that move no more than `most` bytes are not shortened.
         Effect::Short(most) if length > *most => {
             strike();
             Fate::Short(*most)
         }
         Effect::Half(name) => {
             strike();
-            let turn = state.turn[at].fetch_add(1, Relaxed);
-            if turn.is_multiple_of(2) && length > 1 {
+            let turns = state.turns[at].fetch_add(1, Relaxed);
+            if turns.is_multiple_of(2) && length > 1 {
                 return Fate::Short(length / 2);
             }
             Fate::Fails(errno_of(name))
@@ -254,7 +269,7 @@
     }
 }
 
-/// The C library's own function of a name.
+/// Returns the address of the C library's own function with this name.
 fn real(cache: &AtomicUsize, name: &CStr) -> usize {
     let known = cache.load(Relaxed);
     if known != 0 {
@@ -268,8 +283,8 @@
 macro_rules! real {
     ($name:ident, fn($($arg:ty),*) -> $ret:ty) => {{
         static CACHE: AtomicUsize = AtomicUsize::new(0);
-        let of = real(&CACHE, unsafe { CStr::from_bytes_with_nul_unchecked(concat!(stringify!($name), "\0").as_bytes()) });
-        unsafe { std::mem::transmute::<usize, unsafe extern "C" fn($($arg),*) -> $ret>(of) }
+        let address = real(&CACHE, unsafe { CStr::from_bytes_with_nul_unchecked(concat!(stringify!($name), "\0").as_bytes()) });
+        unsafe { std::mem::transmute::<usize, unsafe extern "C" fn($($arg),*) -> $ret>(address) }
     }};
 }
 
@@ -278,12 +293,12 @@
     let done = libc::syscall(libc::SYS_clock_gettime, clock, at) as c_int;
     if clock == libc::CLOCK_REALTIME && done == 0 {
         if let Some(state) = STATE.get() {
-            let age = state.age();
+            let age_ms = state.age_ms();
             let by: i64 = state
                 .plan
                 .steps
                 .iter()
-                .filter(|step| step.at_ms <= age)
+                .filter(|step| step.at_ms <= age_ms)
                 .map(|step| step.by_ms)
                 .sum();
             let ms = (*at).tv_sec * 1000 + (*at).tv_nsec / 1_000_000 + by;
@@ -337,12 +352,12 @@
         i32::from((*address).sa_family) == libc::AF_INET,
     ) {
         let port = u16::from_be((*address.cast::<libc::sockaddr_in>()).sin_port);
-        let is = if port == state.plan.discovery_port {
+        let role = if port == state.plan.discovery_port {
             Role::Discovery
         } else {
             Role::Node
         };
-        set_role(fd, Some(is));
+        set_role(fd, Some(role));
     }
     if let Fate::Fails(errno) = fate(Call::Connect, fd, 0) {
         return fail(errno) as c_int;
@@ -357,7 +372,7 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    // Only a call that has somebody to accept: the kernel does not fail one that would wait.
+    // Only a call with a pending connection fails: the kernel does not fail a call that would wait.
     let mut wait = libc::pollfd {
         fd,
         events: libc::POLLIN,
@@ -458,7 +473,7 @@
     }
 }
 
-/// A message as it is, but for its parts: one of them, and no more than `most` bytes of it.
+/// Returns a copy of the message header with only the first buffer, limited to `most` bytes. `part` holds that buffer's entry.
 unsafe fn shortened(message: *const msghdr, most: usize, part: &mut iovec) -> msghdr {
     *part = *(*message).msg_iov;
     part.iov_len = part.iov_len.min(most);
@@ -478,7 +493,7 @@
             let mut part = std::mem::zeroed();
             let mut short = shortened(message, most, &mut part);
             let received = call(fd, &mut short, flags);
-            // What the system has filled in beside the bytes.
+            // Copies the fields that the kernel has set back into the caller's header.
             (*message).msg_controllen = short.msg_controllen;
             (*message).msg_flags = short.msg_flags;
             (*message).msg_namelen = short.msg_namelen;
@@ -574,9 +589,9 @@
 
 #[no_mangle]
 pub unsafe extern "C" fn renameat(
-    a: c_int,
+    from_folder: c_int,
     from: *const c_char,
-    b: c_int,
+    to_folder: c_int,
     to: *const c_char,
 ) -> c_int {
     if STATE.get().is_some() && in_folder(to) {
@@ -587,5 +602,5 @@
     real!(
         renameat,
         fn(c_int, *const c_char, c_int, *const c_char) -> c_int
-    )(a, from, b, to)
+    )(from_folder, from, to_folder, to)
 }
--- a/fault_injection/src/lib.rs
+++ b/fault_injection/src/lib.rs
@@ -1,40 +1,42 @@
-//! Faults for tests: a plan says which system calls of the program under test fail, how, on which descriptors and from when to
-//! when; when its wall clock steps; where it is held up. A library that is preloaded into the program as it ships
-//! (`examples/preload.rs`) carries the plan out and counts each strike where the test can read it, also after a kill.
+//! Fault injection for tests. A plan defines which system calls of the program under test fail, with which effect, on which
+//! descriptors and in which period; when its wall clock steps; and which calls are delayed. A library that is preloaded into
+//! the unmodified program (`examples/preload.rs`) executes the plan and counts the injected faults per rule in a shared file,
+//! which the test can read even after the program was killed.
 //!
-//! One way in: [`Plan::write`] puts a plan into a folder and gives the environment for the program; [`Strikes::of`] tells how often
-//! a rule struck. A test whose fault never struck has shown nothing: [`Strikes::all_struck`].
+//! [`Plan::write`] writes a plan into a folder and returns the environment variable for the program. [`Strikes::of`] returns how
+//! often a rule has struck, that is, injected its fault. A test whose fault was never injected proves nothing, so tests check
+//! [`Strikes::all_struck`].
 //!
-//! The program has to make its calls through the C library: test builds take `rustix` with `use-libc` (the shipped build makes
-//! them itself). Times are milliseconds of the monotonic clock from the start of the process.
+//! The program must make its system calls through the C library: test builds use `rustix` with `use-libc`, while the shipped
+//! build makes the calls directly. Times are in milliseconds of the monotonic clock since the start of the process.
 
 use std::path::{Path, PathBuf};
 
 use serde::{Deserialize, Serialize};
 
-/// The variable that names the plan's file.
+/// The environment variable that holds the path of the plan file.
 pub const VARIABLE: &str = "TERNPICK_FAULTS";
 
-/// A call, or a family that does the same.
+/// A system call, or a family of equivalent system calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
     Accept,
     Socket,
     Connect,
-    /// recv, recvfrom, recvmsg, read, readv.
+    /// `recv`, `recvfrom`, `recvmsg`, `read`, `readv`.
     Receive,
-    /// send, sendto, sendmsg, write, writev.
+    /// `send`, `sendto`, `sendmsg`, `write`, `writev`.
     Send,
-    /// epoll_wait and its kin.
+    /// `epoll_wait`, `epoll_pwait`, `epoll_pwait2`.
     Wait,
     Open,
-    /// fsync, fdatasync.
+    /// `fsync`, `fdatasync`.
     Sync,
     Rename,
 }
 
-/// What a descriptor is to the program.
+/// What the program uses a descriptor for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -42,34 +44,36 @@
     Client,
     Node,
     Discovery,
-    /// A pair of its own: signals.
+    /// A socket pair of the program itself, used for signals.
     Pair,
-    /// A file in the plan's folder.
+    /// A file under [`Plan::folder`].
     File,
     Any,
 }
 
+/// What a rule does to a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Effect {
-    /// Fails with these in turn, by their names in errno(3). What is not for a moment (a reset, a time-out) stays: the descriptor is
-    /// broken from then on.
+    /// The call fails with these errors in turn, given by their names in errno(3). After a permanent error of a receive or send
+    /// (such as a reset or a time-out) the descriptor stays broken.
     Fails(Vec<String>),
-    /// Moves so many bytes at most.
+    /// The call moves at most this number of bytes.
     Short(usize),
-    /// A write moves half of its bytes, the next ones fail.
+    /// Alternates: one call moves half of its bytes, the next one fails with this error.
     Half(String),
-    /// The process is held up for so many milliseconds before the call.
+    /// The calling thread sleeps for this number of milliseconds before the call.
     HeldUp(u64),
 }
 
+/// Which calls are affected, how, how often and when.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     pub call: Call,
     pub on: Role,
     pub effect: Effect,
-    /// Each n-th call that it could strike; 0: by `chance`.
+    /// The rule strikes every n-th matching call; with 0 it strikes with the probability `chance`.
     #[serde(default)]
     pub every: u64,
     #[serde(default)]
@@ -78,7 +82,7 @@
     pub from_ms: u64,
     #[serde(default = "always")]
     pub to_ms: u64,
-    /// It strikes no more often than this.
+    /// The maximum number of strikes.
     #[serde(default = "always")]
     pub most: u64,
 }
@@ -88,7 +92,7 @@
 }
 
 impl Rule {
-    /// Strikes each `every`-th call.
+    /// Creates a rule that strikes every `every`-th matching call, without limits of time or number.
     pub fn new(call: Call, on: Role, every: u64, effect: Effect) -> Rule {
         Rule {
             call,
@@ -122,7 +126,7 @@
     }
 }
 
-/// The wall clock steps by so much, forward or back; the monotonic clock runs on.
+/// A step of the wall clock by `by_ms`, forward or back. The monotonic clock is not affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
@@ -138,22 +142,22 @@
     pub rules: Vec<Rule>,
     #[serde(default)]
     pub steps: Vec<Step>,
-    /// The port at which discovery listens: connections there are its, all others nodes'.
+    /// The port at which discovery listens. Connections to it have the role `Discovery`, all others the role `Node`.
     #[serde(default)]
     pub discovery_port: u16,
-    /// Files below this are the plan's.
+    /// Files below this folder have the role `File`; opens and renames outside it never fail.
     #[serde(default)]
     pub folder: Option<PathBuf>,
-    /// Where strikes are counted; filled in by [`Plan::write`].
+    /// The file that holds the number of strikes per rule; set by [`Plan::write`].
     #[serde(default)]
     pub counts: PathBuf,
 }
 
-/// How often each rule of a plan struck.
+/// Reads from the counts file how often each rule of a plan has struck.
 pub struct Strikes(PathBuf);
 
 impl Plan {
-    /// Writes the plan into a folder; the variable for the program, and where its strikes are counted.
+    /// Writes the plan into a folder. Returns the environment variable for the program, and the reader of the strike counts.
     pub fn write(
         &self,
         folder: &Path,
@@ -178,7 +182,7 @@
         let bytes = std::fs::read(&self.0).unwrap_or_default();
         let count = bytes
             .get(8 * rule..8 * rule + 8)
-            .and_then(|of| of.try_into().ok());
+            .and_then(|bytes| bytes.try_into().ok());
         count.map_or(0, u64::from_ne_bytes)
     }
 
--- a/router/tests/endings/clients.rs
+++ b/router/tests/endings/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, half-close, or whose connection gives way.
+//! Clients that leave or half-close, and idle connections that are evicted.
 
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -10,20 +10,20 @@
 use crate::common::*;
 use crate::support::*;
 
-// Term 2: a client that has gone. No attempt begins more than 0.1 s later, first or further.
+// Term 2: once a client has left, no attempt (first or retry) starts more than 0.1 s later.
 
 const GONE: Duration = Duration::from_millis(100);
 
-/// `ahead` bytes of further requests stand before the client's end, more than the router reads.
+/// The client sends `ahead` further requests before it leaves; the largest number is more than the router reads at once.
 #[test_case(0; "it has sent nothing more")]
 #[test_case(3; "it has sent some requests ahead")]
 #[test_case(2000; "it has sent more at once than is read")]
-fn nothing_is_begun_for_a_client_that_has_left(ahead: usize) {
-    let mut of = in_hand("whole");
-    of.client.set_nonblocking(true).expect("a socket");
+fn starts_no_attempt_after_the_client_has_left(ahead: usize) {
+    let mut query = query_in_flight("whole");
+    query.client.set_nonblocking(true).expect("a socket");
     for id in 0..ahead {
-        // What the way there does not hold is not sent.
-        if of
+        // Stop once the socket buffers are full.
+        if query
             .client
             .write(request("whole", &format!("a{id}")).as_bytes())
             .is_err()
@@ -31,30 +31,31 @@
             break;
         }
     }
-    drop(of.client);
+    drop(query.client);
     let left = Instant::now();
-    // Past the time at which its parts would be tried again.
+    // Wait past the time at which its shard requests would be retried.
     thread::sleep(1500 * MS);
-    assert_eq!(of.record.calls_after(left + GONE), 0);
+    assert_eq!(query.record.shard_requests_after(left + GONE), 0);
 }
 
-/// The router stands still while its client leaves and the time comes to try again: both wake it at once.
+/// The router is paused while the client leaves and the retry comes due, so that it sees both when it wakes up.
 #[test]
-fn a_further_attempt_that_is_due_as_its_client_has_left_is_not_made() {
-    let of = in_hand("whole");
-    of.router.signal("-STOP");
-    drop(of.client);
+fn makes_no_retry_that_comes_due_as_the_client_leaves() {
+    let query = query_in_flight("whole");
+    query.router.signal("-STOP");
+    drop(query.client);
     let left = Instant::now();
     thread::sleep(800 * MS);
-    of.router.signal("-CONT");
+    query.router.signal("-CONT");
     thread::sleep(700 * MS);
-    assert_eq!(of.record.calls_after(left + GONE), 0);
+    assert_eq!(query.record.shard_requests_after(left + GONE), 0);
 }
 
-/// Requests that waited to be accepted, or behind another on their connection, whose clients left meanwhile.
+/// The requests wait on an open connection, on connections not yet accepted, or behind another request on their connection,
+/// while their clients leave.
 #[test_case(1; "one request each")]
 #[test_case(4; "requests sent ahead")]
-fn a_request_whose_client_left_while_it_waited_is_not_sent_on(requests: usize) {
+fn forwards_no_request_whose_client_left_while_it_waited(requests: usize) {
     let (router, nodes, _discovery) = Router::with(&[Act::Serve, Act::Serve]);
     let record = Record::of(&nodes);
     assert_eq!(ask(&mut router.connect(), "whole", "first").0, 200);
@@ -90,19 +91,19 @@
     );
 }
 
-/// Whoever shuts its way to the router waits for nothing more.
+/// A client that shuts down its sending side no longer waits for a response.
 #[test]
-fn a_client_that_half_closes_has_its_parts_given_up() {
-    let of = in_hand("whole");
-    of.client.shutdown(Shutdown::Write).expect("shut");
+fn cancels_the_shard_requests_of_a_client_that_half_closes() {
+    let query = query_in_flight("whole");
+    query.client.shutdown(Shutdown::Write).expect("shut");
     let left = Instant::now();
-    of.record.wait('c');
+    query.record.wait('c');
     thread::sleep(900 * MS);
-    assert_eq!(of.record.calls_after(left + GONE), 0);
+    assert_eq!(query.record.shard_requests_after(left + GONE), 0);
 }
 
 #[test]
-fn a_probe_that_half_closes_is_answered() {
+fn answers_a_health_check_whose_client_half_closes() {
     let (router, _nodes, _discovery) = Router::with(&[Act::Serve]);
     let mut probe = router.connect();
     probe
@@ -112,20 +113,20 @@
     assert_eq!(answer(&mut probe).0, 200);
 }
 
-// Giving way.
+// Eviction of idle connections.
 
-/// The connection idle longest is to make room in the moment in which its client sends.
+/// The router needs the descriptor of the longest idle connection at the moment at which that client sends a request.
 #[test]
-fn a_request_that_comes_as_its_connection_gives_way_is_answered() {
+fn answers_a_request_that_arrives_as_its_idle_connection_is_evicted() {
     let (node, discovery) = (Node::start([Act::Serve; 2]), Discovery::default());
     let router = Router::start(discovery.start(), &entry("s0", node.address, "Ready"), 48);
-    // Clients may hold twelve descriptors here, and two rest at most.
-    let mut resting: Vec<TcpStream> = (0..2).map(|_| router.connect()).collect();
-    for (id, client) in resting.iter_mut().enumerate() {
+    // With these settings clients may hold twelve descriptors, and at most two connections may be idle.
+    let mut idle: Vec<TcpStream> = (0..2).map(|_| router.connect()).collect();
+    for (id, client) in idle.iter_mut().enumerate() {
         assert_eq!(ask(client, "whole", &format!("r{id}")).0, 200);
     }
     router.signal("-STOP");
-    resting[0]
+    idle[0]
         .write_all(request("whole", "again").as_bytes())
         .expect("written");
     let mut more: Vec<TcpStream> = (0..14).map(|_| router.connect()).collect();
@@ -135,7 +136,7 @@
             .expect("written");
     }
     router.signal("-CONT");
-    assert_eq!(answer(&mut resting[0]).2, WHOLE);
+    assert_eq!(answer(&mut idle[0]).2, WHOLE);
     for client in &mut more {
         assert_eq!(answer(client).2, WHOLE);
     }
--- a/router/tests/endings/closing.rs
+++ b/router/tests/endings/closing.rs
@@ -1,4 +1,4 @@
-//! Connections that are closed, and the stop.
+//! Closing connections, and stopping the router.
 
 use std::io::{Read, Write};
 use std::net::Shutdown;
@@ -8,17 +8,15 @@
 use crate::common::*;
 use crate::support::*;
 
-// Closing connections, and the stop.
-
-/// Closed over bytes that were not read, a connection is reset.
+/// A connection that is closed while unread bytes are in its buffer is reset, and the client may lose the response.
 #[test]
-fn an_answer_before_an_end_arrives_whole_whatever_its_client_sends_behind_its_request() {
+fn delivers_the_whole_last_response_although_the_client_sends_more_data() {
     let (router, nodes, _discovery) = Router::with(&[Act::Silent]);
     let mut client = router.connect();
     let last = request("whole", "r").replace("Host: x", "Host: x\r\nConnection: close");
     client.write_all(last.as_bytes()).expect("written");
     nodes[0].frame('q');
-    // More than the router reads ahead.
+    // Send more than the router reads ahead.
     client
         .write_all("x".repeat(150_000).as_bytes())
         .expect("written");
@@ -27,63 +25,63 @@
     let (status, head, _) = answer(&mut client);
     assert_eq!((status, head.contains("Connection: close")), (200, true));
     assert!(ends_in_order(&mut client));
-    // A reset is seen by who writes: the first meets it, the second is told.
+    // Only a write reveals a reset: the first write provokes it, the second one fails.
     client.write_all(b"x").expect("no reset behind it");
     thread::sleep(20 * MS);
     client.write_all(b"x").expect("no reset behind it");
 }
 
-/// A request that stands in the socket's buffer as the router closes what rests is answered.
+/// The request is in the socket's buffer when the router closes its idle connections.
 #[test]
-fn a_request_that_comes_as_resting_connections_are_closed_is_answered() {
+fn answers_a_request_that_arrives_as_idle_connections_are_closed() {
     let (router, nodes, _discovery) = Router::with(&[Act::Serve]);
     let record = Record::of(&nodes);
-    let mut resting = router.connect();
-    assert_eq!(ask(&mut resting, "whole", "r1").0, 200);
+    let mut idle = router.connect();
+    assert_eq!(ask(&mut idle, "whole", "r1").0, 200);
     router.signal("-TERM");
-    let told = Instant::now();
-    eventually("the signal is heard", || health(&router) == 503);
-    thread::sleep((500 * MS).saturating_sub(told.elapsed()));
-    // It stands still over the moment in which it closes.
+    let signalled = Instant::now();
+    eventually("the router has received the signal", || {
+        health(&router) == 503
+    });
+    thread::sleep((500 * MS).saturating_sub(signalled.elapsed()));
+    // Pause the router past the moment at which it closes idle connections.
     router.signal("-STOP");
-    resting
-        .write_all(request("whole", "r2").as_bytes())
+    idle.write_all(request("whole", "r2").as_bytes())
         .expect("written");
-    thread::sleep((900 * MS).saturating_sub(told.elapsed()));
+    thread::sleep((900 * MS).saturating_sub(signalled.elapsed()));
     let then = Instant::now();
     router.signal("-CONT");
-    let (status, head, _) = answer(&mut resting);
+    let (status, head, _) = answer(&mut idle);
     assert_eq!((status, head.contains("Connection: close")), (200, true));
-    assert!(record.calls_after(then) > 0 && ends_in_order(&mut resting));
+    assert!(record.shard_requests_after(then) > 0 && ends_in_order(&mut idle));
 }
 
-/// Behind the shutdown nothing is sent on: its client sees the end and asks again elsewhere.
+/// After the router has shut down the connection, its client sees the end and retries elsewhere, so nothing may be forwarded.
 #[test]
-fn a_request_behind_the_end_of_a_resting_connection_is_not_sent_on() {
+fn forwards_no_request_received_after_shutting_down_an_idle_connection() {
     let (mut router, nodes, _discovery) = Router::with(&[Act::Serve]);
     let record = Record::of(&nodes);
-    let mut resting = router.connect();
-    assert_eq!(ask(&mut resting, "whole", "r1").0, 200);
+    let mut idle = router.connect();
+    assert_eq!(ask(&mut idle, "whole", "r1").0, 200);
     router.signal("-TERM");
-    assert_eq!(resting.read(&mut [0]).expect("an end in order"), 0);
+    assert_eq!(idle.read(&mut [0]).expect("an end in order"), 0);
     let then = Instant::now();
-    // Half a request, then the rest: the router reads to the end, so neither write meets a reset.
+    // Send the request in two writes: the router reads to the end, so neither write is answered by a reset.
     let text = request("whole", "r2");
     let (first, rest) = text.as_bytes().split_at(40);
-    resting.write_all(first).expect("written");
+    idle.write_all(first).expect("written");
     thread::sleep(20 * MS);
-    resting.write_all(rest).expect("written");
+    idle.write_all(rest).expect("written");
     thread::sleep(20 * MS);
-    resting
-        .shutdown(Shutdown::Write)
-        .expect("the connection still stands");
-    assert!(ends_in_order(&mut resting) && router.ended());
-    assert_eq!(record.calls_after(then), 0);
+    idle.shutdown(Shutdown::Write)
+        .expect("the connection is still open");
+    assert!(ends_in_order(&mut idle) && router.ended());
+    assert_eq!(record.shard_requests_after(then), 0);
 }
 
-/// The longest deadline here is 3 s, and 0.7 s more may pass until a router that stops is killed.
+/// The longest deadline here is 3 s, and a stopping router may be killed 0.7 s after that.
 #[test]
-fn what_is_taken_late_in_a_stop_is_answered_before_the_router_may_be_killed() {
+fn answers_a_request_received_late_in_a_stop_before_the_router_may_be_killed() {
     let (mut router, nodes, _discovery) = Router::with(&[Act::Silent]);
     let mut slow = router.connect();
     slow.write_all(b"GET /_health HTTP/1.1\r\n\r\n")
@@ -92,13 +90,17 @@
     let text = request("whole", "r1").replace("Deadline-Ms: 2000", "Deadline-Ms: 3000");
     let (first, rest) = text.as_bytes().split_at(40);
     router.signal("-TERM");
-    let told = Instant::now();
+    let signalled = Instant::now();
     thread::sleep(600 * MS);
     slow.write_all(first).expect("written");
-    thread::sleep((2500 * MS).saturating_sub(told.elapsed()));
+    thread::sleep((2500 * MS).saturating_sub(signalled.elapsed()));
     slow.write_all(rest).expect("written");
     let status = answer(&mut slow).0;
-    assert!(told.elapsed() < 3700 * MS, "after {:?}", told.elapsed());
+    assert!(
+        signalled.elapsed() < 3700 * MS,
+        "after {:?}",
+        signalled.elapsed()
+    );
     assert_eq!(status, 503);
     assert!(router.ended() && nodes.len() == 1);
 }
--- a/router/tests/endings/cold.rs
+++ b/router/tests/endings/cold.rs
@@ -1,4 +1,4 @@
-//! A cold node under the sum of what all processes send.
+//! The load on a cold node from all router processes together.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -11,11 +11,12 @@
 use crate::common::*;
 use crate::support::*;
 
-// Term 3: a cold node falls under the sum of what all processes send.
+// Term 3: a cold node must not be overloaded by the sum of what all router processes send.
 
-/// At its start 4 are borne, so 10 within a second are not too many and 11 are; a second later, or further apart, they are not.
+/// At its start the node bears 4 shard requests, so 10 within a second are accepted and 11 are too many. One second later, or
+/// spread over a longer time, 11 are accepted.
 #[test]
-fn a_second_that_holds_too_much_is_found() {
+fn overrun_finds_a_second_with_too_many_shard_requests() {
     let at = |from: u64, count: u64, apart: u64| -> Vec<Duration> {
         (0..count)
             .map(|number| Duration::from_millis(from + number * apart))
@@ -32,15 +33,16 @@
     );
 }
 
-/// The cold node is the only holder of its shard, and each process is asked for far more than it may send there. They hear of
-/// its start late and all at once, and some are restarted in the window. A part of it is used, and no window is overrun.
+/// The cold node is the only replica of its shard, and each router gets far more queries than it may send there. The routers
+/// learn of its start late and all at once, and some are restarted within the window. Part of the node's capacity must be used,
+/// and no window may be overrun.
 #[test_case(20)]
 #[test_case(30)]
 #[allow(
     clippy::too_many_lines,
-    reason = "one scenario, told in the order in which it happens"
+    reason = "one scenario, in the order in which it happens"
 )]
-fn a_cold_node_bears_the_sum_of_what_all_processes_send(processes: usize) {
+fn the_sum_of_all_routers_shard_requests_does_not_overrun_a_cold_node(processes: usize) {
     let settings = SETTINGS
         .replace(r#""rules":{"#, RAMP)
         .replace(r#""positions":1"#, r#""positions":2"#)
@@ -56,7 +58,7 @@
     let (discovery, known) = (Discovery::default(), listed(0, 0));
     discovery.set(|roster| roster.version = 1);
     let address = discovery.start();
-    // Chance of their own, as far apart as the platform gives it.
+    // Each router gets a random seed of its own, as far apart as those of the platform.
     let seed = |at: usize| at.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let start = |at| Router::start_seeded(seed(at), address, &known, 256, 4, &settings, |_| ());
     let mut routers: Vec<Router> = (0..processes).map(start).collect();
@@ -80,7 +82,7 @@
                     }
                     let parts = r#"{"tablet":1,"fraction":1,"guess":100000}"#;
                     let text = request_of("whole", &format!("c{client}x{number}"), parts);
-                    // While it is restarted, nobody is there.
+                    // A router that is being restarted refuses the connection.
                     if let Ok(mut stream) = TcpStream::connect(address) {
                         let _ = stream.set_read_timeout(Some(BOUND));
                         let _ = stream
@@ -108,5 +110,9 @@
         .map(|call| call.0 - started)
         .collect();
     assert_eq!(overrun(&sent), None);
-    assert!(sent.len() >= 10, "{} in all", sent.len());
+    assert!(
+        sent.len() >= 10,
+        "the cold node got only {} shard requests, expected at least 10",
+        sent.len()
+    );
 }
--- a/router/tests/endings/discovery.rs
+++ b/router/tests/endings/discovery.rs
@@ -1,4 +1,4 @@
-//! What discovery says, and what holds while it says nothing: changes, lists, full descriptors, restarted processes.
+//! Changes and lists from discovery, and the router's behaviour while discovery is unavailable: full descriptors, restarts.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -10,30 +10,28 @@
 use crate::common::*;
 use crate::support::*;
 
-// Term 1: a change counts as told 6 s after discovery had it and could be reached.
+// Term 1: the router knows a change at most 6 s after discovery has it and can be reached.
 
-const TOLD: Duration = Duration::from_secs(6);
+const CHANGE_KNOWN_WITHIN: Duration = Duration::from_secs(6);
 
 #[derive(Clone, Copy, PartialEq)]
 enum Outage {
-    /// The open watch falls silent, discovery goes on.
+    /// The open watch call gets no answer; later calls are answered.
     Watch,
-    /// Calls are taken and not answered for so many seconds, then the way is back.
+    /// Calls are accepted but not answered for this number of seconds.
     Silent(u64),
-    /// Calls are refused for so many seconds.
+    /// Calls are refused for this number of seconds.
     Refused(u64),
-    /// The open watch is cut off, as are calls for so many seconds.
+    /// The open watch call is cut off, as are further calls for this number of seconds.
     Cut(u64),
 }
 
-/// The settings let a call wait for 9 s.
+/// The settings allow a call to wait for 9 s, longer than the 6 s of the term.
 #[test_case(Outage::Watch; "an open watch falls silent")]
 #[test_case(Outage::Silent(5); "calls stay unanswered for a while")]
 #[test_case(Outage::Refused(3); "calls are refused for a while")]
 #[test_case(Outage::Cut(1); "an open watch is cut off, and calls for a while")]
-fn a_change_is_known_within_six_seconds_of_when_discovery_had_it_and_could_be_reached(
-    outage: Outage,
-) {
+fn applies_a_change_within_six_seconds_of_discovery_being_reachable_with_it(outage: Outage) {
     let (router, nodes, discovery) = Router::with(&[Act::Serve, Act::Serve]);
     discovery.set(|roster| roster.version = 1);
     discovery.wait_until(|roster| roster.calls >= 1 && roster.asked == 1);
@@ -43,7 +41,7 @@
         Outage::Refused(_) => discovery.set(|roster| roster.down = true),
         Outage::Cut(_) => discovery.set(|roster| roster.cut = true),
     }
-    // The call that was open has seen it.
+    // Wait until the outage has reached the open call.
     thread::sleep(50 * MS);
     let seconds = match outage {
         Outage::Watch => 0,
@@ -55,11 +53,15 @@
         (roster.version, roster.changes) = (2, change);
     });
     let had = Instant::now();
-    // Its next call says that it has the change.
+    // The router's next call carries the version of the change.
     eventually("the change is known", || {
         let mut known = false;
         discovery.set(|roster| known = roster.asked == 2);
-        assert!(had.elapsed() < TOLD, "after {:?}", had.elapsed());
+        assert!(
+            had.elapsed() < CHANGE_KNOWN_WITHIN,
+            "after {:?}",
+            had.elapsed()
+        );
         known
     });
     let record = Record::of(&nodes[..1]);
@@ -71,15 +73,15 @@
         );
     }
     assert_eq!(
-        record.calls_after(then),
+        record.shard_requests_after(then),
         0,
-        "the node that drains gets nothing new"
+        "the draining node gets no new shard requests"
     );
 }
 
-/// An answer of discovery's without a length is whole when its connection ends, and the next call is made on a new one.
+/// A response from discovery without a length is complete when its connection ends; the next call uses a new connection.
 #[test]
-fn a_list_without_a_length_is_taken_when_its_connection_ends() {
+fn accepts_a_list_without_a_length_when_its_connection_ends() {
     let node = Node::start([Act::Serve; 2]);
     let discovery = Discovery::default();
     let change = entry("s0", node.address, "Ready");
@@ -89,15 +91,15 @@
     assert_eq!(ask(&mut router.connect(), "whole", "r1").2, WHOLE);
 }
 
-/// A whole list that names a node and spoils its line does not say that it is gone.
+/// A node whose line in a whole list is malformed is still named there, so it must not be treated as gone.
 #[test]
-fn a_spoilt_line_in_a_whole_list_leaves_its_node_as_it_was() {
+fn keeps_a_node_whose_line_in_a_whole_list_is_malformed() {
     let nodes = [Node::start([Act::Serve; 2]), Node::start([Act::Serve; 2])];
     let discovery = Discovery::default();
     let known = entry("s0", nodes[0].address, "Ready");
     let router = Router::start(discovery.start(), &known, 1024);
     discovery.wait_until(|roster| roster.calls >= 1);
-    // The whole list comes from where discovery has moved to.
+    // The whole list comes from the new address of discovery.
     let new = Discovery::default();
     let listed =
         entry("s0", nodes[0].address, "Ready").replace("\"group\":0", "\"group\":\"none\"");
@@ -111,35 +113,39 @@
 // Term 4: idle clients may fill the descriptors while discovery is down.
 
 #[test]
-fn clients_that_rest_on_every_descriptor_keep_neither_discovery_nor_requests_out() {
+fn reaches_discovery_and_answers_requests_while_idle_clients_fill_the_descriptors() {
     let (node, discovery) = (Node::start([Act::Serve; 2]), Discovery::default());
     discovery.set(|roster| roster.down = true);
     let router = Router::start(discovery.start(), "", 64);
     discovery.wait_until(|roster| roster.calls >= 1);
-    // Some say nothing, some half of something, some rest behind an answer.
-    let mut resting: Vec<TcpStream> = (0..150).map(|_| router.connect()).collect();
-    for (at, stream) in resting.iter_mut().enumerate() {
+    // A third of the clients sends nothing, a third sends part of a request, a third is idle after a response.
+    let mut idle: Vec<TcpStream> = (0..150).map(|_| router.connect()).collect();
+    for (at, stream) in idle.iter_mut().enumerate() {
         let text = [
             "",
             "POST /whole HTTP/1.1\r\n",
             "GET /_health HTTP/1.1\r\n\r\n",
         ][at % 3];
-        // Those that gave way already are gone.
+        // The write fails on connections that the router has already evicted.
         let _ = stream.write_all(text.as_bytes());
     }
     let change = entry("s0", node.address, "Ready");
     discovery.set(|roster| (roster.version, roster.changes, roster.down) = (5, change, false));
     let had = Instant::now();
     discovery.wait_until(|roster| roster.asked == 5);
-    assert!(had.elapsed() < TOLD, "known after {:?}", had.elapsed());
+    assert!(
+        had.elapsed() < CHANGE_KNOWN_WITHIN,
+        "known after {:?}",
+        had.elapsed()
+    );
     assert_eq!(ask(&mut router.connect(), "whole", "r1").2, WHOLE);
 }
 
-// Term 5: nine in ten restarted processes are ready within 10 s.
+// Term 5: nine of ten restarted processes are ready within 10 s.
 
 #[test_case("silent"; "discovery takes calls and answers none")]
 #[test_case("down"; "discovery refuses all")]
-fn restarted_processes_are_ready_while_discovery_is_not(how: &str) {
+fn restarted_routers_become_ready_while_discovery_is_unavailable(how: &str) {
     let (node, discovery) = (Node::start([Act::Serve; 2]), Discovery::default());
     discovery.set(|roster| (roster.silent, roster.down) = (how == "silent", how == "down"));
     let (address, known) = (discovery.start(), entry("s0", node.address, "Ready"));
--- a/router/tests/endings/main.rs
+++ b/router/tests/endings/main.rs
@@ -1,5 +1,6 @@
-//! What is still owed in the instant in which something ends: scripted peers act at the exact moment, held by a signal or by
-//! what the other side has shown, against the program as it ships. `docs/endings.md` has the table.
+//! How requests are completed when a client, a connection, a deadline or the router ends at the same moment. Scripted peers act at
+//! exact moments, which a signal or an observed effect defines, against the program as it ships. See the table in
+//! `docs/endings.md`.
 
 mod clients;
 mod closing;
--- a/router/tests/endings/support.rs
+++ b/router/tests/endings/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of endings share: a record of frames, a lookup with a call out, waiting with a bound.
+//! Shared support of these tests: a record of frames, a query in flight, waiting with a time limit.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -10,7 +10,7 @@
 
 pub(crate) const MS: Duration = Duration::from_millis(1);
 
-/// The frames of some nodes as they are read, with their times.
+/// Records the frames that some nodes read, with their times.
 #[derive(Clone, Default)]
 pub(crate) struct Record(pub(crate) Arc<Mutex<Vec<(Instant, char, String)>>>);
 
@@ -29,8 +29,8 @@
         record
     }
 
-    /// Calls that have come after `then`.
-    pub(crate) fn calls_after(&self, then: Instant) -> usize {
+    /// Returns the number of shard requests that the nodes received after `then`.
+    pub(crate) fn shard_requests_after(&self, then: Instant) -> usize {
         self.0
             .lock()
             .expect("no test thread panicked with the lock held")
@@ -39,7 +39,7 @@
             .count()
     }
 
-    /// Waits for the first frame of a letter.
+    /// Waits until a frame with this letter is recorded.
     pub(crate) fn wait(&self, wanted: char) {
         let late = Instant::now() + BOUND;
         while !self
@@ -49,22 +49,25 @@
             .iter()
             .any(|(_, letter, _)| *letter == wanted)
         {
-            assert!(Instant::now() < late, "a frame '{wanted}' in time");
+            assert!(
+                Instant::now() < late,
+                "no frame '{wanted}' within {BOUND:?}"
+            );
             thread::sleep(MS);
         }
     }
 }
 
-pub(crate) fn eventually(what: &str, mut is: impl FnMut() -> bool) {
+pub(crate) fn eventually(condition: &str, mut holds: impl FnMut() -> bool) {
     let late = Instant::now() + BOUND;
-    while !is() {
-        assert!(Instant::now() < late, "{what} in time");
+    while !holds() {
+        assert!(Instant::now() < late, "not within {BOUND:?}: {condition}");
         thread::sleep(MS);
     }
 }
 
-/// A lookup with a call out at one of two nodes that say nothing.
-pub(crate) struct InHand {
+/// A query with a shard request in flight to one of two nodes that do not answer.
+pub(crate) struct QueryInFlight {
     pub(crate) router: Router,
     pub(crate) nodes: Vec<Node>,
     pub(crate) record: Record,
@@ -72,14 +75,14 @@
     _discovery: Discovery,
 }
 
-pub(crate) fn in_hand(index: &str) -> InHand {
+pub(crate) fn query_in_flight(index: &str) -> QueryInFlight {
     let (router, nodes, _discovery) = Router::with(&[Act::Silent, Act::Silent]);
     let (record, mut client) = (Record::of(&nodes), router.connect());
     client
         .write_all(request(index, "r").as_bytes())
         .expect("written");
     record.wait('q');
-    InHand {
+    QueryInFlight {
         router,
         nodes,
         record,
@@ -88,7 +91,7 @@
     }
 }
 
-/// Whether the connection ends in order; what comes before its end is passed over.
+/// Returns whether the connection ends without a reset; discards the bytes before its end.
 pub(crate) fn ends_in_order(stream: &mut TcpStream) -> bool {
     stream.read_to_end(&mut Vec::new()).is_ok()
 }
--- a/router/tests/endings/time_outs.rs
+++ b/router/tests/endings/time_outs.rs
@@ -1,4 +1,4 @@
-//! Times that run out: of a call, and of its lookup.
+//! Time-outs of a shard request and of its query.
 
 use std::thread;
 use std::time::Instant;
@@ -6,33 +6,37 @@
 use crate::common::*;
 use crate::support::*;
 
-// Time-outs. What has come by the moment in which the router looks is taken before what that moment ends.
+// The router processes the input that has arrived by the time it wakes up before the time-outs that are due then.
 
 #[test]
-fn an_answer_that_came_as_its_time_ran_out_counts_and_no_further_attempt_is_made() {
-    let mut of = in_hand("once");
-    of.router.signal("-STOP");
+fn uses_an_answer_that_arrived_as_its_attempt_timed_out_and_makes_no_retry() {
+    let mut query = query_in_flight("once");
+    query.router.signal("-STOP");
     let then = Instant::now();
-    for node in &of.nodes {
+    for node in &query.nodes {
         ["r.0", "r.1"].iter().for_each(|id| node.answer(id));
     }
-    // Past the time of the calls, and not of the client.
+    // Wait past the time-out of the shard requests, but not past the client's deadline.
     thread::sleep(900 * MS);
-    of.router.signal("-CONT");
-    assert_eq!(answer(&mut of.client).0, 200);
-    assert_eq!(of.record.calls_after(then), 0);
+    query.router.signal("-CONT");
+    assert_eq!(answer(&mut query.client).0, 200);
+    assert_eq!(query.record.shard_requests_after(then), 0);
 }
 
 #[test]
-fn a_further_attempt_that_is_due_as_its_lookup_ends_is_not_made() {
-    let mut of = in_hand("whole");
-    of.router.signal("-STOP");
-    // Past the time of the calls and that of the client.
+fn makes_no_retry_that_comes_due_as_the_query_times_out() {
+    let mut query = query_in_flight("whole");
+    query.router.signal("-STOP");
+    // Wait past the time-out of the shard requests and the client's deadline.
     thread::sleep(2100 * MS);
     let then = Instant::now();
-    of.router.signal("-CONT");
-    assert_eq!(answer(&mut of.client).0, 503);
-    assert!(then.elapsed() < 400 * MS, "its one final answer, at once");
+    query.router.signal("-CONT");
+    assert_eq!(answer(&mut query.client).0, 503);
+    assert!(
+        then.elapsed() < 400 * MS,
+        "the final response came {:?} after the router resumed",
+        then.elapsed()
+    );
     thread::sleep(300 * MS);
-    assert_eq!(of.record.calls_after(then), 0);
+    assert_eq!(query.record.shard_requests_after(then), 0);
 }
